--- /dev/null
+++ b/cmd/stoatweir/wire_test.go
@@ -0,0 +1,303 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"github.com/sirupsen/logrus"
+
+	"stoatweir/dispatch"
+	"stoatweir/internal/admin"
+	"stoatweir/internal/clients"
+	"stoatweir/internal/guard"
+	"stoatweir/internal/ledger"
+	"stoatweir/internal/life"
+	"stoatweir/internal/peers"
+	"stoatweir/internal/settings"
+	"stoatweir/internal/workers"
+)
+
+// The files testdata/*.golden hold the texts that other processes, other builds and operators read. Go's names of fields must not
+// move them.
+
+// golden compares a text with the recorded one, and gives the latter. With -update it records it first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	file := filepath.Join("testdata", name+".golden")
+	got = append(bytes.Clone(got), '\n')
+	if *update {
+		if err := os.WriteFile(file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	recorded, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(recorded, got) {
+		t.Errorf("%s is not as recorded:\n%s", file, cmp.Diff(strings.SplitAfter(string(recorded), ","), strings.SplitAfter(string(got), ",")))
+	}
+	return bytes.TrimSuffix(recorded, []byte("\n"))
+}
+
+// filler gives each field a value of its own that is not zero.
+type filler struct{ last int64 }
+
+func (f *filler) next() int64 {
+	f.last++
+	return f.last
+}
+
+// fill sets all exported fields below v; slices get two elements, maps one.
+func (f *filler) fill(t *testing.T, v reflect.Value) {
+	t.Helper()
+	if to, is := v.Addr().Interface().(*netip.AddrPort); is {
+		*to = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(f.next()))
+		return
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(f.next())
+	case reflect.Uint8, reflect.Uint64:
+		v.SetUint(uint64(f.next()))
+		if v.Uint() == 0 {
+			t.Fatal("too many values for ", v.Type())
+		}
+	case reflect.Float64:
+		v.SetFloat(float64(f.next()) + 0.5)
+	case reflect.String:
+		v.SetString(fmt.Sprint("text ", f.next()))
+	case reflect.Struct:
+		for n := range v.NumField() {
+			f.fill(t, v.Field(n))
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		f.fillElements(t, v)
+	case reflect.Array:
+		f.fillElements(t, v)
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		f.fill(t, key)
+		f.fill(t, value)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	default:
+		t.Fatal("no value for ", v.Type())
+	}
+}
+
+func (f *filler) fillElements(t *testing.T, v reflect.Value) {
+	t.Helper()
+	for n := range v.Len() {
+		f.fill(t, v.Index(n))
+	}
+}
+
+// filled is a T with all fields set, the same one at each call.
+func filled[T any](t *testing.T) (value T) {
+	t.Helper()
+	new(filler).fill(t, reflect.ValueOf(&value).Elem())
+	return value
+}
+
+// roundTrip holds a value's text to the recorded one, and reads the recorded one, as it comes from a process of another build.
+func roundTrip[T any](t *testing.T, name string, written T) {
+	t.Helper()
+	text, err := json.Marshal(written)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read T
+	if err := json.Unmarshal(golden(t, name, text), &read); err != nil {
+		t.Fatal(err)
+	}
+	// A new field is unset in the recorded text and shows here, a lost one in the text.
+	if diff := cmp.Diff(written, read, cmp.AllowUnexported(part{}, legacy{}), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
+		t.Errorf("read as something else (-written +read):\n%s", diff)
+	}
+}
+
+// What one process tells the next, with all fields set and with none, as the later parts of a lesson nearly are.
+func TestHandOverFormsGolden(t *testing.T) {
+	roundTrip(t, "part", filled[part](t))
+	roundTrip(t, "part_empty", part{})
+	roundTrip(t, "legacy", filled[legacy](t))
+	roundTrip(t, "legacy_empty", legacy{})
+}
+
+// wireService is a service with one worker in its list that nobody needs to reach.
+func wireService(t *testing.T) (*service, net.Listener) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { silent.Close() })
+	config, err := settings.ParseNode([]byte(`{"name":"n0","listen":"`+l.Addr().String()+`","discovery":"`+silent.Addr().String()+`",
+		"known":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","state":"Ready"}]},
+		"settings":{"Discovery":"ask","Operations":[{"Name":"render","Effect":"read_like"}]}}`), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	s, err := newService(config, logrus.NewEntry(log))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s, l
+}
+
+// memoryFigures are the only values of the counts of a service at rest that differ from run to run.
+var memoryFigures = regexp.MustCompile(`"(heap_bytes|allocations|collections)":\d+`)
+
+// fillBook makes a different number of each kind of entry.
+func fillBook(l *ledger.Ledger) {
+	l.Forwards, l.Applied, l.Rejected = 1001, 1002, 1003
+	class := l.Class("render")
+	for range 30 {
+		l.Took(class)
+	}
+	for how, times := range map[ledger.Disposition]int{ledger.Succeeded: 1, ledger.Declined: 2, ledger.Aborted: 3, ledger.Abandoned: 4, ledger.Handed: 5} {
+		for range times {
+			l.End(class, how)
+		}
+	}
+}
+
+// fillCounts gives every counter of a service that does not run a value.
+func fillCounts(t *testing.T, s *service) {
+	t.Helper()
+	fillBook(s.book)
+	s.door.Counts, s.fleet.Counts, s.fleet.Guard.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[guard.Counts](t)
+	s.door.Ended, s.givenUp = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
+	s.list.Calls, s.panics = 1006, 1007
+	s.road = &peers.Road{}
+	for n, c := range []interface{ Store(uint64) }{&s.road.Counts.Sent, &s.road.Counts.Heard, &s.road.Counts.Unsent, &s.road.Counts.Foreign,
+		&s.road.Counts.Old, &s.road.Counts.Broken, &s.road.Counts.Crowded} {
+		c.Store(uint64(1010 + n))
+	}
+	s.waits.RecordValue(200)
+	s.thinks.RecordValue(100)
+}
+
+func TestCountsGolden(t *testing.T) {
+	s, _ := wireService(t)
+	fillCounts(t, s)
+	golden(t, "counts", memoryFigures.ReplaceAll(s.report(), []byte(`"$1":MEMORY`)))
+	figures, err := json.Marshal(filled[ledger.Figures](t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "figures", figures)
+}
+
+// The words that counts, answers' reasons and admin answers go by where they are constants of Go.
+func TestCountKeysGolden(t *testing.T) {
+	keys := []any{guard.WorkerUnavailable, guard.WorkerRestarted, guard.WorkerMoved, guard.ClientGone, guard.TimeoutPassed,
+		guard.WindowPassed, guard.UnknownRequest, guard.TooManyAttempts, guard.SecondOut, guard.SecondAtWorker, guard.RepeatedUnproven,
+		guard.RepeatedOutOfGroup, guard.RepeatedTooLate, guard.AnsweredTwice, guard.AnsweredLate, guard.RefusedUnproven, guard.ClosedUnanswered,
+		guard.StartInFuture, dispatch.ReasonTimeout, dispatch.ReasonTooLate, dispatch.ReasonAttempts, dispatch.ReasonUnfit,
+		dispatch.ReasonUnproven, dispatch.ReasonWindow, life.Starting, life.Ready, life.Standby, life.HandingOver, life.Stopping}
+	var text []byte
+	for _, key := range keys {
+		text = fmt.Appendln(text, key)
+	}
+	golden(t, "count_keys", bytes.TrimSuffix(text, []byte("\n")))
+}
+
+// A request that is stopped once, sent, ended, repeated in vain, answered, and handed over or taken back, as operators read it.
+func TestHistoryGolden(t *testing.T) {
+	s, _ := wireService(t)
+	now := time.Duration(0)
+	g := guard.New(func() time.Duration { now += 250 * time.Millisecond; return now })
+	s.fleet.Guard = g
+	g.Take(1, guard.Terms{ID: "job-1", Effect: dispatch.NonIdempotent, Deadline: time.Minute, MostAttempts: 2, MostOut: 1})
+	worker := guard.Target{Worker: "s-1", Entry: dispatch.Entry{Standing: dispatch.Ready}}
+	gone := worker
+	gone.Standing++
+	g.Send(guard.Attempt{Request: 1, Chosen: worker, Now: gone, Timeout: time.Minute})
+	sent := guard.Attempt{Request: 1, Number: 1, Chosen: worker, Now: worker, Timeout: time.Minute}
+	if why := g.Send(sent); why != "" {
+		t.Fatal(why)
+	}
+	g.Begun(sent)
+	g.TakeBack(1, g.Give(1))
+	g.Ended(1, 1, "broken", true)
+	g.Send(sent)
+	g.Closed(1)
+	g.Answer(1, guard.Refused, "an attempt may have run")
+	golden(t, "history", s.historyOf("job-1"))
+	if text := s.historyOf("another"); len(text) > 0 {
+		t.Errorf("of another request: %s", text)
+	}
+}
+
+// operator is an operator's call: it gives the question with its answer.
+func operator(t *testing.T, addr, word string) string {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	io.WriteString(c, word+"\n")
+	answer, err := io.ReadAll(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return "> " + word + "\n" + string(answer)
+}
+
+func TestAdminAnswersGolden(t *testing.T) {
+	s, l := wireService(t)
+	operators, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer operators.Close()
+	go admin.New(s.calls(), operatorsMost).Serve(operators)
+	addr, got := operators.Addr().String(), ""
+	ask := func(words ...string) {
+		for _, word := range words {
+			got += operator(t, addr, word)
+		}
+	}
+	ask("status", "stats")
+	fillBook(s.book)
+	over := make(chan struct{})
+	go func() { s.run(address{listener: l}); close(over) }()
+	for exchange(l.Addr().String(), "GET /-/ready HTTP/1.1\r\n\r\n") != "HTTP/1.1 200 OK " {
+		time.Sleep(time.Millisecond)
+	}
+	published := make(chan struct{})
+	s.loop.Order(order{s, func() { s.publish(); close(published) }})
+	<-published
+	ask("status", "stats", "active", "standby", "status", "standby", "active", "status", "other")
+	s.loop.Order(order{s, s.stop})
+	ask("standby", "active", "status")
+	golden(t, "admin", []byte(got))
+	s.loop.Order(order{s, s.loop.Stop})
+	<-over
+}
