--- a/cmd/stoatweir/lesson.go
+++ b/cmd/stoatweir/lesson.go
@@ -19,8 +19,9 @@
 // part is a piece of a lesson, with names for what goes by indices in one process.
 type part struct {
 	dispatch.Lesson
-	KindNames, OperationNames []string // by index
-	UIDs                      []string // of the workers, in their order
+	KindNames      []string `json:"KindNames"`      // by index
+	OperationNames []string `json:"OperationNames"` // likewise
+	UIDs           []string `json:"UIDs"`           // of the workers, in their order
 }
 
 // study asks for the lesson before we say yes.
--- a/cmd/stoatweir/pass.go
+++ b/cmd/stoatweir/pass.go
@@ -26,15 +26,19 @@
 // legacy is an invocation as it goes from one process to the next: what the door, the fleet and the module know of it.
 // Operations and tenants go by name, workers by uid, times as ages.
 type legacy struct {
-	ID, Method, Target string
-	Fields             []http1.Field
-	Left               time.Duration // until its client stops waiting
-	At                 time.Duration // when this was so, by the clock that all processes of a machine share
-	Name, Tenant       string
-	Operation          dispatch.Operation
-	Timeout            time.Duration
-	Record             dispatch.Resumed
-	Workers, Zones     []string // of its tries
+	ID        string             `json:"ID"`
+	Method    string             `json:"Method"`
+	Target    string             `json:"Target"`
+	Fields    []http1.Field      `json:"Fields"`
+	Left      time.Duration      `json:"Left"` // until its client stops waiting
+	At        time.Duration      `json:"At"`   // when this was so, by the clock that all processes of a machine share
+	Name      string             `json:"Name"`
+	Tenant    string             `json:"Tenant"`
+	Operation dispatch.Operation `json:"Operation"`
+	Timeout   time.Duration      `json:"Timeout"`
+	Record    dispatch.Resumed   `json:"Record"`
+	Workers   []string           `json:"Workers"` // of its tries
+	Zones     []string           `json:"Zones"`   // likewise
 }
 
 // parcel is on its way.
--- a/dispatch/lesson.go
+++ b/dispatch/lesson.go
@@ -11,41 +11,56 @@
 // Lesson is what an instance has measured, for another one that takes its place. It holds no decision: what is taught is
 // used by the same lines as what is measured. Times are ages, or what is left of a span.
 type Lesson struct {
-	Version                            int
-	Runs, Gaps, Changes, Slots, Starts []float64
-	Arrivals                           []time.Duration
-	Jobs, Clones, Size, Credit         float64
-	Kinds                              map[int][]float64 // paces
-	Operations                         map[int]OperationLesson
-	Workers                            []WorkerLesson
+	Version    int                     `json:"Version"`
+	Runs       []float64               `json:"Runs"`
+	Gaps       []float64               `json:"Gaps"`
+	Changes    []float64               `json:"Changes"`
+	Slots      []float64               `json:"Slots"`
+	Starts     []float64               `json:"Starts"`
+	Arrivals   []time.Duration         `json:"Arrivals"`
+	Jobs       float64                 `json:"Jobs"`
+	Clones     float64                 `json:"Clones"`
+	Size       float64                 `json:"Size"`
+	Credit     float64                 `json:"Credit"`
+	Kinds      map[int][]float64       `json:"Kinds"` // paces
+	Operations map[int]OperationLesson `json:"Operations"`
+	Workers    []WorkerLesson          `json:"Workers"`
 }
 
 // OperationLesson is what was measured of one operation.
 type OperationLesson struct {
-	Ratios, Sizes, Rough []float64
-	Most                 time.Duration
+	Ratios []float64     `json:"Ratios"`
+	Sizes  []float64     `json:"Sizes"`
+	Rough  []float64     `json:"Rough"`
+	Most   time.Duration `json:"Most"`
 }
 
 // WorkerLesson is what was measured of one start of a worker.
 type WorkerLesson struct {
-	Worker                     WorkerID
-	Start                      uint64
-	Paces                      []float64
-	Service                    float64
-	Figures                    []float64
-	Last, Size                 float64
-	Load                       Load
-	FigureAge, ReportAge, Sign time.Duration
-	Aside                      bool
-	AsideLeft, FullLeft        time.Duration
-	Asides, Wanted, Missed     int
-	Spent                      []Spending
+	Worker    WorkerID      `json:"Worker"`
+	Start     uint64        `json:"Start"`
+	Paces     []float64     `json:"Paces"`
+	Service   float64       `json:"Service"`
+	Figures   []float64     `json:"Figures"`
+	Last      float64       `json:"Last"`
+	Size      float64       `json:"Size"`
+	Load      Load          `json:"Load"`
+	FigureAge time.Duration `json:"FigureAge"`
+	ReportAge time.Duration `json:"ReportAge"`
+	Sign      time.Duration `json:"Sign"`
+	Aside     bool          `json:"Aside"`
+	AsideLeft time.Duration `json:"AsideLeft"`
+	FullLeft  time.Duration `json:"FullLeft"`
+	Asides    int           `json:"Asides"`
+	Wanted    int           `json:"Wanted"`
+	Missed    int           `json:"Missed"`
+	Spent     []Spending    `json:"Spent"`
 }
 
 // Spending is work sent to a cold worker that has ended, and still counts.
 type Spending struct {
-	Age  time.Duration
-	Cost float64
+	Age  time.Duration `json:"Age"`
+	Cost float64       `json:"Cost"`
 }
 
 // Taught brings a lesson.
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -14,19 +14,24 @@
 // Resumed brings an invocation that another instance had. Ages count back from now.
 type Resumed struct {
 	Arrival
-	Waited time.Duration // since its client's first try came
-	Age    time.Duration // since this try came
-	Tries  []Try         // its forwards, in the order sent
+	Waited time.Duration `json:"Waited"` // since its client's first try came
+	Age    time.Duration `json:"Age"`    // since this try came
+	Tries  []Try         `json:"Tries"`  // its forwards, in the order sent
 }
 
 // Try is one forward of an invocation.
 type Try struct {
-	Worker            WorkerID
-	Zone, Cell        int           // where the worker was when it was sent
-	Age, Began, Heard time.Duration // since it was sent, began and was last heard of; below 0: it has not, it was not
-	Cost              float64
-	Out, Ran          bool
-	Stuck, Unfit      bool
+	Worker WorkerID      `json:"Worker"`
+	Zone   int           `json:"Zone"`  // where the worker was when it was sent
+	Cell   int           `json:"Cell"`  // likewise
+	Age    time.Duration `json:"Age"`   // since it was sent
+	Began  time.Duration `json:"Began"` // since it began; below 0: it has not
+	Heard  time.Duration `json:"Heard"` // since it was last heard of; below 0: it was not
+	Cost   float64       `json:"Cost"`
+	Out    bool          `json:"Out"`
+	Ran    bool          `json:"Ran"`
+	Stuck  bool          `json:"Stuck"`
+	Unfit  bool          `json:"Unfit"`
 }
 
 func (e Passed) About() (InvID, WorkerID)  { return e.Inv, WorkerID{} }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -39,7 +39,12 @@
 
 // Load is a worker's report on itself.
 type Load struct {
-	FreeSlots, Waiting, InHand, Busy, ServiceTime, Errors float64
+	FreeSlots   float64 `json:"FreeSlots"`
+	Waiting     float64 `json:"Waiting"`
+	InHand      float64 `json:"InHand"`
+	Busy        float64 `json:"Busy"`
+	ServiceTime float64 `json:"ServiceTime"`
+	Errors      float64 `json:"Errors"`
 }
 
 // NoLoad is a report without any value: no word of free slots.
@@ -66,13 +71,14 @@
 
 // Operation is one kind of invocation.
 type Operation struct {
-	BilledValue, LateValue float64
-	LatencyObjective       time.Duration
-	Stretch                float64 // the objective grows by this multiple of an invocation's own work
-	Effect                 Effect
-	Scope                  Scope
-	DedupWindow            time.Duration
-	Kind                   int // the one kind of worker that runs it, or -1
+	BilledValue      float64       `json:"BilledValue"`
+	LateValue        float64       `json:"LateValue"`
+	LatencyObjective time.Duration `json:"LatencyObjective"`
+	Stretch          float64       `json:"Stretch"` // the objective grows by this multiple of an invocation's own work
+	Effect           Effect        `json:"Effect"`
+	Scope            Scope         `json:"Scope"`
+	DedupWindow      time.Duration `json:"DedupWindow"`
+	Kind             int           `json:"Kind"` // the one kind of worker that runs it, or -1
 }
 
 // Tenant is one customer's share of the service.
@@ -117,11 +123,12 @@
 
 // Arrival is a new invocation, which from now on is owed one final answer.
 type Arrival struct {
-	Inv               InvID
-	Operation, Tenant int
-	Budget            time.Duration // until the client gives this try up
-	Hint              float64       // hinted cost; 0: none
-	Slots             float64
+	Inv       InvID         `json:"Inv"`
+	Operation int           `json:"Operation"`
+	Tenant    int           `json:"Tenant"`
+	Budget    time.Duration `json:"Budget"` // until the client gives this try up
+	Hint      float64       `json:"Hint"`   // hinted cost; 0: none
+	Slots     float64       `json:"Slots"`
 }
 
 // Streaming says that the answer of a streamed invocation has begun at the client.
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -47,7 +47,11 @@
 
 // Counts of what else happens at the door; invocations stand in the ledger.
 type Counts struct {
-	Connections, Overdue, Malformed, Crowded, Silent int
+	Connections int `json:"Connections"`
+	Overdue     int `json:"Overdue"`
+	Malformed   int `json:"Malformed"`
+	Crowded     int `json:"Crowded"`
+	Silent      int `json:"Silent"`
 }
 
 // Why connections end by our own doing; all others have the ending's name.
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -73,9 +73,9 @@
 
 // Counts of what was stopped and violated, by reason, and of what happened to requests.
 type Counts struct {
-	Stopped    map[Reason]int
-	Violations map[Reason]int
-	Retries    map[string]int // further attempts, by how the one before had ended
+	Stopped    map[Reason]int `json:"Stopped"`
+	Violations map[Reason]int `json:"Violations"`
+	Retries    map[string]int `json:"Retries"` // further attempts, by how the one before had ended
 }
 
 // Guard is one scheduler's. A nil one watches over no answers and ends of connections.
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -39,19 +39,19 @@
 
 // Message is one packet: a head, and a body that is passed on as it came.
 type Message struct {
-	Kind     Kind
-	Version  int      `json:",omitempty"`
-	Listen   string   `json:",omitempty"` // hello: the address to be taken over
-	Name     string   `json:",omitempty"` // hello: whose; an older version does not say
-	Sockets  int      `json:",omitempty"` // welcome: the newcomer's part while both live
-	MemoryMB int      `json:",omitempty"` // likewise
-	Why      string   `json:",omitempty"`
-	IDs      []string `json:",omitempty"`
-	Number   uint64   `json:",omitempty"` // of news or a pass, in its answer too
-	OK       bool     `json:",omitempty"` // news has found its owner; what was passed is kept
-	Unsure   bool     `json:",omitempty"` // its owner can't be told at this moment
+	Kind     Kind     `json:"Kind"`
+	Version  int      `json:"Version,omitempty"`
+	Listen   string   `json:"Listen,omitempty"`   // hello: the address to be taken over
+	Name     string   `json:"Name,omitempty"`     // hello: whose; an older version does not say
+	Sockets  int      `json:"Sockets,omitempty"`  // welcome: the newcomer's part while both live
+	MemoryMB int      `json:"MemoryMB,omitempty"` // likewise
+	Why      string   `json:"Why,omitempty"`
+	IDs      []string `json:"IDs,omitempty"`
+	Number   uint64   `json:"Number,omitempty"` // of news or a pass, in its answer too
+	OK       bool     `json:"OK,omitempty"`     // news has found its owner; what was passed is kept
+	Unsure   bool     `json:"Unsure,omitempty"` // its owner can't be told at this moment
 
-	Pass *Passed `json:",omitempty"`
+	Pass *Passed `json:"Pass,omitempty"`
 	Body []byte  `json:"-"` // of news, the request that is passed, or a part of the lesson
 
 	Socket syscall.Conn `json:"-"` // to go with it
@@ -60,11 +60,11 @@
 
 // Passed is a client's connection, or one that brings workers' news.
 type Passed struct {
-	Read       []byte          // was read of it and not used
-	News       bool            `json:",omitempty"`
-	Fresh      bool            `json:",omitempty"` // nothing has come over it yet
-	Silent     time.Duration   `json:",omitempty"` // for so long, of a fresh one
-	Invocation json.RawMessage `json:",omitempty"` // as those know it who keep invocations; none: it is idle
+	Read       []byte          `json:"Read"` // was read of it and not used
+	News       bool            `json:"News,omitempty"`
+	Fresh      bool            `json:"Fresh,omitempty"`      // nothing has come over it yet
+	Silent     time.Duration   `json:"Silent,omitempty"`     // for so long, of a fresh one
+	Invocation json.RawMessage `json:"Invocation,omitempty"` // as those know it who keep invocations; none: it is idle
 }
 
 func (m Message) encode() ([]byte, error) {
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -5,7 +5,10 @@
 )
 
 // Field is a header to write. Values come from heads that were read, or are our own: no line's end is in them.
-type Field struct{ Name, Value string }
+type Field struct {
+	Name  string `json:"Name"`
+	Value string `json:"Value"`
+}
 
 var reasons = map[int]string{200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -25,9 +25,9 @@
 
 // Class is one page of the book.
 type Class struct {
-	Name  string
-	Taken int
-	Ended [endings]int
+	Name  string       `json:"Name"`
+	Taken int          `json:"Taken"`
+	Ended [endings]int `json:"Ended"`
 }
 
 // Outstanding is what was taken and has not ended.
@@ -125,9 +125,13 @@
 
 // Figures are a copy of the book at one moment, with what others know of that moment.
 type Figures struct {
-	Classes                          []Class
-	Forwards, Applied, Rejected      int
-	Outstanding, Discovered, Ejected int
+	Classes     []Class `json:"Classes"`
+	Forwards    int     `json:"Forwards"`
+	Applied     int     `json:"Applied"`
+	Rejected    int     `json:"Rejected"`
+	Outstanding int     `json:"Outstanding"`
+	Discovered  int     `json:"Discovered"`
+	Ejected     int     `json:"Ejected"`
 }
 
 // Figures copies the book.
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -46,10 +46,16 @@
 
 // Counts of what went out and how it ended.
 type Counts struct {
-	Sent, Probes, Cancels, News, Strange, Dialled int
-	Ended, Answered                               map[string]int // attempts and probes, by how they ended
-	Changes                                       map[string]int // of workers in the list, such as "ready to draining"
-	Stopped                                       map[string]int // attempts that the last check before the first byte stopped, by reason
+	Sent     int            `json:"Sent"`
+	Probes   int            `json:"Probes"`
+	Cancels  int            `json:"Cancels"`
+	News     int            `json:"News"`
+	Strange  int            `json:"Strange"`
+	Dialled  int            `json:"Dialled"`
+	Ended    map[string]int `json:"Ended"`    // attempts, by how they ended
+	Answered map[string]int `json:"Answered"` // probes, by how they ended
+	Changes  map[string]int `json:"Changes"`  // of workers in the list, such as "ready to draining"
+	Stopped  map[string]int `json:"Stopped"`  // attempts that the last check before the first byte stopped, by reason
 }
 
 // Fleet is the workers as seen from here.
