--- a/dispatch/history_test.go
+++ b/dispatch/history_test.go
@@ -20,6 +20,31 @@
 
 const recorded = "testdata/histories.txt"
 
+// recordedName is the name by which the recorded histories have an action. It stays when the type is renamed.
+func recordedName(action Action) string {
+	switch action.(type) {
+	case Forward:
+		return "dispatch.Forward"
+	case Throttled:
+		return "dispatch.Throttled"
+	case Errored:
+		return "dispatch.Errored"
+	case Cancel:
+		return "dispatch.Cancel"
+	case Probe:
+		return "dispatch.Probe"
+	case Wake:
+		return "dispatch.Wake"
+	case Follow:
+		return "dispatch.Follow"
+	case Log:
+		return "dispatch.Log"
+	case Tell:
+		return "dispatch.Tell"
+	}
+	return fmt.Sprintf("%T", action)
+}
+
 // told plays one history and tells how many actions it had and what they hash to, with all that was learned at the end.
 func told(seed int64, workers int, span time.Duration, to *bufio.Writer) (actions int, sum uint64) {
 	w := newWorld(seed, workers, varied(seed))
@@ -31,9 +56,9 @@
 	h := fnv.New64a()
 	w.seen = func(now time.Duration, a Action) {
 		actions++
-		fmt.Fprintf(h, "%d %T%v\n", now, a, a)
+		fmt.Fprintf(h, "%d %s%v\n", now, recordedName(a), a)
 		if to != nil {
-			fmt.Fprintf(to, "%v %T%v\n", now, a, a)
+			fmt.Fprintf(to, "%v %s%v\n", now, recordedName(a), a)
 		}
 	}
 	w.begin()
