--- /dev/null
+++ b/internal/lab/report/forms_test.go
@@ -0,0 +1,45 @@
+package report
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"stoatweir/internal/lab/world"
+)
+
+// A report with every field set is the same to the byte, and the recorded one is read back whole.
+func TestGoldenReport(t *testing.T) {
+	r := filled[Report]()
+	r.Rules = map[string]int{}
+	for n, rule := range []world.Rule{world.OneAnswer, world.OneEffect, world.Drains, world.Cold} {
+		r.Rules[rule.String()] = n + 1
+	}
+	var text, trace bytes.Buffer
+	if err := r.JSON(&text); err != nil {
+		t.Fatal(err)
+	}
+	var got Report
+	if err := json.Unmarshal(golden(t, "report.json", text.Bytes()), &got); err != nil {
+		t.Fatal(err)
+	}
+	// Raw JSON is indented with all the rest.
+	if err := json.Compact(&trace, got.Trace); err != nil {
+		t.Fatal(err)
+	}
+	got.Trace = trace.Bytes()
+	if diff := cmp.Diff(r, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// What may be left out is left out.
+func TestGoldenEmptyReport(t *testing.T) {
+	var text bytes.Buffer
+	if err := (Report{}).JSON(&text); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "empty.json", text.Bytes())
+}
--- /dev/null
+++ b/internal/lab/scale/forms_test.go
@@ -0,0 +1,122 @@
+package scale
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/pelletier/go-toml/v2"
+)
+
+// line is a value as processes write it to one another.
+func line(t *testing.T, v any) []byte {
+	t.Helper()
+	var text bytes.Buffer
+	if err := json.NewEncoder(&text).Encode(v); err != nil {
+		t.Fatal(err)
+	}
+	return text.Bytes()
+}
+
+// readBack holds what a recorded text says against the value that it was written from.
+func readBack[T any](t *testing.T, recorded []byte, wanted T) {
+	t.Helper()
+	var got T
+	if err := json.Unmarshal(recorded, &got); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(wanted, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// What a rig and its hollow processes write to one another is the same to the byte, every field set.
+func TestGoldenOrders(t *testing.T) {
+	part, order, stats := filled[Part](), filled[Order](), filled[Stats]()
+	readBack(t, golden(t, "part.json", line(t, part)), part)
+	readBack(t, golden(t, "order.json", line(t, order)), order)
+	readBack(t, golden(t, "stats.json", line(t, stats)), stats)
+}
+
+// A hollow process that is given recorded lines answers with the recorded ones.
+func TestGoldenExchange(t *testing.T) {
+	in := append(line(t, Part{Role: ClientsRole, Schedulers: []string{"127.0.0.1:1"}, Host: "127.0.0.1"}), line(t, Order{Do: "stats"})...)
+	var out bytes.Buffer
+	if err := Hollow(context.Background(), bytes.NewReader(golden(t, "exchange_in.json", in)), &out); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "exchange_out.json", out.Bytes())
+}
+
+// The report of a sweep is the same to the byte, and the recorded file is read back whole.
+func TestGoldenReport(t *testing.T) {
+	r := filled[Report]()
+	var text bytes.Buffer
+	if err := r.JSON(&text); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "report.json", text.Bytes())
+	got, err := ReadReport(filepath.Join("testdata", "report.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(r, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// The counts of the service are read by the keys that they have now.
+func TestGoldenCounts(t *testing.T) {
+	c := filled[counts]()
+	readBack(t, golden(t, "counts.json", line(t, c)), c)
+	text, err := os.ReadFile("testdata/counts.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	// Keys of maps are values.
+	lower := strings.NewReplacer("Workers", "workers", "Sent", "sent", "Probes", "probes", "Cancels", "cancels", "News", "news",
+		"Strange", "strange", "Dialled", "dialled", "Panics", "panics", "Sockets", "sockets", "Watches", "watches").Replace(string(text))
+	readBack(t, []byte(lower), c)
+}
+
+// A scenario keeps its keys.
+func TestGoldenScenario(t *testing.T) {
+	s := filled[Scenario]()
+	text, err := toml.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got Scenario
+	d := toml.NewDecoder(bytes.NewReader(golden(t, "scenario.toml", text))).DisallowUnknownFields()
+	if err := d.Decode(&got); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(s, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// What a scheduler is told is the same to the byte.
+func TestGoldenSettings(t *testing.T) {
+	s := filled[Scenario]()
+	s.Operations = []Operation{{"render", "idempotent"}, {"sale", "deduplicated"}, {"charge", "non-idempotent"}}
+	var text bytes.Buffer
+	if err := json.Indent(&text, s.settings(2), "", "  "); err != nil {
+		t.Fatal(err)
+	}
+	var wanted, got any
+	if err := json.Unmarshal(s.settings(2), &wanted); err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(golden(t, "settings.json", text.Bytes()), &got); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(wanted, got); diff != "" {
+		t.Error(diff)
+	}
+}
--- /dev/null
+++ b/internal/lab/scenario/forms_test.go
@@ -0,0 +1,87 @@
+package scenario
+
+import (
+	"bytes"
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/pelletier/go-toml/v2"
+)
+
+// A scenario keeps its keys, in lower case as files have them and in any other.
+func TestGoldenScenario(t *testing.T) {
+	s := filled[Scenario]()
+	text, err := toml.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded := golden(t, "scenario.toml", text)
+	for _, spelt := range []string{string(recorded), keys(recorded, strings.ToLower), keys(recorded, strings.ToUpper)} {
+		var got Scenario
+		if err := toml.NewDecoder(strings.NewReader(spelt)).DisallowUnknownFields().Decode(&got); err != nil {
+			t.Fatal(err, spelt)
+		}
+		if diff := cmp.Diff(s, got); diff != "" {
+			t.Error(diff)
+		}
+	}
+}
+
+// keys spells the keys of a text otherwise.
+func keys(text []byte, spell func(string) string) string {
+	var all strings.Builder
+	for line := range strings.Lines(string(text)) {
+		if key, value, pair := strings.Cut(line, "="); pair {
+			line = spell(key) + "=" + value
+		} else {
+			line = spell(line)
+		}
+		all.WriteString(line)
+	}
+	return all.String()
+}
+
+// toldOf is a day of which everything is told that schedulers can be told.
+func toldOf() Scenario {
+	s := filled[Scenario]()
+	s.Hosted.Room = 0
+	s.Reports.Fields = []string{"free_slots", "waiting", "active", "service_ms"}
+	s.Operations = append(s.Operations, s.Operations[0])
+	for i, effect := range []string{"idempotent", "deduplicated", "non-idempotent"} {
+		s.Operations[i].Effect = effect
+	}
+	for i := range s.Workers {
+		s.Workers[i].ColdFrom, s.Workers[i].Warm = 0.25+float64(i)/8, Span(time.Duration(i+1)*time.Second)
+	}
+	return s
+}
+
+// What a scheduler is told of a day is the same to the byte; its number, and what hosting leaves out, show in it.
+func TestGoldenTold(t *testing.T) {
+	day := toldOf()
+	hosted, counted := toldOf(), toldOf()
+	hosted.Hosted.Room, counted.Schedulers.Told = 4, 0
+	var text bytes.Buffer
+	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
+		if err := json.Indent(&text, told, "", "  "); err != nil {
+			t.Fatal(err)
+		}
+		text.WriteByte('\n')
+	}
+	d := json.NewDecoder(bytes.NewReader(golden(t, "told.json", text.Bytes())))
+	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
+		var wanted, got any
+		if err := json.Unmarshal(told, &wanted); err != nil {
+			t.Fatal(err)
+		}
+		if err := d.Decode(&got); err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(wanted, got); diff != "" {
+			t.Error(diff)
+		}
+	}
+}
