--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -22,35 +22,53 @@
 
 // Part is what a hollow process stands for.
 type Part struct {
-	Role       string
-	Scenario   Scenario
-	Schedulers []string // where each real one listens
-	Host       string   // the address to listen at
-	Endpoints  []string // of the workers
-	Peers      []string // where each scheduler of the pool takes messages, by number: the real ones
+	Role       string   `json:"Role"`
+	Scenario   Scenario `json:"Scenario"`
+	Schedulers []string `json:"Schedulers"` // where each real one listens
+	Host       string   `json:"Host"`       // the address to listen at
+	Endpoints  []string `json:"Endpoints"`  // of the workers
+	Peers      []string `json:"Peers"`      // where each scheduler of the pool takes messages, by number: the real ones
 }
 
 // Order is what a hollow process is asked to do.
 type Order struct {
-	Do    string        // stats, start, lose, return, freeze
-	For   time.Duration // start: so long the pool is filled
-	Count int           // lose: so many workers of the first zone
+	Do    string        `json:"Do"`    // stats, start, lose, return, freeze
+	For   time.Duration `json:"For"`   // start: so long the pool is filled
+	Count int           `json:"Count"` // lose: so many workers of the first zone
 }
 
 // Stats are what a hollow process has seen since its start; which of them it tells depends on its role.
 type Stats struct {
-	Discovery string   `json:",omitempty"` // where the list is, once ready
-	Endpoints []string `json:",omitempty"` // of workers, at the beginning; of schedulers for messages
+	Discovery string   `json:"Discovery,omitempty"` // where the list is, once ready
+	Endpoints []string `json:"Endpoints,omitempty"` // of workers, at the beginning; of schedulers for messages
 	// of the fleet, for all schedulers
-	Starts, Probes, Cancels, News                 int64
-	ProbeBytes, CancelBytes, TakeBytes, NewsBytes int64 // with the heads of HTTP
-	Lists, ListBytes                              int64
-	Running, Changes, Strange, NewsFailed         int64
+	Starts      int64 `json:"Starts"`
+	Probes      int64 `json:"Probes"`
+	Cancels     int64 `json:"Cancels"`
+	News        int64 `json:"News"`
+	ProbeBytes  int64 `json:"ProbeBytes"`
+	CancelBytes int64 `json:"CancelBytes"`
+	TakeBytes   int64 `json:"TakeBytes"`
+	NewsBytes   int64 `json:"NewsBytes"` // bytes of these four with the heads of HTTP
+	Lists       int64 `json:"Lists"`
+	ListBytes   int64 `json:"ListBytes"`
+	Running     int64 `json:"Running"`
+	Changes     int64 `json:"Changes"`
+	Strange     int64 `json:"Strange"`
+	NewsFailed  int64 `json:"NewsFailed"`
 	// of the clients
-	Offered, Succeeded, Throttled, Errored, Broken, InHand int64
-	LateMost                                               time.Duration
+	Offered   int64         `json:"Offered"`
+	Succeeded int64         `json:"Succeeded"`
+	Throttled int64         `json:"Throttled"`
+	Errored   int64         `json:"Errored"`
+	Broken    int64         `json:"Broken"`
+	InHand    int64         `json:"InHand"`
+	LateMost  time.Duration `json:"LateMost"`
 	// of the other schedulers
-	MessagesIn, MessagesOut, MessageBytesIn, MessageBytesOut int64
+	MessagesIn      int64 `json:"MessagesIn"`
+	MessagesOut     int64 `json:"MessagesOut"`
+	MessageBytesIn  int64 `json:"MessageBytesIn"`
+	MessageBytesOut int64 `json:"MessageBytesOut"`
 }
 
 // Hollow is the whole of a hollow process.
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -56,9 +56,15 @@
 	ChangesPerS  float64 `json:"entries_changed_per_second"`
 	DialledPerS  float64 `json:"dialled_per_second"`
 
-	Offered, Succeeded, Throttled, Errored, Broken, NewsFailed, Strange int64
-	Panics                                                              int
-	LateMost                                                            float64 `json:"clients_late_most_ms"`
+	Offered    int64   `json:"Offered"`
+	Succeeded  int64   `json:"Succeeded"`
+	Throttled  int64   `json:"Throttled"`
+	Errored    int64   `json:"Errored"`
+	Broken     int64   `json:"Broken"`
+	NewsFailed int64   `json:"NewsFailed"`
+	Strange    int64   `json:"Strange"`
+	Panics     int     `json:"Panics"`
+	LateMost   float64 `json:"clients_late_most_ms"`
 
 	Course []Moment `json:"course"` // of the window
 }
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -197,11 +197,18 @@
 
 // counts are what the service tells of itself, as far as it is used here.
 type counts struct {
-	Workers    struct{ Sent, Probes, Cancels, News, Strange, Dialled int }
-	InHand     int `json:"in_hand"`
-	Panics     int
-	Sockets    int
-	Watches    int
+	Workers struct {
+		Sent    int `json:"Sent"`
+		Probes  int `json:"Probes"`
+		Cancels int `json:"Cancels"`
+		News    int `json:"News"`
+		Strange int `json:"Strange"`
+		Dialled int `json:"Dialled"`
+	} `json:"Workers"`
+	InHand     int              `json:"in_hand"`
+	Panics     int              `json:"Panics"`
+	Sockets    int              `json:"Sockets"`
+	Watches    int              `json:"Watches"`
 	Decided    map[string]int64 `json:"decided_us"`
 	Turns      *turns           `json:"turns"`
 	Heap       int64            `json:"heap_bytes"`
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -18,59 +18,59 @@
 
 // Scenario is what is played, and what is varied in it.
 type Scenario struct {
-	Version int    `toml:"version"`
-	Name    string `toml:"name"`
-	Seed    int64  `toml:"seed"`
+	Version int    `toml:"version" json:"Version"`
+	Name    string `toml:"name" json:"Name"`
+	Seed    int64  `toml:"seed" json:"Seed"`
 
-	Workers    int     `toml:"workers"`            // listed
-	Zones      int     `toml:"zones"`              // that these are spread over evenly
-	Slots      int     `toml:"slots"`              // of each worker
-	Others     float64 `toml:"others"`             // of these, held by other schedulers' runs, on the mean
-	Schedulers int     `toml:"schedulers"`         // real ones
-	Told       int     `toml:"told"`               // what each is told of their number; those that are not real are hollow
-	InHand     int     `toml:"in_hand"`            // of each scheduler
-	Starts     float64 `toml:"starts_per_second"`  // of each scheduler
-	Changes    float64 `toml:"changes_per_second"` // replacements of a worker by a cold one
-	Even       bool    `toml:"even"`               // arrivals and runs without chance
-	Body       int     `toml:"body"`               // bytes of an invocation
-	TellsStart bool    `toml:"tells_start"`        // workers say that a run has begun
-	Messages   bool    `toml:"messages"`           // between schedulers
-	ProbePrice float64 `toml:"probe_price"`        // what a probe costs, by the settings
-	TellPrice  float64 `toml:"message_price"`      // the same of messages
-	Copies     bool    `toml:"second_copies"`      // allowed
-	Sockets    int     `toml:"sockets"`            // of each scheduler; 0: enough for in_hand
-	MemoryMB   int     `toml:"memory_mb"`          // the same of memory
-	Frozen     bool    `toml:"frozen"`             // reports stand still from the settling on
-	Lost       int     `toml:"lost"`               // workers of the first zone that vanish as the window begins
-	LostFor    Span    `toml:"lost_for"`           // and come back, cold, so much later
-	Whole      Span    `toml:"whole_every"`        // the list comes whole; 0: never again
-	Progress   Span    `toml:"progress"`           // between a run's words; 0: none
-	NewsIdle   Span    `toml:"news_idle"`          // so long a worker keeps a connection for news
-	ConnIdle   Span    `toml:"connection_idle"`    // and those that come to it
-	Warm       Span    `toml:"warm"`               // a cold worker is warm by then
-	Objective  Span    `toml:"objective"`          // a latency objective beside a run's own time
+	Workers    int     `toml:"workers" json:"Workers"`            // listed
+	Zones      int     `toml:"zones" json:"Zones"`                // that these are spread over evenly
+	Slots      int     `toml:"slots" json:"Slots"`                // of each worker
+	Others     float64 `toml:"others" json:"Others"`              // of these, held by other schedulers' runs, on the mean
+	Schedulers int     `toml:"schedulers" json:"Schedulers"`      // real ones
+	Told       int     `toml:"told" json:"Told"`                  // what each is told of their number; those that are not real are hollow
+	InHand     int     `toml:"in_hand" json:"InHand"`             // of each scheduler
+	Starts     float64 `toml:"starts_per_second" json:"Starts"`   // of each scheduler
+	Changes    float64 `toml:"changes_per_second" json:"Changes"` // replacements of a worker by a cold one
+	Even       bool    `toml:"even" json:"Even"`                  // arrivals and runs without chance
+	Body       int     `toml:"body" json:"Body"`                  // bytes of an invocation
+	TellsStart bool    `toml:"tells_start" json:"TellsStart"`     // workers say that a run has begun
+	Messages   bool    `toml:"messages" json:"Messages"`          // between schedulers
+	ProbePrice float64 `toml:"probe_price" json:"ProbePrice"`     // what a probe costs, by the settings
+	TellPrice  float64 `toml:"message_price" json:"TellPrice"`    // the same of messages
+	Copies     bool    `toml:"second_copies" json:"Copies"`       // allowed
+	Sockets    int     `toml:"sockets" json:"Sockets"`            // of each scheduler; 0: enough for in_hand
+	MemoryMB   int     `toml:"memory_mb" json:"MemoryMB"`         // the same of memory
+	Frozen     bool    `toml:"frozen" json:"Frozen"`              // reports stand still from the settling on
+	Lost       int     `toml:"lost" json:"Lost"`                  // workers of the first zone that vanish as the window begins
+	LostFor    Span    `toml:"lost_for" json:"LostFor"`           // and come back, cold, so much later
+	Whole      Span    `toml:"whole_every" json:"Whole"`          // the list comes whole; 0: never again
+	Progress   Span    `toml:"progress" json:"Progress"`          // between a run's words; 0: none
+	NewsIdle   Span    `toml:"news_idle" json:"NewsIdle"`         // so long a worker keeps a connection for news
+	ConnIdle   Span    `toml:"connection_idle" json:"ConnIdle"`   // and those that come to it
+	Warm       Span    `toml:"warm" json:"Warm"`                  // a cold worker is warm by then
+	Objective  Span    `toml:"objective" json:"Objective"`        // a latency objective beside a run's own time
 
-	Fill   Span `toml:"fill"`   // in_hand is reached by then
-	Settle Span `toml:"settle"` // before the window
-	Window Span `toml:"window"` // that is measured
-	Idle   Span `toml:"idle"`   // that is measured before any load
+	Fill   Span `toml:"fill" json:"Fill"`     // in_hand is reached by then
+	Settle Span `toml:"settle" json:"Settle"` // before the window
+	Window Span `toml:"window" json:"Window"` // that is measured
+	Idle   Span `toml:"idle" json:"Idle"`     // that is measured before any load
 
-	Operations []Operation `toml:"operations"`
-	Sweep      Sweep       `toml:"sweep"`
+	Operations []Operation `toml:"operations" json:"Operations"`
+	Sweep      Sweep       `toml:"sweep" json:"Sweep"`
 }
 
 // Operation is a class of invocations; these come in turn.
 type Operation struct {
-	Name   string `toml:"name"`
-	Effect string `toml:"effect"` // idempotent, deduplicated or non-idempotent
+	Name   string `toml:"name" json:"Name"`
+	Effect string `toml:"effect" json:"Effect"` // idempotent, deduplicated or non-idempotent
 }
 
 // Sweep is what differs from step to step.
 type Sweep struct {
-	Key    string    `toml:"key"`
-	Values []float64 `toml:"values"`
+	Key    string    `toml:"key" json:"Key"`
+	Values []float64 `toml:"values" json:"Values"`
 	// PerWorker has in_hand follow the workers, which keeps how full each of them is.
-	PerWorker float64 `toml:"in_hand_per_worker"`
+	PerWorker float64 `toml:"in_hand_per_worker" json:"PerWorker"`
 }
 
 // Span is a time in the form of 10s or 250ms.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -26,67 +26,67 @@
 
 // Scenario is a day.
 type Scenario struct {
-	Version    int
-	Name       string
-	Seed       int64
-	Length     Span
-	Zones      []string
-	Schedulers Schedulers
-	Network    Network
-	List       List
-	Rules      Rules
-	Allow      Allow
-	Reports    Reports
-	Signs      Signs
-	Workers    []Workers
-	Operations []Operation
-	Tenants    []Tenant
-	Hosted     Hosted
-	Load       Load
-	Clients    Clients
-	Troubles   []Trouble
+	Version    int         `toml:"Version"`
+	Name       string      `toml:"Name"`
+	Seed       int64       `toml:"Seed"`
+	Length     Span        `toml:"Length"`
+	Zones      []string    `toml:"Zones"`
+	Schedulers Schedulers  `toml:"Schedulers"`
+	Network    Network     `toml:"Network"`
+	List       List        `toml:"List"`
+	Rules      Rules       `toml:"Rules"`
+	Allow      Allow       `toml:"Allow"`
+	Reports    Reports     `toml:"Reports"`
+	Signs      Signs       `toml:"Signs"`
+	Workers    []Workers   `toml:"Workers"`
+	Operations []Operation `toml:"Operations"`
+	Tenants    []Tenant    `toml:"Tenants"`
+	Hosted     Hosted      `toml:"Hosted"`
+	Load       Load        `toml:"Load"`
+	Clients    Clients     `toml:"Clients"`
+	Troubles   []Trouble   `toml:"Troubles"`
 }
 
 // Schedulers are the dispatchers; they are spread over the zones in turn.
 type Schedulers struct {
-	Count    int
-	Told     int  // how many they are told that there are; 0: the truth
-	Restarts Span // how long a killed one is away
-	Notice   Span // until clients turn away from one that is gone
+	Count    int  `toml:"Count"`
+	Told     int  `toml:"Told"`     // how many they are told that there are; 0: the truth
+	Restarts Span `toml:"Restarts"` // how long a killed one is away
+	Notice   Span `toml:"Notice"`   // until clients turn away from one that is gone
 }
 
 // Network has the times that a message takes one way.
 type Network struct {
-	SameZone       Span `toml:"same_zone"`
-	CrossZone      Span `toml:"cross_zone"`
-	Client         Span
-	Jitter         float64
-	ConnectTimeout Span `toml:"connect_timeout"`
-	Idle           Span
+	SameZone       Span    `toml:"same_zone"`
+	CrossZone      Span    `toml:"cross_zone"`
+	Client         Span    `toml:"Client"`
+	Jitter         float64 `toml:"Jitter"`
+	ConnectTimeout Span    `toml:"connect_timeout"`
+	Idle           Span    `toml:"Idle"`
 }
 
 // List is the service that tells schedulers of workers.
 type List struct {
-	Notice       Span    // until it knows of a start, a drain or an end
+	Notice       Span    `toml:"Notice"`        // until it knows of a start, a drain or an end
 	SilentNotice Span    `toml:"silent_notice"` // until it takes a silent machine for gone
-	Call         Span    // that a call takes
+	Call         Span    `toml:"Call"`          // that a call takes
 	CallsPerS    float64 `toml:"calls_per_s"`
-	Deemed       Span    // after which a change counts as told, whether or not it was
+	Deemed       Span    `toml:"Deemed"` // after which a change counts as told, whether or not it was
 }
 
 // Rules are the figures of the four rules.
 type Rules struct {
-	AnswerSlack  Span `toml:"answer_slack"`
-	StopSending  Span `toml:"stop_sending"`
-	AskWithin    Span `toml:"ask_within"`
-	Fall         Span
+	AnswerSlack  Span    `toml:"answer_slack"`
+	StopSending  Span    `toml:"stop_sending"`
+	AskWithin    Span    `toml:"ask_within"`
+	Fall         Span    `toml:"Fall"`
 	FallMultiple float64 `toml:"fall_multiple"`
 }
 
 // Allow says what schedulers may do.
 type Allow struct {
-	Probes        bool
-	Cancel        bool
+	Probes        bool `toml:"Probes"`
+	Cancel        bool `toml:"Cancel"`
 	SecondCopies  bool `toml:"second_copies"`
 	MaxForwards   int  `toml:"max_forwards"`
 	MaxRetryAfter Span `toml:"max_retry_after"`
@@ -94,95 +94,95 @@
 
 // Reports are what workers tell of their load when they are probed.
 type Reports struct {
-	Fields []string // free_slots, waiting, active, service_ms
-	Every  Span
-	Delay  Span
+	Fields []string `toml:"Fields"` // free_slots, waiting, active, service_ms
+	Every  Span     `toml:"Every"`
+	Delay  Span     `toml:"Delay"`
 }
 
 // Signs are what workers tell of work under way.
 type Signs struct {
-	Start    bool
-	Progress Span
+	Start    bool `toml:"Start"`
+	Progress Span `toml:"Progress"`
 }
 
 // Workers are a group of equal machines, spread over the zones in turn.
 type Workers struct {
-	Name     string
-	Count    int
-	Slots    int
-	Speed    float64
-	Spread   float64 // each one's speed lies so far off at most, as a part
-	Queue    int
+	Name     string  `toml:"Name"`
+	Count    int     `toml:"Count"`
+	Slots    int     `toml:"Slots"`
+	Speed    float64 `toml:"Speed"`
+	Spread   float64 `toml:"Spread"` // each one's speed lies so far off at most, as a part
+	Queue    int     `toml:"Queue"`
 	ColdFrom float64 `toml:"cold_from"`
-	Warm     Span
-	Cold     bool   // they have just started when the day begins
-	Cancels  string // what a cancel stops: none, queued or all
-	Zone     string // the one zone of all of them
+	Warm     Span    `toml:"Warm"`
+	Cold     bool    `toml:"Cold"`    // they have just started when the day begins
+	Cancels  string  `toml:"Cancels"` // what a cancel stops: none, queued or all
+	Zone     string  `toml:"Zone"`    // the one zone of all of them
 }
 
 // Operation is one kind of work.
 type Operation struct {
-	Name      string
-	Share     float64
-	Work      Span // the mean, on a machine of speed 1
-	CV        float64
-	Slots     int
-	Objective Span
-	Timeout   Span
-	Stretch   float64 // the objective grows by so many times an invocation's own work
-	Value     float64
-	Effect    string // idempotent, deduplicated or non-idempotent
-	Scope     string // of deduplication: all or zone
-	Window    Span
-	Hints     string // none, rough or good
+	Name      string  `toml:"Name"`
+	Share     float64 `toml:"Share"`
+	Work      Span    `toml:"Work"` // the mean, on a machine of speed 1
+	CV        float64 `toml:"CV"`
+	Slots     int     `toml:"Slots"`
+	Objective Span    `toml:"Objective"`
+	Timeout   Span    `toml:"Timeout"`
+	Stretch   float64 `toml:"Stretch"` // the objective grows by so many times an invocation's own work
+	Value     float64 `toml:"Value"`
+	Effect    string  `toml:"Effect"` // idempotent, deduplicated or non-idempotent
+	Scope     string  `toml:"Scope"`  // of deduplication: all or zone
+	Window    Span    `toml:"Window"`
+	Hints     string  `toml:"Hints"` // none, rough or good
 }
 
 // Tenant is one customer.
 type Tenant struct {
-	Name   string
-	Share  float64 // of what comes in
-	Weight float64 // where they are hosted: its part when room is scarce
+	Name   string  `toml:"Name"`
+	Share  float64 `toml:"Share"`  // of what comes in
+	Weight float64 `toml:"Weight"` // where they are hosted: its part when room is scarce
 }
 
 // Hosted says how one installation serves the tenants, each by a credential of its own. Played on loopback alone.
 type Hosted struct {
-	Room int // invocations in hand at a scheduler before shares count; 0: they are not hosted
+	Room int `toml:"Room"` // invocations in hand at a scheduler before shares count; 0: they are not hosted
 }
 
 // Load is what comes in.
 type Load struct {
-	Rate  float64 // invocations a second, all together; or
-	Of    float64 // that part of what the workers can do
-	Shape string  // poisson, constant or bursts
-	Steps []Step
+	Rate  float64 `toml:"Rate"`  // invocations a second, all together; or
+	Of    float64 `toml:"Of"`    // that part of what the workers can do
+	Shape string  `toml:"Shape"` // poisson, constant or bursts
+	Steps []Step  `toml:"Steps"`
 }
 
 // Step changes the rate for a time.
 type Step struct {
-	At     Span
-	For    Span
-	Factor float64
+	At     Span    `toml:"At"`
+	For    Span    `toml:"For"`
+	Factor float64 `toml:"Factor"`
 }
 
 // Clients ask again when they are turned away.
 type Clients struct {
-	Retries int
-	Backoff Span
-	Honour  float64 // share of them that keep to Retry-After
-	Leave   float64 // share that leaves before its time is over
+	Retries int     `toml:"Retries"`
+	Backoff Span    `toml:"Backoff"`
+	Honour  float64 `toml:"Honour"` // share of them that keep to Retry-After
+	Leave   float64 `toml:"Leave"`  // share that leaves before its time is over
 }
 
 // Trouble is something that goes wrong.
 type Trouble struct {
-	Kind   string
-	At     Span
-	For    Span
-	Share  float64 // of the workers, schedulers, connections, calls or invocations that it hits
-	Zone   string  // it hits this zone alone
-	Factor float64
-	Delay  Span
-	Batch  float64 // of a replacement: the share that goes at a time
-	Of     string  // the one operation that it hits
+	Kind   string  `toml:"Kind"`
+	At     Span    `toml:"At"`
+	For    Span    `toml:"For"`
+	Share  float64 `toml:"Share"` // of the workers, schedulers, connections, calls or invocations that it hits
+	Zone   string  `toml:"Zone"`  // it hits this zone alone
+	Factor float64 `toml:"Factor"`
+	Delay  Span    `toml:"Delay"`
+	Batch  float64 `toml:"Batch"` // of a replacement: the share that goes at a time
+	Of     string  `toml:"Of"`    // the one operation that it hits
 }
 
 // The kinds of trouble.
--- a/internal/lab/trace/mapping.go
+++ b/internal/lab/trace/mapping.go
@@ -18,40 +18,45 @@
 
 // Mapping tells how the rows of a trace become invocations.
 type Mapping struct {
-	Version int
-	Header  bool   // the first line names the columns; else they are numbered from 0
-	Comma   string // what stands between columns; "," if left out
-	Columns Columns
-	Unit    string  // of the time column: ns, us, ms or s
+	Version int     `toml:"Version"`
+	Header  bool    `toml:"Header"` // the first line names the columns; else they are numbered from 0
+	Comma   string  `toml:"Comma"`  // what stands between columns; "," if left out
+	Columns Columns `toml:"Columns"`
+	Unit    string  `toml:"Unit"`    // of the time column: ns, us, ms or s
 	WorkBy  string  `toml:"work_by"` // unit of the work column: ns, us, ms or s, times Scale
-	Scale   float64 // of the work
-	Speed   float64 // so many times faster than it was recorded
+	Scale   float64 `toml:"Scale"`   // of the work
+	Speed   float64 `toml:"Speed"`   // so many times faster than it was recorded
 	// Operations tells which operation a value of the operation column stands for; "*" is for all others.
-	Operations map[string]string
-	Slots      Slots
-	Policies   Policies
-	RowMost    int           `toml:"row_most"` // bytes in a line
-	GapMost    scenario.Span `toml:"gap_most"` // a longer step of the recorded clock is a jump
+	Operations map[string]string `toml:"Operations"`
+	Slots      Slots             `toml:"Slots"`
+	Policies   Policies          `toml:"Policies"`
+	RowMost    int               `toml:"row_most"` // bytes in a line
+	GapMost    scenario.Span     `toml:"gap_most"` // a longer step of the recorded clock is a jump
 }
 
 // Columns name the columns, by their header or number. Time is needed, the others may be left out.
 type Columns struct {
-	Time, Work, End, Operation, Tenant, Slots string
+	Time      string `toml:"Time"`
+	Work      string `toml:"Work"`
+	End       string `toml:"End"`
+	Operation string `toml:"Operation"`
+	Tenant    string `toml:"Tenant"`
+	Slots     string `toml:"Slots"`
 }
 
 // Slots scales what the slots column holds.
 type Slots struct {
-	Scale float64
-	Most  int
+	Scale float64 `toml:"Scale"`
+	Most  int     `toml:"Most"`
 }
 
 // Policies say what becomes of rows that are not as they should be: skip, clamp or stop.
 type Policies struct {
-	Bad     string // a value that can't be read, too few columns
-	Order   string // a time before that of a row before
-	Jump    string // a step of the clock over gap_most
-	Long    string // a line over row_most
-	Unknown string // an operation that the mapping does not know
+	Bad     string `toml:"Bad"`     // a value that can't be read, too few columns
+	Order   string `toml:"Order"`   // a time before that of a row before
+	Jump    string `toml:"Jump"`    // a step of the clock over gap_most
+	Long    string `toml:"Long"`    // a line over row_most
+	Unknown string `toml:"Unknown"` // an operation that the mapping does not know
 }
 
 var units = map[string]time.Duration{"ns": time.Nanosecond, "us": time.Microsecond, "ms": time.Millisecond, "s": time.Second}
--- a/internal/lab/world/judge.go
+++ b/internal/lab/world/judge.go
@@ -24,12 +24,12 @@
 
 // Break is one time that a rule was broken, with what led there.
 type Break struct {
-	Rule      string
-	At        time.Duration
-	Scheduler int
-	Job       int64
-	Text      string
-	Before    []string
+	Rule      string        `json:"Rule"`
+	At        time.Duration `json:"At"`
+	Scheduler int           `json:"Scheduler"`
+	Job       int64         `json:"Job"`
+	Text      string        `json:"Text"`
+	Before    []string      `json:"Before"`
 }
 
 // Judge holds what schedulers do against the rules. It goes by what the world saw, never by what schedulers say of
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -62,15 +62,19 @@
 // ParseNode reads and checks the text of that file.
 func ParseNode(text []byte, env func(string) string) (n Node, err error) {
 	var in struct {
-		Name, Listen, Discovery, Admin, Seed string
-		Limits                               struct {
+		Name      string `json:"Name"`
+		Listen    string `json:"Listen"`
+		Discovery string `json:"Discovery"`
+		Admin     string `json:"Admin"`
+		Seed      string `json:"Seed"`
+		Limits    struct {
 			MemoryMB int `json:"memory_mb"`
 			Sockets  int `json:"sockets"`
 		} `json:"limits"`
-		Peers    []string
-		Tenants  *tenancy `json:"tenants"`
-		Known    json.RawMessage
-		Settings json.RawMessage
+		Peers    []string        `json:"Peers"`
+		Tenants  *tenancy        `json:"tenants"`
+		Known    json.RawMessage `json:"Known"`
+		Settings json.RawMessage `json:"Settings"`
 	}
 	if err := decode(text, &in); err != nil {
 		return n, err
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,7 +7,11 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"go/token"
 	"math"
+	"reflect"
+	"strconv"
+	"strings"
 	"time"
 
 	"stoatweir/dispatch"
@@ -39,43 +43,70 @@
 
 // site is the settings text, with the keys that have a meaning here.
 type site struct {
-	Discovery         string
-	WeightKind        string
-	ExcessBilledValue *float64
-	MyZone            int
-	PeersTotal        int
-	MyNumber          *int
-	Dcs, Kinds        []string
+	Discovery         string   `json:"Discovery"`
+	WeightKind        string   `json:"WeightKind"`
+	ExcessBilledValue *float64 `json:"ExcessBilledValue"`
+	MyZone            int      `json:"MyZone"`
+	PeersTotal        int      `json:"PeersTotal"`
+	MyNumber          *int     `json:"MyNumber"`
+	Dcs               []string `json:"Dcs"`
+	Kinds             []string `json:"Kinds"`
 	Operations        []struct {
-		Name, DedupScope, Effect                                                string
-		BilledValue, DedupWindow, LateBilledValue, LatencyObjective, AimStretch float64
-		ClientTimeout                                                           *float64
-	}
+		Name             string   `json:"Name"`
+		DedupScope       string   `json:"DedupScope"`
+		Effect           string   `json:"Effect"`
+		BilledValue      float64  `json:"BilledValue"`
+		DedupWindow      float64  `json:"DedupWindow"`
+		LateBilledValue  float64  `json:"LateBilledValue"`
+		LatencyObjective float64  `json:"LatencyObjective"`
+		AimStretch       float64  `json:"AimStretch"`
+		ClientTimeout    *float64 `json:"ClientTimeout"`
+	} `json:"Operations"`
 	FamilyInfo struct {
-		ClassKind          []int
-		ClassStretch       []float64
-		Progress           float64
-		ReportX0, ReportX1 string
-		TellsStart         bool
-	}
+		ClassKind    []int     `json:"ClassKind"`
+		ClassStretch []float64 `json:"ClassStretch"`
+		Progress     float64   `json:"Progress"`
+		ReportX0     string    `json:"ReportX0"`
+		ReportX1     string    `json:"ReportX1"`
+		TellsStart   bool      `json:"TellsStart"`
+	} `json:"FamilyInfo"`
 	Limits struct {
-		Cancel, Peers, Probes, RetryAfter, SecondCopies bool
-		MostForwards                                    *int
-		MaxRetryAfter, ConnIdle, ConnectTimeout         float64
-	}
-	Prices struct{ Peer, Probe float64 }
+		Cancel         bool    `json:"Cancel"`
+		Peers          bool    `json:"Peers"`
+		Probes         bool    `json:"Probes"`
+		RetryAfter     bool    `json:"RetryAfter"`
+		SecondCopies   bool    `json:"SecondCopies"`
+		MostForwards   *int    `json:"MostForwards"`
+		MaxRetryAfter  float64 `json:"MaxRetryAfter"`
+		ConnIdle       float64 `json:"ConnIdle"`
+		ConnectTimeout float64 `json:"ConnectTimeout"`
+	} `json:"Limits"`
+	Prices struct {
+		Peer  float64 `json:"Peer"`
+		Probe float64 `json:"Probe"`
+	} `json:"Prices"`
 	Report struct {
-		How   string
-		Names []string
-	}
-	ResultMix struct{ Whole, WorstClass, WorstTenant float64 }
-	Rules     struct {
-		AskWithin, ColdFrom, Fall, FallMultiple, StopSendingWithin, WarmAfter float64
-	}
+		How   string   `json:"How"`
+		Names []string `json:"Names"`
+	} `json:"Report"`
+	ResultMix struct {
+		Whole       float64 `json:"Whole"`
+		WorstClass  float64 `json:"WorstClass"`
+		WorstTenant float64 `json:"WorstTenant"`
+	} `json:"ResultMix"`
+	Rules struct {
+		AskWithin         float64 `json:"AskWithin"`
+		ColdFrom          float64 `json:"ColdFrom"`
+		Fall              float64 `json:"Fall"`
+		FallMultiple      float64 `json:"FallMultiple"`
+		StopSendingWithin float64 `json:"StopSendingWithin"`
+		WarmAfter         float64 `json:"WarmAfter"`
+	} `json:"Rules"`
 	Tenants []struct {
-		Name                string
-		QuotaPerS, Fraction float64
-	}
+		Name      string  `json:"Name"`
+		QuotaPerS float64 `json:"QuotaPerS"`
+		Fraction  float64 `json:"Fraction"`
+	} `json:"Tenants"`
 }
 
 var effects = map[string]dispatch.Effect{
@@ -90,10 +121,35 @@
 // decode names the key at fault where a value has the wrong form.
 func decode(text []byte, into any) error {
 	err := json.Unmarshal(text, into)
-	if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) && wrong.Field != "" {
-		return fmt.Errorf("%s: a %s is wanted there, not a %s", wrong.Field, wrong.Type, wrong.Value)
+	wrong := (*json.UnmarshalTypeError)(nil)
+	switch {
+	case !errors.As(err, &wrong):
+		return err
+	case wrong.Field == "":
+		return fmt.Errorf("json: cannot unmarshal %s into Go value of type %s", wrong.Value, typeText(wrong.Type))
+	}
+	return fmt.Errorf("%s: a %s is wanted there, not a %s", wrong.Field, typeText(wrong.Type), wrong.Value)
+}
+
+// typeText is a type as messages name it. A field whose key is written like a Go name goes by that key, without its tag.
+func typeText(t reflect.Type) string {
+	switch {
+	case t.Name() != "":
+		return t.String()
+	case t.Kind() == reflect.Slice:
+		return "[]" + typeText(t.Elem())
+	case t.Kind() != reflect.Struct:
+		return t.String()
+	}
+	var fields []string
+	for _, f := range reflect.VisibleFields(t) {
+		text := f.Name + " " + typeText(f.Type) + " " + strconv.Quote(string(f.Tag))
+		if key := f.Tag.Get("json"); token.IsExported(key) {
+			text = key + " " + typeText(f.Type)
+		}
+		fields = append(fields, text)
 	}
-	return err
+	return "struct { " + strings.Join(fields, "; ") + " }"
 }
 
 // ParseSite reads the settings text. Keys without a meaning here are passed over.
