--- a/cmd/stoatweir/crossings_test.go
+++ b/cmd/stoatweir/crossings_test.go
@@ -254,9 +254,9 @@
 	if err != nil {
 		panic(err)
 	}
-	come := func(inv dispatch.InvID) {
+	come := func(inv dispatch.InvocationID) {
 		for n, name := range []string{"render", "keyed", "sale"} {
-			j := &workers.Invocation{Inv: inv + dispatch.InvID(n)}
+			j := &workers.Invocation{Inv: inv + dispatch.InvocationID(n)}
 			s.door.Took(j, s.site.Current[name])
 			fmt.Println(name, j.Effect == dispatch.NonIdempotent)
 		}
@@ -296,13 +296,13 @@
 	}
 	s := serve()
 	worker := netip.MustParseAddrPort("127.0.0.1:9")
-	s.fleet.List(discovery.List{Form: dispatch.ListWhole, Workers: []discovery.Worker{{UID: "s-1", Endpoint: worker.String(),
-		Entry: dispatch.Entry{Worker: worker, Standing: dispatch.Ready}}}})
-	record := dispatch.Resumed{Arrival: dispatch.Arrival{Budget: left}, Waited: age, Age: age,
-		Tries: []dispatch.Try{{Worker: worker, Age: age, Began: -1, Heard: age / 2, Out: true}}}
+	s.fleet.List(discovery.List{Form: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
+		Endpoint: dispatch.Endpoint{Worker: worker, State: dispatch.Ready}}}})
+	record := dispatch.MigratedIn{Arrival: dispatch.Arrival{Budget: left}, Waited: age, Age: age,
+		Attempts: []dispatch.Attempt{{Worker: worker, Age: age, StartedAge: -1, LastProgressAge: age / 2, InFlight: true}}}
 	old := record
 	old.Budget, old.Waited, old.Age = left-way, age+way, age+way
-	old.Tries = []dispatch.Try{{Worker: worker, Age: age + way, Began: -1, Heard: age/2 + way, Out: true}}
+	old.Attempts = []dispatch.Attempt{{Worker: worker, Age: age + way, StartedAge: -1, LastProgressAge: age/2 + way, InFlight: true}}
 	near := func(what string, got, want time.Duration) {
 		if d := (got - want).Abs(); d > way/2 {
 			t.Error(what, ": ", got, " for ", want)
@@ -312,15 +312,15 @@
 		if len(events) != 1 {
 			t.Fatal(what, events)
 		}
-		got := events[0].(dispatch.Resumed)
+		got := events[0].(dispatch.MigratedIn)
 		near(what+", budget", got.Budget, old.Budget)
 		near(what+", waited", got.Waited, old.Waited)
 		near(what+", age", got.Age, old.Age)
-		for n, try := range got.Tries {
-			near(what+", try", try.Age, old.Tries[n].Age)
-			near(what+", heard", try.Heard, old.Tries[n].Heard)
-			if try.Began != -1 {
-				t.Error(what, ", begun: ", try.Began)
+		for n, try := range got.Attempts {
+			near(what+", try", try.Age, old.Attempts[n].Age)
+			near(what+", heard", try.LastProgressAge, old.Attempts[n].LastProgressAge)
+			if try.StartedAge != -1 {
+				t.Error(what, ", begun: ", try.StartedAge)
 			}
 		}
 	}
@@ -352,7 +352,7 @@
 	s = serve()
 	b := &bond{service: s}
 	j := &tracked{Invocation: &workers.Invocation{Inv: 1}}
-	record.Tries[0].Out = false
+	record.Attempts[0].InFlight = false
 	b.takeBack(&parcel{Parcel: &clients.Parcel{Inv: 1}, j: j, record: record, at: s.loop.Now() - way})
 	alike("given back", s.events)
 }
--- a/cmd/stoatweir/guard.go
+++ b/cmd/stoatweir/guard.go
@@ -14,23 +14,23 @@
 func (s *service) terms(j *workers.Invocation, operation int) guard.Terms {
 	d := &s.site.Deployment
 	o := &d.Operations[operation]
-	return guard.Terms{ID: j.ID, Effect: o.Effect, Scope: o.Scope, Window: o.DedupWindow, Deadline: j.GivenUp,
-		MostAttempts: d.Allowed.MaxForwards, MostOut: d.Allowed.MaxOut}
+	return guard.Terms{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.GivenUp,
+		MostAttempts: d.Limits.MaxAttempts, MostOut: d.Limits.MaxInFlight}
 }
 
 // inherited are the attempts that another process made, as the guard knows them.
-func (s *service) inherited(tries []dispatch.Try) (all []guard.Inherited) {
+func (s *service) inherited(tries []dispatch.Attempt) (all []guard.Inherited) {
 	for number, t := range tries {
-		all = append(all, guard.Inherited{Number: number, Worker: s.fleet.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, Out: t.Out, Ran: t.Ran})
+		all = append(all, guard.Inherited{Number: number, Worker: s.fleet.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, Out: t.InFlight, Ran: t.MayHaveRun})
 	}
 	return all
 }
 
 // reason tells why the answer that is being given is given, and counts refusals and failures by it.
-func (s *service) reason(inv dispatch.InvID) string {
+func (s *service) reason(inv dispatch.InvocationID) string {
 	why := s.why
 	if why == "" {
-		why = string(s.core.Why(inv))
+		why = string(s.core.RejectionReason(inv))
 	}
 	if why != "" {
 		s.givenUp[why]++
--- a/cmd/stoatweir/hosting.go
+++ b/cmd/stoatweir/hosting.go
@@ -47,7 +47,7 @@
 		return nil
 	}
 	h := &hosting{service: s, known: map[string]uint64{},
-		gate: tenants.NewGate(node.Tenants.Room, node.Site.Deployment.Peers, rand.New(rand.NewPCG(uint64(node.Seed), 1)))}
+		gate: tenants.NewGate(node.Tenants.Room, node.Site.Deployment.Schedulers, rand.New(rand.NewPCG(uint64(node.Seed), 1)))}
 	kept, err := store.Open(&store.Disk{Dir: node.Tenants.Dir})
 	if err != nil {
 		return fmt.Errorf("tenants.dir: %w", err)
@@ -170,10 +170,10 @@
 	h.quotas, h.shared = nil, h.loop.Now()
 	var told []dispatch.Quota
 	for _, q := range h.gate.Quotas(h.loop.Now()) {
-		told = append(told, dispatch.Quota{Tenant: q.Index, QuotaPerS: q.QuotaPerS, New: q.New})
+		told = append(told, dispatch.Quota{Tenant: q.Index, QuotaPerSecond: q.QuotaPerS, Reassigned: q.New})
 	}
 	if len(told) > 0 {
-		h.events = append(h.events, dispatch.Shared{Quotas: told})
+		h.events = append(h.events, dispatch.QuotaUpdate{Quotas: told})
 	}
 	if h.gate.Active() > 0 {
 		h.quotas = h.loop.After(quotasEvery, h.share)
@@ -199,11 +199,11 @@
 // worked counts what a forward had of a worker. One that was turned away, or never came there, had nothing.
 func (h *hosting) worked(j *tracked, o dispatch.Outcome) {
 	switch {
-	case h == nil || j.seat == nil || o.Forward >= len(j.sent):
-	case o.Result == dispatch.Full || o.Result == dispatch.Unreachable || o.Result == dispatch.NotSent:
+	case h == nil || j.seat == nil || o.Attempt >= len(j.sent):
+	case o.Result == dispatch.Rejected || o.Result == dispatch.Unreachable || o.Result == dispatch.NotSent:
 	default:
 		_, operation, _ := strings.Cut(h.site.Operations[j.operation], "/")
-		h.gate.Worked(h.loop.Now(), j.seat, operation, j.Hint, h.loop.Now()-j.sent[o.Forward])
+		h.gate.Worked(h.loop.Now(), j.seat, operation, j.Hint, h.loop.Now()-j.sent[o.Attempt])
 	}
 }
 
--- a/cmd/stoatweir/lesson.go
+++ b/cmd/stoatweir/lesson.go
@@ -18,7 +18,7 @@
 
 // part is a piece of a lesson, with names for what goes by indices in one process.
 type part struct {
-	dispatch.Lesson
+	dispatch.Snapshot
 	KindNames      []string `json:"KindNames"`      // by index
 	OperationNames []string `json:"OperationNames"` // likewise
 	UIDs           []string `json:"UIDs"`           // of the workers, in their order
@@ -38,14 +38,14 @@
 // teach sends the lesson in parts.
 func (b *bond) teach() {
 	s := b.service
-	l := s.core.Lesson()
-	maps.DeleteFunc(l.Operations, func(at int, _ dispatch.OperationLesson) bool {
+	l := s.core.Snapshot()
+	maps.DeleteFunc(l.Operations, func(at int, _ dispatch.OperationSnapshot) bool {
 		return s.site.Current[s.site.Operations[at]] != at // it has gone, or changed
 	})
 	for workers := l.Workers; ; {
 		n := min(len(workers), workersAtOnce)
 		l.Workers, workers = workers[:n], workers[n:]
-		p := part{Lesson: l, KindNames: s.list.Kinds(), OperationNames: s.site.Operations}
+		p := part{Snapshot: l, KindNames: s.list.Kinds(), OperationNames: s.site.Operations}
 		for _, w := range l.Workers {
 			p.UIDs = append(p.UIDs, s.fleet.UID(w.Worker))
 		}
@@ -54,11 +54,11 @@
 			s.log.Warn("what was learned can't be told: ", err)
 			break
 		}
-		b.link.Send(handover.Message{Kind: handover.Lesson, Version: dispatch.LessonVersion, Body: text})
+		b.link.Send(handover.Message{Kind: handover.Lesson, Version: dispatch.SnapshotVersion, Body: text})
 		if len(workers) == 0 {
 			break
 		}
-		l = dispatch.Lesson{Version: l.Version} // the rest goes once
+		l = dispatch.Snapshot{Version: l.Version} // the rest goes once
 	}
 	b.link.Send(handover.Message{Kind: handover.Taught})
 }
@@ -66,18 +66,18 @@
 // heed takes a part of the lesson in. One of another version is left aside, as its figures may mean something else.
 func (s *service) heed(m handover.Message) {
 	var p part
-	if m.Version != dispatch.LessonVersion || json.Unmarshal(m.Body, &p) != nil {
+	if m.Version != dispatch.SnapshotVersion || json.Unmarshal(m.Body, &p) != nil {
 		s.log.Warn("what was learned before is of version ", m.Version, " and left aside")
 		return
 	}
-	l := p.Lesson
-	l.Kinds, l.Operations = map[int][]float64{}, map[int]dispatch.OperationLesson{}
-	for at, paces := range p.Lesson.Kinds {
+	l := p.Snapshot
+	l.KindPaces, l.Operations = map[int][]float64{}, map[int]dispatch.OperationSnapshot{}
+	for at, paces := range p.Snapshot.KindPaces {
 		if at >= 0 && at < len(p.KindNames) {
-			l.Kinds[s.list.Kind(p.KindNames[at])] = paces
+			l.KindPaces[s.list.Kind(p.KindNames[at])] = paces
 		}
 	}
-	for at, o := range p.Lesson.Operations {
+	for at, o := range p.Snapshot.Operations {
 		if at < 0 || at >= len(p.OperationNames) {
 			continue
 		}
@@ -86,7 +86,7 @@
 		}
 	}
 	l.Workers = nil
-	for n, w := range p.Lesson.Workers {
+	for n, w := range p.Snapshot.Workers {
 		if n >= len(p.UIDs) {
 			break
 		}
@@ -95,5 +95,5 @@
 			l.Workers = append(l.Workers, w)
 		}
 	}
-	s.events = append(s.events, dispatch.Taught{Lesson: l})
+	s.events = append(s.events, dispatch.SnapshotLoaded{Snapshot: l})
 }
--- a/cmd/stoatweir/main.go
+++ b/cmd/stoatweir/main.go
@@ -91,7 +91,7 @@
 	if s.hosting != nil {
 		go s.hosting.follow()
 		if node.Tenants.API != "" {
-			go s.hosting.administer(node.Tenants, node.Site.Deployment.Peers)
+			go s.hosting.administer(node.Tenants, node.Site.Deployment.Schedulers)
 		}
 	}
 	out := newLines(os.Stderr)
--- a/cmd/stoatweir/pass.go
+++ b/cmd/stoatweir/pass.go
@@ -26,26 +26,26 @@
 // legacy is an invocation as it goes from one process to the next: what the door, the fleet and the module know of it.
 // Operations and tenants go by name, workers by uid, times as ages.
 type legacy struct {
-	ID        string             `json:"ID"`
-	Method    string             `json:"Method"`
-	Target    string             `json:"Target"`
-	Fields    []http1.Field      `json:"Fields"`
-	Left      time.Duration      `json:"Left"` // until its client stops waiting
-	At        time.Duration      `json:"At"`   // when this was so, by the clock that all processes of a machine share
-	Name      string             `json:"Name"`
-	Tenant    string             `json:"Tenant"`
-	Operation dispatch.Operation `json:"Operation"`
-	Timeout   time.Duration      `json:"Timeout"`
-	Record    dispatch.Resumed   `json:"Record"`
-	Workers   []string           `json:"Workers"` // of its tries
-	Zones     []string           `json:"Zones"`   // likewise
+	ID        string              `json:"ID"`
+	Method    string              `json:"Method"`
+	Target    string              `json:"Target"`
+	Fields    []http1.Field       `json:"Fields"`
+	Left      time.Duration       `json:"Left"` // until its client stops waiting
+	At        time.Duration       `json:"At"`   // when this was so, by the clock that all processes of a machine share
+	Name      string              `json:"Name"`
+	Tenant    string              `json:"Tenant"`
+	Operation dispatch.Operation  `json:"Operation"`
+	Timeout   time.Duration       `json:"Timeout"`
+	Record    dispatch.MigratedIn `json:"Record"`
+	Workers   []string            `json:"Workers"` // of its tries
+	Zones     []string            `json:"Zones"`   // likewise
 }
 
 // parcel is on its way.
 type parcel struct {
 	*clients.Parcel
 	j      *tracked
-	record dispatch.Resumed
+	record dispatch.MigratedIn
 	at     time.Duration // of the record
 	late   *conn.Alarm
 }
@@ -64,8 +64,8 @@
 			Pass: &handover.Passed{Read: p.Read, News: p.News, Fresh: p.Fresh, Silent: p.Silent}}
 		if p.Inv != 0 {
 			sent.j = s.invs[p.Inv]
-			sent.record, _ = s.core.Record(p.Inv)
-			sent.record = sent.record.Older(max(0, s.loop.Now()-s.last)) // it is of the last moment that was decided
+			sent.record, _ = s.core.MigrationRecord(p.Inv)
+			sent.record = sent.record.Aged(max(0, s.loop.Now()-s.last)) // it is of the last moment that was decided
 			sent.at = s.loop.Now()
 			text, err := json.Marshal(s.legacy(sent.j, sent.record))
 			if err != nil {
@@ -76,7 +76,7 @@
 			m.Pass.Invocation, m.Body = text, sent.j.Body
 			s.fleet.Give(p.Inv, sent.j.forwards)
 			delete(s.invs, p.Inv)
-			s.events = append(s.events, dispatch.Passed{Inv: p.Inv})
+			s.events = append(s.events, dispatch.MigratedOut{Invocation: p.Inv})
 		}
 		number := b.number
 		b.passed[number] = sent
@@ -101,17 +101,17 @@
 
 // may tells whether an invocation can be passed as it stands: the module has all that has happened, and no forward is on
 // its way.
-func (s *service) may(inv dispatch.InvID) bool {
+func (s *service) may(inv dispatch.InvocationID) bool {
 	s.decide()
 	j := s.invs[inv]
 	if j == nil || !s.door.Owed(inv) || !s.fleet.Settled(inv, j.forwards) {
 		return false
 	}
-	_, held := s.core.Record(inv)
+	_, held := s.core.MigrationRecord(inv)
 	return held
 }
 
-func (s *service) legacy(j *tracked, r dispatch.Resumed) legacy {
+func (s *service) legacy(j *tracked, r dispatch.MigratedIn) legacy {
 	l := legacy{ID: j.ID, Method: j.Method, Target: j.Target, Fields: j.Fields, Left: j.GivenUp - s.loop.Now(), At: uptime(), Record: r,
 		Name: s.site.Operations[j.operation], Operation: s.site.Deployment.Operations[j.operation],
 		Timeout: s.site.Timeouts[j.operation]}
@@ -119,7 +119,7 @@
 		l.Tenant = s.site.Tenants[r.Tenant]
 	}
 	zones := s.list.Zones()
-	for _, t := range r.Tries {
+	for _, t := range r.Attempts {
 		l.Workers, l.Zones = append(l.Workers, s.fleet.UID(t.Worker)), append(l.Zones, zones[t.Zone])
 	}
 	return l
@@ -137,7 +137,7 @@
 // aged takes account of the way: a window for repeats and a client timeout go on while it lasts.
 func (l *legacy) aged(now time.Duration) {
 	if way := now - l.At; l.At > 0 && way > 0 {
-		l.Left, l.Record = l.Left-way, l.Record.Older(way)
+		l.Left, l.Record = l.Left-way, l.Record.Aged(way)
 	}
 }
 
@@ -167,12 +167,12 @@
 	}
 	s := b.service
 	s.invs[p.Inv] = p.j
-	for fwd, t := range p.record.Tries {
-		if t.Out {
+	for fwd, t := range p.record.Attempts {
+		if t.InFlight {
 			s.fleet.Keep(p.j.Invocation, fwd, t.Worker)
 		}
 	}
-	s.events = append(s.events, p.record.Older(s.loop.Now()-p.at))
+	s.events = append(s.events, p.record.Aged(s.loop.Now()-p.at))
 }
 
 // lost ends all passes that the successor's end has caught under way.
@@ -182,7 +182,7 @@
 		b.takeBack(p)
 		p.Lost()
 		if p.Inv != 0 {
-			b.events = append(b.events, dispatch.Withdrawn{Inv: p.Inv})
+			b.events = append(b.events, dispatch.ClientDisconnected{Invocation: p.Inv})
 		}
 	}
 	b.passed = nil
@@ -223,17 +223,17 @@
 	if j == nil {
 		return true
 	}
-	t := &tracked{Invocation: j, operation: operation, forwards: len(l.Record.Tries)}
+	t := &tracked{Invocation: j, operation: operation, forwards: len(l.Record.Attempts)}
 	s.invs[inv] = t
-	for fwd, try := range l.Record.Tries {
+	for fwd, try := range l.Record.Attempts {
 		s.fleet.Had(j, try.Worker)
-		if try.Out {
+		if try.InFlight {
 			t.out++
 			s.fleet.Keep(j, fwd, try.Worker)
 		}
 	}
-	s.fleet.Guard.Inherit(inv, s.terms(j, operation), s.inherited(l.Record.Tries))
-	l.Record.Inv, l.Record.Operation = inv, operation
+	s.fleet.Guard.Inherit(inv, s.terms(j, operation), s.inherited(l.Record.Attempts))
+	l.Record.Invocation, l.Record.Operation = inv, operation
 	s.events = append(s.events, l.Record)
 	return true
 }
@@ -243,18 +243,18 @@
 func (s *service) heir(l *legacy) (operation int, known bool) {
 	operation, known = s.site.Current[l.Name]
 	if !known || s.site.Deployment.Operations[operation] != l.Operation || s.site.Timeouts[operation] != l.Timeout ||
-		len(l.Workers) != len(l.Record.Tries) {
+		len(l.Workers) != len(l.Record.Attempts) {
 		return 0, false
 	}
 	if len(l.Zones) < len(l.Workers) && l.Operation.Effect == dispatch.Deduplicated {
 		return 0, false // a process of before does not say where its repeats are dropped
 	}
 	for n, uid := range l.Workers {
-		if l.Record.Tries[n].Worker, known = s.fleet.ID(uid); !known {
+		if l.Record.Attempts[n].Worker, known = s.fleet.ID(uid); !known {
 			return 0, false
 		}
 		if n < len(l.Zones) {
-			l.Record.Tries[n].Zone = s.list.Zone(l.Zones[n])
+			l.Record.Attempts[n].Zone = s.list.Zone(l.Zones[n])
 		}
 	}
 	if s.hosting != nil {
--- a/cmd/stoatweir/peers_test.go
+++ b/cmd/stoatweir/peers_test.go
@@ -34,7 +34,7 @@
 	site["Limits"].(map[string]any)["Peers"] = true
 	r.write()
 
-	kinds := make(chan dispatch.NoteKind, 10000)
+	kinds := make(chan dispatch.GossipKind, 10000)
 	go func() {
 		buffer := make([]byte, 1000)
 		for n := 0; ; n++ {
@@ -43,18 +43,18 @@
 				return
 			}
 			message := buffer[:size]
-			var free []dispatch.Note
-			if notes, ok := dispatch.ReadMemo(message[min(15, size):]); ok {
+			var free []dispatch.GossipEntry
+			if notes, ok := dispatch.DecodeGossip(message[min(15, size):]); ok {
 				for _, note := range notes {
 					kinds <- note.Kind
-					if note.Kind == dispatch.NoteAsk {
-						free = append(free, dispatch.Note{Kind: dispatch.NoteFree, Serial: 9, Tag: note.Tag})
+					if note.Kind == dispatch.GossipCapacityQuery {
+						free = append(free, dispatch.GossipEntry{Kind: dispatch.GossipCapacityReply, Serial: 9, Tag: note.Tag})
 					}
 				}
 			}
 			// Without a true answer between the lies none of its workers need ever look free: all that is held may go to our own.
 			if len(free) > 0 {
-				answer := append(append([]byte(nil), message[:15]...), dispatch.Memos(free)[0]...)
+				answer := append(append([]byte(nil), message[:15]...), dispatch.EncodeGossip(free)[0]...)
 				answer[1], answer[2] = 0, 0
 				others[0].WriteToUDP(answer, own)
 			}
@@ -69,8 +69,8 @@
 	r.ready(p)
 	r.clients(4, "render")
 	r.clients(2, "sale")
-	seen := map[dispatch.NoteKind]int{}
-	for until := time.After(5 * time.Second); seen[dispatch.NoteAnew] < 1 || seen[dispatch.NoteSent] < 1 || seen[dispatch.NoteEnded] < 1 || seen[dispatch.NoteAsk] < 50; {
+	seen := map[dispatch.GossipKind]int{}
+	for until := time.After(5 * time.Second); seen[dispatch.GossipRestarted] < 1 || seen[dispatch.GossipAttemptStarted] < 1 || seen[dispatch.GossipAttemptEnded] < 1 || seen[dispatch.GossipCapacityQuery] < 50; {
 		select {
 		case kind := <-kinds:
 			seen[kind]++
--- a/cmd/stoatweir/retune.go
+++ b/cmd/stoatweir/retune.go
@@ -64,11 +64,11 @@
 	}
 	site, from := s.site.Retune(newer, func(index int) bool { return !under[index] })
 	onSockets(&site.Deployment)
-	site.Deployment.Allowed.Tell = site.Deployment.Allowed.Tell && s.road != nil
+	site.Deployment.Limits.Gossip = site.Deployment.Limits.Gossip && s.road != nil
 	s.site = site
 	s.askWithin()
 	s.door.Retune(site)
 	s.fleet.Retune(site)
-	s.fleet.Guard.Allow(site.Deployment.Allowed.MaxForwards, site.Deployment.Allowed.MaxOut)
-	s.events = append(s.events, dispatch.Retuned{Deployment: site.Deployment, From: from})
+	s.fleet.Guard.Allow(site.Deployment.Limits.MaxAttempts, site.Deployment.Limits.MaxInFlight)
+	s.events = append(s.events, dispatch.Reconfigured{Config: site.Deployment, PreviousOperations: from})
 }
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -59,7 +59,7 @@
 	base   settings.Site // as the configuration has it, without what tenants add
 	known  []byte
 	events []dispatch.Event
-	invs   map[dispatch.InvID]*tracked
+	invs   map[dispatch.InvocationID]*tracked
 	wake   *conn.Alarm
 	steps  *conn.Alarm   // of the life cycle
 	last   time.Duration // when the module was last asked
@@ -98,7 +98,7 @@
 	start, given := time.Now(), node
 	loop := conn.NewLoop(start)
 	ours, theirs, book := loop.Share(0), loop.Share(0), ledger.New()
-	s := &service{loop: loop, ours: ours, theirs: theirs, log: log, book: book, node: given, base: given.Site, known: node.Known, invs: map[dispatch.InvID]*tracked{}, givenUp: map[string]int{},
+	s := &service{loop: loop, ours: ours, theirs: theirs, log: log, book: book, node: given, base: given.Site, known: node.Known, invs: map[dispatch.InvocationID]*tracked{}, givenUp: map[string]int{},
 		seed: node.Seed, last: -1,
 		door:  clients.New(loop, node.Site, ours, book),
 		fleet: workers.NewFleet(loop, node.Site, theirs),
@@ -130,10 +130,10 @@
 	s.list.Failed = func(why string) { log.Warn("the watch of the list has failed: ", why) }
 	s.resize(node.Sockets)
 	if len(node.Peers) > 0 {
-		s.road = peers.Open(loop, node.Peers, node.Site.Deployment.Me, start, func(err error) {
+		s.road = peers.Open(loop, node.Peers, node.Site.Deployment.Index, start, func(err error) {
 			log.WithError(err).Warn("peers: our address can't be had, nothing is told until it can")
 		})
-		s.road.Told = func(t dispatch.Told) { s.events = append(s.events, t) }
+		s.road.Told = func(t dispatch.GossipReceived) { s.events = append(s.events, t) }
 	}
 	installShims(s)
 	log.Info("deployment: ", node.Site.Shape)
@@ -146,9 +146,9 @@
 }
 
 // onSockets adds what holds on sockets, whatever the settings say.
-func onSockets(d *dispatch.Deployment) {
-	d.Rules.AskWithin = min(d.Rules.AskWithin, toldWithin)
-	d.TellsTaken = true
+func onSockets(d *dispatch.Config) {
+	d.Rules.PollWithin = min(d.Rules.PollWithin, toldWithin)
+	d.NotifiesAccepted = true
 }
 
 // resize sets how many descriptors there are in all.
@@ -175,7 +175,7 @@
 		if err != nil {
 			s.log.Warn("known: ", err) // discovery will tell
 		}
-		if list.Form = dispatch.ListWhole; len(list.Workers) > 0 && !at.shared {
+		if list.Form = dispatch.FullUpdate; len(list.Workers) > 0 && !at.shared {
 			within = knownWithin
 		}
 		s.fleet.List(list)
@@ -186,13 +186,13 @@
 	}
 	s.loop.After(within, s.knows) // with discovery down we must serve too
 	s.meet()
-	if s.site.Deployment.Pushed {
+	if s.site.Deployment.EndpointsPushed {
 		s.list.Watch() // the module does not ask where changes come unasked; here all is asked for
 	}
 	if s.hosting != nil {
 		s.hosting.share()
 	}
-	s.events = append(s.events, dispatch.Due{}) // the module has things to begin, also where nothing is known
+	s.events = append(s.events, dispatch.TimerFired{}) // the module has things to begin, also where nothing is known
 	s.decide()
 	s.publish()
 	s.loop.Run(s.decide)
@@ -208,18 +208,18 @@
 
 // askWithin tells the watcher what time the settings give for asking.
 func (s *service) askWithin() {
-	if s.list.Within = 0; !s.site.Deployment.Pushed {
-		s.list.Within = s.base.Deployment.Rules.AskWithin
+	if s.list.Within = 0; !s.site.Deployment.EndpointsPushed {
+		s.list.Within = s.base.Deployment.Rules.PollWithin
 	}
 }
 
 // told takes news of the list in.
 func (s *service) told(list discovery.List) {
-	if list.Form != dispatch.ListFailed {
+	if list.Form != dispatch.WatchFailed {
 		s.fleet.List(list)
 		s.loop.After(s.settling(), s.study)
 		s.unlisted = 0
-	} else if s.site.Deployment.Pushed {
+	} else if s.site.Deployment.EndpointsPushed {
 		s.loop.After(s.pause(), s.watch) // the module does not ask where changes come unasked
 		s.unlisted++
 	}
@@ -295,7 +295,7 @@
 		}
 		s.door.Free(s.invs[inv].ID, s.invs[inv].forwards > 0)
 	}
-	s.invs = map[dispatch.InvID]*tracked{}
+	s.invs = map[dispatch.InvocationID]*tracked{}
 	s.seed++
 	s.core = dispatch.New(s.site.Deployment, s.seed)
 	s.events = []dispatch.Event{s.fleet.Listing()}
@@ -317,7 +317,7 @@
 		} else {
 			s.door.Fail(inv)
 		}
-		s.events = append(s.events, dispatch.Withdrawn{Inv: inv})
+		s.events = append(s.events, dispatch.ClientDisconnected{Invocation: inv})
 	}
 }
 
@@ -334,7 +334,7 @@
 }
 
 // settle lets an invocation go when its client has its answer and no forward is out.
-func (s *service) settle(inv dispatch.InvID, j *tracked) {
+func (s *service) settle(inv dispatch.InvocationID, j *tracked) {
 	if j.out <= 0 && !s.door.Owed(inv) {
 		delete(s.invs, inv)
 		s.door.Free(j.ID, j.forwards > 0)
@@ -344,39 +344,39 @@
 func (s *service) carryOut(action dispatch.Action) {
 	switch a := action.(type) {
 	case dispatch.Forward:
-		if j := s.invs[a.Inv]; j != nil {
+		if j := s.invs[a.Invocation]; j != nil {
 			j.forwards++
 			j.out++
 			if j.seat != nil {
 				j.sent = append(j.sent, s.loop.Now())
 			}
-			s.fleet.Forward(j.Invocation, j.forwards-1, a.Worker, a.Until)
+			s.fleet.Forward(j.Invocation, j.forwards-1, a.Worker, a.NotAfter)
 		}
-	case dispatch.Throttled:
-		s.door.Throttle(a.Inv, a.After)
-		s.answered(a.Inv)
-	case dispatch.Errored:
-		s.door.Fail(a.Inv)
-		s.answered(a.Inv)
+	case dispatch.Throttle:
+		s.door.Throttle(a.Invocation, a.RetryAfter)
+		s.answered(a.Invocation)
+	case dispatch.Fail:
+		s.door.Fail(a.Invocation)
+		s.answered(a.Invocation)
 	case dispatch.Cancel:
-		s.fleet.Cancel(a.Inv, a.Forward)
-	case dispatch.Probe:
+		s.fleet.Cancel(a.Invocation, a.Attempt)
+	case dispatch.HealthCheck:
 		s.fleet.Probe(a.Worker)
-	case dispatch.Wake:
+	case dispatch.SetTimer:
 		s.wake.Stop()
-		s.wake = s.loop.After(a.At-s.loop.Now(), func() { s.events = append(s.events, dispatch.Due{}) })
-	case dispatch.Tell:
+		s.wake = s.loop.After(a.At-s.loop.Now(), func() { s.events = append(s.events, dispatch.TimerFired{}) })
+	case dispatch.SendGossip:
 		if s.road != nil {
-			s.road.Send(a.To, a.Notes)
+			s.road.Send(a.To, a.Entries)
 		}
-	case dispatch.Follow:
+	case dispatch.WatchEndpoints:
 		s.list.Watch()
 	case dispatch.Log:
 		s.log.Info(a.Text)
 	}
 }
 
-func (s *service) answered(inv dispatch.InvID) {
+func (s *service) answered(inv dispatch.InvocationID) {
 	if j := s.invs[inv]; j != nil {
 		s.settle(inv, j)
 	}
@@ -384,7 +384,7 @@
 
 // publish lets operators see the figures as they stand.
 func (s *service) publish() {
-	f := s.book.Figures(s.fleet.Listed(), s.core.Avoided())
+	f := s.book.Figures(s.fleet.Listed(), s.core.Ejected())
 	s.figures.Store(&f)
 	s.published, s.publishing = s.book.Changes, nil
 }
@@ -404,7 +404,7 @@
 		"turns":      map[string]int64{"count": turns.Count, "worst_us": turns.Worst.Microseconds(), "worst_10s_us": turns.Lately.Microseconds()},
 		"heap_bytes": stored[heapLive], "allocations": stored[heapAllocs], "collections": stored[gcCycles],
 		"peers":       told,
-		"invocations": s.book.Figures(s.fleet.Listed(), s.core.Avoided()), "clients": s.door.Counts, "connections_ended": s.door.Ended, "workers": s.fleet.Counts, "guard": s.fleet.Guard.Counts, "refused": s.givenUp, "watches": s.list.Calls, "clock_steps": s.list.ClockSteps(), "in_hand": s.door.InHand(),
+		"invocations": s.book.Figures(s.fleet.Listed(), s.core.Ejected()), "clients": s.door.Counts, "connections_ended": s.door.Ended, "workers": s.fleet.Counts, "guard": s.fleet.Guard.Counts, "refused": s.givenUp, "watches": s.list.Calls, "clock_steps": s.list.ClockSteps(), "in_hand": s.door.InHand(),
 		"out": s.fleet.Out(), "panics": s.panics, "sockets": s.ours.Used() + s.theirs.Used(), "served_us": spread(s.waits),
 		"decided_us": spread(s.thinks),
 	})
--- a/cmd/stoatweir/told_test.go
+++ b/cmd/stoatweir/told_test.go
@@ -268,7 +268,7 @@
 	took := s.list.Told
 	s.list.Told = func(l discovery.List) {
 		if len(l.Workers) > 0 {
-			if p.heard = append(p.heard, at.now()); l.Workers[0].Standing != dispatch.Ready && p.told == 0 {
+			if p.heard = append(p.heard, at.now()); l.Workers[0].State != dispatch.Ready && p.told == 0 {
 				p.told = at.now()
 			}
 		}
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -234,9 +234,9 @@
 	g := guard.New(func() time.Duration { now += 250 * time.Millisecond; return now })
 	s.fleet.Guard = g
 	g.Take(1, guard.Terms{ID: "job-1", Effect: dispatch.NonIdempotent, Deadline: time.Minute, MostAttempts: 2, MostOut: 1})
-	worker := guard.Target{Worker: "s-1", Entry: dispatch.Entry{Standing: dispatch.Ready}}
+	worker := guard.Target{Worker: "s-1", Endpoint: dispatch.Endpoint{State: dispatch.Ready}}
 	gone := worker
-	gone.Standing++
+	gone.State++
 	g.Send(guard.Attempt{Request: 1, Chosen: worker, Now: gone, Timeout: time.Minute})
 	sent := guard.Attempt{Request: 1, Number: 1, Chosen: worker, Now: worker, Timeout: time.Minute}
 	if why := g.Send(sent); why != "" {
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -78,12 +78,12 @@
 }
 
 type coldWorker struct {
-	entry         Entry
+	entry         Endpoint
 	slow          float64 // times the usual running time
 	running       int
 	waiting       []func()
 	sends         []coldSend
-	shown         Load
+	shown         LoadReport
 	shownAt       time.Duration
 	served, spent float64
 }
@@ -93,7 +93,7 @@
 	start time.Duration
 	wake  time.Duration
 	life  int
-	jobs  map[InvID]float64
+	jobs  map[InvocationID]float64
 }
 
 // coldFleet is the whole world of one play.
@@ -103,7 +103,7 @@
 	now        time.Duration
 	queue      coldQueue
 	seq        int
-	dep        Deployment
+	dep        Config
 	cores      int
 	mean, load float64
 	burst      float64       // of the load that all would bear warm
@@ -111,7 +111,7 @@
 	list       []*coldWorker
 	at         map[WorkerID]*coldWorker
 	schedulers []*coldScheduler
-	inv        InvID
+	inv        InvocationID
 	cold       int // workers that start cold
 }
 
@@ -123,11 +123,11 @@
 // warmth is a worker's part of its capacity: it starts at the least that the settings name.
 func (f *coldFleet) warmth(w *coldWorker, at time.Duration) float64 {
 	age := at - w.entry.StartedAt
-	if !w.entry.Restarted || age >= f.dep.Rules.WarmAfter {
+	if !w.entry.StartKnown || age >= f.dep.Rules.SlowStartDuration {
 		return 1
 	}
-	from := f.dep.Rules.ColdFrom
-	return from + (1-from)*max(0, age.Seconds()/f.dep.Rules.WarmAfter.Seconds())
+	from := f.dep.Rules.SlowStartFrom
+	return from + (1-from)*max(0, age.Seconds()/f.dep.Rules.SlowStartDuration.Seconds())
 }
 
 func newColdFleet(row coldRow, seed int64) *coldFleet {
@@ -141,17 +141,17 @@
 	if f.wide {
 		f.cores, f.mean = int(pick(16, 32)), pick(0.1, 0.15)
 	}
-	f.dep.Rules.ColdFrom, f.dep.Rules.Fall = pick(0.13, 0.3), seconds(pick(1, 1.5, 3))
-	f.dep.Rules.FallMultiple, f.dep.Rules.WarmAfter = pick(2.5, 4), seconds(pick(9, 23))
+	f.dep.Rules.SlowStartFrom, f.dep.Rules.OverloadWindow = pick(0.13, 0.3), seconds(pick(1, 1.5, 3))
+	f.dep.Rules.OverloadFactor, f.dep.Rules.SlowStartDuration = pick(2.5, 4), seconds(pick(9, 23))
 	f.dep.Operations = f.dep.Operations[:1]
-	f.dep.Operations[0].LatencyObjective, f.dep.Operations[0].LateValue = time.Second, 0.3
-	f.dep.Peers, f.dep.Allowed.Tell = max(1, int(math.Round(f.told*float64(f.coldRow.schedulers)))), f.tells
+	f.dep.Operations[0].LatencyObjective, f.dep.Operations[0].LateWeight = time.Second, 0.3
+	f.dep.Schedulers, f.dep.Limits.Gossip = max(1, int(math.Round(f.told*float64(f.coldRow.schedulers)))), f.tells
 	part := pick(0, 0.15, 0.35, 0.6)
 	if h := hard[(seed-1)%int64(len(hard))]; seed <= 2*int64(len(hard)) {
 		if f.burst, f.load, part, f.late = 1.2, 0.8, 0.6, seconds(frozen); !f.wide {
 			f.cores, f.mean = h.cores, h.mean
 		}
-		f.dep.Rules.ColdFrom, f.dep.Rules.FallMultiple, f.dep.Rules.Fall = 0.13, 2.5, time.Second
+		f.dep.Rules.SlowStartFrom, f.dep.Rules.OverloadFactor, f.dep.Rules.OverloadWindow = 0.13, 2.5, time.Second
 	}
 	workers := max(9, min(150, int(max(rate, each*float64(row.schedulers))*f.mean/f.load)/f.cores))
 	for n := range workers {
@@ -166,9 +166,9 @@
 
 func (f *coldFleet) add(n int, cold bool) {
 	id := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 1)
-	w := &coldWorker{slow: 1, entry: Entry{Worker: id, Zone: n % 3, Cell: n % 3, Standing: Ready}}
+	w := &coldWorker{slow: 1, entry: Endpoint{Worker: id, Zone: n % 3, Cell: n % 3, State: Ready}}
 	if cold {
-		w.entry.Restarted, w.entry.StartedAt, w.entry.Start = true, f.now, f.rng.Uint64()
+		w.entry.StartKnown, w.entry.StartedAt, w.entry.Incarnation = true, f.now, f.rng.Uint64()
 		w.slow = cmp.Or(f.slow, 1)
 	}
 	f.list, f.at[id] = append(f.list, w), w
@@ -177,23 +177,23 @@
 // begin starts a scheduler, or starts it anew: what it had in hand is forgotten.
 func (f *coldFleet) begin(n int) {
 	s, dep := f.schedulers[n], f.dep
-	if dep.Me, dep.Zone = n, n%3; f.unnumbered {
-		dep.Me = -1
+	if dep.Index, dep.Zone = n, n%3; f.unnumbered {
+		dep.Index = -1
 	}
 	if f.mixed && n%2 == 0 {
-		dep.Peers = len(f.schedulers)
+		dep.Schedulers = len(f.schedulers)
 	}
-	*s = coldScheduler{d: New(dep, f.rng.Int63()), start: f.now, life: s.life + 1, jobs: map[InvID]float64{}}
+	*s = coldScheduler{d: New(dep, f.rng.Int63()), start: f.now, life: s.life + 1, jobs: map[InvocationID]float64{}}
 	f.hand(n, f.whole(s))
 }
 
 // whole is the list with its times told as since that scheduler's start.
-func (f *coldFleet) whole(s *coldScheduler) Listing {
-	l := Listing{Form: ListWhole}
+func (f *coldFleet) whole(s *coldScheduler) EndpointUpdate {
+	l := EndpointUpdate{Kind: FullUpdate}
 	for _, w := range f.list {
 		e := w.entry
 		e.StartedAt -= s.start
-		l.Entries = append(l.Entries, e)
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	return l
 }
@@ -202,7 +202,7 @@
 func (f *coldFleet) tell(n int, wait time.Duration, e Event) {
 	life := f.schedulers[n].life
 	f.after(wait, func() {
-		if _, message := e.(Told); message || f.schedulers[n].life == life {
+		if _, message := e.(GossipReceived); message || f.schedulers[n].life == life {
 			f.hand(n, e)
 		}
 	})
@@ -215,47 +215,47 @@
 		switch a := action.(type) {
 		case Forward:
 			f.forward(n, a, wire)
-		case Probe:
+		case HealthCheck:
 			w, wait := f.at[a.Worker], 2*wire
 			if f.lost {
 				wait += time.Duration(f.rng.Intn(300)) * ms
 			}
 			if f.lost && f.rng.Float64() < 0.3 {
-				f.tell(n, 300*ms, Answer{Worker: a.Worker, Result: TimedOut, Took: 300 * ms})
+				f.tell(n, 300*ms, HealthCheckResult{Worker: a.Worker, Result: TimedOut, Latency: 300 * ms})
 			} else {
-				f.tell(n, wait, Answer{Worker: a.Worker, Result: Succeeded, Took: wait, Load: f.report(w)})
+				f.tell(n, wait, HealthCheckResult{Worker: a.Worker, Result: Succeeded, Latency: wait, Load: f.report(w)})
 			}
-		case Wake:
+		case SetTimer:
 			if s.wake = a.At; true {
 				at := a.At
 				f.after(a.At-(f.now-s.start), func() {
 					if f.schedulers[n].wake == at {
-						f.hand(n, Due{})
+						f.hand(n, TimerFired{})
 					}
 				})
 			}
-		case Tell:
+		case SendGossip:
 			for to := range f.schedulers {
 				if to == a.To || a.To < 0 && to != n {
-					f.tell(to, wire, Told{From: n, Notes: a.Notes})
+					f.tell(to, wire, GossipReceived{From: n, Entries: a.Entries})
 				}
 			}
-		case Throttled:
-			delete(s.jobs, a.Inv)
-		case Errored:
-			delete(s.jobs, a.Inv)
+		case Throttle:
+			delete(s.jobs, a.Invocation)
+		case Fail:
+			delete(s.jobs, a.Invocation)
 		}
 	}
 }
 
-func (f *coldFleet) report(w *coldWorker) *Load {
+func (f *coldFleet) report(w *coldWorker) *LoadReport {
 	if w.shownAt > 0 && f.now < w.shownAt+f.late {
 		shown := w.shown
 		return &shown
 	}
-	load := NoLoad
-	load.FreeSlots, load.Waiting = float64(f.cores-w.running), float64(len(w.waiting))
-	load.InHand, load.Busy = load.Waiting+float64(w.running), float64(w.running)
+	load := UnknownLoad
+	load.FreeSlots, load.Queued = float64(f.cores-w.running), float64(len(w.waiting))
+	load.InFlight, load.Busy = load.Queued+float64(w.running), float64(w.running)
 	if w.served > 0 {
 		load.ServiceTime = w.spent / w.served
 	}
@@ -265,12 +265,12 @@
 
 func (f *coldFleet) forward(n int, a Forward, wire time.Duration) {
 	w, s := f.at[a.Worker], f.schedulers[n]
-	work, known := s.jobs[a.Inv]
+	work, known := s.jobs[a.Invocation]
 	if !known {
-		panic(fmt.Sprintf("%d was sent after its end", a.Inv))
+		panic(fmt.Sprintf("%d was sent after its end", a.Invocation))
 	}
 	w.sends = append(w.sends, coldSend{f.now, work})
-	out := Outcome{Inv: a.Inv, Worker: a.Worker, Forward: a.Forward(s), Result: Full}
+	out := Outcome{Invocation: a.Invocation, Worker: a.Worker, Attempt: a.Forward(s), Result: Rejected}
 	if len(w.waiting) >= 2*f.cores {
 		out.Load = f.report(w)
 		f.tell(n, 2*wire, out)
@@ -287,7 +287,7 @@
 				w.waiting = w.waiting[1:]
 				next()
 			}
-			out.Result, out.Closed, out.Load = Succeeded, true, f.report(w)
+			out.Result, out.Answered, out.Load = Succeeded, true, f.report(w)
 			f.tell(n, wire, out)
 		})
 	}
@@ -300,7 +300,7 @@
 
 // Forward's number among those of its invocation.
 func (a Forward) Forward(s *coldScheduler) int {
-	return len(s.d.desk.invs[s.d.invAt[a.Inv]].tries) - 1
+	return len(s.d.desk.invs[s.d.invAt[a.Invocation]].tries) - 1
 }
 
 // arrive has one request come to some scheduler, and the next one after it.
@@ -322,7 +322,7 @@
 	n := f.rng.Intn(len(f.schedulers))
 	f.inv++
 	f.schedulers[n].jobs[f.inv] = work
-	f.hand(n, Arrival{Inv: f.inv, Hint: hint, Slots: 1, Budget: 2 * time.Second})
+	f.hand(n, Arrival{Invocation: f.inv, Hint: hint, Slots: 1, Budget: 2 * time.Second})
 }
 
 // play gives the largest sum that one cold worker got in a span, in requests of mean work, with the bound at that moment
@@ -338,7 +338,7 @@
 		warm := len(f.list)
 		for i := range f.cold {
 			f.add(warm+i, true)
-			f.list[i].entry.Standing = Draining // the new one takes its place
+			f.list[i].entry.State = Draining // the new one takes its place
 		}
 		for i, s := range f.schedulers {
 			if f.fresh && i%2 == 1 {
@@ -355,18 +355,18 @@
 	}
 	done, could := 0.0, 0.0
 	for _, w := range f.list {
-		if !w.entry.Restarted {
+		if !w.entry.StartKnown {
 			continue
 		}
 		sum, from := 0.0, 0
 		for _, s := range w.sends {
 			sum += s.work / f.mean
 			done += s.work * w.slow
-			for ; w.sends[from].at <= s.at-f.dep.Rules.Fall; from++ {
+			for ; w.sends[from].at <= s.at-f.dep.Rules.OverloadWindow; from++ {
 				sum -= w.sends[from].work / f.mean
 			}
 			able := float64(f.cores) * f.warmth(w, s.at) / w.slow
-			calls := f.dep.Rules.FallMultiple * f.dep.Rules.Fall.Seconds() * able / f.mean
+			calls := f.dep.Rules.OverloadFactor * f.dep.Rules.OverloadWindow.Seconds() * able / f.mean
 			if most := calls + 2*math.Sqrt(calls) + 2; bound == 0 || sum/most > worst/bound {
 				worst, bound, n = sum, most, calls
 			}
@@ -492,8 +492,8 @@
 func coldParts(schedulers, told int, calls float64, start uint64) (sum float64) {
 	const run = 0.2
 	dep := shop()
-	dep.Peers = told
-	for dep.Me = range schedulers {
+	dep.Schedulers = told
+	for dep.Index = range schedulers {
 		d := New(dep, 1)
 		sum += mostSent(&d.desk, d.lot(start), calls, run)
 	}
@@ -531,18 +531,18 @@
 func coldPartsAfterReload(before, after int, calls float64, start uint64) (sum float64) {
 	const run = 0.2
 	id := netip.MustParseAddrPort("10.0.0.1:1")
-	list := Listing{Form: ListWhole, Entries: []Entry{{Worker: id, Standing: Ready, Restarted: true, Start: start}}}
+	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Worker: id, State: Ready, StartKnown: true, Incarnation: start}}}
 	for me := range after {
 		dep := shop()
-		dep.Me, dep.Peers = me, after
+		dep.Index, dep.Schedulers = me, after
 		if me < before {
-			dep.Peers = before
+			dep.Schedulers = before
 		}
 		d := New(dep, 1)
 		d.Handle(time.Millisecond, []Event{list})
 		if me < before {
-			dep.Peers = after
-			d.Handle(2*time.Millisecond, []Event{Retuned{Deployment: dep, From: []int{0}}})
+			dep.Schedulers = after
+			d.Handle(2*time.Millisecond, []Event{Reconfigured{Config: dep, PreviousOperations: []int{0}}})
 		}
 		sum += mostSent(&d.desk, d.list[0].lot, calls, run)
 	}
--- a/dispatch/cost_test.go
+++ b/dispatch/cost_test.go
@@ -14,7 +14,7 @@
 // costOf has others take a part of all slots on average.
 func costOf(workers int, share float64) *world {
 	dep := shop()
-	dep.Peers, dep.Me, dep.TellsStart, dep.Progress = 15, 3, true, 0
+	dep.Schedulers, dep.Index, dep.NotifiesStart, dep.ProgressInterval = 15, 3, true, 0
 	dep.Operations = dep.Operations[:1]
 	dep.Operations[0].LatencyObjective, dep.Operations[0].Stretch = 4*time.Second, 3
 	w := newWorld(1, workers, dep)
@@ -122,24 +122,24 @@
 	replace := func(w *world) {
 		w.every(50*ms, func() {
 			old := w.workers[w.rng.Intn(len(w.workers))]
-			for old.Standing == Gone {
+			for old.State == Gone {
 				old = w.workers[w.rng.Intn(len(w.workers))]
 			}
-			old.Standing = Gone
+			old.State = Gone
 			a := w.join()
-			a.slots, a.speed, a.Restarted, a.StartedAt = 8, 1, true, w.now
-			w.handle(Listing{Form: ListDelta, Entries: []Entry{old.Entry, a.Entry}})
+			a.slots, a.speed, a.StartKnown, a.StartedAt = 8, 1, true, w.now
+			w.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{old.Endpoint, a.Endpoint}})
 		})
 	}
 	whole := func(w *world) { w.every(time.Second, func() { w.handle(w.whole()) }) }
 	cold := func(w *world) {
 		w.then(time.Second, func() {
-			var delta []Entry
+			var delta []Endpoint
 			for _, a := range w.workers[:250] {
-				a.Restarted, a.StartedAt, a.Start, a.inHand = true, w.now, w.rng.Uint64(), 0
-				delta = append(delta, a.Entry)
+				a.StartKnown, a.StartedAt, a.Incarnation, a.inHand = true, w.now, w.rng.Uint64(), 0
+				delta = append(delta, a.Endpoint)
 			}
-			w.handle(Listing{Form: ListDelta, Entries: delta})
+			w.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
 		})
 	}
 	frozen := func(w *world) {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -51,7 +51,7 @@
 		delete(d.invAt, n.id)
 	case tick:
 		if d.asks && !d.follows && d.now >= d.askAt {
-			d.do(Follow{})
+			d.do(WatchEndpoints{})
 			d.askAt = d.now + max(time.Second, d.within/2)
 		}
 	case alarm:
@@ -60,7 +60,7 @@
 		}
 		if n.at < d.wakeAt || d.wakeAt <= d.now {
 			d.wakeAt = max(n.at, d.now+1)
-			d.do(Wake{At: d.wakeAt})
+			d.do(SetTimer{At: d.wakeAt})
 		}
 	case wanted:
 		if d.own++; n.hearsay || len(d.keeps) == 0 || d.own%3 == 0 {
@@ -68,25 +68,25 @@
 		} else {
 			d.ask(d.keeps[d.own/2%len(d.keeps)], n, ask{n.view, false})
 		}
-	case Listing:
+	case EndpointUpdate:
 		d.follow(n)
-	case Told:
+	case GossipReceived:
 		d.hear(n)
 	case look:
 		d.desk.put(n)
-	case Retuned:
+	case Reconfigured:
 		d.desk.anew()
 		d.tune(n)
 		d.reappoint()
-	case Shared:
+	case QuotaUpdate:
 		n.to(&d.desk)
-	case Taught:
-		d.heed(n.Lesson)
+	case SnapshotLoaded:
+		d.heed(n.Snapshot)
 	}
 }
 
-func (d *Dispatcher) follow(list Listing) {
-	if list.Form == ListFailed {
+func (d *Dispatcher) follow(list EndpointUpdate) {
+	if list.Kind == WatchFailed {
 		// Not all schedulers' calls at once, but inside what is left of our time after a call that was lost.
 		wait := max(min(againFirst<<max(min(d.failed, 6)-1, 0), d.within/againPart), againLeast)
 		d.follows, d.failed = false, d.failed+1
@@ -101,7 +101,7 @@
 		d.follows, d.failed = true, 0
 	}
 	d.version++
-	for _, e := range list.Entries {
+	for _, e := range list.Endpoints {
 		at, known := d.workerAt[e.Worker]
 		if !known {
 			at = len(d.list)
@@ -113,21 +113,21 @@
 		d.enlist(at, e)
 	}
 	for at := range d.list {
-		if p := &d.list[at]; list.Form == ListWhole && p.version != d.version && p.Standing != Gone {
-			gone := p.Entry
-			gone.Standing = Gone
+		if p := &d.list[at]; list.Kind == FullUpdate && p.version != d.version && p.State != Gone {
+			gone := p.Endpoint
+			gone.State = Gone
 			d.enlist(at, gone)
 		}
 	}
 }
 
-func (d *Dispatcher) enlist(at int, e Entry) {
+func (d *Dispatcher) enlist(at int, e Endpoint) {
 	p := &d.list[at]
-	starts := e.Restarted && e.Standing == Ready && (!p.Restarted || e.StartedAt > p.StartedAt)
-	if p.Entry, p.version = e, d.version; starts {
-		p.lot = d.lot(e.Start)
+	starts := e.StartKnown && e.State == Ready && (!p.StartKnown || e.StartedAt > p.StartedAt)
+	if p.Endpoint, p.version = e, d.version; starts {
+		p.lot = d.lot(e.Incarnation)
 	}
-	if e.Standing == Ready && !p.inOrder {
+	if e.State == Ready && !p.inOrder {
 		n := d.rng.Intn(len(d.order) + 1)
 		d.order = append(d.order, at)
 		d.order[n], d.order[len(d.order)-1], p.inOrder = at, d.order[n], true
@@ -144,7 +144,7 @@
 		here, turn := (d.turn+n)%len(d.order), d.turn%len(d.order)
 		at := d.order[here]
 		switch p := &d.list[at]; {
-		case p.Standing != Ready:
+		case p.State != Ready:
 			p.inOrder, d.order[here] = false, d.order[len(d.order)-1]
 			d.order = d.order[:len(d.order)-1]
 		case !w.suits(p.Kind, p.Zone, p.Cell):
@@ -173,12 +173,12 @@
 	switch n := note.(type) {
 	case listed:
 		w.lot, w.keeper, w.kept = n.lot, n.keeper, w.tells && n.keeper == w.me
-		w.follow(n.Entry)
+		w.follow(n.Endpoint)
 	case sent:
 		w.serial++
 		n.serial = w.serial
 		w.errands = append(w.errands, n.errand)
-		w.tell(w.keeper, Note{NoteSent, n.serial, w.tag})
+		w.tell(w.keeper, GossipEntry{GossipAttemptStarted, n.serial, w.tag})
 	case theirs:
 		w.hear(n)
 	case bequest:
@@ -189,16 +189,16 @@
 		w.all, w.seen, w.recheck = n.view, w.now, n.learn && !n.hearsay
 		if n.hearsay && !w.kept && !(w.asking && w.askedAt == w.now) {
 			w.askedAt, w.asking, w.unanswered = w.now, true, cmp.Or(w.unanswered, w.now)
-			w.tell(w.keeper, Note{Kind: NoteAsk, Tag: w.tag})
+			w.tell(w.keeper, GossipEntry{Kind: GossipCapacityQuery, Tag: w.tag})
 		}
 		if !n.hearsay || w.silent && w.rng.Intn(asksMost) == 0 { // its keeper can't be heard: as without one
 			w.probe()
 		}
 	case about:
 		switch e := n.event.(type) {
-		case Sign:
-			if f := w.find(n.inv, e.Forward); f != nil {
-				if f.taken = true; e.Taken { // no sign that work goes on: one that hangs takes all it gets
+		case AttemptProgress:
+			if f := w.find(n.inv, e.Attempt); f != nil {
+				if f.taken = true; e.Accepted { // no sign that work goes on: one that hangs takes all it gets
 					break
 				}
 				if w.lastSign, f.heard = w.now, w.now; e.Started {
@@ -213,7 +213,7 @@
 			}
 		case Outcome:
 			w.finish(n, e)
-		case Answer:
+		case HealthCheckResult:
 			w.answered(e)
 		}
 	case blamed:
@@ -224,29 +224,29 @@
 
 func (w *worker) hear(n theirs) {
 	switch inv := -2 - n.from; n.Kind {
-	case NoteSent: // its end may never be told, and it may be told twice
-		w.hear(theirs{n.from, Note{Kind: NoteEnded, Serial: n.Serial}})
+	case GossipAttemptStarted: // its end may never be told, and it may be told twice
+		w.hear(theirs{n.from, GossipEntry{Kind: GossipAttemptEnded, Serial: n.Serial}})
 		w.errands = append(w.errands, errand{inv: inv, fwd: int(n.Serial), slots: 1, sent: w.now,
 			end: w.now + asideMost})
-	case NoteEnded, NoteAnew: // of a scheduler that starts anew all is soon over
+	case GossipAttemptEnded, GossipRestarted: // of a scheduler that starts anew all is soon over
 		for i := range w.errands {
-			if e := &w.errands[i]; e.inv == inv && n.Kind == NoteAnew {
+			if e := &w.errands[i]; e.inv == inv && n.Kind == GossipRestarted {
 				e.end = min(e.end, w.now+seconds(w.all.run))
 			} else if e.inv == inv && e.fwd == int(n.Serial) {
 				e.end = min(e.end, w.now)
 			}
 		}
-	case NoteAsk:
+	case GossipCapacityQuery:
 		// Others who were told of the same slot just before may take it.
 		for w.told.add(w.now.Seconds()); w.told[0] < (w.now - 2*beat).Seconds(); {
 			w.told = w.told[1:]
 		}
 		if free := math.Round(w.room - float64(len(w.told))/asksMost); w.known && w.open {
-			w.tell(n.from, Note{NoteFree, uint8(int8(max(-99, min(99, free)))), w.tag})
+			w.tell(n.from, GossipEntry{GossipCapacityReply, uint8(int8(max(-99, min(99, free)))), w.tag})
 		} else if w.aside {
-			w.tell(n.from, Note{NoteFree, uint8(int8(-min(99, w.size))), w.tag})
+			w.tell(n.from, GossipEntry{GossipCapacityReply, uint8(int8(-min(99, w.size))), w.tag})
 		}
-	case NoteFree:
+	case GossipCapacityReply:
 		if w.asking, w.unanswered = false, 0; !w.kept {
 			w.size = max(w.size, float64(int8(n.Serial)))
 			w.figure(w.askedAt-beat, float64(int8(n.Serial)))
@@ -280,13 +280,13 @@
 	}
 }
 
-func (w *worker) follow(e Entry) {
-	if w.standing = e.Standing; e.Standing == Gone {
+func (w *worker) follow(e Endpoint) {
+	if w.standing = e.State; e.State == Gone {
 		w.release(w.now)
 		return
 	}
-	if e.Restarted && (!w.cold || e.StartedAt > w.startedAt) {
-		w.cold, w.startedAt, w.figures, w.load, w.paces, w.pace = true, e.StartedAt, nil, Load{}, nil, 0
+	if e.StartKnown && (!w.cold || e.StartedAt > w.startedAt) {
+		w.cold, w.startedAt, w.figures, w.load, w.paces, w.pace = true, e.StartedAt, nil, LoadReport{}, nil, 0
 		w.aside, w.wanted, w.missed = false, 0, 0
 		w.release(e.StartedAt)
 	}
@@ -296,11 +296,11 @@
 func (w *worker) probe() {
 	if w.probes && w.standing == Ready && !(w.asking && w.probedAt == w.now) {
 		w.probedAt, w.asking = w.now, true
-		w.do(Probe{w.id})
+		w.do(HealthCheck{w.id})
 	}
 }
 
-func (w *worker) answered(a Answer) {
+func (w *worker) answered(a HealthCheckResult) {
 	w.asking = false
 	switch a.Result {
 	case Succeeded:
@@ -310,23 +310,23 @@
 			w.figures, w.room, w.size, w.fresh = nil, 0, 0, 0
 		}
 		w.comeBack(w.answers >= asideProbes)
-	case Full, Dropped: // probes are capped, connections break, which tells nothing
+	case Rejected, ReusedConnectionBroken: // probes are capped, connections break, which tells nothing
 	default:
 		w.answers, w.missed = 0, w.missed+1
 		// What fails at once may be the network's doing: it is tried again at once before it counts.
-		w.recheck = a.Took < patience/2 && w.missed < 3
-		if !w.recheck && (w.missed > 1 || w.lastSign < w.now-a.Took) {
+		w.recheck = a.Latency < patience/2 && w.missed < 3
+		if !w.recheck && (w.missed > 1 || w.lastSign < w.now-a.Latency) {
 			w.setAside("probes go unanswered", true)
 		}
 	}
 }
 
 // report takes a load report in. One that equals the last and comes soon after is the same figure seen again.
-func (w *worker) report(load *Load) {
+func (w *worker) report(load *LoadReport) {
 	if load == nil {
 		return
 	}
-	first, changed, gap := w.load == Load{}, *load != w.load, w.now-w.reportAt
+	first, changed, gap := w.load == LoadReport{}, *load != w.load, w.now-w.reportAt
 	if w.load, w.reportAt = *load, w.now; gap < 10*beat && !first {
 		w.desk.put(pair{gap.Seconds(), map[bool]float64{true: 1}[changed]})
 	}
@@ -334,7 +334,7 @@
 		return
 	}
 	// What fails fast leaves its slots free: they are counted as if it had run.
-	free := math.Round(load.FreeSlots - load.Waiting - load.Errors*w.all.run)
+	free := math.Round(load.FreeSlots - load.Queued - load.ErrorRate*w.all.run)
 	w.size, w.service = max(w.size, free), load.ServiceTime
 	w.figure(w.now-w.all.lag, free)
 	oldest := w.now - max(w.all.lag, w.window)
@@ -346,7 +346,7 @@
 	if w.last, w.figureAt = min(open, w.size), at; !w.kept {
 		// By how much it lies off what is usual: when all have filled or emptied, old figures tell no more.
 		w.figures.add(w.last - w.all.usual)
-	} else if w.load.Waiting > 0 || free > 0 || len(w.figures) == 0 || open < w.figures.at(0.5) {
+	} else if w.load.Queued > 0 || free > 0 || len(w.figures) == 0 || open < w.figures.at(0.5) {
 		w.figures.add(open) // a full one may have more waiting than it tells
 	}
 	if w.figures = w.figures[max(0, len(w.figures)-figureCount):]; w.kept {
@@ -360,7 +360,7 @@
 
 func (w *worker) finish(n about, o Outcome) {
 	w.report(o.Load)
-	if e := w.find(n.inv, o.Forward); e != nil {
+	if e := w.find(n.inv, o.Attempt); e != nil {
 		defer w.ended(e.serial, o.Result)
 		e.end, w.lastSign = w.now, w.now
 		switch o.Result {
@@ -374,15 +374,15 @@
 			if w.wanted = max(0, w.wanted-1); w.wanted == 0 {
 				w.asides = max(0, w.asides-1)
 			}
-		case Failed, Broken:
+		case Failed, ConnectionBroken:
 			// One that fails fast shows the most free slots and would draw all work; the network breaks some.
-			w.recheck = o.Result == Broken
+			w.recheck = o.Result == ConnectionBroken
 			if w.breaks++; !w.recheck || w.breaks >= trialRuns {
 				w.setAside("fails what it gets", false)
 			}
 		case Cancelled: // it may go on: its slots stay counted for as long as it would have run
 			e.end = max(w.now, e.sent+seconds(e.work*max(0.5, w.pace)))
-		case Full:
+		case Rejected:
 			e.end, w.fullTill = e.sent, w.now+asideFirst // it counts as sent to a cold worker all the same
 			if w.known {
 				w.figure(w.now, 0)
@@ -402,7 +402,7 @@
 // ended tells the keeper. What a silent worker has may hold its slots for long, whatever we wait for.
 func (w *worker) ended(serial uint8, r Result) {
 	if !w.aside || r != TimedOut && r != Cancelled {
-		w.tell(w.keeper, Note{Kind: NoteEnded, Serial: serial})
+		w.tell(w.keeper, GossipEntry{Kind: GossipAttemptEnded, Serial: serial})
 	}
 }
 
@@ -431,7 +431,7 @@
 	longest, most := time.Duration(0), 3*w.all.run*max(1, w.pace)
 	if w.load.FreeSlots <= 0 {
 		// In thin traffic nothing else of ours shows that a full one is at work: its queue explains silence.
-		most *= 2 + w.load.Waiting/max(1, w.size)
+		most *= 2 + w.load.Queued/max(1, w.size)
 	}
 	for i := range w.errands {
 		e := &w.errands[i]
@@ -502,15 +502,15 @@
 		switch e := n.event.(type) {
 		case Arrival:
 			k.take(n.inv, e)
-		case Resumed:
+		case MigratedIn:
 			k.resume(n.inv, e)
-		case Passed:
+		case MigratedOut:
 			k.pass(n.inv)
 		case Outcome:
 			k.ended(n, e)
-		case Streaming:
-			k.land(n.inv, e.Forward)
-		case Withdrawn:
+		case ResponseStarted:
+			k.land(n.inv, e.Attempt)
+		case ClientDisconnected:
 			k.land(n.inv, -1)
 		}
 	}
@@ -573,7 +573,7 @@
 
 func (k *desk) take(i int, a Arrival) {
 	o, j := &k.ops[min(a.Operation, len(k.ops)-1)], &k.invs[i]
-	*j = inv{id: a.Inv, op: a.Operation, tenant: a.Tenant, came: k.now, givenUp: k.now + a.Budget,
+	*j = inv{id: a.Invocation, op: a.Operation, tenant: a.Tenant, came: k.now, givenUp: k.now + a.Budget,
 		work: cmp.Or(max(0, a.Hint), o.sizes.mean(), 1), slots: max(1, a.Slots), tries: j.tries[:0]}
 	// What is left of a later try tells how long its client has waited. One that waits for less than others from
 	// the first looks the same: neither is refused for that, both go behind.
@@ -624,7 +624,7 @@
 	if j.tenant < len(k.tenants) && len(k.tenants[j.tenant].came) > 0 { // or known only since
 		t := &k.tenants[j.tenant]
 		rate := k.peers * float64(len(t.came)) / max(0.1, k.now.Seconds()-t.came[0])
-		within := min(1, t.QuotaPerS/rate)
+		within := min(1, t.QuotaPerSecond/rate)
 		worth *= within + (1-within)*k.excess
 	}
 	if j.op == k.worst { // while work is lost it counts twice, by its part
@@ -707,9 +707,9 @@
 	case j.unfit < unfitMost && (first == nil || o.effect == Idempotent ||
 		o.effect == Deduplicated && o.scope == ScopeAll):
 		// Those that many schedulers turn away at one moment would all come back at one moment.
-		k.do(Throttled{j.id, k.after*3/5 + time.Duration(k.rng.Int63n(int64(k.after)*2/5+1))})
+		k.do(Throttle{j.id, k.after*3/5 + time.Duration(k.rng.Int63n(int64(k.after)*2/5+1))})
 	default:
-		k.do(Errored{j.id})
+		k.do(Fail{j.id})
 	}
 	k.land(i, -1)
 }
@@ -739,14 +739,14 @@
 
 func (k *desk) ended(n about, e Outcome) {
 	j := &k.invs[n.inv]
-	if e.Forward >= len(j.tries) || !j.tries[e.Forward].out {
+	if e.Attempt >= len(j.tries) || !j.tries[e.Attempt].out {
 		return
 	}
-	t, o := &j.tries[e.Forward], &k.ops[j.op]
-	t.out, t.ran = false, e.Result != Full && e.Result != Unreachable && e.Result != NotSent
+	t, o := &j.tries[e.Attempt], &k.ops[j.op]
+	t.out, t.ran = false, e.Result != Rejected && e.Result != Unreachable && e.Result != NotSent
 	key := [3]int{t.at, j.op, j.tenant}
 	switch e.Result {
-	case Unfit: // its own fault or the worker's: the next worker's word tells which
+	case BadRequest: // its own fault or the worker's: the next worker's word tells which
 		t.unfit, j.unfit = true, j.unfit+1
 	case Succeeded:
 		for _, t := range j.tries {
@@ -766,12 +766,12 @@
 			k.paces[c.kind] = paces
 			k.setPaced(c.kind, paces.at(0.5))
 		}
-	case Full, Unreachable:
+	case Rejected, Unreachable:
 		// One that turns a tenant away while its probes show room would draw its top invocation for ever.
 		span := min(max(2*k.refused[key][1], asideFirst/8), asideMost)
 		k.refused[key] = [2]time.Duration{k.now + span, span}
 	}
-	if j.done || e.Closed || e.Result == Succeeded {
+	if j.done || e.Answered || e.Result == Succeeded {
 		k.land(n.inv, landed)
 	} else if k.now < j.givenUp && e.Result != NotSent {
 		k.again(n.inv)
--- a/dispatch/first_test.go
+++ b/dispatch/first_test.go
@@ -12,7 +12,7 @@
 		most := time.Duration(0)
 		for seed := range int64(200) {
 			dep := shop()
-			dep.Peers, dep.Rules.AskWithin, dep.Rules.Grace = 300, 5*time.Second, grace
+			dep.Schedulers, dep.Rules.PollWithin, dep.Rules.DrainGrace = 300, 5*time.Second, grace
 			most = max(most, New(dep, seed).askAt)
 		}
 		fmt.Println(grace, most > grace/16, most <= grace/8, most > 2*time.Second, most <= 2500*ms)
--- a/dispatch/held_test.go
+++ b/dispatch/held_test.go
@@ -6,21 +6,21 @@
 )
 
 // bounded is a deployment where a repeat of operation 1 is dropped for a second, and late answers have a value.
-func bounded(scope Scope) Deployment {
+func bounded(scope DedupScope) Config {
 	dep := shop()
 	o := &dep.Operations[1]
-	o.Scope, o.DedupWindow, o.LateValue = scope, time.Second, 0.5
+	o.DedupScope, o.DedupWindow, o.LateWeight = scope, time.Second, 0.5
 	return dep
 }
 
 // held has invocation 1 sent to a at 20 ms and broken off, and its repeat held, as b has no room.
-func held(dep Deployment) *play {
+func held(dep Config) *play {
 	p := start(dep, ready('a', 0), ready('b', 0), ready('c', 1))
 	p.quiet, p.waits = true, true
 	p.at(10*ms, free('a', 1), free('b', 0), free('c', 0))
 	p.at(20*ms, job(1, 1, 0.2))
 	p.until(60 * ms)
-	p.at(120*ms, p.end(1, 0, Broken), free('b', 0), free('c', 0))
+	p.at(120*ms, p.end(1, 0, ConnectionBroken), free('b', 0), free('c', 0))
 	return p
 }
 
@@ -34,7 +34,7 @@
 // A repeat waits for room. Once its window has passed it must not leave, whatever room there is: its client is answered at
 // once.
 func Example_heldPastItsWindow() {
-	for _, scope := range []Scope{ScopeAll, ScopeZone, ScopeCell} {
+	for _, scope := range []DedupScope{ScopeAll, ScopeZone, ScopeCell} {
 		for _, room := range []time.Duration{900 * ms, 1100 * ms} {
 			p := held(bounded(scope))
 			p.full(room)
@@ -61,11 +61,11 @@
 
 // What a list says of a worker later does not move what may have run there: the repeats are dropped where it ran.
 func Example_heldWhileItsWorkerMoves() {
-	for _, scope := range []Scope{ScopeZone, ScopeCell} {
+	for _, scope := range []DedupScope{ScopeZone, ScopeCell} {
 		p := held(bounded(scope))
 		p.full(200 * ms)
 		moved := ready('a', 1)
-		p.at(p.now+10*ms, Listing{Form: ListDelta, Entries: []Entry{moved}})
+		p.at(p.now+10*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{moved}})
 		p.at(p.now+10*ms, free('c', 9.1))
 		p.until(p.now + 100*ms)
 		p.tell("room where the list has it now")
@@ -82,15 +82,15 @@
 
 // New settings allow fewer forwards, or fewer at once, while a repeat is held.
 func Example_heldWhileLimitsChange() {
-	for _, change := range []func(a *Allowances){
-		func(a *Allowances) {},
-		func(a *Allowances) { a.MaxForwards = 1 },
+	for _, change := range []func(a *Limits){
+		func(a *Limits) {},
+		func(a *Limits) { a.MaxAttempts = 1 },
 	} {
 		dep := bounded(ScopeAll)
 		p := held(dep)
 		p.full(200 * ms)
-		change(&dep.Allowed)
-		p.at(p.now+10*ms, Retuned{Deployment: dep, From: []int{0, 1, 2}})
+		change(&dep.Limits)
+		p.at(p.now+10*ms, Reconfigured{Config: dep, PreviousOperations: []int{0, 1, 2}})
 		p.at(p.now+10*ms, free('b', 9.1))
 		p.until(p.now + 100*ms)
 		p.tell("room")
@@ -107,8 +107,8 @@
 		p := start(bounded(ScopeZone), ready('a', 0), ready('b', 0), ready('c', 1))
 		p.quiet, p.waits = true, true
 		p.at(10*ms, free('b', 0), free('c', 9))
-		p.at(20*ms, Resumed{Arrival: job(1, 1, 0.2), Waited: age, Age: age,
-			Tries: []Try{{Worker: id('a'), Age: age, Began: -1, Heard: -1, Ran: true}}})
+		p.at(20*ms, MigratedIn{Arrival: job(1, 1, 0.2), Waited: age, Age: age,
+			Attempts: []Attempt{{Worker: id('a'), Age: age, StartedAge: -1, LastProgressAge: -1, MayHaveRun: true}}})
 		p.full(200 * ms)
 		p.tell("resumed")
 		p.at(p.now+10*ms, free('b', 9.1))
@@ -127,8 +127,8 @@
 	p := start(bounded(ScopeZone), ready('a', 1), ready('b', 0), ready('c', 1))
 	p.quiet, p.waits = true, true
 	p.at(10*ms, free('b', 9), free('c', 9))
-	p.at(20*ms, Resumed{Arrival: job(1, 1, 0.2), Waited: 100 * ms, Age: 100 * ms,
-		Tries: []Try{{Worker: id('a'), Zone: 0, Age: 100 * ms, Began: -1, Heard: -1, Ran: true}}})
+	p.at(20*ms, MigratedIn{Arrival: job(1, 1, 0.2), Waited: 100 * ms, Age: 100 * ms,
+		Attempts: []Attempt{{Worker: id('a'), Zone: 0, Age: 100 * ms, StartedAge: -1, LastProgressAge: -1, MayHaveRun: true}}})
 	p.until(200 * ms)
 	p.tell("resumed")
 	// Output:
@@ -143,7 +143,7 @@
 	p.at(20*ms, job(1, 1, 0.2), job(2, 0, 0.2), job(3, 2, 0.2))
 	p.until(60 * ms)
 	p.tell("first")
-	p.at(120*ms, p.end(1, 0, Dropped), p.end(2, 0, Dropped), p.end(3, 0, Full))
+	p.at(120*ms, p.end(1, 0, ReusedConnectionBroken), p.end(2, 0, ReusedConnectionBroken), p.end(3, 0, Rejected))
 	p.until(200 * ms)
 	p.tell("again")
 	// Output:
@@ -156,15 +156,15 @@
 	for _, way := range []time.Duration{0, 800 * ms} {
 		p := held(bounded(ScopeAll))
 		p.full(200 * ms)
-		r, _ := p.d.Record(1)
-		p.at(p.now, Passed{Inv: 1})
+		r, _ := p.d.MigrationRecord(1)
+		p.at(p.now, MigratedOut{Invocation: 1})
 		p.full(p.now + 100*ms + way)
-		back := r.Older(100*ms + way)
+		back := r.Aged(100*ms + way)
 		p.at(p.now, back)
 		p.at(p.now+10*ms, free('b', 9.1))
 		p.until(p.now + 100*ms)
 		p.tell("room")
-		fmt.Println(r.Budget-back.Budget, back.Waited-r.Waited, back.Tries[0].Age-r.Tries[0].Age, back.Tries[0].Began)
+		fmt.Println(r.Budget-back.Budget, back.Waited-r.Waited, back.Attempts[0].Age-r.Attempts[0].Age, back.Attempts[0].StartedAge)
 	}
 	// Output:
 	// room: 1 to a; 1 to b
--- a/dispatch/histories_test.go
+++ b/dispatch/histories_test.go
@@ -12,13 +12,13 @@
 	*testing.T
 	rng    *rand.Rand
 	d      *Dispatcher
-	dep    Deployment
+	dep    Config
 	now    time.Duration
 	zones  map[WorkerID]int // as listed; the cell is the same
-	stands map[WorkerID]Standing
+	stands map[WorkerID]EndpointState
 	asked  []WorkerID // probes that are out
-	invs   map[InvID]*past
-	alive  []InvID // in order
+	invs   map[InvocationID]*past
+	alive  []InvocationID // in order
 	counts map[string]int
 }
 
@@ -51,27 +51,27 @@
 func (h *history) handle(events ...Event) {
 	for _, action := range h.d.Handle(h.now, events) {
 		switch a := action.(type) {
-		case Probe:
+		case HealthCheck:
 			h.asked = append(h.asked, a.Worker)
 		case Forward:
 			h.forward(a)
-		case Throttled:
-			p := h.answered(a.Inv)
+		case Throttle:
+			p := h.answered(a.Invocation)
 			o := h.dep.Operations[p.op]
-			if p.first() != nil && o.Effect != Idempotent && !(o.Effect == Deduplicated && o.Scope == ScopeAll) {
+			if p.first() != nil && o.Effect != Idempotent && !(o.Effect == Deduplicated && o.DedupScope == ScopeAll) {
 				h.Fatal(h.now, a, "throttled, and may have run")
 			}
-		case Errored:
-			h.answered(a.Inv)
+		case Fail:
+			h.answered(a.Invocation)
 		case Cancel:
-			if t := &h.invs[a.Inv].tries[a.Forward]; t.out {
-				h.handle(h.end(a.Inv, a.Forward, Cancelled))
+			if t := &h.invs[a.Invocation].tries[a.Attempt]; t.out {
+				h.handle(h.end(a.Invocation, a.Attempt, Cancelled))
 			}
 		}
 	}
 }
 
-func (h *history) answered(id InvID) *past {
+func (h *history) answered(id InvocationID) *past {
 	p := h.invs[id]
 	if p.over {
 		h.Fatal(h.now, id, "is answered a second time, or after its client has left")
@@ -82,7 +82,7 @@
 }
 
 func (h *history) forward(a Forward) {
-	p := h.invs[a.Inv]
+	p := h.invs[a.Invocation]
 	o, first, out := h.dep.Operations[p.op], p.first(), 0
 	for _, t := range p.tries {
 		if t.out {
@@ -99,17 +99,17 @@
 		h.Fatal(h.now, a, "after the client timeout")
 	case h.stands[a.Worker] != Ready:
 		h.Fatal(h.now, a, "to a worker that is to get nothing")
-	case out >= h.dep.Allowed.MaxOut || len(p.tries) >= h.dep.Allowed.MaxForwards:
+	case out >= h.dep.Limits.MaxInFlight || len(p.tries) >= h.dep.Limits.MaxAttempts:
 		h.Fatal(h.now, a, "beyond the limits")
 	case first == nil || o.Effect == Idempotent:
-		if a.Until != 0 {
+		if a.NotAfter != 0 {
 			h.Fatal(h.now, a, "nothing bounds it")
 		}
 	case o.Effect == NonIdempotent:
 		h.Fatal(h.now, a, "may have run")
-	case h.now >= first.sent+o.DedupWindow || a.Until != first.sent+o.DedupWindow:
+	case h.now >= first.sent+o.DedupWindow || a.NotAfter != first.sent+o.DedupWindow:
 		h.Fatal(h.now, a, "past its window, or until another time:", first.sent, o.DedupWindow)
-	case o.Scope != ScopeAll && h.zones[a.Worker] != first.zone:
+	case o.DedupScope != ScopeAll && h.zones[a.Worker] != first.zone:
 		h.Fatal(h.now, a, "outside its group")
 	default:
 		h.counts["repeats"]++
@@ -118,19 +118,19 @@
 	h.counts["forwards"]++
 }
 
-func (h *history) end(id InvID, fwd int, r Result) Outcome {
+func (h *history) end(id InvocationID, fwd int, r Result) Outcome {
 	p := h.invs[id]
 	t := &p.tries[fwd]
-	t.out, t.ran = false, r != Full && r != Unreachable && r != NotSent
+	t.out, t.ran = false, r != Rejected && r != Unreachable && r != NotSent
 	closed := p.over
 	if r == Succeeded {
 		p.over = true
 	}
-	return Outcome{Inv: id, Worker: t.worker, Forward: fwd, Result: r, Closed: closed || r == Succeeded}
+	return Outcome{Invocation: id, Worker: t.worker, Attempt: fwd, Result: r, Answered: closed || r == Succeeded}
 }
 
 // any is one of those that are held here or out; 0: there is none.
-func (h *history) any() InvID {
+func (h *history) any() InvocationID {
 	if len(h.alive) == 0 {
 		return 0
 	}
@@ -143,7 +143,7 @@
 	return id
 }
 
-func (h *history) step(next *InvID) {
+func (h *history) step(next *InvocationID) {
 	h.now += time.Duration(h.rng.Intn(30)) * ms
 	names := []byte("abcdef")
 	worker := id(names[h.rng.Intn(len(names))])
@@ -156,9 +156,9 @@
 		h.handle(a)
 	case 3, 4:
 		if n := len(h.asked); n > 0 {
-			load := NoLoad
+			load := UnknownLoad
 			load.FreeSlots = float64(h.rng.Intn(3)) + h.rng.Float64()/100
-			a := Answer{Worker: h.asked[0], Result: []Result{Succeeded, Succeeded, Succeeded, Dropped, TimedOut}[h.rng.Intn(5)], Took: 20 * ms}
+			a := HealthCheckResult{Worker: h.asked[0], Result: []Result{Succeeded, Succeeded, Succeeded, ReusedConnectionBroken, TimedOut}[h.rng.Intn(5)], Latency: 20 * ms}
 			if h.asked = h.asked[1:]; a.Result == Succeeded {
 				a.Load = &load
 			}
@@ -168,7 +168,7 @@
 		if inv := h.any(); inv > 0 {
 			for fwd, t := range h.invs[inv].tries {
 				if t.out && h.rng.Intn(2) == 0 {
-					h.handle(h.end(inv, fwd, Result(h.rng.Intn(int(Dropped)+1))))
+					h.handle(h.end(inv, fwd, Result(h.rng.Intn(int(ReusedConnectionBroken)+1))))
 					break
 				}
 			}
@@ -177,31 +177,31 @@
 		if inv := h.any(); inv > 0 && !h.invs[inv].over && h.rng.Intn(3) == 0 {
 			h.invs[inv].over = true
 			h.counts["left"]++
-			h.handle(Withdrawn{Inv: inv})
+			h.handle(ClientDisconnected{Invocation: inv})
 		}
 	case 9:
-		h.stands[worker] = []Standing{Gone, Ready, Ready, Draining}[h.rng.Intn(4)]
+		h.stands[worker] = []EndpointState{Gone, Ready, Ready, Draining}[h.rng.Intn(4)]
 		if h.stands[worker] == Ready && h.rng.Intn(4) == 0 {
 			h.zones[worker] = h.rng.Intn(2)
 		}
-		h.handle(Listing{Form: ListDelta, Entries: []Entry{{Worker: worker, Zone: h.zones[worker], Cell: h.zones[worker], Kind: -1,
-			Standing: h.stands[worker]}}})
+		h.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{Worker: worker, Zone: h.zones[worker], Cell: h.zones[worker], Kind: -1,
+			State: h.stands[worker]}}})
 	case 10:
 		if h.rng.Intn(5) == 0 {
-			h.dep.Allowed.MaxForwards, h.dep.Allowed.MaxOut = 1+h.rng.Intn(4), 1+h.rng.Intn(2)
-			h.dep.Allowed.Cancel = h.rng.Intn(2) == 0
+			h.dep.Limits.MaxAttempts, h.dep.Limits.MaxInFlight = 1+h.rng.Intn(4), 1+h.rng.Intn(2)
+			h.dep.Limits.Cancel = h.rng.Intn(2) == 0
 			from := []int{0, 1, 2, 3, 4}
-			h.handle(Retuned{Deployment: h.dep, From: from})
+			h.handle(Reconfigured{Config: h.dep, PreviousOperations: from})
 		}
 	case 11:
 		if inv := h.any(); inv > 0 {
-			h.handle(Due{}) // ages count back from the last moment
-			if r, held := h.d.Record(inv); held {
+			h.handle(TimerFired{}) // ages count back from the last moment
+			if r, held := h.d.MigrationRecord(inv); held {
 				h.counts["passed"]++
-				h.handle(Passed{Inv: inv})
+				h.handle(MigratedOut{Invocation: inv})
 				way := time.Duration(h.rng.Intn(400)) * ms
 				h.now += way
-				h.handle(r.Older(way))
+				h.handle(r.Aged(way))
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 			}
 		}
 	}
-	h.handle(Due{})
+	h.handle(TimerFired{})
 }
 
 // Over random histories (outcomes of all kinds, silent workers, drains, moves, limits that change, clients that leave,
@@ -222,26 +222,26 @@
 	counts := map[string]int{}
 	for seed := range int64(60) {
 		dep := shop()
-		dep.TellsTaken, dep.TellsStart = seed%2 == 0, seed%3 == 0
-		for _, scope := range []Scope{ScopeAll, ScopeCell} {
+		dep.NotifiesAccepted, dep.NotifiesStart = seed%2 == 0, seed%3 == 0
+		for _, scope := range []DedupScope{ScopeAll, ScopeCell} {
 			o := dep.Operations[1]
-			o.Scope = scope
+			o.DedupScope = scope
 			dep.Operations = append(dep.Operations, o)
 		}
 		for n := range dep.Operations {
-			dep.Operations[n].DedupWindow, dep.Operations[n].LateValue = time.Duration(seed%5)*400*ms, 0.5
+			dep.Operations[n].DedupWindow, dep.Operations[n].LateWeight = time.Duration(seed%5)*400*ms, 0.5
 		}
 		h := &history{T: t, rng: rand.New(rand.NewSource(seed)), d: New(dep, seed), dep: dep, zones: map[WorkerID]int{},
-			stands: map[WorkerID]Standing{}, invs: map[InvID]*past{}, counts: counts}
-		var list []Entry
+			stands: map[WorkerID]EndpointState{}, invs: map[InvocationID]*past{}, counts: counts}
+		var list []Endpoint
 		for n, name := range []byte("abcdef") {
 			e := ready(name, n%2)
 			e.Kind = -1
 			h.zones[e.Worker], h.stands[e.Worker] = e.Zone, Ready
 			list = append(list, e)
 		}
-		h.handle(Listing{Form: ListWhole, Entries: list})
-		next := InvID(0)
+		h.handle(EndpointUpdate{Kind: FullUpdate, Endpoints: list})
+		next := InvocationID(0)
 		for range 1500 {
 			h.step(&next)
 		}
--- a/dispatch/history_test.go
+++ b/dispatch/history_test.go
@@ -25,21 +25,21 @@
 	switch action.(type) {
 	case Forward:
 		return "dispatch.Forward"
-	case Throttled:
+	case Throttle:
 		return "dispatch.Throttled"
-	case Errored:
+	case Fail:
 		return "dispatch.Errored"
 	case Cancel:
 		return "dispatch.Cancel"
-	case Probe:
+	case HealthCheck:
 		return "dispatch.Probe"
-	case Wake:
+	case SetTimer:
 		return "dispatch.Wake"
-	case Follow:
+	case WatchEndpoints:
 		return "dispatch.Follow"
 	case Log:
 		return "dispatch.Log"
-	case Tell:
+	case SendGossip:
 		return "dispatch.Tell"
 	}
 	return fmt.Sprintf("%T", action)
@@ -63,11 +63,11 @@
 	}
 	w.begin()
 	w.play(span)
-	l := w.d.Lesson()
-	slices.SortFunc(l.Workers, func(a, b WorkerLesson) int {
+	l := w.d.Snapshot()
+	slices.SortFunc(l.Workers, func(a, b WorkerSnapshot) int {
 		return cmp.Or(a.Worker.Addr().Compare(b.Worker.Addr()), cmp.Compare(a.Worker.Port(), b.Worker.Port()))
 	})
-	fmt.Fprintf(h, "%v %d", l, w.d.Avoided())
+	fmt.Fprintf(h, "%v %d", l, w.d.Ejected())
 	if to != nil {
 		fmt.Fprintf(to, "%+v\n", l)
 		to.Flush()
--- a/dispatch/lesson.go
+++ b/dispatch/lesson.go
@@ -6,82 +6,82 @@
 )
 
 // LessonVersion changes whenever a figure of a Lesson changes its meaning.
-const LessonVersion = 2
+const SnapshotVersion = 2
 
 // Lesson is what an instance has measured, for another one that takes its place. It holds no decision: what is taught is
 // used by the same lines as what is measured. Times are ages, or what is left of a span.
-type Lesson struct {
-	Version    int                     `json:"Version"`
-	Runs       []float64               `json:"Runs"`
-	Gaps       []float64               `json:"Gaps"`
-	Changes    []float64               `json:"Changes"`
-	Slots      []float64               `json:"Slots"`
-	Starts     []float64               `json:"Starts"`
-	Arrivals   []time.Duration         `json:"Arrivals"`
-	Jobs       float64                 `json:"Jobs"`
-	Clones     float64                 `json:"Clones"`
-	Size       float64                 `json:"Size"`
-	Credit     float64                 `json:"Credit"`
-	Kinds      map[int][]float64       `json:"Kinds"` // paces
-	Operations map[int]OperationLesson `json:"Operations"`
-	Workers    []WorkerLesson          `json:"Workers"`
+type Snapshot struct {
+	Version           int                       `json:"Version"`
+	RunTimes          []float64                 `json:"Runs"`
+	ReportGaps        []float64                 `json:"Gaps"`
+	ReportChanges     []float64                 `json:"Changes"`
+	FreeSlots         []float64                 `json:"Slots"`
+	ImmediateStarts   []float64                 `json:"Starts"`
+	Arrivals          []time.Duration           `json:"Arrivals"`
+	Admitted          float64                   `json:"Jobs"`
+	Hedges            float64                   `json:"Clones"`
+	PoolSize          float64                   `json:"Size"`
+	HealthCheckCredit float64                   `json:"Credit"`
+	KindPaces         map[int][]float64         `json:"Kinds"` // paces
+	Operations        map[int]OperationSnapshot `json:"Operations"`
+	Workers           []WorkerSnapshot          `json:"Workers"`
 }
 
 // OperationLesson is what was measured of one operation.
-type OperationLesson struct {
-	Ratios []float64     `json:"Ratios"`
-	Sizes  []float64     `json:"Sizes"`
-	Rough  []float64     `json:"Rough"`
-	Most   time.Duration `json:"Most"`
+type OperationSnapshot struct {
+	CostRatios    []float64     `json:"Ratios"`
+	RunTimes      []float64     `json:"Sizes"`
+	HintErrors    []float64     `json:"Rough"`
+	LongestBudget time.Duration `json:"Most"`
 }
 
 // WorkerLesson is what was measured of one start of a worker.
-type WorkerLesson struct {
-	Worker    WorkerID      `json:"Worker"`
-	Start     uint64        `json:"Start"`
-	Paces     []float64     `json:"Paces"`
-	Service   float64       `json:"Service"`
-	Figures   []float64     `json:"Figures"`
-	Last      float64       `json:"Last"`
-	Size      float64       `json:"Size"`
-	Load      Load          `json:"Load"`
-	FigureAge time.Duration `json:"FigureAge"`
-	ReportAge time.Duration `json:"ReportAge"`
-	Sign      time.Duration `json:"Sign"`
-	Aside     bool          `json:"Aside"`
-	AsideLeft time.Duration `json:"AsideLeft"`
-	FullLeft  time.Duration `json:"FullLeft"`
-	Asides    int           `json:"Asides"`
-	Wanted    int           `json:"Wanted"`
-	Missed    int           `json:"Missed"`
-	Spent     []Spending    `json:"Spent"`
+type WorkerSnapshot struct {
+	Worker          WorkerID      `json:"Worker"`
+	Incarnation     uint64        `json:"Start"`
+	Paces           []float64     `json:"Paces"`
+	ServiceTime     float64       `json:"Service"`
+	FreeSlots       []float64     `json:"Figures"`
+	LastFreeSlots   float64       `json:"Last"`
+	MaxFreeSlots    float64       `json:"Size"`
+	Load            LoadReport    `json:"Load"`
+	FreeSlotsAge    time.Duration `json:"FigureAge"`
+	ReportAge       time.Duration `json:"ReportAge"`
+	LastProgressAge time.Duration `json:"Sign"`
+	Ejected         bool          `json:"Aside"`
+	EjectionLeft    time.Duration `json:"AsideLeft"`
+	RejectionLeft   time.Duration `json:"FullLeft"`
+	Ejections       int           `json:"Asides"`
+	ProbationLeft   int           `json:"Wanted"`
+	Missed          int           `json:"Missed"`
+	BudgetUsed      []BudgetUse   `json:"Spent"`
 }
 
 // Spending is work sent to a cold worker that has ended, and still counts.
-type Spending struct {
+type BudgetUse struct {
 	Age  time.Duration `json:"Age"`
 	Cost float64       `json:"Cost"`
 }
 
 // Taught brings a lesson.
-type Taught struct{ Lesson }
+type SnapshotLoaded struct{ Snapshot }
 
-func (e Taught) About() (InvID, WorkerID) { return 0, WorkerID{} }
+func (e SnapshotLoaded) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
 // Lesson writes down what was measured.
-func (d *Dispatcher) Lesson() Lesson {
+func (d *Dispatcher) Snapshot() Snapshot {
 	k, ago := &d.desk, func(t time.Duration) time.Duration { return d.now - t }
-	l := Lesson{Version: LessonVersion, Runs: k.runs, Gaps: k.gaps, Changes: k.changes, Slots: k.slots,
-		Starts: k.starts, Jobs: k.jobs, Clones: k.clones, Size: k.size, Credit: k.credit, Kinds: map[int][]float64{},
-		Operations: map[int]OperationLesson{}}
+	l := Snapshot{Version: SnapshotVersion, RunTimes: k.runs, ReportGaps: k.gaps, ReportChanges: k.changes, FreeSlots: k.slots,
+		ImmediateStarts: k.starts, Admitted: k.jobs, Hedges: k.clones, PoolSize: k.size, HealthCheckCredit: k.credit, KindPaces: map[int][]float64{},
+		Operations: map[int]OperationSnapshot{}}
 	for _, at := range k.arrivals {
 		l.Arrivals = append(l.Arrivals, ago(seconds(at)))
 	}
 	for kind, paces := range k.paces {
-		l.Kinds[kind] = paces
+		l.KindPaces[kind] = paces
 	}
 	for i, o := range k.ops {
-		l.Operations[i] = OperationLesson{o.ratios, o.sizes, o.rough, o.most}
+		l.Operations[i] = OperationSnapshot{o.ratios, o.sizes, o.rough, o.most}
 	}
 	for i := range d.list {
 		w := d.list[i].worker
@@ -89,13 +89,13 @@
 			continue
 		}
 		k.current(i)
-		n := WorkerLesson{Worker: w.id, Start: d.list[i].Start, Paces: w.paces, Service: w.service, Last: w.last,
-			Size: w.size, Figures: w.figures, Load: w.load, FigureAge: ago(w.figureAt), ReportAge: ago(w.reportAt), Sign: ago(w.lastSign),
-			Aside: w.aside, AsideLeft: w.asideTill - d.now, FullLeft: w.fullTill - d.now, Asides: w.asides, Wanted: w.wanted,
+		n := WorkerSnapshot{Worker: w.id, Incarnation: d.list[i].Incarnation, Paces: w.paces, ServiceTime: w.service, LastFreeSlots: w.last,
+			MaxFreeSlots: w.size, FreeSlots: w.figures, Load: w.load, FreeSlotsAge: ago(w.figureAt), ReportAge: ago(w.reportAt), LastProgressAge: ago(w.lastSign),
+			Ejected: w.aside, EjectionLeft: w.asideTill - d.now, RejectionLeft: w.fullTill - d.now, Ejections: w.asides, ProbationLeft: w.wanted,
 			Missed: w.missed}
 		for _, e := range w.errands { // those that are out are passed with their invocations
 			if e.end != 0 && e.cost > 0 && w.warmth < 1 && e.sent+w.window > d.now {
-				n.Spent = append(n.Spent, Spending{ago(e.sent), e.cost})
+				n.BudgetUsed = append(n.BudgetUsed, BudgetUse{ago(e.sent), e.cost})
 			}
 		}
 		l.Workers = append(l.Workers, n)
@@ -109,15 +109,15 @@
 }
 
 // heed takes a lesson in. What was measured here comes after what was taught.
-func (d *Dispatcher) heed(l Lesson) {
-	if l.Version != LessonVersion {
+func (d *Dispatcher) heed(l Snapshot) {
+	if l.Version != SnapshotVersion {
 		return
 	}
 	k := &d.desk
 	for _, v := range []struct {
 		to   *samples
 		from []float64
-	}{{&k.runs, l.Runs}, {&k.gaps, l.Gaps}, {&k.changes, l.Changes}, {&k.slots, l.Slots}, {&k.starts, l.Starts}} {
+	}{{&k.runs, l.RunTimes}, {&k.gaps, l.ReportGaps}, {&k.changes, l.ReportChanges}, {&k.slots, l.FreeSlots}, {&k.starts, l.ImmediateStarts}} {
 		*v.to = joined(v.from, *v.to)
 	}
 	var came []float64
@@ -127,8 +127,8 @@
 	if k.jobs == 0 && len(came) > 0 { // else our own say more
 		k.arrivals = joined(came, nil)
 	}
-	k.jobs, k.clones, k.size = k.jobs+l.Jobs, k.clones+l.Clones, max(k.size, l.Size)
-	for kind, paces := range l.Kinds {
+	k.jobs, k.clones, k.size = k.jobs+l.Admitted, k.clones+l.Hedges, max(k.size, l.PoolSize)
+	for kind, paces := range l.KindPaces {
 		k.paces[kind] = joined(paces, k.paces[kind])
 		k.setPaced(kind, k.paces[kind].at(0.5))
 	}
@@ -137,36 +137,36 @@
 			continue
 		}
 		to := &k.ops[i]
-		to.ratios, to.sizes, to.rough = joined(o.Ratios, to.ratios), joined(o.Sizes, to.sizes), joined(o.Rough, to.rough)
-		to.most = max(to.most, o.Most)
+		to.ratios, to.sizes, to.rough = joined(o.CostRatios, to.ratios), joined(o.RunTimes, to.sizes), joined(o.HintErrors, to.rough)
+		to.most = max(to.most, o.LongestBudget)
 	}
 	for _, n := range l.Workers {
-		if at, known := d.workerAt[n.Worker]; known && d.list[at].Start == n.Start && d.list[at].Standing == Ready {
+		if at, known := d.workerAt[n.Worker]; known && d.list[at].Incarnation == n.Incarnation && d.list[at].State == Ready {
 			d.meet(at).put(n)
 		}
 	}
 	k.learn()
 }
 
-func (n WorkerLesson) to(w *worker) {
+func (n WorkerSnapshot) to(w *worker) {
 	if w.paces = joined(n.Paces, w.paces); len(w.paces) > 0 {
 		w.pace = w.paces.at(0.5)
 	}
-	w.size = max(w.size, n.Size)
+	w.size = max(w.size, n.MaxFreeSlots)
 	if len(w.figures) == 0 {
-		w.last, w.figureAt, w.load, w.reportAt, w.service = n.Last, w.now-n.FigureAge, n.Load, w.now-n.ReportAge, n.Service
+		w.last, w.figureAt, w.load, w.reportAt, w.service = n.LastFreeSlots, w.now-n.FreeSlotsAge, n.Load, w.now-n.ReportAge, n.ServiceTime
 	}
-	w.figures = joined(n.Figures, w.figures)
+	w.figures = joined(n.FreeSlots, w.figures)
 	w.figures = w.figures[max(0, len(w.figures)-figureCount):]
-	w.lastSign = max(w.lastSign, w.now-n.Sign)
-	if n.FullLeft > 0 {
-		w.fullTill = w.now + n.FullLeft
+	w.lastSign = max(w.lastSign, w.now-n.LastProgressAge)
+	if n.RejectionLeft > 0 {
+		w.fullTill = w.now + n.RejectionLeft
 	}
-	w.asides, w.wanted, w.missed = max(w.asides, n.Asides), max(w.wanted, n.Wanted), max(w.missed, n.Missed)
-	if n.Aside && !w.aside {
-		w.aside, w.answers, w.asideTill = true, 0, w.now+max(0, n.AsideLeft)
+	w.asides, w.wanted, w.missed = max(w.asides, n.Ejections), max(w.wanted, n.ProbationLeft), max(w.missed, n.Missed)
+	if n.Ejected && !w.aside {
+		w.aside, w.answers, w.asideTill = true, 0, w.now+max(0, n.EjectionLeft)
 	}
-	for _, s := range n.Spent {
+	for _, s := range n.BudgetUsed {
 		sent := w.now - s.Age
 		w.errands = append(w.errands, errand{inv: -1, sent: sent, end: max(sent, 1), cost: s.Cost})
 	}
--- a/dispatch/lesson_test.go
+++ b/dispatch/lesson_test.go
@@ -10,16 +10,16 @@
 // with their forwards go on as they were. What breaks is sent again where it may be, once.
 func Example_successor() {
 	dep := shop()
-	dep.Peers, dep.Pushed = 1, true
+	dep.Schedulers, dep.EndpointsPushed = 1, true
 	cold := ready('c', 0)
-	cold.Restarted, cold.StartedAt, cold.Start = true, 8*time.Second, 7
+	cold.StartKnown, cold.StartedAt, cold.Incarnation = true, 8*time.Second, 7
 	old := start(dep, ready('a', 0), ready('b', 0))
 	old.quiet = true
-	for n := InvID(1); n <= 5; n++ {
+	for n := InvocationID(1); n <= 5; n++ {
 		old.at(old.now+10*ms, job(n, 0, 0.1), free('a', 1), free('b', 1))
 		old.at(old.now+200*ms, old.end(n, 0, Succeeded))
 	}
-	old.at(9*time.Second, Listing{Form: ListDelta, Entries: []Entry{cold}})
+	old.at(9*time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{cold}})
 	asked := func(when time.Duration, a float64, events ...Event) {
 		old.at(when, free('a', a), free('b', 3), free('c', 3))
 		old.at(when+10*ms, events...)
@@ -37,43 +37,43 @@
 	entry := cold
 	entry.StartedAt -= later
 	next.quiet = true
-	next.at(200*ms, Listing{Form: ListDelta, Entries: []Entry{entry}})
-	text, err := json.Marshal(old.d.Lesson())
-	var lesson Lesson
+	next.at(200*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{entry}})
+	text, err := json.Marshal(old.d.Snapshot())
+	var lesson Snapshot
 	if err == nil {
 		err = json.Unmarshal(text, &lesson)
 	}
-	next.at(350*ms, Taught{lesson})
-	fmt.Println(err, next.d.Avoided(), old.d.Avoided(), next.d.desk.paced, next.d.desk.ops[0].sizes.mean() == old.d.desk.ops[0].sizes.mean())
+	next.at(350*ms, SnapshotLoaded{lesson})
+	fmt.Println(err, next.d.Ejected(), old.d.Ejected(), next.d.desk.paced, next.d.desk.ops[0].sizes.mean() == old.d.desk.ops[0].sizes.mean())
 	spent := func(p *play) float64 {
 		p.d.list[2].worker.show()
 		return p.d.list[2].worker.spent
 	}
 	fmt.Println("spent on the cold one:", spent(old) > 0, spent(next) == spent(old))
-	for n := InvID(21); n <= 23; n++ {
-		r, held := old.d.Record(n)
+	for n := InvocationID(21); n <= 23; n++ {
+		r, held := old.d.MigrationRecord(n)
 		if !held {
 			fmt.Println(n, "has ended")
 			continue
 		}
-		r.Inv += 100
-		next.went[r.Inv] = nil
-		for _, t := range r.Tries {
-			next.went[r.Inv] = append(next.went[r.Inv], t.Worker)
+		r.Invocation += 100
+		next.went[r.Invocation] = nil
+		for _, t := range r.Attempts {
+			next.went[r.Invocation] = append(next.went[r.Invocation], t.Worker)
 		}
-		fmt.Println(n, r.Age, len(r.Tries), r.Budget)
-		old.at(old.now, Passed{n})
+		fmt.Println(n, r.Age, len(r.Attempts), r.Budget)
+		old.at(old.now, MigratedOut{n})
 		next.at(400*ms, r)
 	}
 	old.tell("the old one after that")
 	next.tell("the new one")
-	next.at(500*ms, next.end(121, len(next.went[121])-1, Broken), next.end(122, 0, Broken), next.end(123, 0, Succeeded))
+	next.at(500*ms, next.end(121, len(next.went[121])-1, ConnectionBroken), next.end(122, 0, ConnectionBroken), next.end(123, 0, Succeeded))
 	next.tell("two break, one succeeds")
-	old.at(20*time.Second, Due{})
+	old.at(20*time.Second, TimerFired{})
 	old.tell("the old one, much later")
 	lesson.Version++
 	fresh := start(dep, ready('a', 0))
-	fresh.at(10*ms, Taught{lesson})
+	fresh.at(10*ms, SnapshotLoaded{lesson})
 	fmt.Println("of another version:", len(fresh.d.desk.runs))
 	// Output:
 	// the old one: 1 to b; 2 to a; 3 to b; 4 to b; 5 to b; 22 to b; 23 to a; 21 to b; worker b is set aside: fails what it gets; 21 to a; 25 to c
--- a/dispatch/memo.go
+++ b/dispatch/memo.go
@@ -6,56 +6,56 @@
 // foreign or broken leaves the one that would have read it with less knowledge, and no more.
 
 // Note is one thing told.
-type Note struct {
-	Kind   NoteKind
+type GossipEntry struct {
+	Kind   GossipKind
 	Serial uint8  // the forward, by its sender's count; NoteFree: the free slots, as int8
 	Tag    uint32 // the worker
 }
 
 // NoteKind is what a note says.
-type NoteKind uint8
+type GossipKind uint8
 
 const (
-	NoteAnew  NoteKind = iota // the scheduler has just started, and knows nothing of its forwards before
-	NoteSent                  // a forward is on its way to a worker
-	NoteEnded                 // a forward holds no slot any more
-	NoteAsk                   // how much is free at a worker?
-	NoteFree                  // so much is
-	noteGone  = 255           // packed already
+	GossipRestarted      GossipKind = iota // the scheduler has just started, and knows nothing of its forwards before
+	GossipAttemptStarted                   // a forward is on its way to a worker
+	GossipAttemptEnded                     // a forward holds no slot any more
+	GossipCapacityQuery                    // how much is free at a worker?
+	GossipCapacityReply                    // so much is
+	gossipPacked         = 255             // packed already
 )
 
 // Tell sends notes to another scheduler.
-type Tell struct {
-	To    int // below 0: all
-	Notes []Note
+type SendGossip struct {
+	To      int // below 0: all
+	Entries []GossipEntry
 }
 
 type memo struct {
 	to int
-	Note
+	GossipEntry
 }
 
 // Told brings another scheduler's notes, in its order.
-type Told struct {
-	From  int // its number
-	Notes []Note
+type GossipReceived struct {
+	From    int // its number
+	Entries []GossipEntry
 }
 
-func (e Told) About() (InvID, WorkerID) { return 0, WorkerID{} }
+func (e GossipReceived) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
 const (
 	memoVersion = 1
 	tagBits     = 19 // of a worker's id: two of two hundred workers share a tag once in twenty-five fleets
 	// MemoMost is the most bytes that a message may have.
-	MemoMost = 256
+	MaxGossipBytes = 256
 )
 
 // form is how a kind of note is written. Bytes are paid for, so a note has none to spare: the first has the version, the
 // kind and the tag's first bits.
 type form struct{ tag, serial bool }
 
-var noteForms = map[NoteKind]form{NoteAnew: {}, NoteSent: {true, true}, NoteEnded: {false, true}, NoteAsk: {true, false},
-	NoteFree: {true, true}}
+var noteForms = map[GossipKind]form{GossipRestarted: {}, GossipAttemptStarted: {true, true}, GossipAttemptEnded: {false, true}, GossipCapacityQuery: {true, false},
+	GossipCapacityReply: {true, true}}
 
 func (f form) size() int {
 	size := 1
@@ -69,11 +69,11 @@
 }
 
 // Memos packs notes into messages that may be sent.
-func Memos(notes []Note) (memos [][]byte) {
+func EncodeGossip(notes []GossipEntry) (memos [][]byte) {
 	var b []byte
 	for _, n := range notes {
 		f := noteForms[n.Kind]
-		if len(b)+f.size() > MemoMost {
+		if len(b)+f.size() > MaxGossipBytes {
 			memos, b = append(memos, b), nil
 		}
 		b = append(b, memoVersion<<6|byte(n.Kind)<<3|byte(n.Tag>>16&7))
@@ -88,12 +88,12 @@
 }
 
 // ReadMemo unpacks a message. One of another version, cut short or too long is none: nothing of it is taken.
-func ReadMemo(b []byte) (notes []Note, ok bool) {
-	if len(b) == 0 || len(b) > MemoMost {
+func DecodeGossip(b []byte) (notes []GossipEntry, ok bool) {
+	if len(b) == 0 || len(b) > MaxGossipBytes {
 		return nil, false
 	}
 	for len(b) > 0 {
-		n := Note{Kind: NoteKind(b[0] >> 3 & 7)}
+		n := GossipEntry{Kind: GossipKind(b[0] >> 3 & 7)}
 		f, known := noteForms[n.Kind]
 		if b[0]>>6 != memoVersion || !known || len(b) < f.size() {
 			return nil, false
@@ -117,26 +117,26 @@
 }
 
 // hear enters what other schedulers tell in the books of the workers that it is about.
-func (d *Dispatcher) hear(t Told) {
+func (d *Dispatcher) hear(t GossipReceived) {
 	if !d.tells || t.From < 0 || t.From >= int(d.peers) || t.From == d.me {
 		return // not allowed, or there is no such scheduler: what it says may be anything
 	}
-	for _, n := range t.Notes {
+	for _, n := range t.Entries {
 		key := [2]int{t.From, int(n.Serial)}
 		at, known := d.tagAt[n.Tag]
 		switch n.Kind {
-		case NoteAnew:
+		case GossipRestarted:
 			for _, at := range d.keeps {
 				d.meet(at).put(theirs{t.From, n})
 			}
 			continue
-		case NoteSent:
+		case GossipAttemptStarted:
 			if known {
 				d.sentTo[key] = at
 			}
-		case NoteFree:
+		case GossipCapacityReply:
 			d.answered = d.now
-		case NoteEnded:
+		case GossipAttemptEnded:
 			at, known = d.sentTo[key]
 			delete(d.sentTo, key)
 		}
--- a/dispatch/memo_test.go
+++ b/dispatch/memo_test.go
@@ -9,36 +9,36 @@
 )
 
 // pooled is a deployment whose schedulers may tell one another.
-func pooled(peers, me int) Deployment {
+func pooled(peers, me int) Config {
 	dep := shop()
-	dep.Peers, dep.Me, dep.Allowed.Tell = peers, me, true
+	dep.Schedulers, dep.Index, dep.Limits.Gossip = peers, me, true
 	return dep
 }
 
 // Bytes that are garbled, cut short, of another version or too long are no message; nothing of them is taken.
 func Example_memos() {
-	notes := []Note{{Kind: NoteAnew}, {NoteSent, 7, 0x51234}, {Kind: NoteEnded, Serial: 7}, {Kind: NoteAsk, Tag: 0x7ffff},
-		{NoteFree, 0xfe, 1}}
-	memo := Memos(notes)[0]
-	read, ok := ReadMemo(memo)
+	notes := []GossipEntry{{Kind: GossipRestarted}, {GossipAttemptStarted, 7, 0x51234}, {Kind: GossipAttemptEnded, Serial: 7}, {Kind: GossipCapacityQuery, Tag: 0x7ffff},
+		{GossipCapacityReply, 0xfe, 1}}
+	memo := EncodeGossip(notes)[0]
+	read, ok := DecodeGossip(memo)
 	fmt.Printf("%x %v %v\n", memo, ok, slices.Equal(read, notes))
 	for cut := range memo {
-		read, ok := ReadMemo(memo[:cut])
+		read, ok := DecodeGossip(memo[:cut])
 		fmt.Print(" ", cut, ":", len(read), ok)
 	}
 	fmt.Println()
-	for _, wrong := range [][]byte{nil, {0x80}, {0x78}, {0, 1, 2}, append(slices.Clone(memo), 0xff), make([]byte, MemoMost+1)} {
-		_, ok := ReadMemo(wrong)
+	for _, wrong := range [][]byte{nil, {0x80}, {0x78}, {0, 1, 2}, append(slices.Clone(memo), 0xff), make([]byte, MaxGossipBytes+1)} {
+		_, ok := DecodeGossip(wrong)
 		fmt.Print(" ", ok)
 	}
 	fmt.Println("")
-	many := make([]Note, 200)
+	many := make([]GossipEntry, 200)
 	for n := range many {
-		many[n] = Note{NoteSent, uint8(n), 3}
+		many[n] = GossipEntry{GossipAttemptStarted, uint8(n), 3}
 	}
-	var back []Note
-	for _, memo := range Memos(many) {
-		part, ok := ReadMemo(memo)
+	var back []GossipEntry
+	for _, memo := range EncodeGossip(many) {
+		part, ok := DecodeGossip(memo)
 		fmt.Print(len(memo), " ", ok, ", ")
 		back = append(back, part...)
 	}
@@ -56,21 +56,21 @@
 	p := start(pooled(3, 1), ready('a', 0), ready('c', 0))
 	fmt.Println("keepers:", p.d.list[0].keeper, p.d.list[1].keeper)
 	tag := p.d.meet(0).tag
-	hear := func(from int, notes ...Note) { p.at(p.now+50*ms, Told{from, notes}) }
-	ask := Note{Kind: NoteAsk, Tag: tag}
+	hear := func(from int, notes ...GossipEntry) { p.at(p.now+50*ms, GossipReceived{from, notes}) }
+	ask := GossipEntry{Kind: GossipCapacityQuery, Tag: tag}
 	hear(0, ask)
 	p.at(60*ms, free('a', 3))
 	hear(0, ask)
-	hear(0, Note{NoteSent, 1, tag}, Note{NoteSent, 1, tag}, Note{NoteSent, 2, tag})
+	hear(0, GossipEntry{GossipAttemptStarted, 1, tag}, GossipEntry{GossipAttemptStarted, 1, tag}, GossipEntry{GossipAttemptStarted, 2, tag})
 	hear(2, ask)
-	hear(0, Note{Kind: NoteEnded, Serial: 1})
+	hear(0, GossipEntry{Kind: GossipAttemptEnded, Serial: 1})
 	hear(2, ask)
-	hear(0, Note{Kind: NoteEnded, Serial: 9}, Note{Kind: NoteAnew})
+	hear(0, GossipEntry{Kind: GossipAttemptEnded, Serial: 9}, GossipEntry{Kind: GossipRestarted})
 	p.until(p.now + 1200*ms)
 	hear(2, ask)
-	hear(7, Note{NoteSent, 3, tag}, Note{NoteSent, 4, tag})
-	hear(-1, Note{NoteSent, 3, tag})
-	hear(2, Note{NoteSent, 3, tag + 1})
+	hear(7, GossipEntry{GossipAttemptStarted, 3, tag}, GossipEntry{GossipAttemptStarted, 4, tag})
+	hear(-1, GossipEntry{GossipAttemptStarted, 3, tag})
+	hear(2, GossipEntry{GossipAttemptStarted, 3, tag + 1})
 	hear(2, ask)
 	// Output:
 	// 0s tells -1: anew
@@ -87,9 +87,9 @@
 	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
 	fmt.Println("keepers:", p.d.list[0].keeper, p.d.list[1].keeper)
 	p.at(20*ms, job(1, 0, 0.1))
-	answer := func(name byte, slots int) Told {
+	answer := func(name byte, slots int) GossipReceived {
 		w := p.d.meet(p.d.workerAt[id(name)])
-		return Told{w.keeper, []Note{{NoteFree, uint8(int8(slots)), w.tag}}}
+		return GossipReceived{w.keeper, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
 	}
 	p.at(30*ms, answer('c', 2), answer('a', -1))
 	p.until(90 * ms)
@@ -115,30 +115,30 @@
 func TestNoisyMessages(t *testing.T) {
 	chance := rand.New(rand.NewSource(3))
 	d := New(pooled(4, 2), 9)
-	d.Handle(0, []Event{Listing{Form: ListWhole, Entries: fleet(12)}})
-	answers, sends, out := map[InvID]int{}, map[InvID]int{}, map[InvID]Forward{}
+	d.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: fleet(12)}})
+	answers, sends, out := map[InvocationID]int{}, map[InvocationID]int{}, map[InvocationID]Forward{}
 	drained := id(5)
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * ms {
-		events := []Event{Due{}}
-		if n := InvID(now/(10*ms)) + 1; now < 10*time.Second {
+		events := []Event{TimerFired{}}
+		if n := InvocationID(now/(10*ms)) + 1; now < 10*time.Second {
 			events = append(events, job(n, int(n)%3, 0.1))
 		}
 		if now == 5*time.Second {
 			gone := ready(5, 0)
-			gone.Standing = Draining
-			events = append(events, Listing{Form: ListDelta, Entries: []Entry{gone}})
+			gone.State = Draining
+			events = append(events, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{gone}})
 		}
 		for n := chance.Intn(4); n > 0; n-- {
 			garbage := make([]byte, 1+chance.Intn(20))
 			chance.Read(garbage)
 			garbage[0] = garbage[0]&0x3f | memoVersion<<6
-			notes, _ := ReadMemo(garbage)
-			notes = append(notes, Note{NoteKind(chance.Intn(5)), uint8(chance.Intn(256)), tagOf(id(byte(1 + chance.Intn(14))))})
-			events = append(events, Told{chance.Intn(6) - 1, append(notes, notes...)})
+			notes, _ := DecodeGossip(garbage)
+			notes = append(notes, GossipEntry{GossipKind(chance.Intn(5)), uint8(chance.Intn(256)), tagOf(id(byte(1 + chance.Intn(14))))})
+			events = append(events, GossipReceived{chance.Intn(6) - 1, append(notes, notes...)})
 		}
-		for n := InvID(1); n <= 1000; n++ {
+		for n := InvocationID(1); n <= 1000; n++ {
 			if f, is := out[n]; is && chance.Intn(10) == 0 {
-				events = append(events, Outcome{Inv: n, Worker: f.Worker, Forward: sends[n] - 1, Result: Succeeded, Closed: true})
+				events = append(events, Outcome{Invocation: n, Worker: f.Worker, Attempt: sends[n] - 1, Result: Succeeded, Answered: true})
 				answers[n]++
 				delete(out, n)
 			}
@@ -146,18 +146,18 @@
 		for _, action := range d.Handle(now, events) {
 			switch a := action.(type) {
 			case Forward:
-				if sends[a.Inv]++; a.Inv%3 == 2 && sends[a.Inv] > 1 || now >= 5*time.Second && a.Worker == drained || answers[a.Inv] > 0 {
+				if sends[a.Invocation]++; a.Invocation%3 == 2 && sends[a.Invocation] > 1 || now >= 5*time.Second && a.Worker == drained || answers[a.Invocation] > 0 {
 					t.Fatal(now, a)
 				}
-				out[a.Inv] = a
-			case Throttled:
-				answers[a.Inv]++
-			case Errored:
-				answers[a.Inv]++
+				out[a.Invocation] = a
+			case Throttle:
+				answers[a.Invocation]++
+			case Fail:
+				answers[a.Invocation]++
 			}
 		}
 	}
-	for n := InvID(1); n <= 1000; n++ {
+	for n := InvocationID(1); n <= 1000; n++ {
 		if answers[n] != 1 {
 			t.Fatal(n, answers[n])
 		}
@@ -171,8 +171,8 @@
 // for less, and while work is given up the operation served worst counts again.
 func Example_worth() {
 	dep := shop()
-	dep.Operations[0].LateValue, dep.Operations[1].BilledValue = 0.5, 1
-	dep.Tenants, dep.ExcessValue, dep.WorstOperation = []Tenant{{QuotaPerS: 5}, {QuotaPerS: 100}}, 0.05, 1
+	dep.Operations[0].LateWeight, dep.Operations[1].PriorityWeight = 0.5, 1
+	dep.Tenants, dep.ExcessValue, dep.WorstOperationWeight = []Tenant{{QuotaPerSecond: 5}, {QuotaPerSecond: 100}}, 0.05, 1
 	order := func(title string, jobs ...Arrival) *play {
 		p := start(dep, ready('a', 0))
 		p.at(10*ms, free('a', 0))
@@ -202,11 +202,11 @@
 	p.at(300*ms, free('a', 4))
 	p.until(320 * ms)
 	flood := []Arrival{by(job(1, 0, 4), 1)}
-	for n := InvID(2); n < 6; n++ {
+	for n := InvocationID(2); n < 6; n++ {
 		flood = append(flood, by(job(n, 0, 3), 0))
 	}
 	order("a flood behind", flood...)
-	dep.Tenants[0].QuotaPerS = 0
+	dep.Tenants[0].QuotaPerSecond = 0
 	order("no quota told", flood...)
 	// Output:
 	// smaller first: 2 1
@@ -220,10 +220,10 @@
 // 2 s and not whenever another one joins.
 func Example_enlargement() {
 	p := start(pooled(3, 0), fleet(20)...)
-	var cold []Entry
+	var cold []Endpoint
 	for n := range 60 {
 		e := ready(byte(100+n), 0)
-		e.Restarted, e.StartedAt, e.Start = true, time.Second, uint64(n)
+		e.StartKnown, e.StartedAt, e.Incarnation = true, time.Second, uint64(n)
 		cold = append(cold, e)
 	}
 	probes := 0
@@ -231,7 +231,7 @@
 		for pending := events; len(pending) > 0; {
 			next := []Event(nil)
 			for _, action := range p.d.Handle(now, pending) {
-				if probe, is := action.(Probe); is {
+				if probe, is := action.(HealthCheck); is {
 					probes++
 					a := free('a', 4)
 					a.Worker = probe.Worker
@@ -241,9 +241,9 @@
 			pending, now = next, now+time.Microsecond
 		}
 	}
-	handle(time.Second, Listing{Form: ListDelta, Entries: cold})
+	handle(time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: cold})
 	for now := time.Second; now < 5*time.Second; now += beat {
-		handle(now, job(InvID(now), 0, 0.1))
+		handle(now, job(InvocationID(now), 0, 0.1))
 	}
 	fmt.Println("60 started, probes in 4 s under 300:", probes < 300)
 	// Output:
@@ -255,18 +255,18 @@
 func Example_messagesRetuned() {
 	dep := pooled(3, 1)
 	silent := dep
-	silent.Allowed.Tell = false
+	silent.Limits.Gossip = false
 	p := start(silent, ready('a', 0), ready('c', 0))
 	p.at(20*ms, free('a', 2), job(1, 0, 0.1))
-	p.at(50*ms, p.end(1, 0, Succeeded), Retuned{dep, []int{0, 1, 2}})
+	p.at(50*ms, p.end(1, 0, Succeeded), Reconfigured{dep, []int{0, 1, 2}})
 	fmt.Println("keepers:", p.d.list[0].keeper, p.d.list[1].keeper, "ours:", p.d.keeps)
 	drains := ready('a', 0)
-	drains.Standing = Draining // else it would come first, as we keep it
-	p.at(55*ms, Listing{Form: ListDelta, Entries: []Entry{drains}})
+	drains.State = Draining // else it would come first, as we keep it
+	p.at(55*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{drains}})
 	p.at(60*ms, free('c', 4), job(2, 0, 0.1))
 	p.until(90 * ms)
-	p.at(100*ms, p.end(2, 0, Succeeded), Retuned{silent, []int{0, 1, 2}})
-	p.at(110*ms, free('c', 4), job(3, 0, 0.1), Told{0, []Note{{Kind: NoteAsk, Tag: p.d.meet(0).tag}}})
+	p.at(100*ms, p.end(2, 0, Succeeded), Reconfigured{silent, []int{0, 1, 2}})
+	p.at(110*ms, free('c', 4), job(3, 0, 0.1), GossipReceived{0, []GossipEntry{{Kind: GossipCapacityQuery, Tag: p.d.meet(0).tag}}})
 	// Output:
 	// 20ms 1 to c
 	// keepers: 1 0 ours: [0]
@@ -282,8 +282,8 @@
 func Example_onlyFresh() {
 	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
 	w := func(name byte) *worker { return p.d.meet(p.d.workerAt[id(name)]) }
-	answer := func(name byte, slots int) Told {
-		return Told{w(name).keeper, []Note{{NoteFree, uint8(int8(slots)), w(name).tag}}}
+	answer := func(name byte, slots int) GossipReceived {
+		return GossipReceived{w(name).keeper, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w(name).tag}}}
 	}
 	p.d.desk.runs = samples{0.2, 0.2}
 	p.at(20*ms, answer('a', 4), answer('c', 4))
@@ -323,8 +323,10 @@
 	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
 	a, c := p.d.meet(0), p.d.meet(1)
 	p.probes, p.waits = true, true
-	answers := func(slots int) Told { return Told{c.keeper, []Note{{NoteFree, uint8(slots), c.tag}}} }
-	for n := range InvID(6) {
+	answers := func(slots int) GossipReceived {
+		return GossipReceived{c.keeper, []GossipEntry{{GossipCapacityReply, uint8(slots), c.tag}}}
+	}
+	for n := range InvocationID(6) {
 		p.quiet = n < 4
 		at := time.Duration(n+1) * 400 * ms
 		p.at(at, job(n+1, 0, 0.2))
@@ -335,7 +337,7 @@
 		p.until(at + 100*ms)
 	}
 	fmt.Println(a.silent, c.silent)
-	p.at(p.now+beat, Told{a.keeper, []Note{{NoteFree, 0, a.tag}}})
+	p.at(p.now+beat, GossipReceived{a.keeper, []GossipEntry{{GossipCapacityReply, 0, a.tag}}})
 	fmt.Println(a.silent, c.silent)
 	// Output:
 	// 0s tells -1: anew
@@ -360,9 +362,9 @@
 // keeper is told of both together.
 func Example_ownSlot() {
 	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
-	answer := func(name byte, slots int) Told {
+	answer := func(name byte, slots int) GossipReceived {
 		w := p.d.meet(p.d.workerAt[id(name)])
-		return Told{w.keeper, []Note{{NoteFree, uint8(int8(slots)), w.tag}}}
+		return GossipReceived{w.keeper, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
 	}
 	p.at(20*ms, job(1, 0, 0.1))
 	p.at(30*ms, answer('a', 1), answer('c', 0))
@@ -389,11 +391,11 @@
 	p.frequent('a', 'c')
 	theirs := p.d.meet(0)
 	fmt.Println("keepers:", p.d.list[0].keeper, p.d.list[1].keeper)
-	p.at(p.now+5*ms, free('c', 2), Told{1, []Note{{NoteFree, 4, theirs.tag}}})
-	for n := range InvID(3) {
+	p.at(p.now+5*ms, free('c', 2), GossipReceived{1, []GossipEntry{{GossipCapacityReply, 4, theirs.tag}}})
+	for n := range InvocationID(3) {
 		p.at(p.now+5*ms, job(n+1, 0, 0.1))
 		p.until(p.now + 2*beat)
-		p.at(p.now, Told{1, []Note{{NoteFree, 3, theirs.tag}}})
+		p.at(p.now, GossipReceived{1, []GossipEntry{{GossipCapacityReply, 3, theirs.tag}}})
 	}
 	// Output:
 	// 0s tells -1: anew
--- a/dispatch/play_test.go
+++ b/dispatch/play_test.go
@@ -19,34 +19,34 @@
 	quiet  bool     // gather lines instead of printing them
 	waits  bool     // the answers to probes are on their way; else they are lost at once
 	lines  []string // gathered since they were last told
-	went   map[InvID][]WorkerID
+	went   map[InvocationID][]WorkerID
 }
 
-func start(dep Deployment, workers ...Entry) *play {
-	p := &play{d: New(dep, 1), went: map[InvID][]WorkerID{}}
-	p.at(0, Listing{Form: ListWhole, Entries: workers})
+func start(dep Config, workers ...Endpoint) *play {
+	p := &play{d: New(dep, 1), went: map[InvocationID][]WorkerID{}}
+	p.at(0, EndpointUpdate{Kind: FullUpdate, Endpoints: workers})
 	return p
 }
 
 func id(name byte) WorkerID { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, name}), 1) }
 
-func ready(name byte, zone int) Entry {
-	return Entry{Worker: id(name), Zone: zone, Cell: zone, Standing: Ready}
+func ready(name byte, zone int) Endpoint {
+	return Endpoint{Worker: id(name), Zone: zone, Cell: zone, State: Ready}
 }
 
-func free(name byte, slots float64) Answer {
-	load := NoLoad
+func free(name byte, slots float64) HealthCheckResult {
+	load := UnknownLoad
 	load.FreeSlots = slots
-	return Answer{Worker: id(name), Result: Succeeded, Load: &load}
+	return HealthCheckResult{Worker: id(name), Result: Succeeded, Load: &load}
 }
 
-func job(n InvID, op int, hint float64) Arrival {
-	return Arrival{Inv: n, Operation: op, Hint: hint, Slots: 1, Budget: 5 * time.Second}
+func job(n InvocationID, op int, hint float64) Arrival {
+	return Arrival{Invocation: n, Operation: op, Hint: hint, Slots: 1, Budget: 5 * time.Second}
 }
 
 // end is the outcome of a forward, from the worker that it went to.
-func (p *play) end(n InvID, fwd int, r Result) Outcome {
-	return Outcome{Inv: n, Forward: fwd, Worker: p.went[n][fwd], Result: r, Closed: r == Succeeded}
+func (p *play) end(n InvocationID, fwd int, r Result) Outcome {
+	return Outcome{Invocation: n, Attempt: fwd, Worker: p.went[n][fwd], Result: r, Answered: r == Succeeded}
 }
 
 // at hands events over at a time and prints the answers; step lets time pass in beats.
@@ -54,8 +54,8 @@
 	p.now = when
 	var lost []Event
 	for _, action := range p.d.Handle(when, events) {
-		if probe, is := action.(Probe); is && !p.waits {
-			lost = append(lost, Answer{Worker: probe.Worker, Result: Dropped})
+		if probe, is := action.(HealthCheck); is && !p.waits {
+			lost = append(lost, HealthCheckResult{Worker: probe.Worker, Result: ReusedConnectionBroken})
 		}
 		line := p.line(action)
 		if line != "" && p.quiet {
@@ -78,7 +78,7 @@
 
 func (p *play) until(when time.Duration) {
 	for p.now+beat <= when {
-		p.at(p.now+beat, Due{})
+		p.at(p.now+beat, TimerFired{})
 	}
 }
 
@@ -92,28 +92,28 @@
 	name := func(w WorkerID) string { return string(rune(w.Addr().As4()[3])) }
 	switch a := action.(type) {
 	case Forward:
-		p.went[a.Inv] = append(p.went[a.Inv], a.Worker)
-		if p.untils && a.Until > 0 {
-			return fmt.Sprintf("%d to %s until %v", a.Inv, name(a.Worker), a.Until)
+		p.went[a.Invocation] = append(p.went[a.Invocation], a.Worker)
+		if p.untils && a.NotAfter > 0 {
+			return fmt.Sprintf("%d to %s until %v", a.Invocation, name(a.Worker), a.NotAfter)
 		}
-		return fmt.Sprintf("%d to %s", a.Inv, name(a.Worker))
-	case Throttled:
+		return fmt.Sprintf("%d to %s", a.Invocation, name(a.Worker))
+	case Throttle:
 		when := "at once"
-		if dep := p.d.desk.after; a.After >= dep*3/5 && a.After <= dep && dep > 0 {
+		if dep := p.d.desk.after; a.RetryAfter >= dep*3/5 && a.RetryAfter <= dep && dep > 0 {
 			when = fmt.Sprintf("after %v to %v", dep*3/5, dep) // chance sets when
 		}
-		return fmt.Sprintf("%d throttled, back %s", a.Inv, when)
-	case Errored:
-		return fmt.Sprintf("%d errored", a.Inv)
+		return fmt.Sprintf("%d throttled, back %s", a.Invocation, when)
+	case Fail:
+		return fmt.Sprintf("%d errored", a.Invocation)
 	case Cancel:
-		return fmt.Sprintf("%d cancels forward %d", a.Inv, a.Forward)
-	case Follow:
+		return fmt.Sprintf("%d cancels forward %d", a.Invocation, a.Attempt)
+	case WatchEndpoints:
 		return "asks for the list"
 	case Log:
 		return strings.NewReplacer(id('a').String(), "a", id('b').String(), "b", id('c').String(), "c").Replace(a.Text)
-	case Tell:
+	case SendGossip:
 		line := fmt.Sprintf("tells %d:", a.To)
-		for _, n := range a.Notes {
+		for _, n := range a.Entries {
 			who := "?"
 			for at := range p.d.list {
 				if n.Tag == tagOf(p.d.list[at].Worker) {
@@ -121,20 +121,20 @@
 				}
 			}
 			switch n.Kind {
-			case NoteAnew:
+			case GossipRestarted:
 				line += " anew"
-			case NoteSent:
+			case GossipAttemptStarted:
 				line += fmt.Sprintf(" sent %d to %s", n.Serial, who)
-			case NoteEnded:
+			case GossipAttemptEnded:
 				line += fmt.Sprintf(" ended %d", n.Serial)
-			case NoteAsk:
+			case GossipCapacityQuery:
 				line += " asks for " + who
-			case NoteFree:
+			case GossipCapacityReply:
 				line += fmt.Sprintf(" %d free at %s", int8(n.Serial), who)
 			}
 		}
 		return line
-	case Probe:
+	case HealthCheck:
 		if p.probes {
 			return "probes " + name(a.Worker)
 		}
@@ -143,18 +143,18 @@
 }
 
 // shop is a deployment with one operation of each effect class, the weights 1, 2 and 4.
-func shop() Deployment {
-	op := func(weight float64, effect Effect, scope Scope) Operation {
-		return Operation{BilledValue: weight, LatencyObjective: 300 * ms, Stretch: 2,
-			Effect: effect, Scope: scope, DedupWindow: 2 * time.Second, Kind: -1}
+func shop() Config {
+	op := func(weight float64, effect Effect, scope DedupScope) Operation {
+		return Operation{PriorityWeight: weight, LatencyObjective: 300 * ms, Stretch: 2,
+			Effect: effect, DedupScope: scope, DedupWindow: 2 * time.Second, WorkerKind: -1}
 	}
-	return Deployment{
-		Peers: 1, Pushed: true,
+	return Config{
+		Schedulers: 1, EndpointsPushed: true,
 		Operations: []Operation{
 			op(1, Idempotent, ScopeAll), op(2, Deduplicated, ScopeZone), op(4, NonIdempotent, ScopeAll),
 		},
-		Allowed: Allowances{Probes: true, Cancel: true, MaxForwards: 4, MaxOut: 2, MaxRetryAfter: 2 * time.Second},
-		Rules: Rules{AskWithin: 10 * time.Second, ColdFrom: 0.1, WarmAfter: 20 * time.Second, FallMultiple: 2,
-			Fall: time.Second},
+		Limits: Limits{HealthChecks: true, Cancel: true, MaxAttempts: 4, MaxInFlight: 2, MaxRetryAfter: 2 * time.Second},
+		Rules: Rules{PollWithin: 10 * time.Second, SlowStartFrom: 0.1, SlowStartDuration: 20 * time.Second, OverloadFactor: 2,
+			OverloadWindow: time.Second},
 	}
 }
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -14,7 +14,7 @@
 )
 
 // Why tells why an invocation was given up by the last call of Handle; empty: it was not.
-func (d *Dispatcher) Why(id InvID) Reason { return d.desk.why[id] }
+func (d *Dispatcher) RejectionReason(id InvocationID) Reason { return d.desk.why[id] }
 
 // reason names the first of the conditions of may and hopeless that does not hold.
 func (k *desk) reason(j *inv) Reason {
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -9,76 +9,76 @@
 // the same lines as all else.
 
 // Passed says that an invocation is another instance's from now on: nothing is cancelled and no answer is owed here.
-type Passed struct{ Inv InvID }
+type MigratedOut struct{ Invocation InvocationID }
 
 // Resumed brings an invocation that another instance had. Ages count back from now.
-type Resumed struct {
+type MigratedIn struct {
 	Arrival
-	Waited time.Duration `json:"Waited"` // since its client's first try came
-	Age    time.Duration `json:"Age"`    // since this try came
-	Tries  []Try         `json:"Tries"`  // its forwards, in the order sent
+	Waited   time.Duration `json:"Waited"` // since its client's first try came
+	Age      time.Duration `json:"Age"`    // since this try came
+	Attempts []Attempt     `json:"Tries"`  // its forwards, in the order sent
 }
 
 // Try is one forward of an invocation.
-type Try struct {
-	Worker WorkerID      `json:"Worker"`
-	Zone   int           `json:"Zone"`  // where the worker was when it was sent
-	Cell   int           `json:"Cell"`  // likewise
-	Age    time.Duration `json:"Age"`   // since it was sent
-	Began  time.Duration `json:"Began"` // since it began; below 0: it has not
-	Heard  time.Duration `json:"Heard"` // since it was last heard of; below 0: it was not
-	Cost   float64       `json:"Cost"`
-	Out    bool          `json:"Out"`
-	Ran    bool          `json:"Ran"`
-	Stuck  bool          `json:"Stuck"`
-	Unfit  bool          `json:"Unfit"`
+type Attempt struct {
+	Worker          WorkerID      `json:"Worker"`
+	Zone            int           `json:"Zone"`  // where the worker was when it was sent
+	Cell            int           `json:"Cell"`  // likewise
+	Age             time.Duration `json:"Age"`   // since it was sent
+	StartedAge      time.Duration `json:"Began"` // since it began; below 0: it has not
+	LastProgressAge time.Duration `json:"Heard"` // since it was last heard of; below 0: it was not
+	Cost            float64       `json:"Cost"`
+	InFlight        bool          `json:"Out"`
+	MayHaveRun      bool          `json:"Ran"`
+	Stuck           bool          `json:"Stuck"`
+	BadRequest      bool          `json:"Unfit"`
 }
 
-func (e Passed) About() (InvID, WorkerID)  { return e.Inv, WorkerID{} }
-func (e Resumed) About() (InvID, WorkerID) { return e.Inv, WorkerID{} }
+func (e MigratedOut) About() (InvocationID, WorkerID) { return e.Invocation, WorkerID{} }
+func (e MigratedIn) About() (InvocationID, WorkerID)  { return e.Invocation, WorkerID{} }
 
 // begins tells whether an event brings an invocation in.
 func begins(e Event) bool {
 	switch e.(type) {
-	case Arrival, Resumed:
+	case Arrival, MigratedIn:
 		return true
 	}
 	return false
 }
 
 // Record is an invocation as another instance would have to have it; false: it is not held here any more.
-func (d *Dispatcher) Record(id InvID) (r Resumed, held bool) {
+func (d *Dispatcher) MigrationRecord(id InvocationID) (r MigratedIn, held bool) {
 	i, held := d.invAt[id]
 	if !held || d.desk.invs[i].done {
 		return r, false
 	}
 	j, ago := &d.desk.invs[i], func(t time.Duration) time.Duration { return d.now - t }
-	r = Resumed{Arrival: Arrival{Inv: id, Operation: j.op, Tenant: j.tenant, Budget: j.givenUp - d.now, Hint: j.work,
+	r = MigratedIn{Arrival: Arrival{Invocation: id, Operation: j.op, Tenant: j.tenant, Budget: j.givenUp - d.now, Hint: j.work,
 		Slots: j.slots}, Waited: ago(j.first), Age: ago(j.came)}
 	for f, t := range j.tries {
-		try := Try{Worker: d.list[t.at].Worker, Zone: t.zone, Cell: t.cell, Age: ago(t.sent), Began: -1, Heard: -1, Out: t.out, Ran: t.ran, Stuck: t.stuck,
-			Unfit: t.unfit}
+		try := Attempt{Worker: d.list[t.at].Worker, Zone: t.zone, Cell: t.cell, Age: ago(t.sent), StartedAge: -1, LastProgressAge: -1, InFlight: t.out, MayHaveRun: t.ran, Stuck: t.stuck,
+			BadRequest: t.unfit}
 		if w := d.list[t.at].worker; w != nil {
 			if e := w.find(i, f); e != nil {
 				if try.Cost = e.cost; e.began > 0 {
-					try.Began = ago(e.began)
+					try.StartedAge = ago(e.began)
 				}
 				if e.heard > 0 {
-					try.Heard = ago(e.heard)
+					try.LastProgressAge = ago(e.heard)
 				}
 			}
 		}
-		r.Tries = append(r.Tries, try)
+		r.Attempts = append(r.Attempts, try)
 	}
 	return r, true
 }
 
 // Older is the record as it is that much later, as it ages on its way: a window for repeats and a client timeout go on.
-func (r Resumed) Older(by time.Duration) Resumed {
-	r.Budget, r.Waited, r.Age, r.Tries = r.Budget-by, r.Waited+by, r.Age+by, slices.Clone(r.Tries)
-	for i := range r.Tries {
-		t := &r.Tries[i]
-		for _, age := range []*time.Duration{&t.Age, &t.Began, &t.Heard} {
+func (r MigratedIn) Aged(by time.Duration) MigratedIn {
+	r.Budget, r.Waited, r.Age, r.Attempts = r.Budget-by, r.Waited+by, r.Age+by, slices.Clone(r.Attempts)
+	for i := range r.Attempts {
+		t := &r.Attempts[i]
+		for _, age := range []*time.Duration{&t.Age, &t.StartedAge, &t.LastProgressAge} {
 			if *age >= 0 {
 				*age += by
 			}
@@ -115,30 +115,30 @@
 }
 
 // resume takes an invocation of another instance in.
-func (k *desk) resume(i int, r Resumed) {
+func (k *desk) resume(i int, r MigratedIn) {
 	k.take(i, r.Arrival)
 	k.unhold(i)
 	j := &k.invs[i]
 	j.first, j.came = k.now-r.Waited, k.now-r.Age
-	for f, t := range r.Tries {
+	for f, t := range r.Attempts {
 		at, known := k.door.workerAt[t.Worker]
 		if !known {
 			continue
 		}
-		j.tries = append(j.tries, tried{at: at, zone: t.Zone, cell: t.Cell, sent: k.now - t.Age, out: t.Out, ran: t.Ran,
-			stuck: t.Stuck, unfit: t.Unfit})
-		if t.Unfit {
+		j.tries = append(j.tries, tried{at: at, zone: t.Zone, cell: t.Cell, sent: k.now - t.Age, out: t.InFlight, ran: t.MayHaveRun,
+			stuck: t.Stuck, unfit: t.BadRequest})
+		if t.BadRequest {
 			j.unfit++
 		}
-		if !t.Out {
+		if !t.InFlight {
 			continue
 		}
 		e := errand{inv: i, fwd: f, slots: j.slots, work: j.work, cost: t.Cost, lost: t.Stuck, taken: true, sent: max(0, k.now-t.Age)}
-		if t.Began >= 0 {
-			e.began = max(1, k.now-t.Began)
+		if t.StartedAge >= 0 {
+			e.began = max(1, k.now-t.StartedAge)
 		}
-		if t.Heard >= 0 {
-			e.heard = max(1, k.now-t.Heard)
+		if t.LastProgressAge >= 0 {
+			e.heard = max(1, k.now-t.LastProgressAge)
 		}
 		k.door.meet(at).put(sent{e})
 	}
--- a/dispatch/retune_test.go
+++ b/dispatch/retune_test.go
@@ -11,7 +11,7 @@
 	dep := shop()
 	p := start(dep, ready('a', 0), ready('b', 0))
 	p.quiet = true
-	for n := InvID(1); n <= 5; n++ {
+	for n := InvocationID(1); n <= 5; n++ {
 		p.at(p.now+10*ms, job(n, 0, 0.1), free('a', 1))
 		p.at(p.now+200*ms, p.end(n, 0, Succeeded))
 	}
@@ -21,9 +21,9 @@
 	strict := dep.Operations[0]
 	strict.Effect = NonIdempotent
 	dep.Operations = append(dep.Operations, strict)
-	p.at(p.now+10*ms, Retuned{Deployment: dep, From: []int{0, 1, 2, 0}}, job(12, 3, 0.1))
+	p.at(p.now+10*ms, Reconfigured{Config: dep, PreviousOperations: []int{0, 1, 2, 0}}, job(12, 3, 0.1))
 	p.tell("after")
-	p.at(p.now+10*ms, p.end(11, 0, Broken), p.end(12, 0, Broken))
+	p.at(p.now+10*ms, p.end(11, 0, ConnectionBroken), p.end(12, 0, ConnectionBroken))
 	p.tell("both break")
 	ops := p.d.desk.ops
 	fmt.Println(len(ops[3].ratios) >= 5, len(ops[1].ratios))
@@ -43,15 +43,15 @@
 	p := start(dep, ready('a', 0), ready('b', 0), ready('c', 0))
 	p.quiet = true
 	p.at(10*ms, job(1, 0, 0.1))
-	p.at(20*ms, p.end(1, 0, Full))
+	p.at(20*ms, p.end(1, 0, Rejected))
 	p.tell("before")
-	dep.Allowed.MaxForwards, dep.Allowed.MaxRetryAfter = 2, 0
-	p.at(30*ms, Retuned{Deployment: dep, From: []int{0, 1, 2}})
-	p.at(40*ms, p.end(1, 1, Full))
+	dep.Limits.MaxAttempts, dep.Limits.MaxRetryAfter = 2, 0
+	p.at(30*ms, Reconfigured{Config: dep, PreviousOperations: []int{0, 1, 2}})
+	p.at(40*ms, p.end(1, 1, Rejected))
 	p.tell("after")
 	fmt.Println(p.d.desk.mostForwards, p.d.desk.cancels, p.d.desk.peers, p.d.me)
-	dep.Allowed.Cancel, dep.Peers, dep.Me = false, 7, -1
-	p.at(50*ms, Retuned{Deployment: dep, From: []int{0, 1, 2}})
+	dep.Limits.Cancel, dep.Schedulers, dep.Index = false, 7, -1
+	p.at(50*ms, Reconfigured{Config: dep, PreviousOperations: []int{0, 1, 2}})
 	fmt.Println(p.d.desk.mostForwards, p.d.desk.cancels, p.d.desk.peers, p.d.me)
 	// Output:
 	// before: 1 to c; 1 to a
@@ -66,12 +66,12 @@
 	p.quiet = true
 	p.at(10*ms, job(1, 0, 0.1))
 	p.at(20*ms, p.end(1, 0, Failed))
-	fmt.Println(p.d.Avoided(), p.lines)
+	fmt.Println(p.d.Ejected(), p.lines)
 	gone := ready('b', 0)
-	gone.Standing = Gone
-	p.at(30*ms, Listing{Form: ListDelta, Entries: []Entry{gone}})
-	fmt.Println(p.d.Avoided())
-	p.at(time.Second, Due{})
+	gone.State = Gone
+	p.at(30*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{gone}})
+	fmt.Println(p.d.Ejected())
+	p.at(time.Second, TimerFired{})
 	// Output:
 	// 1 [1 to b worker b is set aside: fails what it gets 1 to a]
 	// 0
@@ -81,15 +81,15 @@
 // silent, though other work there goes on. What may run only once is waited for. One that was taken waits in a queue.
 func Example_notTaken() {
 	dep := shop()
-	dep.TellsTaken, dep.TellsStart = true, true
+	dep.NotifiesAccepted, dep.NotifiesStart = true, true
 	p := start(dep, ready('a', 0), ready('b', 0))
 	p.quiet = true
 	p.at(10*ms, free('a', 8), free('b', 8))
 	p.at(20*ms, job(1, 0, 1), job(2, 2, 1), job(3, 0, 1))
 	p.tell("sent")
-	p.at(30*ms, Sign{Inv: 3, Worker: p.went[3][0], Taken: true})
+	p.at(30*ms, AttemptProgress{Invocation: 3, Worker: p.went[3][0], Accepted: true})
 	for n := range 40 {
-		p.at(40*ms+time.Duration(n)*beat, Due{}, Sign{Inv: 3, Worker: p.went[3][0], Started: true})
+		p.at(40*ms+time.Duration(n)*beat, TimerFired{}, AttemptProgress{Invocation: 3, Worker: p.went[3][0], Started: true})
 	}
 	p.tell("0.8 s later")
 	p.at(900*ms, p.end(1, 1, Succeeded), p.end(2, 0, Succeeded))
@@ -103,21 +103,21 @@
 // New settings come while a tenant's invocations are held: its traffic goes on being known, a new one's starts at nought.
 func Example_retunedTenants() {
 	dep := shop()
-	dep.Tenants, dep.ExcessValue = []Tenant{{QuotaPerS: 1}, {QuotaPerS: 1000}}, 0.1
+	dep.Tenants, dep.ExcessValue = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 1000}}, 0.1
 	p := start(dep, ready('a', 0))
 	p.quiet = true
 	p.at(p.now+10*ms, free('a', 0))
-	by := func(n InvID, tenant int) Arrival {
+	by := func(n InvocationID, tenant int) Arrival {
 		j := job(n, 2, 1)
 		j.Tenant = tenant
 		return j
 	}
-	for n := InvID(1); n <= 10; n++ {
+	for n := InvocationID(1); n <= 10; n++ {
 		p.at(p.now+10*ms, by(n, 0))
 	}
 	p.at(p.now+10*ms, by(13, 2)) // of nobody known yet
-	dep.Tenants = append(dep.Tenants, Tenant{QuotaPerS: 5})
-	p.at(p.now+10*ms, Retuned{Deployment: dep, From: []int{0, 1, 2}}, by(11, 2))
+	dep.Tenants = append(dep.Tenants, Tenant{QuotaPerSecond: 5})
+	p.at(p.now+10*ms, Reconfigured{Config: dep, PreviousOperations: []int{0, 1, 2}}, by(11, 2))
 	p.until(p.now + 200*ms)
 	fmt.Println(len(p.d.desk.tenants[0].came), len(p.d.desk.tenants[2].came))
 	p.at(p.now+10*ms, free('a', 3))
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -19,54 +19,54 @@
 )
 
 // Again is the longest wait after the first failed call for the list, and after any number of them.
-func Again(within time.Duration) (first, most time.Duration) {
+func EndpointBackoff(within time.Duration) (first, most time.Duration) {
 	long := func(wait time.Duration) time.Duration { return time.Duration(againMore * float64(wait)) }
 	most = max(within/againPart, againLeast)
 	return long(min(againFirst, most)), long(most)
 }
 
 // New starts an instance. The deployment is turned into the figures that decisions use and is not kept.
-func New(dep Deployment, seed int64) *Dispatcher {
+func New(dep Config, seed int64) *Dispatcher {
 	d := &Dispatcher{workerAt: map[WorkerID]int{}, tagAt: map[uint32]int{}, sentTo: map[[2]int]int{},
-		invAt: map[InvID]int{}}
+		invAt: map[InvocationID]int{}}
 	d.rng = rand.New(rand.NewSource(seed))
 	d.inbox = inbox{house: &d.house, read: d.read}
 	d.desk = desk{inbox: inbox{house: &d.house, read: d.desk.read}, door: d, arrivals: samples{0}, size: few,
-		refused: map[[3]int][2]time.Duration{}, why: map[InvID]Reason{}, credit: few, paces: map[int]samples{}, paced: map[int]float64{}}
-	if d.tune(Retuned{Deployment: dep}); d.me < 0 { // not told: one of our own serves as well, others by chance
-		d.me = d.rng.Intn(max(1, dep.Peers))
+		refused: map[[3]int][2]time.Duration{}, why: map[InvocationID]Reason{}, credit: few, paces: map[int]samples{}, paced: map[int]float64{}}
+	if d.tune(Reconfigured{Config: dep}); d.me < 0 { // not told: one of our own serves as well, others by chance
+		d.me = d.rng.Intn(max(1, dep.Schedulers))
 	}
-	d.tell(-1, Note{Kind: NoteAnew})
+	d.tell(-1, GossipEntry{Kind: GossipRestarted})
 	// The list service takes only so many calls at once: the first are spread, inside the stated time.
 	// What has changed while nobody ran here counts as told from our first moment, and only the grace is left for it: the list has to
 	// come inside that, also where many start together.
 	spread := min(float64(d.within/2), (d.peers-1)*float64(beat))
-	if dep.Rules.Grace > 0 {
-		spread = min(spread, float64(dep.Rules.Grace/firstPart))
+	if dep.Rules.DrainGrace > 0 {
+		spread = min(spread, float64(dep.Rules.DrainGrace/firstPart))
 	}
 	d.askAt = time.Duration(d.rng.Float64() * spread)
 	return d
 }
 
 // tune takes over what a deployment tells. Invocations under way keep the operation under which they came.
-func (d *Dispatcher) tune(n Retuned) {
-	h, k, dep := &d.house, &d.desk, n.Deployment
-	h.probes, h.progress = dep.Allowed.Probes, dep.Progress
-	h.tellsTaken, h.tellsStart = dep.TellsTaken, dep.TellsStart
-	h.window, h.coldFrom, h.warmAfter = dep.Rules.Fall, dep.Rules.ColdFrom, dep.Rules.WarmAfter
-	if d.asks, d.within = !dep.Pushed, dep.Rules.AskWithin; dep.Me >= 0 || n.From == nil {
-		d.me = dep.Me
+func (d *Dispatcher) tune(n Reconfigured) {
+	h, k, dep := &d.house, &d.desk, n.Config
+	h.probes, h.progress = dep.Limits.HealthChecks, dep.ProgressInterval
+	h.tellsTaken, h.tellsStart = dep.NotifiesAccepted, dep.NotifiesStart
+	h.window, h.coldFrom, h.warmAfter = dep.Rules.OverloadWindow, dep.Rules.SlowStartFrom, dep.Rules.SlowStartDuration
+	if d.asks, d.within = !dep.EndpointsPushed, dep.Rules.PollWithin; dep.Index >= 0 || n.PreviousOperations == nil {
+		d.me = dep.Index
 	}
 	// Told too few, those with higher numbers leave cold workers alone; told none, each knows of those before it.
-	d.peers = float64(cmp.Or(max(0, dep.Peers), max(1, dep.Me+1)))
-	k.zone, k.cancels, k.mostOut, k.peers = dep.Zone, dep.Allowed.Cancel, max(1, dep.Allowed.MaxOut), d.peers
+	d.peers = float64(cmp.Or(max(0, dep.Schedulers), max(1, dep.Index+1)))
+	k.zone, k.cancels, k.mostOut, k.peers = dep.Zone, dep.Limits.Cancel, max(1, dep.Limits.MaxInFlight), d.peers
 	k.asks, k.queue = 0, queueShare
-	k.mostForwards, k.after = max(1, dep.Allowed.MaxForwards), min(dep.Allowed.MaxRetryAfter, awaySpan)
-	k.each = probePoints / max(dep.ProbePrice, probePoints/4)
-	k.budget, k.ops = dep.Rules.FallMultiple*dep.Rules.Fall.Seconds(), n.operations(k.ops)
-	k.tenants, k.excess, k.worst, k.worstPart = n.tenants(k.tenants), dep.ExcessValue, -1, dep.WorstOperation
-	if h.tells = dep.Allowed.Tell && d.peers > 1 && dep.Me >= 0; h.tells {
-		k.queue, k.asks = 0, int(min(asksMost, askPoints/max(askBytes*dep.TellPrice/MemoMost, askPoints/asksMost)))
+	k.mostForwards, k.after = max(1, dep.Limits.MaxAttempts), min(dep.Limits.MaxRetryAfter, awaySpan)
+	k.each = probePoints / max(dep.HealthCheckCost, probePoints/4)
+	k.budget, k.ops = dep.Rules.OverloadFactor*dep.Rules.OverloadWindow.Seconds(), n.operations(k.ops)
+	k.tenants, k.excess, k.worst, k.worstPart = n.tenants(k.tenants), dep.ExcessValue, -1, dep.WorstOperationWeight
+	if h.tells = dep.Limits.Gossip && d.peers > 1 && dep.Index >= 0; h.tells {
+		k.queue, k.asks = 0, int(min(asksMost, askPoints/max(askBytes*dep.GossipCost/MaxGossipBytes, askPoints/asksMost)))
 	}
 }
 
@@ -82,7 +82,7 @@
 // relist tells a worker that was met what the list says of it.
 func (d *Dispatcher) relist(at int) {
 	if p := &d.list[at]; p.worker != nil {
-		p.worker.put(listed{p.Entry, p.lot, p.keeper})
+		p.worker.put(listed{p.Endpoint, p.lot, p.keeper})
 	}
 }
 
@@ -90,8 +90,8 @@
 func (d *Dispatcher) reappoint() {
 	d.keeps = nil
 	for at := range d.list {
-		if p := &d.list[at]; p.Restarted && d.now < p.StartedAt+d.warmAfter {
-			p.lot = d.lot(p.Start)
+		if p := &d.list[at]; p.StartKnown && d.now < p.StartedAt+d.warmAfter {
+			p.lot = d.lot(p.Incarnation)
 		}
 		d.appoint(at)
 	}
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -28,8 +28,8 @@
 	p := start(shop(), ready('a', 0))
 	p.quiet = true
 	for n, ran := range []time.Duration{100 * ms, 20 * ms, 300 * ms, 60 * ms, 500 * ms, 80 * ms, 400 * ms} {
-		p.at(p.now+10*ms, job(InvID(n+1), 0, 0.1), free('a', 1))
-		p.at(p.now+ran, p.end(InvID(n+1), 0, Succeeded))
+		p.at(p.now+10*ms, job(InvocationID(n+1), 0, 0.1), free('a', 1))
+		p.at(p.now+ran, p.end(InvocationID(n+1), 0, Succeeded))
 	}
 	p.lines = nil
 	p.at(p.now+10*ms, free('a', 0))
@@ -44,7 +44,7 @@
 func Example_clones() {
 	p := start(shop(), ready('a', 0), ready('b', 0), ready('c', 0))
 	p.quiet = true
-	for n := InvID(1); n <= 10; n++ {
+	for n := InvocationID(1); n <= 10; n++ {
 		p.at(p.now+10*ms, job(n, 2, 1))
 		p.at(p.now+300*ms, p.end(n, 0, Succeeded))
 	}
@@ -83,7 +83,7 @@
 	p := start(shop(), ready('a', 1), ready('b', 0), ready('c', 1))
 	p.at(10*ms, free('a', 3), free('b', 2), free('c', 1))
 	p.at(20*ms, job(1, 2, 0.2), job(2, 2, 0.2), job(3, 2, 0.2), job(4, 2, 0.2))
-	p.at(30*ms, Listing{Form: ListDelta, Entries: []Entry{ready('d', 1)}})
+	p.at(30*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{ready('d', 1)}})
 	p.at(40*ms, free('a', 3), free('b', 3), free('c', 3))
 	p.at(50*ms, job(5, 2, 0.2), job(6, 2, 0.2))
 	p.until(70 * ms)
@@ -100,7 +100,7 @@
 func Example_noFigures() {
 	p := start(shop(), ready('a', 0), ready('b', 0))
 	p.at(10*ms, job(1, 2, 0.2), job(2, 2, 0.2), job(3, 2, 0.2), job(4, 2, 0.2))
-	p.at(20*ms, p.end(1, 0, Full))
+	p.at(20*ms, p.end(1, 0, Rejected))
 	p.at(30*ms, job(5, 2, 0.2))
 	p.at(40*ms, p.end(3, 0, Succeeded))
 	// Output:
@@ -114,7 +114,7 @@
 // A single young figure can't outweigh the last few once it has aged; a start that does not come ends all doubt.
 func Example_lateFigures() {
 	dep := shop()
-	dep.TellsStart = true
+	dep.NotifiesStart = true
 	p := start(dep, ready('a', 1), ready('b', 0))
 	p.quiet, p.waits = true, true
 	p.frequent('a', 'b')
@@ -124,7 +124,7 @@
 	p.at(1500*ms, job(1, 2, 0.1))
 	p.at(1505*ms, free('a', 3), free('b', 2.1))
 	p.tell("a has 3 free now, 1 as a rule, b 2")
-	p.at(1510*ms, Sign{Inv: 1, Worker: id('a'), Started: true}, p.end(1, 0, Succeeded))
+	p.at(1510*ms, AttemptProgress{Invocation: 1, Worker: id('a'), Started: true}, p.end(1, 0, Succeeded))
 	p.at(2800*ms, job(2, 2, 0.1))
 	p.until(2820 * ms)
 	p.tell("the same figure 1.3 s later")
@@ -180,11 +180,11 @@
 	p := start(shop(), ready('a', 0), ready('b', 0))
 	p.at(10*ms, free('a', 4), free('b', 1), job(1, 2, 0.2))
 	drains := ready('a', 0)
-	drains.Standing = Draining
-	p.at(20*ms, Listing{Form: ListDelta, Entries: []Entry{drains}}, job(2, 2, 0.2), job(3, 2, 0.2))
-	p.at(30*ms, p.end(1, 0, Full))
+	drains.State = Draining
+	p.at(20*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{drains}}, job(2, 2, 0.2), job(3, 2, 0.2))
+	p.at(30*ms, p.end(1, 0, Rejected))
 	p.at(40*ms, p.end(2, 0, Succeeded))
-	p.at(100*ms, Listing{Form: ListWhole, Entries: []Entry{ready('a', 0)}})
+	p.at(100*ms, EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{ready('a', 0)}})
 	p.at(110*ms, free('a', 4.1))
 	// Output:
 	// 10ms 1 to a
@@ -196,13 +196,13 @@
 // A worker that has just started gets our part of what it can do now, and one heavy invocation can be too much.
 func Example_coldStart() {
 	dep := shop()
-	dep.Peers = 2
+	dep.Schedulers = 2
 	p := start(dep, ready('a', 0))
 	p.at(10*ms, free('a', 4), job(1, 2, 0.4))
 	p.at(410*ms, p.end(1, 0, Succeeded))
 	cold := ready('a', 0)
-	cold.Restarted, cold.StartedAt = true, 400*ms
-	p.at(500*ms, Listing{Form: ListDelta, Entries: []Entry{cold}})
+	cold.StartKnown, cold.StartedAt = true, 400*ms
+	p.at(500*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{cold}})
 	p.at(510*ms, free('a', 4), job(2, 2, 0.5), job(3, 2, 0.07), job(4, 2, 0.3))
 	p.at(700*ms, p.end(3, 0, Succeeded))
 	p.at(16*time.Second, free('a', 4), job(5, 2, 0.7))
@@ -238,12 +238,12 @@
 // there goes elsewhere, and when it comes back after probes, new work is to show how it does.
 func Example_hang() {
 	dep := shop()
-	dep.Progress = 500 * ms
+	dep.ProgressInterval = 500 * ms
 	p := start(dep, ready('a', 0), ready('b', 1))
 	p.at(10*ms, free('a', 2), free('b', 2), job(1, 0, 0.5), job(2, 2, 0.5))
 	for range 10 {
 		p.until(p.now + 480*ms)
-		p.at(p.now+20*ms, Sign{Inv: 2, Worker: id('a'), Done: 0.1}, free('b', 2))
+		p.at(p.now+20*ms, AttemptProgress{Invocation: 2, Worker: id('a'), Done: 0.1}, free('b', 2))
 	}
 	p.at(p.now+10*ms, free('a', 0), job(3, 1, 0.2), job(4, 1, 0.2))
 	p.until(p.now + 14*beat)
@@ -260,7 +260,7 @@
 func Example_vanished() {
 	p := start(shop(), ready('a', 0), ready('b', 1))
 	p.at(10*ms, free('a', 2), free('b', 2), job(1, 0, 0.3), job(2, 2, 0.3))
-	p.at(200*ms, Answer{Worker: id('a'), Result: TimedOut, Took: 150 * ms})
+	p.at(200*ms, HealthCheckResult{Worker: id('a'), Result: TimedOut, Latency: 150 * ms})
 	p.at(210*ms, p.end(1, 0, Succeeded))
 	// Output:
 	// 10ms 2 to a
@@ -299,7 +299,7 @@
 		var full []Event
 		for _, name := range []byte("abcd") {
 			answer := free(name, 0)
-			answer.Load.Waiting = 6 + float64(n%2)
+			answer.Load.Queued = 6 + float64(n%2)
 			full = append(full, answer)
 		}
 		p.at(time.Duration(n+1)*time.Second, full...)
@@ -321,18 +321,18 @@
 // known list ask it at once, or nobody uses it until chance brings it into their pools.
 func Example_coldKnownAtStart() {
 	dep := shop()
-	dep.Peers = 80
+	dep.Schedulers = 80
 	cold := ready('a', 0)
-	cold.Restarted, cold.StartedAt, cold.Start = true, -2*time.Second, 17
+	cold.StartKnown, cold.StartedAt, cold.Incarnation = true, -2*time.Second, 17
 	known := append(fleet(60), cold)
 	for _, warmed := range []bool{false, true} {
 		if warmed {
 			known[60].StartedAt = -time.Minute
 		}
 		asked := 0
-		for dep.Me = range dep.Peers {
-			d := New(dep, int64(dep.Me))
-			if slices.Contains(d.Handle(0, []Event{Listing{Form: ListWhole, Entries: known}}), Action(Probe{cold.Worker})) {
+		for dep.Index = range dep.Schedulers {
+			d := New(dep, int64(dep.Index))
+			if slices.Contains(d.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: known}}), Action(HealthCheck{cold.Worker})) {
 				asked++
 			}
 		}
@@ -347,14 +347,14 @@
 // workers to the others. Named for one are five of a thousand all the same; without that, fifty would be.
 func Example_toldTooFew() {
 	dep := shop()
-	for _, dep.Peers = range []int{1000, 100, 10000} {
+	for _, dep.Schedulers = range []int{1000, 100, 10000} {
 		named := 0
-		for dep.Me = range 1000 {
+		for dep.Index = range 1000 {
 			if d := New(dep, 1); d.lot(17) < fewest {
 				named++
 			}
 		}
-		fmt.Printf("told %d: %d of 1000 are among the first five\n", dep.Peers, named)
+		fmt.Printf("told %d: %d of 1000 are among the first five\n", dep.Schedulers, named)
 	}
 	// Output:
 	// told 1000: 5 of 1000 are among the first five
@@ -367,9 +367,9 @@
 func Example_knownAllGone() {
 	p := start(shop(), ready('a', 0), ready('b', 0))
 	p.at(10*ms, free('a', 4), free('b', 4), job(1, 0, 0.2), job(2, 2, 0.2))
-	p.at(100*ms, Listing{Form: ListWhole, Entries: []Entry{ready('c', 0)}})
+	p.at(100*ms, EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{ready('c', 0)}})
 	p.at(110*ms, free('c', 4), job(3, 2, 0.2))
-	p.at(150*ms, Listing{Form: ListWhole})
+	p.at(150*ms, EndpointUpdate{Kind: FullUpdate})
 	p.at(160*ms, job(4, 2, 0.2))
 	p.until(700 * ms)
 	// Output:
@@ -385,10 +385,10 @@
 	told := map[time.Duration]bool{}
 	for seed := range int64(80) {
 		d := New(shop(), seed)
-		d.Handle(0, []Event{Listing{Form: ListWhole}, job(1, 2, 0.1)})
-		for _, action := range d.Handle(time.Second, []Event{Due{}}) {
-			if a, is := action.(Throttled); is && a.After >= 750*ms && a.After <= 1250*ms {
-				told[a.After.Round(10*ms)] = true
+		d.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate}, job(1, 2, 0.1)})
+		for _, action := range d.Handle(time.Second, []Event{TimerFired{}}) {
+			if a, is := action.(Throttle); is && a.RetryAfter >= 750*ms && a.RetryAfter <= 1250*ms {
+				told[a.RetryAfter.Round(10*ms)] = true
 			}
 		}
 	}
@@ -401,7 +401,7 @@
 func Example_refusedTenant() {
 	p := start(shop(), ready('a', 0), ready('b', 1))
 	p.at(10*ms, free('a', 4), free('b', 4), job(1, 0, 0.2))
-	p.at(20*ms, p.end(1, 0, Full))
+	p.at(20*ms, p.end(1, 0, Rejected))
 	p.at(30*ms, free('a', 4.1), free('b', 3), job(2, 0, 0.2))
 	p.at(40*ms, free('a', 4), free('b', 2), job(3, 2, 0.2))
 	p.until(60 * ms)
@@ -422,12 +422,12 @@
 	p.at(10*ms, free('a', 1), job(1, 2, 5))
 	p.at(20*ms, free('a', 0), job(2, 0, 0.1), job(3, 0, 1))
 	p.until(1200 * ms)
-	p.at(1210*ms, Withdrawn{Inv: 1})
+	p.at(1210*ms, ClientDisconnected{Invocation: 1})
 	p.at(1220*ms, p.end(1, 0, Cancelled))
 	p.at(9*time.Second, free('a', 1), job(5, 1, 8))
 	p.until(9*time.Second + 2*beat)
 	p.at(14*time.Second, p.end(5, 0, TimedOut))
-	p.at(15*time.Second, p.end(5, 0, TimedOut), Withdrawn{Inv: 5}, Outcome{Inv: 99, Worker: id('z')})
+	p.at(15*time.Second, p.end(5, 0, TimedOut), ClientDisconnected{Invocation: 5}, Outcome{Invocation: 99, Worker: id('z')})
 	// Output:
 	// 10ms 1 to a
 	// 420ms 2 throttled, back after 750ms to 1.25s
@@ -468,13 +468,13 @@
 // The list is asked for again after a failure, sooner than we would count as told, and not in step with others.
 func Example_list() {
 	dep := shop()
-	dep.Pushed = false
+	dep.EndpointsPushed = false
 	p := start(dep, ready('a', 0))
-	p.at(20*ms, Listing{Form: ListFailed})
+	p.at(20*ms, EndpointUpdate{Kind: WatchFailed})
 	p.until(500 * ms)
-	p.at(510*ms, Listing{Form: ListFailed})
+	p.at(510*ms, EndpointUpdate{Kind: WatchFailed})
 	p.until(1500 * ms)
-	p.at(1510*ms, Listing{Form: ListDelta, Entries: []Entry{ready('b', 0)}})
+	p.at(1510*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{ready('b', 0)}})
 	p.until(9 * time.Second)
 	// Output:
 	// 0s asks for the list
@@ -488,10 +488,10 @@
 func Example_streaming() {
 	p := start(shop(), ready('a', 0), ready('b', 1))
 	p.at(10*ms, free('a', 2), free('b', 2), job(1, 0, 0.3))
-	p.at(200*ms, Answer{Worker: id('a'), Result: TimedOut, Took: 160 * ms})
-	p.at(220*ms, Streaming{Inv: 1, Forward: 1})
+	p.at(200*ms, HealthCheckResult{Worker: id('a'), Result: TimedOut, Latency: 160 * ms})
+	p.at(220*ms, ResponseStarted{Invocation: 1, Attempt: 1})
 	p.at(300*ms, p.end(1, 0, Cancelled))
-	p.at(400*ms, Outcome{Inv: 1, Forward: 1, Worker: id('b'), Result: Broken, Closed: true})
+	p.at(400*ms, Outcome{Invocation: 1, Attempt: 1, Worker: id('b'), Result: ConnectionBroken, Answered: true})
 	// Output:
 	// 10ms 1 to a
 	// 200ms worker a is set aside: probes go unanswered
@@ -502,7 +502,7 @@
 // Two slots, a required kind, and a tenant's own operation are minded.
 func Example_needs() {
 	dep := shop()
-	dep.Operations[0].Kind = 1
+	dep.Operations[0].WorkerKind = 1
 	b := ready('b', 0)
 	b.Kind = 1
 	p := start(dep, ready('a', 0), b)
@@ -518,7 +518,7 @@
 }
 
 // fleet is a list of more workers than a pool starts with, in two zones.
-func fleet(n int) (list []Entry) {
+func fleet(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, ready(byte(i+1), i%2))
 	}
@@ -544,15 +544,15 @@
 	size("after 20 s without invocations")
 	fmt.Println("the same workers:", slices.Equal(before, after))
 	answer(0)
-	for n := range InvID(5) {
+	for n := range InvocationID(5) {
 		p.at(p.now+100*ms, job(n+1, 2, 0.2))
 		answer(0)
 		p.until(p.now + 2*beat)
 	}
 	size("five invocations while all are busy")
-	drains := p.d.list[p.d.desk.pool[0]].Entry
-	drains.Standing = Draining
-	p.at(p.now+ms, Listing{Form: ListDelta, Entries: []Entry{drains}})
+	drains := p.d.list[p.d.desk.pool[0]].Endpoint
+	drains.State = Draining
+	p.at(p.now+ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{drains}})
 	size("one drains")
 	// Output:
 	// at the start: 16 of 200
@@ -575,7 +575,7 @@
 		}
 		p.d.settle()
 		reads = 0
-		for i := range InvID(20) {
+		for i := range InvocationID(20) {
 			p.at(p.now+200*ms, job(i+1, 2, 0.1))
 			p.until(p.now + 2*beat)
 		}
@@ -591,22 +591,22 @@
 // the rule allows: twice what four slots do by then.
 func Example_coldCrowd() {
 	dep := shop()
-	dep.Peers = 1000
+	dep.Schedulers = 1000
 	for _, age := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second, 19 * time.Second} {
 		sent, most, work := 0, 0, 0.0
-		for me := range dep.Peers {
-			dep.Me = me
-			p := &play{d: New(dep, int64(me)), went: map[InvID][]WorkerID{}, quiet: true}
+		for me := range dep.Schedulers {
+			dep.Index = me
+			p := &play{d: New(dep, int64(me)), went: map[InvocationID][]WorkerID{}, quiet: true}
 			cold := ready('a', 0)
-			cold.Restarted, cold.StartedAt, cold.Start = true, 20*time.Second, 17
-			p.at(0, Listing{Form: ListWhole, Entries: []Entry{ready('b', 0)}})
-			n := InvID(0)
+			cold.StartKnown, cold.StartedAt, cold.Incarnation = true, 20*time.Second, 17
+			p.at(0, EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{ready('b', 0)}})
+			n := InvocationID(0)
 			for n < 40 { // one every half second before, each done as hinted
 				n++
 				p.at(time.Duration(n)*500*ms, free('b', 4), job(n, 2, 0.2))
 				p.at(p.now+200*ms, p.end(n, 0, Succeeded))
 			}
-			p.at(20*time.Second+age, Listing{Form: ListDelta, Entries: []Entry{cold}})
+			p.at(20*time.Second+age, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{cold}})
 			p.at(p.now+10*ms, free('a', 4), free('b', 0))
 			p.lines = nil
 			for range 8 {
@@ -632,13 +632,13 @@
 // The first calls for the list are spread over the schedulers, inside the time after which they count as told.
 func Example_listSpread() {
 	dep := shop()
-	dep.Pushed, dep.Peers = false, 1000
+	dep.EndpointsPushed, dep.Schedulers = false, 1000
 	var first [6]int
-	for seed := range int64(dep.Peers) {
-		p := &play{d: New(dep, seed), went: map[InvID][]WorkerID{}, quiet: true}
-		p.at(0, Listing{Form: ListWhole, Entries: fleet(2)})
+	for seed := range int64(dep.Schedulers) {
+		p := &play{d: New(dep, seed), went: map[InvocationID][]WorkerID{}, quiet: true}
+		p.at(0, EndpointUpdate{Kind: FullUpdate, Endpoints: fleet(2)})
 		for len(p.lines) == 0 {
-			p.at(p.now+100*ms, Due{})
+			p.at(p.now+100*ms, TimerFired{})
 		}
 		first[p.now/time.Second]++
 	}
@@ -652,13 +652,13 @@
 	p := start(shop(), ready('a', 0), ready('b', 0), ready('c', 0))
 	p.at(10*ms, free('a', 3), free('b', 2), free('c', 1))
 	p.at(20*ms, job(1, 0, 0.2))
-	p.at(30*ms, p.end(1, 0, Unfit))
-	p.at(40*ms, p.end(1, 1, Unfit))
+	p.at(30*ms, p.end(1, 0, BadRequest))
+	p.at(40*ms, p.end(1, 1, BadRequest))
 	p.at(50*ms, job(2, 0, 0.2))
-	p.at(60*ms, p.end(2, 0, Unfit))
+	p.at(60*ms, p.end(2, 0, BadRequest))
 	p.at(70*ms, p.end(2, 1, Succeeded))
 	p.at(80*ms, job(3, 2, 0.2))
-	p.at(90*ms, p.end(3, 0, Unfit))
+	p.at(90*ms, p.end(3, 0, BadRequest))
 	// Output:
 	// 20ms 1 to a
 	// 30ms 1 to b
@@ -675,11 +675,11 @@
 func Example_brokenNetwork() {
 	p := start(shop(), ready('a', 0), ready('b', 1))
 	p.probes = true
-	refused := Answer{Worker: id('a'), Result: Unreachable}
+	refused := HealthCheckResult{Worker: id('a'), Result: Unreachable}
 	p.at(10*ms, free('a', 9), free('b', 2), job(1, 0, 0.3), job(2, 0, 0.3))
 	p.probes = false
-	p.at(40*ms, p.end(1, 0, Dropped), Answer{Worker: id('a'), Result: Dropped})
-	p.at(50*ms, p.end(2, 0, Broken))
+	p.at(40*ms, p.end(1, 0, ReusedConnectionBroken), HealthCheckResult{Worker: id('a'), Result: ReusedConnectionBroken})
+	p.at(50*ms, p.end(2, 0, ConnectionBroken))
 	p.at(60*ms, refused)
 	p.at(70*ms, free('a', 9))
 	p.at(80*ms, job(3, 2, 0.3))
@@ -701,13 +701,13 @@
 // One that has begun and of which nothing is heard, while its worker tells of others, is lost there: it goes elsewhere.
 func Example_lostAnswer() {
 	dep := shop()
-	dep.TellsStart, dep.Progress = true, time.Second
+	dep.NotifiesStart, dep.ProgressInterval = true, time.Second
 	p := start(dep, ready('a', 0), ready('b', 1))
 	p.at(10*ms, free('a', 3), free('b', 1), job(1, 0, 2), job(2, 0, 2))
-	p.at(20*ms, Sign{Inv: 1, Worker: id('a'), Started: true}, Sign{Inv: 2, Worker: id('a'), Started: true})
-	p.at(1020*ms, Sign{Inv: 2, Worker: id('a'), Done: 0.4})
+	p.at(20*ms, AttemptProgress{Invocation: 1, Worker: id('a'), Started: true}, AttemptProgress{Invocation: 2, Worker: id('a'), Started: true})
+	p.at(1020*ms, AttemptProgress{Invocation: 2, Worker: id('a'), Done: 0.4})
 	p.until(2000 * ms)
-	p.at(2020*ms, Sign{Inv: 2, Worker: id('a'), Done: 0.8})
+	p.at(2020*ms, AttemptProgress{Invocation: 2, Worker: id('a'), Done: 0.8})
 	p.until(2100 * ms)
 	// Output:
 	// 10ms 1 to a
@@ -718,13 +718,13 @@
 // What is lost at a worker holds no slot there any more: its report says that two of three are free, and two are sent.
 func Example_lostAnswerFreesItsSlot() {
 	dep := shop()
-	dep.TellsStart, dep.Progress, dep.Allowed.MaxOut = true, time.Second, 1
+	dep.NotifiesStart, dep.ProgressInterval, dep.Limits.MaxInFlight = true, time.Second, 1
 	p := start(dep, ready('a', 0))
 	p.at(10*ms, free('a', 3), job(1, 2, 2), job(2, 0, 2))
-	p.at(20*ms, Sign{Inv: 1, Worker: id('a'), Started: true}, Sign{Inv: 2, Worker: id('a'), Started: true})
-	p.at(1020*ms, Sign{Inv: 2, Worker: id('a'), Done: 0.4})
+	p.at(20*ms, AttemptProgress{Invocation: 1, Worker: id('a'), Started: true}, AttemptProgress{Invocation: 2, Worker: id('a'), Started: true})
+	p.at(1020*ms, AttemptProgress{Invocation: 2, Worker: id('a'), Done: 0.4})
 	p.until(2000 * ms)
-	p.at(2020*ms, Sign{Inv: 2, Worker: id('a'), Done: 0.8})
+	p.at(2020*ms, AttemptProgress{Invocation: 2, Worker: id('a'), Done: 0.8})
 	p.until(2100 * ms)
 	p.at(2110*ms, free('a', 2), job(3, 0, 2), job(4, 0, 2))
 	p.at(2120*ms, free('a', 2))
@@ -739,7 +739,7 @@
 // where reports cease: what was free once tells nothing.
 func Example_noReports() {
 	dep := shop()
-	dep.TellsStart = true
+	dep.NotifiesStart = true
 	p := start(dep, ready('a', 0), ready('b', 0))
 	p.at(10*ms, job(1, 0, 2), job(2, 0, 2))
 	p.until(100 * ms)
@@ -747,9 +747,9 @@
 	p.until(200 * ms)
 	p = start(dep, ready('a', 0))
 	p.at(10*ms, free('a', 1), job(1, 0, 2))
-	p.at(20*ms, Sign{Inv: 1, Worker: id('a'), Started: true}, job(2, 2, 2)) // held: nothing is free
-	p.at(1000*ms, Answer{Worker: id('a'), Result: Succeeded})               // it is early yet
-	p.at(1400*ms, Answer{Worker: id('a'), Result: Succeeded})
+	p.at(20*ms, AttemptProgress{Invocation: 1, Worker: id('a'), Started: true}, job(2, 2, 2)) // held: nothing is free
+	p.at(1000*ms, HealthCheckResult{Worker: id('a'), Result: Succeeded})                      // it is early yet
+	p.at(1400*ms, HealthCheckResult{Worker: id('a'), Result: Succeeded})
 	// Output:
 	// 10ms 1 to b
 	// 10ms 2 to a
@@ -782,15 +782,15 @@
 func Example_coldFew() {
 	for _, run := range []float64{0.01, 0.2, 3} {
 		dep := shop()
-		dep.Peers, dep.Me = 3, 0
+		dep.Schedulers, dep.Index = 3, 0
 		cold := ready('a', 0)
-		cold.Restarted, cold.Start = true, 5
+		cold.StartKnown, cold.Incarnation = true, 5
 		p := start(dep, cold)
 		p.quiet = true
 		p.d.desk.runs = samples{run, run}
 		p.at(time.Second, free('a', 100))
 		sent := 0
-		for n := InvID(1); n <= 100; n++ {
+		for n := InvocationID(1); n <= 100; n++ {
 			p.at(p.now+ms, job(n, 2, 0.1))
 		}
 		for _, went := range p.went {
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -14,7 +14,7 @@
 // All times here are spans since the instance's start; work is in seconds on a standard core.
 
 // InvID names an invocation at the door; inside the module it is a small index.
-type InvID uint64
+type InvocationID uint64
 
 // WorkerID names a worker at the door. An address prints well in log lines; nothing is read from it.
 type WorkerID = netip.AddrPort
@@ -29,122 +29,122 @@
 )
 
 // Scope tells which workers drop a repeat of a deduplicated invocation.
-type Scope uint8
+type DedupScope uint8
 
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Load is a worker's report on itself.
-type Load struct {
+type LoadReport struct {
 	FreeSlots   float64 `json:"FreeSlots"`
-	Waiting     float64 `json:"Waiting"`
-	InHand      float64 `json:"InHand"`
+	Queued      float64 `json:"Waiting"`
+	InFlight    float64 `json:"InHand"`
 	Busy        float64 `json:"Busy"`
 	ServiceTime float64 `json:"ServiceTime"`
-	Errors      float64 `json:"Errors"`
+	ErrorRate   float64 `json:"Errors"`
 }
 
 // NoLoad is a report without any value: no word of free slots.
-var NoLoad = Load{FreeSlots: -1}
+var UnknownLoad = LoadReport{FreeSlots: -1}
 
 // Deployment is what an instance is told once, at its start.
-type Deployment struct {
-	Peers          int // schedulers in all, this one included
-	Me             int // its number among them, from 0; -1: not told
-	Zone           int
-	Operations     []Operation
-	Tenants        []Tenant
-	ExcessValue    float64 // billed value of what a tenant sends beyond its share, as a part of the usual
-	Pushed         bool    // list changes come unasked
-	TellsStart     bool
-	TellsTaken     bool          // a sign says when a worker has taken a forward
-	Progress       time.Duration // span between progress notes; 0: none are sent
-	Allowed        Allowances
-	Rules          Rules
-	WorstOperation float64 // what the worst served operation counts for beside the whole, as a part of the latter
-	ProbePrice     float64 // points of the result for one probe an invocation
-	TellPrice      float64 // the same for 256 bytes that another scheduler gets
+type Config struct {
+	Schedulers           int // schedulers in all, this one included
+	Index                int // its number among them, from 0; -1: not told
+	Zone                 int
+	Operations           []Operation
+	Tenants              []Tenant
+	ExcessValue          float64 // billed value of what a tenant sends beyond its share, as a part of the usual
+	EndpointsPushed      bool    // list changes come unasked
+	NotifiesStart        bool
+	NotifiesAccepted     bool          // a sign says when a worker has taken a forward
+	ProgressInterval     time.Duration // span between progress notes; 0: none are sent
+	Limits               Limits
+	Rules                Rules
+	WorstOperationWeight float64 // what the worst served operation counts for beside the whole, as a part of the latter
+	HealthCheckCost      float64 // points of the result for one probe an invocation
+	GossipCost           float64 // the same for 256 bytes that another scheduler gets
 }
 
 // Operation is one kind of invocation.
 type Operation struct {
-	BilledValue      float64       `json:"BilledValue"`
-	LateValue        float64       `json:"LateValue"`
+	PriorityWeight   float64       `json:"BilledValue"`
+	LateWeight       float64       `json:"LateValue"`
 	LatencyObjective time.Duration `json:"LatencyObjective"`
 	Stretch          float64       `json:"Stretch"` // the objective grows by this multiple of an invocation's own work
 	Effect           Effect        `json:"Effect"`
-	Scope            Scope         `json:"Scope"`
+	DedupScope       DedupScope    `json:"Scope"`
 	DedupWindow      time.Duration `json:"DedupWindow"`
-	Kind             int           `json:"Kind"` // the one kind of worker that runs it, or -1
+	WorkerKind       int           `json:"Kind"` // the one kind of worker that runs it, or -1
 }
 
 // Tenant is one customer's share of the service.
 type Tenant struct {
-	QuotaPerS, Share float64
+	QuotaPerSecond, Share float64
 }
 
 // Allowances say what the deployment permits.
-type Allowances struct {
-	Probes, Cancel bool
-	Tell           bool          // schedulers may send messages to one another
-	MaxForwards    int           // of one invocation
-	MaxOut         int           // of these, out at once
-	MaxRetryAfter  time.Duration // that a throttling reply may ask for; 0: none
+type Limits struct {
+	HealthChecks, Cancel bool
+	Gossip               bool          // schedulers may send messages to one another
+	MaxAttempts          int           // of one invocation
+	MaxInFlight          int           // of these, out at once
+	MaxRetryAfter        time.Duration // that a throttling reply may ask for; 0: none
 }
 
 // Rules are the figures of the four rules.
 type Rules struct {
-	AskWithin    time.Duration
-	Grace        time.Duration // how long a worker may still be sent to that is told to drain or gone; 0: not told
-	ColdFrom     float64
-	WarmAfter    time.Duration
-	FallMultiple float64
-	Fall         time.Duration
+	PollWithin        time.Duration
+	DrainGrace        time.Duration // how long a worker may still be sent to that is told to drain or gone; 0: not told
+	SlowStartFrom     float64
+	SlowStartDuration time.Duration
+	OverloadFactor    float64
+	OverloadWindow    time.Duration
 }
 
 // Event is something that has happened; Handle takes those of one moment in the order of arrival.
 type Event interface {
 	// About names the invocation and the worker that it is about; zero: none.
-	About() (InvID, WorkerID)
+	About() (InvocationID, WorkerID)
 }
 
-func (e Arrival) About() (InvID, WorkerID)   { return e.Inv, WorkerID{} }
-func (e Streaming) About() (InvID, WorkerID) { return e.Inv, WorkerID{} }
-func (e Sign) About() (InvID, WorkerID)      { return e.Inv, e.Worker }
-func (e Outcome) About() (InvID, WorkerID)   { return e.Inv, e.Worker }
-func (e Withdrawn) About() (InvID, WorkerID) { return e.Inv, WorkerID{} }
-func (e Answer) About() (InvID, WorkerID)    { return 0, e.Worker }
-func (e Due) About() (InvID, WorkerID)       { return 0, WorkerID{} }
-func (e Listing) About() (InvID, WorkerID)   { return 0, WorkerID{} }
-func (e Retuned) About() (InvID, WorkerID)   { return 0, WorkerID{} }
+func (e Arrival) About() (InvocationID, WorkerID)            { return e.Invocation, WorkerID{} }
+func (e ResponseStarted) About() (InvocationID, WorkerID)    { return e.Invocation, WorkerID{} }
+func (e AttemptProgress) About() (InvocationID, WorkerID)    { return e.Invocation, e.Worker }
+func (e Outcome) About() (InvocationID, WorkerID)            { return e.Invocation, e.Worker }
+func (e ClientDisconnected) About() (InvocationID, WorkerID) { return e.Invocation, WorkerID{} }
+func (e HealthCheckResult) About() (InvocationID, WorkerID)  { return 0, e.Worker }
+func (e TimerFired) About() (InvocationID, WorkerID)         { return 0, WorkerID{} }
+func (e EndpointUpdate) About() (InvocationID, WorkerID)     { return 0, WorkerID{} }
+func (e Reconfigured) About() (InvocationID, WorkerID)       { return 0, WorkerID{} }
 
 // Arrival is a new invocation, which from now on is owed one final answer.
 type Arrival struct {
-	Inv       InvID         `json:"Inv"`
-	Operation int           `json:"Operation"`
-	Tenant    int           `json:"Tenant"`
-	Budget    time.Duration `json:"Budget"` // until the client gives this try up
-	Hint      float64       `json:"Hint"`   // hinted cost; 0: none
-	Slots     float64       `json:"Slots"`
+	Invocation InvocationID  `json:"Inv"`
+	Operation  int           `json:"Operation"`
+	Tenant     int           `json:"Tenant"`
+	Budget     time.Duration `json:"Budget"` // until the client gives this try up
+	Hint       float64       `json:"Hint"`   // hinted cost; 0: none
+	Slots      float64       `json:"Slots"`
 }
 
 // Streaming says that the answer of a streamed invocation has begun at the client.
-type Streaming struct {
-	Inv     InvID
-	Forward int
+type ResponseStarted struct {
+	Invocation InvocationID
+	Attempt    int
 }
 
 // Sign is a note from a worker on a forward that is still out.
-type Sign struct {
-	Inv     InvID
-	Worker  WorkerID
-	Forward int
-	Taken   bool    // it has it, and may not have looked at it yet
-	Started bool    // else a progress note
-	Done    float64 // part of the work done
+type AttemptProgress struct {
+	Invocation InvocationID
+	Worker     WorkerID
+	Attempt    int
+	Accepted   bool    // it has it, and may not have looked at it yet
+	Started    bool    // else a progress note
+	Done       float64 // part of the work done
 }
 
 // Result tells how a forward ended.
@@ -153,81 +153,81 @@
 const (
 	Succeeded Result = iota
 	Failed
-	Full
+	Rejected
 	TimedOut
 	Unreachable
-	Broken
+	ConnectionBroken
 	Cancelled
 	NotSent
-	Unfit   // the worker would not have it, whatever its load; it may have run
-	Dropped // a kept connection broke, as they do; no word on the worker, and it may have run
+	BadRequest             // the worker would not have it, whatever its load; it may have run
+	ReusedConnectionBroken // a kept connection broke, as they do; no word on the worker, and it may have run
 )
 
 // Outcome ends a forward. Closed: the client has its final answer.
 type Outcome struct {
-	Inv     InvID
-	Worker  WorkerID
-	Forward int
-	Result  Result
-	Closed  bool
-	Load    *Load // nil: none came with it
+	Invocation InvocationID
+	Worker     WorkerID
+	Attempt    int
+	Result     Result
+	Answered   bool
+	Load       *LoadReport // nil: none came with it
 }
 
 // Withdrawn says that the client has left.
-type Withdrawn struct{ Inv InvID }
+type ClientDisconnected struct{ Invocation InvocationID }
 
 // Answer is the end of a probe.
-type Answer struct {
-	Worker WorkerID
-	Result Result
-	Took   time.Duration
-	Load   *Load
+type HealthCheckResult struct {
+	Worker  WorkerID
+	Result  Result
+	Latency time.Duration
+	Load    *LoadReport
 }
 
 // Due is a wake-up that was asked for.
-type Due struct{}
+type TimerFired struct{}
 
 // Form tells how a list is to be read.
-type Form uint8
+type UpdateKind uint8
 
 const (
-	ListFailed Form = iota
-	ListDelta
-	ListWhole
+	WatchFailed UpdateKind = iota
+	DeltaUpdate
+	FullUpdate
 )
 
 // Standing is what the list says of a worker.
-type Standing uint8
+type EndpointState uint8
 
 const (
-	Gone Standing = iota
+	Gone EndpointState = iota
 	Ready
 	Draining
 )
 
 // Listing is news from the list of workers, or that a call to it failed.
-type Listing struct {
-	Form    Form
-	Entries []Entry
+type EndpointUpdate struct {
+	Kind      UpdateKind
+	Endpoints []Endpoint
 }
 
 // Entry is one worker of a list. Restarted says that StartedAt is known; else it started long ago. Start names this
 // start of this worker by a number that is the same at every scheduler.
-type Entry struct {
+type Endpoint struct {
 	Worker           WorkerID
 	Zone, Kind, Cell int
-	Standing         Standing
-	Restarted        bool
+	State            EndpointState
+	StartKnown       bool
 	StartedAt        time.Duration
-	Start            uint64
+	Incarnation      uint64
 }
 
 // Retuned brings all that a deployment tells anew. An operation stays at its index for as long as invocations of it are
 // under way. From names, for each, the earlier one whose learning it goes on with: itself where it has not changed, -1
 // for none.
-type Retuned struct {
-	Deployment
-	From []int
+type Reconfigured struct {
+	Config
+	PreviousOperations []int
 }
 
 // Action is something that the caller is to do, in the order given.
@@ -235,42 +235,42 @@
 
 // Forward sends an invocation to a worker. Its forwards count from 0 in the order sent.
 type Forward struct {
-	Inv    InvID
-	Worker WorkerID
-	Until  time.Duration // a repeat that has not left by then must not leave at all; 0: it is none that a window bounds
+	Invocation InvocationID
+	Worker     WorkerID
+	NotAfter   time.Duration // a repeat that has not left by then must not leave at all; 0: it is none that a window bounds
 }
 
 // Throttled is a final answer: it has not run or may run again, so asking again is harmless.
-type Throttled struct {
-	Inv   InvID
-	After time.Duration // 0: no advice
+type Throttle struct {
+	Invocation InvocationID
+	RetryAfter time.Duration // 0: no advice
 }
 
 // Errored is a final answer that promises nothing.
-type Errored struct{ Inv InvID }
+type Fail struct{ Invocation InvocationID }
 
 // Cancel ends the wait for one forward.
 type Cancel struct {
-	Inv     InvID
-	Forward int
+	Invocation InvocationID
+	Attempt    int
 }
 
 // Probe asks a worker for its load.
-type Probe struct{ Worker WorkerID }
+type HealthCheck struct{ Worker WorkerID }
 
 // Wake asks for a Due event at or after a time.
-type Wake struct{ At time.Duration }
+type SetTimer struct{ At time.Duration }
 
 // Follow subscribes to the list of workers.
-type Follow struct{}
+type WatchEndpoints struct{}
 
 // Log is a line for the people on call.
 type Log struct{ Text string }
 
 // Avoided counts the listed workers that are set aside now.
-func (d *Dispatcher) Avoided() (n int) {
+func (d *Dispatcher) Ejected() (n int) {
 	for i := range d.list {
-		if p := &d.list[i]; p.Standing == Ready && p.worker != nil && p.worker.aside {
+		if p := &d.list[i]; p.State == Ready && p.worker != nil && p.worker.aside {
 			n++
 		}
 	}
@@ -298,7 +298,7 @@
 func (h *house) do(a Action) { h.out = append(h.out, a) }
 
 // tell has a note sent to one scheduler, or below 0 to all.
-func (h *house) tell(to int, n Note) {
+func (h *house) tell(to int, n GossipEntry) {
 	if h.tells && to != h.me {
 		h.memo = append(h.memo, memo{to, n})
 	}
@@ -307,13 +307,13 @@
 // post sends what is to be told, all for one scheduler together.
 func (h *house) post() {
 	for i, m := range h.memo {
-		if m.Kind == noteGone {
+		if m.Kind == gossipPacked {
 			continue
 		}
-		t := Tell{To: m.to, Notes: []Note{m.Note}}
+		t := SendGossip{To: m.to, Entries: []GossipEntry{m.GossipEntry}}
 		for n := i + 1; n < len(h.memo); n++ {
-			if o := &h.memo[n]; o.to == m.to && o.Kind != noteGone {
-				t.Notes, o.Kind = append(t.Notes, o.Note), noteGone
+			if o := &h.memo[n]; o.to == m.to && o.Kind != gossipPacked {
+				t.Entries, o.Kind = append(t.Entries, o.GossipEntry), gossipPacked
 			}
 		}
 		h.do(t)
@@ -384,12 +384,12 @@
 		event Event
 		ran   time.Duration
 	}
-	blamed struct{}           // desk to worker: another one took what it would not have
-	freed  struct{ id InvID } // desk to door: nothing more will be heard of it
-	sent   struct{ errand }   // desk to worker
-	theirs struct {           // door to worker: another scheduler's note
+	blamed struct{}                  // desk to worker: another one took what it would not have
+	freed  struct{ id InvocationID } // desk to door: nothing more will be heard of it
+	sent   struct{ errand }          // desk to worker
+	theirs struct {                  // door to worker: another scheduler's note
 		from int
-		Note
+		GossipEntry
 	}
 	stuck struct{ inv, fwd int }         // worker to desk: no answer is to be expected soon
 	begun struct{ atOnce float64 }       // worker to desk: whether a forward has started within two beats
@@ -412,7 +412,7 @@
 		view
 	}
 	listed struct { // door to worker: its entry, and our place among those that may use it while it is cold
-		Entry
+		Endpoint
 		lot, keeper int
 	}
 )
@@ -420,7 +420,7 @@
 // place is what the list says of one worker. A fleet is large and a scheduler meets few of it: an actor for
 // each would cost memory and time for nothing.
 type place struct {
-	Entry
+	Endpoint
 	worker  *worker // nil: never met
 	keeper  int
 	lot     int // how many schedulers come before us while it is cold
@@ -464,7 +464,7 @@
 	workerAt              map[WorkerID]int
 	tagAt                 map[uint32]int // of workers
 	sentTo                map[[2]int]int // where other schedulers' forwards are, by their numbers and serials
-	invAt                 map[InvID]int
+	invAt                 map[InvocationID]int
 	asks, follows         bool
 	turn, failed, version int
 	peers                 float64
@@ -493,7 +493,7 @@
 	card
 	desk                         *desk
 	id                           WorkerID
-	standing                     Standing
+	standing                     EndpointState
 	cold, aside, recheck         bool
 	keeper                       int
 	tag                          uint32
@@ -504,8 +504,8 @@
 	figureAt, reportAt           time.Duration
 	all                          view
 	errands                      []errand
-	figures                      samples // free or ours at the last few reports, less what was usual; last at figureAt
-	load                         Load    // the last report as it came
+	figures                      samples    // free or ours at the last few reports, less what was usual; last at figureAt
+	load                         LoadReport // the last report as it came
 	paces                        samples
 	unanswered                   time.Duration // the first question to its keeper since its last answer; 0: none
 	asides, wanted               int           // how often it was set aside of late; successes still wanted on trial
@@ -521,7 +521,7 @@
 	served            samples // what the last ones brought, of their billed value
 	late              bool    // an answer after the objective still has a value
 	effect            Effect
-	scope             Scope
+	scope             DedupScope
 	kind              int
 	ratios, sizes     samples       // running time over hinted cost, and running time, of finishes
 	rough             samples       // the first less the worker's pace: how far hints are off
@@ -544,16 +544,16 @@
 }
 
 // operations gives those that have changed or are new what was learned of the ones before.
-func (n Retuned) operations(old []operation) (ops []operation) {
+func (n Reconfigured) operations(old []operation) (ops []operation) {
 	for i, o := range n.Operations {
-		op := operation{weight: cmp.Or(max(0, o.BilledValue), 1), stretch: o.Stretch, objective: o.LatencyObjective,
-			window: o.DedupWindow, late: o.LateValue > 0, lateValue: o.LateValue, effect: o.Effect, scope: o.Scope, kind: o.Kind}
+		op := operation{weight: cmp.Or(max(0, o.PriorityWeight), 1), stretch: o.Stretch, objective: o.LatencyObjective,
+			window: o.DedupWindow, late: o.LateWeight > 0, lateValue: o.LateWeight, effect: o.Effect, scope: o.DedupScope, kind: o.WorkerKind}
 		switch {
-		case i >= len(n.From) || n.From[i] < 0:
-		case n.From[i] == i:
+		case i >= len(n.PreviousOperations) || n.PreviousOperations[i] < 0:
+		case n.PreviousOperations[i] == i:
 			op = old[i]
 		default:
-			was := old[n.From[i]]
+			was := old[n.PreviousOperations[i]]
 			op.ratios, op.sizes, op.rough = slices.Clone(was.ratios), slices.Clone(was.sizes), slices.Clone(was.rough)
 		}
 		ops = append(ops, op)
@@ -570,9 +570,9 @@
 }
 
 // tenants keep their index when told anew, and what was seen of them: a flood does not end with new settings.
-func (n Retuned) tenants(old []tenant) (all []tenant) {
+func (n Reconfigured) tenants(old []tenant) (all []tenant) {
 	for i, t := range n.Tenants {
-		t.QuotaPerS = cmp.Or(t.QuotaPerS, math.Inf(1)) // not told: nothing is beyond it
+		t.QuotaPerSecond = cmp.Or(t.QuotaPerSecond, math.Inf(1)) // not told: nothing is beyond it
 		if all = append(all, tenant{Tenant: t}); i < len(old) {
 			all[i].came = old[i].came
 		}
@@ -581,7 +581,7 @@
 }
 
 type inv struct {
-	id                   InvID
+	id                   InvocationID
 	op, tenant           int
 	first, came, givenUp time.Duration // its first try came, this one came, its client timeout
 	askAt                time.Duration // when one more worker may be asked for its sake
@@ -618,7 +618,7 @@
 	size, each, credit, queue       float64       // of the pool; probes an invocation pays for, and in hand
 	creditAt, viewed, left, learned time.Duration // left: when the last forward or first question did
 	jobs, clones                    float64
-	why                             map[InvID]Reason // of those given up at this moment
+	why                             map[InvocationID]Reason // of those given up at this moment
 	arrivals                        samples
 	sums                            survey
 	tenants                         []tenant
@@ -691,7 +691,7 @@
 		p.worker = &worker{inbox: inbox{house: &d.house}, desk: &d.desk, id: p.Worker, tag: tagOf(p.Worker),
 			card: card{at: at}}
 		p.worker.inbox.read = p.worker.read
-		p.worker.put(listed{p.Entry, p.lot, p.keeper})
+		p.worker.put(listed{p.Endpoint, p.lot, p.keeper})
 	}
 	return p.worker
 }
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -81,9 +81,9 @@
 	Ended   map[string]int // connections, by why they ended
 	Longest time.Duration  // that a client has said it waits
 	Ledger  *ledger.Ledger
-	Gate    *tenants.Gate               // who may come in, where tenants are served; nil: all may
-	Guard   *guard.Guard                // each final answer and each end of a connection passes it; nil: none does
-	Reason  func(dispatch.InvID) string // why the answer that is being given is given, for the history of the request; nil: not told
+	Gate    *tenants.Gate                      // who may come in, where tenants are served; nil: all may
+	Guard   *guard.Guard                       // each final answer and each end of a connection passes it; nil: none does
+	Reason  func(dispatch.InvocationID) string // why the answer that is being given is given, for the history of the request; nil: not told
 
 	loop        *conn.Loop
 	share       *conn.Share
@@ -100,8 +100,8 @@
 	waits       bool          // for a descriptor
 	retry       *conn.Alarm
 	most        int // invocations in hand
-	last        dispatch.InvID
-	inHand      map[dispatch.InvID]*inHand
+	last        dispatch.InvocationID
+	inHand      map[dispatch.InvocationID]*inHand
 	ids         map[string]bool
 	connections map[*connection]struct{}
 }
@@ -120,7 +120,7 @@
 // New makes a door that is shut and has no room yet.
 func New(loop *conn.Loop, site settings.Site, share *conn.Share, book *ledger.Ledger) *Door {
 	d := &Door{loop: loop, share: share,
-		inHand: map[dispatch.InvID]*inHand{}, ids: map[string]bool{}, connections: map[*connection]struct{}{},
+		inHand: map[dispatch.InvocationID]*inHand{}, ids: map[string]bool{}, connections: map[*connection]struct{}{},
 		more: make(chan struct{}, 1), Ledger: book, Ended: map[string]int{}, Accept: net.Listener.Accept}
 	d.Retune(site)
 	share.Freed = func() {
@@ -212,11 +212,11 @@
 func (d *Door) Resize(most int) { d.most = most }
 
 // Owed tells whether a client still waits for the answer.
-func (d *Door) Owed(inv dispatch.InvID) bool { return d.inHand[inv] != nil }
+func (d *Door) Owed(inv dispatch.InvocationID) bool { return d.inHand[inv] != nil }
 
 // Waits tells the same at the moment of a send. The kernel is asked too: the word that its client has gone may stand in line
 // behind all else that the loop has to do. Who has gone is taken as such at once.
-func (d *Door) Waits(inv dispatch.InvID) bool {
+func (d *Door) Waits(inv dispatch.InvocationID) bool {
 	j := d.inHand[inv]
 	if j != nil && j.connection.c.Left() {
 		j.connection.c.Close()
@@ -229,7 +229,7 @@
 func (d *Door) InHand() int { return len(d.inHand) }
 
 // Deliver is the answer with a worker's result.
-func (d *Door) Deliver(inv dispatch.InvID, result string) {
+func (d *Door) Deliver(inv dispatch.InvocationID, result string) {
 	if j := d.inHand[inv]; j != nil {
 		d.Served(d.loop.Now() - j.came)
 		d.answer(inv, ledger.Succeeded, 200, []byte(result))
@@ -237,7 +237,7 @@
 }
 
 // Throttle says that asking again is harmless.
-func (d *Door) Throttle(inv dispatch.InvID, after time.Duration) {
+func (d *Door) Throttle(inv dispatch.InvocationID, after time.Duration) {
 	if d.inHand[inv] == nil {
 		return
 	}
@@ -249,13 +249,13 @@
 }
 
 // Fail promises nothing.
-func (d *Door) Fail(inv dispatch.InvID) {
+func (d *Door) Fail(inv dispatch.InvocationID) {
 	if d.inHand[inv] != nil {
 		d.answer(inv, ledger.Aborted, 500, nil)
 	}
 }
 
-func (d *Door) answer(inv dispatch.InvID, how ledger.Disposition, status int, body []byte, fields ...http1.Field) {
+func (d *Door) answer(inv dispatch.InvocationID, how ledger.Disposition, status int, body []byte, fields ...http1.Field) {
 	v := d.inHand[inv].connection
 	if given := d.Guard.Answer(inv, kinds[how], d.reason(inv)); given != kinds[how] {
 		how, status, fields = ledger.Aborted, 500, nil // the only answer that promises nothing
@@ -268,7 +268,7 @@
 var kinds = map[ledger.Disposition]guard.Kind{ledger.Succeeded: guard.Succeeded, ledger.Declined: guard.Refused,
 	ledger.Aborted: guard.Failed, ledger.Abandoned: guard.Abandoned, ledger.Handed: guard.Handed}
 
-func (d *Door) reason(inv dispatch.InvID) string {
+func (d *Door) reason(inv dispatch.InvocationID) string {
 	if d.Reason == nil {
 		return ""
 	}
@@ -276,7 +276,7 @@
 }
 
 // forget is where every invocation ends, once.
-func (d *Door) forget(inv dispatch.InvID, how ledger.Disposition) {
+func (d *Door) forget(inv dispatch.InvocationID, how ledger.Disposition) {
 	j := d.inHand[inv]
 	d.Ledger.End(j.class, how)
 	if j.seat != nil {
@@ -342,7 +342,7 @@
 }
 
 // Rest lists the invocations that are owed an answer, oldest first.
-func (d *Door) Rest() []dispatch.InvID { return slices.Sorted(maps.Keys(d.inHand)) }
+func (d *Door) Rest() []dispatch.InvocationID { return slices.Sorted(maps.Keys(d.inHand)) }
 
 // Busy tells whether requests are still on their way in, answers on their way out, or connections on their way to another
 // process.
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -34,7 +34,7 @@
 	d.Foreign, d.Holds = func(string) bool { return false }, func(string, bool) {}
 	d.Event = func(e dispatch.Event) {
 		if a, is := e.(dispatch.Arrival); is {
-			fmt.Printf("inv %d: operation %d tenant %d slots %v hint %v budget %v\n", a.Inv, a.Operation, a.Tenant,
+			fmt.Printf("inv %d: operation %d tenant %d slots %v hint %v budget %v\n", a.Invocation, a.Operation, a.Tenant,
 				a.Slots, a.Hint, a.Budget.Round(100*time.Millisecond))
 			return
 		}
@@ -111,15 +111,15 @@
 	take := d.Event
 	d.Event = func(e dispatch.Event) {
 		take(e)
-		switch a := e.(dispatch.Arrival); a.Inv {
+		switch a := e.(dispatch.Arrival); a.Invocation {
 		case 1:
-			d.Deliver(a.Inv, "result")
-			d.Deliver(a.Inv, "again")
-			d.Fail(a.Inv)
+			d.Deliver(a.Invocation, "result")
+			d.Deliver(a.Invocation, "again")
+			d.Fail(a.Invocation)
 		case 2:
-			d.Throttle(a.Inv, 500*time.Millisecond)
+			d.Throttle(a.Invocation, 500*time.Millisecond)
 		case 3:
-			d.Fail(a.Inv)
+			d.Fail(a.Invocation)
 		}
 		fmt.Println("owed:", d.InHand())
 	}
@@ -249,13 +249,13 @@
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
 	// inv 1: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
 	// "409 Conflict\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// dispatch.Withdrawn{Inv:1}
+	// dispatch.ClientDisconnected{Invocation:1}
 	// "409 Conflict\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
 	// inv 2: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
 	// job 9b20 POST /render/7f3a?x=1 [{X-Call-Id 9b20}] body
 	// inv 3: operation 0 tenant 0 slots 2 hint 0.25 budget 0s
-	// dispatch.Withdrawn{Inv:3}
+	// dispatch.ClientDisconnected{Invocation:3}
 	// "500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// job 9b21 POST /render/7f3a?x=1 [{X-Call-Id 9b21}] body
 	// inv 4: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -16,18 +16,18 @@
 	door    *Door
 	c       *conn.Conn
 	parser  http1.Parser
-	inv     dispatch.InvID // 0: nothing in hand
-	last    bool           // the connection ends with the present answer
-	slow    *conn.Alarm    // the next request has to be whole by then, or the answer to the present one waits
-	waits   bool           // for that
-	strays  int            // requests in a row that made no sense
-	useful  bool           // it has brought an invocation or news
-	brings  bool           // the latter
-	came    time.Duration  // the connection
-	parts   bool           // it ends unless a request of it has been read
-	parcel  *Parcel        // it is on its way to another process
-	offered bool           // or about to be
-	stays   bool           // that one would not have it
+	inv     dispatch.InvocationID // 0: nothing in hand
+	last    bool                  // the connection ends with the present answer
+	slow    *conn.Alarm           // the next request has to be whole by then, or the answer to the present one waits
+	waits   bool                  // for that
+	strays  int                   // requests in a row that made no sense
+	useful  bool                  // it has brought an invocation or news
+	brings  bool                  // the latter
+	came    time.Duration         // the connection
+	parts   bool                  // it ends unless a request of it has been read
+	parcel  *Parcel               // it is on its way to another process
+	offered bool                  // or about to be
+	stays   bool                  // that one would not have it
 }
 
 // Up has nothing to do.
@@ -55,7 +55,7 @@
 	if v.inv != 0 && d.Owed(v.inv) {
 		d.Guard.Answer(v.inv, guard.Abandoned, e.String())
 		d.forget(v.inv, ledger.Abandoned)
-		d.Event(dispatch.Withdrawn{Inv: v.inv})
+		d.Event(dispatch.ClientDisconnected{Invocation: v.inv})
 	}
 }
 
--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -125,7 +125,7 @@
 			defer shut()
 			withdrawn := 0
 			d.Took, d.Event = func(*workers.Invocation, int) {}, func(e dispatch.Event) {
-				if _, is := e.(dispatch.Withdrawn); is {
+				if _, is := e.(dispatch.ClientDisconnected); is {
 					withdrawn++
 				}
 			}
@@ -174,9 +174,9 @@
 	defer worker.Close()
 	f := workers.NewFleet(l, d.site, l.Share(4))
 	id := netip.MustParseAddrPort(worker.Addr().String())
-	stand := func(s dispatch.Standing) {
-		f.List(discovery.List{Form: dispatch.ListDelta, Workers: []discovery.Worker{{UID: "s-1", Endpoint: id.String(),
-			Entry: dispatch.Entry{Worker: id, Standing: s}}}})
+	stand := func(s dispatch.EndpointState) {
+		f.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: id.String(),
+			Endpoint: dispatch.Endpoint{Worker: id, State: s}}}})
 	}
 	stand(dispatch.Ready)
 	f.Owed, f.Waits, f.Wrote = d.Owed, d.Waits, func() {}
@@ -197,7 +197,7 @@
 	}
 	c.Close()
 	until(l, "the end", func() bool { return len(ends) == 1 })
-	if o := ends[0].(dispatch.Outcome); o.Result != dispatch.NotSent || !o.Closed {
+	if o := ends[0].(dispatch.Outcome); o.Result != dispatch.NotSent || !o.Answered {
 		t.Errorf("%+v", o)
 	}
 	stand(dispatch.Gone)
@@ -340,7 +340,7 @@
 	}
 	c.Write([]byte(job))
 	until(l, "the job", func() bool { return d.InHand() == 1 })
-	d.Offer(1, func(dispatch.InvID) bool { return true }, func(given *Parcel) { p = given })
+	d.Offer(1, func(dispatch.InvocationID) bool { return true }, func(given *Parcel) { p = given })
 	l.After(0, func() {})
 	until(l, "the parcel", func() bool { return p != nil })
 	raw, err := p.Socket.SyscallConn()
@@ -413,7 +413,7 @@
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
 	// inv 1: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
 	// the other one keeps it: false
-	// dispatch.Withdrawn{Inv:1}
+	// dispatch.ClientDisconnected{Invocation:1}
 	// in hand: 0 0
 }
 
@@ -431,7 +431,7 @@
 	d.Event = func(e dispatch.Event) {
 		take(e)
 		if a, is := e.(dispatch.Arrival); is {
-			d.Throttle(a.Inv, 0)
+			d.Throttle(a.Invocation, 0)
 		}
 	}
 	for n, names := range [][2]string{{"gate", "gate"}, {"gate 7", "gate%207"}, {"gate 7/é", "gate%207%2F%C3%A9"}, {"gate%207", "gate%25207"},
--- a/internal/clients/pass.go
+++ b/internal/clients/pass.go
@@ -18,9 +18,9 @@
 	Socket syscall.Conn
 	Read   []byte
 	News   bool
-	Fresh  bool           // nothing has come over it yet
-	Silent time.Duration  // for so long, of a fresh one
-	Inv    dispatch.InvID // 0: it is idle
+	Fresh  bool                  // nothing has come over it yet
+	Silent time.Duration         // for so long, of a fresh one
+	Inv    dispatch.InvocationID // 0: it is idle
 
 	connection *connection
 	job        *inHand
@@ -29,7 +29,7 @@
 
 // Offer stops connections that could go to another process, and gives each to pass once nothing moves on it any more; most may
 // be under way. may tells whether an invocation can go as it stands.
-func (d *Door) Offer(most int, may func(dispatch.InvID) bool, pass func(*Parcel)) {
+func (d *Door) Offer(most int, may func(dispatch.InvocationID) bool, pass func(*Parcel)) {
 	under := 0
 	for v := range d.connections {
 		if v.offered {
@@ -63,7 +63,7 @@
 	return v.parcel == nil && !v.stays && !v.waits && !v.last && !v.parser.Started()
 }
 
-func (v *connection) offer(may func(dispatch.InvID) bool, pass func(*Parcel)) {
+func (v *connection) offer(may func(dispatch.InvocationID) bool, pass func(*Parcel)) {
 	d := v.door
 	if v.inv != 0 && !may(v.inv) || !v.passable() || v.c.Unsent() > 0 {
 		v.offered = false
@@ -151,7 +151,7 @@
 
 // Inherit takes a connection of another process in, with the invocation that waits on it, if any; inv is its name here. False:
 // there is no room for it.
-func (d *Door) Inherit(nc net.Conn, p Parcel, j *workers.Invocation, operation int, age time.Duration) (inv dispatch.InvID,
+func (d *Door) Inherit(nc net.Conn, p Parcel, j *workers.Invocation, operation int, age time.Duration) (inv dispatch.InvocationID,
 	kept bool) {
 	m := d.Manner()
 	if !m.Takes || m.Shuts && j == nil || j != nil && len(d.inHand) >= d.most || conn.Left(nc) || !d.share.Spare(0) {
@@ -191,10 +191,10 @@
 }
 
 // watch answers an invocation that the decisions have let go overdue.
-func (d *Door) watch(inv dispatch.InvID, j *inHand) {
+func (d *Door) watch(inv dispatch.InvocationID, j *inHand) {
 	j.overdue = d.loop.After(j.givenUp+overdue-d.loop.Now(), func() {
 		d.Counts.Overdue++
 		d.Fail(inv)
-		d.Event(dispatch.Withdrawn{Inv: inv})
+		d.Event(dispatch.ClientDisconnected{Invocation: inv})
 	})
 }
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -98,7 +98,7 @@
 	d.Holds(id, true)
 	d.Took(&workers.Invocation{Inv: inv, ID: id, Method: m.Method, Target: m.Target, Fields: onward(m, prefix), Body: m.Body,
 		GivenUp: givenUp, Hint: said}, operation)
-	arrival.Inv, arrival.Operation, arrival.Budget = inv, operation, givenUp-now
+	arrival.Invocation, arrival.Operation, arrival.Budget = inv, operation, givenUp-now
 	d.Event(arrival)
 }
 
--- a/internal/conn/dialled_test.go
+++ b/internal/conn/dialled_test.go
@@ -18,8 +18,8 @@
 		errno syscall.Errno
 		want  dispatch.Result
 	}{{unix.ECONNREFUSED, dispatch.Unreachable}, {unix.ECONNRESET, dispatch.Unreachable}, {unix.ETIMEDOUT, dispatch.Unreachable}, {unix.EHOSTUNREACH, dispatch.Unreachable},
-		{unix.EADDRNOTAVAIL, dispatch.Full}, {unix.ENETUNREACH, dispatch.Full}, {unix.ENOBUFS, dispatch.Full}, {unix.ENOMEM, dispatch.Full},
-		{unix.EMFILE, dispatch.Full}, {unix.ENFILE, dispatch.Full}, {unix.EAGAIN, dispatch.Full}, {unix.EINTR, dispatch.Full}} {
+		{unix.EADDRNOTAVAIL, dispatch.Rejected}, {unix.ENETUNREACH, dispatch.Rejected}, {unix.ENOBUFS, dispatch.Rejected}, {unix.ENOMEM, dispatch.Rejected},
+		{unix.EMFILE, dispatch.Rejected}, {unix.ENFILE, dispatch.Rejected}, {unix.EAGAIN, dispatch.Rejected}, {unix.EINTR, dispatch.Rejected}} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", c.errno)}
 		if e := dialled(fmt.Errorf("wrapped: %w", err)); e.Result() != c.want || !e.NeverRan() {
 			t.Errorf("%v ends %q, result %d", c.errno, e, e.Result())
--- a/internal/conn/ending.go
+++ b/internal/conn/ending.go
@@ -39,10 +39,10 @@
 // worker, which Unreachable would set aside.
 var results = [...]dispatch.Result{
 	Open: dispatch.TimedOut, Refused: dispatch.Unreachable, ConnectTimeout: dispatch.Unreachable,
-	NoDescriptor: dispatch.Full, WorkerUnavailable: dispatch.Unreachable, NotWritten: dispatch.Unreachable,
-	Closed: dispatch.Unfit, Reset: dispatch.Broken, Stale: dispatch.Dropped, Stalled: dispatch.TimedOut, Malformed: dispatch.Failed,
-	Rejected: dispatch.Full, Returned: dispatch.Full, WorkerError: dispatch.Failed, BadRequest: dispatch.Unfit, Lost: dispatch.Broken,
-	Succeeded: dispatch.Succeeded, TimedOut: dispatch.TimedOut, Cancelled: dispatch.Cancelled, LocalError: dispatch.Full, NotSent: dispatch.NotSent,
+	NoDescriptor: dispatch.Rejected, WorkerUnavailable: dispatch.Unreachable, NotWritten: dispatch.Unreachable,
+	Closed: dispatch.BadRequest, Reset: dispatch.ConnectionBroken, Stale: dispatch.ReusedConnectionBroken, Stalled: dispatch.TimedOut, Malformed: dispatch.Failed,
+	Rejected: dispatch.Rejected, Returned: dispatch.Rejected, WorkerError: dispatch.Failed, BadRequest: dispatch.BadRequest, Lost: dispatch.ConnectionBroken,
+	Succeeded: dispatch.Succeeded, TimedOut: dispatch.TimedOut, Cancelled: dispatch.Cancelled, LocalError: dispatch.Rejected, NotSent: dispatch.NotSent,
 }
 
 // Result is the module's word for the ending of a forward or a probe.
@@ -51,7 +51,7 @@
 // NeverRan tells whether it proves that nothing has run.
 func (e Ending) NeverRan() bool {
 	switch e.Result() {
-	case dispatch.Full, dispatch.Unreachable, dispatch.NotSent:
+	case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent:
 		return true
 	}
 	return false
--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -10,7 +10,7 @@
 // The sums of the budget, with the decisions' waits at the time to ask within that the service tells them.
 func TestBudget(t *testing.T) {
 	const within = 5 * time.Second // the service's toldWithin
-	first, most := dispatch.Again(within)
+	first, most := dispatch.EndpointBackoff(within)
 	for name, v := range map[string][2]time.Duration{
 		"a call is lost":              {firstWord + most + callTakes, toldAfter - graceLeft},
 		"a pushed call is lost":       {firstWord + 2*time.Second + callTakes, toldAfter - graceLeft},
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -135,7 +135,7 @@
 	w.Told = func(list List) {
 		show(list)
 		switch {
-		case list.Form == dispatch.ListFailed:
+		case list.Form == dispatch.WatchFailed:
 			loop.After(375*time.Millisecond, w.Watch) // the decisions' longest first wait
 		case fell == 0:
 			fell = loop.Now()
@@ -191,7 +191,7 @@
 		var came time.Duration
 		w.Failed = func(string) {}
 		w.Told = func(list List) {
-			if list.Form == dispatch.ListFailed {
+			if list.Form == dispatch.WatchFailed {
 				loop.After(time.Second, func() {
 					if !w.Stands() {
 						w.Watch()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -22,21 +22,21 @@
 
 // Worker is one entry: where it listens as seen from here, and what the module is told of it.
 type Worker struct {
-	UID, Endpoint string
-	dispatch.Entry
+	UID, Address string
+	dispatch.Endpoint
 }
 
 // List is news of the list, or that the watch has failed.
 type List struct {
-	Form    dispatch.Form
+	Form    dispatch.UpdateKind
 	Workers []Worker
 }
 
 // Listing is the module's part of it.
-func (l List) Listing() dispatch.Listing {
-	listing := dispatch.Listing{Form: l.Form}
+func (l List) Listing() dispatch.EndpointUpdate {
+	listing := dispatch.EndpointUpdate{Kind: l.Form}
 	for _, w := range l.Workers {
-		listing.Entries = append(listing.Entries, w.Entry)
+		listing.Endpoints = append(listing.Endpoints, w.Endpoint)
 	}
 	return listing
 }
@@ -140,7 +140,7 @@
 	}
 }
 
-var standings = map[string]dispatch.Standing{
+var standings = map[string]dispatch.EndpointState{
 	"Ready": dispatch.Ready, "Terminating": dispatch.Draining, "Gone": dispatch.Gone,
 }
 
@@ -150,9 +150,9 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return List{}, err
 	}
-	list := List{Form: dispatch.ListDelta}
+	list := List{Form: dispatch.DeltaUpdate}
 	if in.All {
-		list.Form = dispatch.ListWhole
+		list.Form = dispatch.FullUpdate
 	}
 	for _, t := range in.Targets {
 		standing, known := standings[t.State]
@@ -167,12 +167,12 @@
 		if t.UID == "" {
 			continue
 		}
-		e := dispatch.Entry{Worker: w.id(t.UID, addr), Zone: w.zones.at(t.AZ), Kind: w.kinds.at(t.Model),
-			Cell: t.PodGroup, Standing: standing}
+		e := dispatch.Endpoint{Worker: w.id(t.UID, addr), Zone: w.zones.at(t.AZ), Kind: w.kinds.at(t.Model),
+			Cell: t.PodGroup, State: standing}
 		if t.BootMS != 0 {
-			e.Restarted = true
+			e.StartKnown = true
 			e.StartedAt = w.starts.at(t.UID, t.BootMS)
-			e.Start = startName(t.UID, t.BootMS)
+			e.Incarnation = startName(t.UID, t.BootMS)
 		}
 		list.Workers = append(list.Workers, Worker{t.UID, t.Endpoint, e})
 	}
@@ -306,7 +306,7 @@
 		w.present = nil
 		w.failed++
 		w.Failed(why.Error())
-		w.Told(List{Form: dispatch.ListFailed})
+		w.Told(List{Form: dispatch.WatchFailed})
 	}
 }
 
@@ -394,7 +394,7 @@
 			// none that still tells.
 			n.alive()
 			if !n.stands && (n == n.present || n == n.elder || n.present == nil) {
-				n.told(List{Form: dispatch.ListDelta})
+				n.told(List{Form: dispatch.DeltaUpdate})
 			}
 		case complete:
 			n.alive()
@@ -418,7 +418,7 @@
 		return err
 	}
 	n.starts.heard() // behind it: its starts are held against the word before
-	if now := n.Watcher.rev; n != n.next && list.Form == dispatch.ListDelta && now < before {
+	if now := n.Watcher.rev; n != n.next && list.Form == dispatch.DeltaUpdate && now < before {
 		// Whoever tells this knows less than we do: its changes could bring back a worker that has gone.
 		return fmt.Errorf("changes go back from version %d to %d", before, now)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -24,7 +24,7 @@
 	fmt.Printf("form %d:", l.Form)
 	for _, w := range l.Workers {
 		fmt.Printf(" [%s %s zone %d kind %d cell %d standing %d restarted %v]", w.UID, w.Worker, w.Zone, w.Kind, w.Cell,
-			w.Standing, w.Restarted)
+			w.State, w.StartKnown)
 	}
 	fmt.Println()
 }
@@ -87,7 +87,7 @@
 	calls := 0
 	w.Told = func(list List) {
 		show(list)
-		if list.Form != dispatch.ListFailed {
+		if list.Form != dispatch.WatchFailed {
 			return
 		}
 		if calls++; calls == 4 {
@@ -127,7 +127,7 @@
 	asked := 0
 	w.Told = func(list List) {
 		show(list)
-		if list.Form != dispatch.ListFailed {
+		if list.Form != dispatch.WatchFailed {
 			return
 		}
 		if asked++; asked == 2 {
--- a/internal/guard/answer.go
+++ b/internal/guard/answer.go
@@ -19,7 +19,7 @@
 )
 
 // Answer enters a final answer, with why it was given, and gives the one that may be given: a refusal of what may have run becomes a failure.
-func (g *Guard) Answer(id dispatch.InvID, kind Kind, why string) Kind {
+func (g *Guard) Answer(id dispatch.InvocationID, kind Kind, why string) Kind {
 	if g == nil {
 		return kind
 	}
@@ -59,7 +59,7 @@
 }
 
 // Closed passes the end of a connection by our own doing, with the request that waits on it; 0: none does.
-func (g *Guard) Closed(id dispatch.InvID) {
+func (g *Guard) Closed(id dispatch.InvocationID) {
 	if g == nil || id == 0 {
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 // Give hands a request over to another process, which owes the answer from now on; the record can be taken back.
-func (g *Guard) Give(id dispatch.InvID) *Record {
+func (g *Guard) Give(id dispatch.InvocationID) *Record {
 	if g == nil || g.requests[id] == nil {
 		return nil
 	}
@@ -83,7 +83,7 @@
 type Record struct{ request *request }
 
 // TakeBack opens a request again that the other process would not have.
-func (g *Guard) TakeBack(id dispatch.InvID, r *Record) {
+func (g *Guard) TakeBack(id dispatch.InvocationID, r *Record) {
 	if r != nil {
 		g.requests[id] = r.request
 		g.note(id, "taken back")
@@ -100,7 +100,7 @@
 }
 
 // Inherit opens a request of another process, with its attempts.
-func (g *Guard) Inherit(id dispatch.InvID, terms Terms, attempts []Inherited) {
+func (g *Guard) Inherit(id dispatch.InvocationID, terms Terms, attempts []Inherited) {
 	g.Take(id, terms)
 	r, now := g.requests[id], g.clock()
 	for _, a := range attempts {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -49,7 +49,7 @@
 type Terms struct {
 	ID           string // that its client gave it
 	Effect       dispatch.Effect
-	Scope        dispatch.Scope
+	Scope        dispatch.DedupScope
 	Window       time.Duration // in which workers drop repeats
 	Deadline     time.Duration // its client timeout, by the loop's clock
 	MostAttempts int
@@ -59,13 +59,13 @@
 // Target is a worker as an attempt needs it.
 type Target struct {
 	Worker string // its uid
-	dispatch.Entry
+	dispatch.Endpoint
 }
 
 // Violation is reported once for each time that a rule would have been, or was, broken.
 type Violation struct {
 	Reason  Reason
-	Request dispatch.InvID
+	Request dispatch.InvocationID
 	ID      string
 	Worker  string
 	History []Transition // of that request, oldest first
@@ -80,12 +80,12 @@
 
 // Guard is one scheduler's. A nil one watches over no answers and ends of connections.
 type Guard struct {
-	ClientWaits func(dispatch.InvID) bool // asks at this very moment
-	Report      func(Violation)           // nil: nobody wants to know
+	ClientWaits func(dispatch.InvocationID) bool // asks at this very moment
+	Report      func(Violation)                  // nil: nobody wants to know
 	Counts      Counts
 
 	clock    func() time.Duration
-	requests map[dispatch.InvID]*request
+	requests map[dispatch.InvocationID]*request
 	history  history
 }
 
@@ -107,12 +107,12 @@
 
 // New makes a guard that reads the time from clock.
 func New(clock func() time.Duration) *Guard {
-	return &Guard{clock: clock, requests: map[dispatch.InvID]*request{},
+	return &Guard{clock: clock, requests: map[dispatch.InvocationID]*request{},
 		Counts: Counts{Stopped: map[Reason]int{}, Violations: map[Reason]int{}, Retries: map[string]int{}}}
 }
 
 // Take opens a request that has been read.
-func (g *Guard) Take(id dispatch.InvID, terms Terms) {
+func (g *Guard) Take(id dispatch.InvocationID, terms Terms) {
 	g.requests[id] = &request{Terms: terms}
 	g.history.add(Transition{At: g.clock(), Request: id, ID: terms.ID, Event: "taken"})
 }
@@ -128,7 +128,7 @@
 func (g *Guard) Open() int { return len(g.requests) }
 
 // History lists what is still known of a request, oldest first.
-func (g *Guard) History(id dispatch.InvID) []Transition { return g.history.of(id) }
+func (g *Guard) History(id dispatch.InvocationID) []Transition { return g.history.of(id) }
 
 // HistoryByID lists what is still known of the last request to which its client gave that id.
 func (g *Guard) HistoryByID(id string) []Transition {
@@ -138,12 +138,12 @@
 	return nil
 }
 
-func (g *Guard) note(id dispatch.InvID, event string) {
+func (g *Guard) note(id dispatch.InvocationID, event string) {
 	g.history.add(Transition{At: g.clock(), Request: id, Event: event})
 }
 
 // violate counts a violation and reports it.
-func (g *Guard) violate(why Reason, id dispatch.InvID, worker string) {
+func (g *Guard) violate(why Reason, id dispatch.InvocationID, worker string) {
 	g.Counts.Violations[why]++
 	g.note(id, "VIOLATION: "+string(why))
 	if g.Report == nil || g.Counts.Violations[why] > reportsMost {
@@ -160,7 +160,7 @@
 }
 
 // settle forgets a request of which nothing is outstanding.
-func (g *Guard) settle(id dispatch.InvID, r *request) {
+func (g *Guard) settle(id dispatch.InvocationID, r *request) {
 	if !r.answered {
 		return
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -24,7 +24,7 @@
 }
 
 func at(worker string, zone int) Target {
-	return Target{Worker: worker, Entry: dispatch.Entry{Standing: dispatch.Ready, Zone: zone}}
+	return Target{Worker: worker, Endpoint: dispatch.Endpoint{State: dispatch.Ready, Zone: zone}}
 }
 
 // send asks for an attempt, and has it written where it may be.
@@ -92,7 +92,7 @@
 func TestStops(t *testing.T) {
 	ready := at("s-1", 0)
 	drains, moved, anew := ready, ready, ready
-	drains.Standing, moved.Cell, anew.Start = dispatch.Draining, 3, 7
+	drains.State, moved.Cell, anew.Incarnation = dispatch.Draining, 3, 7
 	for _, c := range []struct {
 		a    Attempt
 		left bool
@@ -103,7 +103,7 @@
 		{Attempt{Now: ready, Timeout: time.Second, Least: time.Millisecond}, false, TimeoutPassed},
 	} {
 		d := open(Terms{})
-		d.ClientWaits = func(dispatch.InvID) bool { return !c.left }
+		d.ClientWaits = func(dispatch.InvocationID) bool { return !c.left }
 		if c.a.Request, c.a.Chosen = 1, ready; c.a.Timeout == 0 {
 			c.a.Timeout = time.Hour
 		}
--- a/internal/guard/history.go
+++ b/internal/guard/history.go
@@ -13,7 +13,7 @@
 // Transition is one step of a request.
 type Transition struct {
 	At      time.Duration // since the start of the process
-	Request dispatch.InvID
+	Request dispatch.InvocationID
 	ID      string // that its client gave it; told where it is taken
 	Attempt int
 	Worker  string // empty: it concerns no attempt
@@ -44,7 +44,7 @@
 }
 
 // last finds the last request that was taken under an id.
-func (h *history) last(id string) (request dispatch.InvID, known bool) {
+func (h *history) last(id string) (request dispatch.InvocationID, known bool) {
 	for n := range h.ring {
 		if t := h.ring[(h.next+n)%len(h.ring)]; t.ID == id && id != "" {
 			request, known = t.Request, true
@@ -53,7 +53,7 @@
 	return request, known
 }
 
-func (h *history) of(id dispatch.InvID) (all []Transition) {
+func (h *history) of(id dispatch.InvocationID) (all []Transition) {
 	for n := range h.ring {
 		if t := h.ring[(h.next+n)%len(h.ring)]; t.Request == id {
 			all = append(all, t)
--- a/internal/guard/send.go
+++ b/internal/guard/send.go
@@ -9,7 +9,7 @@
 
 // Attempt is one that is about to be written.
 type Attempt struct {
-	Request dispatch.InvID
+	Request dispatch.InvocationID
 	Number  int
 	Chosen  Target        // the worker as it was when it was chosen
 	Now     Target        // and as the list has it now
@@ -46,9 +46,9 @@
 // worker tells what has become of the worker since it was chosen.
 func (a Attempt) worker() Reason {
 	switch {
-	case a.Now.Standing != dispatch.Ready:
+	case a.Now.State != dispatch.Ready:
 		return WorkerUnavailable
-	case a.Now.Start != a.Chosen.Start:
+	case a.Now.Incarnation != a.Chosen.Incarnation:
 		return WorkerRestarted
 	case a.Now.Zone != a.Chosen.Zone || a.Now.Cell != a.Chosen.Cell:
 		return WorkerMoved
@@ -113,7 +113,7 @@
 }
 
 // Ended enters how an attempt has ended; ran: it may have run.
-func (g *Guard) Ended(id dispatch.InvID, number int, ending string, ran bool) {
+func (g *Guard) Ended(id dispatch.InvocationID, number int, ending string, ran bool) {
 	g.history.add(Transition{At: g.clock(), Request: id, Attempt: number, Event: "ended: " + ending})
 	r := g.requests[id]
 	if r == nil {
