--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -19,10 +19,10 @@
 type Policy struct {
 	name    string
 	rng     *rand.Rand
-	dep     dispatch.Deployment
+	dep     dispatch.Config
 	ready   []dispatch.WorkerID
 	out     map[dispatch.WorkerID]int
-	held    map[dispatch.InvID]*held
+	held    map[dispatch.InvocationID]*held
 	order   []*held // by deadline as they came
 	now     time.Duration
 	asked   time.Duration
@@ -31,7 +31,7 @@
 }
 
 type held struct {
-	inv    dispatch.InvID
+	inv    dispatch.InvocationID
 	op     int
 	due    time.Duration
 	sent   int
@@ -46,12 +46,12 @@
 )
 
 // New makes one.
-func New(name string, dep dispatch.Deployment, seed uint64) (*Policy, error) {
+func New(name string, dep dispatch.Config, seed uint64) (*Policy, error) {
 	if !slices.Contains(Names, name) {
 		return nil, fmt.Errorf("%q is none of %v", name, Names)
 	}
 	return &Policy{name: name, rng: rand.New(rand.NewPCG(seed, 1)), dep: dep, out: map[dispatch.WorkerID]int{},
-		held: map[dispatch.InvID]*held{}, asked: -time.Hour}, nil
+		held: map[dispatch.InvocationID]*held{}, asked: -time.Hour}, nil
 }
 
 // Handle takes the events of one moment.
@@ -62,7 +62,7 @@
 	}
 	if !p.follows && now >= p.asked+askAgain {
 		p.asked, p.follows = now, true
-		p.do(dispatch.Follow{})
+		p.do(dispatch.WatchEndpoints{})
 	}
 	for len(p.order) > 0 && (p.order[0].over || p.order[0].due <= now) {
 		if h := p.order[0]; !h.over {
@@ -76,24 +76,24 @@
 			next = min(next, h.due)
 		}
 	}
-	return append(p.todo, dispatch.Wake{At: next})
+	return append(p.todo, dispatch.SetTimer{At: next})
 }
 
 func (p *Policy) do(a dispatch.Action) { p.todo = append(p.todo, a) }
 
 func (p *Policy) take(e dispatch.Event) {
 	switch e := e.(type) {
-	case dispatch.Listing:
+	case dispatch.EndpointUpdate:
 		p.list(e)
 	case dispatch.Arrival:
-		h := &held{inv: e.Inv, op: e.Operation, due: p.now + e.Budget - margin}
-		p.held[e.Inv] = h
+		h := &held{inv: e.Invocation, op: e.Operation, due: p.now + e.Budget - margin}
+		p.held[e.Invocation] = h
 		at, _ := slices.BinarySearchFunc(p.order, h, func(a, b *held) int { return int(a.due - b.due) })
 		p.order = slices.Insert(p.order, at, h)
 		p.send(h)
 	case dispatch.Outcome:
 		p.out[e.Worker]--
-		h := p.held[e.Inv]
+		h := p.held[e.Invocation]
 		if h == nil {
 			return
 		}
@@ -102,38 +102,38 @@
 		case dispatch.Succeeded:
 			p.drop(h)
 			return
-		case dispatch.Full, dispatch.Unreachable, dispatch.NotSent:
+		case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent:
 		default:
 			h.mayRun = true
 		}
-		if h.over || e.Closed {
+		if h.over || e.Answered {
 			p.drop(h)
 			return
 		}
 		if h.out == 0 {
 			p.again(h)
 		}
-	case dispatch.Withdrawn:
-		if h := p.held[e.Inv]; h != nil {
+	case dispatch.ClientDisconnected:
+		if h := p.held[e.Invocation]; h != nil {
 			p.drop(h)
 		}
 	}
 }
 
-func (p *Policy) list(l dispatch.Listing) {
-	if l.Form == dispatch.ListFailed {
+func (p *Policy) list(l dispatch.EndpointUpdate) {
+	if l.Kind == dispatch.WatchFailed {
 		p.follows = false
 		return
 	}
-	if l.Form == dispatch.ListWhole {
+	if l.Kind == dispatch.FullUpdate {
 		p.ready = p.ready[:0]
 	}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		at := slices.Index(p.ready, e.Worker)
 		switch {
-		case e.Standing == dispatch.Ready && at < 0:
+		case e.State == dispatch.Ready && at < 0:
 			p.ready = append(p.ready, e.Worker)
-		case e.Standing != dispatch.Ready && at >= 0:
+		case e.State != dispatch.Ready && at >= 0:
 			p.ready = slices.Delete(p.ready, at, at+1)
 		}
 	}
@@ -142,7 +142,7 @@
 // again sends once more what may be sent once more.
 func (p *Policy) again(h *held) {
 	repeatable := !h.mayRun || p.dep.Operations[h.op].Effect == dispatch.Idempotent
-	if repeatable && h.sent < max(1, p.dep.Allowed.MaxForwards) && p.now < h.due {
+	if repeatable && h.sent < max(1, p.dep.Limits.MaxAttempts) && p.now < h.due {
 		p.send(h)
 		return
 	}
@@ -151,9 +151,9 @@
 
 func (p *Policy) giveUp(h *held) {
 	if h.mayRun || h.out > 0 {
-		p.do(dispatch.Errored{Inv: h.inv})
+		p.do(dispatch.Fail{Invocation: h.inv})
 	} else {
-		p.do(dispatch.Throttled{Inv: h.inv})
+		p.do(dispatch.Throttle{Invocation: h.inv})
 	}
 	if h.over = true; h.out == 0 {
 		p.drop(h)
@@ -189,5 +189,5 @@
 	p.out[to]++
 	h.sent++
 	h.out++
-	p.do(dispatch.Forward{Inv: h.inv, Worker: to})
+	p.do(dispatch.Forward{Invocation: h.inv, Worker: to})
 }
--- a/internal/lab/scale/list_test.go
+++ b/internal/lab/scale/list_test.go
@@ -48,7 +48,7 @@
 		}
 		fleet.List(list)
 		core.Handle(time.Second, []dispatch.Event{list.Listing()})
-		core.Handle(2*time.Second, []dispatch.Event{dispatch.Due{}})
+		core.Handle(2*time.Second, []dispatch.Event{dispatch.TimerFired{}})
 		known = fleet.Listed()
 	})
 	return allocations, known
--- a/internal/lab/scale/others.go
+++ b/internal/lab/scale/others.go
@@ -115,15 +115,15 @@
 		case <-o.ctx.Done():
 			return
 		}
-		o.send(at, to, dispatch.Note{Kind: dispatch.NoteSent, Serial: serial, Tag: o.kept[to][chance.IntN(len(o.kept[to]))]})
+		o.send(at, to, dispatch.GossipEntry{Kind: dispatch.GossipAttemptStarted, Serial: serial, Tag: o.kept[to][chance.IntN(len(o.kept[to]))]})
 		time.AfterFunc(min(s.run(), 4*time.Second), func() {
-			o.send(at, to, dispatch.Note{Kind: dispatch.NoteEnded, Serial: serial})
+			o.send(at, to, dispatch.GossipEntry{Kind: dispatch.GossipAttemptEnded, Serial: serial})
 		})
 	}
 }
 
-func (o *others) send(at, to int, n dispatch.Note) {
-	for _, memo := range dispatch.Memos([]dispatch.Note{n}) {
+func (o *others) send(at, to int, n dispatch.GossipEntry) {
+	for _, memo := range dispatch.EncodeGossip([]dispatch.GossipEntry{n}) {
 		b := binary.BigEndian.AppendUint16([]byte{1}, uint16(len(o.p.Peers)+at))
 		b = binary.BigEndian.AppendUint64(b, o.epoch)
 		b = binary.BigEndian.AppendUint32(b, o.counts[at].Add(1))
@@ -153,20 +153,20 @@
 			o.strange.Add(1)
 			continue
 		}
-		notes, sound := dispatch.ReadMemo(b[15:n])
+		notes, sound := dispatch.DecodeGossip(b[15:n])
 		if !sound {
 			o.strange.Add(1)
 		}
 		for _, note := range notes {
 			switch note.Kind {
-			case dispatch.NoteSent, dispatch.NoteAsk:
+			case dispatch.GossipAttemptStarted, dispatch.GossipCapacityQuery:
 				if !o.tags[note.Tag] {
 					o.strange.Add(1)
 				}
 			}
-			if note.Kind == dispatch.NoteAsk {
+			if note.Kind == dispatch.GossipCapacityQuery {
 				free := max(0, float64(o.p.Scenario.Slots)-o.p.Scenario.Others)
-				o.send(at, who, dispatch.Note{Kind: dispatch.NoteFree, Serial: uint8(int8(min(free, 99))), Tag: note.Tag})
+				o.send(at, who, dispatch.GossipEntry{Kind: dispatch.GossipCapacityReply, Serial: uint8(int8(min(free, 99))), Tag: note.Tag})
 			}
 		}
 	}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	site.Deployment.TellsTaken = true
+	site.Deployment.NotifiesAccepted = true
 	return dispatch.New(site.Deployment, seed), nil
 }
 
@@ -184,8 +184,8 @@
 	if s.life == 1 {
 		s.rev = d.World.List.Rev()
 	}
-	d.event(s, d.listing(s, d.World.List.Whole(), dispatch.ListWhole))
-	d.event(s, dispatch.Due{})
+	d.event(s, d.listing(s, d.World.List.Whole(), dispatch.FullUpdate))
+	d.event(s, dispatch.TimerFired{})
 }
 
 func (d *Day) event(s *scheduler, e dispatch.Event) {
@@ -236,19 +236,19 @@
 	switch a := action.(type) {
 	case dispatch.Forward:
 		d.forward(s, a)
-	case dispatch.Throttled:
-		d.answer(s, s.tries[int64(a.Inv)], world.Throttled, a.After)
-	case dispatch.Errored:
-		d.answer(s, s.tries[int64(a.Inv)], world.Errored, 0)
+	case dispatch.Throttle:
+		d.answer(s, s.tries[int64(a.Invocation)], world.Throttled, a.RetryAfter)
+	case dispatch.Fail:
+		d.answer(s, s.tries[int64(a.Invocation)], world.Errored, 0)
 	case dispatch.Cancel:
-		if t := s.tries[int64(a.Inv)]; t != nil && a.Forward < len(t.forwards) {
-			d.cancel(s, t.forwards[a.Forward])
+		if t := s.tries[int64(a.Invocation)]; t != nil && a.Attempt < len(t.forwards) {
+			d.cancel(s, t.forwards[a.Attempt])
 		}
-	case dispatch.Probe:
+	case dispatch.HealthCheck:
 		d.probe(s, a.Worker)
-	case dispatch.Wake:
+	case dispatch.SetTimer:
 		d.wake(s, a.At+s.base)
-	case dispatch.Follow:
+	case dispatch.WatchEndpoints:
 		d.follow(s)
 	case dispatch.Log:
 		if d.Log != nil {
@@ -266,7 +266,7 @@
 	d.at(at, func() {
 		if s.life == life && s.wakeAt == at {
 			s.wakeAt = world.Never
-			d.event(s, dispatch.Due{})
+			d.event(s, dispatch.TimerFired{})
 		}
 	})
 }
@@ -305,7 +305,7 @@
 		d.World.Judge.Offered(d.now, s.number, j)
 		t := &try{job: j, life: life}
 		s.tries[j.ID] = t
-		d.event(s, dispatch.Arrival{Inv: dispatch.InvID(j.ID), Operation: j.Op, Tenant: j.Tenant,
+		d.event(s, dispatch.Arrival{Invocation: dispatch.InvocationID(j.ID), Operation: j.Op, Tenant: j.Tenant,
 			Budget: j.Deadline - d.now - early, Hint: j.Hint, Slots: float64(j.Slots)})
 		d.at(j.Deadline-early, func() { d.overdue(s, t) })
 		d.at(j.Deadline+d.s.Rules.AnswerSlack.D(), func() { d.replied(j, world.Unanswered, 0) })
@@ -337,7 +337,7 @@
 	d.replied(j, world.Left, 0)
 	if t := s.tries[j.ID]; t != nil && s.life == life && s.up && !t.answered {
 		t.answered = true
-		d.event(s, dispatch.Withdrawn{Inv: dispatch.InvID(j.ID)})
+		d.event(s, dispatch.ClientDisconnected{Invocation: dispatch.InvocationID(j.ID)})
 	}
 }
 
@@ -372,7 +372,7 @@
 
 // forward sends an attempt.
 func (d *Day) forward(s *scheduler, a dispatch.Forward) {
-	t := s.tries[int64(a.Inv)]
+	t := s.tries[int64(a.Invocation)]
 	machine := machineOf(a.Worker)
 	if t == nil || machine >= len(d.World.Fleet.Machines) {
 		return
@@ -440,19 +440,19 @@
 		case world.Taken:
 			d.free(s, f.Machine)
 			if !f.over {
-				d.event(s, dispatch.Sign{Inv: dispatch.InvID(f.Job.ID), Worker: d.id(f.Machine), Forward: f.Forward, Taken: true})
+				d.event(s, dispatch.AttemptProgress{Invocation: dispatch.InvocationID(f.Job.ID), Worker: d.id(f.Machine), Attempt: f.Forward, Accepted: true})
 			}
 		case world.TurnedAway:
 			d.free(s, f.Machine)
-			d.outcome(s, f, dispatch.Full, nil, "turned away")
+			d.outcome(s, f, dispatch.Rejected, nil, "turned away")
 		case world.Fails:
 			d.free(s, f.Machine)
 			d.outcome(s, f, dispatch.Failed, nil, "failed at once")
 		case world.Breaks:
-			d.outcome(s, f, dispatch.Broken, nil, "the connection broke")
+			d.outcome(s, f, dispatch.ConnectionBroken, nil, "the connection broke")
 		case world.NoConnection:
 			if kept { // it had gone, and the connection with it
-				d.outcome(s, f, dispatch.Dropped, nil, "a kept connection broke")
+				d.outcome(s, f, dispatch.ReusedConnectionBroken, nil, "a kept connection broke")
 			} else {
 				d.outcome(s, f, dispatch.Unreachable, nil, "could not connect")
 			}
@@ -464,18 +464,18 @@
 
 // unrun are the ends that prove that nothing has run.
 func unrun(r dispatch.Result) bool {
-	return r == dispatch.Full || r == dispatch.Unreachable || r == dispatch.NotSent
+	return r == dispatch.Rejected || r == dispatch.Unreachable || r == dispatch.NotSent
 }
 
 // outcome ends an attempt for its scheduler, once.
-func (d *Day) outcome(s *scheduler, f *forward, r dispatch.Result, load *dispatch.Load, why string) {
+func (d *Day) outcome(s *scheduler, f *forward, r dispatch.Result, load *dispatch.LoadReport, why string) {
 	if f.over || s.life != f.try.life || !s.up {
 		return
 	}
 	f.over = true
 	d.World.Judge.Ended(d.now, f.Job, f.Forward, unrun(r), why)
-	d.event(s, dispatch.Outcome{Inv: dispatch.InvID(f.Job.ID), Worker: d.id(f.Machine), Forward: f.Forward, Result: r,
-		Closed: f.try.answered, Load: load})
+	d.event(s, dispatch.Outcome{Invocation: dispatch.InvocationID(f.Job.ID), Worker: d.id(f.Machine), Attempt: f.Forward, Result: r,
+		Answered: f.try.answered, Load: load})
 }
 
 func (d *Day) cancel(s *scheduler, f *forward) {
@@ -500,7 +500,7 @@
 		if f.over || s.life != t.life || !s.up {
 			return
 		}
-		note := dispatch.Sign{Inv: dispatch.InvID(a.Job.ID), Worker: d.id(a.Machine), Forward: a.Forward, Done: share}
+		note := dispatch.AttemptProgress{Invocation: dispatch.InvocationID(a.Job.ID), Worker: d.id(a.Machine), Attempt: a.Forward, Done: share}
 		switch sign {
 		case world.Started:
 			note.Started = true
@@ -515,9 +515,9 @@
 		case world.Failed:
 			d.outcome(s, f, dispatch.Failed, nil, "failed")
 		case world.Returned:
-			d.outcome(s, f, dispatch.Full, nil, "returned unstarted")
+			d.outcome(s, f, dispatch.Rejected, nil, "returned unstarted")
 		case world.Lost:
-			d.outcome(s, f, dispatch.Broken, nil, "lost with its process")
+			d.outcome(s, f, dispatch.ConnectionBroken, nil, "lost with its process")
 		}
 	})
 }
@@ -529,12 +529,12 @@
 		return
 	}
 	d.World.Tally.Probes++
-	answer := func(r dispatch.Result, load *dispatch.Load) {
+	answer := func(r dispatch.Result, load *dispatch.LoadReport) {
 		if over || s.life != life || !s.up {
 			return
 		}
 		over = true
-		d.event(s, dispatch.Answer{Worker: id, Result: r, Took: d.now - asked, Load: load})
+		d.event(s, dispatch.HealthCheckResult{Worker: id, Result: r, Latency: d.now - asked, Load: load})
 	}
 	d.connect(s, machine, func(bool) {
 		d.after(d.way(s, machine), func() {
@@ -562,19 +562,19 @@
 	})
 }
 
-func (d *Day) load(r *world.Report) *dispatch.Load {
+func (d *Day) load(r *world.Report) *dispatch.LoadReport {
 	if r == nil {
 		return nil
 	}
-	load := dispatch.NoLoad
+	load := dispatch.UnknownLoad
 	for _, name := range d.s.Reports.Fields {
 		switch name {
 		case "free_slots":
 			load.FreeSlots = r.FreeSlots
 		case "waiting":
-			load.Waiting = r.Waiting
+			load.Queued = r.Waiting
 		case "active":
-			load.InHand = r.Active
+			load.InFlight = r.Active
 		case "service_ms":
 			load.ServiceTime = r.ServiceMs
 		}
@@ -592,7 +592,7 @@
 			return
 		}
 		if !answered || d.World.List.Dead() {
-			d.event(s, dispatch.Listing{Form: dispatch.ListFailed})
+			d.event(s, dispatch.EndpointUpdate{Kind: dispatch.WatchFailed})
 			return
 		}
 		s.watches = true
@@ -604,7 +604,7 @@
 func (d *Day) bring(s *scheduler) {
 	entries := d.World.List.Since(s.rev)
 	s.rev = d.World.List.Rev()
-	d.event(s, d.listing(s, entries, dispatch.ListDelta))
+	d.event(s, d.listing(s, entries, dispatch.DeltaUpdate))
 }
 
 func (d *Day) listChanged(now time.Duration, _ int) {
@@ -630,26 +630,26 @@
 		life := s.life
 		d.at(now, func() {
 			if s.life == life {
-				d.event(s, dispatch.Listing{Form: dispatch.ListFailed})
+				d.event(s, dispatch.EndpointUpdate{Kind: dispatch.WatchFailed})
 			}
 		})
 	}
 }
 
 // listing is what the module is told of entries, whose times count from its start.
-func (d *Day) listing(s *scheduler, entries []world.Entry, form dispatch.Form) dispatch.Listing {
-	l := dispatch.Listing{Form: form}
+func (d *Day) listing(s *scheduler, entries []world.Entry, form dispatch.UpdateKind) dispatch.EndpointUpdate {
+	l := dispatch.EndpointUpdate{Kind: form}
 	for _, e := range entries {
 		m := d.World.Fleet.Machines[e.Machine]
-		w := dispatch.Entry{Worker: d.id(e.Machine), Zone: m.Zone, Kind: m.Kind, Cell: m.Zone, Standing: dispatch.Standing(e.Standing)}
+		w := dispatch.Endpoint{Worker: d.id(e.Machine), Zone: m.Zone, Kind: m.Kind, Cell: m.Zone, State: dispatch.EndpointState(e.Standing)}
 		if e.StartedAt >= 0 {
-			w.Restarted, w.StartedAt = true, e.StartedAt-s.base
+			w.StartKnown, w.StartedAt = true, e.StartedAt-s.base
 			h := fnv.New64a()
 			fmt.Fprint(h, m.UID, e.StartedAt)
-			w.Start = h.Sum64()
+			w.Incarnation = h.Sum64()
 		}
 		d.World.Judge.Told(d.now, s.number, e.Machine, e.Standing)
-		l.Entries = append(l.Entries, w)
+		l.Endpoints = append(l.Endpoints, w)
 	}
 	return l
 }
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -199,7 +199,7 @@
 				if first == nil {
 					first = &f.Worker
 				}
-				actions[i] = dispatch.Forward{Inv: f.Inv, Worker: *first}
+				actions[i] = dispatch.Forward{Invocation: f.Invocation, Worker: *first}
 			}
 		}
 		return actions
@@ -216,8 +216,8 @@
 		{"twice answered", "one answer", small, spoilt(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
 			return func(_ time.Duration, actions []dispatch.Action) []dispatch.Action {
 				for _, a := range actions {
-					if f, is := a.(dispatch.Forward); is && f.Inv%7 == 0 {
-						return append(actions, dispatch.Errored{Inv: f.Inv}, dispatch.Errored{Inv: f.Inv})
+					if f, is := a.(dispatch.Forward); is && f.Invocation%7 == 0 {
+						return append(actions, dispatch.Fail{Invocation: f.Invocation}, dispatch.Fail{Invocation: f.Invocation})
 					}
 				}
 				return actions
@@ -228,7 +228,7 @@
 				return func(_ time.Duration, actions []dispatch.Action) (kept []dispatch.Action) {
 					for _, a := range actions {
 						switch a.(type) {
-						case dispatch.Throttled, dispatch.Errored:
+						case dispatch.Throttle, dispatch.Fail:
 						default:
 							kept = append(kept, a)
 						}
--- a/internal/peers/capacity_test.go
+++ b/internal/peers/capacity_test.go
@@ -28,7 +28,7 @@
 				loop := conn.NewLoop(time.Now())
 				r := newRoad(loop, addrs, 0, 1)
 				other := &Road{loop: loop, addrs: addrs, me: schedulers - 1, epoch: 1, senders: map[int]sender{}}
-				notes, who, size := []dispatch.Note{{Kind: dispatch.NoteSent, Serial: 7, Tag: 99}}, schedulers-1, 0
+				notes, who, size := []dispatch.GossipEntry{{Kind: dispatch.GossipAttemptStarted, Serial: 7, Tag: 99}}, schedulers-1, 0
 				if to == "all" {
 					who = -1
 				}
@@ -73,7 +73,7 @@
 	wrong, sent := 0, 0
 	send := func() {
 		f := forward{sent, chance.IntN(keepers)}
-		books[f.keeper][dispatch.Note{Serial: uint8(sent)}.Serial] = sent
+		books[f.keeper][dispatch.GossipEntry{Serial: uint8(sent)}.Serial] = sent
 		all, sent = append(all, f), sent+1
 	}
 	for range out {
--- a/internal/peers/forms_test.go
+++ b/internal/peers/forms_test.go
@@ -18,15 +18,15 @@
 const goldenNumber, goldenEpoch, goldenCount = 0x0102, 0x030405060708090a, 0x0b0c0d0e
 
 // goldenNotes has each kind of note with all that it carries, by itself, then all kinds in one call, then more than one datagram holds.
-func goldenNotes() (calls [][]dispatch.Note) {
-	kinds := []dispatch.Note{{Kind: dispatch.NoteAnew}, {Kind: dispatch.NoteSent, Serial: 0x21, Tag: 0x7fedc},
-		{Kind: dispatch.NoteEnded, Serial: 0x43}, {Kind: dispatch.NoteAsk, Tag: 0x5a9b8}, {Kind: dispatch.NoteFree, Serial: 0xfe, Tag: 0x12345}}
-	var many []dispatch.Note
+func goldenNotes() (calls [][]dispatch.GossipEntry) {
+	kinds := []dispatch.GossipEntry{{Kind: dispatch.GossipRestarted}, {Kind: dispatch.GossipAttemptStarted, Serial: 0x21, Tag: 0x7fedc},
+		{Kind: dispatch.GossipAttemptEnded, Serial: 0x43}, {Kind: dispatch.GossipCapacityQuery, Tag: 0x5a9b8}, {Kind: dispatch.GossipCapacityReply, Serial: 0xfe, Tag: 0x12345}}
+	var many []dispatch.GossipEntry
 	for n := range 100 {
-		many = append(many, dispatch.Note{Kind: dispatch.NoteSent, Serial: uint8(n + 1), Tag: uint32(n+1) * 5000})
+		many = append(many, dispatch.GossipEntry{Kind: dispatch.GossipAttemptStarted, Serial: uint8(n + 1), Tag: uint32(n+1) * 5000})
 	}
 	for _, n := range kinds {
-		calls = append(calls, []dispatch.Note{n})
+		calls = append(calls, []dispatch.GossipEntry{n})
 	}
 	return append(calls, kinds, many)
 }
@@ -52,7 +52,7 @@
 	}
 	recorded := golden(t, "datagrams.hex", []byte(lines.String()))
 
-	var wanted, got []dispatch.Note
+	var wanted, got []dispatch.GossipEntry
 	for _, notes := range goldenNotes() {
 		wanted = append(wanted, notes...)
 	}
@@ -66,7 +66,7 @@
 		if !ok || told.From != goldenNumber {
 			t.Fatal(line, ok, told.From)
 		}
-		got = append(got, told.Notes...)
+		got = append(got, told.Entries...)
 	}
 	if diff := cmp.Diff(wanted, got); diff != "" {
 		t.Error(diff)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,7 +40,7 @@
 // Road is one scheduler's way to the others.
 type Road struct {
 	Counts Counts
-	Told   func(dispatch.Told)
+	Told   func(dispatch.GossipReceived)
 
 	loop    *conn.Loop
 	addrs   []netip.AddrPort // by number
@@ -124,7 +124,7 @@
 }
 
 func (r *Road) read(socket *net.UDPConn) {
-	buffer := make([]byte, header+dispatch.MemoMost+1) // one byte more shows what is too long
+	buffer := make([]byte, header+dispatch.MaxGossipBytes+1) // one byte more shows what is too long
 	for {
 		n, from, err := socket.ReadFromUDPAddrPort(buffer)
 		select {
@@ -161,7 +161,7 @@
 }
 
 // sift reads a datagram. It takes nothing of one that is broken, foreign or from before its sender's last start.
-func (r *Road) sift(from netip.AddrPort, b []byte) (told dispatch.Told, ok bool) {
+func (r *Road) sift(from netip.AddrPort, b []byte) (told dispatch.GossipReceived, ok bool) {
 	if len(b) < header || b[0] != version {
 		r.Counts.Broken.Add(1)
 		return told, false
@@ -171,7 +171,7 @@
 		r.Counts.Foreign.Add(1)
 		return told, false
 	}
-	notes, ok := dispatch.ReadMemo(b[header:])
+	notes, ok := dispatch.DecodeGossip(b[header:])
 	if !ok {
 		r.Counts.Broken.Add(1)
 		return told, false
@@ -193,12 +193,12 @@
 	}
 	s.heard = r.now
 	r.senders[number] = s
-	return dispatch.Told{From: number, Notes: notes}, true
+	return dispatch.GossipReceived{From: number, Entries: notes}, true
 }
 
 // Send tells another scheduler, or all where to is below 0. It never waits.
-func (r *Road) Send(to int, notes []dispatch.Note) {
-	for _, memo := range dispatch.Memos(notes) {
+func (r *Road) Send(to int, notes []dispatch.GossipEntry) {
+	for _, memo := range dispatch.EncodeGossip(notes) {
 		r.count++
 		b := append(make([]byte, 0, header+len(memo)), version)
 		b = binary.BigEndian.AppendUint16(b, uint16(r.me))
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -25,14 +25,14 @@
 }
 
 // open makes a road whose number is 0 and which runs; heard gathers what it takes.
-func open(t *testing.T, others ...netip.AddrPort) (r *Road, heard chan dispatch.Told) {
+func open(t *testing.T, others ...netip.AddrPort) (r *Road, heard chan dispatch.GossipReceived) {
 	t.Helper()
 	c, own := stand(t)
 	c.Close()
 	loop := conn.NewLoop(time.Now())
-	heard = make(chan dispatch.Told, 1000)
+	heard = make(chan dispatch.GossipReceived, 1000)
 	r = Open(loop, append([]netip.AddrPort{own}, others...), 0, time.Now(), func(err error) { t.Log(err) })
-	r.Told = func(told dispatch.Told) { heard <- told }
+	r.Told = func(told dispatch.GossipReceived) { heard <- told }
 	ended := make(chan struct{})
 	go func() { loop.Run(func() {}); close(ended) }()
 	t.Cleanup(func() { r.Close(); loop.Order(stopper{loop}); <-ended })
@@ -43,13 +43,13 @@
 
 func (s stopper) Take() { s.Stop() }
 
-func frame(number uint16, epoch uint64, count uint32, notes ...dispatch.Note) []byte {
+func frame(number uint16, epoch uint64, count uint32, notes ...dispatch.GossipEntry) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{version}, number)
 	b = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(b, epoch), count)
-	return append(b, dispatch.Memos(notes)[0]...)
+	return append(b, dispatch.EncodeGossip(notes)[0]...)
 }
 
-var word = dispatch.Note{Kind: dispatch.NoteSent, Serial: 5, Tag: 77}
+var word = dispatch.GossipEntry{Kind: dispatch.GossipAttemptStarted, Serial: 5, Tag: 77}
 
 // What is doubled, old, foreign, cut or garbled is dropped and counted; what was overtaken on its way is taken.
 func Example_sift() {
@@ -57,7 +57,7 @@
 	r := &Road{addrs: []netip.AddrPort{at(1), at(2), at(3)}, senders: map[int]sender{}}
 	take := func(title string, port uint16, b []byte) {
 		told, ok := r.sift(at(port), b)
-		fmt.Println(title+":", ok, told.From, len(told.Notes))
+		fmt.Println(title+":", ok, told.From, len(told.Entries))
 	}
 	good := frame(1, 100, 10, word)
 	take("first", 2, good)
@@ -66,7 +66,7 @@
 	take("overtaken", 2, frame(1, 100, 11, word))
 	take("overtaken and doubled", 2, frame(1, 100, 11, word))
 	take("far behind", 2, frame(1, 100, 1<<32-88, word))
-	take("its sender anew", 2, frame(1, 200, 1, dispatch.Note{Kind: dispatch.NoteAnew}))
+	take("its sender anew", 2, frame(1, 200, 1, dispatch.GossipEntry{Kind: dispatch.GossipRestarted}))
 	take("from before that", 2, frame(1, 100, 13, word))
 	take("another's address", 3, frame(1, 200, 2, word))
 	take("our own number", 1, frame(0, 200, 2, word))
@@ -76,7 +76,7 @@
 	take("half a header", 2, good[:header/2])
 	take("empty", 2, nil)
 	take("another version", 2, append([]byte{9}, good[1:]...))
-	take("too long", 2, append(frame(1, 200, 5, word), make([]byte, dispatch.MemoMost)...))
+	take("too long", 2, append(frame(1, 200, 5, word), make([]byte, dispatch.MaxGossipBytes)...))
 	take("count goes round", 3, frame(2, 1, 1<<32-1, word))
 	take("and on", 3, frame(2, 1, 0, word))
 	fmt.Println(r.Figures())
@@ -110,7 +110,7 @@
 	gone, c := stand(t)
 	gone.Close() // a scheduler that is not there costs nobody anything
 	r, heard := open(t, a, b, c)
-	read := func(s *net.UDPConn) (notes []dispatch.Note) {
+	read := func(s *net.UDPConn) (notes []dispatch.GossipEntry) {
 		t.Helper()
 		buffer := make([]byte, 1000)
 		s.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -118,20 +118,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		notes, ok := dispatch.ReadMemo(buffer[header:n])
+		notes, ok := dispatch.DecodeGossip(buffer[header:n])
 		if !ok || buffer[0] != version {
 			t.Fatal(buffer[:n])
 		}
 		return notes
 	}
-	r.Send(-1, []dispatch.Note{{Kind: dispatch.NoteAnew}})
-	r.Send(2, []dispatch.Note{word, word})
-	r.Send(3, []dispatch.Note{word})
-	if n := read(first); len(n) != 1 || n[0].Kind != dispatch.NoteAnew {
+	r.Send(-1, []dispatch.GossipEntry{{Kind: dispatch.GossipRestarted}})
+	r.Send(2, []dispatch.GossipEntry{word, word})
+	r.Send(3, []dispatch.GossipEntry{word})
+	if n := read(first); len(n) != 1 || n[0].Kind != dispatch.GossipRestarted {
 		t.Fatal(n)
 	}
 	read(second)
-	if n := read(second); !slices.Equal(n, []dispatch.Note{word, word}) {
+	if n := read(second); !slices.Equal(n, []dispatch.GossipEntry{word, word}) {
 		t.Fatal(n)
 	}
 	for n := range 5 {
@@ -142,7 +142,7 @@
 	for n := range 5 {
 		select {
 		case told := <-heard:
-			if told.From != 1 || len(told.Notes) != 1 || told.Notes[0] != word {
+			if told.From != 1 || len(told.Entries) != 1 || told.Entries[0] != word {
 				t.Fatal(told)
 			}
 		case <-time.After(5 * time.Second):
@@ -169,7 +169,7 @@
 		t.Fatal("no word that the address is taken")
 	}
 	for range 3 * r.queued {
-		r.Send(1, []dispatch.Note{word})
+		r.Send(1, []dispatch.GossipEntry{word})
 	}
 	if n := r.Counts.Unsent.Load(); n != uint64(2*r.queued) {
 		t.Fatal(n, " dropped where ", r.queued, " may wait")
@@ -189,7 +189,7 @@
 		addrs = append(addrs, netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(20000+n)))
 	}
 	r := newRoad(conn.NewLoop(time.Now()), addrs, 0, 1)
-	r.Send(-1, []dispatch.Note{{Kind: dispatch.NoteAnew}})
+	r.Send(-1, []dispatch.GossipEntry{{Kind: dispatch.GossipRestarted}})
 	if len(r.out) != schedulers-1 || r.Counts.Unsent.Load() != 0 || r.queued < schedulers {
 		t.Error("out:", len(r.out), "unsent:", r.Counts.Unsent.Load(), "room:", r.queued)
 	}
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -32,7 +32,7 @@
 		{"peers", slices.Equal(n.Peers, newer.Peers)},
 		{"tenants", n.Tenants.same(newer.Tenants)},
 		{"limits", n.MemoryMB == newer.MemoryMB && n.Sockets == newer.Sockets},
-		{"settings.Discovery", n.Site.Deployment.Pushed == newer.Site.Deployment.Pushed}} {
+		{"settings.Discovery", n.Site.Deployment.EndpointsPushed == newer.Site.Deployment.EndpointsPushed}} {
 		if !v.same {
 			keys = append(keys, v.key)
 		}
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -13,7 +13,7 @@
 type Report struct{ Names, Meanings []string }
 
 // Field is where the value at a place of the report belongs; nil where it has no meaning here.
-func (r Report) Field(load *dispatch.Load, place int) *float64 {
+func (r Report) Field(load *dispatch.LoadReport, place int) *float64 {
 	if place >= len(r.Meanings) {
 		return nil
 	}
@@ -21,15 +21,15 @@
 	case "free slots":
 		return &load.FreeSlots
 	case "waiting":
-		return &load.Waiting
+		return &load.Queued
 	case "active":
-		return &load.InHand
+		return &load.InFlight
 	case "cpu":
 		return &load.Busy
 	case "avg_ms":
 		return &load.ServiceTime
 	case "err_rps":
-		return &load.Errors
+		return &load.ErrorRate
 	}
 	return nil
 }
@@ -40,7 +40,7 @@
 
 // Parse reads a report from a text such as TEXT waiting=2, x0=0.5 or from a JSON object. What can't be read is no
 // report: a wrong figure would draw work to a worker, none merely leaves it unknown.
-func (r Report) Parse(text string) *dispatch.Load {
+func (r Report) Parse(text string) *dispatch.LoadReport {
 	text = strings.TrimSpace(text)
 	values := map[string]float64{}
 	if strings.HasPrefix(text, "{") {
@@ -57,7 +57,7 @@
 			values[name] = v
 		}
 	}
-	load, found := dispatch.NoLoad, false
+	load, found := dispatch.UnknownLoad, false
 	for name, v := range values {
 		if !(-1e12 < v && v < 1e12) {
 			return nil
@@ -78,8 +78,8 @@
 }
 
 // Blank is the report whose every value is nought.
-func (r Report) Blank() dispatch.Load {
-	load := dispatch.NoLoad
+func (r Report) Blank() dispatch.LoadReport {
+	load := dispatch.UnknownLoad
 	for place := range r.Names {
 		if field := r.Field(&load, place); field != nil {
 			*field = 0
--- a/internal/settings/retune.go
+++ b/internal/settings/retune.go
@@ -20,7 +20,7 @@
 	d := &s.Deployment
 	d.Zone = at(s.Zones, d.Zone, zone)
 	for i := range d.Operations {
-		d.Operations[i].Kind = at(s.Kinds, d.Operations[i].Kind, kind)
+		d.Operations[i].WorkerKind = at(s.Kinds, d.Operations[i].WorkerKind, kind)
 	}
 }
 
@@ -74,7 +74,7 @@
 		merged.Deployment.Tenants[at] = d.Tenants[n]
 	}
 	// Whether changes of the list come unasked is a way of starting.
-	merged.Deployment.Pushed = s.Deployment.Pushed
+	merged.Deployment.EndpointsPushed = s.Deployment.EndpointsPushed
 	return merged, from
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,7 +28,7 @@
 
 // Site is a deployment as its settings tell of it: what the decisions need, and what only the network does.
 type Site struct {
-	Deployment                        dispatch.Deployment
+	Deployment                        dispatch.Config
 	Report                            Report
 	Operations, Tenants, Zones, Kinds []string // their names, by index
 	ConnIdle, ConnTimeout             time.Duration
@@ -114,7 +114,7 @@
 	"non_idempotent": dispatch.NonIdempotent,
 }
 
-var scopes = map[string]dispatch.Scope{
+var scopes = map[string]dispatch.DedupScope{
 	"": dispatch.ScopeAll, "all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell,
 }
 
@@ -163,37 +163,37 @@
 	}
 	s.Shape, s.worstTenant, s.discovery = in.shape(), in.ResultMix.WorstTenant, in.Discovery
 	d := &s.Deployment
-	*d = dispatch.Deployment{
-		Peers: in.PeersTotal, Me: -1, Zone: in.MyZone, ExcessValue: 1, Pushed: s.Shape.Pushed,
-		TellsStart: in.FamilyInfo.TellsStart, Progress: Span(in.FamilyInfo.Progress),
-		ProbePrice: in.Prices.Probe, TellPrice: in.Prices.Peer,
-		Allowed: dispatch.Allowances{
-			Probes: in.Limits.Probes, Cancel: in.Limits.Cancel, Tell: in.Limits.Peers, MaxOut: 1,
+	*d = dispatch.Config{
+		Schedulers: in.PeersTotal, Index: -1, Zone: in.MyZone, ExcessValue: 1, EndpointsPushed: s.Shape.Pushed,
+		NotifiesStart: in.FamilyInfo.TellsStart, ProgressInterval: Span(in.FamilyInfo.Progress),
+		HealthCheckCost: in.Prices.Probe, GossipCost: in.Prices.Peer,
+		Limits: dispatch.Limits{
+			HealthChecks: in.Limits.Probes, Cancel: in.Limits.Cancel, Gossip: in.Limits.Peers, MaxInFlight: 1,
 		},
 		Rules: dispatch.Rules{
-			AskWithin: Span(in.Rules.AskWithin), Grace: max(0, Span(in.Rules.StopSendingWithin)), ColdFrom: in.Rules.ColdFrom, WarmAfter: Span(in.Rules.WarmAfter),
-			FallMultiple: in.Rules.FallMultiple, Fall: Span(in.Rules.Fall),
+			PollWithin: Span(in.Rules.AskWithin), DrainGrace: max(0, Span(in.Rules.StopSendingWithin)), SlowStartFrom: in.Rules.ColdFrom, SlowStartDuration: Span(in.Rules.WarmAfter),
+			OverloadFactor: in.Rules.FallMultiple, OverloadWindow: Span(in.Rules.Fall),
 		},
 	}
 	if most := in.Limits.MostForwards; most != nil {
-		if d.Allowed.MaxForwards = *most; *most <= 0 {
+		if d.Limits.MaxAttempts = *most; *most <= 0 {
 			return s, fmt.Errorf("settings: Limits.MostForwards: %d is not over 0", *most)
 		}
 	}
 	if in.MyNumber != nil {
-		d.Me = max(-1, *in.MyNumber)
+		d.Index = max(-1, *in.MyNumber)
 	}
 	if in.Limits.SecondCopies {
-		d.Allowed.MaxOut = 2
+		d.Limits.MaxInFlight = 2
 	}
 	if in.Limits.RetryAfter {
-		d.Allowed.MaxRetryAfter = Span(in.Limits.MaxRetryAfter)
+		d.Limits.MaxRetryAfter = Span(in.Limits.MaxRetryAfter)
 	}
 	if in.ExcessBilledValue != nil {
 		d.ExcessValue = *in.ExcessBilledValue
 	}
 	if in.ResultMix.Whole > 0 {
-		d.WorstOperation = in.ResultMix.WorstClass / in.ResultMix.Whole
+		d.WorstOperationWeight = in.ResultMix.WorstClass / in.ResultMix.Whole
 	}
 	s.ConnTimeout = Span(cmp.Or(in.Limits.ConnectTimeout, 1))
 	s.Current = map[string]int{}
@@ -208,20 +208,20 @@
 			}
 		}
 		op := dispatch.Operation{
-			BilledValue: o.BilledValue, LateValue: o.LateBilledValue, LatencyObjective: Span(o.LatencyObjective),
+			PriorityWeight: o.BilledValue, LateWeight: o.LateBilledValue, LatencyObjective: Span(o.LatencyObjective),
 			// A repeat is decided on before its connection stands, and counts as sent once it has gone out.
 			Stretch: o.AimStretch, DedupWindow: max(0, Span(o.DedupWindow)-s.ConnTimeout),
-			Kind: -1,
+			WorkerKind: -1,
 		}
 		var known bool
 		if op.Effect, known = effects[o.Effect]; !known {
 			return s, fmt.Errorf("settings: Operations[%d].Effect: %q is unknown", i, o.Effect)
 		}
-		if op.Scope, known = scopes[o.DedupScope]; !known {
+		if op.DedupScope, known = scopes[o.DedupScope]; !known {
 			return s, fmt.Errorf("settings: Operations[%d].DedupScope: %q is unknown", i, o.DedupScope)
 		}
 		if i < len(in.FamilyInfo.ClassKind) {
-			op.Kind = in.FamilyInfo.ClassKind[i]
+			op.WorkerKind = in.FamilyInfo.ClassKind[i]
 		}
 		if i < len(in.FamilyInfo.ClassStretch) {
 			op.Stretch = in.FamilyInfo.ClassStretch[i]
@@ -232,7 +232,7 @@
 		s.LongestTimeout = max(s.LongestTimeout, timeout)
 	}
 	for _, t := range in.Tenants {
-		d.Tenants = append(d.Tenants, dispatch.Tenant{QuotaPerS: t.QuotaPerS, Share: t.Fraction})
+		d.Tenants = append(d.Tenants, dispatch.Tenant{QuotaPerSecond: t.QuotaPerS, Share: t.Fraction})
 		s.Tenants = append(s.Tenants, t.Name)
 	}
 	if in.Report.How != "none" {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 func Example_site() {
 	s, err := ParseSite([]byte(siteText))
 	d := s.Deployment
-	fmt.Println(s.Report.Meanings, err, d.Pushed, d.Zone, d.Peers, d.ExcessValue, d.Allowed, d.Rules.AskWithin, d.Tenants)
+	fmt.Println(s.Report.Meanings, err, d.EndpointsPushed, d.Zone, d.Schedulers, d.ExcessValue, d.Limits, d.Rules.PollWithin, d.Tenants)
 	for _, o := range d.Operations {
 		fmt.Printf("%+v\n", o)
 	}
@@ -33,9 +33,9 @@
 	}
 	// Output:
 	// [free slots heat waiting] <nil> true 2 3 1 {true true false 4 1 0s} 10s [{5 0.4}]
-	// {BilledValue:3 LateValue:0 LatencyObjective:250ms Stretch:2 Effect:0 Scope:0 DedupWindow:0s Kind:-1}
-	// {BilledValue:0 LateValue:0 LatencyObjective:0s Stretch:0 Effect:1 Scope:2 DedupWindow:6.5s Kind:2}
-	// {BilledValue:0 LateValue:0.5 LatencyObjective:0s Stretch:0 Effect:2 Scope:0 DedupWindow:0s Kind:-1}
+	// {PriorityWeight:3 LateWeight:0 LatencyObjective:250ms Stretch:2 Effect:0 DedupScope:0 DedupWindow:0s WorkerKind:-1}
+	// {PriorityWeight:0 LateWeight:0 LatencyObjective:0s Stretch:0 Effect:1 DedupScope:2 DedupWindow:6.5s WorkerKind:2}
+	// {PriorityWeight:0 LateWeight:0.5 LatencyObjective:0s Stretch:0 Effect:2 DedupScope:0 DedupWindow:0s WorkerKind:-1}
 	// settings: unexpected end of JSON input
 	// settings: Operations[0].Effect: "strange" is unknown
 	// settings: Operations[0].DedupScope: "hall" is unknown
@@ -107,7 +107,7 @@
 	for _, text := range []string{"TEXT waiting=2, avg_ms=614.3, x0=0.5", `{"x0":3,"other":1}`, "TEXT queue=7", "TEXT x0=much",
 		"TEXT x0=NaN", "TEXT other=1", "{", ""} {
 		if load := r.Parse(text); load != nil {
-			fmt.Println(load.Waiting, load.ServiceTime, load.FreeSlots)
+			fmt.Println(load.Queued, load.ServiceTime, load.FreeSlots)
 		} else {
 			fmt.Println("none")
 		}
@@ -166,7 +166,7 @@
 	known := map[string]int{"x": 0, "y": 1, "k": 0, "m": 1}
 	at := func(name string) int { return known[name] }
 	s.Renumber(at, at)
-	fmt.Println(err, s.Deployment.Zone, s.Deployment.Operations[0].Kind, s.Deployment.Operations[1].Kind)
+	fmt.Println(err, s.Deployment.Zone, s.Deployment.Operations[0].WorkerKind, s.Deployment.Operations[1].WorkerKind)
 	// Output: <nil> 0 1 -1
 }
 
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -94,16 +94,16 @@
 	}
 	switch {
 	case len(peers) == 0:
-		d.Allowed.Tell = false // nothing could be sent
+		d.Limits.Gossip = false // nothing could be sent
 		return nil
-	case !d.Allowed.Tell:
+	case !d.Limits.Gossip:
 		return fmt.Errorf("peers: names %d addresses, and settings.Limits.Peers does not allow messages", len(peers))
-	case d.Me < 0:
+	case d.Index < 0:
 		return fmt.Errorf("settings: MyNumber: is not set, and peers wants to know which address is ours")
-	case d.Me >= len(peers):
-		return fmt.Errorf("settings: MyNumber: is %d, and peers names %d addresses", d.Me, len(peers))
-	case d.Peers != len(peers):
-		return fmt.Errorf("peers: names %d addresses, and settings.PeersTotal is %d", len(peers), d.Peers)
+	case d.Index >= len(peers):
+		return fmt.Errorf("settings: MyNumber: is %d, and peers names %d addresses", d.Index, len(peers))
+	case d.Schedulers != len(peers):
+		return fmt.Errorf("peers: names %d addresses, and settings.PeersTotal is %d", len(peers), d.Schedulers)
 	}
 	known := map[netip.AddrPort]bool{}
 	for i, text := range peers {
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -46,7 +46,7 @@
 			fmt.Println("refused:", err)
 			continue
 		}
-		fmt.Println(n.Site.Shape, len(n.Peers), n.Site.Deployment.Allowed.Tell)
+		fmt.Println(n.Site.Shape, len(n.Peers), n.Site.Deployment.Limits.Gossip)
 	}
 	// Output:
 	// list asked for, no messages, no weights, 0 tenants 0 false
--- a/internal/settings/tenancy.go
+++ b/internal/settings/tenancy.go
@@ -129,9 +129,9 @@
 			s.Current[name] = len(s.Operations)
 			s.Operations, s.Timeouts = append(s.Operations, name), append(s.Timeouts, timeout)
 			s.LongestTimeout = max(s.LongestTimeout, timeout)
-			d.Operations = append(d.Operations, dispatch.Operation{BilledValue: o.BilledValue / most, LateValue: o.LateBilledValue,
-				LatencyObjective: Span(o.LatencyObjectiveS), Stretch: o.Stretch, Effect: hostedEffects[o.Effect], Scope: scopes[o.DedupScope],
-				DedupWindow: max(0, Span(o.DedupWindowS)-s.ConnTimeout), Kind: -1}) // as of the site's own
+			d.Operations = append(d.Operations, dispatch.Operation{PriorityWeight: o.BilledValue / most, LateWeight: o.LateBilledValue,
+				LatencyObjective: Span(o.LatencyObjectiveS), Stretch: o.Stretch, Effect: hostedEffects[o.Effect], DedupScope: scopes[o.DedupScope],
+				DedupWindow: max(0, Span(o.DedupWindowS)-s.ConnTimeout), WorkerKind: -1}) // as of the site's own
 		}
 	}
 	return s
--- a/internal/settings/tenancy_test.go
+++ b/internal/settings/tenancy_test.go
@@ -64,8 +64,8 @@
 		t.Error("the window of a tenant's repeats, less the time to connect:", o.DedupWindow)
 	}
 	at := hosted.Current["t9/a"]
-	if d := hosted.Deployment.Operations[at]; d.Effect != dispatch.Deduplicated || d.Scope != dispatch.ScopeCell || d.BilledValue != 1 ||
-		hosted.Deployment.Operations[hosted.Current["t1/b"]].BilledValue != 0.5 || hosted.Timeouts[at] != Span(3) {
+	if d := hosted.Deployment.Operations[at]; d.Effect != dispatch.Deduplicated || d.DedupScope != dispatch.ScopeCell || d.PriorityWeight != 1 ||
+		hosted.Deployment.Operations[hosted.Current["t1/b"]].PriorityWeight != 0.5 || hosted.Timeouts[at] != Span(3) {
 		t.Error(hosted.Deployment.Operations)
 	}
 	if len(site.Operations) != 1 || len(site.Current) != 1 || len(site.Deployment.Operations) != 1 || site.Deployment.ExcessValue != 1 {
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -49,7 +49,7 @@
 	h.u16(id.Port())
 }
 
-func (h *Host) load(load *dispatch.Load, report settings.Report) {
+func (h *Host) load(load *dispatch.LoadReport, report settings.Report) {
 	if load == nil {
 		h.u8(0)
 		return
@@ -78,19 +78,19 @@
 // Event hands one event over; base is when the instance was started, which is where its times count from.
 func (h *Host) Event(scheduler uint32, base time.Duration, report settings.Report, event dispatch.Event) error {
 	switch e := event.(type) {
-	case dispatch.Listing:
+	case dispatch.EndpointUpdate:
 		h.record(evDirectory, scheduler)
 		h.u64(0)
-		h.u8(map[dispatch.Form]uint8{dispatch.ListFailed: 0, dispatch.ListWhole: 1, dispatch.ListDelta: 3}[e.Form])
-		h.u32(uint32(len(e.Entries)))
-		for _, w := range e.Entries {
+		h.u8(map[dispatch.UpdateKind]uint8{dispatch.WatchFailed: 0, dispatch.FullUpdate: 1, dispatch.DeltaUpdate: 3}[e.Kind])
+		h.u32(uint32(len(e.Endpoints)))
+		for _, w := range e.Endpoints {
 			h.worker(w.Worker)
 			h.u8(uint8(w.Zone))
 			h.u8(uint8(w.Kind))
 			h.u16(uint16(w.Cell))
-			h.u8(map[dispatch.Standing]uint8{dispatch.Gone: 0, dispatch.Ready: 1, dispatch.Draining: 2}[w.Standing])
+			h.u8(map[dispatch.EndpointState]uint8{dispatch.Gone: 0, dispatch.Ready: 1, dispatch.Draining: 2}[w.State])
 			h.f32(1)
-			if at := (w.StartedAt + base).Seconds(); w.Restarted {
+			if at := (w.StartedAt + base).Seconds(); w.StartKnown {
 				if at == 0 {
 					at = 1e-9 // nought stands for long ago
 				}
@@ -101,7 +101,7 @@
 		}
 	case dispatch.Arrival:
 		h.record(evInbound, scheduler)
-		h.u64(uint64(e.Inv))
+		h.u64(uint64(e.Invocation))
 		h.u16(uint16(e.Operation))
 		h.u16(uint16(e.Tenant))
 		h.u64(0)
@@ -114,13 +114,13 @@
 			flags = hintValid
 		}
 		h.u16(flags)
-	case dispatch.Sign:
-		if e.Taken {
+	case dispatch.AttemptProgress:
+		if e.Accepted {
 			return nil // the wire has no word for it
 		}
 		h.record(evHeartbeat, scheduler)
-		h.u64(uint64(e.Inv))
-		h.u8(uint8(e.Forward))
+		h.u64(uint64(e.Invocation))
+		h.u8(uint8(e.Attempt))
 		h.worker(e.Worker)
 		kind := uint8(2)
 		if e.Started {
@@ -130,28 +130,28 @@
 		h.f32(e.Done)
 	case dispatch.Outcome:
 		h.record(evCompleted, scheduler)
-		h.u64(uint64(e.Inv))
-		h.u8(uint8(e.Forward))
+		h.u64(uint64(e.Invocation))
+		h.u8(uint8(e.Attempt))
 		h.u16(status(e.Result))
 		h.f64(0)
 		h.u8(0)
 		closed := uint8(0)
-		if e.Closed {
+		if e.Answered {
 			closed = 1
 		}
 		h.u8(closed)
 		h.worker(e.Worker)
 		h.load(e.Load, report)
-	case dispatch.Withdrawn:
+	case dispatch.ClientDisconnected:
 		h.record(evWithdrawn, scheduler)
-		h.u64(uint64(e.Inv))
-	case dispatch.Answer:
+		h.u64(uint64(e.Invocation))
+	case dispatch.HealthCheckResult:
 		h.record(evHealth, scheduler)
 		h.worker(e.Worker)
 		h.u16(status(e.Result))
-		h.f64(e.Took.Seconds())
+		h.f64(e.Latency.Seconds())
 		h.load(e.Load, report)
-	case dispatch.Due:
+	case dispatch.TimerFired:
 		h.record(evTickDue, scheduler)
 		h.u64(0)
 	default:
@@ -163,10 +163,10 @@
 // status is a result's word; what the wire has none for is told as the nearest that promises less.
 func status(r dispatch.Result) uint16 {
 	switch r {
-	case dispatch.Unfit:
+	case dispatch.BadRequest:
 		r = dispatch.Failed
-	case dispatch.Dropped:
-		r = dispatch.Broken
+	case dispatch.ReusedConnectionBroken:
+		r = dispatch.ConnectionBroken
 	}
 	for code, result := range results {
 		if result == r {
@@ -218,28 +218,28 @@
 func (c *cursor) action(code uint8, base time.Duration) (dispatch.Action, error) {
 	switch code {
 	case actForward:
-		inv := dispatch.InvID(c.u64())
+		inv := dispatch.InvocationID(c.u64())
 		c.u64()
-		return dispatch.Forward{Inv: inv, Worker: c.worker()}, nil
+		return dispatch.Forward{Invocation: inv, Worker: c.worker()}, nil
 	case actNotNow:
-		return dispatch.Throttled{Inv: dispatch.InvID(c.u64()), After: settings.Span(c.f64())}, nil
+		return dispatch.Throttle{Invocation: dispatch.InvocationID(c.u64()), RetryAfter: settings.Span(c.f64())}, nil
 	case actDropRequest:
-		return dispatch.Errored{Inv: dispatch.InvID(c.u64())}, nil
+		return dispatch.Fail{Invocation: dispatch.InvocationID(c.u64())}, nil
 	case actCallOff:
-		return dispatch.Cancel{Inv: dispatch.InvID(c.u64()), Forward: int(c.u8())}, nil
+		return dispatch.Cancel{Invocation: dispatch.InvocationID(c.u64()), Attempt: int(c.u8())}, nil
 	case actAfter:
 		at := settings.Span(c.f64()) - base
 		c.u64()
-		return dispatch.Wake{At: at}, nil
+		return dispatch.SetTimer{At: at}, nil
 	case actHealthCheck:
-		return dispatch.Probe{Worker: c.worker()}, nil
+		return dispatch.HealthCheck{Worker: c.worker()}, nil
 	case actJournalLine:
 		return dispatch.Log{Text: string(c.take(int(c.u16())))}, nil
 	case actBroken:
 		return nil, fmt.Errorf("the program says: %s", c.take(int(c.u16())))
 	case actFollow:
 		c.u8()
-		return dispatch.Follow{}, nil
+		return dispatch.WatchEndpoints{}, nil
 	}
 	return nil, errors.New("unknown")
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -39,7 +39,7 @@
 		if !more {
 			return
 		}
-		if a, is := event.(dispatch.Answer); is && a.Load != nil {
+		if a, is := event.(dispatch.HealthCheckResult); is && a.Load != nil {
 			fmt.Printf("%d load %+v\n", scheduler, *a.Load)
 			a.Load = nil
 			event = a
@@ -62,13 +62,13 @@
 	read("2d000000 01000000 508d976e12d32040 05 03000000 c4913a5dfc7e0400 00 6400 8b6ce7fba9f1923f 00 01 0a124a07 8b13 00")
 	read("2a000000 01000000 0000000000000000 08 01000000 0a124a07 8b13 6400 fca9f1d24d62503f 02 00004040 00008040")
 	// Output:
-	// 3 dispatch.Arrival{Inv:1265522267820484 Operation:0 Tenant:0 Budget:240ms Hint:0.012 Slots:2}
-	// 3 dispatch.Due{}
-	// 5 dispatch.Withdrawn{Inv:1135035544447769}
-	// 3 dispatch.Listing{Form:2 Entries:[{Worker:10.18.74.7:5003 Zone:0 Kind:0 Cell:0 Standing:1 Restarted:false StartedAt:0s Start:0} {Worker:10.144.17.242:5044 Zone:1 Kind:0 Cell:0 Standing:1 Restarted:true StartedAt:-2.31225s Start:1270578496506761185}]}
-	// 3 dispatch.Outcome{Inv:1265522267820484 Worker:10.18.74.7:5003 Forward:0 Result:0 Closed:true Load:<nil>}
-	// 1 load {FreeSlots:3 Waiting:4 InHand:0 Busy:0 ServiceTime:0 Errors:0}
-	// 1 dispatch.Answer{Worker:10.18.74.7:5003 Result:0 Took:1ms Load:<nil>}
+	// 3 dispatch.Arrival{Invocation:1265522267820484 Operation:0 Tenant:0 Budget:240ms Hint:0.012 Slots:2}
+	// 3 dispatch.TimerFired{}
+	// 5 dispatch.ClientDisconnected{Invocation:1135035544447769}
+	// 3 dispatch.EndpointUpdate{Kind:2 Endpoints:[{Worker:10.18.74.7:5003 Zone:0 Kind:0 Cell:0 State:1 StartKnown:false StartedAt:0s Incarnation:0} {Worker:10.144.17.242:5044 Zone:1 Kind:0 Cell:0 State:1 StartKnown:true StartedAt:-2.31225s Incarnation:1270578496506761185}]}
+	// 3 dispatch.Outcome{Invocation:1265522267820484 Worker:10.18.74.7:5003 Attempt:0 Result:0 Answered:true Load:<nil>}
+	// 1 load {FreeSlots:3 Queued:4 InFlight:0 Busy:0 ServiceTime:0 ErrorRate:0}
+	// 1 dispatch.HealthCheckResult{Worker:10.18.74.7:5003 Result:0 Latency:1ms Load:<nil>}
 }
 
 func Example_actions() {
@@ -76,8 +76,8 @@
 	fmt.Println(hex.EncodeToString(r.Bytes()))
 	r.Reset()
 	worker := netip.AddrPortFrom(netip.AddrFrom4([4]byte{0x0a, 0x12, 0x4a, 0x07}), 0x138b)
-	r.Action(3, 0, dispatch.Forward{Inv: 0x47efc5d3a91c4, Worker: worker})
-	r.Action(3, 8, dispatch.Wake{At: 500 * time.Millisecond})
+	r.Action(3, 0, dispatch.Forward{Invocation: 0x47efc5d3a91c4, Worker: worker})
+	r.Action(3, 8, dispatch.SetTimer{At: 500 * time.Millisecond})
 	r.Action(3, 0, dispatch.Log{Text: "two workers known"})
 	b := r.Bytes()
 	for _, cut := range []int{8, 27, 21} {
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -25,7 +25,7 @@
 // Up starts an instance; the listing that it holds in its cache follows in the same batch.
 type Up struct {
 	Seed       uint64
-	Deployment dispatch.Deployment
+	Deployment dispatch.Config
 	Dialect    Dialect
 }
 
@@ -91,7 +91,7 @@
 		c.u64()
 		return r.listing(d.Base)
 	case evInbound:
-		a := dispatch.Arrival{Inv: dispatch.InvID(c.u64()), Operation: int(c.u16()), Tenant: int(c.u16())}
+		a := dispatch.Arrival{Invocation: dispatch.InvocationID(c.u64()), Operation: int(c.u16()), Tenant: int(c.u16())}
 		c.u64()
 		a.Budget, a.Hint = settings.Span(c.f64()), c.f64()
 		a.Slots = c.f32()
@@ -101,46 +101,46 @@
 		}
 		return a, nil
 	case evBegun:
-		s := dispatch.Streaming{Inv: dispatch.InvID(c.u64())}
+		s := dispatch.ResponseStarted{Invocation: dispatch.InvocationID(c.u64())}
 		c.take(14)
-		s.Forward = int(c.u8())
+		s.Attempt = int(c.u8())
 		return s, nil
 	case evHeartbeat:
-		s := dispatch.Sign{Inv: dispatch.InvID(c.u64()), Forward: int(c.u8())}
+		s := dispatch.AttemptProgress{Invocation: dispatch.InvocationID(c.u64()), Attempt: int(c.u8())}
 		s.Worker = c.worker()
 		s.Started = c.u8() == 1
 		s.Done = c.f32()
 		return s, nil
 	case evCompleted:
-		o := dispatch.Outcome{Inv: dispatch.InvID(c.u64()), Forward: int(c.u8())}
+		o := dispatch.Outcome{Invocation: dispatch.InvocationID(c.u64()), Attempt: int(c.u8())}
 		status := c.u16()
 		c.f64()
 		c.u8()
-		o.Closed = c.u8() != 0
+		o.Answered = c.u8() != 0
 		o.Worker = c.worker()
 		o.Load = c.load(d.Report)
 		var err error
 		o.Result, err = c.result(status)
 		return o, err
 	case evWithdrawn:
-		return dispatch.Withdrawn{Inv: dispatch.InvID(c.u64())}, nil
+		return dispatch.ClientDisconnected{Invocation: dispatch.InvocationID(c.u64())}, nil
 	case evTickDue:
 		c.u64()
-		return dispatch.Due{}, nil
+		return dispatch.TimerFired{}, nil
 	case evHealth:
-		a := dispatch.Answer{Worker: c.worker()}
+		a := dispatch.HealthCheckResult{Worker: c.worker()}
 		status := c.u16()
-		a.Took, a.Load = settings.Span(c.f64()), c.load(d.Report)
+		a.Latency, a.Load = settings.Span(c.f64()), c.load(d.Report)
 		var err error
 		a.Result, err = c.result(status)
 		return a, err
 	case evPeer:
 		from := int(c.u16())
-		notes, ok := dispatch.ReadMemo(c.take(int(c.u16())))
+		notes, ok := dispatch.DecodeGossip(c.take(int(c.u16())))
 		if !ok {
 			return nil, nil
 		}
-		return dispatch.Told{From: from, Notes: notes}, nil
+		return dispatch.GossipReceived{From: from, Entries: notes}, nil
 	case evPowerOff:
 		return PowerOff{}, nil
 	}
@@ -148,15 +148,15 @@
 }
 
 var results = map[uint16]dispatch.Result{
-	statusOK: dispatch.Succeeded, 301: dispatch.Failed, 302: dispatch.Full, 303: dispatch.TimedOut,
-	304: dispatch.Unreachable, 305: dispatch.Broken, 306: dispatch.Cancelled, 307: dispatch.NotSent,
+	statusOK: dispatch.Succeeded, 301: dispatch.Failed, 302: dispatch.Rejected, 303: dispatch.TimedOut,
+	304: dispatch.Unreachable, 305: dispatch.ConnectionBroken, 306: dispatch.Cancelled, 307: dispatch.NotSent,
 }
 
-var forms = map[uint8]dispatch.Form{
-	0: dispatch.ListFailed, 1: dispatch.ListWhole, 3: dispatch.ListDelta, 4: dispatch.ListWhole,
+var forms = map[uint8]dispatch.UpdateKind{
+	0: dispatch.WatchFailed, 1: dispatch.FullUpdate, 3: dispatch.DeltaUpdate, 4: dispatch.FullUpdate,
 }
 
-var standings = map[uint8]dispatch.Standing{0: dispatch.Gone, 1: dispatch.Ready, 2: dispatch.Draining}
+var standings = map[uint8]dispatch.EndpointState{0: dispatch.Gone, 1: dispatch.Ready, 2: dispatch.Draining}
 
 func (r *Reader) listing(base Base) (any, error) {
 	c := &r.cur
@@ -168,20 +168,20 @@
 	if c.err == nil && n > len(c.rest)/23 {
 		return nil, fmt.Errorf("list of %d entries does not fit in %d bytes", n, len(c.rest))
 	}
-	list := dispatch.Listing{Form: form, Entries: make([]dispatch.Entry, 0, n)}
+	list := dispatch.EndpointUpdate{Kind: form, Endpoints: make([]dispatch.Endpoint, 0, n)}
 	for ; n > 0 && c.err == nil; n-- {
-		e := dispatch.Entry{Worker: c.worker(), Zone: int(c.u8()), Kind: int(c.u8()), Cell: int(c.u16())}
-		if e.Standing, known = standings[c.u8()]; !known && c.err == nil {
+		e := dispatch.Endpoint{Worker: c.worker(), Zone: int(c.u8()), Kind: int(c.u8()), Cell: int(c.u16())}
+		if e.State, known = standings[c.u8()]; !known && c.err == nil {
 			return nil, fmt.Errorf("unknown state of a worker")
 		}
 		c.f32()
 		if readyAt := c.f64(); readyAt != 0 {
-			e.Restarted, e.StartedAt = true, base.Since(readyAt)
+			e.StartKnown, e.StartedAt = true, base.Since(readyAt)
 			h := fnv.New64a()
 			fmt.Fprint(h, e.Worker, readyAt)
-			e.Start = h.Sum64()
+			e.Incarnation = h.Sum64()
 		}
-		list.Entries = append(list.Entries, e)
+		list.Endpoints = append(list.Endpoints, e)
 	}
 	return list, nil
 }
@@ -199,12 +199,12 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.LittleEndian.Uint16(b[4:]))
 }
 
-func (c *cursor) load(report settings.Report) *dispatch.Load {
+func (c *cursor) load(report settings.Report) *dispatch.LoadReport {
 	n := int(c.u8())
 	if n == 0 {
 		return nil
 	}
-	load := dispatch.NoLoad
+	load := dispatch.UnknownLoad
 	for i := range n {
 		v := c.f32()
 		if field := report.Field(&load, i); field != nil {
@@ -219,32 +219,32 @@
 	switch a := action.(type) {
 	case dispatch.Forward:
 		r.record(actForward, scheduler)
-		r.u64(uint64(a.Inv))
+		r.u64(uint64(a.Invocation))
 		r.f64(0)
 		r.worker(a.Worker)
-	case dispatch.Throttled:
+	case dispatch.Throttle:
 		r.record(actNotNow, scheduler)
-		r.u64(uint64(a.Inv))
-		r.f64(a.After.Seconds())
-	case dispatch.Errored:
+		r.u64(uint64(a.Invocation))
+		r.f64(a.RetryAfter.Seconds())
+	case dispatch.Fail:
 		r.record(actDropRequest, scheduler)
-		r.u64(uint64(a.Inv))
+		r.u64(uint64(a.Invocation))
 	case dispatch.Cancel:
 		r.record(actCallOff, scheduler)
-		r.u64(uint64(a.Inv))
-		r.body = append(r.body, uint8(a.Forward))
-	case dispatch.Probe:
+		r.u64(uint64(a.Invocation))
+		r.body = append(r.body, uint8(a.Attempt))
+	case dispatch.HealthCheck:
 		r.record(actHealthCheck, scheduler)
 		r.worker(a.Worker)
-	case dispatch.Wake:
+	case dispatch.SetTimer:
 		r.record(actAfter, scheduler)
 		r.f64(float64(base) + a.At.Seconds())
 		r.u64(0) // one wake-up is like another
-	case dispatch.Follow:
+	case dispatch.WatchEndpoints:
 		r.record(actFollow, scheduler)
 		r.body = append(r.body, 1)
-	case dispatch.Tell:
-		for _, memo := range dispatch.Memos(a.Notes) {
+	case dispatch.SendGossip:
+		for _, memo := range dispatch.EncodeGossip(a.Entries) {
 			r.record(actMemoTo, scheduler)
 			to := uint16(everyPeer)
 			if a.To >= 0 {
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -32,7 +32,7 @@
 
 // attemptKey names an attempt as the decisions do.
 type attemptKey struct {
-	inv dispatch.InvID
+	inv dispatch.InvocationID
 	fwd int
 }
 
@@ -57,15 +57,15 @@
 	w := f.workers[to]
 	a := &attempt{inv: inv, number: fwd, worker: w}
 	if w == nil || !f.Owed(inv.Inv) {
-		f.Event(dispatch.Outcome{Inv: inv.Inv, Worker: to, Forward: fwd, Result: conn.NotSent.Result(),
-			Closed: !f.Owed(inv.Inv)})
+		f.Event(dispatch.Outcome{Invocation: inv.Inv, Worker: to, Attempt: fwd, Result: conn.NotSent.Result(),
+			Answered: !f.Owed(inv.Inv)})
 		return
 	}
 	chosen := w.entry
 	f.Counts.Sent++
 	f.byNumber[attemptKey{inv.Inv, fwd}], f.byName[workKey{inv.ID, w.uid}] = a, a
 	a.deadline = f.loop.After(inv.GivenUp-f.loop.Now(), func() { f.end(a, conn.TimedOut, nil) })
-	asked := guard.Attempt{Request: inv.Inv, Number: fwd, Chosen: guard.Target{Worker: w.uid, Entry: chosen}, Until: until, Least: leastTold}
+	asked := guard.Attempt{Request: inv.Inv, Number: fwd, Chosen: guard.Target{Worker: w.uid, Endpoint: chosen}, Until: until, Least: leastTold}
 	a.exchange = &exchange{
 		onWritten:  f.Wrote,
 		needsProof: inv.needsProof(),
@@ -76,7 +76,7 @@
 					http1.Field{Name: "X-Budget", Value: strconv.FormatFloat(left, 'f', 3, 64)})...)}
 		},
 		onBegun: func() {
-			asked.Now = guard.Target{Worker: w.uid, Entry: w.entry}
+			asked.Now = guard.Target{Worker: w.uid, Endpoint: w.entry}
 			f.Guard.Begun(asked)
 			a.written, a.repeats = true, slices.Contains(inv.had, w)
 			inv.had = append(inv.had, w)
@@ -85,7 +85,7 @@
 			a.exchange = nil
 			if m != nil && m.Status == 202 {
 				a.taken = true
-				f.Event(dispatch.Sign{Inv: inv.Inv, Worker: to, Forward: fwd, Taken: true})
+				f.Event(dispatch.AttemptProgress{Invocation: inv.Inv, Worker: to, Attempt: fwd, Accepted: true})
 				return
 			}
 			if m != nil {
@@ -103,7 +103,7 @@
 // allowed asks the guard directly before an attempt's first byte is written: the connection may have taken its time to come up, and
 // this process to run.
 func (f *Fleet) allowed(a *attempt, asked guard.Attempt) conn.Ending {
-	asked.Now, asked.Timeout = guard.Target{Worker: a.worker.uid, Entry: a.worker.entry}, a.inv.GivenUp
+	asked.Now, asked.Timeout = guard.Target{Worker: a.worker.uid, Endpoint: a.worker.entry}, a.inv.GivenUp
 	why := f.Guard.Send(asked)
 	if why == "" {
 		return conn.Open
@@ -125,7 +125,7 @@
 }
 
 // end is where every attempt ends, once.
-func (f *Fleet) end(a *attempt, e conn.Ending, load *dispatch.Load) {
+func (f *Fleet) end(a *attempt, e conn.Ending, load *dispatch.LoadReport) {
 	key := attemptKey{a.inv.Inv, a.number}
 	if f.byNumber[key] != a {
 		return
@@ -146,13 +146,13 @@
 		x.done = func(*http1.Message, conn.Ending) {}
 		x.limit = f.loop.After(afterNews, x.abandon)
 	}
-	if a.taken && (e == conn.Cancelled || e == conn.TimedOut) && f.site.Deployment.Allowed.Cancel {
+	if a.taken && (e == conn.Cancelled || e == conn.TimedOut) && f.site.Deployment.Limits.Cancel {
 		f.cancel(a)
 	}
 	f.Guard.Ended(a.inv.Inv, a.number, e.String(), !e.NeverRan())
 	f.Counts.Ended[e.String()]++
-	f.Event(dispatch.Outcome{Inv: a.inv.Inv, Worker: a.worker.entry.Worker, Forward: a.number, Result: e.Result(),
-		Load: load, Closed: !f.Owed(a.inv.Inv)})
+	f.Event(dispatch.Outcome{Invocation: a.inv.Inv, Worker: a.worker.entry.Worker, Attempt: a.number, Result: e.Result(),
+		Load: load, Answered: !f.Owed(a.inv.Inv)})
 }
 
 // cancel asks a worker to give an attempt up that it has taken.
@@ -166,7 +166,7 @@
 }
 
 // Cancel gives an attempt up; one that has ended by now has had its event.
-func (f *Fleet) Cancel(inv dispatch.InvID, fwd int) {
+func (f *Fleet) Cancel(inv dispatch.InvocationID, fwd int) {
 	if a := f.byNumber[attemptKey{inv, fwd}]; a != nil {
 		f.end(a, conn.Cancelled, nil)
 	}
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -93,7 +93,7 @@
 		x.settle()
 		c.exchange, x.connection = x, c
 		c.send()
-	case c.endpoint != c.worker.endpoint || c.worker.entry.Standing == dispatch.Gone:
+	case c.endpoint != c.worker.endpoint || c.worker.entry.State == dispatch.Gone:
 		c.socket.Close()
 	default:
 		c.park()
--- a/internal/workers/crossings_test.go
+++ b/internal/workers/crossings_test.go
@@ -55,8 +55,8 @@
 func Example_comingUpElsewhere() {
 	s, other := perform(), perform(took)
 	s.Forward(s.job(1), 0, s.id)
-	s.List(discovery.List{Form: dispatch.ListDelta, Workers: []discovery.Worker{{UID: "s-1", Endpoint: other.id.String(),
-		Entry: dispatch.Entry{Worker: s.id, Standing: dispatch.Ready}}}})
+	s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: other.id.String(),
+		Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 	s.until(1, 1)
 	fmt.Println("heard at the old address:", len(s.heard))
 	s.heard = other.heard
@@ -170,8 +170,8 @@
 func Example_lateConnection() {
 	s := perform(took, took)
 	moves := func(to netip.AddrPort) {
-		s.List(discovery.List{Form: dispatch.ListDelta, Workers: []discovery.Worker{{UID: "s-1", Endpoint: to.String(),
-			Entry: dispatch.Entry{Worker: s.id, Standing: dispatch.Ready}}}})
+		s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: to.String(),
+			Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 	}
 	addr, drain := jammed(s)
 	moves(addr)
@@ -294,17 +294,17 @@
 // A worker that is in another zone or cell, or has started anew, when a connection to it comes up is not the one that was
 // chosen: what may go there, and how much, has changed.
 func Example_comingUpChanged() {
-	for _, change := range []func(*dispatch.Entry){
-		func(*dispatch.Entry) {},
-		func(e *dispatch.Entry) { e.Zone++ },
-		func(e *dispatch.Entry) { e.Cell++ },
-		func(e *dispatch.Entry) { e.Restarted, e.Start = true, 7 },
+	for _, change := range []func(*dispatch.Endpoint){
+		func(*dispatch.Endpoint) {},
+		func(e *dispatch.Endpoint) { e.Zone++ },
+		func(e *dispatch.Endpoint) { e.Cell++ },
+		func(e *dispatch.Endpoint) { e.StartKnown, e.Incarnation = true, 7 },
 	} {
 		s := perform(took)
 		s.Forward(s.job(1), 0, s.id)
-		e := dispatch.Entry{Worker: s.id, Standing: dispatch.Ready}
+		e := dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}
 		change(&e)
-		s.List(discovery.List{Form: dispatch.ListDelta, Workers: []discovery.Worker{{UID: "s-1", Endpoint: s.id.String(), Entry: e}}})
+		s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(), Endpoint: e}}})
 		s.until(1, 0)
 	}
 	// Output:
@@ -400,7 +400,7 @@
 		"HTTP/1.1 400 Bad Request\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n-"}
 	s := perform(append(parts, "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf")...)
 	for n := range parts {
-		s.Forward(s.job(dispatch.InvID(1+n)), 0, s.id)
+		s.Forward(s.job(dispatch.InvocationID(1+n)), 0, s.id)
 		s.until(1, 1)
 	}
 	j := s.job(9)
@@ -436,7 +436,7 @@
 			s := perform(took, took)
 			taken := 0
 			s.Event = func(e dispatch.Event) {
-				if sign, is := e.(dispatch.Sign); is && sign.Taken {
+				if sign, is := e.(dispatch.AttemptProgress); is && sign.Accepted {
 					taken++
 				} else {
 					t.Errorf("%+v", e)
--- a/internal/workers/handover.go
+++ b/internal/workers/handover.go
@@ -6,7 +6,7 @@
 )
 
 // Settled tells whether each forward of an invocation that is out has been taken by its worker: nothing of it is on its way.
-func (f *Fleet) Settled(inv dispatch.InvID, forwards int) bool {
+func (f *Fleet) Settled(inv dispatch.InvocationID, forwards int) bool {
 	for fwd := range forwards {
 		if a := f.byNumber[attemptKey{inv, fwd}]; a != nil && !a.taken {
 			return false
@@ -16,7 +16,7 @@
 }
 
 // Give takes the forwards of an invocation out of the books: another process has them from now on.
-func (f *Fleet) Give(inv dispatch.InvID, forwards int) {
+func (f *Fleet) Give(inv dispatch.InvocationID, forwards int) {
 	for fwd := range forwards {
 		if a := f.byNumber[attemptKey{inv, fwd}]; a != nil {
 			delete(f.byNumber, attemptKey{inv, fwd})
--- a/internal/workers/late_test.go
+++ b/internal/workers/late_test.go
@@ -161,8 +161,8 @@
 		"in one turn": {func(*stage) {}, 1},
 		"given up":    {func(s *stage) { s.Cancel(1, 0) }, 0},
 		"moved": {func(s *stage) {
-			s.List(discovery.List{Form: dispatch.ListDelta, Workers: []discovery.Worker{{UID: "s-1", Endpoint: "127.0.0.1:1",
-				Entry: dispatch.Entry{Worker: s.id, Standing: dispatch.Ready}}}})
+			s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: "127.0.0.1:1",
+				Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -223,7 +223,7 @@
 			kept := s.byUID["s-1"].idle[0]
 			kept.parked -= strayMost
 			comes := true
-			s.Waits = func(dispatch.InvID) bool {
+			s.Waits = func(dispatch.InvocationID) bool {
 				if comes {
 					comes = false
 					does(s)
@@ -238,7 +238,7 @@
 			j.Effect = dispatch.NonIdempotent
 			s.Forward(j, 0, s.id)
 			s.settle("the answer", func() bool { return len(told) > 0 })
-			if sign, is := told[0].(dispatch.Sign); !is || !sign.Taken || s.Counts.Dialled != 2 {
+			if sign, is := told[0].(dispatch.AttemptProgress); !is || !sign.Accepted || s.Counts.Dialled != 2 {
 				t.Errorf("%+v, dialled: %d", told[0], s.Counts.Dialled)
 			}
 		})
--- a/internal/workers/news.go
+++ b/internal/workers/news.go
@@ -10,7 +10,7 @@
 	ID, From, State string
 	Share           float64
 	Result          *string
-	Load            *dispatch.Load
+	Load            *dispatch.LoadReport
 }
 
 // Take passes news on once: the end of an attempt takes it out of the books, so that repeats, late ones and those
@@ -27,7 +27,7 @@
 		return true
 	}
 	n.Load = a.worker.firstReport(n.Load, f.site.Report.Blank())
-	sign := dispatch.Sign{Inv: a.inv.Inv, Worker: a.worker.entry.Worker, Forward: a.number, Done: n.Share}
+	sign := dispatch.AttemptProgress{Invocation: a.inv.Inv, Worker: a.worker.entry.Worker, Attempt: a.number, Done: n.Share}
 	switch n.State {
 	case "started":
 		a.began, sign.Started = true, true
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -89,7 +89,7 @@
 	c.socket = f.share.Dial(w.endpoint, x.dialUntil-f.loop.Now(), c)
 	if x.dialling = append(x.dialling, c); len(x.dialling) < dialsMost {
 		x.redial = f.loop.After(f.site.ConnTimeout/redialPart, func() {
-			if f.share.Room() > redialRoom && w.entry.Standing == dispatch.Ready && w.endpoint == c.endpoint {
+			if f.share.Room() > redialRoom && w.entry.State == dispatch.Ready && w.endpoint == c.endpoint {
 				f.dial(w, x)
 			}
 		})
--- a/internal/workers/probe.go
+++ b/internal/workers/probe.go
@@ -19,7 +19,7 @@
 	return conn.WorkerError
 }
 
-func (f *Fleet) load(w *worker, m *http1.Message) *dispatch.Load {
+func (f *Fleet) load(w *worker, m *http1.Message) *dispatch.LoadReport {
 	if m == nil {
 		return nil
 	}
@@ -32,7 +32,7 @@
 
 // firstReport passes a report on. Until a worker has measured anything, its report is all noughts: taken at its word no slot
 // would be free there, and a scheduler that starts with the workers would hold everything until their first figures.
-func (w *worker) firstReport(load *dispatch.Load, blank dispatch.Load) *dispatch.Load {
+func (w *worker) firstReport(load *dispatch.LoadReport, blank dispatch.LoadReport) *dispatch.LoadReport {
 	if load == nil || !w.reports && *load == blank {
 		return nil
 	}
@@ -44,7 +44,7 @@
 func (f *Fleet) Probe(id dispatch.WorkerID) {
 	w, asked := f.workers[id], f.loop.Now()
 	if w == nil {
-		f.Event(dispatch.Answer{Worker: id, Result: conn.Refused.Result()})
+		f.Event(dispatch.HealthCheckResult{Worker: id, Result: conn.Refused.Result()})
 		return
 	}
 	f.Counts.Probes++
@@ -53,9 +53,9 @@
 		path = "/-/load"
 	}
 	request := http1.Request("GET", path, w.endpoint, nil)
-	answer := func(e conn.Ending, load *dispatch.Load) {
+	answer := func(e conn.Ending, load *dispatch.LoadReport) {
 		f.Counts.Answered[e.String()]++
-		f.Event(dispatch.Answer{Worker: id, Result: e.Result(), Took: f.loop.Now() - asked, Load: load})
+		f.Event(dispatch.HealthCheckResult{Worker: id, Result: e.Result(), Latency: f.loop.Now() - asked, Load: load})
 	}
 	x := &exchange{request: unbounded(request)}
 	x.done = func(m *http1.Message, e conn.Ending) {
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -28,7 +28,7 @@
 
 // Invocation is one as it goes to a worker.
 type Invocation struct {
-	Inv                dispatch.InvID
+	Inv                dispatch.InvocationID
 	ID, Method, Target string
 	Fields             []http1.Field // go on unchanged
 	Body               []byte
@@ -61,11 +61,11 @@
 // Fleet is the workers as seen from here.
 type Fleet struct {
 	Event   func(dispatch.Event)
-	Deliver func(inv dispatch.InvID, result string) // to the client, unless it is gone or has its answer
-	Owed    func(dispatch.InvID) bool               // whether its client still waits for an answer
-	Waits   func(dispatch.InvID) bool               // the same at the moment of a send, with the kernel asked
-	Wrote   func()                                  // an attempt has been written whole
-	Guard   *guard.Guard                            // asked before each first byte
+	Deliver func(inv dispatch.InvocationID, result string) // to the client, unless it is gone or has its answer
+	Owed    func(dispatch.InvocationID) bool               // whether its client still waits for an answer
+	Waits   func(dispatch.InvocationID) bool               // the same at the moment of a send, with the kernel asked
+	Wrote   func()                                         // an attempt has been written whole
+	Guard   *guard.Guard                                   // asked before each first byte
 	Counts  Counts
 
 	loop     *conn.Loop
@@ -81,9 +81,9 @@
 
 type worker struct {
 	uid, endpoint string
-	entry         dispatch.Entry // as the list last had it
-	reports       bool           // it has said something of its load since its start
-	idle          []*connection  // used last is last
+	entry         dispatch.Endpoint // as the list last had it
+	reports       bool              // it has said something of its load since its start
+	idle          []*connection     // used last is last
 }
 
 // NewFleet knows no workers yet.
@@ -92,14 +92,14 @@
 		byUID: map[string]*worker{}, byNumber: map[attemptKey]*attempt{}, byName: map[workKey]*attempt{},
 		Guard:  guard.New(loop.Clock),
 		Counts: Counts{Ended: map[string]int{}, Answered: map[string]int{}, Changes: map[string]int{}, Stopped: map[string]int{}}}
-	f.Guard.ClientWaits = func(inv dispatch.InvID) bool { return f.Waits(inv) }
+	f.Guard.ClientWaits = func(inv dispatch.InvocationID) bool { return f.Waits(inv) }
 	return f
 }
 
 // Retune follows newer settings.
 func (f *Fleet) Retune(site settings.Site) { f.site = site }
 
-var standings = map[dispatch.Standing]string{dispatch.Gone: "gone", dispatch.Ready: "ready", dispatch.Draining: "draining"}
+var standings = map[dispatch.EndpointState]string{dispatch.Gone: "gone", dispatch.Ready: "ready", dispatch.Draining: "draining"}
 
 // List follows the list.
 func (f *Fleet) List(list discovery.List) {
@@ -107,26 +107,26 @@
 	for _, e := range list.Workers {
 		w := f.byUID[e.UID]
 		if w == nil {
-			w = &worker{uid: e.UID, endpoint: e.Endpoint}
+			w = &worker{uid: e.UID, endpoint: e.Address}
 			f.byUID[e.UID], f.workers[e.Worker] = w, w
 		}
-		if named[e.UID] = true; e.Endpoint != w.endpoint && e.Standing != dispatch.Gone {
-			w.endpoint = e.Endpoint
+		if named[e.UID] = true; e.Address != w.endpoint && e.State != dispatch.Gone {
+			w.endpoint = e.Address
 			w.shutIdle()
 		}
 		w.reports = w.reports && e.StartedAt == w.entry.StartedAt
-		if known := w.entry; known.Standing != e.Standing {
-			f.Counts.Changes[standings[known.Standing]+" to "+standings[e.Standing]]++
-		} else if known.Start != e.Start {
+		if known := w.entry; known.State != e.State {
+			f.Counts.Changes[standings[known.State]+" to "+standings[e.State]]++
+		} else if known.Incarnation != e.Incarnation {
 			f.Counts.Changes["restarted"]++
 		}
-		if e.Restarted {
+		if e.StartKnown {
 			f.Guard.Started(e.UID, e.StartedAt)
 		}
-		w.entry = e.Entry
-		w.stand(e.Standing)
+		w.entry = e.Endpoint
+		w.stand(e.State)
 	}
-	if list.Form == dispatch.ListWhole {
+	if list.Form == dispatch.FullUpdate {
 		for uid, w := range f.byUID {
 			if !named[uid] {
 				w.stand(dispatch.Gone)
@@ -135,8 +135,8 @@
 	}
 }
 
-func (w *worker) stand(s dispatch.Standing) {
-	if w.entry.Standing = s; s == dispatch.Gone {
+func (w *worker) stand(s dispatch.EndpointState) {
+	if w.entry.State = s; s == dispatch.Gone {
 		w.shutIdle()
 	}
 }
@@ -158,11 +158,11 @@
 }
 
 // Listing is the whole list as it stands, in one order for any run.
-func (f *Fleet) Listing() dispatch.Listing {
-	list := dispatch.Listing{Form: dispatch.ListWhole}
+func (f *Fleet) Listing() dispatch.EndpointUpdate {
+	list := dispatch.EndpointUpdate{Kind: dispatch.FullUpdate}
 	for _, uid := range slices.Sorted(maps.Keys(f.byUID)) {
-		if w := f.byUID[uid]; w.entry.Standing != dispatch.Gone {
-			list.Entries = append(list.Entries, w.entry)
+		if w := f.byUID[uid]; w.entry.State != dispatch.Gone {
+			list.Endpoints = append(list.Endpoints, w.entry)
 		}
 	}
 	return list
@@ -171,7 +171,7 @@
 // Listed counts the workers of the list, ready and draining.
 func (f *Fleet) Listed() (n int) {
 	for _, w := range f.byUID {
-		if w.entry.Standing != dispatch.Gone {
+		if w.entry.State != dispatch.Gone {
 			n++
 		}
 	}
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -32,7 +32,7 @@
 	lines  []string // what was told, in order
 	mu     sync.Mutex
 	conns  []net.Conn // at the worker
-	closed map[dispatch.InvID]bool
+	closed map[dispatch.InvocationID]bool
 }
 
 // perform listens; each request takes the next answer. One that ends in "-" closes the connection behind the rest of it, ""
@@ -48,7 +48,7 @@
 		panic(err)
 	}
 	s := &stage{loop: conn.NewLoop(time.Now()), id: netip.MustParseAddrPort(l.Addr().String()),
-		heard: make(chan string, 100), closed: map[dispatch.InvID]bool{}}
+		heard: make(chan string, 100), closed: map[dispatch.InvocationID]bool{}}
 	script := make(chan string, len(answers))
 	for _, a := range answers {
 		script <- a
@@ -89,20 +89,20 @@
 		switch e := e.(type) {
 		case dispatch.Outcome:
 			s.ended++
-			s.note("inv %d forward %d ends: %d closed=%v load=%v", e.Inv, e.Forward, e.Result, e.Closed, e.Load != nil)
-		case dispatch.Answer:
+			s.note("inv %d forward %d ends: %d closed=%v load=%v", e.Invocation, e.Attempt, e.Result, e.Answered, e.Load != nil)
+		case dispatch.HealthCheckResult:
 			s.ended++
 			s.note("probe ends: %d load=%v", e.Result, e.Load != nil)
-		case dispatch.Sign:
+		case dispatch.AttemptProgress:
 			s.ended++
-			s.note("inv %d forward %d: taken=%v started=%v done=%v", e.Inv, e.Forward, e.Taken, e.Started, e.Done)
+			s.note("inv %d forward %d: taken=%v started=%v done=%v", e.Invocation, e.Attempt, e.Accepted, e.Started, e.Done)
 		}
 	}
-	s.Deliver = func(inv dispatch.InvID, result string) {
+	s.Deliver = func(inv dispatch.InvocationID, result string) {
 		s.note("to the client: %d %s", inv, result)
 		s.closed[inv] = true
 	}
-	s.Owed = func(inv dispatch.InvID) bool { return !s.closed[inv] }
+	s.Owed = func(inv dispatch.InvocationID) bool { return !s.closed[inv] }
 	s.Waits = s.Owed
 	s.stand(dispatch.Ready)
 	return s
@@ -120,13 +120,13 @@
 	io.WriteString(s.conns[n-1], text)
 }
 
-func (s *stage) stand(standing dispatch.Standing) {
-	s.List(discovery.List{Form: dispatch.ListDelta, Workers: []discovery.Worker{{UID: "s-1", Endpoint: s.id.String(),
-		Entry: dispatch.Entry{Worker: s.id, Standing: standing}}}})
+func (s *stage) stand(standing dispatch.EndpointState) {
+	s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
+		Endpoint: dispatch.Endpoint{Worker: s.id, State: standing}}}})
 }
 
 // job is a request that the guard knows, and lets out as often as a test likes.
-func (s *stage) job(inv dispatch.InvID) *Invocation {
+func (s *stage) job(inv dispatch.InvocationID) *Invocation {
 	s.Guard.Take(inv, guard.Terms{MostOut: math.MaxInt})
 	return &Invocation{Inv: inv, ID: fmt.Sprint("id", inv), Method: "POST", Target: "/render/7f", Body: []byte(" body"),
 		Fields: []http1.Field{{Name: "X-Call-Id", Value: fmt.Sprint("id", inv)}}, GivenUp: s.loop.Now() + 5*time.Second}
@@ -243,7 +243,7 @@
 // What an answer, a break or garbage in the place of a 202 amounts to. A 200 is no result.
 func Example_answers() {
 	s := perform(turns, fault, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhm", "it is me\r\n\r\n")
-	for n := dispatch.InvID(1); n <= 5; n++ {
+	for n := dispatch.InvocationID(1); n <= 5; n++ {
 		s.Forward(s.job(n), 0, s.id)
 		s.until(1, 1)
 	}
@@ -326,8 +326,8 @@
 		s.Probe(s.id)
 		s.until(1, 1)
 	}
-	s.List(discovery.List{Form: dispatch.ListDelta, Workers: []discovery.Worker{{UID: "s-1", Endpoint: s.id.String(),
-		Entry: dispatch.Entry{Worker: s.id, Standing: dispatch.Ready, Restarted: true, StartedAt: time.Second}}}})
+	s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
+		Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready, StartKnown: true, StartedAt: time.Second}}}})
 	s.Probe(s.id)
 	s.until(1, 1)
 	// Output:
@@ -370,7 +370,7 @@
 	s := perform(took, "-", "-")
 	s.Forward(s.job(1), 0, s.id)
 	s.until(1, 1)
-	for n := dispatch.InvID(2); n <= 3; n++ {
+	for n := dispatch.InvocationID(2); n <= 3; n++ {
 		s.Forward(s.job(n), 0, s.id)
 		s.until(1, 1)
 	}
