--- a/cmd/stoatweir/crossings_test.go
+++ b/cmd/stoatweir/crossings_test.go
@@ -241,8 +241,8 @@
 func Example_once() {
 	const text = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
 		{"Name":"render","Effect":"read_like"},{"Name":"keyed","Effect":"idempotency_key"},{"Name":"sale","Effect":"non_idempotent"}]}}`
-	read := func(text string) settings.Node {
-		node, err := settings.ParseNode([]byte(text), func(string) string { return "" })
+	read := func(text string) settings.Process {
+		node, err := settings.ParseProcess([]byte(text), func(string) string { return "" })
 		if err != nil {
 			panic(err)
 		}
@@ -257,7 +257,7 @@
 	come := func(inv dispatch.InvocationID) {
 		for n, name := range []string{"render", "keyed", "sale"} {
 			j := &workers.Invocation{Inv: inv + dispatch.InvocationID(n)}
-			s.door.Took(j, s.site.Current[name])
+			s.door.Took(j, s.site.OperationIndex[name])
 			fmt.Println(name, j.Effect == dispatch.NonIdempotent)
 		}
 	}
@@ -280,7 +280,7 @@
 func TestTimeOnTheWay(t *testing.T) {
 	const way, left, age = 400 * time.Millisecond, 5 * time.Second, 2 * time.Second
 	serve := func() *service {
-		node, err := settings.ParseNode([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
+		node, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
 			{"Name":"keyed","Effect":"idempotency_key","DedupWindow":3}]}}`), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
@@ -291,12 +291,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.life.Knows(0)
+		s.life.EndpointsKnown(0)
 		return s
 	}
 	s := serve()
 	worker := netip.MustParseAddrPort("127.0.0.1:9")
-	s.fleet.List(discovery.List{Form: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
+	s.fleet.List(discovery.Update{Kind: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
 		Endpoint: dispatch.Endpoint{Worker: worker, State: dispatch.Ready}}}})
 	record := dispatch.MigratedIn{Arrival: dispatch.Arrival{Budget: left}, Waited: age, Age: age,
 		Attempts: []dispatch.Attempt{{Worker: worker, Age: age, StartedAge: -1, LastProgressAge: age / 2, InFlight: true}}}
@@ -332,7 +332,7 @@
 		}
 		defer client.Close()
 		text, err := json.Marshal(legacy{ID: fmt.Sprint(spent), Method: "POST", Target: "/keyed/k", At: uptime() - spent, Left: left, Name: "keyed",
-			Operation: s.site.Deployment.Operations[0], Timeout: s.site.Timeouts[0], Record: record, Workers: []string{"s-1"}, Zones: []string{"a"}})
+			Operation: s.site.Dispatch.Operations[0], Timeout: s.site.ClientTimeouts[0], Record: record, Workers: []string{"s-1"}, Zones: []string{"a"}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/stoatweir/guard.go
+++ b/cmd/stoatweir/guard.go
@@ -11,17 +11,17 @@
 )
 
 // terms are what the guard holds a request to. It keeps those under which it came, whatever the settings become.
-func (s *service) terms(j *workers.Invocation, operation int) guard.Terms {
-	d := &s.site.Deployment
+func (s *service) terms(j *workers.Invocation, operation int) guard.RequestLimits {
+	d := &s.site.Dispatch
 	o := &d.Operations[operation]
-	return guard.Terms{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.GivenUp,
-		MostAttempts: d.Limits.MaxAttempts, MostOut: d.Limits.MaxInFlight}
+	return guard.RequestLimits{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.GivenUp,
+		MaxAttempts: d.Limits.MaxAttempts, MaxInFlight: d.Limits.MaxInFlight}
 }
 
 // inherited are the attempts that another process made, as the guard knows them.
-func (s *service) inherited(tries []dispatch.Attempt) (all []guard.Inherited) {
+func (s *service) inherited(tries []dispatch.Attempt) (all []guard.MigratedAttempt) {
 	for number, t := range tries {
-		all = append(all, guard.Inherited{Number: number, Worker: s.fleet.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, Out: t.InFlight, Ran: t.MayHaveRun})
+		all = append(all, guard.MigratedAttempt{Number: number, Worker: s.fleet.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, InFlight: t.InFlight, MayHaveRun: t.MayHaveRun})
 	}
 	return all
 }
--- a/cmd/stoatweir/hosting.go
+++ b/cmd/stoatweir/hosting.go
@@ -32,7 +32,7 @@
 // administrators wait for a disk.
 type hosting struct {
 	*service
-	gate     *tenants.Gate
+	gate     *tenants.Controller
 	registry *api.Registry
 	all      []tenants.Tenant
 	revision uint64
@@ -42,12 +42,12 @@
 }
 
 // host opens what is known of tenants. The site has their operations from its start on.
-func (s *service) host(node *settings.Node) error {
-	if !node.Tenants.On() {
+func (s *service) host(node *settings.Process) error {
+	if !node.Tenants.Enabled() {
 		return nil
 	}
 	h := &hosting{service: s, known: map[string]uint64{},
-		gate: tenants.NewGate(node.Tenants.Room, node.Site.Deployment.Schedulers, rand.New(rand.NewPCG(uint64(node.Seed), 1)))}
+		gate: tenants.NewController(node.Tenants.MaxInFlight, node.Deployment.Dispatch.Schedulers, rand.New(rand.NewPCG(uint64(node.Seed), 1)))}
 	kept, err := store.Open(&store.Disk{Dir: node.Tenants.Dir})
 	if err != nil {
 		return fmt.Errorf("tenants.dir: %w", err)
@@ -65,7 +65,7 @@
 		h.seat(all, revision)
 	})
 	s.hosting, s.door.Gate = h, h.gate
-	node.Site = node.Site.Hosting(h.all, node.Tenants.ExcessValue)
+	node.Deployment = node.Deployment.WithTenants(h.all, node.Tenants.ExcessValue)
 	return nil
 }
 
@@ -116,7 +116,7 @@
 	}
 	answer := make(chan told, 1)
 	h.loop.Order(order{h.service, func() {
-		if seat := h.gate.Seat(name); seat != nil {
+		if seat := h.gate.Account(name); seat != nil {
 			answer <- told{h.gate.Usage(seat), true}
 		} else {
 			answer <- told{}
@@ -170,7 +170,7 @@
 	h.quotas, h.shared = nil, h.loop.Now()
 	var told []dispatch.Quota
 	for _, q := range h.gate.Quotas(h.loop.Now()) {
-		told = append(told, dispatch.Quota{Tenant: q.Index, QuotaPerSecond: q.QuotaPerS, Reassigned: q.New})
+		told = append(told, dispatch.Quota{Tenant: q.Index, QuotaPerSecond: q.QuotaPerSecond, Reassigned: q.Reassigned})
 	}
 	if len(told) > 0 {
 		h.events = append(h.events, dispatch.QuotaUpdate{Quotas: told})
@@ -181,13 +181,13 @@
 }
 
 // came has shares told again once somebody is at work, and finds who that is.
-func (h *hosting) came(id string) *tenants.Seat {
+func (h *hosting) came(id string) *tenants.Account {
 	if h == nil {
 		return nil
 	}
-	if wait := h.shared + quotasAgain - h.loop.Now(); h.gate.Woken && wait <= 0 {
+	if wait := h.shared + quotasAgain - h.loop.Now(); h.gate.SharesChanged && wait <= 0 {
 		h.share() // not in a quarter of a second: until then it would wait among a flood
-	} else if h.gate.Woken {
+	} else if h.gate.SharesChanged {
 		h.quotas.Stop()
 		h.quotas = h.loop.After(wait, h.share)
 	} else if h.quotas == nil {
@@ -203,7 +203,7 @@
 	case o.Result == dispatch.Rejected || o.Result == dispatch.Unreachable || o.Result == dispatch.NotSent:
 	default:
 		_, operation, _ := strings.Cut(h.site.Operations[j.operation], "/")
-		h.gate.Worked(h.loop.Now(), j.seat, operation, j.Hint, h.loop.Now()-j.sent[o.Attempt])
+		h.gate.AttemptEnded(h.loop.Now(), j.seat, operation, j.Hint, h.loop.Now()-j.sent[o.Attempt])
 	}
 }
 
--- a/cmd/stoatweir/lesson.go
+++ b/cmd/stoatweir/lesson.go
@@ -40,7 +40,7 @@
 	s := b.service
 	l := s.core.Snapshot()
 	maps.DeleteFunc(l.Operations, func(at int, _ dispatch.OperationSnapshot) bool {
-		return s.site.Current[s.site.Operations[at]] != at // it has gone, or changed
+		return s.site.OperationIndex[s.site.Operations[at]] != at // it has gone, or changed
 	})
 	for workers := l.Workers; ; {
 		n := min(len(workers), workersAtOnce)
@@ -74,14 +74,14 @@
 	l.KindPaces, l.Operations = map[int][]float64{}, map[int]dispatch.OperationSnapshot{}
 	for at, paces := range p.Snapshot.KindPaces {
 		if at >= 0 && at < len(p.KindNames) {
-			l.KindPaces[s.list.Kind(p.KindNames[at])] = paces
+			l.KindPaces[s.list.KindIndex(p.KindNames[at])] = paces
 		}
 	}
 	for at, o := range p.Snapshot.Operations {
 		if at < 0 || at >= len(p.OperationNames) {
 			continue
 		}
-		if here, known := s.site.Current[p.OperationNames[at]]; known {
+		if here, known := s.site.OperationIndex[p.OperationNames[at]]; known {
 			l.Operations[here] = o
 		}
 	}
--- a/cmd/stoatweir/life.go
+++ b/cmd/stoatweir/life.go
@@ -26,7 +26,7 @@
 func (o order) Take() { o.do() }
 
 // calls are what operators may ask. Whatever only tells is read from what the loop has published.
-func (s *service) calls() admin.Calls {
+func (s *service) calls() admin.Commands {
 	told := func(do func() bool) func() (string, error) {
 		return func() (string, error) {
 			held := make(chan error, 1)
@@ -45,7 +45,7 @@
 			}
 		}
 	}
-	return admin.Calls{
+	return admin.Commands{
 		"status": func() (string, error) {
 			if state := life.State(s.stands.Load()); state != life.Ready {
 				return "", errors.New(state.String())
@@ -86,20 +86,20 @@
 	s.steps.Stop()
 	now := s.loop.Now()
 	s.door.Follow()
-	m := s.life.At(now)
-	if m.Passes && s.bond != nil && !s.bond.elder {
+	m := s.life.Behavior(now)
+	if m.Migrates && s.bond != nil && !s.bond.elder {
 		s.pass()
 	}
-	if m.Rests {
+	if m.FailsRemaining {
 		s.failRest("the time to stop is over")
 	}
-	waits := m.Passes && !m.Shuts && s.door.Passable()
-	if m.Over || m.Leaves && !waits && s.door.InHand() == 0 && !s.door.Busy() && s.door.Close() {
+	waits := m.Migrates && !m.ClosesIdle && s.door.Passable()
+	if m.Exits || m.ExitsWhenIdle && !waits && s.door.InHand() == 0 && !s.door.Busy() && s.door.Close() {
 		s.loop.Stop()
 		return
 	}
-	next, more := s.life.Next(now)
-	if look := now + leaveLook; m.Leaves && (!more || look < next) {
+	next, more := s.life.NextChange(now)
+	if look := now + leaveLook; m.ExitsWhenIdle && (!more || look < next) {
 		next, more = look, true
 	}
 	if more {
@@ -108,7 +108,7 @@
 }
 
 func (s *service) knows() {
-	s.lives("the list is known", func() bool { s.life.Knows(s.loop.Now()); return true })
+	s.lives("the list is known", func() bool { s.life.EndpointsKnown(s.loop.Now()); return true })
 }
 
 // stop is the order to end. Clients go on coming for a while and what is in hand is still worth serving; what can't
--- a/cmd/stoatweir/main.go
+++ b/cmd/stoatweir/main.go
@@ -20,7 +20,7 @@
 
 // operate waits for the address: after a restart the process before may still be on its way out. Serving clients does
 // not wait for it.
-func operate(l net.Listener, addr string, door *admin.Door, log *logrus.Entry) {
+func operate(l net.Listener, addr string, door *admin.Server, log *logrus.Entry) {
 	for tries, err := 0, error(nil); l == nil; tries++ {
 		if l, err = net.Listen("tcp", addr); err != nil {
 			l = nil
@@ -55,7 +55,7 @@
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true,
 		TimestampFormat: "15:04:05.000"})
 	told := func() bool { return len(signals) > 0 }
-	node, err := patiently(told, func() (settings.Node, error) { return settings.ReadNode(os.Getenv) })
+	node, err := patiently(told, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
 	if errors.Is(err, errTold) {
 		log.Info("told to stop before there was a configuration")
 		return
@@ -91,7 +91,7 @@
 	if s.hosting != nil {
 		go s.hosting.follow()
 		if node.Tenants.API != "" {
-			go s.hosting.administer(node.Tenants, node.Site.Deployment.Schedulers)
+			go s.hosting.administer(node.Tenants, node.Deployment.Dispatch.Schedulers)
 		}
 	}
 	out := newLines(os.Stderr)
@@ -101,7 +101,7 @@
 			s.loop.Order(order{s, s.stop})
 		}
 	}()
-	go s.reload(reloads, func() (settings.Node, error) { return settings.ReadNode(os.Getenv) })
+	go s.reload(reloads, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
 	s.run(at)
 	fmt.Fprintf(out, "%s\n", s.report())
 	out.close(100 * time.Millisecond)
--- a/cmd/stoatweir/panic_in_stop_test.go
+++ b/cmd/stoatweir/panic_in_stop_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	node = l.Addr().String()
-	config, err := settings.ParseNode([]byte(`{"name":"n0","listen":"`+node+`","discovery":"`+discovery+`","seed":"1","known":`+list+`,"settings":{"Discovery":"ask",
+	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+node+`","discovery":"`+discovery+`","seed":"1","known":`+list+`,"settings":{"Discovery":"ask",
 		"Limits":{"MostForwards":2},"Rules":{"AskWithin":10},"Operations":[{"Name":"render","Effect":"non_idempotent","LatencyObjective":1,"ClientTimeout":2}]}}`),
 		func(string) string { return "" })
 	if err != nil {
--- a/cmd/stoatweir/pass.go
+++ b/cmd/stoatweir/pass.go
@@ -113,8 +113,8 @@
 
 func (s *service) legacy(j *tracked, r dispatch.MigratedIn) legacy {
 	l := legacy{ID: j.ID, Method: j.Method, Target: j.Target, Fields: j.Fields, Left: j.GivenUp - s.loop.Now(), At: uptime(), Record: r,
-		Name: s.site.Operations[j.operation], Operation: s.site.Deployment.Operations[j.operation],
-		Timeout: s.site.Timeouts[j.operation]}
+		Name: s.site.Operations[j.operation], Operation: s.site.Dispatch.Operations[j.operation],
+		Timeout: s.site.ClientTimeouts[j.operation]}
 	if r.Tenant < len(s.site.Tenants) {
 		l.Tenant = s.site.Tenants[r.Tenant]
 	}
@@ -155,7 +155,7 @@
 		b.takeBack(p)
 		p.Back()
 	}
-	if s := b.service; s.bond == b && !b.elder && s.life.At(s.loop.Now()).Passes && len(b.passed) < passesAtOnce/4 {
+	if s := b.service; s.bond == b && !b.elder && s.life.Behavior(s.loop.Now()).Migrates && len(b.passed) < passesAtOnce/4 {
 		s.pass()
 	}
 }
@@ -232,7 +232,7 @@
 			s.fleet.Keep(j, fwd, try.Worker)
 		}
 	}
-	s.fleet.Guard.Inherit(inv, s.terms(j, operation), s.inherited(l.Record.Attempts))
+	s.fleet.Guard.MigrateIn(inv, s.terms(j, operation), s.inherited(l.Record.Attempts))
 	l.Record.Invocation, l.Record.Operation = inv, operation
 	s.events = append(s.events, l.Record)
 	return true
@@ -241,8 +241,8 @@
 // heir finds what an invocation of the process before is here: it must be the same operation to the letter, and its
 // workers must be known, as what may be sent where follows from them.
 func (s *service) heir(l *legacy) (operation int, known bool) {
-	operation, known = s.site.Current[l.Name]
-	if !known || s.site.Deployment.Operations[operation] != l.Operation || s.site.Timeouts[operation] != l.Timeout ||
+	operation, known = s.site.OperationIndex[l.Name]
+	if !known || s.site.Dispatch.Operations[operation] != l.Operation || s.site.ClientTimeouts[operation] != l.Timeout ||
 		len(l.Workers) != len(l.Record.Attempts) {
 		return 0, false
 	}
@@ -254,7 +254,7 @@
 			return 0, false
 		}
 		if n < len(l.Zones) {
-			l.Record.Attempts[n].Zone = s.list.Zone(l.Zones[n])
+			l.Record.Attempts[n].Zone = s.list.ZoneIndex(l.Zones[n])
 		}
 	}
 	if s.hosting != nil {
--- a/cmd/stoatweir/pause_test.go
+++ b/cmd/stoatweir/pause_test.go
@@ -11,7 +11,7 @@
 // What is pushed when whoever carries the list is back counts as told at once: the next watch stands well inside the grace.
 func Example_pause() {
 	for _, grace := range []time.Duration{0, 20 * time.Millisecond, 500 * time.Millisecond, 30 * time.Second} {
-		s := &service{site: settings.Site{Grace: grace}, chance: rand.New(rand.NewPCG(1, 2))}
+		s := &service{site: settings.Deployment{DrainGrace: grace}, chance: rand.New(rand.NewPCG(1, 2))}
 		fmt.Print(grace, ":")
 		for s.unlisted = range 12 {
 			most := time.Duration(0)
--- a/cmd/stoatweir/reload_on_the_way_test.go
+++ b/cmd/stoatweir/reload_on_the_way_test.go
@@ -13,9 +13,9 @@
 	"stoatweir/internal/workers"
 )
 
-func siteOf(t *testing.T, operations string) settings.Site {
+func siteOf(t *testing.T, operations string) settings.Deployment {
 	t.Helper()
-	site, err := settings.ParseSite([]byte(`{"Operations": [` + operations + `]}`))
+	site, err := settings.ParseDeployment([]byte(`{"Operations": [` + operations + `]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	const sale = `{"Name":"sale","Effect":"non_idempotent","ClientTimeout":5}`
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	node, err := settings.ParseNode([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"Operations":[`+
+	node, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"Operations":[`+
 		render+`,`+sale+`]}}`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j := &tracked{Invocation: &workers.Invocation{Inv: 1}, operation: s.site.Current["sale"]}
+	j := &tracked{Invocation: &workers.Invocation{Inv: 1}, operation: s.site.OperationIndex["sale"]}
 	s.bond = &bond{service: s, passed: map[uint64]*parcel{1: {Parcel: &clients.Parcel{Inv: 1}, j: j}}}
 	for n := range 2 {
 		s.retune(siteOf(t, render+fmt.Sprintf(`,{"Name":"other-%d","Effect":"read_like","ClientTimeout":5}`, n)))
--- a/cmd/stoatweir/retune.go
+++ b/cmd/stoatweir/retune.go
@@ -10,7 +10,7 @@
 )
 
 // reload reads the configuration anew at each order, beside the loop, which must not wait for a disk.
-func (s *service) reload(orders <-chan os.Signal, read func() (settings.Node, error)) {
+func (s *service) reload(orders <-chan os.Signal, read func() (settings.Process, error)) {
 	for range orders {
 		node, err := patiently(func() bool { return false }, read)
 		s.loop.Order(newer{s, node, err})
@@ -19,7 +19,7 @@
 
 type newer struct {
 	*service
-	node settings.Node
+	node settings.Process
 	err  error
 }
 
@@ -27,34 +27,34 @@
 func (n newer) Take() {
 	s := n.service
 	if n.err == nil {
-		n.err = s.node.Lacks(n.node)
+		n.err = s.node.MissingKey(n.node)
 	}
-	if s.book.Loaded(n.err == nil); n.err != nil {
+	if s.book.ConfigurationLoaded(n.err == nil); n.err != nil {
 		s.log.WithError(n.err).Error("the new configuration can't be used, the old one stays")
 		return
 	}
-	if keys := s.node.Fixed(n.node); len(keys) > 0 {
+	if keys := s.node.StartOnlyChanges(n.node); len(keys) > 0 {
 		s.log.Warn("changed in the configuration, but only taken over at a start: ", strings.Join(keys, ", "))
 	}
-	s.base = n.node.Site
+	s.base = n.node.Deployment
 	s.retune(s.base)
 	if n.node.Discovery != s.node.Discovery {
 		s.log.Info("the watch of the list moves to ", n.node.Discovery)
 		s.node.Discovery = n.node.Discovery
-		s.list.Move(n.node.Discovery)
+		s.list.ChangeAddress(n.node.Discovery)
 	}
 	s.node.Text = n.node.Text
 	s.log.Info("the new configuration is in use")
 }
 
 // retune takes newer settings over. An index of an operation is used again only once nothing is under way under it.
-func (s *service) retune(newer settings.Site) {
+func (s *service) retune(newer settings.Deployment) {
 	if s.hosting != nil {
-		newer = newer.Hosting(s.hosting.all, s.node.Tenants.ExcessValue)
+		newer = newer.WithTenants(s.hosting.all, s.node.Tenants.ExcessValue)
 	} else {
-		newer.Deployment.Operations = slices.Clone(newer.Deployment.Operations) // renumbered in place
+		newer.Dispatch.Operations = slices.Clone(newer.Dispatch.Operations) // renumbered in place
 	}
-	newer.Renumber(s.list.Zone, s.list.Kind)
+	newer.Reindex(s.list.ZoneIndex, s.list.KindIndex)
 	under := map[int]bool{}
 	for _, j := range s.invs {
 		under[j.operation] = true
@@ -62,13 +62,13 @@
 	for _, j := range s.bond.onTheWay() {
 		under[j.operation] = true
 	}
-	site, from := s.site.Retune(newer, func(index int) bool { return !under[index] })
-	onSockets(&site.Deployment)
-	site.Deployment.Limits.Gossip = site.Deployment.Limits.Gossip && s.road != nil
+	site, from := s.site.Reconfigure(newer, func(index int) bool { return !under[index] })
+	onSockets(&site.Dispatch)
+	site.Dispatch.Limits.Gossip = site.Dispatch.Limits.Gossip && s.road != nil
 	s.site = site
 	s.askWithin()
 	s.door.Retune(site)
 	s.fleet.Retune(site)
-	s.fleet.Guard.Allow(site.Deployment.Limits.MaxAttempts, site.Deployment.Limits.MaxInFlight)
-	s.events = append(s.events, dispatch.Reconfigured{Config: site.Deployment, PreviousOperations: from})
+	s.fleet.Guard.RaiseLimits(site.Dispatch.Limits.MaxAttempts, site.Dispatch.Limits.MaxInFlight)
+	s.events = append(s.events, dispatch.Reconfigured{Config: site.Dispatch, PreviousOperations: from})
 }
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -54,9 +54,9 @@
 	door   *clients.Door
 	fleet  *workers.Fleet
 	list   *discovery.Watcher
-	node   settings.Node // as it was at the start, but for discovery
-	site   settings.Site
-	base   settings.Site // as the configuration has it, without what tenants add
+	node   settings.Process // as it was at the start, but for discovery
+	site   settings.Deployment
+	base   settings.Deployment // as the configuration has it, without what tenants add
 	known  []byte
 	events []dispatch.Event
 	invs   map[dispatch.InvocationID]*tracked
@@ -65,15 +65,15 @@
 	last   time.Duration // when the module was last asked
 
 	at            address
-	opened        bool           // clients are let in
-	studies       bool           // what the process before has learned was asked for
-	post          *handover.Post // where a successor finds us; nil: nowhere
-	road          *peers.Road    // to other schedulers; nil: none
-	hosting       *hosting       // nil: no tenants are served
-	bond          *bond          // nil: no other process serves at our address
-	life          life.Cycle
+	opened        bool             // clients are let in
+	studies       bool             // what the process before has learned was asked for
+	post          *handover.Post   // where a successor finds us; nil: nowhere
+	road          *peers.Transport // to other schedulers; nil: none
+	hosting       *hosting         // nil: no tenants are served
+	bond          *bond            // nil: no other process serves at our address
+	life          life.Lifecycle
 	stands        atomic.Uint32 // the state of life, for operators
-	figures       atomic.Pointer[ledger.Figures]
+	figures       atomic.Pointer[ledger.Totals]
 	published     int         // changes of the ledger that these hold
 	publishing    *conn.Alarm // nil: nothing has happened since
 	seed          int64
@@ -90,59 +90,59 @@
 	*workers.Invocation
 	operation     int
 	forwards, out int
-	seat          *tenants.Seat   // nil: nobody's
-	sent          []time.Duration // when each forward was, where it is somebody's
+	seat          *tenants.Account // nil: nobody's
+	sent          []time.Duration  // when each forward was, where it is somebody's
 }
 
-func newService(node settings.Node, log *logrus.Entry) (*service, error) {
+func newService(node settings.Process, log *logrus.Entry) (*service, error) {
 	start, given := time.Now(), node
 	loop := conn.NewLoop(start)
 	ours, theirs, book := loop.Share(0), loop.Share(0), ledger.New()
-	s := &service{loop: loop, ours: ours, theirs: theirs, log: log, book: book, node: given, base: given.Site, known: node.Known, invs: map[dispatch.InvocationID]*tracked{}, givenUp: map[string]int{},
+	s := &service{loop: loop, ours: ours, theirs: theirs, log: log, book: book, node: given, base: given.Deployment, known: node.CachedEndpoints, invs: map[dispatch.InvocationID]*tracked{}, givenUp: map[string]int{},
 		seed: node.Seed, last: -1,
-		door:  clients.New(loop, node.Site, ours, book),
-		fleet: workers.NewFleet(loop, node.Site, theirs),
-		list:  discovery.New(loop, node.Discovery, node.Site.Zones, node.Site.Kinds, start),
+		door:  clients.New(loop, node.Deployment, ours, book),
+		fleet: workers.NewFleet(loop, node.Deployment, theirs),
+		list:  discovery.New(loop, node.Discovery, node.Deployment.Zones, node.Deployment.Kinds, start),
 		waits: hdrhistogram.New(1, time.Minute.Microseconds(), 3), thinks: hdrhistogram.New(1, 1e7, 2)}
 	if err := s.host(&node); err != nil {
 		return nil, err
 	}
-	onSockets(&node.Site.Deployment)
-	s.site, s.core = node.Site, dispatch.New(node.Site.Deployment, node.Seed)
-	s.door.Retune(node.Site)
+	onSockets(&node.Deployment.Dispatch)
+	s.site, s.core = node.Deployment, dispatch.New(node.Deployment.Dispatch, node.Seed)
+	s.door.Retune(node.Deployment)
 	event := func(e dispatch.Event) { s.events = append(s.events, e) }
 	s.chance = rand.New(rand.NewPCG(uint64(node.Seed), uint64(start.UnixNano())))
-	s.list.Chance = s.chance
+	s.list.Rand = s.chance
 	s.askWithin()
 	s.door.Event, s.fleet.Event = event, event
 	s.door.Took = func(j *workers.Invocation, operation int) {
 		j.Effect = s.effect(operation)
 		s.invs[j.Inv] = &tracked{Invocation: j, operation: operation, seat: s.hosting.came(j.ID)}
-		s.fleet.Guard.Take(j.Inv, s.terms(j, operation))
+		s.fleet.Guard.RequestAdmitted(j.Inv, s.terms(j, operation))
 	}
-	s.door.Guard, s.door.Reason, s.fleet.Guard.Report = s.fleet.Guard, s.reason, s.violated
+	s.door.Guard, s.door.Reason, s.fleet.Guard.OnViolation = s.fleet.Guard, s.reason, s.violated
 	s.door.News, s.door.Report, s.door.History = s.fleet.Take, s.report, s.historyOf
 	s.door.Relay, s.door.Foreign, s.door.Holds = s.relay, s.foreign, s.holds
 	s.door.Served = func(t time.Duration) { s.waits.RecordValue(t.Microseconds()) }
-	s.door.Manner = func() life.Manner { return s.life.At(loop.Now()) }
-	s.fleet.Deliver, s.fleet.Owed, s.fleet.Waits, s.fleet.Wrote = s.door.Deliver, s.door.Owed, s.door.Waits, book.Sent
-	s.list.Told, loop.Panicked = s.told, s.panicked
-	s.list.Failed = func(why string) { log.Warn("the watch of the list has failed: ", why) }
+	s.door.Manner = func() life.Behavior { return s.life.Behavior(loop.Now()) }
+	s.fleet.Deliver, s.fleet.Owed, s.fleet.Waits, s.fleet.Wrote = s.door.Deliver, s.door.Owed, s.door.Waits, book.Forwarded
+	s.list.OnUpdate, loop.Panicked = s.told, s.panicked
+	s.list.OnFailure = func(why string) { log.Warn("the watch of the list has failed: ", why) }
 	s.resize(node.Sockets)
 	if len(node.Peers) > 0 {
-		s.road = peers.Open(loop, node.Peers, node.Site.Deployment.Index, start, func(err error) {
+		s.road = peers.Open(loop, node.Peers, node.Deployment.Dispatch.Index, start, func(err error) {
 			log.WithError(err).Warn("peers: our address can't be had, nothing is told until it can")
 		})
-		s.road.Told = func(t dispatch.GossipReceived) { s.events = append(s.events, t) }
+		s.road.OnReceive = func(t dispatch.GossipReceived) { s.events = append(s.events, t) }
 	}
 	installShims(s)
-	log.Info("deployment: ", node.Site.Shape)
+	log.Info("deployment: ", node.Deployment.Features)
 	return s, nil
 }
 
 // effect is an operation's effect class.
 func (s *service) effect(operation int) dispatch.Effect {
-	return s.site.Deployment.Operations[operation].Effect
+	return s.site.Dispatch.Operations[operation].Effect
 }
 
 // onSockets adds what holds on sockets, whatever the settings say.
@@ -175,18 +175,18 @@
 		if err != nil {
 			s.log.Warn("known: ", err) // discovery will tell
 		}
-		if list.Form = dispatch.FullUpdate; len(list.Workers) > 0 && !at.shared {
+		if list.Kind = dispatch.FullUpdate; len(list.Workers) > 0 && !at.shared {
 			within = knownWithin
 		}
 		s.fleet.List(list)
-		s.events = append(s.events, list.Listing())
+		s.events = append(s.events, list.EndpointUpdate())
 	}
 	if at.shared {
 		within = sharedWithin
 	}
 	s.loop.After(within, s.knows) // with discovery down we must serve too
 	s.meet()
-	if s.site.Deployment.EndpointsPushed {
+	if s.site.Dispatch.EndpointsPushed {
 		s.list.Watch() // the module does not ask where changes come unasked; here all is asked for
 	}
 	if s.hosting != nil {
@@ -197,7 +197,7 @@
 	s.publish()
 	s.loop.Run(s.decide)
 	for _, inv := range s.door.Rest() {
-		s.fleet.Guard.Closed(inv)
+		s.fleet.Guard.CheckClose(inv)
 	}
 	s.post.Close()
 	s.road.Close()
@@ -208,27 +208,27 @@
 
 // askWithin tells the watcher what time the settings give for asking.
 func (s *service) askWithin() {
-	if s.list.Within = 0; !s.site.Deployment.EndpointsPushed {
-		s.list.Within = s.base.Deployment.Rules.PollWithin
+	if s.list.PollWithin = 0; !s.site.Dispatch.EndpointsPushed {
+		s.list.PollWithin = s.base.Dispatch.Rules.PollWithin
 	}
 }
 
 // told takes news of the list in.
-func (s *service) told(list discovery.List) {
-	if list.Form != dispatch.WatchFailed {
+func (s *service) told(list discovery.Update) {
+	if list.Kind != dispatch.WatchFailed {
 		s.fleet.List(list)
 		s.loop.After(s.settling(), s.study)
 		s.unlisted = 0
-	} else if s.site.Deployment.EndpointsPushed {
+	} else if s.site.Dispatch.EndpointsPushed {
 		s.loop.After(s.pause(), s.watch) // the module does not ask where changes come unasked
 		s.unlisted++
 	}
-	s.events = append(s.events, list.Listing())
+	s.events = append(s.events, list.EndpointUpdate())
 }
 
 // watch begins the next watch, unless a call that was late has come to its turn meanwhile.
 func (s *service) watch() {
-	if !s.list.Stands() {
+	if !s.list.Established() {
 		s.list.Watch()
 	}
 }
@@ -236,8 +236,8 @@
 // pause is how long the next watch of a pushed list waits. A pool must not come back to its list all at once.
 func (s *service) pause() time.Duration {
 	most := pushedMost
-	if s.site.Grace > 0 {
-		most = min(most, max(s.site.Grace/2, pushedLeast))
+	if s.site.DrainGrace > 0 {
+		most = min(most, max(s.site.DrainGrace/2, pushedLeast))
 	}
 	wait := min(pushedFirst<<min(s.unlisted, 8), most)
 	return wait/2 + time.Duration(s.chance.Int64N(int64(wait/2)))
@@ -297,10 +297,10 @@
 	}
 	s.invs = map[dispatch.InvocationID]*tracked{}
 	s.seed++
-	s.core = dispatch.New(s.site.Deployment, s.seed)
+	s.core = dispatch.New(s.site.Dispatch, s.seed)
 	s.events = []dispatch.Event{s.fleet.Listing()}
 	if s.hosting != nil {
-		s.hosting.gate.Retell()
+		s.hosting.gate.Republish()
 		s.hosting.share()
 	}
 	s.list.Watch()                      // the new one takes its first list for a sign that the watch stands
@@ -384,7 +384,7 @@
 
 // publish lets operators see the figures as they stand.
 func (s *service) publish() {
-	f := s.book.Figures(s.fleet.Listed(), s.core.Ejected())
+	f := s.book.Totals(s.fleet.Listed(), s.core.Ejected())
 	s.figures.Store(&f)
 	s.published, s.publishing = s.book.Changes, nil
 }
@@ -397,14 +397,14 @@
 	}
 	told := map[string]uint64{}
 	if s.road != nil {
-		told = s.road.Figures()
+		told = s.road.CountsByName()
 	}
 	turns, stored := s.loop.Turns(), memory()
 	text, err := json.Marshal(map[string]any{
 		"turns":      map[string]int64{"count": turns.Count, "worst_us": turns.Worst.Microseconds(), "worst_10s_us": turns.Lately.Microseconds()},
 		"heap_bytes": stored[heapLive], "allocations": stored[heapAllocs], "collections": stored[gcCycles],
 		"peers":       told,
-		"invocations": s.book.Figures(s.fleet.Listed(), s.core.Ejected()), "clients": s.door.Counts, "connections_ended": s.door.Ended, "workers": s.fleet.Counts, "guard": s.fleet.Guard.Counts, "refused": s.givenUp, "watches": s.list.Calls, "clock_steps": s.list.ClockSteps(), "in_hand": s.door.InHand(),
+		"invocations": s.book.Totals(s.fleet.Listed(), s.core.Ejected()), "clients": s.door.Counts, "connections_ended": s.door.Ended, "workers": s.fleet.Counts, "guard": s.fleet.Guard.Counts, "refused": s.givenUp, "watches": s.list.WatchesStarted, "clock_steps": s.list.ClockSteps(), "in_hand": s.door.InHand(),
 		"out": s.fleet.Out(), "panics": s.panics, "sockets": s.ours.Used() + s.theirs.Used(), "served_us": spread(s.waits),
 		"decided_us": spread(s.thinks),
 	})
--- a/cmd/stoatweir/service_test.go
+++ b/cmd/stoatweir/service_test.go
@@ -83,7 +83,7 @@
 }
 
 // serveAt runs a service, and waits for its yes. over is closed at its end.
-func serveAt(t *testing.T, l net.Listener, config settings.Node) (s *service, over chan struct{}) {
+func serveAt(t *testing.T, l net.Listener, config settings.Process) (s *service, over chan struct{}) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	node = l.Addr().String()
-	config, err := settings.ParseNode([]byte(`{"name":"n0","listen":"`+node+`","discovery":"`+discovery+`","seed":"8c1f",
+	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+node+`","discovery":"`+discovery+`","seed":"8c1f",
 		"known":`+list+`,"settings":{"Discovery":"ask","PeersTotal":1,"Report":{"How":"probe","Names":["x0"]},
 		"FamilyInfo":{"ReportX0":"free slots"},"Limits":{"Probes":true,"MostForwards":2},"Rules":{"AskWithin":10},
 		"Operations":[{"Name":"render","Effect":"read_like","LatencyObjective":0.2,"ClientTimeout":5}]}}`),
@@ -164,7 +164,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 	})
 	orders, reads := make(chan os.Signal, 1), 0
-	go s.reload(orders, func() (settings.Node, error) {
+	go s.reload(orders, func() (settings.Process, error) {
 		next := config
 		next.Discovery = second
 		if reads++; reads == 1 {
@@ -211,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config, err := settings.ParseNode([]byte(`{"name":"n0","listen":"`+l.Addr().String()+`","discovery":"`+silent.Addr().String()+`",
+	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+l.Addr().String()+`","discovery":"`+silent.Addr().String()+`",
 		"known":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","state":"Ready"}]},
 		"settings":{"Discovery":"ask","Operations":[{"Name":"render","Effect":"read_like"}]}}`),
 		func(string) string { return "" })
--- a/cmd/stoatweir/shims_soak.go
+++ b/cmd/stoatweir/shims_soak.go
@@ -72,5 +72,5 @@
 		}
 		return poll(fds, timeout)
 	}
-	s.list.Wall = func() time.Time { return time.Now().Add(now.Load().WallStep) }
+	s.list.WallClock = func() time.Time { return time.Now().Add(now.Load().WallStep) }
 }
--- a/cmd/stoatweir/start_test.go
+++ b/cmd/stoatweir/start_test.go
@@ -38,7 +38,7 @@
 			return net.Listen("tcp", "127.0.0.1:0")
 		}
 		began := time.Now()
-		at, err := arrive(settings.Node{Name: "n0", Listen: freeAddr(t)}, t.TempDir(), logrus.NewEntry(log), func() bool { return c.told && tries > 3 })
+		at, err := arrive(settings.Process{Name: "n0", Listen: freeAddr(t)}, t.TempDir(), logrus.NewEntry(log), func() bool { return c.told && tries > 3 })
 		if !errors.Is(err, c.want) || c.want == nil && at.listener == nil || time.Since(began) > 2*time.Second {
 			t.Errorf("%s: %v after %d tries and %v", c.name, err, tries, time.Since(began))
 		}
@@ -52,7 +52,7 @@
 func TestReloadFailsForAMoment(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	node, err := settings.ParseNode([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"Operations":[
+	node, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"Operations":[
 		{"Name":"render","Effect":"read_like","ClientTimeout":5}]}}`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -63,9 +63,9 @@
 	}
 	reads := 0
 	orders := make(chan os.Signal, 1)
-	go s.reload(orders, func() (settings.Node, error) {
+	go s.reload(orders, func() (settings.Process, error) {
 		if reads++; reads < 4 {
-			return settings.Node{}, &os.PathError{Op: "open", Path: "config.json", Err: syscall.ENFILE}
+			return settings.Process{}, &os.PathError{Op: "open", Path: "config.json", Err: syscall.ENFILE}
 		}
 		return node, nil
 	})
--- a/cmd/stoatweir/storm_test.go
+++ b/cmd/stoatweir/storm_test.go
@@ -446,7 +446,7 @@
 	for n, uid := range uids {
 		known = append(known, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"state":"Ready"}`, uid, addrs[n]))
 	}
-	config, err := settings.ParseNode([]byte(`{"name":"n0","listen":"`+s.node+`","discovery":"`+discovery+`","seed":"8c1f",
+	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+s.node+`","discovery":"`+discovery+`","seed":"8c1f",
 		"known":{"rev":0,"all":true,"targets":[`+strings.Join(known, ",")+`]},"settings":{"Discovery":"ask","PeersTotal":1,
 		"Report":{"How":"probe","Names":["x0"]},"FamilyInfo":{"ReportX0":"free slots","TellsStart":true},
 		"Limits":{"Probes":true,"Cancel":`+fmt.Sprint(seed%2 == 0)+`,"MostForwards":4,"RetryAfter":true,"MaxRetryAfter":1,"ConnectTimeout":0.25,"ConnIdle":1},
--- a/cmd/stoatweir/successor.go
+++ b/cmd/stoatweir/successor.go
@@ -52,7 +52,7 @@
 var errTold = errors.New("told to stop")
 
 // arrive finds who serves at our address and gets its socket, or one of our own.
-func arrive(node settings.Node, dir string, log *logrus.Entry, told func() bool) (at address, err error) {
+func arrive(node settings.Process, dir string, log *logrus.Entry, told func() bool) (at address, err error) {
 	var why error
 	if at.place, why = handover.Place(dir, node.Listen); why == nil {
 		at.link, at.welcome, at.listener, why = handover.Find(at.place, node.Listen, node.Name)
@@ -221,7 +221,7 @@
 		return
 	}
 	s.log.Info("the process that came to replace this one has ended")
-	s.lives("the successor has ended", func() bool { s.life.Successor(s.loop.Now(), false); return true })
+	s.lives("the successor has ended", func() bool { s.life.SuccessorChanged(s.loop.Now(), false); return true })
 }
 
 // Take takes a message in.
@@ -236,7 +236,7 @@
 	switch m.Kind {
 	case handover.Ready:
 		if !b.elder {
-			s.lives("the successor serves", func() bool { s.life.Successor(s.loop.Now(), true); return true })
+			s.lives("the successor serves", func() bool { s.life.SuccessorChanged(s.loop.Now(), true); return true })
 		}
 	case handover.Taken:
 		for _, id := range m.IDs {
--- a/cmd/stoatweir/told_test.go
+++ b/cmd/stoatweir/told_test.go
@@ -249,7 +249,7 @@
 	if d.unknown {
 		known = ""
 	}
-	node, err := settings.ParseNode(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:3","discovery":%q,"seed":"%x",%s
+	node, err := settings.ParseProcess(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:3","discovery":%q,"seed":"%x",%s
 		"settings":{"Discovery":%q,"PeersTotal":%d,"Rules":{"AskWithin":%g,"StopSendingWithin":%g},
 		"Operations":[{"Name":"render","Effect":"read_like"}]}}`, discoveryAddr, d.seed+1, known, how, max(1, d.peers),
 		float64(cmp.Or(d.within, 10000))/1000, cmp.Or(d.grace, 0.5)), func(string) string { return "" })
@@ -265,8 +265,8 @@
 	p := &player{service: s, at: at, listener: make(closed), over: make(chan struct{})}
 	s.loop.DialContext = at.DialContext
 	s.loop.Panicked = func(cause any) { panic(cause) }
-	took := s.list.Told
-	s.list.Told = func(l discovery.List) {
+	took := s.list.OnUpdate
+	s.list.OnUpdate = func(l discovery.Update) {
 		if len(l.Workers) > 0 {
 			if p.heard = append(p.heard, at.now()); l.Workers[0].State != dispatch.Ready && p.told == 0 {
 				p.told = at.now()
@@ -435,7 +435,7 @@
 						all = append(all, p)
 						time.AfterFunc(first, func() {
 							node := p.node
-							node.Site, node.Discovery = p.base, movedAddr
+							node.Deployment, node.Discovery = p.base, movedAddr
 							p.loop.Order(newer{p.service, node, nil})
 						})
 					}
--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -205,7 +205,7 @@
 // start starts a scheduler among the workers and the discovery of the case.
 func (e *exchangeScript) start(t *testing.T, effect string, r *transcript) (s *service, world *scriptedWorld, stop func()) {
 	world = newScriptedWorld(e, r)
-	node, err := settings.ParseNode(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"5","known":%s,
+	node, err := settings.ParseProcess(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"5","known":%s,
 		"settings":{"Discovery":"ask","PeersTotal":%d,"Dcs":["a","b"],"FamilyInfo":{"TellsStart":true},"Report":{"How":"none"},
 		"Rules":{"AskWithin":10,"StopSendingWithin":0.5},
 		"Limits":{"Probes":%v,"Cancel":true,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfter":1,"MostForwards":3,"ConnectTimeout":0.25,"ConnIdle":5},
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { silent.Close() })
-	config, err := settings.ParseNode([]byte(`{"name":"n0","listen":"`+l.Addr().String()+`","discovery":"`+silent.Addr().String()+`",
+	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+l.Addr().String()+`","discovery":"`+silent.Addr().String()+`",
 		"known":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","state":"Ready"}]},
 		"settings":{"Discovery":"ask","Operations":[{"Name":"render","Effect":"read_like"}]}}`), func(string) string { return "" })
 	if err != nil {
@@ -177,11 +177,11 @@
 	l.Forwards, l.Applied, l.Rejected = 1001, 1002, 1003
 	class := l.Class("render")
 	for range 30 {
-		l.Took(class)
+		l.Admitted(class)
 	}
-	for how, times := range map[ledger.Disposition]int{ledger.Succeeded: 1, ledger.Declined: 2, ledger.Aborted: 3, ledger.Abandoned: 4, ledger.Handed: 5} {
+	for how, times := range map[ledger.Disposition]int{ledger.Succeeded: 1, ledger.Declined: 2, ledger.Aborted: 3, ledger.Abandoned: 4, ledger.Migrated: 5} {
 		for range times {
-			l.End(class, how)
+			l.Completed(class, how)
 		}
 	}
 }
@@ -192,8 +192,8 @@
 	fillBook(s.book)
 	s.door.Counts, s.fleet.Counts, s.fleet.Guard.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[guard.Counts](t)
 	s.door.Ended, s.givenUp = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
-	s.list.Calls, s.panics = 1006, 1007
-	s.road = &peers.Road{}
+	s.list.WatchesStarted, s.panics = 1006, 1007
+	s.road = &peers.Transport{}
 	for n, c := range []interface{ Store(uint64) }{&s.road.Counts.Sent, &s.road.Counts.Heard, &s.road.Counts.Unsent, &s.road.Counts.Foreign,
 		&s.road.Counts.Old, &s.road.Counts.Broken, &s.road.Counts.Crowded} {
 		c.Store(uint64(1010 + n))
@@ -206,7 +206,7 @@
 	s, _ := wireService(t)
 	fillCounts(t, s)
 	golden(t, "counts", memoryFigures.ReplaceAll(s.report(), []byte(`"$1":MEMORY`)))
-	figures, err := json.Marshal(filled[ledger.Figures](t))
+	figures, err := json.Marshal(filled[ledger.Totals](t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,21 +233,21 @@
 	now := time.Duration(0)
 	g := guard.New(func() time.Duration { now += 250 * time.Millisecond; return now })
 	s.fleet.Guard = g
-	g.Take(1, guard.Terms{ID: "job-1", Effect: dispatch.NonIdempotent, Deadline: time.Minute, MostAttempts: 2, MostOut: 1})
-	worker := guard.Target{Worker: "s-1", Endpoint: dispatch.Endpoint{State: dispatch.Ready}}
+	g.RequestAdmitted(1, guard.RequestLimits{ID: "job-1", Effect: dispatch.NonIdempotent, Deadline: time.Minute, MaxAttempts: 2, MaxInFlight: 1})
+	worker := guard.Target{UID: "s-1", Endpoint: dispatch.Endpoint{State: dispatch.Ready}}
 	gone := worker
 	gone.State++
-	g.Send(guard.Attempt{Request: 1, Chosen: worker, Now: gone, Timeout: time.Minute})
-	sent := guard.Attempt{Request: 1, Number: 1, Chosen: worker, Now: worker, Timeout: time.Minute}
-	if why := g.Send(sent); why != "" {
+	g.CheckSend(guard.Attempt{Request: 1, Chosen: worker, Current: gone, Deadline: time.Minute})
+	sent := guard.Attempt{Request: 1, Number: 1, Chosen: worker, Current: worker, Deadline: time.Minute}
+	if why := g.CheckSend(sent); why != "" {
 		t.Fatal(why)
 	}
-	g.Begun(sent)
-	g.TakeBack(1, g.Give(1))
-	g.Ended(1, 1, "broken", true)
-	g.Send(sent)
-	g.Closed(1)
-	g.Answer(1, guard.Refused, "an attempt may have run")
+	g.AttemptStarted(sent)
+	g.CancelMigration(1, g.MigrateOut(1))
+	g.AttemptEnded(1, 1, "broken", true)
+	g.CheckSend(sent)
+	g.CheckClose(1)
+	g.CheckAnswer(1, guard.Refused, "an attempt may have run")
 	golden(t, "history", s.historyOf("job-1"))
 	if text := s.historyOf("another"); len(text) > 0 {
 		t.Errorf("of another request: %s", text)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,11 +22,11 @@
 
 // Calls are what operators may ask, by word. Each gives the answer's text behind its first word, of one line or more. They
 // are called by many goroutines at once, and must answer within the second that a caller waits.
-type Calls map[string]func() (string, error)
+type Commands map[string]func() (string, error)
 
 // Door serves callers, so many at once and no more.
-type Door struct {
-	calls Calls
+type Server struct {
+	calls Commands
 	most  int
 
 	mu   sync.Mutex
@@ -48,10 +48,10 @@
 )
 
 // New makes a door for most callers at once.
-func New(calls Calls, most int) *Door { return &Door{calls: calls, most: most} }
+func New(calls Commands, most int) *Server { return &Server{calls: calls, most: most} }
 
 // Serve answers callers until the listener closes.
-func (d *Door) Serve(l net.Listener) {
+func (d *Server) Serve(l net.Listener) {
 	for {
 		nc, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -68,7 +68,7 @@
 }
 
 // enter makes room: callers that connect and say nothing must not keep others out.
-func (d *Door) enter(c *caller) {
+func (d *Server) enter(c *caller) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.open) >= d.most {
@@ -84,13 +84,13 @@
 	d.open = append(d.open, c)
 }
 
-func (d *Door) set(c *caller, to stage) {
+func (d *Server) set(c *caller, to stage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c.stage = to
 }
 
-func (d *Door) leave(c *caller) {
+func (d *Server) leave(c *caller) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c.net.Close()
@@ -98,13 +98,13 @@
 }
 
 // callers counts those that are connected.
-func (d *Door) callers() int {
+func (d *Server) callers() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.open)
 }
 
-func (d *Door) serve(c *caller) {
+func (d *Server) serve(c *caller) {
 	defer d.leave(c)
 	c.net.SetReadDeadline(time.Now().Add(callIn))
 	line, b := Line{}, make([]byte, maxLine)
@@ -128,7 +128,7 @@
 	d.answer(c, text, err)
 }
 
-func (d *Door) answer(c *caller, text string, err error) {
+func (d *Server) answer(c *caller, text string, err error) {
 	if err != nil {
 		text = "-ERR " + strings.ReplaceAll(err.Error(), "\n", " ")
 	} else {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -43,7 +43,7 @@
 	// "aaaaaaaaaaaaaaaaaaaa": whole false, word "aaaaaaaaaa", the line is over 256 bytes
 }
 
-func open(t *testing.T, calls Calls, most int) (*Door, string) {
+func open(t *testing.T, calls Commands, most int) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	_, addr := open(t, Calls{
+	_, addr := open(t, Commands{
 		"status": func() (string, error) { return "ready", nil },
 		"stats":  func() (string, error) { return "2 figures\na 1\n.", nil },
 		"broken": func() (string, error) { return "", errors.New("told to\nstop") },
@@ -98,7 +98,7 @@
 // Callers that connect and finish no call keep nobody out, and hold no more descriptors than there are set aside.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	const most = 4
-	d, addr := open(t, Calls{"status": func() (string, error) { return "ready", nil }}, most)
+	d, addr := open(t, Commands{"status": func() (string, error) { return "ready", nil }}, most)
 	oldest := dial(t, addr)
 	for n := range 50 {
 		c := dial(t, addr)
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -67,7 +67,7 @@
 	Took    func(j *workers.Invocation, operation int) // an invocation has come; the event follows
 	News    func(workers.News) bool                    // of a worker; false: of nothing that is known here
 	Served  func(time.Duration)                        // how long a client waited for its worker's result
-	Manner  func() life.Manner
+	Manner  func() life.Behavior
 	Accept  func(net.Listener) (net.Conn, error) // lets the next connection in, as the listener does unless it is set
 	Report  func() []byte                        // the counters, for people
 	History func(id string) []byte               // what is known of a request
@@ -81,13 +81,13 @@
 	Ended   map[string]int // connections, by why they ended
 	Longest time.Duration  // that a client has said it waits
 	Ledger  *ledger.Ledger
-	Gate    *tenants.Gate                      // who may come in, where tenants are served; nil: all may
-	Guard   *guard.Guard                       // each final answer and each end of a connection passes it; nil: none does
+	Gate    *tenants.Controller                // who may come in, where tenants are served; nil: all may
+	Guard   *guard.Checker                     // each final answer and each end of a connection passes it; nil: none does
 	Reason  func(dispatch.InvocationID) string // why the answer that is being given is given, for the history of the request; nil: not told
 
 	loop        *conn.Loop
 	share       *conn.Share
-	site        settings.Site
+	site        settings.Deployment
 	operations  map[string]int
 	classes     []int // of the ledger, by operation
 	tenants     map[string]int
@@ -113,12 +113,12 @@
 	came       time.Duration
 	givenUp    time.Duration
 	overdue    *conn.Alarm
-	seat       *tenants.Seat // nil: nobody's
-	ask        tenants.Ask
+	seat       *tenants.Account // nil: nobody's
+	ask        tenants.Request
 }
 
 // New makes a door that is shut and has no room yet.
-func New(loop *conn.Loop, site settings.Site, share *conn.Share, book *ledger.Ledger) *Door {
+func New(loop *conn.Loop, site settings.Deployment, share *conn.Share, book *ledger.Ledger) *Door {
 	d := &Door{loop: loop, share: share,
 		inHand: map[dispatch.InvocationID]*inHand{}, ids: map[string]bool{}, connections: map[*connection]struct{}{},
 		more: make(chan struct{}, 1), Ledger: book, Ended: map[string]int{}, Accept: net.Listener.Accept}
@@ -133,18 +133,18 @@
 }
 
 // Retune follows newer settings. What is in hand keeps the class under which it came.
-func (d *Door) Retune(site settings.Site) {
-	d.site, d.operations, d.classes = site, site.Current, nil
+func (d *Door) Retune(site settings.Deployment) {
+	d.site, d.operations, d.classes = site, site.OperationIndex, nil
 	for at, name := range site.Operations {
 		class := -1 // nobody comes under it any more
-		if current, is := site.Current[name]; is && current == at {
+		if current, is := site.OperationIndex[name]; is && current == at {
 			class = d.Ledger.Class(name)
 		}
 		d.classes = append(d.classes, class)
 	}
 	for _, name := range d.Ledger.Classes() {
-		if _, stays := site.Current[name]; !stays && settings.Hosted(name) {
-			d.Ledger.Forget(name)
+		if _, stays := site.OperationIndex[name]; !stays && settings.IsTenantOperation(name) {
+			d.Ledger.RemoveClass(name)
 		}
 	}
 	d.tenants = map[string]int{}
@@ -192,7 +192,7 @@
 
 func (d *Door) accept() {
 	d.retry.Stop()
-	if d.waits = false; d.leave || d.listener == nil || d.closes || !d.Manner().Hears {
+	if d.waits = false; d.leave || d.listener == nil || d.closes || !d.Manner().Accepts {
 		return
 	}
 	if d.waits = !d.share.Spare(0); !d.waits {
@@ -257,7 +257,7 @@
 
 func (d *Door) answer(inv dispatch.InvocationID, how ledger.Disposition, status int, body []byte, fields ...http1.Field) {
 	v := d.inHand[inv].connection
-	if given := d.Guard.Answer(inv, kinds[how], d.reason(inv)); given != kinds[how] {
+	if given := d.Guard.CheckAnswer(inv, kinds[how], d.reason(inv)); given != kinds[how] {
 		how, status, fields = ledger.Aborted, 500, nil // the only answer that promises nothing
 	}
 	d.forget(inv, how)
@@ -266,7 +266,7 @@
 }
 
 var kinds = map[ledger.Disposition]guard.Kind{ledger.Succeeded: guard.Succeeded, ledger.Declined: guard.Refused,
-	ledger.Aborted: guard.Failed, ledger.Abandoned: guard.Abandoned, ledger.Handed: guard.Handed}
+	ledger.Aborted: guard.Failed, ledger.Abandoned: guard.Abandoned, ledger.Migrated: guard.Migrated}
 
 func (d *Door) reason(inv dispatch.InvocationID) string {
 	if d.Reason == nil {
@@ -278,16 +278,16 @@
 // forget is where every invocation ends, once.
 func (d *Door) forget(inv dispatch.InvocationID, how ledger.Disposition) {
 	j := d.inHand[inv]
-	d.Ledger.End(j.class, how)
+	d.Ledger.Completed(j.class, how)
 	if j.seat != nil {
-		d.Gate.Ended(d.loop.Now(), j.seat, j.ask, d.loop.Now()-j.came, endings[how])
+		d.Gate.Completed(d.loop.Now(), j.seat, j.ask, d.loop.Now()-j.came, endings[how])
 	}
 	j.overdue.Stop()
 	delete(d.inHand, inv)
 }
 
-var endings = map[ledger.Disposition]tenants.Ending{ledger.Succeeded: tenants.Succeeded, ledger.Declined: tenants.Declined,
-	ledger.Aborted: tenants.Aborted, ledger.Abandoned: tenants.Abandoned, ledger.Handed: tenants.Handed}
+var endings = map[ledger.Disposition]tenants.Disposition{ledger.Succeeded: tenants.Succeeded, ledger.Declined: tenants.Declined,
+	ledger.Aborted: tenants.Aborted, ledger.Abandoned: tenants.Abandoned, ledger.Migrated: tenants.Migrated}
 
 // Free lets an id go some time after the last forward of it has ended; unless it was never sent, news of it may come.
 func (d *Door) Free(id string, sent bool) {
@@ -307,15 +307,15 @@
 // client that has waited for long, and be refused at once.
 func (d *Door) Follow() {
 	m := d.Manner()
-	d.closes = d.closes && m.Leaves
-	d.listens(m.Hears && !d.closes) // whoever waits in the queue is for the other process, which listens at the same socket
+	d.closes = d.closes && m.ExitsWhenIdle
+	d.listens(m.Accepts && !d.closes) // whoever waits in the queue is for the other process, which listens at the same socket
 	d.accept()
 	for v := range d.connections {
 		switch {
-		case v.inv != 0 || v.waits || v.parcel != nil || m.News && v.brings:
-		case m.Sweeps && v.parser.Started() && !v.last:
+		case v.inv != 0 || v.waits || v.parcel != nil || m.KeepsCallbacks && v.brings:
+		case m.ClosesPartial && v.parser.Started() && !v.last:
 			v.malformed(408)
-		case m.Shuts && v.idle() && !v.young():
+		case m.ClosesIdle && v.idle() && !v.young():
 			v.part()
 		}
 	}
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -21,7 +21,7 @@
 
 // open listens on loopback; what happens at the door is printed, and done is asked after each.
 func open(most int) (l *conn.Loop, d *Door, addr string, shut func()) {
-	site, err := settings.ParseSite([]byte(`{"Operations": [{"Name": "render", "Effect": "read_like", "ClientTimeout": 5},
+	site, err := settings.ParseDeployment([]byte(`{"Operations": [{"Name": "render", "Effect": "read_like", "ClientTimeout": 5},
 		{"Name": "sale", "Effect": "idempotency_key"}], "Tenants": [{"Name": "kestrel"}, {"Name": "oak"}],
 		"FamilyInfo": {"ReportX0": "free slots"}, "Report": {"How": "answers", "Names": ["x0"]}}`))
 	if err != nil {
@@ -48,8 +48,8 @@
 		return true
 	}
 	d.Served = func(time.Duration) {}
-	manner = life.Manner{Yes: true, Hears: true, Takes: true}
-	d.Manner, d.Report = func() life.Manner { return manner }, func() []byte { return []byte("{}") }
+	manner = life.Behavior{Ready: true, Accepts: true, Admits: true}
+	d.Manner, d.Report = func() life.Behavior { return manner }, func() []byte { return []byte("{}") }
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -58,7 +58,7 @@
 	return l, d, listener.Addr().String(), func() { listener.Close() }
 }
 
-var manner life.Manner // what the door is told of the life cycle
+var manner life.Behavior // what the door is told of the life cycle
 
 // until runs the loop in which the door lives.
 func until(l *conn.Loop, what string, done func() bool) {
@@ -128,7 +128,7 @@
 	ask(l, addr, strings.Replace(closing, "9b1f", "9b20", 1))
 	d.Free("9b1f", false)
 	ask(l, addr, strings.NewReplacer("250000", "lots", "slots=2", "slots=-2", "2.500", "900", "X-Caller: oak", "X-Odd: 1").Replace(closing))
-	fmt.Printf("%+v %+v\n", d.Counts, d.Ledger.Figures(0, 0).Classes)
+	fmt.Printf("%+v %+v\n", d.Counts, d.Ledger.Totals(0, 0).Classes)
 	// Output:
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
 	// inv 1: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
@@ -166,7 +166,7 @@
 		ask(l, addr, strings.Replace(closing, change[0], change[1], 1))
 	}
 	ask(l, addr, strings.Replace(strings.Replace(closing, "render", "sale", 2), "Content-Length", "Idempotency-Key: a\tb\r\nContent-Length", 1))
-	fmt.Println(len(d.Ledger.Figures(0, 0).Classes), d.Ledger.Figures(0, 0).Classes[0].Taken, d.Counts.Malformed)
+	fmt.Println(len(d.Ledger.Totals(0, 0).Classes), d.Ledger.Totals(0, 0).Classes[0].Admitted, d.Counts.Malformed)
 	// Output:
 	// "/unheard/" "400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// "Class: unheard" "404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -244,7 +244,7 @@
 	until(l, "the second job", func() bool { return d.InHand() == 2 })
 	ask(l, addr, strings.Replace(closing, "9b1f", "9b22", 1))
 	c.Close()
-	fmt.Printf("%+v %+v\n", d.Counts, d.Ledger.Figures(0, 0).Classes)
+	fmt.Printf("%+v %+v\n", d.Counts, d.Ledger.Totals(0, 0).Classes)
 	// Output:
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
 	// inv 1: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
@@ -375,12 +375,12 @@
 		return d.Counts.Connections == 2 && len(d.connections) == 1 && !d.Busy() && d.share.Used() == 1
 	})
 	l.After(20*time.Millisecond, func() {
-		manner.Yes = false
+		manner.Ready = false
 		idle.Write([]byte("GET /-/ready HTTP/1.1\r\n\r\n"))
 	})
-	l.After(100*time.Millisecond, func() { manner.Shuts = true; d.Follow() })
-	l.After(300*time.Millisecond, func() { manner.Takes = false })
-	until(l, "the idle one's end", func() bool { return manner.Shuts && len(d.connections) == 0 })
+	l.After(100*time.Millisecond, func() { manner.ClosesIdle = true; d.Follow() })
+	l.After(300*time.Millisecond, func() { manner.Admits = false })
+	until(l, "the idle one's end", func() bool { return manner.ClosesIdle && len(d.connections) == 0 })
 	b, _ := io.ReadAll(idle)
 	fmt.Printf("%q\n", b)
 	idle.Close()
@@ -429,7 +429,7 @@
 		}
 		return len(d.connections) == 3 && begun == 2
 	})
-	manner = life.Manner{Hears: true, Takes: true, Shuts: true, News: true}
+	manner = life.Behavior{Accepts: true, Admits: true, ClosesIdle: true, KeepsCallbacks: true}
 	goes := func(left int) {
 		l.After(0, d.Follow)
 		until(l, "those that go", func() bool {
@@ -439,7 +439,7 @@
 		fmt.Println("left:", left)
 	}
 	goes(2)
-	manner.Sweeps = true
+	manner.ClosesPartial = true
 	goes(1)
 	worker.Write([]byte("POST /_jobs/news HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"))
 	until(l, "more news", func() bool { return !d.Busy() && d.share.Used() == 1 })
@@ -474,12 +474,12 @@
 			for _, n := range heard {
 				answered += n
 			}
-			f := d.Ledger.Figures(0, 0)
+			f := d.Ledger.Totals(0, 0)
 			sum := f.Outstanding
-			for _, n := range f.Classes[0].Ended {
+			for _, n := range f.Classes[0].Completed {
 				sum += n
 			}
-			if sum != f.Classes[0].Taken || f.Outstanding != d.InHand() {
+			if sum != f.Classes[0].Admitted || f.Outstanding != d.InHand() {
 				t.Fatalf("seed %d: %+v with %d in hand", seed, f, d.InHand())
 			}
 			if rest := d.Rest(); len(rest) > 0 {
@@ -504,7 +504,7 @@
 		}
 		l.After(0, func() {})
 		until(l, "all answers", func() bool { l.After(100*time.Microsecond, func() {}); return step() })
-		ended := d.Ledger.Figures(0, 0).Classes[0].Ended
+		ended := d.Ledger.Totals(0, 0).Classes[0].Completed
 		// Some of those that left had their answer on the way.
 		more, sound := ended[ledger.Abandoned], true
 		for status, how := range map[int]ledger.Disposition{200: ledger.Succeeded, 503: ledger.Declined, 500: ledger.Aborted} {
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -50,10 +50,10 @@
 	v.slow.Stop()
 	d.Ended[e.String()]++
 	if e == conn.NoDescriptor {
-		d.Guard.Closed(v.inv) // it was we who closed it
+		d.Guard.CheckClose(v.inv) // it was we who closed it
 	}
 	if v.inv != 0 && d.Owed(v.inv) {
-		d.Guard.Answer(v.inv, guard.Abandoned, e.String())
+		d.Guard.CheckAnswer(v.inv, guard.Abandoned, e.String())
 		d.forget(v.inv, ledger.Abandoned)
 		d.Event(dispatch.ClientDisconnected{Invocation: v.inv})
 	}
@@ -77,7 +77,7 @@
 			return
 		}
 		v.slow.Stop()
-		v.door.Guard.Closed(v.inv)
+		v.door.Guard.CheckClose(v.inv)
 		v.door.Ended[endedIdle]++
 		delete(v.door.connections, v)
 		v.c.Close()
@@ -85,7 +85,7 @@
 }
 
 func (v *connection) quit() {
-	v.door.Guard.Closed(v.inv)
+	v.door.Guard.CheckClose(v.inv)
 	v.door.Ended[endedAnswered]++
 	delete(v.door.connections, v)
 	v.slow.Stop()
@@ -164,7 +164,7 @@
 // shuts tells whether the connection ends with the next answer.
 func (v *connection) shuts() bool {
 	m := v.door.Manner()
-	return m.Shuts && !(m.News && v.brings)
+	return m.ClosesIdle && !(m.KeepsCallbacks && v.brings)
 }
 
 func (v *connection) take(m *http1.Message) {
@@ -173,7 +173,7 @@
 	switch {
 	case path == newsPath:
 		v.news(m)
-	case path == readyPath && d.Manner().Yes:
+	case path == readyPath && d.Manner().Ready:
 		v.answer(200, nil)
 	case path == readyPath:
 		v.answer(503, nil)
--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -26,7 +26,7 @@
 // moment: a stop, the wait for a first word, or want of descriptors.
 func TestReadWhenIdleConnectionsEnd(t *testing.T) {
 	for name, ends := range map[string]func(d *Door, v *connection){
-		"a stop":         func(d *Door, _ *connection) { manner.Shuts = true; d.Follow() },
+		"a stop":         func(d *Door, _ *connection) { manner.ClosesIdle = true; d.Follow() },
 		"the first word": func(_ *Door, v *connection) { v.late() },
 		"descriptors":    func(d *Door, _ *connection) { d.share.Resize(0) },
 		"a kept one": func(d *Door, v *connection) {
@@ -106,7 +106,7 @@
 	c.Write([]byte(job))
 	c.Close() // the loop does not run yet
 	until(l, "the end of the connection", func() bool { return d.Counts.Connections == 1 && d.share.Used() == 0 })
-	fmt.Println("taken:", d.Ledger.Figures(0, 0).Classes[0].Taken)
+	fmt.Println("taken:", d.Ledger.Totals(0, 0).Classes[0].Admitted)
 	// Output:
 	// taken: 0
 }
@@ -175,7 +175,7 @@
 	f := workers.NewFleet(l, d.site, l.Share(4))
 	id := netip.MustParseAddrPort(worker.Addr().String())
 	stand := func(s dispatch.EndpointState) {
-		f.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: id.String(),
+		f.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: id.String(),
 			Endpoint: dispatch.Endpoint{Worker: id, State: s}}}})
 	}
 	stand(dispatch.Ready)
@@ -183,7 +183,10 @@
 	var ends []dispatch.Event
 	f.Event = func(e dispatch.Event) { ends = append(ends, e) }
 	var j *workers.Invocation
-	d.Took, d.Event = func(given *workers.Invocation, _ int) { j = given; f.Guard.Take(j.Inv, guard.Terms{}) }, func(dispatch.Event) {}
+	d.Took, d.Event = func(given *workers.Invocation, _ int) {
+		j = given
+		f.Guard.RequestAdmitted(j.Inv, guard.RequestLimits{})
+	}, func(dispatch.Event) {}
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -218,7 +221,7 @@
 	c.Write([]byte(strings.Replace(job, "X-Budget", pad+"\r\nX-Budget", 1) + strings.Repeat("more", 1000)))
 	c.Close() // the loop does not run yet
 	until(l, "the end of the connection", func() bool { return d.Counts.Connections == 1 && d.share.Used() == 0 })
-	fmt.Println("taken:", d.Ledger.Figures(0, 0).Classes[0].Taken)
+	fmt.Println("taken:", d.Ledger.Totals(0, 0).Classes[0].Admitted)
 	// Output:
 	// taken: 0
 }
@@ -243,7 +246,7 @@
 		c.Close()
 		until(l, "the end of the connection", func() bool { return d.Counts.Connections == n+1 && d.share.Used() == 0 })
 	}
-	fmt.Println("taken:", d.Ledger.Figures(0, 0).Classes[0].Taken)
+	fmt.Println("taken:", d.Ledger.Totals(0, 0).Classes[0].Admitted)
 	// Output:
 	// taken: 0
 }
@@ -252,7 +255,7 @@
 // over it would reset the connection.
 func TestUnreadWhenIdleConnectionsEnd(t *testing.T) {
 	for name, ends := range map[string]func(d *Door){
-		"a stop":      func(d *Door) { manner.Shuts = true; d.Follow() },
+		"a stop":      func(d *Door) { manner.ClosesIdle = true; d.Follow() },
 		"descriptors": func(d *Door) { d.share.Resize(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -304,7 +307,7 @@
 func Example_lastToCome() {
 	l, d, addr, shut := open(10)
 	defer shut()
-	manner.Shuts, manner.Leaves = true, true
+	manner.ClosesIdle, manner.ExitsWhenIdle = true, true
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
@@ -421,7 +424,7 @@
 func Example_names() {
 	l, d, addr, shut := open(10)
 	defer shut()
-	site, err := settings.ParseSite([]byte(`{"Operations": [{"Name": "gate", "Effect": "read_like"}, {"Name": "gate 7", "Effect": "read_like"},
+	site, err := settings.ParseDeployment([]byte(`{"Operations": [{"Name": "gate", "Effect": "read_like"}, {"Name": "gate 7", "Effect": "read_like"},
 		{"Name": "gate 7/é", "Effect": "read_like"}, {"Name": "gate%207", "Effect": "read_like"}]}`))
 	if err != nil {
 		panic(err)
--- a/internal/clients/hosted.go
+++ b/internal/clients/hosted.go
@@ -13,7 +13,7 @@
 const scopeMark = "~"
 
 // identify finds whose a request is. Of two credentials each reader could believe another.
-func (d *Door) identify(values []string) *tenants.Seat {
+func (d *Door) identify(values []string) *tenants.Account {
 	if len(values) != 1 {
 		return nil
 	}
@@ -36,11 +36,11 @@
 }
 
 // throttled says which limit it was and when to come back.
-func (v *connection) throttled(verdict tenants.Verdict) {
+func (v *connection) throttled(verdict tenants.Decision) {
 	v.strays = 0
 	fields := []http1.Field{{Name: "X-Limit", Value: string(verdict.Kind)}}
-	if verdict.After > 0 {
-		fields = append(fields, http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(verdict.After.Seconds(), 'f', 3, 64)})
+	if verdict.RetryAfter > 0 {
+		fields = append(fields, http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(verdict.RetryAfter.Seconds(), 'f', 3, 64)})
 	}
 	status := 429
 	switch verdict.Kind {
@@ -62,7 +62,7 @@
 }
 
 // seated finds the tenant of an invocation that another process let in. False: nobody here knows it.
-func (d *Door) seated(id string) (*tenants.Seat, bool) {
+func (d *Door) seated(id string) (*tenants.Account, bool) {
 	if d.Gate == nil {
 		return nil, true
 	}
--- a/internal/clients/pass.go
+++ b/internal/clients/pass.go
@@ -24,7 +24,7 @@
 
 	connection *connection
 	job        *inHand
-	record     *guard.Record
+	record     *guard.MigratedRequest
 }
 
 // Offer stops connections that could go to another process, and gives each to pass once nothing moves on it any more; most may
@@ -83,8 +83,8 @@
 		v.c.In.Drop(len(part))
 	}
 	if v.inv != 0 {
-		p.job, p.record = d.inHand[v.inv], d.Guard.Give(v.inv)
-		d.forget(v.inv, ledger.Handed)
+		p.job, p.record = d.inHand[v.inv], d.Guard.MigrateOut(v.inv)
+		d.forget(v.inv, ledger.Migrated)
 	}
 	v.parcel = p
 	d.passing++
@@ -112,11 +112,11 @@
 	d.passing--
 	v.parcel, v.stays, v.offered = nil, true, false
 	if p.job != nil {
-		d.Ledger.Back(p.job.class)
+		d.Ledger.MigrationReturned(p.job.class)
 		if p.job.seat != nil {
-			d.Gate.Back(d.loop.Now(), p.job.seat, p.job.ask)
+			d.Gate.MigrationReturned(d.loop.Now(), p.job.seat, p.job.ask)
 		}
-		d.Guard.TakeBack(p.Inv, p.record)
+		d.Guard.CancelMigration(p.Inv, p.record)
 		d.inHand[p.Inv] = p.job
 		d.watch(p.Inv, p.job)
 	}
@@ -154,10 +154,10 @@
 func (d *Door) Inherit(nc net.Conn, p Parcel, j *workers.Invocation, operation int, age time.Duration) (inv dispatch.InvocationID,
 	kept bool) {
 	m := d.Manner()
-	if !m.Takes || m.Shuts && j == nil || j != nil && len(d.inHand) >= d.most || conn.Left(nc) || !d.share.Spare(0) {
+	if !m.Admits || m.ClosesIdle && j == nil || j != nil && len(d.inHand) >= d.most || conn.Left(nc) || !d.share.Spare(0) {
 		return 0, false
 	}
-	var seat *tenants.Seat
+	var seat *tenants.Account
 	if j != nil {
 		known := false
 		if seat, known = d.seated(j.ID); !known {
@@ -177,11 +177,11 @@
 	}
 	d.last++
 	v.inv, j.Inv = d.last, d.last
-	d.Ledger.Took(d.classes[operation])
+	d.Ledger.Admitted(d.classes[operation])
 	job := &inHand{id: j.ID, class: d.classes[operation], connection: v, came: d.loop.Now() - age, givenUp: j.GivenUp,
-		seat: seat, ask: tenants.Ask{Bytes: len(j.Body)}}
+		seat: seat, ask: tenants.Request{Bytes: len(j.Body)}}
 	if seat != nil {
-		d.Gate.Inherit(d.loop.Now(), seat, job.ask)
+		d.Gate.AdmitMigrated(d.loop.Now(), seat, job.ask)
 	}
 	d.inHand[j.Inv], d.ids[j.ID] = job, true
 	d.watch(j.Inv, job)
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -28,7 +28,7 @@
 	if name == "" {
 		name = first
 	}
-	id, prefix, seat := m.Header.Get("X-Call-Id"), "", (*tenants.Seat)(nil)
+	id, prefix, seat := m.Header.Get("X-Call-Id"), "", (*tenants.Account)(nil)
 	operation, known := 0, false
 	if d.Gate == nil {
 		operation, known = d.operations[name]
@@ -39,7 +39,7 @@
 		}
 		// Whoever holds an id or a key of one tenant has none of another's: neither an answer nor a repeat can cross.
 		prefix = seat.Handle + scopeMark
-		operation, known = d.operations[settings.HostedName(seat.Handle, name)]
+		operation, known = d.operations[settings.TenantOperationName(seat.Handle, name)]
 	}
 	budget, sound := span(m.Header.Get("X-Budget"))
 	for _, name := range once {
@@ -50,7 +50,7 @@
 		v.refuse(404)
 		return
 	case !sound, name != first, !http1.Token(id), len(id) > maxID, !target(m.Target, path),
-		!key(m.Header["Idempotency-Key"], d.site.Deployment.Operations[operation].Effect),
+		!key(m.Header["Idempotency-Key"], d.site.Dispatch.Operations[operation].Effect),
 		strings.Trim(string(v.c.In.Bytes()), "\r\n") != "":
 		v.refuse(400)
 		return
@@ -62,27 +62,27 @@
 		delete(d.connections, v)
 		v.c.Close()
 		return
-	case len(d.inHand) >= d.most, !d.Manner().Takes:
+	case len(d.inHand) >= d.most, !d.Manner().Admits:
 		d.Counts.Crowded++
-		d.Ledger.Took(d.classes[operation])
-		d.Ledger.End(d.classes[operation], ledger.Declined)
+		d.Ledger.Admitted(d.classes[operation])
+		d.Ledger.Completed(d.classes[operation], ledger.Declined)
 		v.last = true // the descriptor is wanted: what waits to be accepted counts as taken, workers' news among it
 		v.answer(503, nil)
 		return
 	}
 	arrival := d.arrival(m)
-	var ask tenants.Ask
+	var ask tenants.Request
 	said := 0.0
 	if id = prefix + id; seat != nil {
 		arrival.Tenant, said = seat.Index, arrival.Hint
-		arrival.Hint = seat.Believe(name, said)
-		ask = tenants.Ask{Bytes: len(m.Body), Work: arrival.Hint, Retry: retries(m)}
+		arrival.Hint = seat.EstimateCost(name, said)
+		ask = tenants.Request{Bytes: len(m.Body), Work: arrival.Hint, Retry: retries(m)}
 		if verdict := d.Gate.Admit(d.loop.Now(), seat, ask); verdict.Kind != tenants.None {
 			v.throttled(verdict)
 			return
 		}
 	}
-	if most := d.site.Timeouts[operation]; most > 0 {
+	if most := d.site.ClientTimeouts[operation]; most > 0 {
 		budget = min(budget, most) // a longer one would look as if all other clients had waited for long
 	}
 	v.strays, v.useful = 0, true
@@ -90,7 +90,7 @@
 	now := d.loop.Now()
 	givenUp := now + budget - early // a request's time counts from its last byte
 	d.last++
-	d.Ledger.Took(d.classes[operation])
+	d.Ledger.Admitted(d.classes[operation])
 	v.inv = d.last
 	inv, j := v.inv, &inHand{id: id, class: d.classes[operation], connection: v, came: now, givenUp: givenUp, seat: seat, ask: ask}
 	d.watch(inv, j)
@@ -108,7 +108,7 @@
 		return 0, false
 	}
 	v, err := strconv.ParseFloat(text, 64)
-	return settings.Span(v), err == nil && v > 0 && v < maxBudget
+	return settings.Duration(v), err == nil && v > 0 && v < maxBudget
 }
 
 // target tells whether a worker will read the same in it as we do.
--- a/internal/clients/silent_test.go
+++ b/internal/clients/silent_test.go
@@ -42,7 +42,7 @@
 	began := time.Now()
 	until(l, "the connection", func() bool { return len(d.connections) == 1 })
 	var parcel *Parcel
-	d.Manner = func() life.Manner { return life.Manner{Takes: true, Hears: true} }
+	d.Manner = func() life.Behavior { return life.Behavior{Admits: true, Accepts: true} }
 	d.Offer(1, nil, func(p *Parcel) { parcel = p })
 	until(l, "the offer", func() bool { return parcel != nil })
 	if parcel.Silent <= 0 || !parcel.Fresh {
--- a/internal/discovery/budget.go
+++ b/internal/discovery/budget.go
@@ -46,8 +46,8 @@
 // settings give for asking, four times as long after a call that failed: half of the one, or of the other, is the call's, up
 // to firstWord. It grows with failures, as where the queue is longer than half of a short time nobody would get through.
 func (w *Watcher) patience() time.Duration {
-	if w.Within == 0 {
+	if w.PollWithin == 0 {
 		return firstWord
 	}
-	return min(firstWord, max(w.Within/2<<min(w.failed, 2), leastWord))
+	return min(firstWord, max(w.PollWithin/2<<min(w.failed, 2), leastWord))
 }
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -19,7 +19,7 @@
 func onSteppedClock(t *testing.T) *steppedClock {
 	start := time.Now()
 	s := &steppedClock{t: t, Watcher: New(conn.NewLoop(start), "127.0.0.1:1", nil, nil, start)}
-	s.Wall = func() time.Time { return time.Now().Add(s.step) }
+	s.WallClock = func() time.Time { return time.Now().Add(s.step) }
 	s.hear(true, 0)
 	return s
 }
@@ -39,7 +39,7 @@
 // restart is the start of a worker right now.
 func (s *steppedClock) restart() time.Duration {
 	s.t.Helper()
-	return s.hear(false, s.Wall().UnixMilli())
+	return s.hear(false, s.WallClock().UnixMilli())
 }
 
 const startSlack = 500 * time.Millisecond
@@ -72,7 +72,7 @@
 // The same start told again is the same, whatever the wall clock has done since.
 func TestSameStartOnSteppedClock(t *testing.T) {
 	s := onSteppedClock(t)
-	boot := s.Wall().UnixMilli()
+	boot := s.WallClock().UnixMilli()
 	first := s.hear(false, boot)
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		s.step = step
@@ -87,7 +87,7 @@
 func TestClockStepsBehindAStart(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour, -2 * time.Second, 20 * time.Second} {
 		s := onSteppedClock(t)
-		boot := s.Wall().UnixMilli()
+		boot := s.WallClock().UnixMilli()
 		s.step = step
 		at, now := s.hear(false, boot), s.loop.Clock()
 		if at > now || at < now-startSlack {
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -50,7 +50,7 @@
 	addr, shut := serve("discovery", "{\n  \"rev\": 4,\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"s-1\",\n     \"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n")
 	defer shut()
 	loop, w := watcher(addr)
-	w.Told = func(l List) { show(l); loop.Stop() }
+	w.OnUpdate = func(l Update) { show(l); loop.Stop() }
 	w.Watch()
 	loop.After(10*time.Second, func() { panic("the watch hangs") })
 	loop.Run(func() {})
@@ -94,8 +94,8 @@
 			}()
 			loop, w := watcher(l.Addr().String())
 			why, began := "", time.Now()
-			w.Failed = func(s string) { why = s }
-			w.Told = func(list List) { loop.Stop() }
+			w.OnFailure = func(s string) { why = s }
+			w.OnUpdate = func(list Update) { loop.Stop() }
 			loop.After(2*silence, loop.Stop)
 			w.Watch()
 			loop.Run(func() {})
@@ -132,10 +132,10 @@
 	loop, w := watcher(l.Addr().String())
 	var fell time.Duration
 	told := 0
-	w.Told = func(list List) {
+	w.OnUpdate = func(list Update) {
 		show(list)
 		switch {
-		case list.Form == dispatch.WatchFailed:
+		case list.Kind == dispatch.WatchFailed:
 			loop.After(375*time.Millisecond, w.Watch) // the decisions' longest first wait
 		case fell == 0:
 			fell = loop.Now()
@@ -189,11 +189,11 @@
 			return ours, nil
 		}
 		var came time.Duration
-		w.Failed = func(string) {}
-		w.Told = func(list List) {
-			if list.Form == dispatch.WatchFailed {
+		w.OnFailure = func(string) {}
+		w.OnUpdate = func(list Update) {
+			if list.Kind == dispatch.WatchFailed {
 				loop.After(time.Second, func() {
-					if !w.Stands() {
+					if !w.Established() {
 						w.Watch()
 					}
 				})
@@ -233,7 +233,7 @@
 	defer shut()
 	loop, w := watcher(addr)
 	got := 0
-	w.Told = func(l List) { got = len(l.Workers); loop.Stop() }
+	w.OnUpdate = func(l Update) { got = len(l.Workers); loop.Stop() }
 	w.Watch()
 	loop.After(10*time.Second, loop.Stop)
 	loop.Run(func() {})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -27,14 +27,14 @@
 }
 
 // List is news of the list, or that the watch has failed.
-type List struct {
-	Form    dispatch.UpdateKind
+type Update struct {
+	Kind    dispatch.UpdateKind
 	Workers []Worker
 }
 
 // Listing is the module's part of it.
-func (l List) Listing() dispatch.EndpointUpdate {
-	listing := dispatch.EndpointUpdate{Kind: l.Form}
+func (l Update) EndpointUpdate() dispatch.EndpointUpdate {
+	listing := dispatch.EndpointUpdate{Kind: l.Kind}
 	for _, w := range l.Workers {
 		listing.Endpoints = append(listing.Endpoints, w.Endpoint)
 	}
@@ -45,12 +45,12 @@
 // decides when to watch again. A watch that moves to another address has not failed: the present one holds until the
 // next one tells, and the watcher itself tries that for as long as it takes.
 type Watcher struct {
-	Told   func(List)
-	Failed func(why string)
-	Within time.Duration    // that the settings give for asking; 0: changes come unasked
-	Wall   func() time.Time // the machine's wall clock
-	Chance *rand.Rand       // spreads the calls of schedulers that move together; nil: they don't
-	Calls  int              // watches begun
+	OnUpdate       func(Update)
+	OnFailure      func(why string)
+	PollWithin     time.Duration    // that the settings give for asking; 0: changes come unasked
+	WallClock      func() time.Time // the machine's wall clock
+	Rand           *rand.Rand       // spreads the calls of schedulers that move together; nil: they don't
+	WatchesStarted int              // watches begun
 
 	loop          *conn.Loop
 	share         *conn.Share
@@ -104,16 +104,16 @@
 // New makes a watcher that has not asked yet. start is when the loop's clock stood at zero.
 func New(loop *conn.Loop, addr string, zones, kinds []string, start time.Time) *Watcher {
 	w := &Watcher{loop: loop, share: loop.Share(2), addr: addr, zones: index(zones), kinds: index(kinds),
-		ids: map[string]dispatch.WorkerID{}, taken: map[dispatch.WorkerID]bool{}, Wall: time.Now}
-	w.starts = newStarts(start, loop.Clock, func() time.Time { return w.Wall() })
+		ids: map[string]dispatch.WorkerID{}, taken: map[dispatch.WorkerID]bool{}, WallClock: time.Now}
+	w.starts = newStarts(start, loop.Clock, func() time.Time { return w.WallClock() })
 	return w
 }
 
 // Zone is the index of a zone's name; one not met yet gets one.
-func (w *Watcher) Zone(name string) int { return w.zones.at(name) }
+func (w *Watcher) ZoneIndex(name string) int { return w.zones.at(name) }
 
 // Kind is the same of a kind of workers.
-func (w *Watcher) Kind(name string) int { return w.kinds.at(name) }
+func (w *Watcher) KindIndex(name string) int { return w.kinds.at(name) }
 
 // Kinds lists the names by index.
 func (w *Watcher) Kinds() []string { return w.kinds.list() }
@@ -145,14 +145,14 @@
 }
 
 // Parse reads a list and takes note of its version.
-func (w *Watcher) Parse(text []byte) (List, error) {
+func (w *Watcher) Parse(text []byte) (Update, error) {
 	var in targets
 	if err := json.Unmarshal(text, &in); err != nil {
-		return List{}, err
+		return Update{}, err
 	}
-	list := List{Form: dispatch.DeltaUpdate}
+	list := Update{Kind: dispatch.DeltaUpdate}
 	if in.All {
-		list.Form = dispatch.FullUpdate
+		list.Kind = dispatch.FullUpdate
 	}
 	for _, t := range in.Targets {
 		standing, known := standings[t.State]
@@ -224,10 +224,10 @@
 func (w *Watcher) ClockSteps() int { return w.starts.steps }
 
 // Stands tells whether a watch is open that has told something.
-func (w *Watcher) Stands() bool { return w.present != nil && w.present.stands }
+func (w *Watcher) Established() bool { return w.present != nil && w.present.stands }
 
 // Move takes the watch to another address. Versions there may be another count, so the whole list is asked for.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) ChangeAddress(addr string) {
 	if addr == w.addr {
 		return
 	}
@@ -245,16 +245,16 @@
 
 // spread is a span from least to most, by chance where there is any.
 func (w *Watcher) spread(least, most time.Duration) time.Duration {
-	if w.Chance == nil {
+	if w.Rand == nil {
 		return least
 	}
-	return least + time.Duration(w.Chance.Int64N(int64(most-least)))
+	return least + time.Duration(w.Rand.Int64N(int64(most-least)))
 }
 
 func (w *Watcher) try() { w.next = w.begin(0, moveWord) }
 
 func (w *Watcher) begin(rev uint64, word time.Duration) *watch {
-	w.Calls++
+	w.WatchesStarted++
 	n := &watch{Watcher: w, addr: w.addr, rev: rev, parser: http1.Parser{Answers: true, Stream: true}}
 	n.c = w.share.Dial(w.addr, connectIn, n)
 	n.quiet = w.loop.After(word, n.silent)
@@ -296,7 +296,7 @@
 	case n == w.next:
 		w.next = nil
 		if w.tries++; w.tries == 1 {
-			w.Failed("the new address: " + why.Error()) // one line a move: tries are brisk
+			w.OnFailure("the new address: " + why.Error()) // one line a move: tries are brisk
 		}
 		wait := min(moveFirst<<min(w.tries, 8), moveMost)
 		w.retry = w.loop.After(w.spread(wait/2, wait), w.try)
@@ -305,13 +305,13 @@
 	case n == w.present:
 		w.present = nil
 		w.failed++
-		w.Failed(why.Error())
-		w.Told(List{Form: dispatch.WatchFailed})
+		w.OnFailure(why.Error())
+		w.OnUpdate(Update{Kind: dispatch.WatchFailed})
 	}
 }
 
 // told passes news on. The first word of the next watch makes it the present one.
-func (n *watch) told(list List) {
+func (n *watch) told(list Update) {
 	w := n.Watcher
 	if n == w.next || n == w.elder {
 		w.present.drop()
@@ -326,7 +326,7 @@
 	w.elder = nil
 	n.stands, w.failed = true, 0
 	n.alive()
-	w.Told(list)
+	w.OnUpdate(list)
 }
 
 // Up asks once the connection stands.
@@ -394,7 +394,7 @@
 			// none that still tells.
 			n.alive()
 			if !n.stands && (n == n.present || n == n.elder || n.present == nil) {
-				n.told(List{Form: dispatch.DeltaUpdate})
+				n.told(Update{Kind: dispatch.DeltaUpdate})
 			}
 		case complete:
 			n.alive()
@@ -418,7 +418,7 @@
 		return err
 	}
 	n.starts.heard() // behind it: its starts are held against the word before
-	if now := n.Watcher.rev; n != n.next && list.Form == dispatch.DeltaUpdate && now < before {
+	if now := n.Watcher.rev; n != n.next && list.Kind == dispatch.DeltaUpdate && now < before {
 		// Whoever tells this knows less than we do: its changes could bring back a worker that has gone.
 		return fmt.Errorf("changes go back from version %d to %d", before, now)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,13 +15,13 @@
 	start := time.Now()
 	loop := conn.NewLoop(start)
 	w := New(loop, addr, []string{"site-a", "site-b"}, []string{"fast"}, start)
-	w.Told = func(l List) { show(l) }
-	w.Failed = func(why string) { fmt.Println("failed:", why) }
+	w.OnUpdate = func(l Update) { show(l) }
+	w.OnFailure = func(why string) { fmt.Println("failed:", why) }
 	return loop, w
 }
 
-func show(l List) {
-	fmt.Printf("form %d:", l.Form)
+func show(l Update) {
+	fmt.Printf("form %d:", l.Kind)
 	for _, w := range l.Workers {
 		fmt.Printf(" [%s %s zone %d kind %d cell %d standing %d restarted %v]", w.UID, w.Worker, w.Zone, w.Kind, w.Cell,
 			w.State, w.StartKnown)
@@ -85,9 +85,9 @@
 	}()
 	loop, w := watcher(l.Addr().String())
 	calls := 0
-	w.Told = func(list List) {
+	w.OnUpdate = func(list Update) {
 		show(list)
-		if list.Form != dispatch.WatchFailed {
+		if list.Kind != dispatch.WatchFailed {
 			return
 		}
 		if calls++; calls == 4 {
@@ -125,9 +125,9 @@
 	defer shut()
 	loop, w := watcher(addr)
 	asked := 0
-	w.Told = func(list List) {
+	w.OnUpdate = func(list Update) {
 		show(list)
-		if list.Form != dispatch.WatchFailed {
+		if list.Kind != dispatch.WatchFailed {
 			return
 		}
 		if asked++; asked == 2 {
@@ -159,7 +159,7 @@
 	defer l.Close()
 	loop, w := watcher(l.Addr().String())
 	began := time.Now()
-	w.Told = func(list List) { show(list); loop.Stop() }
+	w.OnUpdate = func(list Update) { show(list); loop.Stop() }
 	w.Watch()
 	loop.Run(func() {})
 	took := time.Since(began)
@@ -210,7 +210,7 @@
 	shutDead()
 	loop, w := watcher(first)
 	told := 0
-	w.Told = func(l List) { show(l); told++ }
+	w.OnUpdate = func(l Update) { show(l); told++ }
 	until := func(done func() bool) {
 		late := loop.After(10*time.Second, func() { panic("waited in vain") })
 		loop.Run(func() {
@@ -223,18 +223,18 @@
 	}
 	w.Watch()
 	until(func() bool { return told == 1 })
-	w.Move(dead)
+	w.ChangeAddress(dead)
 	until(func() bool { return w.tries == 2 })
-	w.Move(first) // back
+	w.ChangeAddress(first) // back
 	fmt.Println("moving:", w.moving)
-	w.Move(dead)
+	w.ChangeAddress(dead)
 	until(func() bool { return w.tries == 1 })
 	shutFirst()
 	until(func() bool { return w.present == nil })
 	w.Watch() // the decisions need not know that it moves
 	fmt.Println("moving:", w.moving, "told:", told)
-	w.Move(second)
-	w.Move(second)
+	w.ChangeAddress(second)
+	w.ChangeAddress(second)
 	until(func() bool { return told == 2 })
 	fmt.Println("moving:", w.moving, "version:", w.rev)
 	shutSecond()
--- a/internal/guard/answer.go
+++ b/internal/guard/answer.go
@@ -15,11 +15,11 @@
 	Refused   Kind = "refused" // asking again is harmless
 	Failed    Kind = "failed"
 	Abandoned Kind = "client left"
-	Handed    Kind = "handed over" // another process owes it now
+	Migrated  Kind = "handed over" // another process owes it now
 )
 
 // Answer enters a final answer, with why it was given, and gives the one that may be given: a refusal of what may have run becomes a failure.
-func (g *Guard) Answer(id dispatch.InvocationID, kind Kind, why string) Kind {
+func (g *Checker) CheckAnswer(id dispatch.InvocationID, kind Kind, why string) Kind {
 	if g == nil {
 		return kind
 	}
@@ -32,7 +32,7 @@
 		g.violate(RefusedUnproven, id, "")
 		kind = Failed
 	}
-	if owed := kind != Abandoned && kind != Handed; owed && g.clock() > r.Deadline+answerSlack {
+	if owed := kind != Abandoned && kind != Migrated; owed && g.clock() > r.Deadline+answerSlack {
 		g.violate(AnsweredLate, id, "")
 	}
 	event := string(kind)
@@ -59,7 +59,7 @@
 }
 
 // Closed passes the end of a connection by our own doing, with the request that waits on it; 0: none does.
-func (g *Guard) Closed(id dispatch.InvocationID) {
+func (g *Checker) CheckClose(id dispatch.InvocationID) {
 	if g == nil || id == 0 {
 		return
 	}
@@ -69,21 +69,21 @@
 }
 
 // Give hands a request over to another process, which owes the answer from now on; the record can be taken back.
-func (g *Guard) Give(id dispatch.InvocationID) *Record {
+func (g *Checker) MigrateOut(id dispatch.InvocationID) *MigratedRequest {
 	if g == nil || g.requests[id] == nil {
 		return nil
 	}
 	r := g.requests[id]
 	delete(g.requests, id)
-	g.note(id, string(Handed))
-	return &Record{r}
+	g.note(id, string(Migrated))
+	return &MigratedRequest{r}
 }
 
 // Record is a request on its way to another process.
-type Record struct{ request *request }
+type MigratedRequest struct{ request *request }
 
 // TakeBack opens a request again that the other process would not have.
-func (g *Guard) TakeBack(id dispatch.InvocationID, r *Record) {
+func (g *Checker) CancelMigration(id dispatch.InvocationID, r *MigratedRequest) {
 	if r != nil {
 		g.requests[id] = r.request
 		g.note(id, "taken back")
@@ -91,19 +91,19 @@
 }
 
 // Inherited is an attempt of a request that another process had.
-type Inherited struct {
-	Number     int
-	Worker     string
-	Zone, Cell int
-	Age        time.Duration // since it was sent
-	Out, Ran   bool
+type MigratedAttempt struct {
+	Number               int
+	Worker               string
+	Zone, Cell           int
+	Age                  time.Duration // since it was sent
+	InFlight, MayHaveRun bool
 }
 
 // Inherit opens a request of another process, with its attempts.
-func (g *Guard) Inherit(id dispatch.InvocationID, terms Terms, attempts []Inherited) {
-	g.Take(id, terms)
+func (g *Checker) MigrateIn(id dispatch.InvocationID, terms RequestLimits, attempts []MigratedAttempt) {
+	g.RequestAdmitted(id, terms)
 	r, now := g.requests[id], g.clock()
 	for _, a := range attempts {
-		r.attempts = append(r.attempts, &attempt{number: a.Number, worker: a.Worker, zone: a.Zone, cell: a.Cell, sent: now - a.Age, out: a.Out, ran: a.Ran})
+		r.attempts = append(r.attempts, &attempt{number: a.Number, worker: a.Worker, zone: a.Zone, cell: a.Cell, sent: now - a.Age, out: a.InFlight, ran: a.MayHaveRun})
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -46,19 +46,19 @@
 const reportsMost = 16
 
 // Terms are what was promised of a request when it was taken.
-type Terms struct {
-	ID           string // that its client gave it
-	Effect       dispatch.Effect
-	Scope        dispatch.DedupScope
-	Window       time.Duration // in which workers drop repeats
-	Deadline     time.Duration // its client timeout, by the loop's clock
-	MostAttempts int
-	MostOut      int
+type RequestLimits struct {
+	ID          string // that its client gave it
+	Effect      dispatch.Effect
+	Scope       dispatch.DedupScope
+	Window      time.Duration // in which workers drop repeats
+	Deadline    time.Duration // its client timeout, by the loop's clock
+	MaxAttempts int
+	MaxInFlight int
 }
 
 // Target is a worker as an attempt needs it.
 type Target struct {
-	Worker string // its uid
+	UID string // its uid
 	dispatch.Endpoint
 }
 
@@ -79,10 +79,10 @@
 }
 
 // Guard is one scheduler's. A nil one watches over no answers and ends of connections.
-type Guard struct {
-	ClientWaits func(dispatch.InvocationID) bool // asks at this very moment
-	Report      func(Violation)                  // nil: nobody wants to know
-	Counts      Counts
+type Checker struct {
+	ClientWaiting func(dispatch.InvocationID) bool // asks at this very moment
+	OnViolation   func(Violation)                  // nil: nobody wants to know
+	Counts        Counts
 
 	clock    func() time.Duration
 	requests map[dispatch.InvocationID]*request
@@ -90,7 +90,7 @@
 }
 
 type request struct {
-	Terms
+	RequestLimits
 	answered bool
 	attempts []*attempt
 }
@@ -106,47 +106,47 @@
 }
 
 // New makes a guard that reads the time from clock.
-func New(clock func() time.Duration) *Guard {
-	return &Guard{clock: clock, requests: map[dispatch.InvocationID]*request{},
+func New(clock func() time.Duration) *Checker {
+	return &Checker{clock: clock, requests: map[dispatch.InvocationID]*request{},
 		Counts: Counts{Stopped: map[Reason]int{}, Violations: map[Reason]int{}, Retries: map[string]int{}}}
 }
 
 // Take opens a request that has been read.
-func (g *Guard) Take(id dispatch.InvocationID, terms Terms) {
-	g.requests[id] = &request{Terms: terms}
+func (g *Checker) RequestAdmitted(id dispatch.InvocationID, terms RequestLimits) {
+	g.requests[id] = &request{RequestLimits: terms}
 	g.history.add(Transition{At: g.clock(), Request: id, ID: terms.ID, Event: "taken"})
 }
 
 // Allow raises the limits of all open requests, as newer settings do: what was allowed when a request came stays so.
-func (g *Guard) Allow(mostAttempts, mostOut int) {
+func (g *Checker) RaiseLimits(mostAttempts, mostOut int) {
 	for _, r := range g.requests {
-		r.MostAttempts, r.MostOut = max(r.MostAttempts, mostAttempts), max(r.MostOut, mostOut)
+		r.MaxAttempts, r.MaxInFlight = max(r.MaxAttempts, mostAttempts), max(r.MaxInFlight, mostOut)
 	}
 }
 
 // Open counts the requests that are not settled: without an answer, or with an attempt out.
-func (g *Guard) Open() int { return len(g.requests) }
+func (g *Checker) OpenRequests() int { return len(g.requests) }
 
 // History lists what is still known of a request, oldest first.
-func (g *Guard) History(id dispatch.InvocationID) []Transition { return g.history.of(id) }
+func (g *Checker) History(id dispatch.InvocationID) []Transition { return g.history.of(id) }
 
 // HistoryByID lists what is still known of the last request to which its client gave that id.
-func (g *Guard) HistoryByID(id string) []Transition {
+func (g *Checker) HistoryByID(id string) []Transition {
 	if request, known := g.history.last(id); known {
 		return g.History(request)
 	}
 	return nil
 }
 
-func (g *Guard) note(id dispatch.InvocationID, event string) {
+func (g *Checker) note(id dispatch.InvocationID, event string) {
 	g.history.add(Transition{At: g.clock(), Request: id, Event: event})
 }
 
 // violate counts a violation and reports it.
-func (g *Guard) violate(why Reason, id dispatch.InvocationID, worker string) {
+func (g *Checker) violate(why Reason, id dispatch.InvocationID, worker string) {
 	g.Counts.Violations[why]++
 	g.note(id, "VIOLATION: "+string(why))
-	if g.Report == nil || g.Counts.Violations[why] > reportsMost {
+	if g.OnViolation == nil || g.Counts.Violations[why] > reportsMost {
 		return
 	}
 	v := Violation{Reason: why, Request: id, Worker: worker}
@@ -156,11 +156,11 @@
 	if r := g.requests[id]; r != nil {
 		v.ID = r.ID
 	}
-	g.Report(v)
+	g.OnViolation(v)
 }
 
 // settle forgets a request of which nothing is outstanding.
-func (g *Guard) settle(id dispatch.InvocationID, r *request) {
+func (g *Checker) settle(id dispatch.InvocationID, r *request) {
 	if !r.answered {
 		return
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -10,58 +10,58 @@
 
 // fixture is a guard whose time a test sets, with what it reports.
 type fixture struct {
-	*Guard
+	*Checker
 	now      time.Duration
 	reported []Violation
 }
 
-func open(terms Terms) *fixture {
+func open(terms RequestLimits) *fixture {
 	d := &fixture{now: time.Second}
-	d.Guard = New(func() time.Duration { return d.now })
-	d.Report = func(v Violation) { d.reported = append(d.reported, v) }
-	d.Take(1, terms)
+	d.Checker = New(func() time.Duration { return d.now })
+	d.OnViolation = func(v Violation) { d.reported = append(d.reported, v) }
+	d.RequestAdmitted(1, terms)
 	return d
 }
 
 func at(worker string, zone int) Target {
-	return Target{Worker: worker, Endpoint: dispatch.Endpoint{State: dispatch.Ready, Zone: zone}}
+	return Target{UID: worker, Endpoint: dispatch.Endpoint{State: dispatch.Ready, Zone: zone}}
 }
 
 // send asks for an attempt, and has it written where it may be.
 func (d *fixture) send(number int, to Target) Reason {
-	a := Attempt{Request: 1, Number: number, Chosen: to, Now: to, Timeout: time.Hour}
-	why := d.Send(a)
+	a := Attempt{Request: 1, Number: number, Chosen: to, Current: to, Deadline: time.Hour}
+	why := d.CheckSend(a)
 	if why == "" {
-		d.Begun(a)
+		d.AttemptStarted(a)
 	}
 	return why
 }
 
 // What each effect class allows after an attempt that ended in each way.
 func TestRepeats(t *testing.T) {
-	keyed := Terms{Effect: dispatch.Deduplicated, Scope: dispatch.ScopeZone, Window: time.Second}
+	keyed := RequestLimits{Effect: dispatch.Deduplicated, Scope: dispatch.ScopeZone, Window: time.Second}
 	for _, c := range []struct {
 		name  string
-		terms Terms
+		terms RequestLimits
 		ran   bool
 		later time.Duration
 		zone  int
 		want  Reason
 	}{
-		{"idempotent", Terms{Effect: dispatch.Idempotent}, true, time.Hour / 2, 1, ""},
-		{"non-idempotent that ran", Terms{Effect: dispatch.NonIdempotent}, true, 0, 0, RepeatedUnproven},
-		{"non-idempotent that never ran", Terms{Effect: dispatch.NonIdempotent}, false, 0, 0, ""},
+		{"idempotent", RequestLimits{Effect: dispatch.Idempotent}, true, time.Hour / 2, 1, ""},
+		{"non-idempotent that ran", RequestLimits{Effect: dispatch.NonIdempotent}, true, 0, 0, RepeatedUnproven},
+		{"non-idempotent that never ran", RequestLimits{Effect: dispatch.NonIdempotent}, false, 0, 0, ""},
 		{"in its group and window", keyed, true, time.Second - 1, 0, ""},
 		{"outside its group", keyed, true, 0, 1, RepeatedOutOfGroup},
 		{"outside its window", keyed, true, time.Second, 0, RepeatedTooLate},
 		{"never ran, elsewhere and later", keyed, false, time.Minute, 1, ""},
-		{"as often as allowed", Terms{Effect: dispatch.Idempotent, MostAttempts: 1}, false, 0, 0, TooManyAttempts},
+		{"as often as allowed", RequestLimits{Effect: dispatch.Idempotent, MaxAttempts: 1}, false, 0, 0, TooManyAttempts},
 	} {
 		d := open(c.terms)
 		if why := d.send(0, at("s-1", 0)); why != "" {
 			t.Fatal(c.name, why)
 		}
-		d.Ended(1, 0, "reset", c.ran)
+		d.AttemptEnded(1, 0, "reset", c.ran)
 		d.now += c.later
 		if got := d.send(1, at("s-2", c.zone)); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
@@ -74,12 +74,12 @@
 
 // Two attempts out, and two at one worker.
 func TestAttemptsOut(t *testing.T) {
-	d := open(Terms{})
+	d := open(RequestLimits{})
 	d.send(0, at("s-1", 0))
 	if why := d.send(1, at("s-2", 0)); why != SecondOut {
 		t.Error(why)
 	}
-	d.Allow(0, 2)
+	d.RaiseLimits(0, 2)
 	if why := d.send(1, at("s-1", 0)); why != SecondAtWorker {
 		t.Error(why)
 	}
@@ -98,16 +98,16 @@
 		left bool
 		want Reason
 	}{
-		{Attempt{Now: drains}, false, WorkerUnavailable}, {Attempt{Now: moved}, false, WorkerMoved}, {Attempt{Now: anew}, false, WorkerRestarted},
-		{Attempt{Now: ready}, true, ClientGone}, {Attempt{Now: ready, Until: time.Second}, false, WindowPassed},
-		{Attempt{Now: ready, Timeout: time.Second, Least: time.Millisecond}, false, TimeoutPassed},
+		{Attempt{Current: drains}, false, WorkerUnavailable}, {Attempt{Current: moved}, false, WorkerMoved}, {Attempt{Current: anew}, false, WorkerRestarted},
+		{Attempt{Current: ready}, true, ClientGone}, {Attempt{Current: ready, NotAfter: time.Second}, false, WindowPassed},
+		{Attempt{Current: ready, Deadline: time.Second, MinTimeLeft: time.Millisecond}, false, TimeoutPassed},
 	} {
-		d := open(Terms{})
-		d.ClientWaits = func(dispatch.InvocationID) bool { return !c.left }
-		if c.a.Request, c.a.Chosen = 1, ready; c.a.Timeout == 0 {
-			c.a.Timeout = time.Hour
+		d := open(RequestLimits{})
+		d.ClientWaiting = func(dispatch.InvocationID) bool { return !c.left }
+		if c.a.Request, c.a.Chosen = 1, ready; c.a.Deadline == 0 {
+			c.a.Deadline = time.Hour
 		}
-		if got := d.Send(c.a); got != c.want || d.Counts.Stopped[c.want] != 1 || len(d.reported) > 0 {
+		if got := d.CheckSend(c.a); got != c.want || d.Counts.Stopped[c.want] != 1 || len(d.reported) > 0 {
 			t.Errorf("%q, want %q; %v", got, c.want, d.Counts)
 		}
 	}
@@ -115,20 +115,20 @@
 
 // A final answer is given once, in time, and refuses only what may be asked again; a connection that we close holds no request.
 func ExampleGuard_Answer() {
-	d := open(Terms{ID: "9b1f", Effect: dispatch.NonIdempotent, Deadline: 2 * time.Second})
-	d.Report = func(v Violation) { fmt.Println(v.ID, v.Reason) }
+	d := open(RequestLimits{ID: "9b1f", Effect: dispatch.NonIdempotent, Deadline: 2 * time.Second})
+	d.OnViolation = func(v Violation) { fmt.Println(v.ID, v.Reason) }
 	d.send(0, at("s-1", 0))
-	d.Closed(1)
-	d.Ended(1, 0, "reset", true)
+	d.CheckClose(1)
+	d.AttemptEnded(1, 0, "reset", true)
 	d.now = 3 * time.Second
-	fmt.Println(d.Answer(1, Refused, "too late"))
-	d.Answer(1, Failed, "")
+	fmt.Println(d.CheckAnswer(1, Refused, "too late"))
+	d.CheckAnswer(1, Failed, "")
 	d.send(1, at("s-2", 0))
-	d.Started("s-3", 4*time.Second)
+	d.CheckStart("s-3", 4*time.Second)
 	for _, t := range d.History(1) {
 		fmt.Println(t)
 	}
-	fmt.Println("open:", d.Open())
+	fmt.Println("open:", d.OpenRequests())
 	// Output:
 	// 9b1f connection closed on an unanswered request
 	// 9b1f refused though it may have run
@@ -151,14 +151,14 @@
 
 // A request goes to another process and comes back with what is known of it; what comes from one is held to the same terms.
 func ExampleGuard_Give() {
-	d := open(Terms{Effect: dispatch.NonIdempotent})
+	d := open(RequestLimits{Effect: dispatch.NonIdempotent})
 	d.send(0, at("s-1", 0))
-	r := d.Give(1)
+	r := d.MigrateOut(1)
 	fmt.Println(d.send(1, at("s-2", 0)))
-	d.TakeBack(1, r)
-	d.Ended(1, 0, "lost", true)
+	d.CancelMigration(1, r)
+	d.AttemptEnded(1, 0, "lost", true)
 	fmt.Println(d.send(1, at("s-2", 0)))
-	d.Inherit(1, Terms{Effect: dispatch.NonIdempotent}, []Inherited{{Worker: "s-1", Age: time.Second, Ran: true}})
+	d.MigrateIn(1, RequestLimits{Effect: dispatch.NonIdempotent}, []MigratedAttempt{{Worker: "s-1", Age: time.Second, MayHaveRun: true}})
 	fmt.Println(d.send(1, at("s-2", 0)))
 	// Output:
 	// sent for a request that is not open
--- a/internal/guard/send.go
+++ b/internal/guard/send.go
@@ -9,35 +9,35 @@
 
 // Attempt is one that is about to be written.
 type Attempt struct {
-	Request dispatch.InvocationID
-	Number  int
-	Chosen  Target        // the worker as it was when it was chosen
-	Now     Target        // and as the list has it now
-	Until   time.Duration // no byte goes out from then on; 0: the client timeout alone bounds it
-	Timeout time.Duration // its client's
-	Least   time.Duration // what must be left to the client timeout
+	Request     dispatch.InvocationID
+	Number      int
+	Chosen      Target        // the worker as it was when it was chosen
+	Current     Target        // and as the list has it now
+	NotAfter    time.Duration // no byte goes out from then on; 0: the client timeout alone bounds it
+	Deadline    time.Duration // its client's
+	MinTimeLeft time.Duration // what must be left to the client timeout
 }
 
 // Send tells whether an attempt may be written now; empty: it may. It is asked directly before the first byte.
-func (g *Guard) Send(a Attempt) Reason {
+func (g *Checker) CheckSend(a Attempt) Reason {
 	if why := a.worker(); why != "" {
 		return g.stop(why, a)
 	}
-	if g.ClientWaits != nil && !g.ClientWaits(a.Request) {
+	if g.ClientWaiting != nil && !g.ClientWaiting(a.Request) {
 		return g.stop(ClientGone, a)
 	}
 	now, r := g.clock(), g.requests[a.Request]
 	switch {
 	case r == nil || r.answered:
-		g.violate(UnknownRequest, a.Request, a.Now.Worker)
+		g.violate(UnknownRequest, a.Request, a.Current.UID)
 		return UnknownRequest
-	case a.Timeout-now < a.Least:
+	case a.Deadline-now < a.MinTimeLeft:
 		return g.stop(TimeoutPassed, a)
-	case a.Until > 0 && now >= a.Until:
+	case a.NotAfter > 0 && now >= a.NotAfter:
 		return g.stop(WindowPassed, a)
 	}
 	if why := r.repeat(a, now); why != "" {
-		g.violate(why, a.Request, a.Now.Worker)
+		g.violate(why, a.Request, a.Current.UID)
 		return why
 	}
 	return ""
@@ -46,11 +46,11 @@
 // worker tells what has become of the worker since it was chosen.
 func (a Attempt) worker() Reason {
 	switch {
-	case a.Now.State != dispatch.Ready:
+	case a.Current.State != dispatch.Ready:
 		return WorkerUnavailable
-	case a.Now.Incarnation != a.Chosen.Incarnation:
+	case a.Current.Incarnation != a.Chosen.Incarnation:
 		return WorkerRestarted
-	case a.Now.Zone != a.Chosen.Zone || a.Now.Cell != a.Chosen.Cell:
+	case a.Current.Zone != a.Chosen.Zone || a.Current.Cell != a.Chosen.Cell:
 		return WorkerMoved
 	}
 	return ""
@@ -61,7 +61,7 @@
 	out := 0
 	var first *attempt // that may have run
 	for _, before := range r.attempts {
-		if before.out && before.worker == a.Now.Worker {
+		if before.out && before.worker == a.Current.UID {
 			return SecondAtWorker
 		}
 		if before.out {
@@ -72,9 +72,9 @@
 		}
 	}
 	switch {
-	case r.MostAttempts > 0 && len(r.attempts) >= r.MostAttempts:
+	case r.MaxAttempts > 0 && len(r.attempts) >= r.MaxAttempts:
 		return TooManyAttempts
-	case out >= max(1, r.MostOut):
+	case out >= max(1, r.MaxInFlight):
 		return SecondOut
 	case first == nil || r.Effect == dispatch.Idempotent:
 		return ""
@@ -82,20 +82,20 @@
 		return RepeatedUnproven
 	case now >= first.sent+r.Window:
 		return RepeatedTooLate
-	case r.Scope == dispatch.ScopeZone && first.zone != a.Now.Zone, r.Scope == dispatch.ScopeCell && first.cell != a.Now.Cell:
+	case r.Scope == dispatch.ScopeZone && first.zone != a.Current.Zone, r.Scope == dispatch.ScopeCell && first.cell != a.Current.Cell:
 		return RepeatedOutOfGroup
 	}
 	return ""
 }
 
-func (g *Guard) stop(why Reason, a Attempt) Reason {
+func (g *Checker) stop(why Reason, a Attempt) Reason {
 	g.Counts.Stopped[why]++
-	g.history.add(Transition{At: g.clock(), Request: a.Request, Attempt: a.Number, Worker: a.Now.Worker, Event: "stopped: " + string(why)})
+	g.history.add(Transition{At: g.clock(), Request: a.Request, Attempt: a.Number, Worker: a.Current.UID, Event: "stopped: " + string(why)})
 	return why
 }
 
 // Begun enters that the first byte of an attempt has been written.
-func (g *Guard) Begun(a Attempt) {
+func (g *Checker) AttemptStarted(a Attempt) {
 	r := g.requests[a.Request]
 	if r == nil {
 		return
@@ -108,12 +108,12 @@
 		g.Counts.Retries[ending]++
 	}
 	now := g.clock()
-	r.attempts = append(r.attempts, &attempt{number: a.Number, worker: a.Now.Worker, zone: a.Now.Zone, cell: a.Now.Cell, sent: now, out: true})
-	g.history.add(Transition{At: now, Request: a.Request, Attempt: a.Number, Worker: a.Now.Worker, Event: "sent"})
+	r.attempts = append(r.attempts, &attempt{number: a.Number, worker: a.Current.UID, zone: a.Current.Zone, cell: a.Current.Cell, sent: now, out: true})
+	g.history.add(Transition{At: now, Request: a.Request, Attempt: a.Number, Worker: a.Current.UID, Event: "sent"})
 }
 
 // Ended enters how an attempt has ended; ran: it may have run.
-func (g *Guard) Ended(id dispatch.InvocationID, number int, ending string, ran bool) {
+func (g *Checker) AttemptEnded(id dispatch.InvocationID, number int, ending string, ran bool) {
 	g.history.add(Transition{At: g.clock(), Request: id, Attempt: number, Event: "ended: " + ending})
 	r := g.requests[id]
 	if r == nil {
@@ -128,7 +128,7 @@
 }
 
 // Started passes a worker's start as the list tells of it. One that lies ahead can't have happened.
-func (g *Guard) Started(worker string, at time.Duration) {
+func (g *Checker) CheckStart(worker string, at time.Duration) {
 	if at > g.clock() {
 		g.violate(StartInFuture, 0, worker)
 	}
--- a/internal/lab/scale/list_test.go
+++ b/internal/lab/scale/list_test.go
@@ -33,7 +33,7 @@
 func reading(t *testing.T, entries, different int) (allocations float64, known int) {
 	t.Helper()
 	text := listOf(entries, different)
-	site, err := settings.ParseSite(Scenario{Zones: 15, Told: 15, InHand: 100, Starts: 48, Copies: true,
+	site, err := settings.ParseDeployment(Scenario{Zones: 15, Told: 15, InHand: 100, Starts: 48, Copies: true,
 		Operations: []Operation{{"render", "idempotent"}}}.settings(0))
 	if err != nil {
 		t.Fatal(err)
@@ -41,13 +41,13 @@
 	allocations = testing.AllocsPerRun(1, func() {
 		loop := conn.NewLoop(time.Now())
 		watcher := discovery.New(loop, "127.0.0.1:1", site.Zones, site.Kinds, time.Now())
-		fleet, core := workers.NewFleet(loop, site, loop.Share(100)), dispatch.New(site.Deployment, 1)
+		fleet, core := workers.NewFleet(loop, site, loop.Share(100)), dispatch.New(site.Dispatch, 1)
 		list, err := watcher.Parse(text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fleet.List(list)
-		core.Handle(time.Second, []dispatch.Event{list.Listing()})
+		core.Handle(time.Second, []dispatch.Event{list.EndpointUpdate()})
 		core.Handle(2*time.Second, []dispatch.Event{dispatch.TimerFired{}})
 		known = fleet.Listed()
 	})
--- a/internal/lab/virtual/program.go
+++ b/internal/lab/virtual/program.go
@@ -62,7 +62,7 @@
 // Maker makes schedulers of the program; clock tells the day's time.
 func (p *Program) Maker(clock func() time.Duration) Maker {
 	return func(scheduler int, seed int64, text []byte) (Decider, error) {
-		site, err := settings.ParseSite(text)
+		site, err := settings.ParseDeployment(text)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -29,12 +29,12 @@
 
 // Module is the decision module in this process.
 func Module(_ int, seed int64, text []byte) (Decider, error) {
-	site, err := settings.ParseSite(text)
+	site, err := settings.ParseDeployment(text)
 	if err != nil {
 		return nil, err
 	}
-	site.Deployment.NotifiesAccepted = true
-	return dispatch.New(site.Deployment, seed), nil
+	site.Dispatch.NotifiesAccepted = true
+	return dispatch.New(site.Dispatch, seed), nil
 }
 
 const (
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -125,11 +125,11 @@
 
 func policy(name string) Maker {
 	return func(_ int, seed int64, text []byte) (Decider, error) {
-		site, err := settings.ParseSite(text)
+		site, err := settings.ParseDeployment(text)
 		if err != nil {
 			return nil, err
 		}
-		return baseline.New(name, site.Deployment, uint64(seed))
+		return baseline.New(name, site.Dispatch, uint64(seed))
 	}
 }
 
--- a/internal/ledger/capacity_test.go
+++ b/internal/ledger/capacity_test.go
@@ -12,9 +12,9 @@
 	l := New()
 	for n := range classes {
 		at := l.Class(fmt.Sprintf("t%dmark8bits/operation-%d", n/32, n%32))
-		l.Took(at)
-		l.End(at, Succeeded)
-		l.Took(at)
+		l.Admitted(at)
+		l.Completed(at, Succeeded)
+		l.Admitted(at)
 	}
 	return l
 }
@@ -22,9 +22,9 @@
 func BenchmarkEntry(b *testing.B) {
 	l := bookOf(2272)
 	for b.Loop() {
-		l.Took(7)
-		l.Sent()
-		l.End(7, Succeeded)
+		l.Admitted(7)
+		l.Forwarded()
+		l.Completed(7, Succeeded)
 	}
 }
 
@@ -34,7 +34,7 @@
 			b.ReportAllocs()
 			l := bookOf(n)
 			for b.Loop() {
-				l.Figures(3800, 10)
+				l.Totals(3800, 10)
 			}
 		})
 	}
@@ -43,7 +43,7 @@
 func BenchmarkText(b *testing.B) {
 	for _, n := range []int{71, 284, 1136, 2272, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, size := bookOf(n).Figures(3800, 10), 0
+			f, size := bookOf(n).Totals(3800, 10), 0
 			for b.Loop() {
 				size = len(f.Text())
 			}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -16,8 +16,8 @@
 	Declined              // refused: asking again is harmless
 	Aborted               // failed
 	Abandoned             // its client has left
-	Handed                // another process has it now
-	endings   = int(Handed) + 1
+	Migrated              // another process has it now
+	endings   = int(Migrated) + 1
 )
 
 // told are the dispositions that operators see, by the names they use.
@@ -25,15 +25,15 @@
 
 // Class is one page of the book.
 type Class struct {
-	Name  string       `json:"Name"`
-	Taken int          `json:"Taken"`
-	Ended [endings]int `json:"Ended"`
+	Name      string       `json:"Name"`
+	Admitted  int          `json:"Taken"`
+	Completed [endings]int `json:"Ended"`
 }
 
 // Outstanding is what was taken and has not ended.
 func (c Class) Outstanding() int {
-	left := c.Taken
-	for _, n := range c.Ended {
+	left := c.Admitted
+	for _, n := range c.Completed {
 		left -= n
 	}
 	return left
@@ -76,7 +76,7 @@
 }
 
 // Forget takes the page of a class out that nothing is outstanding on: of tenants that come and go there is no end.
-func (l *Ledger) Forget(name string) {
+func (l *Ledger) RemoveClass(name string) {
 	at, known := l.at[name]
 	if !known || l.classes[at].Outstanding() != 0 {
 		return
@@ -91,31 +91,31 @@
 func (l *Ledger) Classes() []string { return slices.Sorted(maps.Keys(l.at)) }
 
 // Took enters an invocation.
-func (l *Ledger) Took(class int) {
-	l.classes[class].Taken++
+func (l *Ledger) Admitted(class int) {
+	l.classes[class].Admitted++
 	l.Changes++
 }
 
 // End strikes it out.
-func (l *Ledger) End(class int, how Disposition) {
-	l.classes[class].Ended[how]++
+func (l *Ledger) Completed(class int, how Disposition) {
+	l.classes[class].Completed[how]++
 	l.Changes++
 }
 
 // Back: what was handed over goes on here.
-func (l *Ledger) Back(class int) {
-	l.classes[class].Ended[Handed]--
+func (l *Ledger) MigrationReturned(class int) {
+	l.classes[class].Completed[Migrated]--
 	l.Changes++
 }
 
 // Sent counts a forward that was written whole.
-func (l *Ledger) Sent() {
+func (l *Ledger) Forwarded() {
 	l.Forwards++
 	l.Changes++
 }
 
 // Loaded counts a configuration read anew.
-func (l *Ledger) Loaded(applied bool) {
+func (l *Ledger) ConfigurationLoaded(applied bool) {
 	if l.Changes++; applied {
 		l.Applied++
 	} else {
@@ -124,7 +124,7 @@
 }
 
 // Figures are a copy of the book at one moment, with what others know of that moment.
-type Figures struct {
+type Totals struct {
 	Classes     []Class `json:"Classes"`
 	Forwards    int     `json:"Forwards"`
 	Applied     int     `json:"Applied"`
@@ -135,8 +135,8 @@
 }
 
 // Figures copies the book.
-func (l *Ledger) Figures(discovered, ejected int) Figures {
-	f := Figures{Forwards: l.Forwards, Applied: l.Applied, Rejected: l.Rejected,
+func (l *Ledger) Totals(discovered, ejected int) Totals {
+	f := Totals{Forwards: l.Forwards, Applied: l.Applied, Rejected: l.Rejected,
 		Discovered: discovered, Ejected: ejected}
 	for _, c := range l.classes {
 		if c.Name == "" {
@@ -152,11 +152,11 @@
 var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 // Text writes the figures, a line each.
-func (f Figures) Text() string {
+func (f Totals) Text() string {
 	var b strings.Builder
 	for _, c := range f.Classes {
 		for how, name := range told {
-			fmt.Fprintf(&b, "svc_results_total{service=\"%s\",disposition=\"%s\"} %d\n", escape.Replace(c.Name), name, c.Ended[how])
+			fmt.Fprintf(&b, "svc_results_total{service=\"%s\",disposition=\"%s\"} %d\n", escape.Replace(c.Name), name, c.Completed[how])
 		}
 	}
 	for _, v := range []struct {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -10,14 +10,14 @@
 // vanished keeps its count, and goes on with it when it comes back.
 func ExampleFigures_Text() {
 	l := New("render", "a\"b\\c\nd")
-	l.Took(l.Class("render"))
-	l.Took(l.Class("render"))
-	l.End(l.Class("render"), Succeeded)
-	l.Took(l.Class("new"))
-	l.End(l.Class("new"), Declined)
-	l.Sent()
-	l.Loaded(false)
-	fmt.Print(l.Figures(3, 1).Text())
+	l.Admitted(l.Class("render"))
+	l.Admitted(l.Class("render"))
+	l.Completed(l.Class("render"), Succeeded)
+	l.Admitted(l.Class("new"))
+	l.Completed(l.Class("new"), Declined)
+	l.Forwarded()
+	l.ConfigurationLoaded(false)
+	fmt.Print(l.Totals(3, 1).Text())
 	// Output:
 	// svc_results_total{service="render",disposition="succeeded"} 1
 	// svc_results_total{service="render",disposition="declined"} 0
@@ -41,20 +41,20 @@
 	rng := rand.New(rand.NewSource(1))
 	l := New("a", "b")
 	open := []int{}
-	before := l.Figures(0, 0)
+	before := l.Totals(0, 0)
 	for range 1000 {
 		if class := rng.Intn(2); rng.Intn(3) > 0 {
-			l.Took(class)
+			l.Admitted(class)
 			open = append(open, class)
 		} else if len(open) > 0 {
-			l.End(open[0], Disposition(rng.Intn(endings)))
+			l.Completed(open[0], Disposition(rng.Intn(endings)))
 			open = open[1:]
 		}
-		if got := l.Figures(0, 0).Outstanding; got != len(open) {
+		if got := l.Totals(0, 0).Outstanding; got != len(open) {
 			t.Fatal("outstanding", got, "not", len(open))
 		}
 	}
-	if before.Classes[0].Taken != 0 || before.Outstanding != 0 {
+	if before.Classes[0].Admitted != 0 || before.Outstanding != 0 {
 		t.Error("a copy has changed")
 	}
 }
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -43,21 +43,21 @@
 )
 
 // Manner is how a process behaves at a moment.
-type Manner struct {
-	Yes    bool // the address is served
-	Hears  bool // connections are accepted
-	Takes  bool // new invocations are taken
-	Shuts  bool // idle connections of clients close, and each answer closes its own
-	Sweeps bool // so do those that have begun a request and not ended it
-	Passes bool // connections and what waits on them go to the successor
-	News   bool // connections that bring workers' news stay while others shut
-	Leaves bool // the process ends once nothing is owed
-	Rests  bool // what is still owed is answered now, as there is no more time
-	Over   bool // the process ends
+type Behavior struct {
+	Ready          bool // the address is served
+	Accepts        bool // connections are accepted
+	Admits         bool // new invocations are taken
+	ClosesIdle     bool // idle connections of clients close, and each answer closes its own
+	ClosesPartial  bool // so do those that have begun a request and not ended it
+	Migrates       bool // connections and what waits on them go to the successor
+	KeepsCallbacks bool // connections that bring workers' news stay while others shut
+	ExitsWhenIdle  bool // the process ends once nothing is owed
+	FailsRemaining bool // what is still owed is answered now, as there is no more time
+	Exits          bool // the process ends
 }
 
 // Cycle is the state machine. Its zero value is a process that starts.
-type Cycle struct {
+type Lifecycle struct {
 	state     State
 	knows     bool          // there is a list to serve by, whatever the state
 	successor bool          // another process serves at the same address
@@ -67,23 +67,23 @@
 }
 
 // State tells the present one.
-func (c *Cycle) State() State { return c.state }
+func (c *Lifecycle) State() State { return c.state }
 
-func (c *Cycle) enter(s State, now time.Duration) {
+func (c *Lifecycle) enter(s State, now time.Duration) {
 	if c.state != s {
 		c.state, c.since = s, now
 	}
 }
 
 // Knows: there is a list to serve by, or the wait for one is over.
-func (c *Cycle) Knows(now time.Duration) {
+func (c *Lifecycle) EndpointsKnown(now time.Duration) {
 	if c.knows = true; c.state == Starting {
 		c.enter(Ready, now)
 	}
 }
 
 // Standby is the order to drain. False: it can't be carried out.
-func (c *Cycle) Standby(now time.Duration) bool {
+func (c *Lifecycle) Standby(now time.Duration) bool {
 	if c.state >= HandingOver {
 		return false
 	}
@@ -92,7 +92,7 @@
 }
 
 // Active is the order to take clients again, also in the midst of a drain.
-func (c *Cycle) Active(now time.Duration) bool {
+func (c *Lifecycle) Active(now time.Duration) bool {
 	switch {
 	case c.state >= HandingOver:
 		return false
@@ -106,7 +106,7 @@
 
 // Successor tells whether another process serves at the same address from now on. Who was told to stop hands over to it
 // at once, and goes on alone should it end.
-func (c *Cycle) Successor(now time.Duration, stands bool) {
+func (c *Lifecycle) SuccessorChanged(now time.Duration, stands bool) {
 	c.successor = stands
 	switch {
 	case stands && c.state == Stopping:
@@ -118,7 +118,7 @@
 
 // Stop is the order to end; longest is the longest that a client waits, 0 where neither settings nor clients have told. A
 // second order changes nothing.
-func (c *Cycle) Stop(now, longest time.Duration) {
+func (c *Lifecycle) Stop(now, longest time.Duration) {
 	if c.state >= HandingOver {
 		return
 	}
@@ -140,27 +140,27 @@
 }
 
 // At tells how the process behaves.
-func (c *Cycle) At(now time.Duration) (m Manner) {
+func (c *Lifecycle) Behavior(now time.Duration) (m Behavior) {
 	age := now - c.since
 	switch c.state {
 	case Starting:
-		m = Manner{Takes: true, Hears: true}
+		m = Behavior{Admits: true, Accepts: true}
 	case Ready:
-		m = Manner{Yes: true, Takes: true, Hears: true}
+		m = Behavior{Ready: true, Admits: true, Accepts: true}
 	case Standby:
-		m = Manner{Takes: age < drainTakes, Hears: true, Shuts: age >= drainShut, Sweeps: age >= drainSweep, News: true}
+		m = Behavior{Admits: age < drainTakes, Accepts: true, ClosesIdle: age >= drainShut, ClosesPartial: age >= drainSweep, KeepsCallbacks: true}
 	case HandingOver, Stopping:
 		shuts := now >= c.shutAt
 		handing := c.state == HandingOver
-		m = Manner{Yes: handing, Hears: !handing, Takes: now < c.last, Shuts: shuts, Leaves: shuts || handing, News: handing,
-			Passes: handing && now < c.last, Rests: now >= c.last,
-			Over: now >= c.last+leaveMargin}
+		m = Behavior{Ready: handing, Accepts: !handing, Admits: now < c.last, ClosesIdle: shuts, ExitsWhenIdle: shuts || handing, KeepsCallbacks: handing,
+			Migrates: handing && now < c.last, FailsRemaining: now >= c.last,
+			Exits: now >= c.last+leaveMargin}
 	}
 	return m
 }
 
 // Next is when the behaviour changes by time alone; false: not any more.
-func (c *Cycle) Next(now time.Duration) (time.Duration, bool) {
+func (c *Lifecycle) NextChange(now time.Duration) (time.Duration, bool) {
 	var times []time.Duration
 	switch c.state {
 	case Standby:
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -7,20 +7,20 @@
 )
 
 // trace prints how a process behaves at each moment at which that changes.
-func trace(c *Cycle, now time.Duration) {
+func trace(c *Lifecycle, now time.Duration) {
 	for {
-		m, words := c.At(now), []string{}
+		m, words := c.Behavior(now), []string{}
 		for _, v := range []struct {
 			is   bool
 			word string
-		}{{m.Yes, "yes"}, {m.Hears, "hears"}, {m.Takes, "takes"}, {m.Shuts, "shuts"}, {m.Sweeps, "sweeps"}, {m.Passes, "passes on"}, {m.News, "keeps news"},
-			{m.Leaves, "leaves"}, {m.Rests, "gives up"}, {m.Over, "over"}} {
+		}{{m.Ready, "yes"}, {m.Accepts, "hears"}, {m.Admits, "takes"}, {m.ClosesIdle, "shuts"}, {m.ClosesPartial, "sweeps"}, {m.Migrates, "passes on"}, {m.KeepsCallbacks, "keeps news"},
+			{m.ExitsWhenIdle, "leaves"}, {m.FailsRemaining, "gives up"}, {m.Exits, "over"}} {
 			if v.is {
 				words = append(words, v.word)
 			}
 		}
 		fmt.Printf("%5v %s: %s\n", now, c.State(), strings.Join(words, ", "))
-		next, more := c.Next(now)
+		next, more := c.NextChange(now)
 		if !more {
 			return
 		}
@@ -30,9 +30,9 @@
 
 // A drain, and its end: yes comes back at once. A second order does not begin the drain anew.
 func ExampleCycle_Standby() {
-	var c Cycle
+	var c Lifecycle
 	trace(&c, 0)
-	c.Knows(time.Second)
+	c.EndpointsKnown(time.Second)
 	trace(&c, time.Second)
 	fmt.Println(c.Standby(10*time.Second), c.Standby(11*time.Second))
 	trace(&c, 10*time.Second)
@@ -52,12 +52,12 @@
 
 // Taken out before there is a list, it stays out when the list comes; back before the list, it starts.
 func ExampleCycle_Active() {
-	var c Cycle
+	var c Lifecycle
 	c.Standby(0)
 	c.Active(1)
 	fmt.Println(c.State())
 	c.Standby(2)
-	c.Knows(3)
+	c.EndpointsKnown(3)
 	fmt.Println(c.State())
 	c.Active(4)
 	fmt.Println(c.State())
@@ -69,28 +69,28 @@
 
 // The order to stop: no kill comes before 3.7 s. Operators' orders change nothing any more, nor does a second one.
 func ExampleCycle_Stop() {
-	var c Cycle
-	c.Knows(0)
+	var c Lifecycle
+	c.EndpointsKnown(0)
 	c.Stop(2*time.Second, 25*time.Second)
 	c.Stop(3*time.Second, 25*time.Second)
 	fmt.Println(c.Standby(4*time.Second), c.Active(4*time.Second))
 	trace(&c, 2*time.Second)
 	// In the midst of a drain clients have turned elsewhere already.
-	c = Cycle{}
-	c.Knows(0)
+	c = Lifecycle{}
+	c.EndpointsKnown(0)
 	c.Standby(time.Second)
 	c.Stop(1500*time.Millisecond, time.Second)
 	trace(&c, 1500*time.Millisecond)
 	// With a successor clients lose nothing by going there at once.
-	c = Cycle{}
-	c.Knows(0)
-	c.Successor(0, true)
+	c = Lifecycle{}
+	c.EndpointsKnown(0)
+	c.SuccessorChanged(0, true)
 	c.Stop(time.Second, 2*time.Second)
 	trace(&c, time.Second)
 	// It dies: the old process hears clients again for as long as it has. And another one comes.
-	c.Successor(1500*time.Millisecond, false)
+	c.SuccessorChanged(1500*time.Millisecond, false)
 	trace(&c, 1500*time.Millisecond)
-	c.Successor(2*time.Second, true)
+	c.SuccessorChanged(2*time.Second, true)
 	trace(&c, 2*time.Second)
 	// Output:
 	// false false
@@ -119,13 +119,13 @@
 // has told how long that is, there is nobody to be answered late.
 func ExampleCycle_Stop_short() {
 	for _, longest := range []time.Duration{0, 450 * time.Millisecond, 900 * time.Millisecond, 2 * time.Second} {
-		var c Cycle
-		c.Knows(0)
+		var c Lifecycle
+		c.EndpointsKnown(0)
 		c.Stop(time.Second, longest)
 		fmt.Println("clients wait for", longest, "and the kill comes after", time.Second+longest+700*time.Millisecond)
 		trace(&c, time.Second)
 	}
-	var c Cycle
+	var c Lifecycle
 	c.Standby(time.Second)
 	c.Stop(time.Second, 300*time.Millisecond)
 	trace(&c, time.Second)
--- a/internal/peers/capacity_test.go
+++ b/internal/peers/capacity_test.go
@@ -27,7 +27,7 @@
 				}
 				loop := conn.NewLoop(time.Now())
 				r := newRoad(loop, addrs, 0, 1)
-				other := &Road{loop: loop, addrs: addrs, me: schedulers - 1, epoch: 1, senders: map[int]sender{}}
+				other := &Transport{loop: loop, addrs: addrs, me: schedulers - 1, epoch: 1, senders: map[int]sender{}}
 				notes, who, size := []dispatch.GossipEntry{{Kind: dispatch.GossipAttemptStarted, Serial: 7, Tag: 99}}, schedulers-1, 0
 				if to == "all" {
 					who = -1
--- a/internal/peers/clock_test.go
+++ b/internal/peers/clock_test.go
@@ -10,7 +10,7 @@
 // is not.
 func TestStartOnSteppedClock(t *testing.T) {
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port) }
-	r := &Road{addrs: []netip.AddrPort{at(1), at(2)}, senders: map[int]sender{}}
+	r := &Transport{addrs: []netip.AddrPort{at(1), at(2)}, senders: map[int]sender{}}
 	hour := uint64(time.Hour)
 	heard := func(epoch uint64, count uint32) bool {
 		_, ok := r.sift(at(2), frame(1, epoch, count, word))
--- a/internal/peers/forms_test.go
+++ b/internal/peers/forms_test.go
@@ -79,7 +79,7 @@
 
 // The counts keep their keys.
 func TestGoldenFigures(t *testing.T) {
-	r := &Road{}
+	r := &Transport{}
 	c := &r.Counts
 	c.Sent.Store(1)
 	c.Heard.Store(2)
@@ -88,7 +88,7 @@
 	c.Old.Store(5)
 	c.Broken.Store(6)
 	c.Crowded.Store(7)
-	text, err := json.MarshalIndent(r.Figures(), "", "  ")
+	text, err := json.MarshalIndent(r.CountsByName(), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	if err := json.Unmarshal(golden(t, "figures.json", text), &got); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(r.Figures(), got); diff != "" {
+	if diff := cmp.Diff(r.CountsByName(), got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -38,9 +38,9 @@
 }
 
 // Road is one scheduler's way to the others.
-type Road struct {
-	Counts Counts
-	Told   func(dispatch.GossipReceived)
+type Transport struct {
+	Counts    Counts
+	OnReceive func(dispatch.GossipReceived)
 
 	loop    *conn.Loop
 	addrs   []netip.AddrPort // by number
@@ -69,28 +69,28 @@
 }
 
 // Open begins to listen at our own address and goes on trying where that is taken. started tells our starts apart.
-func Open(loop *conn.Loop, addrs []netip.AddrPort, me int, started time.Time, failed func(error)) *Road {
+func Open(loop *conn.Loop, addrs []netip.AddrPort, me int, started time.Time, failed func(error)) *Transport {
 	r := newRoad(loop, addrs, me, uint64(started.UnixNano()))
 	go r.run(failed)
 	return r
 }
 
 // newRoad has room by the number of schedulers, and does not run yet.
-func newRoad(loop *conn.Loop, addrs []netip.AddrPort, me int, epoch uint64) *Road {
+func newRoad(loop *conn.Loop, addrs []netip.AddrPort, me int, epoch uint64) *Transport {
 	queued := max(queuedLeast, queuedEach*len(addrs))
-	return &Road{loop: loop, addrs: addrs, me: me, epoch: epoch, senders: map[int]sender{}, queued: queued,
+	return &Transport{loop: loop, addrs: addrs, me: me, epoch: epoch, senders: map[int]sender{}, queued: queued,
 		out: make(chan datagram, queued), quit: make(chan struct{})}
 }
 
 // Close ends it.
-func (r *Road) Close() {
+func (r *Transport) Close() {
 	if r != nil {
 		close(r.quit)
 	}
 }
 
 // run binds, and from then on one goroutine reads and this one writes.
-func (r *Road) run(failed func(error)) {
+func (r *Transport) run(failed func(error)) {
 	var socket *net.UDPConn
 	for told := false; socket == nil; {
 		var err error
@@ -123,7 +123,7 @@
 	}
 }
 
-func (r *Road) read(socket *net.UDPConn) {
+func (r *Transport) read(socket *net.UDPConn) {
 	buffer := make([]byte, header+dispatch.MaxGossipBytes+1) // one byte more shows what is too long
 	for {
 		n, from, err := socket.ReadFromUDPAddrPort(buffer)
@@ -145,7 +145,7 @@
 }
 
 type come struct {
-	*Road
+	*Transport
 	from  netip.AddrPort
 	bytes []byte
 }
@@ -156,12 +156,12 @@
 	c.now = c.loop.Now()
 	if told, ok := c.sift(c.from, c.bytes); ok {
 		c.Counts.Heard.Add(1)
-		c.Told(told)
+		c.OnReceive(told)
 	}
 }
 
 // sift reads a datagram. It takes nothing of one that is broken, foreign or from before its sender's last start.
-func (r *Road) sift(from netip.AddrPort, b []byte) (told dispatch.GossipReceived, ok bool) {
+func (r *Transport) sift(from netip.AddrPort, b []byte) (told dispatch.GossipReceived, ok bool) {
 	if len(b) < header || b[0] != version {
 		r.Counts.Broken.Add(1)
 		return told, false
@@ -197,7 +197,7 @@
 }
 
 // Send tells another scheduler, or all where to is below 0. It never waits.
-func (r *Road) Send(to int, notes []dispatch.GossipEntry) {
+func (r *Transport) Send(to int, notes []dispatch.GossipEntry) {
 	for _, memo := range dispatch.EncodeGossip(notes) {
 		r.count++
 		b := append(make([]byte, 0, header+len(memo)), version)
@@ -218,7 +218,7 @@
 }
 
 // Figures are the counts by name.
-func (r *Road) Figures() map[string]uint64 {
+func (r *Transport) CountsByName() map[string]uint64 {
 	c := &r.Counts
 	return map[string]uint64{"sent": c.Sent.Load(), "heard": c.Heard.Load(), "unsent": c.Unsent.Load(),
 		"foreign": c.Foreign.Load(), "old": c.Old.Load(), "broken": c.Broken.Load(), "crowded": c.Crowded.Load()}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -25,14 +25,14 @@
 }
 
 // open makes a road whose number is 0 and which runs; heard gathers what it takes.
-func open(t *testing.T, others ...netip.AddrPort) (r *Road, heard chan dispatch.GossipReceived) {
+func open(t *testing.T, others ...netip.AddrPort) (r *Transport, heard chan dispatch.GossipReceived) {
 	t.Helper()
 	c, own := stand(t)
 	c.Close()
 	loop := conn.NewLoop(time.Now())
 	heard = make(chan dispatch.GossipReceived, 1000)
 	r = Open(loop, append([]netip.AddrPort{own}, others...), 0, time.Now(), func(err error) { t.Log(err) })
-	r.Told = func(told dispatch.GossipReceived) { heard <- told }
+	r.OnReceive = func(told dispatch.GossipReceived) { heard <- told }
 	ended := make(chan struct{})
 	go func() { loop.Run(func() {}); close(ended) }()
 	t.Cleanup(func() { r.Close(); loop.Order(stopper{loop}); <-ended })
@@ -54,7 +54,7 @@
 // What is doubled, old, foreign, cut or garbled is dropped and counted; what was overtaken on its way is taken.
 func Example_sift() {
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port) }
-	r := &Road{addrs: []netip.AddrPort{at(1), at(2), at(3)}, senders: map[int]sender{}}
+	r := &Transport{addrs: []netip.AddrPort{at(1), at(2), at(3)}, senders: map[int]sender{}}
 	take := func(title string, port uint16, b []byte) {
 		told, ok := r.sift(at(port), b)
 		fmt.Println(title+":", ok, told.From, len(told.Entries))
@@ -79,7 +79,7 @@
 	take("too long", 2, append(frame(1, 200, 5, word), make([]byte, dispatch.MaxGossipBytes)...))
 	take("count goes round", 3, frame(2, 1, 1<<32-1, word))
 	take("and on", 3, frame(2, 1, 0, word))
-	fmt.Println(r.Figures())
+	fmt.Println(r.CountsByName())
 	// Output:
 	// first: true 1 1
 	// doubled: false 0 0
@@ -146,12 +146,12 @@
 				t.Fatal(told)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("heard ", n, " of 5: ", r.Figures())
+			t.Fatal("heard ", n, " of 5: ", r.CountsByName())
 		}
 	}
 	for until := time.Now().Add(5 * time.Second); r.Counts.Foreign.Load() < 5 || r.Counts.Broken.Load() < 5; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal(r.Figures())
+			t.Fatal(r.CountsByName())
 		}
 	}
 }
--- a/internal/settings/capacity_test.go
+++ b/internal/settings/capacity_test.go
@@ -37,16 +37,16 @@
 	for _, n := range []int{18, 36, 71, 142} {
 		b.Run(fmt.Sprint(n, "x32"), func(b *testing.B) {
 			text := configuration(n, 32, 1)
-			running, err := ParseNode(text, none)
+			running, err := ParseProcess(text, none)
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				newer, err := ParseNode(text, none)
+				newer, err := ParseProcess(text, none)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err = running.Lacks(newer); err != nil {
+				if err = running.MissingKey(newer); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -78,7 +78,7 @@
 	for _, what := range []string{"one", "all"} {
 		for _, n := range []int{18, 36, 71, 128} {
 			b.Run(fmt.Sprint(what, "/", n, "x32"), func(b *testing.B) {
-				base, err := ParseSite([]byte(`{"PeersTotal": 15, "Operations": []}`))
+				base, err := ParseDeployment([]byte(`{"PeersTotal": 15, "Operations": []}`))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -86,10 +86,10 @@
 				if what == "all" {
 					changed, busy = n, func(int) bool { return false }
 				}
-				site, second := base.Hosting(teams(n, 0, 0), 0.001), teams(n, changed, 20)
+				site, second := base.WithTenants(teams(n, 0, 0), 0.001), teams(n, changed, 20)
 				b.ReportAllocs()
 				for b.Loop() {
-					site.Retune(base.Hosting(second, 0.001), busy)
+					site.Reconfigure(base.WithTenants(second, 0.001), busy)
 				}
 			})
 		}
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -80,25 +80,25 @@
 		t.Fatal(err)
 	}
 	for _, spelt := range spellings(t, text) {
-		n, err := ParseNode(spelt, none)
+		n, err := ParseProcess(spelt, none)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var known bytes.Buffer
-		if err := json.Compact(&known, n.Known); err != nil {
+		if err := json.Compact(&known, n.CachedEndpoints); err != nil {
 			t.Fatal(err)
 		}
 		hash := strings.Repeat("5a", 32)
-		wanted := Node{Name: "n1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Admin: "127.0.0.1:9100", Seed: 0x1c1f30d27a5be964,
-			MemoryMB: 300, Sockets: 4000, Known: known.Bytes(),
+		wanted := Process{Name: "n1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Admin: "127.0.0.1:9100", Seed: 0x1c1f30d27a5be964,
+			MemoryMB: 300, Sockets: 4000, CachedEndpoints: known.Bytes(),
 			Peers:   []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7001"), netip.MustParseAddrPort("127.0.0.1:7002")},
-			Tenants: Tenancy{Dir: "/var/tenants", API: "127.0.0.1:9200", Room: 700, ExcessValue: 0.25, Administrators: []Administrator{{"ops", true, hash}}}}
-		n.Known, wanted.Text, wanted.Site = known.Bytes(), spelt, n.Site
-		if diff := cmp.Diff(wanted, n, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }), cmp.AllowUnexported(Site{})); diff != "" {
+			Tenants: Tenancy{Dir: "/var/tenants", API: "127.0.0.1:9200", MaxInFlight: 700, ExcessValue: 0.25, Administrators: []Administrator{{"ops", true, hash}}}}
+		n.CachedEndpoints, wanted.Text, wanted.Deployment = known.Bytes(), spelt, n.Deployment
+		if diff := cmp.Diff(wanted, n, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }), cmp.AllowUnexported(Deployment{})); diff != "" {
 			t.Error(diff)
 		}
-		if strings.ToLower(known.String()) != `[{"endpoint":"127.0.0.1:1"}]` || n.Site.Operations[0] != "render" {
-			t.Error(known.String(), n.Site.Operations)
+		if strings.ToLower(known.String()) != `[{"endpoint":"127.0.0.1:1"}]` || n.Deployment.Operations[0] != "render" {
+			t.Error(known.String(), n.Deployment.Operations)
 		}
 	}
 }
@@ -142,16 +142,16 @@
 				t.Fatal(err)
 			}
 			if file == "node.json" {
-				_, err = ParseNode(changed, none)
+				_, err = ParseProcess(changed, none)
 			} else {
-				_, err = ParseSite(changed)
+				_, err = ParseDeployment(changed)
 			}
 			fmt.Fprintf(&lines, "%s %s: %v\n", file, path, err)
 		})
 	}
-	_, err := ParseNode([]byte("3"), none)
+	_, err := ParseProcess([]byte("3"), none)
 	fmt.Fprintln(&lines, err)
-	_, err = ParseSite([]byte("3"))
+	_, err = ParseDeployment([]byte("3"))
 	fmt.Fprintln(&lines, err)
 	golden(t, "wrong.txt", []byte(lines.String()))
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -10,20 +10,20 @@
 )
 
 // Node is what one scheduler of the service is told at its start.
-type Node struct {
+type Process struct {
 	Name, Listen, Discovery string
 	Admin                   string // the operators' address; empty: none
 	Seed                    int64
 	MemoryMB, Sockets       int
-	Known                   json.RawMessage  // the list of workers as last had, in discovery's form
+	CachedEndpoints         json.RawMessage  // the list of workers as last had, in discovery's form
 	Peers                   []netip.AddrPort // where each scheduler takes messages, by number; none: no messages
-	Site                    Site
+	Deployment              Deployment
 	Tenants                 Tenancy
 	Text                    []byte // as it was read
 }
 
 // Fixed lists the keys whose values in a newer file wait for the next start.
-func (n Node) Fixed(newer Node) (keys []string) {
+func (n Process) StartOnlyChanges(newer Process) (keys []string) {
 	for _, v := range []struct {
 		key  string
 		same bool
@@ -32,7 +32,7 @@
 		{"peers", slices.Equal(n.Peers, newer.Peers)},
 		{"tenants", n.Tenants.same(newer.Tenants)},
 		{"limits", n.MemoryMB == newer.MemoryMB && n.Sockets == newer.Sockets},
-		{"settings.Discovery", n.Site.Deployment.EndpointsPushed == newer.Site.Deployment.EndpointsPushed}} {
+		{"settings.Discovery", n.Deployment.Dispatch.EndpointsPushed == newer.Deployment.Dispatch.EndpointsPushed}} {
 		if !v.same {
 			keys = append(keys, v.key)
 		}
@@ -44,7 +44,7 @@
 const least = 40
 
 // ReadNode reads the file that PROXY_CONFIG names; the other variables stand in for what is not in it.
-func ReadNode(env func(string) string) (n Node, err error) {
+func ReadProcess(env func(string) string) (n Process, err error) {
 	path := env("PROXY_CONFIG")
 	if path == "" {
 		return n, fmt.Errorf("PROXY_CONFIG: names no file")
@@ -53,14 +53,14 @@
 	if err != nil {
 		return n, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
-	if n, err = ParseNode(text, env); err != nil {
+	if n, err = ParseProcess(text, env); err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
 	return n, err
 }
 
 // ParseNode reads and checks the text of that file.
-func ParseNode(text []byte, env func(string) string) (n Node, err error) {
+func ParseProcess(text []byte, env func(string) string) (n Process, err error) {
 	var in struct {
 		Name      string `json:"Name"`
 		Listen    string `json:"Listen"`
@@ -79,8 +79,8 @@
 	if err := decode(text, &in); err != nil {
 		return n, err
 	}
-	n = Node{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Admin: in.Admin, Text: text, MemoryMB: in.Limits.MemoryMB,
-		Sockets: in.Limits.Sockets, Known: in.Known}
+	n = Process{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Admin: in.Admin, Text: text, MemoryMB: in.Limits.MemoryMB,
+		Sockets: in.Limits.Sockets, CachedEndpoints: in.Known}
 	for _, v := range []struct {
 		to        *string
 		key, name string
@@ -123,7 +123,7 @@
 	if n.Sockets < least {
 		return n, fmt.Errorf("limits.sockets: %d is too few, %d are the least", n.Sockets, least)
 	}
-	if n.Site, err = ParseSite(in.Settings); err != nil {
+	if n.Deployment, err = ParseDeployment(in.Settings); err != nil {
 		return n, err
 	}
 	if err := n.mixed(in.Peers); err != nil {
@@ -132,10 +132,10 @@
 	if n.Tenants, err = in.Tenants.check(n); err != nil {
 		return n, err
 	}
-	if len(n.Site.Operations) == 0 && !n.Tenants.On() {
+	if len(n.Deployment.Operations) == 0 && !n.Tenants.Enabled() {
 		return n, fmt.Errorf("settings: Operations: there are none")
 	}
-	for i, name := range n.Site.Operations {
+	for i, name := range n.Deployment.Operations {
 		if name == "" { // nobody could ask for it
 			return n, fmt.Errorf("settings: Operations[%d].Name: is not set", i)
 		}
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -78,7 +78,7 @@
 }
 
 // Blank is the report whose every value is nought.
-func (r Report) Blank() dispatch.LoadReport {
+func (r Report) Unknown() dispatch.LoadReport {
 	load := dispatch.UnknownLoad
 	for place := range r.Names {
 		if field := r.Field(&load, place); field != nil {
--- a/internal/settings/retune.go
+++ b/internal/settings/retune.go
@@ -10,14 +10,14 @@
 )
 
 // Renumber writes zones and kinds of workers by the indices that are in use here, whatever their order in the text.
-func (s *Site) Renumber(zone, kind func(name string) int) {
+func (s *Deployment) Reindex(zone, kind func(name string) int) {
 	at := func(names []string, n int, index func(string) int) int {
 		if n < 0 || n >= len(names) {
 			return n
 		}
 		return index(names[n])
 	}
-	d := &s.Deployment
+	d := &s.Dispatch
 	d.Zone = at(s.Zones, d.Zone, zone)
 	for i := range d.Operations {
 		d.Operations[i].WorkerKind = at(s.Kinds, d.Operations[i].WorkerKind, kind)
@@ -27,21 +27,21 @@
 // Retune gives what holds once a newer text is taken over. Operations are known by name, whatever their order: one that
 // has not changed keeps its index, any other gets one that is free, and one that is gone keeps its own for what is under
 // way. From tells, for each index, whose learning goes on there: its own, that of the index before, or none (-1).
-func (s Site) Retune(newer Site, free func(index int) bool) (merged Site, from []int) {
-	merged, d := newer, &newer.Deployment
-	operations, names, timeouts := slices.Clone(s.Deployment.Operations), slices.Clone(s.Operations), slices.Clone(s.Timeouts)
+func (s Deployment) Reconfigure(newer Deployment, free func(index int) bool) (merged Deployment, from []int) {
+	merged, d := newer, &newer.Dispatch
+	operations, names, timeouts := slices.Clone(s.Dispatch.Operations), slices.Clone(s.Operations), slices.Clone(s.ClientTimeouts)
 	taken := map[int]bool{}
-	for _, i := range s.Current {
+	for _, i := range s.OperationIndex {
 		taken[i] = true
 	}
 	for i := range operations {
 		from = append(from, i)
 	}
-	merged.Current = map[string]int{}
+	merged.OperationIndex = map[string]int{}
 	for n, name := range newer.Operations {
-		before, known := s.Current[name]
-		if known && operations[before] == d.Operations[n] && timeouts[before] == newer.Timeouts[n] {
-			merged.Current[name] = before
+		before, known := s.OperationIndex[name]
+		if known && operations[before] == d.Operations[n] && timeouts[before] == newer.ClientTimeouts[n] {
+			merged.OperationIndex[name] = before
 			continue
 		}
 		if !known {
@@ -55,26 +55,26 @@
 			operations, names = append(operations, dispatch.Operation{}), append(names, "")
 			timeouts, from = append(timeouts, 0), append(from, -1)
 		}
-		operations[at], names[at], timeouts[at], from[at] = d.Operations[n], name, newer.Timeouts[n], before
-		merged.Current[name], taken[at] = at, true
+		operations[at], names[at], timeouts[at], from[at] = d.Operations[n], name, newer.ClientTimeouts[n], before
+		merged.OperationIndex[name], taken[at] = at, true
 	}
-	merged.Deployment.Operations, merged.Operations, merged.Timeouts = operations, names, timeouts
+	merged.Dispatch.Operations, merged.Operations, merged.ClientTimeouts = operations, names, timeouts
 	for _, timeout := range timeouts { // of those that are gone too, as a stop waits for them
 		merged.LongestTimeout = max(merged.LongestTimeout, timeout)
 	}
 	// Tenants that are gone keep their index, new ones come behind.
-	merged.Tenants, merged.Deployment.Tenants = slices.Clone(s.Tenants), slices.Clone(s.Deployment.Tenants)
+	merged.Tenants, merged.Dispatch.Tenants = slices.Clone(s.Tenants), slices.Clone(s.Dispatch.Tenants)
 	for n, name := range newer.Tenants {
 		at := slices.Index(merged.Tenants, name)
 		if at < 0 {
 			at = len(merged.Tenants)
 			merged.Tenants = append(merged.Tenants, name)
-			merged.Deployment.Tenants = append(merged.Deployment.Tenants, dispatch.Tenant{})
+			merged.Dispatch.Tenants = append(merged.Dispatch.Tenants, dispatch.Tenant{})
 		}
-		merged.Deployment.Tenants[at] = d.Tenants[n]
+		merged.Dispatch.Tenants[at] = d.Tenants[n]
 	}
 	// Whether changes of the list come unasked is a way of starting.
-	merged.Deployment.EndpointsPushed = s.Deployment.EndpointsPushed
+	merged.Dispatch.EndpointsPushed = s.Dispatch.EndpointsPushed
 	return merged, from
 }
 
@@ -82,7 +82,7 @@
 var startOnly = map[string]bool{"known": true, "seed": true}
 
 // Lacks names a key that the running text has and a newer one does not: it was cut short, or written by mistake.
-func (n Node) Lacks(newer Node) error {
+func (n Process) MissingKey(newer Process) error {
 	var old, now any
 	if json.Unmarshal(n.Text, &old) != nil || json.Unmarshal(newer.Text, &now) != nil {
 		return nil // neither was taken that could not be read; a running one without a text has no keys
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,7 +18,7 @@
 )
 
 // Span turns seconds into a duration, held inside what one can carry.
-func Span(seconds float64) time.Duration {
+func Duration(seconds float64) time.Duration {
 	const most = float64(math.MaxInt64 / 4)
 	if math.IsNaN(seconds) {
 		return 0
@@ -27,18 +27,18 @@
 }
 
 // Site is a deployment as its settings tell of it: what the decisions need, and what only the network does.
-type Site struct {
-	Deployment                        dispatch.Config
+type Deployment struct {
+	Dispatch                          dispatch.Config
 	Report                            Report
 	Operations, Tenants, Zones, Kinds []string // their names, by index
-	ConnIdle, ConnTimeout             time.Duration
-	Timeouts                          []time.Duration // of the operations' clients; 0: not told
+	ConnectionIdle, ConnectTimeout    time.Duration
+	ClientTimeouts                    []time.Duration // of the operations' clients; 0: not told
 	LongestTimeout                    time.Duration
-	Grace                             time.Duration // until nothing more may go to a worker that is told to drain; 0: not told
-	Shape                             Shape
+	DrainGrace                        time.Duration // until nothing more may go to a worker that is told to drain; 0: not told
+	Features                          Features
 	worstTenant                       float64
 	discovery                         string
-	Current                           map[string]int // the operations that newcomers may have, by name
+	OperationIndex                    map[string]int // the operations that newcomers may have, by name
 }
 
 // site is the settings text, with the keys that have a meaning here.
@@ -153,7 +153,7 @@
 }
 
 // ParseSite reads the settings text. Keys without a meaning here are passed over.
-func ParseSite(text []byte) (s Site, err error) {
+func ParseDeployment(text []byte) (s Deployment, err error) {
 	var in site
 	if err := decode(text, &in); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
@@ -161,18 +161,18 @@
 	if err := in.check(); err != nil {
 		return s, err
 	}
-	s.Shape, s.worstTenant, s.discovery = in.shape(), in.ResultMix.WorstTenant, in.Discovery
-	d := &s.Deployment
+	s.Features, s.worstTenant, s.discovery = in.shape(), in.ResultMix.WorstTenant, in.Discovery
+	d := &s.Dispatch
 	*d = dispatch.Config{
-		Schedulers: in.PeersTotal, Index: -1, Zone: in.MyZone, ExcessValue: 1, EndpointsPushed: s.Shape.Pushed,
-		NotifiesStart: in.FamilyInfo.TellsStart, ProgressInterval: Span(in.FamilyInfo.Progress),
+		Schedulers: in.PeersTotal, Index: -1, Zone: in.MyZone, ExcessValue: 1, EndpointsPushed: s.Features.EndpointsPushed,
+		NotifiesStart: in.FamilyInfo.TellsStart, ProgressInterval: Duration(in.FamilyInfo.Progress),
 		HealthCheckCost: in.Prices.Probe, GossipCost: in.Prices.Peer,
 		Limits: dispatch.Limits{
 			HealthChecks: in.Limits.Probes, Cancel: in.Limits.Cancel, Gossip: in.Limits.Peers, MaxInFlight: 1,
 		},
 		Rules: dispatch.Rules{
-			PollWithin: Span(in.Rules.AskWithin), DrainGrace: max(0, Span(in.Rules.StopSendingWithin)), SlowStartFrom: in.Rules.ColdFrom, SlowStartDuration: Span(in.Rules.WarmAfter),
-			OverloadFactor: in.Rules.FallMultiple, OverloadWindow: Span(in.Rules.Fall),
+			PollWithin: Duration(in.Rules.AskWithin), DrainGrace: max(0, Duration(in.Rules.StopSendingWithin)), SlowStartFrom: in.Rules.ColdFrom, SlowStartDuration: Duration(in.Rules.WarmAfter),
+			OverloadFactor: in.Rules.FallMultiple, OverloadWindow: Duration(in.Rules.Fall),
 		},
 	}
 	if most := in.Limits.MostForwards; most != nil {
@@ -187,7 +187,7 @@
 		d.Limits.MaxInFlight = 2
 	}
 	if in.Limits.RetryAfter {
-		d.Limits.MaxRetryAfter = Span(in.Limits.MaxRetryAfter)
+		d.Limits.MaxRetryAfter = Duration(in.Limits.MaxRetryAfter)
 	}
 	if in.ExcessBilledValue != nil {
 		d.ExcessValue = *in.ExcessBilledValue
@@ -195,22 +195,22 @@
 	if in.ResultMix.Whole > 0 {
 		d.WorstOperationWeight = in.ResultMix.WorstClass / in.ResultMix.Whole
 	}
-	s.ConnTimeout = Span(cmp.Or(in.Limits.ConnectTimeout, 1))
-	s.Current = map[string]int{}
+	s.ConnectTimeout = Duration(cmp.Or(in.Limits.ConnectTimeout, 1))
+	s.OperationIndex = map[string]int{}
 	for i, o := range in.Operations {
-		if _, twice := s.Current[o.Name]; twice && o.Name != "" {
+		if _, twice := s.OperationIndex[o.Name]; twice && o.Name != "" {
 			return s, fmt.Errorf("settings: Operations[%d].Name: %q is there twice", i, o.Name)
 		}
-		timeout := Span(0)
+		timeout := Duration(0)
 		if o.ClientTimeout != nil {
-			if timeout = Span(*o.ClientTimeout); timeout <= 0 {
+			if timeout = Duration(*o.ClientTimeout); timeout <= 0 {
 				return s, fmt.Errorf("settings: Operations[%d].ClientTimeout: %v is not over 0", i, *o.ClientTimeout)
 			}
 		}
 		op := dispatch.Operation{
-			PriorityWeight: o.BilledValue, LateWeight: o.LateBilledValue, LatencyObjective: Span(o.LatencyObjective),
+			PriorityWeight: o.BilledValue, LateWeight: o.LateBilledValue, LatencyObjective: Duration(o.LatencyObjective),
 			// A repeat is decided on before its connection stands, and counts as sent once it has gone out.
-			Stretch: o.AimStretch, DedupWindow: max(0, Span(o.DedupWindow)-s.ConnTimeout),
+			Stretch: o.AimStretch, DedupWindow: max(0, Duration(o.DedupWindow)-s.ConnectTimeout),
 			WorkerKind: -1,
 		}
 		var known bool
@@ -227,8 +227,8 @@
 			op.Stretch = in.FamilyInfo.ClassStretch[i]
 		}
 		d.Operations = append(d.Operations, op)
-		s.Operations, s.Current[o.Name] = append(s.Operations, o.Name), i
-		s.Timeouts = append(s.Timeouts, timeout)
+		s.Operations, s.OperationIndex[o.Name] = append(s.Operations, o.Name), i
+		s.ClientTimeouts = append(s.ClientTimeouts, timeout)
 		s.LongestTimeout = max(s.LongestTimeout, timeout)
 	}
 	for _, t := range in.Tenants {
@@ -239,7 +239,7 @@
 		s.Report.name(in.Report.Names, map[string]string{"x0": in.FamilyInfo.ReportX0, "x1": in.FamilyInfo.ReportX1})
 	}
 	s.Zones, s.Kinds = in.Dcs, in.Kinds
-	s.Grace = max(0, Span(in.Rules.StopSendingWithin))
-	s.ConnIdle = Span(cmp.Or(in.Limits.ConnIdle, 60))
+	s.DrainGrace = max(0, Duration(in.Rules.StopSendingWithin))
+	s.ConnectionIdle = Duration(cmp.Or(in.Limits.ConnIdle, 60))
 	return s, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,8 +17,8 @@
 
 // The window in which a repeat is dropped ends earlier by the time that its connection may take to come up.
 func Example_site() {
-	s, err := ParseSite([]byte(siteText))
-	d := s.Deployment
+	s, err := ParseDeployment([]byte(siteText))
+	d := s.Dispatch
 	fmt.Println(s.Report.Meanings, err, d.EndpointsPushed, d.Zone, d.Schedulers, d.ExcessValue, d.Limits, d.Rules.PollWithin, d.Tenants)
 	for _, o := range d.Operations {
 		fmt.Printf("%+v\n", o)
@@ -28,7 +28,7 @@
 		`{"Operations": [{"Name": "a", "Effect": "read_like"}, {"Name": "a", "Effect": "read_like"}]}`,
 		`{"Operations": [{"Effect": "read_like", "ClientTimeout": 0}]}`, `{"Limits": {"MostForwards": -1}}`,
 		`{"PeersTotal": 3} and more`} {
-		_, err := ParseSite([]byte(bad))
+		_, err := ParseDeployment([]byte(bad))
 		fmt.Println(err)
 	}
 	// Output:
@@ -50,15 +50,15 @@
 func ExampleNode_Fixed() {
 	text := `{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","limits":{"sockets":300},
 		"settings":{"PeersTotal":1,"Operations":[{"Name":"render","Effect":"read_like"}]}}`
-	read := func(changes ...string) Node {
-		n, err := ParseNode([]byte(strings.NewReplacer(changes...).Replace(text)), func(string) string { return "" })
+	read := func(changes ...string) Process {
+		n, err := ParseProcess([]byte(strings.NewReplacer(changes...).Replace(text)), func(string) string { return "" })
 		if err != nil {
 			fmt.Println(err)
 		}
 		return n
 	}
 	n := read()
-	fmt.Println(n.Fixed(read("8500", "8501", "render", "sale")), n.Fixed(read("9000", "9001", "300", "301", `"settings":{`, `"settings":{"Discovery":"push",`)))
+	fmt.Println(n.StartOnlyChanges(read("8500", "8501", "render", "sale")), n.StartOnlyChanges(read("9000", "9001", "300", "301", `"settings":{`, `"settings":{"Discovery":"push",`)))
 	// Output:
 	// [] [listen limits settings.Discovery]
 }
@@ -78,15 +78,15 @@
 		`{"listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","settings":{"Operations":[{"Effect":"odd"}]}}`,
 		`{"listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","settings":{"Operations":[{"Effect":"read_like"}]}}`,
 	} {
-		n, err := ParseNode([]byte(text), env)
+		n, err := ParseProcess([]byte(text), env)
 		if err != nil {
 			fmt.Println(err)
 			continue
 		}
-		fmt.Println(n.Name, n.Listen, n.Discovery, uint64(n.Seed), n.MemoryMB, n.Sockets, n.Site.Operations,
-			n.Site.ConnIdle, n.Site.ConnTimeout, n.Site.LongestTimeout)
+		fmt.Println(n.Name, n.Listen, n.Discovery, uint64(n.Seed), n.MemoryMB, n.Sockets, n.Deployment.Operations,
+			n.Deployment.ConnectionIdle, n.Deployment.ConnectTimeout, n.Deployment.LongestTimeout)
 	}
-	_, err := ReadNode(env)
+	_, err := ReadProcess(env)
 	fmt.Println(err)
 	// Output:
 	// n7 127.0.0.1:9000 127.0.0.1:8500 10096842570142050660 192 1024 [render] 1m0s 1s 5s
@@ -126,16 +126,16 @@
 // A newer text is taken over by names: what has not changed keeps its index and all it has learned, what has changed goes on
 // with the learning of the one before, what is gone keeps its index while something is under way there.
 func ExampleSite_Retune() {
-	read := func(operations string) Site {
-		s, err := ParseSite([]byte(`{"Operations": [` + operations + `]}`))
+	read := func(operations string) Deployment {
+		s, err := ParseDeployment([]byte(`{"Operations": [` + operations + `]}`))
 		if err != nil {
 			fmt.Println(err)
 		}
 		return s
 	}
 	under := map[int]bool{}
-	show := func(s Site, from []int) Site {
-		fmt.Println(s.Operations, s.Current, from, s.LongestTimeout)
+	show := func(s Deployment, from []int) Deployment {
+		fmt.Println(s.Operations, s.OperationIndex, from, s.LongestTimeout)
 		return s
 	}
 	free := func(index int) bool { return !under[index] }
@@ -143,13 +143,13 @@
 	const strict = `{"Name": "a", "Effect": "non_idempotent", "ClientTimeout": 5}`
 	const c = `{"Name": "c", "Effect": "read_like", "ClientTimeout": 1}`
 	s := show(read(a+","+b), nil)
-	s = show(s.Retune(read(b+","+a), free))
+	s = show(s.Reconfigure(read(b+","+a), free))
 	under[0], under[1] = true, true
-	s = show(s.Retune(read(c+","+strict), free))
-	s = show(s.Retune(read(strict+","+c+","+b), free))
+	s = show(s.Reconfigure(read(c+","+strict), free))
+	s = show(s.Reconfigure(read(strict+","+c+","+b), free))
 	under = map[int]bool{}
-	s = show(s.Retune(read(a), free))
-	fmt.Println(s.Deployment.Operations[s.Current["a"]].Effect)
+	s = show(s.Reconfigure(read(a), free))
+	fmt.Println(s.Dispatch.Operations[s.OperationIndex["a"]].Effect)
 	// Output:
 	// [a b] map[a:0 b:1] [] 9s
 	// [a b] map[a:0 b:1] [0 1] 9s
@@ -161,18 +161,18 @@
 
 // Zones and kinds are known by name as well.
 func ExampleSite_Renumber() {
-	s, err := ParseSite([]byte(`{"MyZone": 1, "Dcs": ["y", "x"], "Kinds": ["m", "k"], "FamilyInfo": {"ClassKind": [0, -1]},
+	s, err := ParseDeployment([]byte(`{"MyZone": 1, "Dcs": ["y", "x"], "Kinds": ["m", "k"], "FamilyInfo": {"ClassKind": [0, -1]},
 		"Operations": [{"Name": "a", "Effect": "read_like"}, {"Name": "b", "Effect": "read_like"}]}`))
 	known := map[string]int{"x": 0, "y": 1, "k": 0, "m": 1}
 	at := func(name string) int { return known[name] }
-	s.Renumber(at, at)
-	fmt.Println(err, s.Deployment.Zone, s.Deployment.Operations[0].WorkerKind, s.Deployment.Operations[1].WorkerKind)
+	s.Reindex(at, at)
+	fmt.Println(err, s.Dispatch.Zone, s.Dispatch.Operations[0].WorkerKind, s.Dispatch.Operations[1].WorkerKind)
 	// Output: <nil> 0 1 -1
 }
 
 // A file that is short of what the running one has was cut or is a mistake; what only starts read may be missing.
 func ExampleNode_Lacks() {
-	old := Node{Text: []byte(`{"name": "n", "known": {}, "seed": "1", "settings": {"Limits": {"MostForwards": 3},
+	old := Process{Text: []byte(`{"name": "n", "known": {}, "seed": "1", "settings": {"Limits": {"MostForwards": 3},
 		"Operations": [{"Name": "a", "ClientTimeout": 5, "More": 1}, {"Name": "b", "ClientTimeout": 5}], "Dcs": ["x"]}}`)}
 	for _, text := range []string{
 		`{"name": "m", "settings": {"Limits": {"MostForwards": 2, "New": 1}, "Operations": [{"Name": "c", "ClientTimeout": 1}], "Dcs": []}}`,
@@ -182,7 +182,7 @@
 		`{"name": "m", "settings": {"Limits": 3, "Operations": [], "Dcs": []}}`,
 		`{"name": "m", "settings": {"Limits": {"MostForwards": 2}, "Operations": [], "Dcs": "x"}}`,
 	} {
-		fmt.Println(old.Lacks(Node{Text: []byte(text)}))
+		fmt.Println(old.MissingKey(Process{Text: []byte(text)}))
 	}
 	// Output:
 	// <nil>
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -9,27 +9,27 @@
 )
 
 // Shape is the shape of a deployment. It follows from the settings alone and is derived here once.
-type Shape struct {
-	Pushed   bool   // the list of workers comes unasked
-	Messages bool   // schedulers may tell one another, and have a road for it
-	Weights  string // what the list's weights mean
-	Tenants  int    // that share the service
+type Features struct {
+	EndpointsPushed bool   // the list of workers comes unasked
+	Gossip          bool   // schedulers may tell one another, and have a road for it
+	Weights         string // what the list's weights mean
+	Tenants         int    // that share the service
 }
 
-func (s Shape) String() string {
+func (s Features) String() string {
 	said := func(is bool, yes, no string) string {
 		if is {
 			return yes
 		}
 		return no
 	}
-	return strings.Join([]string{"list " + said(s.Pushed, "pushed", "asked for"), said(s.Messages, "messages", "no messages"),
+	return strings.Join([]string{"list " + said(s.EndpointsPushed, "pushed", "asked for"), said(s.Gossip, "messages", "no messages"),
 		cmp.Or(s.Weights, "no") + " weights", fmt.Sprintf("%d tenants", s.Tenants)}, ", ")
 }
 
 // shape derives the shape of a site; messages need a road as well, which only a scheduler of the service has.
-func (in *site) shape() Shape {
-	return Shape{Pushed: in.Discovery == "push", Weights: in.WeightKind, Tenants: len(in.Tenants)}
+func (in *site) shape() Features {
+	return Features{EndpointsPushed: in.Discovery == "push", Weights: in.WeightKind, Tenants: len(in.Tenants)}
 }
 
 const (
@@ -84,12 +84,12 @@
 
 // mixed refuses a configuration that is of two shapes at once. It names contradictions alone: what is not told, such as
 // addresses for messages that the settings would allow, only leaves a part unused.
-func (n *Node) mixed(peers []string) error {
-	shape, d := &n.Site.Shape, &n.Site.Deployment
-	if how := n.Site.discovery; how != "" && how != "ask" && how != "push" {
+func (n *Process) mixed(peers []string) error {
+	shape, d := &n.Deployment.Features, &n.Deployment.Dispatch
+	if how := n.Deployment.discovery; how != "" && how != "ask" && how != "push" {
 		return fmt.Errorf("settings: Discovery: %q is neither ask nor push", how)
 	}
-	if mix := n.Site.worstTenant; mix > 0 && shape.Tenants == 0 {
+	if mix := n.Deployment.worstTenant; mix > 0 && shape.Tenants == 0 {
 		return fmt.Errorf("settings: ResultMix.WorstTenant: is %v, and Tenants names nobody", mix)
 	}
 	switch {
@@ -117,6 +117,6 @@
 		known[addr] = true
 		n.Peers = append(n.Peers, addr)
 	}
-	shape.Messages = true
+	shape.Gossip = true
 	return nil
 }
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -8,13 +8,13 @@
 
 const operations = `"Operations":[{"Name":"render","Effect":"read_like","ClientTimeout":5}]`
 
-func node(peers, settings string) (Node, error) {
+func node(peers, settings string) (Process, error) {
 	if peers != "" {
 		peers = `"peers":` + peers + `,`
 	}
 	text := `{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500",` + peers + `"settings":{` +
 		strings.Trim(settings+","+operations, ",") + `}}`
-	return ParseNode([]byte(text), func(string) string { return "" })
+	return ParseProcess([]byte(text), func(string) string { return "" })
 }
 
 // The shape of a deployment follows from its settings. What contradicts itself is refused by key; what is not told, or
@@ -46,7 +46,7 @@
 			fmt.Println("refused:", err)
 			continue
 		}
-		fmt.Println(n.Site.Shape, len(n.Peers), n.Site.Deployment.Limits.Gossip)
+		fmt.Println(n.Deployment.Features, len(n.Peers), n.Deployment.Dispatch.Limits.Gossip)
 	}
 	// Output:
 	// list asked for, no messages, no weights, 0 tenants 0 false
@@ -83,7 +83,7 @@
 		`"Operations":[{"Name":"x","Effect":"read_like","BilledValue":-1}]`,
 	} {
 		text := `{` + settings + `}`
-		s, err := ParseSite([]byte(text))
+		s, err := ParseDeployment([]byte(text))
 		fmt.Println(err, len(s.Operations)+len(s.Tenants))
 	}
 	// Output:
@@ -115,8 +115,8 @@
 	if err != nil {
 		fmt.Println(err)
 	}
-	n, err := ParseNode(text, func(string) string { return "" })
-	fmt.Println(n.Site.Shape, len(n.Peers), err)
+	n, err := ParseProcess(text, func(string) string { return "" })
+	fmt.Println(n.Deployment.Features, len(n.Peers), err)
 	// Output:
 	// list pushed, messages, live weights, 2 tenants 3 <nil>
 }
--- a/internal/settings/tenancy.go
+++ b/internal/settings/tenancy.go
@@ -16,7 +16,7 @@
 type Tenancy struct {
 	Dir            string // where their state is kept
 	API            string // the administrators' address; empty: changes are made elsewhere
-	Room           int    // invocations in hand, here
+	MaxInFlight    int    // invocations in hand, here
 	ExcessValue    float64
 	Administrators []Administrator
 }
@@ -29,10 +29,10 @@
 }
 
 // On tells whether tenants are served.
-func (t Tenancy) On() bool { return t.Dir != "" }
+func (t Tenancy) Enabled() bool { return t.Dir != "" }
 
 func (t Tenancy) same(o Tenancy) bool {
-	return t.Dir == o.Dir && t.API == o.API && t.Room == o.Room && t.ExcessValue == o.ExcessValue &&
+	return t.Dir == o.Dir && t.API == o.API && t.MaxInFlight == o.MaxInFlight && t.ExcessValue == o.ExcessValue &&
 		slices.Equal(t.Administrators, o.Administrators)
 }
 
@@ -53,21 +53,21 @@
 // goes behind all other, whatever its size.
 const excessUsual = 0.001
 
-func (in *tenancy) check(n Node) (t Tenancy, err error) {
+func (in *tenancy) check(n Process) (t Tenancy, err error) {
 	if in == nil {
 		return t, nil
 	}
-	t = Tenancy{Dir: in.Dir, API: in.API, Room: n.Sockets / 4, ExcessValue: excessUsual}
+	t = Tenancy{Dir: in.Dir, API: in.API, MaxInFlight: n.Sockets / 4, ExcessValue: excessUsual}
 	switch {
 	case in.Dir == "":
 		return t, fmt.Errorf("tenants.dir: is not set")
-	case n.Site.Shape.Tenants > 0:
+	case n.Deployment.Features.Tenants > 0:
 		return t, fmt.Errorf("tenants: settings.Tenants names them too; only one of the two can hold")
 	}
 	if in.Room != nil {
 		// Whoever comes back to its share has it at once, beside those who still have the room.
-		if t.Room = *in.Room; t.Room < 1 || t.Room > n.Sockets/4 {
-			return t, fmt.Errorf("tenants.room: %d is not from 1 to a quarter of limits.sockets, %d", t.Room, n.Sockets/4)
+		if t.MaxInFlight = *in.Room; t.MaxInFlight < 1 || t.MaxInFlight > n.Sockets/4 {
+			return t, fmt.Errorf("tenants.room: %d is not from 1 to a quarter of limits.sockets, %d", t.MaxInFlight, n.Sockets/4)
 		}
 	}
 	if in.ExcessValue != nil {
@@ -108,16 +108,16 @@
 	tenants.NonIdempotent: dispatch.NonIdempotent}
 
 // HostedName is an operation of a tenant among all.
-func HostedName(handle, operation string) string { return handle + "/" + operation }
+func TenantOperationName(handle, operation string) string { return handle + "/" + operation }
 
 // Hosted tells whether an operation is a tenant's: no path that clients ask for has its mark in one part.
-func Hosted(name string) bool { return strings.Contains(name, "/") }
+func IsTenantOperation(name string) bool { return strings.Contains(name, "/") }
 
 // Hosting adds tenants' operations to those of a site, which stays as it is.
-func (s Site) Hosting(all []tenants.Tenant, excess float64) Site {
-	d := &s.Deployment
-	d.Operations, s.Operations, s.Timeouts = slices.Clone(d.Operations), slices.Clone(s.Operations), slices.Clone(s.Timeouts)
-	s.Current, d.ExcessValue = maps.Clone(s.Current), excess
+func (s Deployment) WithTenants(all []tenants.Tenant, excess float64) Deployment {
+	d := &s.Dispatch
+	d.Operations, s.Operations, s.ClientTimeouts = slices.Clone(d.Operations), slices.Clone(s.Operations), slices.Clone(s.ClientTimeouts)
+	s.OperationIndex, d.ExcessValue = maps.Clone(s.OperationIndex), excess
 	for _, t := range all {
 		// A tenant's values order its own work. Between tenants the shares decide, not who names the highest figures.
 		most := 0.0
@@ -125,13 +125,13 @@
 			most = max(most, o.BilledValue)
 		}
 		for _, o := range t.Spec.Operations {
-			name, timeout := HostedName(t.Handle, o.Name), Span(o.ClientTimeoutS)
-			s.Current[name] = len(s.Operations)
-			s.Operations, s.Timeouts = append(s.Operations, name), append(s.Timeouts, timeout)
+			name, timeout := TenantOperationName(t.Handle, o.Name), Duration(o.ClientTimeoutS)
+			s.OperationIndex[name] = len(s.Operations)
+			s.Operations, s.ClientTimeouts = append(s.Operations, name), append(s.ClientTimeouts, timeout)
 			s.LongestTimeout = max(s.LongestTimeout, timeout)
 			d.Operations = append(d.Operations, dispatch.Operation{PriorityWeight: o.BilledValue / most, LateWeight: o.LateBilledValue,
-				LatencyObjective: Span(o.LatencyObjectiveS), Stretch: o.Stretch, Effect: hostedEffects[o.Effect], DedupScope: scopes[o.DedupScope],
-				DedupWindow: max(0, Span(o.DedupWindowS)-s.ConnTimeout), WorkerKind: -1}) // as of the site's own
+				LatencyObjective: Duration(o.LatencyObjectiveS), Stretch: o.Stretch, Effect: hostedEffects[o.Effect], DedupScope: scopes[o.DedupScope],
+				DedupWindow: max(0, Duration(o.DedupWindowS)-s.ConnectTimeout), WorkerKind: -1}) // as of the site's own
 		}
 	}
 	return s
--- a/internal/settings/tenancy_test.go
+++ b/internal/settings/tenancy_test.go
@@ -16,8 +16,8 @@
 // What can't hold is refused by its key; without the key nothing is hosted.
 func TestTenancy(t *testing.T) {
 	none := func(string) string { return "" }
-	n, err := ParseNode([]byte(tenantNode), none)
-	if err != nil || !n.Tenants.On() || n.Tenants.Room != 80 || !n.Tenants.Administrators[0].Operate {
+	n, err := ParseProcess([]byte(tenantNode), none)
+	if err != nil || !n.Tenants.Enabled() || n.Tenants.MaxInFlight != 80 || !n.Tenants.Administrators[0].Operate {
 		t.Fatal(err, n.Tenants)
 	}
 	for _, c := range [][3]string{
@@ -37,19 +37,19 @@
 		if !strings.Contains(tenantNode, c[0]) {
 			t.Fatal(c[0])
 		}
-		if _, err := ParseNode([]byte(strings.Replace(tenantNode, c[0], c[1], 1)), none); err == nil || !strings.Contains(err.Error(), c[2]) {
+		if _, err := ParseProcess([]byte(strings.Replace(tenantNode, c[0], c[1], 1)), none); err == nil || !strings.Contains(err.Error(), c[2]) {
 			t.Error(c[2], "not named: ", err)
 		}
 	}
-	other, _ := ParseNode([]byte(strings.Replace(tenantNode, "80", "90", 1)), none)
-	if keys := n.Fixed(other); len(keys) != 1 || keys[0] != "tenants" {
+	other, _ := ParseProcess([]byte(strings.Replace(tenantNode, "80", "90", 1)), none)
+	if keys := n.StartOnlyChanges(other); len(keys) != 1 || keys[0] != "tenants" {
 		t.Error(keys)
 	}
 }
 
 // Tenants' operations stand beside the site's own under their handles, and what a tenant claims of value orders its own alone.
 func TestHosting(t *testing.T) {
-	site, err := ParseSite([]byte(`{"Operations": [{"Name": "own", "Effect": "read_like", "LatencyObjective": 1}]}`))
+	site, err := ParseDeployment([]byte(`{"Operations": [{"Name": "own", "Effect": "read_like", "LatencyObjective": 1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,21 +59,21 @@
 	all := []tenants.Tenant{{Handle: "t1", Spec: tenants.Spec{Operations: []tenants.Operation{op("a", "idempotent", 1e6), op("b", "non_idempotent", 5e5)}}},
 		{Handle: "t9", Spec: tenants.Spec{Operations: []tenants.Operation{op("a", "deduplicated", 3)}}}}
 	all[1].Spec.Operations[0].DedupWindowS = 2.5
-	hosted := site.Hosting(all, 0.5)
-	if o := hosted.Deployment.Operations[hosted.Current["t9/a"]]; o.DedupWindow != 1500*time.Millisecond {
+	hosted := site.WithTenants(all, 0.5)
+	if o := hosted.Dispatch.Operations[hosted.OperationIndex["t9/a"]]; o.DedupWindow != 1500*time.Millisecond {
 		t.Error("the window of a tenant's repeats, less the time to connect:", o.DedupWindow)
 	}
-	at := hosted.Current["t9/a"]
-	if d := hosted.Deployment.Operations[at]; d.Effect != dispatch.Deduplicated || d.DedupScope != dispatch.ScopeCell || d.PriorityWeight != 1 ||
-		hosted.Deployment.Operations[hosted.Current["t1/b"]].PriorityWeight != 0.5 || hosted.Timeouts[at] != Span(3) {
-		t.Error(hosted.Deployment.Operations)
+	at := hosted.OperationIndex["t9/a"]
+	if d := hosted.Dispatch.Operations[at]; d.Effect != dispatch.Deduplicated || d.DedupScope != dispatch.ScopeCell || d.PriorityWeight != 1 ||
+		hosted.Dispatch.Operations[hosted.OperationIndex["t1/b"]].PriorityWeight != 0.5 || hosted.ClientTimeouts[at] != Duration(3) {
+		t.Error(hosted.Dispatch.Operations)
 	}
-	if len(site.Operations) != 1 || len(site.Current) != 1 || len(site.Deployment.Operations) != 1 || site.Deployment.ExcessValue != 1 {
+	if len(site.Operations) != 1 || len(site.OperationIndex) != 1 || len(site.Dispatch.Operations) != 1 || site.Dispatch.ExcessValue != 1 {
 		t.Error("the site has changed: ", site)
 	}
 	// One goes while work is under way, and comes back as another: that work keeps its index.
-	merged, _ := hosted.Retune(site.Hosting(all[1:], 0.5), func(index int) bool { return index != hosted.Current["t1/a"] })
-	if merged.Current["t9/a"] != at || merged.Operations[1] != "t1/a" {
-		t.Error(merged.Operations, merged.Current)
+	merged, _ := hosted.Reconfigure(site.WithTenants(all[1:], 0.5), func(index int) bool { return index != hosted.OperationIndex["t1/a"] })
+	if merged.OperationIndex["t9/a"] != at || merged.Operations[1] != "t1/a" {
+		t.Error(merged.Operations, merged.OperationIndex)
 	}
 }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -222,13 +222,13 @@
 		c.u64()
 		return dispatch.Forward{Invocation: inv, Worker: c.worker()}, nil
 	case actNotNow:
-		return dispatch.Throttle{Invocation: dispatch.InvocationID(c.u64()), RetryAfter: settings.Span(c.f64())}, nil
+		return dispatch.Throttle{Invocation: dispatch.InvocationID(c.u64()), RetryAfter: settings.Duration(c.f64())}, nil
 	case actDropRequest:
 		return dispatch.Fail{Invocation: dispatch.InvocationID(c.u64())}, nil
 	case actCallOff:
 		return dispatch.Cancel{Invocation: dispatch.InvocationID(c.u64()), Attempt: int(c.u8())}, nil
 	case actAfter:
-		at := settings.Span(c.f64()) - base
+		at := settings.Duration(c.f64()) - base
 		c.u64()
 		return dispatch.SetTimer{At: at}, nil
 	case actHealthCheck:
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -43,7 +43,7 @@
 type Base float64
 
 // Since gives the span between the instance's start and a reading of the clock.
-func (b Base) Since(clock float64) time.Duration { return settings.Span(clock - float64(b)) }
+func (b Base) Since(clock float64) time.Duration { return settings.Duration(clock - float64(b)) }
 
 // Reader walks over the records of one batch.
 type Reader struct {
@@ -85,15 +85,15 @@
 		if c.err != nil {
 			return nil, c.err
 		}
-		site, err := settings.ParseSite(text)
-		return Up{seed, site.Deployment, Dialect{r.clock, site.Report}}, err
+		site, err := settings.ParseDeployment(text)
+		return Up{seed, site.Dispatch, Dialect{r.clock, site.Report}}, err
 	case evDirectory:
 		c.u64()
 		return r.listing(d.Base)
 	case evInbound:
 		a := dispatch.Arrival{Invocation: dispatch.InvocationID(c.u64()), Operation: int(c.u16()), Tenant: int(c.u16())}
 		c.u64()
-		a.Budget, a.Hint = settings.Span(c.f64()), c.f64()
+		a.Budget, a.Hint = settings.Duration(c.f64()), c.f64()
 		a.Slots = c.f32()
 		c.f32()
 		if c.u16()&hintValid == 0 {
@@ -130,7 +130,7 @@
 	case evHealth:
 		a := dispatch.HealthCheckResult{Worker: c.worker()}
 		status := c.u16()
-		a.Latency, a.Load = settings.Span(c.f64()), c.load(d.Report)
+		a.Latency, a.Load = settings.Duration(c.f64()), c.load(d.Report)
 		var err error
 		a.Result, err = c.result(status)
 		return a, err
--- a/internal/tenants/api/api.go
+++ b/internal/tenants/api/api.go
@@ -149,11 +149,11 @@
 
 // Problem is what went wrong, by RFC 9457.
 type Problem struct {
-	Type   string         `json:"type"`
-	Title  string         `json:"title"`
-	Status int            `json:"status"`
-	Detail string         `json:"detail,omitzero"`
-	Errors tenants.Faults `json:"errors,omitzero"`
+	Type   string              `json:"type"`
+	Title  string              `json:"title"`
+	Status int                 `json:"status"`
+	Detail string              `json:"detail,omitzero"`
+	Errors tenants.FieldErrors `json:"errors,omitzero"`
 }
 
 type answer struct {
@@ -163,7 +163,7 @@
 	problem  *Problem
 }
 
-func problem(status int, detail string, faults ...tenants.Fault) answer {
+func problem(status int, detail string, faults ...tenants.FieldError) answer {
 	return answer{status: status, problem: &Problem{"about:blank", http.StatusText(status), status, detail, faults}}
 }
 
@@ -247,7 +247,7 @@
 // conditions reads what a change is bound to.
 func (c *call) conditions() *answer {
 	bad := func(field, reason string) *answer {
-		a := problem(400, "a condition can't be read", tenants.Fault{Field: field, Reason: reason})
+		a := problem(400, "a condition can't be read", tenants.FieldError{Field: field, Reason: reason})
 		return &a
 	}
 	switch dry := c.query.Get("dry_run"); dry {
@@ -282,11 +282,11 @@
 func (c *call) only(names ...string) *answer {
 	for name, values := range c.query {
 		if !slices.Contains(names, name) {
-			a := problem(400, "an unknown query parameter", tenants.Fault{Field: name, Reason: "is not known here"})
+			a := problem(400, "an unknown query parameter", tenants.FieldError{Field: name, Reason: "is not known here"})
 			return &a
 		}
 		if len(values) > 1 {
-			a := problem(400, "a query parameter stands there twice", tenants.Fault{Field: name, Reason: "is there twice"})
+			a := problem(400, "a query parameter stands there twice", tenants.FieldError{Field: name, Reason: "is there twice"})
 			return &a
 		}
 	}
@@ -322,10 +322,10 @@
 		if errors.Is(err, json.ErrUnknownName) {
 			reason = "is not known here"
 		}
-		a := problem(400, "the body is not what is wanted here", tenants.Fault{Field: string(meaning.JSONPointer), Reason: reason})
+		a := problem(400, "the body is not what is wanted here", tenants.FieldError{Field: string(meaning.JSONPointer), Reason: reason})
 		return &a
 	case errors.As(err, &form):
-		a := problem(400, "the body is no JSON", tenants.Fault{Field: string(form.JSONPointer), Reason: form.Err.Error()})
+		a := problem(400, "the body is no JSON", tenants.FieldError{Field: string(form.JSONPointer), Reason: form.Err.Error()})
 		return &a
 	}
 	a := problem(400, "the body can't be read")
@@ -334,7 +334,7 @@
 
 // failed turns why a change was not made into an answer.
 func failed(err error) answer {
-	var faults tenants.Faults
+	var faults tenants.FieldErrors
 	switch {
 	case errors.As(err, &faults):
 		return problem(422, "what was said makes no sense", faults...)
@@ -393,7 +393,7 @@
 	if why != nil {
 		v.Why = why.Error()
 	}
-	a.registry.read(func(b *tenants.Book) { v.Revision = b.Revision })
+	a.registry.read(func(b *tenants.Directory) { v.Revision = b.Revision })
 	return answer{status: 200, body: v}
 }
 
@@ -407,14 +407,14 @@
 	}
 	state, prefix, after := tenants.State(c.query.Get("state")), c.query.Get("prefix"), c.query.Get("page_token")
 	if state != "" && state != tenants.Active && state != tenants.Suspended {
-		return problem(400, "a filter makes no sense", tenants.Fault{Field: "state", Reason: "is neither active nor suspended"})
+		return problem(400, "a filter makes no sense", tenants.FieldError{Field: "state", Reason: "is neither active nor suspended"})
 	}
 	v := struct {
 		Tenants  []View `json:"tenants"`
 		Next     string `json:"next_page_token,omitzero"`
 		Revision uint64 `json:"revision"`
 	}{Tenants: []View{}}
-	a.registry.read(func(b *tenants.Book) {
+	a.registry.read(func(b *tenants.Directory) {
 		v.Revision = b.Revision
 		for _, t := range b.All() {
 			if t.Name <= after || !strings.HasPrefix(t.Name, prefix) || state != "" && t.State != state {
@@ -437,7 +437,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 || n > most {
-		a := problem(400, "a query parameter makes no sense", tenants.Fault{Field: name, Reason: fmt.Sprintf("is no whole number from 1 to %d", most)})
+		a := problem(400, "a query parameter makes no sense", tenants.FieldError{Field: name, Reason: fmt.Sprintf("is no whole number from 1 to %d", most)})
 		return 0, &a
 	}
 	return n, nil
@@ -449,7 +449,7 @@
 	}
 	var t tenants.Tenant
 	known := false
-	a.registry.read(func(b *tenants.Book) { t, known = b.Get(c.PathValue("name")) })
+	a.registry.read(func(b *tenants.Directory) { t, known = b.Get(c.PathValue("name")) })
 	if !known {
 		return failed(tenants.ErrUnknown)
 	}
@@ -457,7 +457,7 @@
 }
 
 // changed answers with what a tenant is from now on, or would be.
-func (a *API) changed(c call, status int, work func(*tenants.Book, time.Time) (tenants.Change, error)) answer {
+func (a *API) changed(c call, status int, work func(*tenants.Directory, time.Time) (tenants.Change, error)) answer {
 	change, err := a.registry.change(c.dry, work)
 	if errors.Is(err, errNone) {
 		return answer{status: 200, body: view(*change.Tenant), revision: change.Tenant.Revision}
@@ -479,7 +479,7 @@
 }
 
 // same is the answer to a change that changes nothing.
-func same(b *tenants.Book, name string) (tenants.Change, error) {
+func same(b *tenants.Directory, name string) (tenants.Change, error) {
 	t, _ := b.Get(name)
 	return tenants.Change{Tenant: &t}, errNone
 }
@@ -493,7 +493,7 @@
 		return *bad
 	}
 	name := c.PathValue("name")
-	return a.changed(c, 0, func(b *tenants.Book, now time.Time) (tenants.Change, error) {
+	return a.changed(c, 0, func(b *tenants.Directory, now time.Time) (tenants.Change, error) {
 		change, none, err := b.Put(c.by, name, spec, c.match, now, "-"+strings.ToLower(rand.Text()[:16]))
 		if none {
 			return same(b, name)
@@ -513,8 +513,8 @@
 		return *bad
 	}
 	name := c.PathValue("name")
-	return a.changed(c, 0, func(b *tenants.Book, now time.Time) (tenants.Change, error) {
-		change, none, err := b.Stand(c.by, name, in.State, c.match, now)
+	return a.changed(c, 0, func(b *tenants.Directory, now time.Time) (tenants.Change, error) {
+		change, none, err := b.SetState(c.by, name, in.State, c.match, now)
 		if none {
 			return same(b, name)
 		}
@@ -526,7 +526,7 @@
 	if bad := c.only("dry_run"); bad != nil {
 		return *bad
 	}
-	return a.changed(c, 0, func(b *tenants.Book, now time.Time) (tenants.Change, error) {
+	return a.changed(c, 0, func(b *tenants.Directory, now time.Time) (tenants.Change, error) {
 		return b.Remove(c.by, c.PathValue("name"), c.match, now)
 	})
 }
@@ -544,7 +544,7 @@
 	key := tenants.Credential{ID: keyID(), Expires: in.Expires}
 	opens := secret()
 	key.Hash = tenants.HashOf(opens)
-	done := a.changed(c, 201, func(b *tenants.Book, now time.Time) (tenants.Change, error) {
+	done := a.changed(c, 201, func(b *tenants.Directory, now time.Time) (tenants.Change, error) {
 		return b.Grant(c.by, c.PathValue("name"), key, now)
 	})
 	if done.problem == nil && !c.dry {
@@ -560,7 +560,7 @@
 	if bad := c.only("dry_run"); bad != nil {
 		return *bad
 	}
-	return a.changed(c, 0, func(b *tenants.Book, now time.Time) (tenants.Change, error) {
+	return a.changed(c, 0, func(b *tenants.Directory, now time.Time) (tenants.Change, error) {
 		return b.Revoke(c.by, c.PathValue("name"), c.PathValue("id"), now)
 	})
 }
@@ -574,24 +574,24 @@
 		return failed(tenants.ErrUnknown)
 	}
 	v := struct {
-		Taken       int                  `json:"taken"`
-		Retries     int                  `json:"retries"`
-		Succeeded   int                  `json:"succeeded"`
-		Declined    int                  `json:"declined"`
-		Aborted     int                  `json:"aborted"`
-		Abandoned   int                  `json:"abandoned"`
-		HandedOver  int                  `json:"handed_over"`
-		Throttled   map[tenants.Kind]int `json:"throttled"`
-		InHand      int                  `json:"in_hand"`
-		HeldWorkS   float64              `json:"held_work_s"`
-		Bytes       int64                `json:"bytes"`
-		ShareInHand float64              `json:"share_in_hand"`
-		Rate        float64              `json:"work_per_s"`
-		Share       float64              `json:"share_per_s"`
-		Beyond      bool                 `json:"beyond_share"`
-		Schedulers  int                  `json:"schedulers"` // that share each limit; all figures are this one's
-	}{u.Taken, u.Retries, u.Ended[tenants.Succeeded], u.Ended[tenants.Declined], u.Ended[tenants.Aborted], u.Ended[tenants.Abandoned],
-		u.Ended[tenants.Handed], u.Throttled, u.InHand, u.HeldWorkS, u.Bytes, u.ShareInHand, u.Rate, u.Share, u.Beyond, a.schedulers}
+		Taken       int                           `json:"taken"`
+		Retries     int                           `json:"retries"`
+		Succeeded   int                           `json:"succeeded"`
+		Declined    int                           `json:"declined"`
+		Aborted     int                           `json:"aborted"`
+		Abandoned   int                           `json:"abandoned"`
+		HandedOver  int                           `json:"handed_over"`
+		Throttled   map[tenants.RejectionKind]int `json:"throttled"`
+		InHand      int                           `json:"in_hand"`
+		HeldWorkS   float64                       `json:"held_work_s"`
+		Bytes       int64                         `json:"bytes"`
+		ShareInHand float64                       `json:"share_in_hand"`
+		Rate        float64                       `json:"work_per_s"`
+		Share       float64                       `json:"share_per_s"`
+		Beyond      bool                          `json:"beyond_share"`
+		Schedulers  int                           `json:"schedulers"` // that share each limit; all figures are this one's
+	}{u.Admitted, u.Retries, u.Completed[tenants.Succeeded], u.Completed[tenants.Declined], u.Completed[tenants.Aborted], u.Completed[tenants.Abandoned],
+		u.Completed[tenants.Migrated], u.Throttled, u.InFlight, u.HeldWorkS, u.Bytes, u.ShareInFlight, u.Rate, u.Share, u.OverShare, a.schedulers}
 	return answer{status: 200, body: v}
 }
 
@@ -607,7 +607,7 @@
 	if text := c.query.Get("after"); text != "" {
 		var err error
 		if after, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return problem(400, "a query parameter makes no sense", tenants.Fault{Field: "after", Reason: "is no revision"})
+			return problem(400, "a query parameter makes no sense", tenants.FieldError{Field: "after", Reason: "is no revision"})
 		}
 	}
 	type entry struct {
@@ -621,7 +621,7 @@
 	v := struct {
 		Changes []entry `json:"changes"`
 	}{[]entry{}}
-	a.registry.read(func(b *tenants.Book) {
+	a.registry.read(func(b *tenants.Directory) {
 		for _, c := range b.Audit(after) {
 			if len(v.Changes) == limit {
 				break
--- a/internal/tenants/api/api_test.go
+++ b/internal/tenants/api/api_test.go
@@ -76,8 +76,8 @@
 	t.Cleanup(r.Close)
 	use := func(name string) (tenants.Usage, bool) {
 		known := false
-		r.read(func(b *tenants.Book) { _, known = b.Get(name) })
-		return tenants.Usage{Taken: 3, Throttled: map[tenants.Kind]int{tenants.Rate: 2}}, known
+		r.read(func(b *tenants.Directory) { _, known = b.Get(name) })
+		return tenants.Usage{Admitted: 3, Throttled: map[tenants.RejectionKind]int{tenants.Rate: 2}}, known
 	}
 	d.API = New(r, []Administrator{{"ops", Operate, tenants.HashOf("o")}, {"eyes", Read, tenants.HashOf("e")}}, use, 2)
 	if d.describes, err = openapi3.NewLoader().LoadFromFile("../../../docs/tenants-openapi.json"); err != nil {
--- a/internal/tenants/api/forms_test.go
+++ b/internal/tenants/api/forms_test.go
@@ -109,7 +109,7 @@
 	s.call("e", "GET", "/v1/revision", "")
 	*isFull = false
 	var wanted, got tenants.Spec
-	r.read(func(b *tenants.Book) { one, _ := b.Get("one"); got = one.Spec })
+	r.read(func(b *tenants.Directory) { one, _ := b.Get("one"); got = one.Spec })
 	if err := json.Unmarshal([]byte(goldenSpec), &wanted); err != nil {
 		t.Fatal(err)
 	}
@@ -168,8 +168,8 @@
 // Every reason that usage counts keeps its name. Their order differs from answer to answer, so there is one in each.
 func TestGoldenReasons(t *testing.T) {
 	var text strings.Builder
-	for n, kind := range tenants.Kinds {
-		a, _, _ := goldenDesk(t, tenants.Usage{Throttled: map[tenants.Kind]int{kind: n + 1}})
+	for n, kind := range tenants.RejectionKinds {
+		a, _, _ := goldenDesk(t, tenants.Usage{Throttled: map[tenants.RejectionKind]int{kind: n + 1}})
 		s := &transcript{api: a}
 		s.call("e", "GET", "/v1/tenants/one/usage", "")
 		text.WriteString(s.text.String())
--- a/internal/tenants/api/registry.go
+++ b/internal/tenants/api/registry.go
@@ -54,7 +54,7 @@
 }
 
 // read looks at the book.
-func (r *Registry) read(look func(*tenants.Book)) {
+func (r *Registry) read(look func(*tenants.Directory)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	look(r.store.Book)
@@ -64,7 +64,7 @@
 var errNone = errors.New("it is so already")
 
 // change makes a change last before anybody hears of it. dry: it is only worked out.
-func (r *Registry) change(dry bool, work func(*tenants.Book, time.Time) (tenants.Change, error)) (c tenants.Change, err error) {
+func (r *Registry) change(dry bool, work func(*tenants.Directory, time.Time) (tenants.Change, error)) (c tenants.Change, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c, err = work(r.store.Book, r.now()); err != nil || dry {
--- a/internal/tenants/book.go
+++ b/internal/tenants/book.go
@@ -32,23 +32,23 @@
 const auditMost = 10000
 
 // Book holds all tenants, by name.
-type Book struct {
+type Directory struct {
 	Revision uint64
 	tenants  map[string]Tenant
 	audit    []Change // the last ones, oldest first
 }
 
 // NewBook is empty.
-func NewBook() *Book { return &Book{tenants: map[string]Tenant{}} }
+func NewDirectory() *Directory { return &Directory{tenants: map[string]Tenant{}} }
 
 // Get finds a tenant.
-func (b *Book) Get(name string) (t Tenant, known bool) {
+func (b *Directory) Get(name string) (t Tenant, known bool) {
 	t, known = b.tenants[name]
 	return t, known
 }
 
 // All lists the tenants by name.
-func (b *Book) All() (all []Tenant) {
+func (b *Directory) All() (all []Tenant) {
 	for _, name := range slices.Sorted(maps.Keys(b.tenants)) {
 		all = append(all, b.tenants[name])
 	}
@@ -56,7 +56,7 @@
 }
 
 // Audit lists the changes after a revision that are still known.
-func (b *Book) Audit(after uint64) []Change {
+func (b *Directory) Audit(after uint64) []Change {
 	at, _ := slices.BinarySearchFunc(b.audit, after+1, func(c Change, r uint64) int { return cmpRevision(c.Revision, r) })
 	return slices.Clone(b.audit[at:])
 }
@@ -72,7 +72,7 @@
 }
 
 // Apply takes a change over. One that does not follow the last is refused: what is between is missing.
-func (b *Book) Apply(c Change) error {
+func (b *Directory) Apply(c Change) error {
 	if c.Revision != b.Revision+1 {
 		return fmt.Errorf("revision %d does not follow %d", c.Revision, b.Revision)
 	}
@@ -95,13 +95,13 @@
 }
 
 // Snapshot takes one.
-func (b *Book) Snapshot() Snapshot {
+func (b *Directory) Snapshot() Snapshot {
 	return Snapshot{b.Revision, b.All(), slices.Clone(b.audit[max(0, len(b.audit)-auditMost/10):])}
 }
 
 // Restore gives the book of a snapshot.
-func Restore(s Snapshot) *Book {
-	b := NewBook()
+func Restore(s Snapshot) *Directory {
+	b := NewDirectory()
 	b.Revision, b.audit = s.Revision, s.Audit
 	for _, t := range s.Tenants {
 		b.tenants[t.Name] = t
@@ -116,7 +116,7 @@
 	Absent   bool
 }
 
-func (b *Book) match(name string, m Match) error {
+func (b *Directory) match(name string, m Match) error {
 	t, known := b.tenants[name]
 	switch {
 	case m.Absent && known:
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (b *Book) change(by, what, name string, now time.Time, t *Tenant) Change {
+func (b *Directory) change(by, what, name string, now time.Time, t *Tenant) Change {
 	c := Change{Revision: b.Revision + 1, At: now.UTC(), By: by, What: what, Name: name}
 	if t != nil {
 		copied := *t
@@ -140,7 +140,7 @@
 
 // Put gives the change that makes a tenant what a spec says. none: it is that already, so there is nothing to be done. mark is chance
 // that nobody outside can guess: whoever knew the ids of another tenant's invocations could tell a worker's news of them.
-func (b *Book) Put(by, name string, s Spec, m Match, now time.Time, mark string) (c Change, none bool, err error) {
+func (b *Directory) Put(by, name string, s Spec, m Match, now time.Time, mark string) (c Change, none bool, err error) {
 	if faults := append(Name("/name", name), s.Check()...); len(faults) > 0 {
 		return c, false, faults
 	}
@@ -170,9 +170,9 @@
 }
 
 // Stand gives the change that suspends or resumes a tenant.
-func (b *Book) Stand(by, name string, state State, m Match, now time.Time) (c Change, none bool, err error) {
+func (b *Directory) SetState(by, name string, state State, m Match, now time.Time) (c Change, none bool, err error) {
 	if state != Active && state != Suspended {
-		return c, false, Faults{{"/state", fmt.Sprintf("%q is neither %s nor %s", state, Active, Suspended)}}
+		return c, false, FieldErrors{{"/state", fmt.Sprintf("%q is neither %s nor %s", state, Active, Suspended)}}
 	}
 	t, known := b.tenants[name]
 	if !known {
@@ -189,7 +189,7 @@
 }
 
 // Remove gives the change that removes a tenant.
-func (b *Book) Remove(by, name string, m Match, now time.Time) (c Change, err error) {
+func (b *Directory) Remove(by, name string, m Match, now time.Time) (c Change, err error) {
 	if _, known := b.tenants[name]; !known {
 		return c, ErrUnknown
 	}
@@ -200,24 +200,24 @@
 }
 
 // Grant gives the change that lets a tenant's clients in by one more credential.
-func (b *Book) Grant(by, name string, k Credential, now time.Time) (c Change, err error) {
+func (b *Directory) Grant(by, name string, k Credential, now time.Time) (c Change, err error) {
 	t, known := b.tenants[name]
 	switch {
 	case !known:
 		return c, ErrUnknown
 	case !k.Expires.IsZero() && !k.Expires.After(now):
-		return c, Faults{{"/expires", "is past"}}
+		return c, FieldErrors{{"/expires", "is past"}}
 	case len(t.Credentials) >= credentialsMost:
-		return c, Faults{{"/credentials", fmt.Sprintf("there are %d, the most", credentialsMost)}}
+		return c, FieldErrors{{"/credentials", fmt.Sprintf("there are %d, the most", credentialsMost)}}
 	case k.ID == "" || strings.Contains(k.ID, "."):
-		return c, Faults{{"/id", "is not set, or has a dot"}}
+		return c, FieldErrors{{"/id", "is not set, or has a dot"}}
 	}
 	t.Credentials = append(slices.Clone(t.Credentials), k)
 	return b.change(by, "credential granted", name, now, &t), nil
 }
 
 // Revoke gives the change that ends a credential.
-func (b *Book) Revoke(by, name, id string, now time.Time) (c Change, err error) {
+func (b *Directory) Revoke(by, name, id string, now time.Time) (c Change, err error) {
 	t, known := b.tenants[name]
 	at := slices.IndexFunc(t.Credentials, func(k Credential) bool { return k.ID == id })
 	if !known || at < 0 {
--- a/internal/tenants/book_test.go
+++ b/internal/tenants/book_test.go
@@ -41,7 +41,7 @@
 
 // A life: made, changed, said again without effect, raced for, suspended, removed, made anew as another.
 func Example_life() {
-	b := NewBook()
+	b := NewDirectory()
 	do := func(what string, c Change, none bool, err error) {
 		if err == nil && !none {
 			err = b.Apply(c)
@@ -61,9 +61,9 @@
 	seen := uint64(1)
 	put("changed", heavier, Match{Revision: &seen})
 	put("raced for", sound(), Match{Revision: &seen})
-	c, none, err := b.Stand("ops", "acme", Suspended, Match{}, noon)
+	c, none, err := b.SetState("ops", "acme", Suspended, Match{}, noon)
 	do("suspended", c, none, err)
-	c, none, err = b.Stand("ops", "acme", Suspended, Match{}, noon)
+	c, none, err = b.SetState("ops", "acme", Suspended, Match{}, noon)
 	do("once more", c, none, err)
 	c, err = b.Remove("ops", "acme", Match{}, noon)
 	do("removed", c, false, err)
@@ -109,7 +109,7 @@
 	if y.Identify("k1", "s1", noon) != nil {
 		t.Error("a revoked credential opens")
 	}
-	b := NewBook()
+	b := NewDirectory()
 	if _, err := b.Grant("ops", "a", Credential{ID: "k"}, noon); !errors.Is(err, ErrUnknown) {
 		t.Error(err)
 	}
@@ -125,7 +125,7 @@
 
 // There is an end to tenants and operations.
 func TestFull(t *testing.T) {
-	b := NewBook()
+	b := NewDirectory()
 	many := sound()
 	for n := range operationsMost - 1 {
 		o := many.Operations[0]
--- a/internal/tenants/capacity_test.go
+++ b/internal/tenants/capacity_test.go
@@ -10,19 +10,19 @@
 // The figures of docs/CAPACITY.md for quotas: what letting one invocation in costs, what a reckoning over all tenants at work
 // does, and how much of a limit a tenant has whose traffic does not come evenly to all schedulers.
 
-func teams(n, schedulers int) (*Gate, []*Seat) {
-	g := NewGate(6000, schedulers, rand.New(rand.NewPCG(1, 1)))
-	var seats []*Seat
+func teams(n, schedulers int) (*Controller, []*Account) {
+	g := NewController(6000, schedulers, rand.New(rand.NewPCG(1, 1)))
+	var seats []*Account
 	for t := range n {
 		s := g.Put(0, Tenant{Name: fmt.Sprint("team-", t), Handle: fmt.Sprint("h", t), State: Active, Revision: uint64(t + 1),
 			Spec: Spec{Weight: 1, Operations: []Operation{{Name: "train"}}, Limits: Limits{RatePerS: ptr(1e6), Concurrency: ptr(100000),
 				HeldWorkS: ptr(1e8), RetryRatio: ptr(0.1)}}})
 		for range sampleCount {
-			g.Admit(0, s, Ask{Bytes: 512, Work: 100})
-			g.Ended(0, s, Ask{Bytes: 512, Work: 100}, time.Minute, Succeeded)
-			g.Worked(0, s, "train", 100, 110*time.Second)
+			g.Admit(0, s, Request{Bytes: 512, Work: 100})
+			g.Completed(0, s, Request{Bytes: 512, Work: 100}, time.Minute, Succeeded)
+			g.AttemptEnded(0, s, "train", 100, 110*time.Second)
 		}
-		g.Admit(0, s, Ask{Bytes: 512, Work: 100}) // it stays at work
+		g.Admit(0, s, Request{Bytes: 512, Work: 100}) // it stays at work
 		seats = append(seats, s)
 	}
 	return g, seats
@@ -35,10 +35,10 @@
 			g, seats := teams(n, 15)
 			for i := 0; b.Loop(); i++ {
 				s := seats[i%n]
-				if v := g.Admit(time.Millisecond, s, Ask{Bytes: 512, Work: 100}); v.Kind != None {
+				if v := g.Admit(time.Millisecond, s, Request{Bytes: 512, Work: 100}); v.Kind != None {
 					b.Fatal(v)
 				}
-				g.Ended(time.Millisecond, s, Ask{Bytes: 512, Work: 100}, time.Minute, Succeeded)
+				g.Completed(time.Millisecond, s, Request{Bytes: 512, Work: 100}, time.Minute, Succeeded)
 			}
 		})
 	}
@@ -76,13 +76,13 @@
 			for b.Loop() {
 				asked, in := 0, 0
 				for range at {
-					g := NewGate(1e6, schedulers, rand.New(rand.NewPCG(1, 1)))
+					g := NewController(1e6, schedulers, rand.New(rand.NewPCG(1, 1)))
 					s := g.Put(0, Tenant{Name: "a", Handle: "h", State: Active, Spec: Spec{Weight: 1, Limits: Limits{RatePerS: ptr(rate)}}})
 					every := time.Duration(float64(at) / rate * float64(time.Second))
 					for now := time.Duration(0); now < lasts*time.Second; now += every {
-						if asked++; g.Admit(now, s, Ask{}).Kind == None {
+						if asked++; g.Admit(now, s, Request{}).Kind == None {
 							in++
-							g.Ended(now, s, Ask{}, 0, Succeeded)
+							g.Completed(now, s, Request{}, 0, Succeeded)
 						}
 					}
 				}
@@ -96,7 +96,7 @@
 func BenchmarkBook(b *testing.B) {
 	for _, before := range []int{100, 5000, 9000, 11000} {
 		b.Run(fmt.Sprint(before), func(b *testing.B) {
-			book, at := NewBook(), time.Unix(0, 0)
+			book, at := NewDirectory(), time.Unix(0, 0)
 			change := func(n int) {
 				s := sound()
 				s.Weight = float64(1 + n%1000)
