--- a/internal/tenants/gate.go
+++ b/internal/tenants/gate.go
@@ -27,63 +27,63 @@
 )
 
 // Kind is what kept an invocation out.
-type Kind string
+type RejectionKind string
 
 const (
-	None        Kind = ""
-	Unknown     Kind = "unauthenticated"
-	Stopped     Kind = "suspended"
-	Size        Kind = "request_size"
-	Rate        Kind = "rate"
-	Concurrency Kind = "concurrency"
-	HeldWork    Kind = "held_work"
-	Retries     Kind = "retry_budget"
-	Share       Kind = "share"
+	None        RejectionKind = ""
+	Unknown     RejectionKind = "unauthenticated"
+	Stopped     RejectionKind = "suspended"
+	Size        RejectionKind = "request_size"
+	Rate        RejectionKind = "rate"
+	Concurrency RejectionKind = "concurrency"
+	HeldWork    RejectionKind = "held_work"
+	Retries     RejectionKind = "retry_budget"
+	Share       RejectionKind = "share"
 )
 
 // Kinds are those that usage counts.
-var Kinds = []Kind{Stopped, Size, Rate, Concurrency, HeldWork, Retries, Share}
+var RejectionKinds = []RejectionKind{Stopped, Size, Rate, Concurrency, HeldWork, Retries, Share}
 
 // Verdict is the gate's answer. After is when to come back; 0: asking again is of no use.
-type Verdict struct {
-	Kind  Kind
-	After time.Duration
+type Decision struct {
+	Kind       RejectionKind
+	RetryAfter time.Duration
 }
 
 // Ask is what an invocation asks for.
-type Ask struct {
+type Request struct {
 	Bytes int
 	Work  float64 // its hinted cost in seconds; 0: not told
 	Retry bool
 }
 
 // Ending is how an invocation ended, for usage.
-type Ending uint8
+type Disposition uint8
 
 const (
-	Succeeded Ending = iota
+	Succeeded Disposition = iota
 	Declined
 	Aborted
 	Abandoned
-	Handed
-	endings = int(Handed) + 1
+	Migrated
+	endings = int(Migrated) + 1
 )
 
 // Usage counts for one tenant at one scheduler.
 type Usage struct {
-	Taken, Retries int
-	Ended          [endings]int
-	Throttled      map[Kind]int
-	InHand         int
-	HeldWorkS      float64
-	Bytes          int64
-	ShareInHand    float64 // what it may have in hand while room is scarce
-	Rate, Share    float64 // workers' time that it has a second, and what its share of all such time is; at the last look
-	Beyond         bool    // it has more, and goes behind those that have not
+	Admitted, Retries int
+	Completed         [endings]int
+	Throttled         map[RejectionKind]int
+	InFlight          int
+	HeldWorkS         float64
+	Bytes             int64
+	ShareInFlight     float64 // what it may have in hand while room is scarce
+	Rate, Share       float64 // workers' time that it has a second, and what its share of all such time is; at the last look
+	OverShare         bool    // it has more, and goes behind those that have not
 }
 
 // Seat is one tenant at the gate. It stays until its last invocation has ended, whatever becomes of the tenant.
-type Seat struct {
+type Account struct {
 	Index        int // among the decision module's tenants
 	Name, Handle string
 
@@ -112,24 +112,24 @@
 }
 
 type key struct {
-	seat *Seat
+	seat *Account
 	Credential
 }
 
 // Gate is where tenants come in at one scheduler. All that an event costs is bounded by the tenants that are at work, and most
 // events look at one alone.
-type Gate struct {
-	Looks int  // at tenants, so that tests can count
-	Woken bool // somebody has begun to be at work since the last Quotas: shares have changed for all
+type Controller struct {
+	Looks         int  // at tenants, so that tests can count
+	SharesChanged bool // somebody has begun to be at work since the last Quotas: shares have changed for all
 
 	room       float64 // invocations in hand, at this scheduler
 	schedulers float64
 	chance     *rand.Rand
-	byName     map[string]*Seat
-	byHandle   map[string]*Seat
+	byName     map[string]*Account
+	byHandle   map[string]*Account
 	keys       map[string]key // by credential
-	seats      []*Seat        // nil: free
-	active     []*Seat
+	seats      []*Account     // nil: free
+	active     []*Account
 	total      int
 	weights    float64 // of the active
 	reckoned   time.Duration
@@ -138,28 +138,28 @@
 
 // Quota is what a tenant may send a second, counted in full. New: nothing is known of it yet.
 type Quota struct {
-	Index     int
-	QuotaPerS float64
-	New       bool
+	Index          int
+	QuotaPerSecond float64
+	Reassigned     bool
 }
 
 // NewGate has nobody. room is how many invocations may be in hand here; a limit holds at all schedulers together, of which
 // each keeps its part.
-func NewGate(room, schedulers int, chance *rand.Rand) *Gate {
-	return &Gate{room: float64(max(1, room)), schedulers: float64(max(1, schedulers)), chance: chance, byName: map[string]*Seat{},
-		byHandle: map[string]*Seat{}, keys: map[string]key{}}
+func NewController(room, schedulers int, chance *rand.Rand) *Controller {
+	return &Controller{room: float64(max(1, room)), schedulers: float64(max(1, schedulers)), chance: chance, byName: map[string]*Account{},
+		byHandle: map[string]*Account{}, keys: map[string]key{}}
 }
 
 // Put seats a tenant as it is from now on. What is in hand stays, also where it is more than it may have now.
-func (g *Gate) Put(now time.Duration, t Tenant) *Seat {
+func (g *Controller) Put(now time.Duration, t Tenant) *Account {
 	s := g.byName[t.Name]
 	if s != nil && s.Handle != t.Handle { // made anew under its name
 		g.Remove(now, t.Name)
 		s = nil
 	}
 	if s == nil {
-		s = &Seat{Index: slices.Index(g.seats, nil), Name: t.Name, Handle: t.Handle, retries: retryReserve,
-			seen: now - idleAfter, usage: Usage{Throttled: map[Kind]int{}}, tokensAt: now}
+		s = &Account{Index: slices.Index(g.seats, nil), Name: t.Name, Handle: t.Handle, retries: retryReserve,
+			seen: now - idleAfter, usage: Usage{Throttled: map[RejectionKind]int{}}, tokensAt: now}
 		if s.Index < 0 {
 			s.Index = len(g.seats)
 			g.seats = append(g.seats, nil)
@@ -189,7 +189,7 @@
 }
 
 // lock ends a tenant's credentials.
-func (g *Gate) lock(s *Seat) {
+func (g *Controller) lock(s *Account) {
 	for _, id := range s.keys {
 		delete(g.keys, id)
 	}
@@ -197,7 +197,7 @@
 }
 
 // Remove lets nothing more of a tenant in. Its seat is free once all that was taken has ended.
-func (g *Gate) Remove(now time.Duration, name string) {
+func (g *Controller) Remove(now time.Duration, name string) {
 	s := g.byName[name]
 	if s == nil {
 		return
@@ -209,7 +209,7 @@
 	g.leave(s)
 }
 
-func (g *Gate) leave(s *Seat) {
+func (g *Controller) leave(s *Account) {
 	if !s.gone || s.inHand > 0 {
 		return
 	}
@@ -220,7 +220,7 @@
 }
 
 // rest takes a seat out of the active ones.
-func (g *Gate) rest(s *Seat) {
+func (g *Controller) rest(s *Account) {
 	if s.here == 0 {
 		return
 	}
@@ -233,22 +233,22 @@
 }
 
 // Identify finds whose a credential is. Who shows none that is known costs as much time as who does.
-func (g *Gate) Identify(id, secret string, now time.Time) *Seat {
+func (g *Controller) Identify(id, secret string, now time.Time) *Account {
 	k, known := g.keys[id]
-	if opens := k.Opens(secret, now); !known || !opens {
+	if opens := k.Verify(secret, now); !known || !opens {
 		return nil
 	}
 	return k.seat
 }
 
 // Admit decides whether one may come in. Whoever is let in has to be ended.
-func (g *Gate) Admit(now time.Duration, s *Seat, a Ask) Verdict {
+func (g *Controller) Admit(now time.Duration, s *Account, a Request) Decision {
 	g.Looks++
 	v := g.judge(now, s, a)
 	if v.Kind != None {
 		s.usage.Throttled[v.Kind]++
-		if v.After > 0 {
-			v.After = min(max(time.Duration(float64(v.After)*(backLow+backSpread*g.chance.Float64())), backLeast), backMost)
+		if v.RetryAfter > 0 {
+			v.RetryAfter = min(max(time.Duration(float64(v.RetryAfter)*(backLow+backSpread*g.chance.Float64())), backLeast), backMost)
 		}
 		return v
 	}
@@ -264,65 +264,65 @@
 }
 
 // Inherit seats an invocation that another process had let in: it is not asked again whether it may.
-func (g *Gate) Inherit(now time.Duration, s *Seat, a Ask) {
+func (g *Controller) AdmitMigrated(now time.Duration, s *Account, a Request) {
 	s.wake(g, now)
 	g.enter(s, a)
 }
 
 // Back: what was handed to another process goes on here.
-func (g *Gate) Back(now time.Duration, s *Seat, a Ask) {
-	g.Inherit(now, s, a)
-	s.usage.Taken--
+func (g *Controller) MigrationReturned(now time.Duration, s *Account, a Request) {
+	g.AdmitMigrated(now, s, a)
+	s.usage.Admitted--
 	s.usage.Bytes -= int64(a.Bytes)
-	s.usage.Ended[Handed]--
+	s.usage.Completed[Migrated]--
 }
 
-func (g *Gate) enter(s *Seat, a Ask) {
+func (g *Controller) enter(s *Account, a Request) {
 	g.total++
 	s.inHand++
 	s.held += a.Work
 	s.peak = max(s.peak, s.inHand)
-	s.usage.Taken++
+	s.usage.Admitted++
 	s.usage.Bytes += int64(a.Bytes)
 }
 
-func (g *Gate) judge(now time.Duration, s *Seat, a Ask) Verdict {
+func (g *Controller) judge(now time.Duration, s *Account, a Request) Decision {
 	if now >= g.reckoned+shareEvery {
 		g.reckon(now)
 	}
 	l, wait := &s.limits, s.wait()
 	if s.gone || s.state != Active {
-		return Verdict{Kind: Stopped}
+		return Decision{Kind: Stopped}
 	}
 	if l.RequestBytes != nil && a.Bytes > *l.RequestBytes {
-		return Verdict{Kind: Size}
+		return Decision{Kind: Size}
 	}
 	if l.RetryRatio != nil && a.Retry && s.retries < 1 {
 		// First tries earn it; without any there is nothing to wait for but the storm's end.
-		return Verdict{Retries, backMost / 2}
+		return Decision{Retries, backMost / 2}
 	}
 	if s.fill(g, now); l.RatePerS != nil && s.tokens < 1 {
-		return Verdict{Rate, time.Duration((1 - s.tokens) * g.schedulers / *l.RatePerS * float64(time.Second))}
+		return Decision{Rate, time.Duration((1 - s.tokens) * g.schedulers / *l.RatePerS * float64(time.Second))}
 	}
 	if l.Concurrency != nil && float64(s.inHand) >= max(1, math.Ceil(float64(*l.Concurrency)/g.schedulers)) {
-		return Verdict{Concurrency, wait}
+		return Decision{Concurrency, wait}
 	}
 	if l.HeldWorkS != nil && s.inHand > 0 && s.held+a.Work > *l.HeldWorkS/g.schedulers {
-		return Verdict{HeldWork, wait}
+		return Decision{HeldWork, wait}
 	}
 	// Only now is it at work: what its own limits turn away must not make others' shares smaller.
 	s.wake(g, now)
 	// A share by weight is had at once, whoever has the room: that is given back as theirs ends, and no more is taken.
 	in, total := float64(s.inHand), float64(g.total)
 	if in < g.fair(s) || total < quietPart*g.room || total < g.room && in < s.allot {
-		return Verdict{}
+		return Decision{}
 	}
 	s.turned++
-	return Verdict{Share, wait}
+	return Decision{Share, wait}
 }
 
 // Ended lets an invocation go that was let in, by its own time in hand.
-func (g *Gate) Ended(now time.Duration, s *Seat, a Ask, took time.Duration, how Ending) {
+func (g *Controller) Completed(now time.Duration, s *Account, a Request, took time.Duration, how Disposition) {
 	g.Looks++
 	g.total--
 	s.inHand--
@@ -330,14 +330,14 @@
 	if s.held -= a.Work; s.inHand == 0 {
 		s.held = 0 // sums of fractions leave dust
 	}
-	s.usage.Ended[how]++
+	s.usage.Completed[how]++
 	s.spans = keep(s.spans, took)
 	g.leave(s)
 }
 
 // Worked counts a forward that has ended, by how long it was at its worker: what a client says of its work may be anything, and
 // who said little would have the most.
-func (g *Gate) Worked(now time.Duration, s *Seat, operation string, hint float64, took time.Duration) {
+func (g *Controller) AttemptEnded(now time.Duration, s *Account, operation string, hint float64, took time.Duration) {
 	s.served, s.works = keep(s.served, now), keep(s.works, took.Seconds())
 	if _, known := s.hints[operation]; known && hint > 0 {
 		s.hints[operation] = keep(s.hints[operation], took.Seconds()/hint)
@@ -346,7 +346,7 @@
 
 // Believe turns what a client says of its work into what the last ones that said so have taken. The decisions learn how fast
 // workers are from work and hints of all tenants: one that says too little would make all others' work look hopeless.
-func (s *Seat) Believe(operation string, hint float64) float64 {
+func (s *Account) EstimateCost(operation string, hint float64) float64 {
 	ratios := s.hints[operation]
 	if hint <= 0 || len(ratios) < hintsLeast {
 		return 0 // as good as none: the operation's mean stands in
@@ -356,9 +356,9 @@
 	return hint * sorted[len(sorted)/2]
 }
 
-func (s *Seat) wake(g *Gate, now time.Duration) {
+func (s *Account) wake(g *Controller, now time.Duration) {
 	if s.seen = now; s.here == 0 {
-		g.active, g.Woken = append(g.active, s), true
+		g.active, g.SharesChanged = append(g.active, s), true
 		s.here = len(g.active)
 		g.weights += s.weight
 		s.allot = g.fair(s)
@@ -366,10 +366,10 @@
 }
 
 // fair is a tenant's part of the room by weight alone, among those that are at work now.
-func (g *Gate) fair(s *Seat) float64 { return g.room * s.weight / max(g.weights, s.weight) }
+func (g *Controller) fair(s *Account) float64 { return g.room * s.weight / max(g.weights, s.weight) }
 
 // burst is what a tenant's bucket holds here.
-func (s *Seat) burst(g *Gate) float64 {
+func (s *Account) burst(g *Controller) float64 {
 	switch l := s.limits; {
 	case l.RatePerS == nil:
 		return 1
@@ -380,7 +380,7 @@
 	}
 }
 
-func (s *Seat) fill(g *Gate, now time.Duration) {
+func (s *Account) fill(g *Controller, now time.Duration) {
 	if s.limits.RatePerS != nil {
 		s.tokens = min(s.burst(g), s.tokens+(now-s.tokensAt).Seconds()**s.limits.RatePerS/g.schedulers)
 	} else {
@@ -390,7 +390,7 @@
 }
 
 // wait is how long until one of its own may have ended.
-func (s *Seat) wait() time.Duration {
+func (s *Account) wait() time.Duration {
 	if len(s.spans) == 0 {
 		return backLeast * 4
 	}
@@ -400,16 +400,16 @@
 }
 
 // reckon shares the room out among those at work.
-func (g *Gate) reckon(now time.Duration) {
+func (g *Controller) reckon(now time.Duration) {
 	g.reckoned = now
 	for _, s := range slices.Clone(g.active) {
 		if g.Looks++; s.inHand == 0 && now >= s.seen+idleAfter {
 			g.rest(s)
 		}
 	}
-	wants := make([]Want, len(g.active))
+	wants := make([]Claim, len(g.active))
 	for i, s := range g.active {
-		wants[i] = Want{s.weight, float64(s.peak + s.turned)}
+		wants[i] = Claim{s.weight, float64(s.peak + s.turned)}
 		s.peak, s.turned = s.inHand, 0
 	}
 	for i, share := range MaxMin(g.room, wants) {
@@ -421,8 +421,8 @@
 // Quotas are what the decision module should know anew. While not all can be served, the work of a tenant that has more than
 // its share by weight of what is served goes behind that of all who have not, however small its invocations: beside them by
 // its size, a flood of small ones had everybody else wait. What others leave it still has.
-func (g *Gate) Quotas(now time.Duration) (all []Quota) {
-	all, g.fresh, g.Woken = g.fresh, nil, false
+func (g *Controller) Quotas(now time.Duration) (all []Quota) {
+	all, g.fresh, g.SharesChanged = g.fresh, nil, false
 	capacity := 0.0
 	for _, s := range g.active {
 		g.Looks++
@@ -437,13 +437,13 @@
 		}
 		if beyond := len(g.active) > 1 && s.rate > past; beyond != s.beyond {
 			s.beyond = beyond
-			all = append(all, Quota{Index: s.Index, QuotaPerS: s.quota()})
+			all = append(all, Quota{Index: s.Index, QuotaPerSecond: s.quota()})
 		}
 	}
 	return all
 }
 
-func (s *Seat) quota() float64 {
+func (s *Account) quota() float64 {
 	if s.beyond {
 		return leastQuota
 	}
@@ -451,7 +451,7 @@
 }
 
 // worked is how much of the workers' time a tenant has had a second, by its last few forwards.
-func (s *Seat) worked(now time.Duration) (sum float64) {
+func (s *Account) worked(now time.Duration) (sum float64) {
 	if len(s.served) == 0 {
 		return 0
 	}
@@ -462,21 +462,21 @@
 }
 
 // Seat finds a tenant by name.
-func (g *Gate) Seat(name string) *Seat { return g.byName[name] }
+func (g *Controller) Account(name string) *Account { return g.byName[name] }
 
 // ByHandle finds a tenant by what its ids begin with.
-func (g *Gate) ByHandle(handle string) *Seat {
+func (g *Controller) ByHandle(handle string) *Account {
 	return g.byHandle[handle]
 }
 
 // Names lists the tenants that may come in.
-func (g *Gate) Names() []string { return slices.Sorted(maps.Keys(g.byName)) }
+func (g *Controller) Names() []string { return slices.Sorted(maps.Keys(g.byName)) }
 
 // Active counts the tenants at work.
-func (g *Gate) Active() int { return len(g.active) }
+func (g *Controller) Active() int { return len(g.active) }
 
 // Retell has all quotas told again, to decisions that have begun anew.
-func (g *Gate) Retell() {
+func (g *Controller) Republish() {
 	g.fresh = nil
 	for _, s := range g.seats {
 		if s != nil {
@@ -486,25 +486,25 @@
 }
 
 // Usage counts what a tenant has had here since this process has known it.
-func (g *Gate) Usage(s *Seat) Usage {
+func (g *Controller) Usage(s *Account) Usage {
 	u := s.usage
-	u.Throttled = map[Kind]int{}
-	for _, k := range Kinds {
+	u.Throttled = map[RejectionKind]int{}
+	for _, k := range RejectionKinds {
 		u.Throttled[k] = s.usage.Throttled[k]
 	}
-	u.InHand, u.HeldWorkS, u.ShareInHand = s.inHand, s.held, g.fair(s)
-	u.Rate, u.Share, u.Beyond = s.rate, s.share, s.beyond
+	u.InFlight, u.HeldWorkS, u.ShareInFlight = s.inHand, s.held, g.fair(s)
+	u.Rate, u.Share, u.OverShare = s.rate, s.share, s.beyond
 	if s.here == 0 { // idle: what it would have if it came now
-		u.ShareInHand = g.room * s.weight / (g.weights + s.weight)
+		u.ShareInFlight = g.room * s.weight / (g.weights + s.weight)
 	}
 	return u
 }
 
 // Seats counts the places that the decision module has to know.
-func (g *Gate) Seats() int { return len(g.seats) }
+func (g *Controller) Accounts() int { return len(g.seats) }
 
 // InHand counts what was let in and has not ended.
-func (g *Gate) InHand() int { return g.total }
+func (g *Controller) InFlight() int { return g.total }
 
 // keep adds a sample and lets the oldest go.
 func keep[T any](s []T, v T) []T {
--- a/internal/tenants/gate_test.go
+++ b/internal/tenants/gate_test.go
@@ -13,14 +13,14 @@
 
 // yard is a gate with tenants by name, and what they have in hand.
 type yard struct {
-	*Gate
+	*Controller
 	now   time.Duration
-	seats map[string]*Seat
+	seats map[string]*Account
 	revs  uint64
 }
 
 func newYard(room, schedulers int) *yard {
-	return &yard{Gate: NewGate(room, schedulers, rand.New(rand.NewPCG(1, 1))), seats: map[string]*Seat{}}
+	return &yard{Controller: NewController(room, schedulers, rand.New(rand.NewPCG(1, 1))), seats: map[string]*Account{}}
 }
 
 func (y *yard) put(name string, weight float64, l Limits) {
@@ -31,7 +31,7 @@
 }
 
 // ask has one tenant ask so often, and counts the answers in their order.
-func (y *yard) ask(name string, times int, a Ask) string {
+func (y *yard) ask(name string, times int, a Request) string {
 	var all []string
 	last, n := "", 0
 	flush := func() {
@@ -45,7 +45,7 @@
 		if word == "" {
 			word = "in"
 		}
-		if v.After > 0 {
+		if v.RetryAfter > 0 {
 			word += ", back"
 		}
 		if word != last {
@@ -58,9 +58,9 @@
 	return strings.Join(all, "; ")
 }
 
-func (y *yard) end(name string, times int, a Ask) {
+func (y *yard) end(name string, times int, a Request) {
 	for range times {
-		y.Ended(y.now, y.seats[name], a, 100*ms, Succeeded)
+		y.Completed(y.now, y.seats[name], a, 100*ms, Succeeded)
 	}
 }
 
@@ -70,20 +70,20 @@
 func Example_limits() {
 	y := newYard(1000, 1)
 	y.put("rate", 1, Limits{RatePerS: ptr(10.0), Burst: ptr(3.0)})
-	fmt.Println(y.ask("rate", 5, Ask{}))
+	fmt.Println(y.ask("rate", 5, Request{}))
 	y.now += 200 * ms
-	fmt.Println("0.2 s later:", y.ask("rate", 3, Ask{}))
+	fmt.Println("0.2 s later:", y.ask("rate", 3, Request{}))
 	y.put("hand", 1, Limits{Concurrency: ptr(2)})
-	fmt.Println(y.ask("hand", 3, Ask{}))
-	y.end("hand", 1, Ask{})
-	fmt.Println("one has ended:", y.ask("hand", 2, Ask{}))
+	fmt.Println(y.ask("hand", 3, Request{}))
+	y.end("hand", 1, Request{})
+	fmt.Println("one has ended:", y.ask("hand", 2, Request{}))
 	y.put("work", 1, Limits{HeldWorkS: ptr(1.0)})
-	fmt.Println(y.ask("work", 4, Ask{Work: 0.4}))
+	fmt.Println(y.ask("work", 4, Request{Work: 0.4}))
 	y.put("bytes", 1, Limits{RequestBytes: ptr(10)})
-	fmt.Println(y.ask("bytes", 1, Ask{Bytes: 10}), y.ask("bytes", 1, Ask{Bytes: 11}))
+	fmt.Println(y.ask("bytes", 1, Request{Bytes: 10}), y.ask("bytes", 1, Request{Bytes: 11}))
 	y.put("again", 1, Limits{RetryRatio: ptr(0.5)})
-	fmt.Println(y.ask("again", 12, Ask{Retry: true}))
-	fmt.Println("after four first tries:", y.ask("again", 4, Ask{}), "then", y.ask("again", 3, Ask{Retry: true}))
+	fmt.Println(y.ask("again", 12, Request{Retry: true}))
+	fmt.Println("after four first tries:", y.ask("again", 4, Request{}), "then", y.ask("again", 3, Request{Retry: true}))
 	// Output:
 	// 3 in; 2 rate, back
 	// 0.2 s later: 2 in; 1 rate, back
@@ -100,16 +100,16 @@
 	y := newYard(40, 1)
 	y.put("flood", 1, Limits{})
 	y.put("calm", 1, Limits{})
-	fmt.Println("flood alone:", y.ask("flood", 100, Ask{}))
+	fmt.Println("flood alone:", y.ask("flood", 100, Request{}))
 	y.now += time.Second
-	fmt.Println("calm:", y.ask("calm", 25, Ask{}))
-	fmt.Println("flood:", y.ask("flood", 5, Ask{}))
-	y.end("flood", 15, Ask{})
-	fmt.Println("15 have ended:", y.ask("flood", 5, Ask{}))
-	y.end("flood", 10, Ask{})
-	y.end("calm", 20, Ask{})
+	fmt.Println("calm:", y.ask("calm", 25, Request{}))
+	fmt.Println("flood:", y.ask("flood", 5, Request{}))
+	y.end("flood", 15, Request{})
+	fmt.Println("15 have ended:", y.ask("flood", 5, Request{}))
+	y.end("flood", 10, Request{})
+	y.end("calm", 20, Request{})
 	y.now += 2 * time.Second
-	fmt.Println("calm has gone:", y.ask("flood", 30, Ask{}))
+	fmt.Println("calm has gone:", y.ask("flood", 30, Request{}))
 	// Output:
 	// flood alone: 40 in; 60 share, back
 	// calm: 20 in; 5 share, back
@@ -122,12 +122,12 @@
 func Example_lowered() {
 	y := newYard(100, 1)
 	y.put("t", 1, Limits{Concurrency: ptr(10)})
-	fmt.Println(y.ask("t", 10, Ask{}))
+	fmt.Println(y.ask("t", 10, Request{}))
 	y.put("t", 1, Limits{Concurrency: ptr(3)})
-	y.end("t", 7, Ask{})
-	fmt.Println(y.ask("t", 1, Ask{}))
-	y.end("t", 1, Ask{})
-	fmt.Println(y.ask("t", 2, Ask{}))
+	y.end("t", 7, Request{})
+	fmt.Println(y.ask("t", 1, Request{}))
+	y.end("t", 1, Request{})
+	fmt.Println(y.ask("t", 2, Request{}))
 	// Output:
 	// 10 in
 	// 1 concurrency, back
@@ -141,16 +141,16 @@
 	y.put("t", 1, Limits{})
 	y.Quotas(y.now)
 	old := y.seats["t"]
-	y.ask("t", 2, Ask{})
+	y.ask("t", 2, Request{})
 	y.Remove(y.now, "t")
-	fmt.Println(y.ask("t", 1, Ask{}), y.Seats())
+	fmt.Println(y.ask("t", 1, Request{}), y.Accounts())
 	y.put("t", 1, Limits{})
 	fresh := y.seats["t"]
-	fmt.Println("beside it:", fresh.Index, y.Usage(fresh).Taken)
-	y.Ended(y.now, old, Ask{}, 0, Succeeded)
-	y.Ended(y.now, old, Ask{}, 0, Aborted)
+	fmt.Println("beside it:", fresh.Index, y.Usage(fresh).Admitted)
+	y.Completed(y.now, old, Request{}, 0, Succeeded)
+	y.Completed(y.now, old, Request{}, 0, Aborted)
 	y.put("u", 1, Limits{})
-	fmt.Println("in its place:", y.seats["u"].Index, y.InHand(), y.Quotas(y.now))
+	fmt.Println("in its place:", y.seats["u"].Index, y.InFlight(), y.Quotas(y.now))
 	// Output:
 	// 1 suspended 1
 	// beside it: 1 0
@@ -170,22 +170,22 @@
 			if q.Index == y.seats["small"].Index {
 				name = "small"
 			}
-			all = append(all, fmt.Sprint(name, " behind: ", !math.IsInf(q.QuotaPerS, 1)))
+			all = append(all, fmt.Sprint(name, " behind: ", !math.IsInf(q.QuotaPerSecond, 1)))
 		}
 		fmt.Println(what, all)
 	}
 	works := func(name string, n int, took time.Duration) {
 		for range n {
-			y.Worked(y.now, y.seats[name], "render", 0, took)
+			y.AttemptEnded(y.now, y.seats[name], "render", 0, took)
 		}
 	}
-	y.ask("big", 1, Ask{})
+	y.ask("big", 1, Request{})
 	for range 20 {
 		y.now += 50 * ms
 		works("big", 2, 100*ms)
 	}
 	told("alone")
-	y.ask("small", 1, Ask{})
+	y.ask("small", 1, Request{})
 	for range 20 {
 		y.now += 50 * ms
 		works("big", 2, 100*ms)
@@ -209,11 +209,11 @@
 	y := newYard(100, 1)
 	y.put("t", 1, Limits{})
 	s := y.seats["t"]
-	fmt.Println(s.Believe("render", 0.001))
+	fmt.Println(s.EstimateCost("render", 0.001))
 	for range 8 {
-		y.Worked(y.now, s, "render", 0.001, 40*ms)
+		y.AttemptEnded(y.now, s, "render", 0.001, 40*ms)
 	}
-	fmt.Printf("%.2f %.2f\n", s.Believe("render", 0.001), s.Believe("other", 0.001))
+	fmt.Printf("%.2f %.2f\n", s.EstimateCost("render", 0.001), s.EstimateCost("other", 0.001))
 	// Output:
 	// 0
 	// 0.04 0.00
@@ -227,17 +227,17 @@
 			y.put(fmt.Sprint("t", n), 1, Limits{RatePerS: ptr(1e6)})
 		}
 		for n := range tenants { // all have been at work once
-			y.ask(fmt.Sprint("t", n), 1, Ask{})
-			y.end(fmt.Sprint("t", n), 1, Ask{})
+			y.ask(fmt.Sprint("t", n), 1, Request{})
+			y.end(fmt.Sprint("t", n), 1, Request{})
 		}
 		y.now += 2 * idleAfter
-		y.ask("t0", 1, Ask{}) // those that have come to rest leave at the next reckoning, once
-		y.end("t0", 1, Ask{})
+		y.ask("t0", 1, Request{}) // those that have come to rest leave at the next reckoning, once
+		y.end("t0", 1, Request{})
 		y.Looks = 0
 		for n := range 1000 {
 			y.now += 10 * ms
-			y.ask("t0", 1, Ask{})
-			if y.end("t0", 1, Ask{}); n%25 == 0 {
+			y.ask("t0", 1, Request{})
+			if y.end("t0", 1, Request{}); n%25 == 0 {
 				y.Quotas(y.now)
 			}
 		}
@@ -252,11 +252,11 @@
 func TestAdviceSpreads(t *testing.T) {
 	y := newYard(100, 1)
 	y.put("t", 1, Limits{RatePerS: ptr(1.0)})
-	y.ask("t", 1, Ask{})
+	y.ask("t", 1, Request{})
 	least, most, seen := time.Hour, time.Duration(0), map[time.Duration]bool{}
 	for range 200 {
-		v := y.Admit(y.now, y.seats["t"], Ask{})
-		least, most, seen[v.After] = min(least, v.After), max(most, v.After), true
+		v := y.Admit(y.now, y.seats["t"], Request{})
+		least, most, seen[v.RetryAfter] = min(least, v.RetryAfter), max(most, v.RetryAfter), true
 	}
 	if least < 750*ms || most > 1500*ms || most-least < 500*ms || len(seen) < 150 {
 		t.Error(least, most, len(seen))
@@ -268,10 +268,10 @@
 func TestMaxMin(t *testing.T) {
 	chance := rand.New(rand.NewPCG(7, 7))
 	for range 2000 {
-		wants := make([]Want, 1+chance.IntN(12))
+		wants := make([]Claim, 1+chance.IntN(12))
 		amount, wanted := 100*chance.Float64(), 0.0
 		for i := range wants {
-			wants[i] = Want{math.Pow(10, 4*chance.Float64()-2), 50 * chance.Float64() * float64(chance.IntN(2))}
+			wants[i] = Claim{math.Pow(10, 4*chance.Float64()-2), 50 * chance.Float64() * float64(chance.IntN(2))}
 			wanted += wants[i].Demand
 		}
 		given, best := 0.0, 0.0
@@ -301,7 +301,7 @@
 		y := newYard(1000, 4)
 		y.put("t", 1, Limits{Concurrency: ptr(10)})
 		for range 20 {
-			if v := y.Admit(y.now, y.seats["t"], Ask{}); v.Kind == None {
+			if v := y.Admit(y.now, y.seats["t"], Request{}); v.Kind == None {
 				in++
 			}
 		}
@@ -316,15 +316,15 @@
 	y := newYard(40, 1)
 	y.put("calm", 1, Limits{})
 	y.put("loud", 1, Limits{RatePerS: ptr(0.1), RequestBytes: ptr(1)})
-	y.ask("calm", 1, Ask{})
-	y.ask("loud", 1, Ask{})
-	y.end("loud", 1, Ask{})
+	y.ask("calm", 1, Request{})
+	y.ask("loud", 1, Request{})
+	y.end("loud", 1, Request{})
 	y.now += 2 * idleAfter
-	if got := y.ask("loud", 100, Ask{}) + ", " + y.ask("loud", 100, Ask{Bytes: 2}); got != "100 rate, back, 100 request_size" {
+	if got := y.ask("loud", 100, Request{}) + ", " + y.ask("loud", 100, Request{Bytes: 2}); got != "100 rate, back, 100 request_size" {
 		t.Error(got)
 	}
 	y.reckon(y.now)
-	if got := y.Usage(y.seats["calm"]).ShareInHand; y.Active() != 1 || got != 40 {
+	if got := y.Usage(y.seats["calm"]).ShareInFlight; y.Active() != 1 || got != 40 {
 		t.Error(y.Active(), "at work; the share of the other: ", got)
 	}
 }
--- a/internal/tenants/resource.go
+++ b/internal/tenants/resource.go
@@ -85,23 +85,23 @@
 }
 
 // Opens tells whether a secret is the credential's, in the same time whatever the secret.
-func (c Credential) Opens(secret string, now time.Time) bool {
+func (c Credential) Verify(secret string, now time.Time) bool {
 	same := subtle.ConstantTimeCompare([]byte(c.Hash), []byte(HashOf(secret))) == 1
 	return same && (c.Expires.IsZero() || now.Before(c.Expires))
 }
 
 // Fault is one thing wrong with what was said, by field.
-type Fault struct {
+type FieldError struct {
 	Field  string `json:"field"`
 	Reason string `json:"reason"`
 }
 
-func (f Fault) Error() string { return f.Field + ": " + f.Reason }
+func (f FieldError) Error() string { return f.Field + ": " + f.Reason }
 
 // Faults are all that is wrong.
-type Faults []Fault
+type FieldErrors []FieldError
 
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	var all []string
 	for _, one := range f {
 		all = append(all, one.Error())
@@ -123,28 +123,28 @@
 
 // Name tells what is wrong with a name. Only a few ASCII characters may stand in one: of those that merely look alike two
 // tenants could be taken for one another.
-func Name(field, name string) Faults {
+func Name(field, name string) FieldErrors {
 	switch {
 	case name == "":
-		return Faults{{field, "is not set"}}
+		return FieldErrors{{field, "is not set"}}
 	case len(name) > nameMost:
-		return Faults{{field, fmt.Sprintf("is over %d characters", nameMost)}}
+		return FieldErrors{{field, fmt.Sprintf("is over %d characters", nameMost)}}
 	case strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") != "":
-		return Faults{{field, "has characters other than a to z, 0 to 9 and -"}}
+		return FieldErrors{{field, "has characters other than a to z, 0 to 9 and -"}}
 	case strings.HasPrefix(name, "-") || strings.HasSuffix(name, "-"):
-		return Faults{{field, "begins or ends with -"}}
+		return FieldErrors{{field, "begins or ends with -"}}
 	}
 	return nil
 }
 
 // Check tells all that is wrong with a spec.
-func (s Spec) Check() (all Faults) {
+func (s Spec) Check() (all FieldErrors) {
 	above := func(field string, v, most float64) {
 		switch {
 		case math.IsNaN(v) || v <= 0:
-			all = append(all, Fault{field, fmt.Sprintf("%v is not over 0", v)})
+			all = append(all, FieldError{field, fmt.Sprintf("%v is not over 0", v)})
 		case v > most:
-			all = append(all, Fault{field, fmt.Sprintf("%v is over %v", v, most)})
+			all = append(all, FieldError{field, fmt.Sprintf("%v is over %v", v, most)})
 		}
 	}
 	some := func(field string, v *float64, most float64) {
@@ -166,42 +166,42 @@
 	whole("/limits/concurrency", l.Concurrency)
 	whole("/limits/request_bytes", l.RequestBytes)
 	if l.Burst != nil && l.RatePerS == nil {
-		all = append(all, Fault{"/limits/burst", "is set, and rate_per_s is not"})
+		all = append(all, FieldError{"/limits/burst", "is set, and rate_per_s is not"})
 	}
 	if n := len(s.Operations); n == 0 {
-		all = append(all, Fault{"/operations", "there are none"})
+		all = append(all, FieldError{"/operations", "there are none"})
 	} else if n > operationsMost {
-		all = append(all, Fault{"/operations", fmt.Sprintf("%d are over %d", n, operationsMost)})
+		all = append(all, FieldError{"/operations", fmt.Sprintf("%d are over %d", n, operationsMost)})
 	}
 	names := map[string]int{}
 	for i, o := range s.Operations {
 		at := fmt.Sprintf("/operations/%d/", i)
 		all = append(all, Name(at+"name", o.Name)...)
 		if first, twice := names[o.Name]; twice && o.Name != "" {
-			all = append(all, Fault{at + "name", fmt.Sprintf("%q is the name of operation %d too", o.Name, first)})
+			all = append(all, FieldError{at + "name", fmt.Sprintf("%q is the name of operation %d too", o.Name, first)})
 		} else {
 			names[o.Name] = i
 		}
 		if !slices.Contains(effects, o.Effect) {
-			all = append(all, Fault{at + "effect", fmt.Sprintf("%q is none of %s", o.Effect, strings.Join(effects, ", "))})
+			all = append(all, FieldError{at + "effect", fmt.Sprintf("%q is none of %s", o.Effect, strings.Join(effects, ", "))})
 		}
 		above(at+"latency_objective_s", o.LatencyObjectiveS, spanMost)
 		above(at+"client_timeout_s", o.ClientTimeoutS, spanMost)
 		above(at+"billed_value", o.BilledValue, figureMost)
 		if !(o.Stretch >= 0 && o.Stretch <= 1000) {
-			all = append(all, Fault{at + "stretch", fmt.Sprintf("%v is not between 0 and 1000", o.Stretch)})
+			all = append(all, FieldError{at + "stretch", fmt.Sprintf("%v is not between 0 and 1000", o.Stretch)})
 		}
 		if !(o.LateBilledValue >= 0 && o.LateBilledValue <= 1) {
-			all = append(all, Fault{at + "late_billed_value", fmt.Sprintf("%v is not between 0 and 1", o.LateBilledValue)})
+			all = append(all, FieldError{at + "late_billed_value", fmt.Sprintf("%v is not between 0 and 1", o.LateBilledValue)})
 		}
 		if !slices.Contains(scopes, o.DedupScope) {
-			all = append(all, Fault{at + "dedup_scope", fmt.Sprintf("%q is none of all, zone, cell", o.DedupScope)})
+			all = append(all, FieldError{at + "dedup_scope", fmt.Sprintf("%q is none of all, zone, cell", o.DedupScope)})
 		}
 		switch dedup := o.Effect == Deduplicated; {
 		case dedup:
 			above(at+"dedup_window_s", o.DedupWindowS, spanMost)
 		case o.DedupWindowS != 0 || o.DedupScope != "":
-			all = append(all, Fault{at + "effect", fmt.Sprintf("%q knows no repeats, and a window or scope is set", o.Effect)})
+			all = append(all, FieldError{at + "effect", fmt.Sprintf("%q knows no repeats, and a window or scope is set", o.Effect)})
 		}
 	}
 	return all
--- a/internal/tenants/share.go
+++ b/internal/tenants/share.go
@@ -6,11 +6,11 @@
 )
 
 // Want is one tenant's claim to something that is shared.
-type Want struct{ Weight, Demand float64 }
+type Claim struct{ Weight, Demand float64 }
 
 // MaxMin shares an amount out by weight: nobody gets more than it wants, and what one leaves the others have. So no share can
 // grow but at the cost of one that is smaller for its weight. What nobody wants stays.
-func MaxMin(amount float64, wants []Want) []float64 {
+func MaxMin(amount float64, wants []Claim) []float64 {
 	shares, order, weights := make([]float64, len(wants)), make([]int, len(wants)), 0.0
 	for i, w := range wants {
 		order[i] = i
--- a/internal/tenants/store/forms_test.go
+++ b/internal/tenants/store/forms_test.go
@@ -50,11 +50,11 @@
 		},
 		func() (tenants.Change, error) { return b.Grant("ops", "one", key, noon) },
 		func() (tenants.Change, error) {
-			c, _, err := b.Stand("ops", "one", tenants.Suspended, tenants.Match{}, noon)
+			c, _, err := b.SetState("ops", "one", tenants.Suspended, tenants.Match{}, noon)
 			return c, err
 		},
 		func() (tenants.Change, error) {
-			c, _, err := b.Stand("ops", "one", tenants.Active, tenants.Match{}, noon)
+			c, _, err := b.SetState("ops", "one", tenants.Active, tenants.Match{}, noon)
 			return c, err
 		},
 		func() (tenants.Change, error) { return b.Revoke("ops", "one", "key", noon) },
--- a/internal/tenants/store/store.go
+++ b/internal/tenants/store/store.go
@@ -132,7 +132,7 @@
 
 // Store is the log, with the book that it gives.
 type Store struct {
-	Book   *tenants.Book
+	Book   *tenants.Directory
 	Failed error // why nothing can be written; nil: it can
 	files  Files
 	log    File
@@ -159,7 +159,7 @@
 
 // Open reads the store. Where another process writes, or nothing can be written, this one follows: Failed says why.
 func Open(files Files) (*Store, error) {
-	s := &Store{Book: tenants.NewBook(), files: files}
+	s := &Store{Book: tenants.NewDirectory(), files: files}
 	switch err := files.Lock(lockName); {
 	case err == nil:
 		s.writes = true
@@ -215,7 +215,7 @@
 
 // begin forgets what was read: all of a log is to be read.
 func (s *Store) begin(log File) {
-	s.log, s.end, s.since, s.last, s.Book = log, 0, 0, span{}, tenants.NewBook()
+	s.log, s.end, s.since, s.last, s.Book = log, 0, 0, span{}, tenants.NewDirectory()
 }
 
 func ptr[T any](v T) *T { return &v }
--- a/internal/tenants/store/store_test.go
+++ b/internal/tenants/store/store_test.go
@@ -162,7 +162,7 @@
 }
 
 // text is a book as it can be compared.
-func text(b *tenants.Book) string {
+func text(b *tenants.Directory) string {
 	t, err := json.Marshal(b.All())
 	if err != nil {
 		panic(err)
@@ -211,7 +211,7 @@
 // Killed at each step that changes the disk, with all, half or none of what was not synced there, and names as they were or
 // are: what was said to be done is there, nothing is there by halves, and changes can be made again.
 func TestKilledAtEachStep(t *testing.T) {
-	books := map[uint64]string{0: text(tenants.NewBook())}
+	books := map[uint64]string{0: text(tenants.NewDirectory())}
 	whole := newWorld()
 	if done := work(whole, books); done != 9 {
 		t.Fatal(done)
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -65,7 +65,7 @@
 	f.Counts.Sent++
 	f.byNumber[attemptKey{inv.Inv, fwd}], f.byName[workKey{inv.ID, w.uid}] = a, a
 	a.deadline = f.loop.After(inv.GivenUp-f.loop.Now(), func() { f.end(a, conn.TimedOut, nil) })
-	asked := guard.Attempt{Request: inv.Inv, Number: fwd, Chosen: guard.Target{Worker: w.uid, Endpoint: chosen}, Until: until, Least: leastTold}
+	asked := guard.Attempt{Request: inv.Inv, Number: fwd, Chosen: guard.Target{UID: w.uid, Endpoint: chosen}, NotAfter: until, MinTimeLeft: leastTold}
 	a.exchange = &exchange{
 		onWritten:  f.Wrote,
 		needsProof: inv.needsProof(),
@@ -76,8 +76,8 @@
 					http1.Field{Name: "X-Budget", Value: strconv.FormatFloat(left, 'f', 3, 64)})...)}
 		},
 		onBegun: func() {
-			asked.Now = guard.Target{Worker: w.uid, Endpoint: w.entry}
-			f.Guard.Begun(asked)
+			asked.Current = guard.Target{UID: w.uid, Endpoint: w.entry}
+			f.Guard.AttemptStarted(asked)
 			a.written, a.repeats = true, slices.Contains(inv.had, w)
 			inv.had = append(inv.had, w)
 		},
@@ -103,8 +103,8 @@
 // allowed asks the guard directly before an attempt's first byte is written: the connection may have taken its time to come up, and
 // this process to run.
 func (f *Fleet) allowed(a *attempt, asked guard.Attempt) conn.Ending {
-	asked.Now, asked.Timeout = guard.Target{Worker: a.worker.uid, Endpoint: a.worker.entry}, a.inv.GivenUp
-	why := f.Guard.Send(asked)
+	asked.Current, asked.Deadline = guard.Target{UID: a.worker.uid, Endpoint: a.worker.entry}, a.inv.GivenUp
+	why := f.Guard.CheckSend(asked)
 	if why == "" {
 		return conn.Open
 	}
@@ -146,10 +146,10 @@
 		x.done = func(*http1.Message, conn.Ending) {}
 		x.limit = f.loop.After(afterNews, x.abandon)
 	}
-	if a.taken && (e == conn.Cancelled || e == conn.TimedOut) && f.site.Deployment.Limits.Cancel {
+	if a.taken && (e == conn.Cancelled || e == conn.TimedOut) && f.site.Dispatch.Limits.Cancel {
 		f.cancel(a)
 	}
-	f.Guard.Ended(a.inv.Inv, a.number, e.String(), !e.NeverRan())
+	f.Guard.AttemptEnded(a.inv.Inv, a.number, e.String(), !e.NeverRan())
 	f.Counts.Ended[e.String()]++
 	f.Event(dispatch.Outcome{Invocation: a.inv.Inv, Worker: a.worker.entry.Worker, Attempt: a.number, Result: e.Result(),
 		Load: load, Answered: !f.Owed(a.inv.Inv)})
--- a/internal/workers/crossings_test.go
+++ b/internal/workers/crossings_test.go
@@ -55,7 +55,7 @@
 func Example_comingUpElsewhere() {
 	s, other := perform(), perform(took)
 	s.Forward(s.job(1), 0, s.id)
-	s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: other.id.String(),
+	s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: other.id.String(),
 		Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 	s.until(1, 1)
 	fmt.Println("heard at the old address:", len(s.heard))
@@ -170,12 +170,12 @@
 func Example_lateConnection() {
 	s := perform(took, took)
 	moves := func(to netip.AddrPort) {
-		s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: to.String(),
+		s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: to.String(),
 			Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 	}
 	addr, drain := jammed(s)
 	moves(addr)
-	s.site.ConnTimeout = 2500 * time.Millisecond // the kernel tries again after a second
+	s.site.ConnectTimeout = 2500 * time.Millisecond // the kernel tries again after a second
 	s.Forward(s.job(1), 0, s.id)
 	for !comesUp(addr) {
 		time.Sleep(time.Millisecond)
@@ -304,7 +304,7 @@
 		s.Forward(s.job(1), 0, s.id)
 		e := dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}
 		change(&e)
-		s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(), Endpoint: e}}})
+		s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(), Endpoint: e}}})
 		s.until(1, 0)
 	}
 	// Output:
--- a/internal/workers/late_test.go
+++ b/internal/workers/late_test.go
@@ -161,7 +161,7 @@
 		"in one turn": {func(*stage) {}, 1},
 		"given up":    {func(s *stage) { s.Cancel(1, 0) }, 0},
 		"moved": {func(s *stage) {
-			s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: "127.0.0.1:1",
+			s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: "127.0.0.1:1",
 				Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 		}, 0},
 	} {
--- a/internal/workers/news.go
+++ b/internal/workers/news.go
@@ -26,7 +26,7 @@
 		f.Counts.Strange++ // it is late, and of an earlier attempt at that worker: nothing of this one has gone out
 		return true
 	}
-	n.Load = a.worker.firstReport(n.Load, f.site.Report.Blank())
+	n.Load = a.worker.firstReport(n.Load, f.site.Report.Unknown())
 	sign := dispatch.AttemptProgress{Invocation: a.inv.Inv, Worker: a.worker.entry.Worker, Attempt: a.number, Done: n.Share}
 	switch n.State {
 	case "started":
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -47,7 +47,7 @@
 		x.done(nil, conn.NoDescriptor)
 		return false
 	}
-	x.dialUntil = f.loop.Now() + f.site.ConnTimeout
+	x.dialUntil = f.loop.Now() + f.site.ConnectTimeout
 	f.dial(w, x)
 	return true
 }
@@ -88,7 +88,7 @@
 	c := &connection{fleet: f, worker: w, endpoint: w.endpoint, parser: http1.Parser{Answers: true}, exchange: x}
 	c.socket = f.share.Dial(w.endpoint, x.dialUntil-f.loop.Now(), c)
 	if x.dialling = append(x.dialling, c); len(x.dialling) < dialsMost {
-		x.redial = f.loop.After(f.site.ConnTimeout/redialPart, func() {
+		x.redial = f.loop.After(f.site.ConnectTimeout/redialPart, func() {
 			if f.share.Room() > redialRoom && w.entry.State == dispatch.Ready && w.endpoint == c.endpoint {
 				f.dial(w, x)
 			}
@@ -136,7 +136,7 @@
 // idleTime is how long connections are kept: a part of the time that the settings give, as a request must not cross the
 // worker's closing, and less while kept ones end before that.
 func (f *Fleet) idleTime() time.Duration {
-	most := time.Duration(idlePart * float64(f.site.ConnIdle))
+	most := time.Duration(idlePart * float64(f.site.ConnectionIdle))
 	return min(most, f.lasted<<min(int((f.loop.Now()-f.brokeAt)/keepAgain), 30))
 }
 
--- a/internal/workers/probe.go
+++ b/internal/workers/probe.go
@@ -27,7 +27,7 @@
 	if load == nil {
 		load = f.site.Report.Parse(string(m.Body))
 	}
-	return w.firstReport(load, f.site.Report.Blank())
+	return w.firstReport(load, f.site.Report.Unknown())
 }
 
 // firstReport passes a report on. Until a worker has measured anything, its report is all noughts: taken at its word no slot
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -65,11 +65,11 @@
 	Owed    func(dispatch.InvocationID) bool               // whether its client still waits for an answer
 	Waits   func(dispatch.InvocationID) bool               // the same at the moment of a send, with the kernel asked
 	Wrote   func()                                         // an attempt has been written whole
-	Guard   *guard.Guard                                   // asked before each first byte
+	Guard   *guard.Checker                                 // asked before each first byte
 	Counts  Counts
 
 	loop     *conn.Loop
-	site     settings.Site
+	site     settings.Deployment
 	share    *conn.Share
 	lasted   time.Duration // so long a kept connection may be trusted, as it seemed when one last broke
 	brokeAt  time.Duration // that was then
@@ -87,22 +87,22 @@
 }
 
 // NewFleet knows no workers yet.
-func NewFleet(loop *conn.Loop, site settings.Site, share *conn.Share) *Fleet {
-	f := &Fleet{loop: loop, site: site, share: share, lasted: site.ConnIdle, workers: map[dispatch.WorkerID]*worker{},
+func NewFleet(loop *conn.Loop, site settings.Deployment, share *conn.Share) *Fleet {
+	f := &Fleet{loop: loop, site: site, share: share, lasted: site.ConnectionIdle, workers: map[dispatch.WorkerID]*worker{},
 		byUID: map[string]*worker{}, byNumber: map[attemptKey]*attempt{}, byName: map[workKey]*attempt{},
 		Guard:  guard.New(loop.Clock),
 		Counts: Counts{Ended: map[string]int{}, Answered: map[string]int{}, Changes: map[string]int{}, Stopped: map[string]int{}}}
-	f.Guard.ClientWaits = func(inv dispatch.InvocationID) bool { return f.Waits(inv) }
+	f.Guard.ClientWaiting = func(inv dispatch.InvocationID) bool { return f.Waits(inv) }
 	return f
 }
 
 // Retune follows newer settings.
-func (f *Fleet) Retune(site settings.Site) { f.site = site }
+func (f *Fleet) Retune(site settings.Deployment) { f.site = site }
 
 var standings = map[dispatch.EndpointState]string{dispatch.Gone: "gone", dispatch.Ready: "ready", dispatch.Draining: "draining"}
 
 // List follows the list.
-func (f *Fleet) List(list discovery.List) {
+func (f *Fleet) List(list discovery.Update) {
 	named := map[string]bool{}
 	for _, e := range list.Workers {
 		w := f.byUID[e.UID]
@@ -121,12 +121,12 @@
 			f.Counts.Changes["restarted"]++
 		}
 		if e.StartKnown {
-			f.Guard.Started(e.UID, e.StartedAt)
+			f.Guard.CheckStart(e.UID, e.StartedAt)
 		}
 		w.entry = e.Endpoint
 		w.stand(e.State)
 	}
-	if list.Form == dispatch.FullUpdate {
+	if list.Kind == dispatch.FullUpdate {
 		for uid, w := range f.byUID {
 			if !named[uid] {
 				w.stand(dispatch.Gone)
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -38,7 +38,7 @@
 // perform listens; each request takes the next answer. One that ends in "-" closes the connection behind the rest of it, ""
 // says nothing.
 func perform(answers ...string) *stage {
-	site, err := settings.ParseSite([]byte(`{"Limits": {"Cancel": true, "Probes": true, "ConnIdle": 5, "ConnectTimeout": 0.5},
+	site, err := settings.ParseDeployment([]byte(`{"Limits": {"Cancel": true, "Probes": true, "ConnIdle": 5, "ConnectTimeout": 0.5},
 		"FamilyInfo": {"ReportX0": "free slots"}, "Report": {"How": "answers", "Names": ["x0"]}}`))
 	if err != nil {
 		panic(err)
@@ -121,13 +121,13 @@
 }
 
 func (s *stage) stand(standing dispatch.EndpointState) {
-	s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
+	s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
 		Endpoint: dispatch.Endpoint{Worker: s.id, State: standing}}}})
 }
 
 // job is a request that the guard knows, and lets out as often as a test likes.
 func (s *stage) job(inv dispatch.InvocationID) *Invocation {
-	s.Guard.Take(inv, guard.Terms{MostOut: math.MaxInt})
+	s.Guard.RequestAdmitted(inv, guard.RequestLimits{MaxInFlight: math.MaxInt})
 	return &Invocation{Inv: inv, ID: fmt.Sprint("id", inv), Method: "POST", Target: "/render/7f", Body: []byte(" body"),
 		Fields: []http1.Field{{Name: "X-Call-Id", Value: fmt.Sprint("id", inv)}}, GivenUp: s.loop.Now() + 5*time.Second}
 }
@@ -326,7 +326,7 @@
 		s.Probe(s.id)
 		s.until(1, 1)
 	}
-	s.List(discovery.List{Form: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
+	s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
 		Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready, StartKnown: true, StartedAt: time.Second}}}})
 	s.Probe(s.id)
 	s.until(1, 1)
