--- a/cmd/stoatweir/crossings_test.go
+++ b/cmd/stoatweir/crossings_test.go
@@ -256,8 +256,8 @@
 	}
 	come := func(inv dispatch.InvocationID) {
 		for n, name := range []string{"render", "keyed", "sale"} {
-			j := &workers.Invocation{Inv: inv + dispatch.InvocationID(n)}
-			s.door.Took(j, s.site.OperationIndex[name])
+			j := &workers.Invocation{Number: inv + dispatch.InvocationID(n)}
+			s.door.OnRequest(j, s.site.OperationIndex[name])
 			fmt.Println(name, j.Effect == dispatch.NonIdempotent)
 		}
 	}
@@ -296,7 +296,7 @@
 	}
 	s := serve()
 	worker := netip.MustParseAddrPort("127.0.0.1:9")
-	s.fleet.List(discovery.Update{Kind: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
+	s.fleet.ApplyUpdate(discovery.Update{Kind: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
 		Endpoint: dispatch.Endpoint{Worker: worker, State: dispatch.Ready}}}})
 	record := dispatch.MigratedIn{Arrival: dispatch.Arrival{Budget: left}, Waited: age, Age: age,
 		Attempts: []dispatch.Attempt{{Worker: worker, Age: age, StartedAge: -1, LastProgressAge: age / 2, InFlight: true}}}
@@ -343,7 +343,7 @@
 	}
 	alike("passed", s.events)
 	for _, j := range s.invs {
-		near("until it is given up", j.GivenUp-s.loop.Now(), left-way)
+		near("until it is given up", j.Deadline-s.loop.Now(), left-way)
 	}
 	if pass(left) {
 		t.Error("kept for nobody")
@@ -351,9 +351,9 @@
 
 	s = serve()
 	b := &bond{service: s}
-	j := &tracked{Invocation: &workers.Invocation{Inv: 1}}
+	j := &tracked{Invocation: &workers.Invocation{Number: 1}}
 	record.Attempts[0].InFlight = false
-	b.takeBack(&parcel{Parcel: &clients.Parcel{Inv: 1}, j: j, record: record, at: s.loop.Now() - way})
+	b.takeBack(&parcel{MigratingConnection: &clients.MigratingConnection{Invocation: 1}, j: j, record: record, at: s.loop.Now() - way})
 	alike("given back", s.events)
 }
 
--- a/cmd/stoatweir/guard.go
+++ b/cmd/stoatweir/guard.go
@@ -14,7 +14,7 @@
 func (s *service) terms(j *workers.Invocation, operation int) guard.RequestLimits {
 	d := &s.site.Dispatch
 	o := &d.Operations[operation]
-	return guard.RequestLimits{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.GivenUp,
+	return guard.RequestLimits{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.Deadline,
 		MaxAttempts: d.Limits.MaxAttempts, MaxInFlight: d.Limits.MaxInFlight}
 }
 
@@ -41,7 +41,7 @@
 // historyOf lists what is known of a request, a line each.
 func (s *service) historyOf(id string) []byte {
 	var text []byte
-	for _, t := range s.fleet.Guard.HistoryByID(id) {
+	for _, t := range s.fleet.Invariants.HistoryByID(id) {
 		text = fmt.Appendln(text, t)
 	}
 	return text
--- a/cmd/stoatweir/hosting.go
+++ b/cmd/stoatweir/hosting.go
@@ -37,7 +37,7 @@
 	all      []tenants.Tenant
 	revision uint64
 	known    map[string]uint64 // revisions, by name
-	quotas   *conn.Alarm       // nil: nobody is at work
+	quotas   *conn.Timer       // nil: nobody is at work
 	shared   time.Duration     // when shares were last told
 }
 
@@ -58,13 +58,13 @@
 	running := false
 	h.registry = api.NewRegistry(kept, time.Now, func(all []tenants.Tenant, revision uint64) {
 		if running {
-			s.loop.Order(order{s, func() { h.take(all, revision) }})
+			s.loop.PostUrgent(order{s, func() { h.take(all, revision) }})
 			return
 		}
 		running = true
 		h.seat(all, revision)
 	})
-	s.hosting, s.door.Gate = h, h.gate
+	s.hosting, s.door.Admission = h, h.gate
 	node.Deployment = node.Deployment.WithTenants(h.all, node.Tenants.ExcessValue)
 	return nil
 }
@@ -115,7 +115,7 @@
 		known bool
 	}
 	answer := make(chan told, 1)
-	h.loop.Order(order{h.service, func() {
+	h.loop.PostUrgent(order{h.service, func() {
 		if seat := h.gate.Account(name); seat != nil {
 			answer <- told{h.gate.Usage(seat), true}
 		} else {
--- a/cmd/stoatweir/life.go
+++ b/cmd/stoatweir/life.go
@@ -30,7 +30,7 @@
 	told := func(do func() bool) func() (string, error) {
 		return func() (string, error) {
 			held := make(chan error, 1)
-			s.loop.Order(order{s, func() {
+			s.loop.PostUrgent(order{s, func() {
 				if do() {
 					held <- nil
 				} else {
@@ -69,7 +69,7 @@
 	before := s.life.State()
 	done := step()
 	if now := s.life.State(); now != before {
-		s.log.Info(what, ": ", before, " to ", now, ", ", s.door.InHand(), " in hand")
+		s.log.Info(what, ": ", before, " to ", now, ", ", s.door.InFlight(), " in hand")
 		if now == life.Ready {
 			s.serves()
 		}
@@ -85,7 +85,7 @@
 func (s *service) follow() {
 	s.steps.Stop()
 	now := s.loop.Now()
-	s.door.Follow()
+	s.door.ApplyBehavior()
 	m := s.life.Behavior(now)
 	if m.Migrates && s.bond != nil && !s.bond.elder {
 		s.pass()
@@ -93,8 +93,8 @@
 	if m.FailsRemaining {
 		s.failRest("the time to stop is over")
 	}
-	waits := m.Migrates && !m.ClosesIdle && s.door.Passable()
-	if m.Exits || m.ExitsWhenIdle && !waits && s.door.InHand() == 0 && !s.door.Busy() && s.door.Close() {
+	waits := m.Migrates && !m.ClosesIdle && s.door.HasMigratable()
+	if m.Exits || m.ExitsWhenIdle && !waits && s.door.InFlight() == 0 && !s.door.Busy() && s.door.StopAccepting() {
 		s.loop.Stop()
 		return
 	}
@@ -114,6 +114,6 @@
 // stop is the order to end. Clients go on coming for a while and what is in hand is still worth serving; what can't
 // be served in time is answered as errored, which promises nothing, well before a kill would lose it.
 func (s *service) stop() {
-	longest := cmp.Or(s.site.LongestTimeout, s.door.Longest) // where no setting tells, what clients said
+	longest := cmp.Or(s.site.LongestTimeout, s.door.LongestTimeout) // where no setting tells, what clients said
 	s.lives("told to stop", func() bool { s.life.Stop(s.loop.Now(), longest); return true })
 }
--- a/cmd/stoatweir/main.go
+++ b/cmd/stoatweir/main.go
@@ -98,7 +98,7 @@
 	log.SetOutput(out)
 	go func() {
 		for range signals {
-			s.loop.Order(order{s, s.stop})
+			s.loop.PostUrgent(order{s, s.stop})
 		}
 	}()
 	go s.reload(reloads, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
--- a/cmd/stoatweir/panic_in_stop_test.go
+++ b/cmd/stoatweir/panic_in_stop_test.go
@@ -49,9 +49,9 @@
 	io.WriteString(kept, request("held"))
 	time.Sleep(50 * time.Millisecond)
 	ordered := time.Now()
-	s.loop.Order(order{s, s.stop})
+	s.loop.PostUrgent(order{s, s.stop})
 	time.Sleep(50 * time.Millisecond)
-	s.loop.Put(breaks{s})
+	s.loop.Post(breaks{s})
 	answers := bufio.NewReader(kept)
 	if first, _, err := message(answers); first != "HTTP/1.1 500 Internal Server Error" || err != nil {
 		t.Error("in hand: ", first, err)
@@ -68,7 +68,7 @@
 	case <-time.After(5 * time.Second):
 		t.Error("it does not end")
 	}
-	if n := s.fleet.Guard.Counts.Violations; len(n) > 0 || s.panics == 0 {
+	if n := s.fleet.Invariants.Counts.Violations; len(n) > 0 || s.panics == 0 {
 		t.Error("violations ", n, ", panics ", s.panics)
 	}
 }
--- a/cmd/stoatweir/pass.go
+++ b/cmd/stoatweir/pass.go
@@ -43,40 +43,40 @@
 
 // parcel is on its way.
 type parcel struct {
-	*clients.Parcel
+	*clients.MigratingConnection
 	j      *tracked
 	record dispatch.MigratedIn
 	at     time.Duration // of the record
-	late   *conn.Alarm
+	late   *conn.Timer
 }
 
 // pass gives the successor what it may have by now.
 func (s *service) pass() {
 	b := s.bond
-	s.door.Offer(passesAtOnce, s.may, func(p *clients.Parcel) {
+	s.door.MigrateConnections(passesAtOnce, s.may, func(p *clients.MigratingConnection) {
 		if s.bond != b {
-			p.Back()
+			p.Returned()
 			return
 		}
 		b.number++
-		sent := &parcel{Parcel: p}
+		sent := &parcel{MigratingConnection: p}
 		m := handover.Message{Kind: handover.Pass, Number: b.number, Socket: p.Socket,
-			Pass: &handover.Passed{Read: p.Read, News: p.News, Fresh: p.Fresh, Silent: p.Silent}}
-		if p.Inv != 0 {
-			sent.j = s.invs[p.Inv]
-			sent.record, _ = s.core.MigrationRecord(p.Inv)
+			Pass: &handover.Passed{Read: p.Buffered, News: p.CarriesCallbacks, Fresh: p.Unused, Silent: p.SilentFor}}
+		if p.Invocation != 0 {
+			sent.j = s.invs[p.Invocation]
+			sent.record, _ = s.core.MigrationRecord(p.Invocation)
 			sent.record = sent.record.Aged(max(0, s.loop.Now()-s.last)) // it is of the last moment that was decided
 			sent.at = s.loop.Now()
 			text, err := json.Marshal(s.legacy(sent.j, sent.record))
 			if err != nil {
 				s.log.Error("an invocation can't be passed on: ", err)
-				p.Back()
+				p.Returned()
 				return
 			}
 			m.Pass.Invocation, m.Body = text, sent.j.Body
-			s.fleet.Give(p.Inv, sent.j.forwards)
-			delete(s.invs, p.Inv)
-			s.events = append(s.events, dispatch.MigratedOut{Invocation: p.Inv})
+			s.fleet.ReleaseAttempts(p.Invocation, sent.j.forwards)
+			delete(s.invs, p.Invocation)
+			s.events = append(s.events, dispatch.MigratedOut{Invocation: p.Invocation})
 		}
 		number := b.number
 		b.passed[number] = sent
@@ -104,7 +104,7 @@
 func (s *service) may(inv dispatch.InvocationID) bool {
 	s.decide()
 	j := s.invs[inv]
-	if j == nil || !s.door.Owed(inv) || !s.fleet.Settled(inv, j.forwards) {
+	if j == nil || !s.door.AwaitsAnswer(inv) || !s.fleet.AttemptsAccepted(inv, j.forwards) {
 		return false
 	}
 	_, held := s.core.MigrationRecord(inv)
@@ -112,7 +112,7 @@
 }
 
 func (s *service) legacy(j *tracked, r dispatch.MigratedIn) legacy {
-	l := legacy{ID: j.ID, Method: j.Method, Target: j.Target, Fields: j.Fields, Left: j.GivenUp - s.loop.Now(), At: uptime(), Record: r,
+	l := legacy{ID: j.ID, Method: j.Method, Target: j.Target, Fields: j.Fields, Left: j.Deadline - s.loop.Now(), At: uptime(), Record: r,
 		Name: s.site.Operations[j.operation], Operation: s.site.Dispatch.Operations[j.operation],
 		Timeout: s.site.ClientTimeouts[j.operation]}
 	if r.Tenant < len(s.site.Tenants) {
@@ -150,10 +150,10 @@
 	delete(b.passed, m.Number)
 	p.late.Stop()
 	if m.OK {
-		p.Kept()
+		p.Accepted()
 	} else {
 		b.takeBack(p)
-		p.Back()
+		p.Returned()
 	}
 	if s := b.service; s.bond == b && !b.elder && s.life.Behavior(s.loop.Now()).Migrates && len(b.passed) < passesAtOnce/4 {
 		s.pass()
@@ -166,10 +166,10 @@
 		return
 	}
 	s := b.service
-	s.invs[p.Inv] = p.j
+	s.invs[p.Invocation] = p.j
 	for fwd, t := range p.record.Attempts {
 		if t.InFlight {
-			s.fleet.Keep(p.j.Invocation, fwd, t.Worker)
+			s.fleet.AdoptAttempt(p.j.Invocation, fwd, t.Worker)
 		}
 	}
 	s.events = append(s.events, p.record.Aged(s.loop.Now()-p.at))
@@ -180,9 +180,9 @@
 	for _, p := range b.passed {
 		p.late.Stop()
 		b.takeBack(p)
-		p.Lost()
-		if p.Inv != 0 {
-			b.events = append(b.events, dispatch.ClientDisconnected{Invocation: p.Inv})
+		p.PeerFailed()
+		if p.Invocation != 0 {
+			b.events = append(b.events, dispatch.ClientDisconnected{Invocation: p.Invocation})
 		}
 	}
 	b.passed = nil
@@ -212,9 +212,9 @@
 			return false
 		}
 		j = &workers.Invocation{ID: l.ID, Method: l.Method, Target: l.Target, Fields: l.Fields, Body: m.Body,
-			GivenUp: s.loop.Now() + l.Left, Effect: s.effect(operation)}
+			Deadline: s.loop.Now() + l.Left, Effect: s.effect(operation)}
 	}
-	inv, kept := s.door.Inherit(nc, clients.Parcel{Read: m.Pass.Read, News: m.Pass.News, Fresh: m.Pass.Fresh, Silent: m.Pass.Silent}, j, operation,
+	inv, kept := s.door.AcceptMigrated(nc, clients.MigratingConnection{Buffered: m.Pass.Read, CarriesCallbacks: m.Pass.News, Unused: m.Pass.Fresh, SilentFor: m.Pass.Silent}, j, operation,
 		l.Record.Age)
 	if !kept {
 		nc.Close()
@@ -226,13 +226,13 @@
 	t := &tracked{Invocation: j, operation: operation, forwards: len(l.Record.Attempts)}
 	s.invs[inv] = t
 	for fwd, try := range l.Record.Attempts {
-		s.fleet.Had(j, try.Worker)
+		s.fleet.MarkAttempted(j, try.Worker)
 		if try.InFlight {
 			t.out++
-			s.fleet.Keep(j, fwd, try.Worker)
+			s.fleet.AdoptAttempt(j, fwd, try.Worker)
 		}
 	}
-	s.fleet.Guard.MigrateIn(inv, s.terms(j, operation), s.inherited(l.Record.Attempts))
+	s.fleet.Invariants.MigrateIn(inv, s.terms(j, operation), s.inherited(l.Record.Attempts))
 	l.Record.Invocation, l.Record.Operation = inv, operation
 	s.events = append(s.events, l.Record)
 	return true
--- a/cmd/stoatweir/reload_on_the_way_test.go
+++ b/cmd/stoatweir/reload_on_the_way_test.go
@@ -38,8 +38,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j := &tracked{Invocation: &workers.Invocation{Inv: 1}, operation: s.site.OperationIndex["sale"]}
-	s.bond = &bond{service: s, passed: map[uint64]*parcel{1: {Parcel: &clients.Parcel{Inv: 1}, j: j}}}
+	j := &tracked{Invocation: &workers.Invocation{Number: 1}, operation: s.site.OperationIndex["sale"]}
+	s.bond = &bond{service: s, passed: map[uint64]*parcel{1: {MigratingConnection: &clients.MigratingConnection{Invocation: 1}, j: j}}}
 	for n := range 2 {
 		s.retune(siteOf(t, render+fmt.Sprintf(`,{"Name":"other-%d","Effect":"read_like","ClientTimeout":5}`, n)))
 	}
--- a/cmd/stoatweir/retune.go
+++ b/cmd/stoatweir/retune.go
@@ -13,7 +13,7 @@
 func (s *service) reload(orders <-chan os.Signal, read func() (settings.Process, error)) {
 	for range orders {
 		node, err := patiently(func() bool { return false }, read)
-		s.loop.Order(newer{s, node, err})
+		s.loop.PostUrgent(newer{s, node, err})
 	}
 }
 
@@ -67,8 +67,8 @@
 	site.Dispatch.Limits.Gossip = site.Dispatch.Limits.Gossip && s.road != nil
 	s.site = site
 	s.askWithin()
-	s.door.Retune(site)
-	s.fleet.Retune(site)
-	s.fleet.Guard.RaiseLimits(site.Dispatch.Limits.MaxAttempts, site.Dispatch.Limits.MaxInFlight)
+	s.door.Reconfigure(site)
+	s.fleet.Reconfigure(site)
+	s.fleet.Invariants.RaiseLimits(site.Dispatch.Limits.MaxAttempts, site.Dispatch.Limits.MaxInFlight)
 	s.events = append(s.events, dispatch.Reconfigured{Config: site.Dispatch, PreviousOperations: from})
 }
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -46,13 +46,13 @@
 // service is the wiring: one loop owns the module, hands it what has happened and carries out what it decides.
 type service struct {
 	loop   *conn.Loop
-	ours   *conn.Share // of the descriptors: for clients and news
-	theirs *conn.Share // for workers
+	ours   *conn.Quota // of the descriptors: for clients and news
+	theirs *conn.Quota // for workers
 	log    *logrus.Entry
 	book   *ledger.Ledger
 	core   *dispatch.Dispatcher
-	door   *clients.Door
-	fleet  *workers.Fleet
+	door   *clients.Server
+	fleet  *workers.Transport
 	list   *discovery.Watcher
 	node   settings.Process // as it was at the start, but for discovery
 	site   settings.Deployment
@@ -60,8 +60,8 @@
 	known  []byte
 	events []dispatch.Event
 	invs   map[dispatch.InvocationID]*tracked
-	wake   *conn.Alarm
-	steps  *conn.Alarm   // of the life cycle
+	wake   *conn.Timer
+	steps  *conn.Timer   // of the life cycle
 	last   time.Duration // when the module was last asked
 
 	at            address
@@ -75,7 +75,7 @@
 	stands        atomic.Uint32 // the state of life, for operators
 	figures       atomic.Pointer[ledger.Totals]
 	published     int         // changes of the ledger that these hold
-	publishing    *conn.Alarm // nil: nothing has happened since
+	publishing    *conn.Timer // nil: nothing has happened since
 	seed          int64
 	chance        *rand.Rand // for what the module does not decide
 	unlisted      int        // watches of a pushed list that failed in a row
@@ -97,11 +97,11 @@
 func newService(node settings.Process, log *logrus.Entry) (*service, error) {
 	start, given := time.Now(), node
 	loop := conn.NewLoop(start)
-	ours, theirs, book := loop.Share(0), loop.Share(0), ledger.New()
+	ours, theirs, book := loop.NewQuota(0), loop.NewQuota(0), ledger.New()
 	s := &service{loop: loop, ours: ours, theirs: theirs, log: log, book: book, node: given, base: given.Deployment, known: node.CachedEndpoints, invs: map[dispatch.InvocationID]*tracked{}, givenUp: map[string]int{},
 		seed: node.Seed, last: -1,
 		door:  clients.New(loop, node.Deployment, ours, book),
-		fleet: workers.NewFleet(loop, node.Deployment, theirs),
+		fleet: workers.NewTransport(loop, node.Deployment, theirs),
 		list:  discovery.New(loop, node.Discovery, node.Deployment.Zones, node.Deployment.Kinds, start),
 		waits: hdrhistogram.New(1, time.Minute.Microseconds(), 3), thinks: hdrhistogram.New(1, 1e7, 2)}
 	if err := s.host(&node); err != nil {
@@ -109,23 +109,23 @@
 	}
 	onSockets(&node.Deployment.Dispatch)
 	s.site, s.core = node.Deployment, dispatch.New(node.Deployment.Dispatch, node.Seed)
-	s.door.Retune(node.Deployment)
+	s.door.Reconfigure(node.Deployment)
 	event := func(e dispatch.Event) { s.events = append(s.events, e) }
 	s.chance = rand.New(rand.NewPCG(uint64(node.Seed), uint64(start.UnixNano())))
 	s.list.Rand = s.chance
 	s.askWithin()
-	s.door.Event, s.fleet.Event = event, event
-	s.door.Took = func(j *workers.Invocation, operation int) {
+	s.door.OnEvent, s.fleet.OnEvent = event, event
+	s.door.OnRequest = func(j *workers.Invocation, operation int) {
 		j.Effect = s.effect(operation)
-		s.invs[j.Inv] = &tracked{Invocation: j, operation: operation, seat: s.hosting.came(j.ID)}
-		s.fleet.Guard.RequestAdmitted(j.Inv, s.terms(j, operation))
+		s.invs[j.Number] = &tracked{Invocation: j, operation: operation, seat: s.hosting.came(j.ID)}
+		s.fleet.Invariants.RequestAdmitted(j.Number, s.terms(j, operation))
 	}
-	s.door.Guard, s.door.Reason, s.fleet.Guard.OnViolation = s.fleet.Guard, s.reason, s.violated
-	s.door.News, s.door.Report, s.door.History = s.fleet.Take, s.report, s.historyOf
-	s.door.Relay, s.door.Foreign, s.door.Holds = s.relay, s.foreign, s.holds
-	s.door.Served = func(t time.Duration) { s.waits.RecordValue(t.Microseconds()) }
-	s.door.Manner = func() life.Behavior { return s.life.Behavior(loop.Now()) }
-	s.fleet.Deliver, s.fleet.Owed, s.fleet.Waits, s.fleet.Wrote = s.door.Deliver, s.door.Owed, s.door.Waits, book.Forwarded
+	s.door.Invariants, s.door.Reason, s.fleet.Invariants.OnViolation = s.fleet.Invariants, s.reason, s.violated
+	s.door.OnCallback, s.door.Counters, s.door.History = s.fleet.HandleCallback, s.report, s.historyOf
+	s.door.RelayCallback, s.door.OwnedByPeer, s.door.OnOwnership = s.relay, s.foreign, s.holds
+	s.door.OnServed = func(t time.Duration) { s.waits.RecordValue(t.Microseconds()) }
+	s.door.Behavior = func() life.Behavior { return s.life.Behavior(loop.Now()) }
+	s.fleet.Deliver, s.fleet.AwaitsAnswer, s.fleet.ClientWaiting, s.fleet.OnWritten = s.door.Deliver, s.door.AwaitsAnswer, s.door.ClientWaiting, book.Forwarded
 	s.list.OnUpdate, loop.Panicked = s.told, s.panicked
 	s.list.OnFailure = func(why string) { log.Warn("the watch of the list has failed: ", why) }
 	s.resize(node.Sockets)
@@ -161,7 +161,7 @@
 		sockets -= apiFiles
 	}
 	// Clients and news have five eighths of the descriptors, four for invocations in hand; workers have the rest.
-	s.door.Resize(sockets / 2)
+	s.door.SetMaxInFlight(sockets / 2)
 	s.ours.Resize(sockets - sockets*3/8)
 	s.theirs.Resize(sockets * 3 / 8)
 }
@@ -178,7 +178,7 @@
 		if list.Kind = dispatch.FullUpdate; len(list.Workers) > 0 && !at.shared {
 			within = knownWithin
 		}
-		s.fleet.List(list)
+		s.fleet.ApplyUpdate(list)
 		s.events = append(s.events, list.EndpointUpdate())
 	}
 	if at.shared {
@@ -196,8 +196,8 @@
 	s.decide()
 	s.publish()
 	s.loop.Run(s.decide)
-	for _, inv := range s.door.Rest() {
-		s.fleet.Guard.CheckClose(inv)
+	for _, inv := range s.door.Unanswered() {
+		s.fleet.Invariants.CheckClose(inv)
 	}
 	s.post.Close()
 	s.road.Close()
@@ -216,7 +216,7 @@
 // told takes news of the list in.
 func (s *service) told(list discovery.Update) {
 	if list.Kind != dispatch.WatchFailed {
-		s.fleet.List(list)
+		s.fleet.ApplyUpdate(list)
 		s.loop.After(s.settling(), s.study)
 		s.unlisted = 0
 	} else if s.site.Dispatch.EndpointsPushed {
@@ -287,18 +287,18 @@
 // restart begins with a new module that knows the list and nothing else. What is in hand was in the old one's care:
 // it is answered, and its forwards are given up.
 func (s *service) restart() {
-	s.log.Error("the decisions start anew; in hand: ", s.door.InHand())
+	s.log.Error("the decisions start anew; in hand: ", s.door.InFlight())
 	s.failRest("the decisions start anew")
 	for _, inv := range slices.Sorted(maps.Keys(s.invs)) {
 		for fwd := range s.invs[inv].forwards {
 			s.fleet.Cancel(inv, fwd)
 		}
-		s.door.Free(s.invs[inv].ID, s.invs[inv].forwards > 0)
+		s.door.ReleaseID(s.invs[inv].ID, s.invs[inv].forwards > 0)
 	}
 	s.invs = map[dispatch.InvocationID]*tracked{}
 	s.seed++
 	s.core = dispatch.New(s.site.Dispatch, s.seed)
-	s.events = []dispatch.Event{s.fleet.Listing()}
+	s.events = []dispatch.Event{s.fleet.Endpoints()}
 	if s.hosting != nil {
 		s.hosting.gate.Republish()
 		s.hosting.share()
@@ -311,7 +311,7 @@
 func (s *service) failRest(why string) {
 	s.why = why
 	defer func() { s.why = "" }()
-	for _, inv := range s.door.Rest() {
+	for _, inv := range s.door.Unanswered() {
 		if j := s.invs[inv]; j != nil && j.forwards == 0 {
 			s.door.Throttle(inv, 0)
 		} else {
@@ -335,9 +335,9 @@
 
 // settle lets an invocation go when its client has its answer and no forward is out.
 func (s *service) settle(inv dispatch.InvocationID, j *tracked) {
-	if j.out <= 0 && !s.door.Owed(inv) {
+	if j.out <= 0 && !s.door.AwaitsAnswer(inv) {
 		delete(s.invs, inv)
-		s.door.Free(j.ID, j.forwards > 0)
+		s.door.ReleaseID(j.ID, j.forwards > 0)
 	}
 }
 
@@ -361,7 +361,7 @@
 	case dispatch.Cancel:
 		s.fleet.Cancel(a.Invocation, a.Attempt)
 	case dispatch.HealthCheck:
-		s.fleet.Probe(a.Worker)
+		s.fleet.HealthCheck(a.Worker)
 	case dispatch.SetTimer:
 		s.wake.Stop()
 		s.wake = s.loop.After(a.At-s.loop.Now(), func() { s.events = append(s.events, dispatch.TimerFired{}) })
@@ -384,7 +384,7 @@
 
 // publish lets operators see the figures as they stand.
 func (s *service) publish() {
-	f := s.book.Totals(s.fleet.Listed(), s.core.Ejected())
+	f := s.book.Totals(s.fleet.EndpointCount(), s.core.Ejected())
 	s.figures.Store(&f)
 	s.published, s.publishing = s.book.Changes, nil
 }
@@ -399,13 +399,13 @@
 	if s.road != nil {
 		told = s.road.CountsByName()
 	}
-	turns, stored := s.loop.Turns(), memory()
+	turns, stored := s.loop.Iterations(), memory()
 	text, err := json.Marshal(map[string]any{
-		"turns":      map[string]int64{"count": turns.Count, "worst_us": turns.Worst.Microseconds(), "worst_10s_us": turns.Lately.Microseconds()},
+		"turns":      map[string]int64{"count": turns.Count, "worst_us": turns.Worst.Microseconds(), "worst_10s_us": turns.WorstRecent.Microseconds()},
 		"heap_bytes": stored[heapLive], "allocations": stored[heapAllocs], "collections": stored[gcCycles],
 		"peers":       told,
-		"invocations": s.book.Totals(s.fleet.Listed(), s.core.Ejected()), "clients": s.door.Counts, "connections_ended": s.door.Ended, "workers": s.fleet.Counts, "guard": s.fleet.Guard.Counts, "refused": s.givenUp, "watches": s.list.WatchesStarted, "clock_steps": s.list.ClockSteps(), "in_hand": s.door.InHand(),
-		"out": s.fleet.Out(), "panics": s.panics, "sockets": s.ours.Used() + s.theirs.Used(), "served_us": spread(s.waits),
+		"invocations": s.book.Totals(s.fleet.EndpointCount(), s.core.Ejected()), "clients": s.door.Counts, "connections_ended": s.door.ClosedConnections, "workers": s.fleet.Counts, "guard": s.fleet.Invariants.Counts, "refused": s.givenUp, "watches": s.list.WatchesStarted, "clock_steps": s.list.ClockSteps(), "in_hand": s.door.InFlight(),
+		"out": s.fleet.InFlight(), "panics": s.panics, "sockets": s.ours.Used() + s.theirs.Used(), "served_us": spread(s.waits),
 		"decided_us": spread(s.thinks),
 	})
 	if err != nil {
--- a/cmd/stoatweir/service_test.go
+++ b/cmd/stoatweir/service_test.go
@@ -149,7 +149,7 @@
 		}
 	}
 	hold("b", `"Forwards":2`) // taken alone, it may not have been sent, and is told to come back
-	s.loop.Put(breaks{s})
+	s.loop.Post(breaks{s})
 	if got := <-answer; got != "HTTP/1.1 500 Internal Server Error " {
 		t.Error("in hand of a broken module:", got)
 	}
@@ -184,7 +184,7 @@
 		t.Error("one move, more than one watch")
 	}
 	hold("2", `"Taken":5`)
-	s.loop.Order(order{s, s.stop})
+	s.loop.PostUrgent(order{s, s.stop})
 	orders <- syscall.SIGHUP
 	if got := exchange(node, "GET /-/ready HTTP/1.1\r\n\r\n"); got != "HTTP/1.1 503 Service Unavailable " {
 		t.Error("ready while it leaves:", got)
@@ -246,7 +246,7 @@
 	if got := ask(); got != "HTTP/1.1 200 OK <nil>" {
 		t.Error("kept:", got)
 	}
-	s.loop.Order(order{s, s.stop})
+	s.loop.PostUrgent(order{s, s.stop})
 	for range 3 {
 		if got := ask(); got != "HTTP/1.1 503 Service Unavailable <nil>" {
 			t.Error("kept while stopping:", got)
--- a/cmd/stoatweir/successor.go
+++ b/cmd/stoatweir/successor.go
@@ -97,9 +97,9 @@
 
 // question is news that was passed on.
 type question struct {
-	news  workers.News
+	news  workers.Callback
 	heard func(bool)
-	late  *conn.Alarm
+	late  *conn.Timer
 }
 
 // word is what the other process has said.
@@ -121,7 +121,7 @@
 	b := &bond{service: s, link: link, elder: elder, asked: map[uint64]*question{}, ids: map[string]bool{},
 		passed: map[uint64]*parcel{}}
 	s.bond = b
-	link.Start(func(m handover.Message) { s.loop.Put(word{b, m}) }, func() { s.loop.Put(parted{b}) })
+	link.Start(func(m handover.Message) { s.loop.Post(word{b, m}) }, func() { s.loop.Post(parted{b}) })
 }
 
 // meet begins to serve: at once where nobody else does.
@@ -150,7 +150,7 @@
 		return
 	}
 	s.post = post
-	go post.Serve(func(n *handover.Newcomer) { s.loop.Put(came{s, n}) })
+	go post.Serve(func(n *handover.Newcomer) { s.loop.Post(came{s, n}) })
 }
 
 // serves: we say yes from now on.
@@ -212,8 +212,8 @@
 	p.lost()
 	for _, q := range p.asked {
 		q.late.Stop()
-		s.fleet.Take(q.news) // it may have come here meanwhile
-		q.heard(true)        // with its owner gone nobody waits for it any more
+		s.fleet.HandleCallback(q.news) // it may have come here meanwhile
+		q.heard(true)                  // with its owner gone nobody waits for it any more
 	}
 	if p.elder {
 		s.log.Info("the process before this one has ended")
@@ -247,15 +247,15 @@
 			delete(b.ids, id)
 		}
 	case handover.News:
-		n, err := s.door.ReadNews(m.Body)
-		owned := err == nil && s.fleet.Take(n)
+		n, err := s.door.ParseCallback(m.Body)
+		owned := err == nil && s.fleet.HandleCallback(n)
 		b.link.Send(handover.Message{Kind: handover.Heard, Number: m.Number, OK: owned, Unsure: !owned && b.passing(n.ID)})
 	case handover.Heard:
 		if q := b.asked[m.Number]; q != nil {
 			delete(b.asked, m.Number)
 			q.late.Stop()
 			// What neither had was on its way here, or back, when it was asked for: the answer has come behind it.
-			q.heard(m.OK || s.fleet.Take(q.news) || !m.Unsure && !b.passing(q.news.ID))
+			q.heard(m.OK || s.fleet.HandleCallback(q.news) || !m.Unsure && !b.passing(q.news.ID))
 		}
 	case handover.Learn:
 		b.teach()
@@ -274,7 +274,7 @@
 }
 
 // relay passes news on that is for nobody here. False: there is nobody who could have it.
-func (s *service) relay(n workers.News, body []byte, heard func(bool)) bool {
+func (s *service) relay(n workers.Callback, body []byte, heard func(bool)) bool {
 	b := s.bond
 	switch {
 	case b == nil && s.at.shared && s.at.link == nil && s.loop.Now() < unsureFor:
--- a/cmd/stoatweir/told_test.go
+++ b/cmd/stoatweir/told_test.go
@@ -283,7 +283,7 @@
 
 // end stops the player; its discovery has ended.
 func (p *player) end() {
-	p.loop.Order(order{p.service, p.loop.Stop})
+	p.loop.PostUrgent(order{p.service, p.loop.Stop})
 	<-p.over
 	close(p.listener)
 }
@@ -436,7 +436,7 @@
 						time.AfterFunc(first, func() {
 							node := p.node
 							node.Deployment, node.Discovery = p.base, movedAddr
-							p.loop.Order(newer{p.service, node, nil})
+							p.loop.PostUrgent(newer{p.service, node, nil})
 						})
 					}
 					together(t, first+longest+8*time.Second, all...)
@@ -471,8 +471,8 @@
 				at := &standIn{began: time.Now(), how: refused, from: first, to: first + 300*time.Millisecond, open: map[net.Conn]bool{}}
 				p := day{push: push, peers: 300, seed: seed}.play(t, at)
 				time.AfterFunc(first+100*time.Millisecond, func() {
-					p.loop.Order(order{p.service, func() {
-						p.door.Longest = 3 * time.Second // as a client has said
+					p.loop.PostUrgent(order{p.service, func() {
+						p.door.LongestTimeout = 3 * time.Second // as a client has said
 						p.service.stop()
 					}})
 				})
--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -230,7 +230,7 @@
 	return s, world, func() {
 		world.end()
 		time.Sleep(3 * time.Second) // all connections end
-		s.loop.Order(order{s, s.loop.Stop})
+		s.loop.PostUrgent(order{s, s.loop.Stop})
 		<-over
 	}
 }
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -190,8 +190,8 @@
 func fillCounts(t *testing.T, s *service) {
 	t.Helper()
 	fillBook(s.book)
-	s.door.Counts, s.fleet.Counts, s.fleet.Guard.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[guard.Counts](t)
-	s.door.Ended, s.givenUp = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
+	s.door.Counts, s.fleet.Counts, s.fleet.Invariants.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[guard.Counts](t)
+	s.door.ClosedConnections, s.givenUp = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
 	s.list.WatchesStarted, s.panics = 1006, 1007
 	s.road = &peers.Transport{}
 	for n, c := range []interface{ Store(uint64) }{&s.road.Counts.Sent, &s.road.Counts.Heard, &s.road.Counts.Unsent, &s.road.Counts.Foreign,
@@ -232,7 +232,7 @@
 	s, _ := wireService(t)
 	now := time.Duration(0)
 	g := guard.New(func() time.Duration { now += 250 * time.Millisecond; return now })
-	s.fleet.Guard = g
+	s.fleet.Invariants = g
 	g.RequestAdmitted(1, guard.RequestLimits{ID: "job-1", Effect: dispatch.NonIdempotent, Deadline: time.Minute, MaxAttempts: 2, MaxInFlight: 1})
 	worker := guard.Target{UID: "s-1", Endpoint: dispatch.Endpoint{State: dispatch.Ready}}
 	gone := worker
@@ -292,12 +292,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	published := make(chan struct{})
-	s.loop.Order(order{s, func() { s.publish(); close(published) }})
+	s.loop.PostUrgent(order{s, func() { s.publish(); close(published) }})
 	<-published
 	ask("status", "stats", "active", "standby", "status", "standby", "active", "status", "other")
-	s.loop.Order(order{s, s.stop})
+	s.loop.PostUrgent(order{s, s.stop})
 	ask("standby", "active", "status")
 	golden(t, "admin", []byte(got))
-	s.loop.Order(order{s, s.loop.Stop})
+	s.loop.PostUrgent(order{s, s.loop.Stop})
 	<-over
 }
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -62,31 +62,31 @@
 )
 
 // Door is where clients and workers' news come in.
-type Door struct {
-	Event   func(dispatch.Event)
-	Took    func(j *workers.Invocation, operation int) // an invocation has come; the event follows
-	News    func(workers.News) bool                    // of a worker; false: of nothing that is known here
-	Served  func(time.Duration)                        // how long a client waited for its worker's result
-	Manner  func() life.Behavior
-	Accept  func(net.Listener) (net.Conn, error) // lets the next connection in, as the listener does unless it is set
-	Report  func() []byte                        // the counters, for people
-	History func(id string) []byte               // what is known of a request
+type Server struct {
+	OnEvent    func(dispatch.Event)
+	OnRequest  func(j *workers.Invocation, operation int) // an invocation has come; the event follows
+	OnCallback func(workers.Callback) bool                // of a worker; false: of nothing that is known here
+	OnServed   func(time.Duration)                        // how long a client waited for its worker's result
+	Behavior   func() life.Behavior
+	Accept     func(net.Listener) (net.Conn, error) // lets the next connection in, as the listener does unless it is set
+	Counters   func() []byte                        // the counters, for people
+	History    func(id string) []byte               // what is known of a request
 	// The other process that serves at our address, while there is one. Relay passes news on that is for nobody here, and
 	// tells later whether it was heard there; false: there is nobody to ask. Foreign: an id is in hand there. Holds: one is
 	// here.
-	Relay   func(n workers.News, body []byte, heard func(bool)) bool
-	Foreign func(id string) bool
-	Holds   func(id string, holds bool)
-	Counts  Counts
-	Ended   map[string]int // connections, by why they ended
-	Longest time.Duration  // that a client has said it waits
-	Ledger  *ledger.Ledger
-	Gate    *tenants.Controller                // who may come in, where tenants are served; nil: all may
-	Guard   *guard.Checker                     // each final answer and each end of a connection passes it; nil: none does
-	Reason  func(dispatch.InvocationID) string // why the answer that is being given is given, for the history of the request; nil: not told
+	RelayCallback     func(n workers.Callback, body []byte, heard func(bool)) bool
+	OwnedByPeer       func(id string) bool
+	OnOwnership       func(id string, holds bool)
+	Counts            Counts
+	ClosedConnections map[string]int // connections, by why they ended
+	LongestTimeout    time.Duration  // that a client has said it waits
+	Ledger            *ledger.Ledger
+	Admission         *tenants.Controller                // who may come in, where tenants are served; nil: all may
+	Invariants        *guard.Checker                     // each final answer and each end of a connection passes it; nil: none does
+	Reason            func(dispatch.InvocationID) string // why the answer that is being given is given, for the history of the request; nil: not told
 
 	loop        *conn.Loop
-	share       *conn.Share
+	share       *conn.Quota
 	site        settings.Deployment
 	operations  map[string]int
 	classes     []int // of the ledger, by operation
@@ -98,7 +98,7 @@
 	closes      bool          // it is not to be any more
 	passing     int           // connections on their way to another process
 	waits       bool          // for a descriptor
-	retry       *conn.Alarm
+	retry       *conn.Timer
 	most        int // invocations in hand
 	last        dispatch.InvocationID
 	inHand      map[dispatch.InvocationID]*inHand
@@ -112,18 +112,18 @@
 	connection *connection
 	came       time.Duration
 	givenUp    time.Duration
-	overdue    *conn.Alarm
+	overdue    *conn.Timer
 	seat       *tenants.Account // nil: nobody's
 	ask        tenants.Request
 }
 
 // New makes a door that is shut and has no room yet.
-func New(loop *conn.Loop, site settings.Deployment, share *conn.Share, book *ledger.Ledger) *Door {
-	d := &Door{loop: loop, share: share,
+func New(loop *conn.Loop, site settings.Deployment, share *conn.Quota, book *ledger.Ledger) *Server {
+	d := &Server{loop: loop, share: share,
 		inHand: map[dispatch.InvocationID]*inHand{}, ids: map[string]bool{}, connections: map[*connection]struct{}{},
-		more: make(chan struct{}, 1), Ledger: book, Ended: map[string]int{}, Accept: net.Listener.Accept}
-	d.Retune(site)
-	share.Freed = func() {
+		more: make(chan struct{}, 1), Ledger: book, ClosedConnections: map[string]int{}, Accept: net.Listener.Accept}
+	d.Reconfigure(site)
+	share.OnFree = func() {
 		if d.waits {
 			d.waits = false // before anything that may free another one: one leave at a time
 			d.accept()
@@ -133,7 +133,7 @@
 }
 
 // Retune follows newer settings. What is in hand keeps the class under which it came.
-func (d *Door) Retune(site settings.Deployment) {
+func (d *Server) Reconfigure(site settings.Deployment) {
 	d.site, d.operations, d.classes = site, site.OperationIndex, nil
 	for at, name := range site.Operations {
 		class := -1 // nobody comes under it any more
@@ -154,12 +154,12 @@
 }
 
 type accepted struct {
-	*Door
+	*Server
 	net net.Conn
 }
 
 // Listen opens the door. The listener waits for leave before each connection, so that descriptors are never short.
-func (d *Door) Listen(l net.Listener) {
+func (d *Server) Listen(l net.Listener) {
 	d.listener, d.hears = l, true
 	go func() {
 		for range d.more { // the goroutine ends with the process
@@ -167,7 +167,7 @@
 			if err != nil {
 				nc = nil // a client that left while it waited, or the end: the loop says what follows
 			}
-			d.loop.Put(accepted{d, nc})
+			d.loop.Post(accepted{d, nc})
 		}
 	}()
 	d.accept()
@@ -175,7 +175,7 @@
 
 // Take takes a connection in.
 func (a accepted) Take() {
-	d := a.Door
+	d := a.Server
 	d.leave = false
 	if a.net == nil {
 		d.loop.After(time.Millisecond, d.accept) // not at once, as the error may last
@@ -185,59 +185,59 @@
 	v := &connection{door: d, came: d.loop.Now()}
 	d.connections[v] = struct{}{}
 	v.c = d.share.Adopt(a.net, v)
-	v.c.Set(conn.Mute) // its first request is on the way: older ones without a word go before it
+	v.c.SetState(conn.StateNew) // its first request is on the way: older ones without a word go before it
 	v.limitSilence()
 	d.accept()
 }
 
-func (d *Door) accept() {
+func (d *Server) accept() {
 	d.retry.Stop()
-	if d.waits = false; d.leave || d.listener == nil || d.closes || !d.Manner().Accepts {
+	if d.waits = false; d.leave || d.listener == nil || d.closes || !d.Behavior().Accepts {
 		return
 	}
-	if d.waits = !d.share.Spare(0); !d.waits {
+	if d.waits = !d.share.EnsureFree(0); !d.waits {
 		d.leave = true
 		d.more <- struct{}{}
 		return
 	}
 	// Also where none becomes free: half requests grow old enough to go.
-	d.retry = d.loop.After(acceptAgain, d.share.Freed)
+	d.retry = d.loop.After(acceptAgain, d.share.OnFree)
 }
 
 // IDs lists those that are taken.
-func (d *Door) IDs() []string { return slices.Sorted(maps.Keys(d.ids)) }
+func (d *Server) IDs() []string { return slices.Sorted(maps.Keys(d.ids)) }
 
 // Resize says how many invocations may be in hand at once: fewer than the share of descriptors, so that there is always
 // one to be had for news, and for whoever comes next.
-func (d *Door) Resize(most int) { d.most = most }
+func (d *Server) SetMaxInFlight(most int) { d.most = most }
 
 // Owed tells whether a client still waits for the answer.
-func (d *Door) Owed(inv dispatch.InvocationID) bool { return d.inHand[inv] != nil }
+func (d *Server) AwaitsAnswer(inv dispatch.InvocationID) bool { return d.inHand[inv] != nil }
 
 // Waits tells the same at the moment of a send. The kernel is asked too: the word that its client has gone may stand in line
 // behind all else that the loop has to do. Who has gone is taken as such at once.
-func (d *Door) Waits(inv dispatch.InvocationID) bool {
+func (d *Server) ClientWaiting(inv dispatch.InvocationID) bool {
 	j := d.inHand[inv]
-	if j != nil && j.connection.c.Left() {
+	if j != nil && j.connection.c.PeerClosed() {
 		j.connection.c.Close()
 		j.connection.Down(j.connection.c, conn.Closed)
 	}
-	return d.Owed(inv)
+	return d.AwaitsAnswer(inv)
 }
 
 // InHand counts the invocations that are owed an answer.
-func (d *Door) InHand() int { return len(d.inHand) }
+func (d *Server) InFlight() int { return len(d.inHand) }
 
 // Deliver is the answer with a worker's result.
-func (d *Door) Deliver(inv dispatch.InvocationID, result string) {
+func (d *Server) Deliver(inv dispatch.InvocationID, result string) {
 	if j := d.inHand[inv]; j != nil {
-		d.Served(d.loop.Now() - j.came)
+		d.OnServed(d.loop.Now() - j.came)
 		d.answer(inv, ledger.Succeeded, 200, []byte(result))
 	}
 }
 
 // Throttle says that asking again is harmless.
-func (d *Door) Throttle(inv dispatch.InvocationID, after time.Duration) {
+func (d *Server) Throttle(inv dispatch.InvocationID, after time.Duration) {
 	if d.inHand[inv] == nil {
 		return
 	}
@@ -249,15 +249,15 @@
 }
 
 // Fail promises nothing.
-func (d *Door) Fail(inv dispatch.InvocationID) {
+func (d *Server) Fail(inv dispatch.InvocationID) {
 	if d.inHand[inv] != nil {
 		d.answer(inv, ledger.Aborted, 500, nil)
 	}
 }
 
-func (d *Door) answer(inv dispatch.InvocationID, how ledger.Disposition, status int, body []byte, fields ...http1.Field) {
+func (d *Server) answer(inv dispatch.InvocationID, how ledger.Disposition, status int, body []byte, fields ...http1.Field) {
 	v := d.inHand[inv].connection
-	if given := d.Guard.CheckAnswer(inv, kinds[how], d.reason(inv)); given != kinds[how] {
+	if given := d.Invariants.CheckAnswer(inv, kinds[how], d.reason(inv)); given != kinds[how] {
 		how, status, fields = ledger.Aborted, 500, nil // the only answer that promises nothing
 	}
 	d.forget(inv, how)
@@ -268,7 +268,7 @@
 var kinds = map[ledger.Disposition]guard.Kind{ledger.Succeeded: guard.Succeeded, ledger.Declined: guard.Refused,
 	ledger.Aborted: guard.Failed, ledger.Abandoned: guard.Abandoned, ledger.Migrated: guard.Migrated}
 
-func (d *Door) reason(inv dispatch.InvocationID) string {
+func (d *Server) reason(inv dispatch.InvocationID) string {
 	if d.Reason == nil {
 		return ""
 	}
@@ -276,11 +276,11 @@
 }
 
 // forget is where every invocation ends, once.
-func (d *Door) forget(inv dispatch.InvocationID, how ledger.Disposition) {
+func (d *Server) forget(inv dispatch.InvocationID, how ledger.Disposition) {
 	j := d.inHand[inv]
 	d.Ledger.Completed(j.class, how)
 	if j.seat != nil {
-		d.Gate.Completed(d.loop.Now(), j.seat, j.ask, d.loop.Now()-j.came, endings[how])
+		d.Admission.Completed(d.loop.Now(), j.seat, j.ask, d.loop.Now()-j.came, endings[how])
 	}
 	j.overdue.Stop()
 	delete(d.inHand, inv)
@@ -290,10 +290,10 @@
 	ledger.Aborted: tenants.Aborted, ledger.Abandoned: tenants.Abandoned, ledger.Migrated: tenants.Migrated}
 
 // Free lets an id go some time after the last forward of it has ended; unless it was never sent, news of it may come.
-func (d *Door) Free(id string, sent bool) {
+func (d *Server) ReleaseID(id string, sent bool) {
 	free := func() {
 		delete(d.ids, id)
-		d.Holds(id, false)
+		d.OnOwnership(id, false)
 	}
 	if !sent {
 		free()
@@ -305,8 +305,8 @@
 // Follow closes what may not stay as things stand now. Until then connections stay open, as the clients on them may have
 // nobody else to ask yet. A budget stays what the client said, also near the end: a shorter one would look like that of a
 // client that has waited for long, and be refused at once.
-func (d *Door) Follow() {
-	m := d.Manner()
+func (d *Server) ApplyBehavior() {
+	m := d.Behavior()
 	d.closes = d.closes && m.ExitsWhenIdle
 	d.listens(m.Accepts && !d.closes) // whoever waits in the queue is for the other process, which listens at the same socket
 	d.accept()
@@ -321,7 +321,7 @@
 	}
 }
 
-func (d *Door) listens(hears bool) {
+func (d *Server) listens(hears bool) {
 	deaf, can := d.listener.(interface{ SetDeadline(time.Time) error })
 	if !can || d.hears == hears {
 		return
@@ -335,18 +335,18 @@
 
 // Close lets nobody in any more, and tells whether nobody is on the way in: a connection that the listener has accepted
 // and the door has not met yet would end without a word.
-func (d *Door) Close() bool {
+func (d *Server) StopAccepting() bool {
 	d.closes = true
 	d.listens(false)
 	return !d.leave || d.hears
 }
 
 // Rest lists the invocations that are owed an answer, oldest first.
-func (d *Door) Rest() []dispatch.InvocationID { return slices.Sorted(maps.Keys(d.inHand)) }
+func (d *Server) Unanswered() []dispatch.InvocationID { return slices.Sorted(maps.Keys(d.inHand)) }
 
 // Busy tells whether requests are still on their way in, answers on their way out, or connections on their way to another
 // process.
-func (d *Door) Busy() bool {
+func (d *Server) Busy() bool {
 	if d.passing > 0 {
 		return true
 	}
@@ -355,5 +355,5 @@
 			return true
 		}
 	}
-	return !d.share.Flushed()
+	return !d.share.AllFlushed()
 }
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -20,7 +20,7 @@
 )
 
 // open listens on loopback; what happens at the door is printed, and done is asked after each.
-func open(most int) (l *conn.Loop, d *Door, addr string, shut func()) {
+func open(most int) (l *conn.Loop, d *Server, addr string, shut func()) {
 	site, err := settings.ParseDeployment([]byte(`{"Operations": [{"Name": "render", "Effect": "read_like", "ClientTimeout": 5},
 		{"Name": "sale", "Effect": "idempotency_key"}], "Tenants": [{"Name": "kestrel"}, {"Name": "oak"}],
 		"FamilyInfo": {"ReportX0": "free slots"}, "Report": {"How": "answers", "Names": ["x0"]}}`))
@@ -28,11 +28,11 @@
 		panic(err)
 	}
 	l = conn.NewLoop(time.Now())
-	d = New(l, site, l.Share(40), ledger.New())
-	d.Resize(most)
-	d.Relay = func(workers.News, []byte, func(bool)) bool { return false }
-	d.Foreign, d.Holds = func(string) bool { return false }, func(string, bool) {}
-	d.Event = func(e dispatch.Event) {
+	d = New(l, site, l.NewQuota(40), ledger.New())
+	d.SetMaxInFlight(most)
+	d.RelayCallback = func(workers.Callback, []byte, func(bool)) bool { return false }
+	d.OwnedByPeer, d.OnOwnership = func(string) bool { return false }, func(string, bool) {}
+	d.OnEvent = func(e dispatch.Event) {
 		if a, is := e.(dispatch.Arrival); is {
 			fmt.Printf("inv %d: operation %d tenant %d slots %v hint %v budget %v\n", a.Invocation, a.Operation, a.Tenant,
 				a.Slots, a.Hint, a.Budget.Round(100*time.Millisecond))
@@ -40,16 +40,16 @@
 		}
 		fmt.Printf("%T%+v\n", e, e)
 	}
-	d.Took = func(j *workers.Invocation, _ int) {
+	d.OnRequest = func(j *workers.Invocation, _ int) {
 		fmt.Println("job", j.ID, j.Method, j.Target, j.Fields, string(j.Body))
 	}
-	d.News = func(n workers.News) bool {
+	d.OnCallback = func(n workers.Callback) bool {
 		fmt.Println("news", n.ID, n.From, n.State, n.Share, n.Load != nil)
 		return true
 	}
-	d.Served = func(time.Duration) {}
+	d.OnServed = func(time.Duration) {}
 	manner = life.Behavior{Ready: true, Accepts: true, Admits: true}
-	d.Manner, d.Report = func() life.Behavior { return manner }, func() []byte { return []byte("{}") }
+	d.Behavior, d.Counters = func() life.Behavior { return manner }, func() []byte { return []byte("{}") }
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -108,8 +108,8 @@
 func Example_answers() {
 	l, d, addr, shut := open(10)
 	defer shut()
-	take := d.Event
-	d.Event = func(e dispatch.Event) {
+	take := d.OnEvent
+	d.OnEvent = func(e dispatch.Event) {
 		take(e)
 		switch a := e.(dispatch.Arrival); a.Invocation {
 		case 1:
@@ -121,12 +121,12 @@
 		case 3:
 			d.Fail(a.Invocation)
 		}
-		fmt.Println("owed:", d.InHand())
+		fmt.Println("owed:", d.InFlight())
 	}
 	closing := strings.Replace(job, "X-Call-Id", "Connection: close\r\nX-Call-Id", 1)
 	ask(l, addr, closing)
 	ask(l, addr, strings.Replace(closing, "9b1f", "9b20", 1))
-	d.Free("9b1f", false)
+	d.ReleaseID("9b1f", false)
 	ask(l, addr, strings.NewReplacer("250000", "lots", "slots=2", "slots=-2", "2.500", "900", "X-Caller: oak", "X-Odd: 1").Replace(closing))
 	fmt.Printf("%+v %+v\n", d.Counts, d.Ledger.Totals(0, 0).Classes)
 	// Output:
@@ -230,18 +230,18 @@
 		return c
 	}
 	c := send(job)
-	until(l, "the job", func() bool { return d.InHand() == 1 })
+	until(l, "the job", func() bool { return d.InFlight() == 1 })
 	ask(l, addr, strings.Replace(job, "X-Caller: oak", "Connection: close", 1))
 	c.Close()
-	until(l, "its client to leave", func() bool { return d.InHand() == 0 })
+	until(l, "its client to leave", func() bool { return d.InFlight() == 0 })
 	ask(l, addr, strings.Replace(job, "X-Caller: oak", "Connection: close", 1)) // a forward of it may still be out
-	d.Free("9b1f", false)
+	d.ReleaseID("9b1f", false)
 	c = send(job)
-	until(l, "the job again", func() bool { return d.InHand() == 1 })
+	until(l, "the job again", func() bool { return d.InFlight() == 1 })
 	closing := strings.Replace(job, "X-Caller: oak", "Connection: close", 1)
 	ask(l, addr, strings.NewReplacer("9b1f", "9b20", "2.500", "0.010").Replace(closing))
 	send(strings.Replace(job, "9b1f", "9b21", 1))
-	until(l, "the second job", func() bool { return d.InHand() == 2 })
+	until(l, "the second job", func() bool { return d.InFlight() == 2 })
 	ask(l, addr, strings.Replace(closing, "9b1f", "9b22", 1))
 	c.Close()
 	fmt.Printf("%+v %+v\n", d.Counts, d.Ledger.Totals(0, 0).Classes)
@@ -287,7 +287,7 @@
 func Example_short() {
 	l, d, addr, shut := open(36)
 	defer shut()
-	d.Took, d.Event = func(*workers.Invocation, int) {}, func(dispatch.Event) {}
+	d.OnRequest, d.OnEvent = func(*workers.Invocation, int) {}, func(dispatch.Event) {}
 	for n := range 36 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -296,13 +296,13 @@
 		defer c.Close()
 		c.Write([]byte(strings.Replace(job, "9b1f", fmt.Sprint("id", n), 1)))
 	}
-	until(l, "those in hand", func() bool { return d.InHand() == 36 })
+	until(l, "those in hand", func() bool { return d.InFlight() == 36 })
 	for range 3 {
 		ask(l, addr, job)
 	}
 	news := `{"id":"id1","from":"s-1","state":"started"}`
 	ask(l, addr, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(news), news))
-	fmt.Println(d.InHand(), d.Counts.Crowded)
+	fmt.Println(d.InFlight(), d.Counts.Crowded)
 	// Output:
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -378,7 +378,7 @@
 		manner.Ready = false
 		idle.Write([]byte("GET /-/ready HTTP/1.1\r\n\r\n"))
 	})
-	l.After(100*time.Millisecond, func() { manner.ClosesIdle = true; d.Follow() })
+	l.After(100*time.Millisecond, func() { manner.ClosesIdle = true; d.ApplyBehavior() })
 	l.After(300*time.Millisecond, func() { manner.Admits = false })
 	until(l, "the idle one's end", func() bool { return manner.ClosesIdle && len(d.connections) == 0 })
 	b, _ := io.ReadAll(idle)
@@ -386,8 +386,8 @@
 	idle.Close()
 	ask(l, addr, "GET /-/ready HTTP/1.1\r\n\r\n")
 	l.After(50*time.Millisecond, func() {
-		d.Fail(d.Rest()[0])
-		fmt.Println("in hand:", d.InHand(), "but not out of the door:", d.Busy())
+		d.Fail(d.Unanswered()[0])
+		fmt.Println("in hand:", d.InFlight(), "but not out of the door:", d.Busy())
 	})
 	ask(l, addr, job)
 	l.After(300*time.Millisecond, l.Stop)
@@ -431,9 +431,9 @@
 	})
 	manner = life.Behavior{Accepts: true, Admits: true, ClosesIdle: true, KeepsCallbacks: true}
 	goes := func(left int) {
-		l.After(0, d.Follow)
+		l.After(0, d.ApplyBehavior)
 		until(l, "those that go", func() bool {
-			l.After(time.Millisecond, d.Follow)
+			l.After(time.Millisecond, d.ApplyBehavior)
 			return len(d.connections) == left
 		})
 		fmt.Println("left:", left)
@@ -462,7 +462,7 @@
 func TestLedgerOverRandomHistories(t *testing.T) {
 	for seed := range int64(20) {
 		l, d, addr, shut := open(3)
-		d.Event, d.Took = func(dispatch.Event) {}, func(*workers.Invocation, int) {}
+		d.OnEvent, d.OnRequest = func(dispatch.Event) {}, func(*workers.Invocation, int) {}
 		rng, told := rand.New(rand.NewSource(seed)), make(chan int, 100)
 		asked, gone := 0, 0
 		heard := map[int]int{}
@@ -479,10 +479,10 @@
 			for _, n := range f.Classes[0].Completed {
 				sum += n
 			}
-			if sum != f.Classes[0].Admitted || f.Outstanding != d.InHand() {
-				t.Fatalf("seed %d: %+v with %d in hand", seed, f, d.InHand())
+			if sum != f.Classes[0].Admitted || f.Outstanding != d.InFlight() {
+				t.Fatalf("seed %d: %+v with %d in hand", seed, f, d.InFlight())
 			}
-			if rest := d.Rest(); len(rest) > 0 {
+			if rest := d.Unanswered(); len(rest) > 0 {
 				inv := rest[rng.Intn(len(rest))]
 				switch rng.Intn(6) {
 				case 0:
@@ -500,7 +500,7 @@
 				}
 				go hand(addr, fmt.Sprint("id", asked), leaves, told)
 			}
-			return asked == 40 && answered == asked && d.InHand() == 0 && !d.Busy()
+			return asked == 40 && answered == asked && d.InFlight() == 0 && !d.Busy()
 		}
 		l.After(0, func() {})
 		until(l, "all answers", func() bool { l.After(100*time.Microsecond, func() {}); return step() })
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -13,19 +13,19 @@
 
 // connection is one from a client, or from a worker with news.
 type connection struct {
-	door    *Door
+	door    *Server
 	c       *conn.Conn
 	parser  http1.Parser
 	inv     dispatch.InvocationID // 0: nothing in hand
 	last    bool                  // the connection ends with the present answer
-	slow    *conn.Alarm           // the next request has to be whole by then, or the answer to the present one waits
+	slow    *conn.Timer           // the next request has to be whole by then, or the answer to the present one waits
 	waits   bool                  // for that
 	strays  int                   // requests in a row that made no sense
 	useful  bool                  // it has brought an invocation or news
 	brings  bool                  // the latter
 	came    time.Duration         // the connection
 	parts   bool                  // it ends unless a request of it has been read
-	parcel  *Parcel               // it is on its way to another process
+	parcel  *MigratingConnection  // it is on its way to another process
 	offered bool                  // or about to be
 	stays   bool                  // that one would not have it
 }
@@ -38,24 +38,24 @@
 	if v.inv != 0 || v.waits || v.parser.Started() {
 		return
 	}
-	if c.Set(conn.Done); v.useful {
-		c.Set(conn.Idle)
+	if c.SetState(conn.StateFinished); v.useful {
+		c.SetState(conn.StateIdle)
 	}
 }
 
 // Down of a client with an invocation in hand: it has gone away.
-func (v *connection) Down(_ *conn.Conn, e conn.Ending) {
+func (v *connection) Down(_ *conn.Conn, e conn.CloseReason) {
 	d := v.door
 	delete(d.connections, v)
 	v.slow.Stop()
-	d.Ended[e.String()]++
+	d.ClosedConnections[e.String()]++
 	if e == conn.NoDescriptor {
-		d.Guard.CheckClose(v.inv) // it was we who closed it
+		d.Invariants.CheckClose(v.inv) // it was we who closed it
 	}
-	if v.inv != 0 && d.Owed(v.inv) {
-		d.Guard.CheckAnswer(v.inv, guard.Abandoned, e.String())
+	if v.inv != 0 && d.AwaitsAnswer(v.inv) {
+		d.Invariants.CheckAnswer(v.inv, guard.Abandoned, e.String())
 		d.forget(v.inv, ledger.Abandoned)
-		d.Event(dispatch.ClientDisconnected{Invocation: v.inv})
+		d.OnEvent(dispatch.ClientDisconnected{Invocation: v.inv})
 	}
 }
 
@@ -77,19 +77,19 @@
 			return
 		}
 		v.slow.Stop()
-		v.door.Guard.CheckClose(v.inv)
-		v.door.Ended[endedIdle]++
+		v.door.Invariants.CheckClose(v.inv)
+		v.door.ClosedConnections[endedIdle]++
 		delete(v.door.connections, v)
 		v.c.Close()
 	})
 }
 
 func (v *connection) quit() {
-	v.door.Guard.CheckClose(v.inv)
-	v.door.Ended[endedAnswered]++
+	v.door.Invariants.CheckClose(v.inv)
+	v.door.ClosedConnections[endedAnswered]++
 	delete(v.door.connections, v)
 	v.slow.Stop()
-	v.c.Quit()
+	v.c.CloseAfterFlush()
 }
 
 // limitSilence has a connection end that has not brought a whole request in time since it came.
@@ -125,7 +125,7 @@
 		if step == http1.Whole {
 			v.slow.Stop()
 			v.slow = nil
-			c.Set(conn.Busy)
+			c.SetState(conn.StateActive)
 			m := v.parser.Message
 			v.last = m.Close
 			v.take(m)
@@ -134,12 +134,12 @@
 	if v.inv != 0 && c.In.Len() > 0 {
 		// More than the ring holds would stop the reading, and its client's leaving would not be seen.
 		v.last = true
-		c.Ignore()
+		c.DiscardInput()
 	}
 	if !v.parser.Started() || v.last || v.waits {
 		return
 	}
-	c.Set(conn.Begun)
+	c.SetState(conn.StateReading)
 	if v.slow == nil {
 		v.slow = v.door.loop.After(readIn, v.late)
 	}
@@ -163,7 +163,7 @@
 
 // shuts tells whether the connection ends with the next answer.
 func (v *connection) shuts() bool {
-	m := v.door.Manner()
+	m := v.door.Behavior()
 	return m.ClosesIdle && !(m.KeepsCallbacks && v.brings)
 }
 
@@ -173,13 +173,13 @@
 	switch {
 	case path == newsPath:
 		v.news(m)
-	case path == readyPath && d.Manner().Ready:
+	case path == readyPath && d.Behavior().Ready:
 		v.answer(200, nil)
 	case path == readyPath:
 		v.answer(503, nil)
-	case path == countsPath && d.Gate == nil: // where tenants are served these are other tenants' figures too
-		v.answer(200, d.Report(), http1.Field{Name: "Content-Type", Value: "application/json"})
-	case path == historyPath && d.Gate == nil && d.History != nil:
+	case path == countsPath && d.Admission == nil: // where tenants are served these are other tenants' figures too
+		v.answer(200, d.Counters(), http1.Field{Name: "Content-Type", Value: "application/json"})
+	case path == historyPath && d.Admission == nil && d.History != nil:
 		v.answer(200, d.History(strings.TrimPrefix(query, "id=")), http1.Field{Name: "Content-Type", Value: "text/plain"})
 	case m.Method != "POST":
 		v.refuse(405)
@@ -197,7 +197,7 @@
 		return
 	}
 	v.waits = true
-	v.c.Set(conn.Done)
+	v.c.SetState(conn.StateFinished)
 	v.slow = d.loop.After(min(patienceFirst<<min(v.strays, 16), patienceMost), func() {
 		v.waits, v.slow = false, nil
 		v.answer(status, nil, fields...)
--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -25,12 +25,12 @@
 // A request whose bytes have been read, and wait in the loop's inbox, is served, whatever ends idle connections at that
 // moment: a stop, the wait for a first word, or want of descriptors.
 func TestReadWhenIdleConnectionsEnd(t *testing.T) {
-	for name, ends := range map[string]func(d *Door, v *connection){
-		"a stop":         func(d *Door, _ *connection) { manner.ClosesIdle = true; d.Follow() },
-		"the first word": func(_ *Door, v *connection) { v.late() },
-		"descriptors":    func(d *Door, _ *connection) { d.share.Resize(0) },
-		"a kept one": func(d *Door, v *connection) {
-			v.c.Set(conn.Idle)
+	for name, ends := range map[string]func(d *Server, v *connection){
+		"a stop":         func(d *Server, _ *connection) { manner.ClosesIdle = true; d.ApplyBehavior() },
+		"the first word": func(_ *Server, v *connection) { v.late() },
+		"descriptors":    func(d *Server, _ *connection) { d.share.Resize(0) },
+		"a kept one": func(d *Server, v *connection) {
+			v.c.SetState(conn.StateIdle)
 			d.share.Resize(0)
 		},
 	} {
@@ -55,7 +55,7 @@
 			got := ""
 			l.After(0, func() {})
 			until(l, "an answer", func() bool {
-				for _, inv := range d.Rest() {
+				for _, inv := range d.Unanswered() {
 					d.Deliver(inv, "result")
 				}
 				l.After(time.Millisecond, func() {})
@@ -82,14 +82,14 @@
 		t.Fatal(err)
 	}
 	c.Write([]byte(job))
-	until(l, "the job", func() bool { return d.InHand() == 1 })
+	until(l, "the job", func() bool { return d.InFlight() == 1 })
 	began := l.Now()
 	go func() {
 		c.Write(make([]byte, 1<<20))
 		c.Close()
 	}()
 	turns := 0
-	until(l, "its client to leave", func() bool { turns++; return d.InHand() == 0 })
+	until(l, "its client to leave", func() bool { turns++; return d.InFlight() == 0 })
 	if took := l.Now() - began; d.Counts.Overdue > 0 || took > 300*time.Millisecond || turns > 20 {
 		t.Errorf("seen after %v in %d turns, %d overdue", took, turns, d.Counts.Overdue)
 	}
@@ -124,7 +124,7 @@
 			l, d, addr, shut := open(36)
 			defer shut()
 			withdrawn := 0
-			d.Took, d.Event = func(*workers.Invocation, int) {}, func(e dispatch.Event) {
+			d.OnRequest, d.OnEvent = func(*workers.Invocation, int) {}, func(e dispatch.Event) {
 				if _, is := e.(dispatch.ClientDisconnected); is {
 					withdrawn++
 				}
@@ -139,21 +139,21 @@
 				c.Write([]byte(strings.Replace(job, "9b1f", fmt.Sprint("id", n), 1)))
 				all = append(all, c.(*net.TCPConn))
 			}
-			until(l, "those in hand", func() bool { return d.InHand() == len(all) })
+			until(l, "those in hand", func() bool { return d.InFlight() == len(all) })
 			for _, c := range all[1:] {
 				leave(c)
 			}
 			end := time.Now().Add(5 * time.Second) // for the network; the loop does not run
 			stays := 0
-			for _, inv := range d.Rest() {
-				for wait := d.Rest()[0] != inv || stays > 0; wait && d.Waits(inv) && time.Now().Before(end); {
+			for _, inv := range d.Unanswered() {
+				for wait := d.Unanswered()[0] != inv || stays > 0; wait && d.ClientWaiting(inv) && time.Now().Before(end); {
 				}
-				if d.Waits(inv) {
+				if d.ClientWaiting(inv) {
 					stays++
 				}
 			}
-			if stays != 1 || withdrawn != len(all)-1 || d.InHand() != 1 {
-				t.Errorf("%d stay, %d withdrawn, %d in hand", stays, withdrawn, d.InHand())
+			if stays != 1 || withdrawn != len(all)-1 || d.InFlight() != 1 {
+				t.Errorf("%d stay, %d withdrawn, %d in hand", stays, withdrawn, d.InFlight())
 			}
 			until(l, "the notes", func() bool { l.After(time.Millisecond, func() {}); return d.share.Used() == 1 })
 			if withdrawn != len(all)-1 {
@@ -172,27 +172,27 @@
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	f := workers.NewFleet(l, d.site, l.Share(4))
+	f := workers.NewTransport(l, d.site, l.NewQuota(4))
 	id := netip.MustParseAddrPort(worker.Addr().String())
 	stand := func(s dispatch.EndpointState) {
-		f.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: id.String(),
+		f.ApplyUpdate(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: id.String(),
 			Endpoint: dispatch.Endpoint{Worker: id, State: s}}}})
 	}
 	stand(dispatch.Ready)
-	f.Owed, f.Waits, f.Wrote = d.Owed, d.Waits, func() {}
+	f.AwaitsAnswer, f.ClientWaiting, f.OnWritten = d.AwaitsAnswer, d.ClientWaiting, func() {}
 	var ends []dispatch.Event
-	f.Event = func(e dispatch.Event) { ends = append(ends, e) }
+	f.OnEvent = func(e dispatch.Event) { ends = append(ends, e) }
 	var j *workers.Invocation
-	d.Took, d.Event = func(given *workers.Invocation, _ int) {
+	d.OnRequest, d.OnEvent = func(given *workers.Invocation, _ int) {
 		j = given
-		f.Guard.RequestAdmitted(j.Inv, guard.RequestLimits{})
+		f.Invariants.RequestAdmitted(j.Number, guard.RequestLimits{})
 	}, func(dispatch.Event) {}
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Write([]byte(job))
-	until(l, "the job", func() bool { return d.InHand() == 1 })
+	until(l, "the job", func() bool { return d.InFlight() == 1 })
 	f.Forward(j, 0, id, 0)
 	far, err := worker.Accept()
 	if err != nil {
@@ -254,9 +254,9 @@
 // A request that comes between the last read of an idle connection and its close, and that nobody has read, is served: closing
 // over it would reset the connection.
 func TestUnreadWhenIdleConnectionsEnd(t *testing.T) {
-	for name, ends := range map[string]func(d *Door){
-		"a stop":      func(d *Door) { manner.ClosesIdle = true; d.Follow() },
-		"descriptors": func(d *Door) { d.share.Resize(0) },
+	for name, ends := range map[string]func(d *Server){
+		"a stop":      func(d *Server) { manner.ClosesIdle = true; d.ApplyBehavior() },
+		"descriptors": func(d *Server) { d.share.Resize(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, d, addr, shut := open(10)
@@ -270,7 +270,7 @@
 			var v *connection
 			for v = range d.connections {
 				v.came -= firstIn
-				v.c.Set(conn.Idle)
+				v.c.SetState(conn.StateIdle)
 			}
 			ends(d) // the reading has been stopped, and the loop does not run
 			c.Write([]byte(job))
@@ -285,7 +285,7 @@
 			got := ""
 			l.After(0, func() {})
 			until(l, "an answer", func() bool {
-				for _, inv := range d.Rest() {
+				for _, inv := range d.Unanswered() {
 					d.Deliver(inv, "result")
 				}
 				l.After(time.Millisecond, func() {})
@@ -314,18 +314,18 @@
 	}
 	defer c.Close()
 	until(l, "the connection", func() bool { return len(d.connections) == 1 })
-	d.Follow()
+	d.ApplyBehavior()
 	fmt.Println("stays:", len(d.connections) == 1, "busy:", d.Busy())
 	c.Write([]byte(job))
-	until(l, "its request", func() bool { return d.InHand() == 1 })
+	until(l, "its request", func() bool { return d.InFlight() == 1 })
 	d.Throttle(1, 0)
-	d.Follow()
+	d.ApplyBehavior()
 	l.After(0, func() {})
-	until(l, "its answer", func() bool { l.After(time.Millisecond, d.Follow); return !d.Busy() })
-	fmt.Println("in hand:", d.InHand(), "closed at once:", d.Close())
+	until(l, "its answer", func() bool { l.After(time.Millisecond, d.ApplyBehavior); return !d.Busy() })
+	fmt.Println("in hand:", d.InFlight(), "closed at once:", d.StopAccepting())
 	l.After(0, func() {})
-	until(l, "the listener", func() bool { l.After(time.Millisecond, d.Follow); return d.Close() })
-	d.Follow()
+	until(l, "the listener", func() bool { l.After(time.Millisecond, d.ApplyBehavior); return d.StopAccepting() })
+	d.ApplyBehavior()
 	fmt.Println("nobody comes in:", !d.leave, len(d.connections))
 	// Output:
 	// stays: true busy: true
@@ -336,14 +336,14 @@
 }
 
 // pass has a connection with a job on its way to another process, which has the socket too.
-func pass(l *conn.Loop, d *Door, addr string) (c net.Conn, p *Parcel, other net.Conn) {
+func pass(l *conn.Loop, d *Server, addr string) (c net.Conn, p *MigratingConnection, other net.Conn) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
 	c.Write([]byte(job))
-	until(l, "the job", func() bool { return d.InHand() == 1 })
-	d.Offer(1, func(dispatch.InvocationID) bool { return true }, func(given *Parcel) { p = given })
+	until(l, "the job", func() bool { return d.InFlight() == 1 })
+	d.MigrateConnections(1, func(dispatch.InvocationID) bool { return true }, func(given *MigratingConnection) { p = given })
 	l.After(0, func() {})
 	until(l, "the parcel", func() bool { return p != nil })
 	raw, err := p.Socket.SyscallConn()
@@ -375,7 +375,7 @@
 		b, err := io.ReadAll(c)
 		answer <- fmt.Sprintf("%.50q %v", b, err)
 	}()
-	p.Lost()
+	p.PeerFailed()
 	l.After(0, func() {})
 	got := ""
 	until(l, "the answer", func() bool {
@@ -391,8 +391,8 @@
 	fmt.Println("the other one reads:", n, err)
 	_, err = other.Write([]byte("HTTP/1.1 200 OK\r\n\r\n"))
 	fmt.Println("and writes:", errors.Is(err, syscall.EPIPE))
-	_, kept := d.Inherit(other, Parcel{}, &workers.Invocation{ID: "9b1f", GivenUp: time.Second}, 0, 0)
-	fmt.Println("and takes it in:", kept, d.InHand())
+	_, kept := d.AcceptMigrated(other, MigratingConnection{}, &workers.Invocation{ID: "9b1f", Deadline: time.Second}, 0, 0)
+	fmt.Println("and takes it in:", kept, d.InFlight())
 	// Output:
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
 	// inv 1: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
@@ -408,10 +408,10 @@
 	defer shut()
 	c, p, other := pass(l, d, addr)
 	c.Close()
-	_, kept := d.Inherit(other, Parcel{}, &workers.Invocation{ID: "9b1f", GivenUp: time.Second}, 0, 0)
+	_, kept := d.AcceptMigrated(other, MigratingConnection{}, &workers.Invocation{ID: "9b1f", Deadline: time.Second}, 0, 0)
 	fmt.Println("the other one keeps it:", kept)
-	p.Back()
-	fmt.Println("in hand:", d.InHand(), len(d.connections))
+	p.Returned()
+	fmt.Println("in hand:", d.InFlight(), len(d.connections))
 	// Output:
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
 	// inv 1: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
@@ -429,9 +429,9 @@
 	if err != nil {
 		panic(err)
 	}
-	d.Retune(site)
-	take := d.Event
-	d.Event = func(e dispatch.Event) {
+	d.Reconfigure(site)
+	take := d.OnEvent
+	d.OnEvent = func(e dispatch.Event) {
 		take(e)
 		if a, is := e.(dispatch.Arrival); is {
 			d.Throttle(a.Invocation, 0)
--- a/internal/clients/hosted.go
+++ b/internal/clients/hosted.go
@@ -13,13 +13,13 @@
 const scopeMark = "~"
 
 // identify finds whose a request is. Of two credentials each reader could believe another.
-func (d *Door) identify(values []string) *tenants.Account {
+func (d *Server) identify(values []string) *tenants.Account {
 	if len(values) != 1 {
 		return nil
 	}
 	scheme, credential, _ := strings.Cut(values[0], " ")
 	id, secret, _ := strings.Cut(strings.TrimSpace(credential), ".")
-	seat := d.Gate.Identify(id, secret, time.Now())
+	seat := d.Admission.Identify(id, secret, time.Now())
 	if !strings.EqualFold(scheme, "Bearer") {
 		return nil
 	}
@@ -62,10 +62,10 @@
 }
 
 // seated finds the tenant of an invocation that another process let in. False: nobody here knows it.
-func (d *Door) seated(id string) (*tenants.Account, bool) {
-	if d.Gate == nil {
+func (d *Server) seated(id string) (*tenants.Account, bool) {
+	if d.Admission == nil {
 		return nil, true
 	}
-	seat := d.Gate.ByHandle(Scope(id))
+	seat := d.Admission.ByHandle(Scope(id))
 	return seat, seat != nil
 }
--- a/internal/clients/news.go
+++ b/internal/clients/news.go
@@ -8,7 +8,7 @@
 )
 
 // ReadNews reads what a worker calls back.
-func (d *Door) ReadNews(body []byte) (n workers.News, err error) {
+func (d *Server) ParseCallback(body []byte) (n workers.Callback, err error) {
 	var in struct {
 		ID, From, State string
 		Share           float64
@@ -18,7 +18,7 @@
 	if err := json.Unmarshal(body, &in); err != nil {
 		return n, err
 	}
-	n = workers.News{ID: in.ID, From: in.From, State: in.State, Share: in.Share, Result: in.Result}
+	n = workers.Callback{ID: in.ID, From: in.From, State: in.State, Share: in.Share, Result: in.Result}
 	if len(in.Load) > 0 {
 		n.Load = d.site.Report.Parse(string(in.Load))
 	}
@@ -27,13 +27,13 @@
 
 func (v *connection) news(m *http1.Message) {
 	d := v.door
-	n, err := d.ReadNews(m.Body)
+	n, err := d.ParseCallback(m.Body)
 	if m.Method != "POST" || err != nil {
 		v.refuse(400)
 		return
 	}
 	v.useful, v.brings = true, true
-	if !d.News(n) && d.Relay(n, m.Body, v.heard) {
+	if !d.OnCallback(n) && d.RelayCallback(n, m.Body, v.heard) {
 		v.waits = true // nothing is acknowledged before its owner has it
 		return
 	}
--- a/internal/clients/pass.go
+++ b/internal/clients/pass.go
@@ -14,13 +14,13 @@
 )
 
 // Parcel is a connection on its way to another process, with the invocation that waits on it.
-type Parcel struct {
-	Socket syscall.Conn
-	Read   []byte
-	News   bool
-	Fresh  bool                  // nothing has come over it yet
-	Silent time.Duration         // for so long, of a fresh one
-	Inv    dispatch.InvocationID // 0: it is idle
+type MigratingConnection struct {
+	Socket           syscall.Conn
+	Buffered         []byte
+	CarriesCallbacks bool
+	Unused           bool                  // nothing has come over it yet
+	SilentFor        time.Duration         // for so long, of a fresh one
+	Invocation       dispatch.InvocationID // 0: it is idle
 
 	connection *connection
 	job        *inHand
@@ -29,7 +29,7 @@
 
 // Offer stops connections that could go to another process, and gives each to pass once nothing moves on it any more; most may
 // be under way. may tells whether an invocation can go as it stands.
-func (d *Door) Offer(most int, may func(dispatch.InvocationID) bool, pass func(*Parcel)) {
+func (d *Server) MigrateConnections(most int, may func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
 	under := 0
 	for v := range d.connections {
 		if v.offered {
@@ -49,7 +49,7 @@
 }
 
 // Passable tells whether there is still a connection that could go.
-func (d *Door) Passable() bool {
+func (d *Server) HasMigratable() bool {
 	for v := range d.connections {
 		if v.passable() {
 			return true
@@ -63,7 +63,7 @@
 	return v.parcel == nil && !v.stays && !v.waits && !v.last && !v.parser.Started()
 }
 
-func (v *connection) offer(may func(dispatch.InvocationID) bool, pass func(*Parcel)) {
+func (v *connection) offer(may func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
 	d := v.door
 	if v.inv != 0 && !may(v.inv) || !v.passable() || v.c.Unsent() > 0 {
 		v.offered = false
@@ -74,16 +74,16 @@
 	if !stands {
 		return
 	}
-	p := &Parcel{Socket: socket, News: v.brings, Fresh: !v.useful, Inv: v.inv, connection: v}
-	if p.Fresh {
-		p.Silent = d.loop.Now() - v.came
+	p := &MigratingConnection{Socket: socket, CarriesCallbacks: v.brings, Unused: !v.useful, Invocation: v.inv, connection: v}
+	if p.Unused {
+		p.SilentFor = d.loop.Now() - v.came
 	}
 	for part := v.c.In.Bytes(); len(part) > 0; part = v.c.In.Bytes() {
-		p.Read = append(p.Read, part...)
+		p.Buffered = append(p.Buffered, part...)
 		v.c.In.Drop(len(part))
 	}
 	if v.inv != 0 {
-		p.job, p.record = d.inHand[v.inv], d.Guard.MigrateOut(v.inv)
+		p.job, p.record = d.inHand[v.inv], d.Invariants.MigrateOut(v.inv)
 		d.forget(v.inv, ledger.Migrated)
 	}
 	v.parcel = p
@@ -94,37 +94,37 @@
 }
 
 // Kept: the other process has it.
-func (p *Parcel) Kept() {
+func (p *MigratingConnection) Accepted() {
 	v, d := p.connection, p.connection.door
 	d.passing--
 	delete(d.connections, v)
-	d.Ended[endedHanded]++
+	d.ClosedConnections[endedHanded]++
 	v.c.Close()
 	if p.job != nil {
 		delete(d.ids, p.job.id)
-		d.Holds(p.job.id, false)
+		d.OnOwnership(p.job.id, false)
 	}
 }
 
 // Back: the other process would not have it, and it goes on here.
-func (p *Parcel) Back() {
+func (p *MigratingConnection) Returned() {
 	v, d := p.connection, p.connection.door
 	d.passing--
 	v.parcel, v.stays, v.offered = nil, true, false
 	if p.job != nil {
 		d.Ledger.MigrationReturned(p.job.class)
 		if p.job.seat != nil {
-			d.Gate.MigrationReturned(d.loop.Now(), p.job.seat, p.job.ask)
+			d.Admission.MigrationReturned(d.loop.Now(), p.job.seat, p.job.ask)
 		}
-		d.Guard.CancelMigration(p.Inv, p.record)
-		d.inHand[p.Inv] = p.job
-		d.watch(p.Inv, p.job)
+		d.Invariants.CancelMigration(p.Invocation, p.record)
+		d.inHand[p.Invocation] = p.job
+		d.watch(p.Invocation, p.job)
 	}
-	v.c.In.Write(p.Read)
-	if p.Fresh {
+	v.c.In.Write(p.Buffered)
+	if p.Unused {
 		v.limitSilence()
 	}
-	if v.c.Left() { // while it was on the way; what waits on it must not be sent on before that is read
+	if v.c.PeerClosed() { // while it was on the way; what waits on it must not be sent on before that is read
 		v.c.Close()
 		v.Down(v.c, conn.Closed)
 		return
@@ -135,9 +135,9 @@
 
 // Lost: the other process has died with it on the way, and may have sent it on; or it hangs, and may still find the
 // connection. It ends here for both, so that nobody answers twice and nothing more is sent on.
-func (p *Parcel) Lost() {
+func (p *MigratingConnection) PeerFailed() {
 	v := p.connection
-	p.Back()
+	p.Returned()
 	if _, stays := v.door.connections[v]; !stays {
 		return
 	}
@@ -151,10 +151,10 @@
 
 // Inherit takes a connection of another process in, with the invocation that waits on it, if any; inv is its name here. False:
 // there is no room for it.
-func (d *Door) Inherit(nc net.Conn, p Parcel, j *workers.Invocation, operation int, age time.Duration) (inv dispatch.InvocationID,
+func (d *Server) AcceptMigrated(nc net.Conn, p MigratingConnection, j *workers.Invocation, operation int, age time.Duration) (inv dispatch.InvocationID,
 	kept bool) {
-	m := d.Manner()
-	if !m.Admits || m.ClosesIdle && j == nil || j != nil && len(d.inHand) >= d.most || conn.Left(nc) || !d.share.Spare(0) {
+	m := d.Behavior()
+	if !m.Admits || m.ClosesIdle && j == nil || j != nil && len(d.inHand) >= d.most || conn.PeerClosed(nc) || !d.share.EnsureFree(0) {
 		return 0, false
 	}
 	var seat *tenants.Account
@@ -164,37 +164,37 @@
 			return 0, false
 		}
 	}
-	v := &connection{door: d, useful: !p.Fresh, brings: p.News, came: d.loop.Now() - p.Silent}
+	v := &connection{door: d, useful: !p.Unused, brings: p.CarriesCallbacks, came: d.loop.Now() - p.SilentFor}
 	d.connections[v] = struct{}{}
-	v.c = d.share.Inherit(nc, p.Read, v)
+	v.c = d.share.Inherit(nc, p.Buffered, v)
 	if j == nil {
-		if v.c.Set(conn.Idle); p.Fresh {
-			v.c.Set(conn.Mute)
+		if v.c.SetState(conn.StateIdle); p.Unused {
+			v.c.SetState(conn.StateNew)
 			v.limitSilence()
 		}
 		v.Read(v.c)
 		return 0, true
 	}
 	d.last++
-	v.inv, j.Inv = d.last, d.last
+	v.inv, j.Number = d.last, d.last
 	d.Ledger.Admitted(d.classes[operation])
-	job := &inHand{id: j.ID, class: d.classes[operation], connection: v, came: d.loop.Now() - age, givenUp: j.GivenUp,
+	job := &inHand{id: j.ID, class: d.classes[operation], connection: v, came: d.loop.Now() - age, givenUp: j.Deadline,
 		seat: seat, ask: tenants.Request{Bytes: len(j.Body)}}
 	if seat != nil {
-		d.Gate.AdmitMigrated(d.loop.Now(), seat, job.ask)
+		d.Admission.AdmitMigrated(d.loop.Now(), seat, job.ask)
 	}
-	d.inHand[j.Inv], d.ids[j.ID] = job, true
-	d.watch(j.Inv, job)
-	d.Holds(j.ID, true)
+	d.inHand[j.Number], d.ids[j.ID] = job, true
+	d.watch(j.Number, job)
+	d.OnOwnership(j.ID, true)
 	v.Read(v.c)
-	return j.Inv, true
+	return j.Number, true
 }
 
 // watch answers an invocation that the decisions have let go overdue.
-func (d *Door) watch(inv dispatch.InvocationID, j *inHand) {
+func (d *Server) watch(inv dispatch.InvocationID, j *inHand) {
 	j.overdue = d.loop.After(j.givenUp+overdue-d.loop.Now(), func() {
 		d.Counts.Overdue++
 		d.Fail(inv)
-		d.Event(dispatch.ClientDisconnected{Invocation: inv})
+		d.OnEvent(dispatch.ClientDisconnected{Invocation: inv})
 	})
 }
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -30,7 +30,7 @@
 	}
 	id, prefix, seat := m.Header.Get("X-Call-Id"), "", (*tenants.Account)(nil)
 	operation, known := 0, false
-	if d.Gate == nil {
+	if d.Admission == nil {
 		operation, known = d.operations[name]
 	} else {
 		if seat = d.identify(m.Header["Authorization"]); seat == nil {
@@ -54,15 +54,15 @@
 		strings.Trim(string(v.c.In.Bytes()), "\r\n") != "":
 		v.refuse(400)
 		return
-	case d.ids[prefix+id], d.Foreign(prefix + id):
+	case d.ids[prefix+id], d.OwnedByPeer(prefix + id):
 		v.refuse(409) // the one in hand has its own answer coming
 		return
-	case v.c.Left():
+	case v.c.PeerClosed():
 		// It waited to be read for longer than its client did. A half close counts as one, as the protocol has it.
 		delete(d.connections, v)
 		v.c.Close()
 		return
-	case len(d.inHand) >= d.most, !d.Manner().Admits:
+	case len(d.inHand) >= d.most, !d.Behavior().Admits:
 		d.Counts.Crowded++
 		d.Ledger.Admitted(d.classes[operation])
 		d.Ledger.Completed(d.classes[operation], ledger.Declined)
@@ -77,7 +77,7 @@
 		arrival.Tenant, said = seat.Index, arrival.Hint
 		arrival.Hint = seat.EstimateCost(name, said)
 		ask = tenants.Request{Bytes: len(m.Body), Work: arrival.Hint, Retry: retries(m)}
-		if verdict := d.Gate.Admit(d.loop.Now(), seat, ask); verdict.Kind != tenants.None {
+		if verdict := d.Admission.Admit(d.loop.Now(), seat, ask); verdict.Kind != tenants.None {
 			v.throttled(verdict)
 			return
 		}
@@ -86,7 +86,7 @@
 		budget = min(budget, most) // a longer one would look as if all other clients had waited for long
 	}
 	v.strays, v.useful = 0, true
-	d.Longest = max(d.Longest, budget)
+	d.LongestTimeout = max(d.LongestTimeout, budget)
 	now := d.loop.Now()
 	givenUp := now + budget - early // a request's time counts from its last byte
 	d.last++
@@ -95,11 +95,11 @@
 	inv, j := v.inv, &inHand{id: id, class: d.classes[operation], connection: v, came: now, givenUp: givenUp, seat: seat, ask: ask}
 	d.watch(inv, j)
 	d.inHand[inv], d.ids[id] = j, true
-	d.Holds(id, true)
-	d.Took(&workers.Invocation{Inv: inv, ID: id, Method: m.Method, Target: m.Target, Fields: onward(m, prefix), Body: m.Body,
-		GivenUp: givenUp, Hint: said}, operation)
+	d.OnOwnership(id, true)
+	d.OnRequest(&workers.Invocation{Number: inv, ID: id, Method: m.Method, Target: m.Target, Fields: onward(m, prefix), Body: m.Body,
+		Deadline: givenUp, Hint: said}, operation)
 	arrival.Invocation, arrival.Operation, arrival.Budget = inv, operation, givenUp-now
-	d.Event(arrival)
+	d.OnEvent(arrival)
 }
 
 // span reads a budget: seconds, with decimals, and nothing that only some readers take for a number.
@@ -150,7 +150,7 @@
 
 // arrival reads what the request says of its work. A guess that can't be read is as good as none: it must not cost the
 // client its answer.
-func (d *Door) arrival(m *http1.Message) (a dispatch.Arrival) {
+func (d *Server) arrival(m *http1.Message) (a dispatch.Arrival) {
 	number := func(text string, otherwise float64) float64 {
 		v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		if err != nil || !(v >= 0 && v < 1e12) {
@@ -159,7 +159,7 @@
 		return v
 	}
 	a.Slots, a.Hint = 1, number(m.Header.Get("X-Call-Cost"), 0)/1e6
-	if tenant := m.Header.Get("X-Caller"); tenant != "" && d.Gate == nil { // there it is the credential that tells
+	if tenant := m.Header.Get("X-Caller"); tenant != "" && d.Admission == nil { // there it is the credential that tells
 		known := false
 		if a.Tenant, known = d.tenants[tenant]; !known {
 			a.Tenant = len(d.tenants)
--- a/internal/clients/silent_test.go
+++ b/internal/clients/silent_test.go
@@ -16,7 +16,7 @@
 	l, d, _, shut := open(10)
 	defer shut()
 	near, far := pipe(t)
-	if _, kept := d.Inherit(far, Parcel{Fresh: true, Silent: 2400 * time.Millisecond}, nil, 0, 0); !kept {
+	if _, kept := d.AcceptMigrated(far, MigratingConnection{Unused: true, SilentFor: 2400 * time.Millisecond}, nil, 0, 0); !kept {
 		t.Fatal("it is not taken in")
 	}
 	began := time.Now()
@@ -41,14 +41,14 @@
 	defer c.Close()
 	began := time.Now()
 	until(l, "the connection", func() bool { return len(d.connections) == 1 })
-	var parcel *Parcel
-	d.Manner = func() life.Behavior { return life.Behavior{Admits: true, Accepts: true} }
-	d.Offer(1, nil, func(p *Parcel) { parcel = p })
+	var parcel *MigratingConnection
+	d.Behavior = func() life.Behavior { return life.Behavior{Admits: true, Accepts: true} }
+	d.MigrateConnections(1, nil, func(p *MigratingConnection) { parcel = p })
 	until(l, "the offer", func() bool { return parcel != nil })
-	if parcel.Silent <= 0 || !parcel.Fresh {
+	if parcel.SilentFor <= 0 || !parcel.Unused {
 		t.Errorf("%+v", parcel)
 	}
-	parcel.Back()
+	parcel.Returned()
 	l.After(0, func() {})
 	until(l, "the end", func() bool {
 		l.After(time.Millisecond, func() {})
--- a/internal/conn/calls_test.go
+++ b/internal/conn/calls_test.go
@@ -38,7 +38,7 @@
 	for _, errno := range []syscall.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE, unix.ECONNABORTED, unix.ENOTCONN} {
 		near, _ := accepted(t)
 		failing(t, func(s *SystemCalls) { s.Peek = func(int, []byte) (int, error) { return -1, errno } })
-		if !Left(near) {
+		if !PeerClosed(near) {
 			t.Errorf("%v: the peer is taken for one that is there", errno)
 		}
 	}
@@ -72,7 +72,7 @@
 		far.Close()
 		time.Sleep(20 * time.Millisecond)
 		failing(t, once)
-		if !Left(near) {
+		if !PeerClosed(near) {
 			t.Errorf("a peer that has left behind %q is taken for one that is there", behind)
 		}
 	}
@@ -84,7 +84,7 @@
 		t.Error("an answer that stands there is not seen")
 	}
 	failing(t, once)
-	if near, _ := accepted(t); Left(near) {
+	if near, _ := accepted(t); PeerClosed(near) {
 		t.Error("a peer that is there is taken for one that has left")
 	}
 }
--- a/internal/conn/capacity_test.go
+++ b/internal/conn/capacity_test.go
@@ -15,10 +15,10 @@
 // holder is an owner that leaves a connection as it is.
 type holder struct{ read int }
 
-func (h *holder) Up(*Conn)           {}
-func (h *holder) Read(c *Conn)       { h.read++; c.In.Drop(c.In.Len()) }
-func (h *holder) Sent(*Conn)         {}
-func (h *holder) Down(*Conn, Ending) {}
+func (h *holder) Up(*Conn)                {}
+func (h *holder) Read(c *Conn)            { h.read++; c.In.Drop(c.In.Len()) }
+func (h *holder) Sent(*Conn)              {}
+func (h *holder) Down(*Conn, CloseReason) {}
 
 // BenchmarkConnections adopts so many: mute ones have said nothing, those in hand have brought a request and wait for its
 // answer, written ones have had one too.
@@ -58,7 +58,7 @@
 		near = append(near, c)
 	}
 	loop, h, request, answer := NewLoop(time.Now()), &holder{}, strings.Repeat("x", 900), []byte(strings.Repeat("y", 300))
-	share, all := loop.Share(n), make([]*Conn, 0, n)
+	share, all := loop.NewQuota(n), make([]*Conn, 0, n)
 	before := held()
 	for _, c := range near {
 		all = append(all, share.Adopt(c, h))
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -26,11 +26,11 @@
 )
 
 // Owner is told of a connection, in the loop. Down comes once and last, and not after Close.
-type Owner interface {
-	Up(c *Conn)             // a dialled connection is up
-	Read(c *Conn)           // In holds more bytes
-	Sent(c *Conn)           // all that was written has gone out
-	Down(c *Conn, e Ending) // it has ended
+type Handler interface {
+	Up(c *Conn)                  // a dialled connection is up
+	Read(c *Conn)                // In holds more bytes
+	Sent(c *Conn)                // all that was written has gone out
+	Down(c *Conn, e CloseReason) // it has ended
 }
 
 // Conn is a connection with one ring a direction. A goroutine each way moves bytes between socket and ring, and
@@ -39,8 +39,8 @@
 	In ring.Buffer
 
 	loop             *Loop
-	share            *Share
-	owner            Owner
+	share            *Quota
+	owner            Handler
 	net              net.Conn
 	abort            context.CancelFunc
 	out              ring.Buffer
@@ -55,8 +55,8 @@
 	ignores          bool   // what still comes is thrown away
 	deaf             bool   // nothing more is read
 	detached         func() // is told once nothing moves any more; nil: all goes its way
-	ending           Ending
-	use              Use
+	ending           CloseReason
+	use              State
 	since            time.Duration // it has had that use
 }
 
@@ -88,7 +88,7 @@
 			} else {
 				n, err = c.receive(b)
 			}
-			c.loop.Put(note{Conn: c, n: n, err: err, what: read})
+			c.loop.Post(note{Conn: c, n: n, err: err, what: read})
 		}
 	}()
 	c.Resume()
@@ -157,7 +157,7 @@
 	c.end(e)
 }
 
-func (c *Conn) end(e Ending) {
+func (c *Conn) end(e CloseReason) {
 	c.ended, c.ending = true, e
 	c.release()
 	c.net.Close()
@@ -214,7 +214,7 @@
 }
 
 // Quit ends the connection once all is written, so that the peer gets it whole; the owner hears no more of it.
-func (c *Conn) Quit() {
+func (c *Conn) CloseAfterFlush() {
 	if c.ended || c.quits {
 		return
 	}
@@ -234,7 +234,7 @@
 	if tcp, is := c.net.(*net.TCPConn); is {
 		tcp.CloseWrite()
 	}
-	c.Set(Done)
+	c.SetState(StateFinished)
 	if c.deaf {
 		c.Close()
 		return
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -36,8 +36,8 @@
 		o.read(c)
 	}
 }
-func (o *owner) Sent(*Conn)             {}
-func (o *owner) Down(_ *Conn, e Ending) { o.seen = append(o.seen, e.String()) }
+func (o *owner) Sent(*Conn)                  {}
+func (o *owner) Down(_ *Conn, e CloseReason) { o.seen = append(o.seen, e.String()) }
 
 // await runs the loop until what is waited for has happened.
 func await(l *Loop, what string, done func() bool) {
@@ -100,7 +100,7 @@
 func Example_endings() {
 	end := func(title, addr string, within time.Duration, size int) {
 		l := NewLoop(time.Now())
-		s := l.Share(10)
+		s := l.NewQuota(10)
 		o := &owner{up: func(c *Conn) { c.Write(make([]byte, size)) }}
 		s.Dial(addr, within, o)
 		await(l, title, func() bool {
@@ -131,7 +131,7 @@
 // still sends does not cost it the answer.
 func TestQuitDeliversTheWholeAnswer(t *testing.T) {
 	l := NewLoop(time.Now())
-	s := l.Share(10)
+	s := l.NewQuota(10)
 	var got []byte
 	over := make(chan struct{})
 	addr, shut := peer(func(c net.Conn) {
@@ -143,7 +143,7 @@
 	})
 	defer shut()
 	want := bytes.Repeat([]byte("answer"), 20000)
-	o := &owner{read: func(c *Conn) { c.Write(want); c.Quit() }}
+	o := &owner{read: func(c *Conn) { c.Write(want); c.CloseAfterFlush() }}
 	s.Dial(addr, time.Second, o)
 	await(l, "the end", func() bool {
 		select {
@@ -165,7 +165,7 @@
 	defer func(before time.Duration) { writeWithin = before }(writeWithin)
 	writeWithin = 10 * time.Millisecond
 	l := NewLoop(time.Now())
-	s := l.Share(10)
+	s := l.NewQuota(10)
 	near, far := net.Pipe()
 	want := bytes.Repeat([]byte("answer"), 1000)
 	s.Adopt(near, &owner{}).Write(want)
@@ -199,7 +199,7 @@
 // An aborted connection attempt sends nothing and tells nothing.
 func TestCloseWhileComingUp(t *testing.T) {
 	l := NewLoop(time.Now())
-	s := l.Share(10)
+	s := l.NewQuota(10)
 	addr, shut := peer(func(c net.Conn) {})
 	defer shut()
 	o := &owner{}
@@ -216,33 +216,33 @@
 	defer func(a, b time.Duration) { young, stalled = a, b }(young, stalled)
 	young, stalled = 20*time.Millisecond, 60*time.Millisecond
 	l := NewLoop(time.Now())
-	s := l.Share(8)
+	s := l.NewQuota(8)
 	addr, shut := peer(func(c net.Conn) { io.Copy(io.Discard, c) })
 	defer shut()
-	uses := []Use{Idle, Busy, Begun, Done, Mute, Begun}
+	uses := []State{StateIdle, StateActive, StateReading, StateFinished, StateNew, StateReading}
 	var owners []*owner
 	var conns []*Conn
 	for _, use := range uses {
 		o := &owner{}
 		c := s.Dial(addr, time.Second, o)
 		await(l, "the connection", func() bool { return len(o.seen) > 0 })
-		c.Set(use)
+		c.SetState(use)
 		owners, conns = append(owners, o), append(conns, c)
 	}
 	later := false
 	l.After(80*time.Millisecond, func() { later = true })
 	await(l, "some time", func() bool { return later })
-	conns[5].Set(Begun) // progress
+	conns[5].SetState(StateReading) // progress
 	young0 := &owner{}
 	c := s.Dial(addr, time.Second, young0)
 	await(l, "the last", func() bool { return len(young0.seen) > 0 })
-	c.Set(Mute)
+	c.SetState(StateNew)
 	owners = append(owners, young0)
 	for keep := range 8 {
 		// What goes does so once all that was read of it is in.
 		l.After(0, func() {})
-		await(l, "those that go", func() bool { s.Spare(keep); return len(s.parting) == 0 })
-		fmt.Print(s.Spare(keep), " ", s.Used())
+		await(l, "those that go", func() bool { s.EnsureFree(keep); return len(s.parting) == 0 })
+		fmt.Print(s.EnsureFree(keep), " ", s.Used())
 		for i, o := range owners {
 			if len(o.seen) > 1 {
 				fmt.Print(" ", []string{"idle", "busy", "stopped", "done", "mute", "begun", "new"}[i])
@@ -264,7 +264,7 @@
 // A peer that sends without end after it was refused gets its answer whole, costs the loop no turns, and ends in time.
 func TestQuitSwallows(t *testing.T) {
 	l := NewLoop(time.Now())
-	s := l.Share(10)
+	s := l.NewQuota(10)
 	got := make(chan string, 1)
 	addr, shut := peer(func(c net.Conn) {
 		go func() {
@@ -280,7 +280,7 @@
 	})
 	defer shut()
 	turns := 0
-	s.Dial(addr, time.Second, &owner{read: func(c *Conn) { c.Write([]byte("too large")); c.Quit() }})
+	s.Dial(addr, time.Second, &owner{read: func(c *Conn) { c.Write([]byte("too large")); c.CloseAfterFlush() }})
 	await(l, "the end", func() bool { turns++; return s.Used() == 0 })
 	if text := <-got; text != "too large" || turns > 50 {
 		t.Errorf("the peer got %q, the loop took %d turns", text, turns)
@@ -290,12 +290,12 @@
 // A peer that has sent much and gone is seen to have gone as fast as its bytes can be thrown away.
 func TestGoneBehindMuch(t *testing.T) {
 	l := NewLoop(time.Now())
-	s := l.Share(10)
+	s := l.NewQuota(10)
 	s.rest = time.Hour
 	near, far := net.Pipe()
 	o := &owner{}
 	c := s.Adopt(near, o)
-	c.Ignore()
+	c.DiscardInput()
 	go func() {
 		far.Write(make([]byte, 8<<20)) // what the system may hold
 		far.Close()
@@ -308,7 +308,7 @@
 	for name, closes := range map[string]bool{"its peer ends": true, "its peer stays": false} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLoop(time.Now())
-			s := l.Share(10)
+			s := l.NewQuota(10)
 			may := make(chan bool)
 			addr, shut := peer(func(c net.Conn) {
 				io.ReadAll(c)
@@ -320,13 +320,13 @@
 			up := &owner{}
 			c := s.Dial(addr, time.Second, up)
 			await(l, "the connection", func() bool { return len(up.seen) > 0 })
-			c.Quit()
-			if s.Flushed() {
+			c.CloseAfterFlush()
+			if s.AllFlushed() {
 				t.Error("at once")
 			}
 			close(may)
 			began := l.Now()
-			await(l, "the end", func() bool { l.After(time.Millisecond, func() {}); return s.Flushed() })
+			await(l, "the end", func() bool { l.After(time.Millisecond, func() {}); return s.AllFlushed() })
 			if took := l.Now() - began; closes != (s.Used() == 0) || !closes && took < arrives {
 				t.Errorf("after %v, %d in use", took, s.Used())
 			}
@@ -342,7 +342,7 @@
 	}
 	defer l.Close()
 	loop := NewLoop(time.Now())
-	s, o := loop.Share(10), &owner{}
+	s, o := loop.NewQuota(10), &owner{}
 	dialled := s.Dial(l.Addr().String(), time.Second, o)
 	accepted, err := l.Accept()
 	if err != nil {
@@ -373,7 +373,7 @@
 // Alarms ring in order, a stopped one not at all, also when it is stopped by another that rings first.
 func Example_alarms() {
 	l := NewLoop(time.Now())
-	var b *Alarm
+	var b *Timer
 	l.After(3*time.Millisecond, func() { fmt.Println("last"); l.Stop() })
 	l.After(time.Millisecond, func() { fmt.Println("first"); b.Stop() })
 	b = l.After(2*time.Millisecond, func() { fmt.Println("stopped") })
--- a/internal/conn/dialled_test.go
+++ b/internal/conn/dialled_test.go
@@ -21,7 +21,7 @@
 		{unix.EADDRNOTAVAIL, dispatch.Rejected}, {unix.ENETUNREACH, dispatch.Rejected}, {unix.ENOBUFS, dispatch.Rejected}, {unix.ENOMEM, dispatch.Rejected},
 		{unix.EMFILE, dispatch.Rejected}, {unix.ENFILE, dispatch.Rejected}, {unix.EAGAIN, dispatch.Rejected}, {unix.EINTR, dispatch.Rejected}} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", c.errno)}
-		if e := dialled(fmt.Errorf("wrapped: %w", err)); e.Result() != c.want || !e.NeverRan() {
+		if e := dialled(fmt.Errorf("wrapped: %w", err)); e.Result() != c.want || !e.ProvesNotRun() {
 			t.Errorf("%v ends %q, result %d", c.errno, e, e.Result())
 		}
 	}
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -9,18 +9,18 @@
 )
 
 // Note is something that waits in the loop's inbox; Take is called in the loop.
-type Note interface{ Take() }
+type Task interface{ Take() }
 
 // Loop owns an inbox and alarms. All that it calls runs in one goroutine, one thing after the other.
 type Loop struct {
-	inbox  chan Note
-	orders chan Note // go before all that waits in the inbox
+	inbox  chan Task
+	orders chan Task // go before all that waits in the inbox
 	start  time.Time
 	now    time.Duration
 	alarms alarms
 	rank   int
 	ended  bool
-	turns  Turns
+	turns  Iterations
 	recent [recentSpans]worst
 
 	Panicked func(cause any) // what was being done is dropped and the loop goes on; nil: it ends the program
@@ -30,9 +30,9 @@
 
 // Turns is how long the loop was busy without taking anything new in: all that has come waits for so long. It is time on the
 // wall, so whatever takes the core away shows too.
-type Turns struct {
-	Count         int64
-	Worst, Lately time.Duration // since the start; in the last ten seconds or a little more
+type Iterations struct {
+	Count              int64
+	Worst, WorstRecent time.Duration // since the start; in the last ten seconds or a little more
 }
 
 const (
@@ -48,7 +48,7 @@
 
 // NewLoop starts the clock.
 func NewLoop(start time.Time) *Loop {
-	return &Loop{inbox: make(chan Note, 1024), orders: make(chan Note, 16), start: start,
+	return &Loop{inbox: make(chan Task, 1024), orders: make(chan Task, 16), start: start,
 		DialContext: new(net.Dialer).DialContext}
 }
 
@@ -68,10 +68,10 @@
 }
 
 // Put leaves a note; any goroutine may.
-func (l *Loop) Put(n Note) { l.inbox <- n }
+func (l *Loop) Post(n Task) { l.inbox <- n }
 
 // Order leaves a note that goes before all others: who gives it waits for a second at most, however full the inbox is.
-func (l *Loop) Order(n Note) { l.orders <- n }
+func (l *Loop) PostUrgent(n Task) { l.orders <- n }
 
 // Stop ends Run after the present note.
 func (l *Loop) Stop() { l.ended = true }
@@ -104,7 +104,7 @@
 		l.ordered()
 		l.now = time.Since(l.start)
 		for len(l.alarms) > 0 && l.alarms[0].at <= l.now {
-			a := heap.Pop(&l.alarms).(*Alarm)
+			a := heap.Pop(&l.alarms).(*Timer)
 			l.guard(a.ring)
 		}
 		l.guard(each)
@@ -126,11 +126,11 @@
 }
 
 // Turns tells how long turns took; the present one is not among them.
-func (l *Loop) Turns() Turns {
+func (l *Loop) Iterations() Iterations {
 	t, second := l.turns, int64(time.Since(l.start)/recentSpan)
 	for _, w := range l.recent {
 		if w.second > second-recentSpans {
-			t.Lately = max(t.Lately, w.took)
+			t.WorstRecent = max(t.WorstRecent, w.took)
 		}
 	}
 	return t
@@ -143,7 +143,7 @@
 }
 
 // take tells when it began.
-func (l *Loop) take(n Note) time.Duration {
+func (l *Loop) take(n Task) time.Duration {
 	l.now = time.Since(l.start)
 	began := l.now
 	l.guard(n.Take)
@@ -163,7 +163,7 @@
 }
 
 // Alarm calls back at a time unless it is stopped before.
-type Alarm struct {
+type Timer struct {
 	at      time.Duration
 	place   int // in the heap; -1: no longer
 	rank    int
@@ -172,21 +172,21 @@
 }
 
 // After sets an alarm.
-func (l *Loop) After(wait time.Duration, ring func()) *Alarm {
+func (l *Loop) After(wait time.Duration, ring func()) *Timer {
 	l.rank++
-	a := &Alarm{at: l.now + wait, rank: l.rank, ring: ring, waiting: &l.alarms}
+	a := &Timer{at: l.now + wait, rank: l.rank, ring: ring, waiting: &l.alarms}
 	heap.Push(&l.alarms, a)
 	return a
 }
 
 // Stop takes the alarm back; it may have rung, or be nil.
-func (a *Alarm) Stop() {
+func (a *Timer) Stop() {
 	if a != nil && a.place >= 0 {
 		heap.Remove(a.waiting, a.place)
 	}
 }
 
-type alarms []*Alarm
+type alarms []*Timer
 
 func (a alarms) Len() int { return len(a) }
 func (a alarms) Less(i, j int) bool {
@@ -197,8 +197,8 @@
 	a[i].place, a[j].place = i, j
 }
 func (a *alarms) Push(x any) {
-	x.(*Alarm).place = len(*a)
-	*a = append(*a, x.(*Alarm))
+	x.(*Timer).place = len(*a)
+	*a = append(*a, x.(*Timer))
 }
 func (a *alarms) Pop() any {
 	last := (*a)[len(*a)-1]
--- a/internal/conn/loop_test.go
+++ b/internal/conn/loop_test.go
@@ -20,14 +20,14 @@
 // A turn counts from the first note that it takes in; the worst one of the last while ends with that while.
 func TestTurns(t *testing.T) {
 	l := NewLoop(time.Now())
-	l.Put(busy{l, 20 * time.Millisecond})
+	l.Post(busy{l, 20 * time.Millisecond})
 	l.Run(func() {})
-	turns := l.Turns()
-	if turns.Count != 1 || turns.Worst < 20*time.Millisecond || turns.Lately != turns.Worst {
+	turns := l.Iterations()
+	if turns.Count != 1 || turns.Worst < 20*time.Millisecond || turns.WorstRecent != turns.Worst {
 		t.Errorf("%+v", turns)
 	}
 	l.start = l.start.Add(-2 * recentSpans * recentSpan) // so much later
-	if later := l.Turns(); later.Lately != 0 || later.Worst != turns.Worst {
+	if later := l.Iterations(); later.WorstRecent != 0 || later.Worst != turns.Worst {
 		t.Errorf("%+v", later)
 	}
 }
--- a/internal/conn/orders_test.go
+++ b/internal/conn/orders_test.go
@@ -66,7 +66,7 @@
 						close(peer.returns)
 					}
 					o := &owner{}
-					c := l.Share(9).Adopt(peer, o)
+					c := l.NewQuota(9).Adopt(peer, o)
 					c.Write(make([]byte, size))
 					rest := func() { // until all notes of what has happened are in
 						over := false
@@ -86,7 +86,7 @@
 						case "close":
 							c.Close()
 						case "quit":
-							c.Quit()
+							c.CloseAfterFlush()
 						}
 						if !together {
 							rest()
--- a/internal/conn/peek.go
+++ b/internal/conn/peek.go
@@ -8,11 +8,11 @@
 )
 
 // Left tells whether the peer has closed its side, also where that has not been read yet.
-func (c *Conn) Left() bool { return c.ended || Left(c.net) }
+func (c *Conn) PeerClosed() bool { return c.ended || PeerClosed(c.net) }
 
 // Left tells the same of a connection that nobody drives yet. However a connection has ended, its peer is gone: the error of a broken one
 // is told once only, to whoever asks first.
-func Left(nc net.Conn) (left bool) {
+func PeerClosed(nc net.Conn) (left bool) {
 	peek(nc, func(fd, n int, err error) {
 		switch {
 		case err != nil:
--- a/internal/conn/receive.go
+++ b/internal/conn/receive.go
@@ -95,7 +95,7 @@
 const firstly = 256
 
 // Ignore throws away whatever still comes, so that its end is seen however much that is.
-func (c *Conn) Ignore() {
+func (c *Conn) DiscardInput() {
 	c.ignores = true
 	c.In.Drop(c.In.Len())
 }
--- a/internal/conn/send.go
+++ b/internal/conn/send.go
@@ -17,7 +17,7 @@
 	// Until bounds every byte of it, by the loop's clock; 0: nothing does.
 	Until time.Duration
 	// Allowed is asked directly before the first byte is written. Open allows it, any other ending is why not. Nil: allowed.
-	Allowed func() Ending
+	Allowed func() CloseReason
 }
 
 // Send writes a message over a connection that has nothing queued and on which nothing unread stands. Open says that some of it has been written; any other ending is
@@ -25,7 +25,7 @@
 // ends NotWritten: the last byte is never written.
 //
 // The permission is asked and the first bytes are written in one go, as a goroutine of its own may run late.
-func (c *Conn) Send(m Outgoing) Ending {
+func (c *Conn) Send(m Outgoing) CloseReason {
 	if c.ended || c.quits || c.Unsent() > 0 {
 		return NotWritten
 	}
@@ -137,7 +137,7 @@
 	go func() {
 		for run := range c.toWrite {
 			n, err := run.write(c.net)
-			c.loop.Put(note{Conn: c, n: n, err: err, what: wrote})
+			c.loop.Post(note{Conn: c, n: n, err: err, what: wrote})
 		}
 	}()
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -53,7 +53,7 @@
 	WatchesStarted int              // watches begun
 
 	loop          *conn.Loop
-	share         *conn.Share
+	share         *conn.Quota
 	addr          string
 	zones, kinds  names
 	starts        *starts
@@ -66,7 +66,7 @@
 	mute          bool   // the last one had told something and fell silent
 	failed        int    // watches in a row that told nothing
 	moving        bool
-	retry         *conn.Alarm
+	retry         *conn.Timer
 }
 
 // watch is one call that stays open.
@@ -78,7 +78,7 @@
 	value  value
 	rev    uint64 // asked for
 	stands bool   // it has told something
-	quiet  *conn.Alarm
+	quiet  *conn.Timer
 }
 
 // names makes names small indices: those of the settings first, unknown ones as they come.
@@ -103,7 +103,7 @@
 
 // New makes a watcher that has not asked yet. start is when the loop's clock stood at zero.
 func New(loop *conn.Loop, addr string, zones, kinds []string, start time.Time) *Watcher {
-	w := &Watcher{loop: loop, share: loop.Share(2), addr: addr, zones: index(zones), kinds: index(kinds),
+	w := &Watcher{loop: loop, share: loop.NewQuota(2), addr: addr, zones: index(zones), kinds: index(kinds),
 		ids: map[string]dispatch.WorkerID{}, taken: map[dispatch.WorkerID]bool{}, WallClock: time.Now}
 	w.starts = newStarts(start, loop.Clock, func() time.Time { return w.WallClock() })
 	return w
@@ -338,7 +338,7 @@
 func (n *watch) Sent(*conn.Conn) {}
 
 // Down is the end of the watch.
-func (n *watch) Down(c *conn.Conn, e conn.Ending) {
+func (n *watch) Down(c *conn.Conn, e conn.CloseReason) {
 	if c == n.c {
 		n.fail(errors.New("the connection has ended: " + e.String()))
 	}
--- a/internal/lab/scale/list_test.go
+++ b/internal/lab/scale/list_test.go
@@ -41,15 +41,15 @@
 	allocations = testing.AllocsPerRun(1, func() {
 		loop := conn.NewLoop(time.Now())
 		watcher := discovery.New(loop, "127.0.0.1:1", site.Zones, site.Kinds, time.Now())
-		fleet, core := workers.NewFleet(loop, site, loop.Share(100)), dispatch.New(site.Dispatch, 1)
+		fleet, core := workers.NewTransport(loop, site, loop.NewQuota(100)), dispatch.New(site.Dispatch, 1)
 		list, err := watcher.Parse(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet.List(list)
+		fleet.ApplyUpdate(list)
 		core.Handle(time.Second, []dispatch.Event{list.EndpointUpdate()})
 		core.Handle(2*time.Second, []dispatch.Event{dispatch.TimerFired{}})
-		known = fleet.Listed()
+		known = fleet.EndpointCount()
 	})
 	return allocations, known
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -140,7 +140,7 @@
 			continue
 		}
 		r.waiting.Add(1)
-		r.loop.Put(come{r, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), append([]byte(nil), buffer[:n]...)})
+		r.loop.Post(come{r, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), append([]byte(nil), buffer[:n]...)})
 	}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -35,7 +35,7 @@
 	r.OnReceive = func(told dispatch.GossipReceived) { heard <- told }
 	ended := make(chan struct{})
 	go func() { loop.Run(func() {}); close(ended) }()
-	t.Cleanup(func() { r.Close(); loop.Order(stopper{loop}); <-ended })
+	t.Cleanup(func() { r.Close(); loop.PostUrgent(stopper{loop}); <-ended })
 	return r, heard
 }
 
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -23,7 +23,7 @@
 // stops maps the guard's reasons to these, and to how the attempt ends. Whatever else it has is a violation.
 var stops = map[guard.Reason]struct {
 	why    string
-	ending conn.Ending
+	ending conn.CloseReason
 }{
 	guard.WorkerUnavailable: {stoppedWorker, conn.WorkerUnavailable}, guard.WorkerRestarted: {stoppedWorker, conn.WorkerUnavailable},
 	guard.WorkerMoved: {stoppedWorker, conn.WorkerUnavailable}, guard.ClientGone: {stoppedClient, conn.NotSent},
@@ -49,43 +49,43 @@
 	repeats  bool      // its worker has had the invocation before: news may be late and of that time
 	taken    bool      // by a 202: the connection is free, the worker's slot is not
 	began    bool      // its worker has told so
-	deadline *conn.Alarm
+	deadline *conn.Timer
 }
 
 // Forward begins an attempt, whose end is told as an event. No byte of it is written from until on; 0: the client timeout alone bounds it.
-func (f *Fleet) Forward(inv *Invocation, fwd int, to dispatch.WorkerID, until time.Duration) {
+func (f *Transport) Forward(inv *Invocation, fwd int, to dispatch.WorkerID, until time.Duration) {
 	w := f.workers[to]
 	a := &attempt{inv: inv, number: fwd, worker: w}
-	if w == nil || !f.Owed(inv.Inv) {
-		f.Event(dispatch.Outcome{Invocation: inv.Inv, Worker: to, Attempt: fwd, Result: conn.NotSent.Result(),
-			Answered: !f.Owed(inv.Inv)})
+	if w == nil || !f.AwaitsAnswer(inv.Number) {
+		f.OnEvent(dispatch.Outcome{Invocation: inv.Number, Worker: to, Attempt: fwd, Result: conn.NotSent.Result(),
+			Answered: !f.AwaitsAnswer(inv.Number)})
 		return
 	}
 	chosen := w.entry
 	f.Counts.Sent++
-	f.byNumber[attemptKey{inv.Inv, fwd}], f.byName[workKey{inv.ID, w.uid}] = a, a
-	a.deadline = f.loop.After(inv.GivenUp-f.loop.Now(), func() { f.end(a, conn.TimedOut, nil) })
-	asked := guard.Attempt{Request: inv.Inv, Number: fwd, Chosen: guard.Target{UID: w.uid, Endpoint: chosen}, NotAfter: until, MinTimeLeft: leastTold}
+	f.byNumber[attemptKey{inv.Number, fwd}], f.byName[workKey{inv.ID, w.uid}] = a, a
+	a.deadline = f.loop.After(inv.Deadline-f.loop.Now(), func() { f.end(a, conn.TimedOut, nil) })
+	asked := guard.Attempt{Request: inv.Number, Number: fwd, Chosen: guard.Target{UID: w.uid, Endpoint: chosen}, NotAfter: until, MinTimeLeft: leastTold}
 	a.exchange = &exchange{
-		onWritten:  f.Wrote,
+		onWritten:  f.OnWritten,
 		needsProof: inv.needsProof(),
 		request: func() conn.Outgoing {
-			left := (inv.GivenUp - f.loop.Clock()).Seconds()
-			return conn.Outgoing{Until: earlier(inv.GivenUp, until), Allowed: func() conn.Ending { return f.allowed(a, asked) },
+			left := (inv.Deadline - f.loop.Clock()).Seconds()
+			return conn.Outgoing{Until: earlier(inv.Deadline, until), Allowed: func() conn.CloseReason { return f.allowed(a, asked) },
 				Bytes: http1.Request(inv.Method, inv.Target, w.endpoint, inv.Body, append(slices.Clip(inv.Fields),
 					http1.Field{Name: "X-Budget", Value: strconv.FormatFloat(left, 'f', 3, 64)})...)}
 		},
 		onBegun: func() {
 			asked.Current = guard.Target{UID: w.uid, Endpoint: w.entry}
-			f.Guard.AttemptStarted(asked)
+			f.Invariants.AttemptStarted(asked)
 			a.written, a.repeats = true, slices.Contains(inv.had, w)
 			inv.had = append(inv.had, w)
 		},
-		done: func(m *http1.Message, e conn.Ending) {
+		done: func(m *http1.Message, e conn.CloseReason) {
 			a.exchange = nil
 			if m != nil && m.Status == 202 {
 				a.taken = true
-				f.Event(dispatch.AttemptProgress{Invocation: inv.Inv, Worker: to, Attempt: fwd, Accepted: true})
+				f.OnEvent(dispatch.AttemptProgress{Invocation: inv.Number, Worker: to, Attempt: fwd, Accepted: true})
 				return
 			}
 			if m != nil {
@@ -102,9 +102,9 @@
 
 // allowed asks the guard directly before an attempt's first byte is written: the connection may have taken its time to come up, and
 // this process to run.
-func (f *Fleet) allowed(a *attempt, asked guard.Attempt) conn.Ending {
-	asked.Current, asked.Deadline = guard.Target{UID: a.worker.uid, Endpoint: a.worker.entry}, a.inv.GivenUp
-	why := f.Guard.CheckSend(asked)
+func (f *Transport) allowed(a *attempt, asked guard.Attempt) conn.CloseReason {
+	asked.Current, asked.Deadline = guard.Target{UID: a.worker.uid, Endpoint: a.worker.entry}, a.inv.Deadline
+	why := f.Invariants.CheckSend(asked)
 	if why == "" {
 		return conn.Open
 	}
@@ -125,15 +125,15 @@
 }
 
 // end is where every attempt ends, once.
-func (f *Fleet) end(a *attempt, e conn.Ending, load *dispatch.LoadReport) {
-	key := attemptKey{a.inv.Inv, a.number}
+func (f *Transport) end(a *attempt, e conn.CloseReason, load *dispatch.LoadReport) {
+	key := attemptKey{a.inv.Number, a.number}
 	if f.byNumber[key] != a {
 		return
 	}
 	delete(f.byNumber, key)
 	delete(f.byName, workKey{a.inv.ID, a.worker.uid})
 	a.deadline.Stop()
-	if a.began && e.NeverRan() || e == conn.Returned && a.repeats && a.inv.needsProof() {
+	if a.began && e.ProvesNotRun() || e == conn.Returned && a.repeats && a.inv.needsProof() {
 		e = conn.Lost // whatever says so now, its worker had begun it; or it says so of an earlier attempt
 	}
 	switch x := a.exchange; {
@@ -143,30 +143,30 @@
 		// byte of one that has ended must not go out.
 		x.abandon()
 	default: // news came before the 202, which may still follow
-		x.done = func(*http1.Message, conn.Ending) {}
+		x.done = func(*http1.Message, conn.CloseReason) {}
 		x.limit = f.loop.After(afterNews, x.abandon)
 	}
 	if a.taken && (e == conn.Cancelled || e == conn.TimedOut) && f.site.Dispatch.Limits.Cancel {
 		f.cancel(a)
 	}
-	f.Guard.AttemptEnded(a.inv.Inv, a.number, e.String(), !e.NeverRan())
+	f.Invariants.AttemptEnded(a.inv.Number, a.number, e.String(), !e.ProvesNotRun())
 	f.Counts.Ended[e.String()]++
-	f.Event(dispatch.Outcome{Invocation: a.inv.Inv, Worker: a.worker.entry.Worker, Attempt: a.number, Result: e.Result(),
-		Load: load, Answered: !f.Owed(a.inv.Inv)})
+	f.OnEvent(dispatch.Outcome{Invocation: a.inv.Number, Worker: a.worker.entry.Worker, Attempt: a.number, Result: e.Result(),
+		Load: load, Answered: !f.AwaitsAnswer(a.inv.Number)})
 }
 
 // cancel asks a worker to give an attempt up that it has taken.
-func (f *Fleet) cancel(a *attempt) {
+func (f *Transport) cancel(a *attempt) {
 	f.Counts.Cancels++
 	request := http1.Request("DELETE", "/jobs/"+a.inv.ID, a.worker.endpoint, nil)
-	x := &exchange{request: unbounded(request), done: func(*http1.Message, conn.Ending) {}}
+	x := &exchange{request: unbounded(request), done: func(*http1.Message, conn.CloseReason) {}}
 	if f.send(a.worker, x) {
 		x.limit = f.loop.After(cancelWithin, x.abandon)
 	}
 }
 
 // Cancel gives an attempt up; one that has ended by now has had its event.
-func (f *Fleet) Cancel(inv dispatch.InvocationID, fwd int) {
+func (f *Transport) Cancel(inv dispatch.InvocationID, fwd int) {
 	if a := f.byNumber[attemptKey{inv, fwd}]; a != nil {
 		f.end(a, conn.Cancelled, nil)
 	}
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -10,14 +10,14 @@
 
 // connection is one to a worker; it is kept in the pool between its requests, and carries one at a time.
 type connection struct {
-	fleet       *Fleet
+	fleet       *Transport
 	worker      *worker
 	endpoint    string // where it leads: a worker may move while it comes up
 	socket      *conn.Conn
 	parser      http1.Parser
 	exchange    *exchange      // nil: idle
 	earlyAnswer *http1.Message // its answer, which came before all of the request had gone out
-	expiry      *conn.Alarm    // of an idle one, or of waiting for that
+	expiry      *conn.Timer    // of an idle one, or of waiting for that
 	reused      bool           // it has carried an answer before
 	parked      time.Duration  // when it was last put by
 }
@@ -63,7 +63,7 @@
 }
 
 // finish ends the exchange, with its answer if there is one.
-func (c *connection) finish(m *http1.Message, e conn.Ending) {
+func (c *connection) finish(m *http1.Message, e conn.CloseReason) {
 	x := c.exchange
 	c.exchange, x.connection = nil, nil
 	x.limit.Stop()
@@ -161,13 +161,13 @@
 }
 
 // close ends the connection ourselves, for a reason that its exchange hears.
-func (c *connection) close(e conn.Ending) {
+func (c *connection) close(e conn.CloseReason) {
 	c.socket.Close()
 	c.ended(e)
 }
 
 // ended tells what the end of the connection means for its exchange, and for how long others are kept.
-func (c *connection) ended(e conn.Ending) {
+func (c *connection) ended(e conn.CloseReason) {
 	f := c.fleet
 	if c.reused && !c.parser.Started() && (e == conn.Closed || c.exchange != nil && e == conn.Reset) {
 		// Whoever ends kept connections, the workers or the network, ends others too: those that stand as long go. A
@@ -192,7 +192,7 @@
 }
 
 // Down ends what was asked. An answer without a length ends with its connection.
-func (c *connection) Down(_ *conn.Conn, e conn.Ending) {
+func (c *connection) Down(_ *conn.Conn, e conn.CloseReason) {
 	if c.earlyAnswer != nil {
 		c.stopWaiting()
 		return
--- a/internal/workers/crossings_test.go
+++ b/internal/workers/crossings_test.go
@@ -36,12 +36,12 @@
 // connection is kept.
 func Example_comingUpPastTheWindow() {
 	s := perform(took)
-	s.Fleet.Forward(s.job(1), 1, s.id, time.Nanosecond)
+	s.Transport.Forward(s.job(1), 1, s.id, time.Nanosecond)
 	s.until(1, 0)
 	fmt.Println("idle:", len(s.byUID["s-1"].idle), "heard:", len(s.heard))
-	s.Fleet.Forward(s.job(1), 2, s.id, time.Nanosecond) // over the one that stands
+	s.Transport.Forward(s.job(1), 2, s.id, time.Nanosecond) // over the one that stands
 	s.until(1, 0)
-	s.Fleet.Forward(s.job(2), 1, s.id, s.loop.Now()+time.Hour)
+	s.Transport.Forward(s.job(2), 1, s.id, s.loop.Now()+time.Hour)
 	s.until(1, 1)
 	// Output:
 	// inv 1 forward 1 ends: 7 closed=false load=false
@@ -55,7 +55,7 @@
 func Example_comingUpElsewhere() {
 	s, other := perform(), perform(took)
 	s.Forward(s.job(1), 0, s.id)
-	s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: other.id.String(),
+	s.ApplyUpdate(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: other.id.String(),
 		Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 	s.until(1, 1)
 	fmt.Println("heard at the old address:", len(s.heard))
@@ -115,12 +115,12 @@
 	s := perform(took, "", "")
 	s.Forward(s.job(1), 0, s.id)
 	s.until(1, 1)
-	s.Take(News{ID: "id1", From: "s-1", State: "started"})
-	s.Take(News{ID: "id1", From: "s-1", State: "returned"})
+	s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "started"})
+	s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "returned"})
 	s.until(2, 0)
 	s.Forward(s.job(2), 0, s.id) // news comes before the answer
 	s.until(0, 1)
-	s.Take(News{ID: "id2", From: "s-1", State: "running", Share: 0.1})
+	s.HandleCallback(Callback{ID: "id2", From: "s-1", State: "running", Share: 0.1})
 	s.say(1, turns)
 	s.until(2, 0)
 	// Output:
@@ -146,8 +146,8 @@
 			near, far := net.Pipe() // takes nothing that is not read: the request can't go out
 			defer far.Close()
 			var ends []string
-			c := &connection{fleet: s.Fleet, worker: s.byUID["s-1"], endpoint: s.byUID["s-1"].endpoint, parser: http1.Parser{Answers: true}}
-			c.exchange = &exchange{request: unbounded([]byte("GET / HTTP/1.1\r\n\r\n")), done: func(m *http1.Message, e conn.Ending) {
+			c := &connection{fleet: s.Transport, worker: s.byUID["s-1"], endpoint: s.byUID["s-1"].endpoint, parser: http1.Parser{Answers: true}}
+			c.exchange = &exchange{request: unbounded([]byte("GET / HTTP/1.1\r\n\r\n")), done: func(m *http1.Message, e conn.CloseReason) {
 				ends = append(ends, fmt.Sprint(m.Status, " ", e))
 			}}
 			c.socket = s.share.Adopt(near, c)
@@ -170,7 +170,7 @@
 func Example_lateConnection() {
 	s := perform(took, took)
 	moves := func(to netip.AddrPort) {
-		s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: to.String(),
+		s.ApplyUpdate(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: to.String(),
 			Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 	}
 	addr, drain := jammed(s)
@@ -184,7 +184,7 @@
 	s.until(1, 1)
 	fmt.Println("dialled:", s.Counts.Dialled)
 	s.settle("the late one", func() bool { return len(s.byUID["s-1"].idle) == 2 })
-	fmt.Println("sockets:", s.share.Used(), "heard:", len(s.heard), "out:", s.Out())
+	fmt.Println("sockets:", s.share.Used(), "heard:", len(s.heard), "out:", s.InFlight())
 	// Given up while none is up: all of them end.
 	addr, _ = jammed(s)
 	moves(addr)
@@ -267,20 +267,20 @@
 	s.Forward(j, 0, s.id)
 	request := s.byNumber[attemptKey{1, 0}].exchange.request
 	for _, late := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 0} { // the connection takes so long
-		j.GivenUp -= late
-		most := j.GivenUp - s.loop.Clock()
+		j.Deadline -= late
+		most := j.Deadline - s.loop.Clock()
 		message := request()
 		if why := message.Allowed(); why != conn.Open {
 			fmt.Println(why)
 			continue
 		}
-		least := j.GivenUp - s.loop.Clock()
+		least := j.Deadline - s.loop.Clock()
 		_, text, _ := strings.Cut(string(message.Bytes), "X-Budget: ")
 		text, _, _ = strings.Cut(text, "\r\n")
 		seconds, err := strconv.ParseFloat(text, 64)
 		told := time.Duration(seconds * float64(time.Second))
 		exact := err == nil && told <= most.Round(time.Millisecond) && told >= least.Round(time.Millisecond)
-		fmt.Println(message.Until == j.GivenUp, most.Round(time.Second), exact)
+		fmt.Println(message.Until == j.Deadline, most.Round(time.Second), exact)
 	}
 	fmt.Println("stopped:", s.Counts.Stopped)
 	// Output:
@@ -304,7 +304,7 @@
 		s.Forward(s.job(1), 0, s.id)
 		e := dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}
 		change(&e)
-		s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(), Endpoint: e}}})
+		s.ApplyUpdate(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(), Endpoint: e}}})
 		s.until(1, 0)
 	}
 	// Output:
@@ -320,7 +320,7 @@
 	first := func(s *stage, j *Invocation) {
 		s.Forward(j, 0, s.id)
 		s.until(1, 1)
-		s.Take(News{ID: j.ID, From: "s-1", State: "returned"})
+		s.HandleCallback(Callback{ID: j.ID, From: "s-1", State: "returned"})
 		s.byUID["s-1"].shutIdle()
 		s.until(1, 1)
 		s.Forward(j, 1, s.id)
@@ -328,16 +328,16 @@
 	s := perform(took, took)
 	first(s, s.job(1))
 	for _, state := range []string{"started", "returned", "failed", "lost"} {
-		s.Take(News{ID: "id1", From: "s-1", State: state})
+		s.HandleCallback(Callback{ID: "id1", From: "s-1", State: state})
 	}
 	s.until(1, 1)
-	fmt.Println("out:", s.Out(), "strange:", s.Counts.Strange)
+	fmt.Println("out:", s.InFlight(), "strange:", s.Counts.Strange)
 	s = perform(took)
 	first(s, s.job(2))
-	s.Take(News{ID: "id2", From: "s-1", State: "done", Result: result("fine")})
+	s.HandleCallback(Callback{ID: "id2", From: "s-1", State: "done", Result: result("fine")})
 	s.until(1, 0)
 	s.settle("no connection", func() bool { return s.share.Used() == 0 })
-	fmt.Println("out:", s.Out(), "dials that went on:", len(s.byUID["s-1"].idle))
+	fmt.Println("out:", s.InFlight(), "dials that went on:", len(s.byUID["s-1"].idle))
 	// Output:
 	// connection 1: POST /render/7f HTTP/1.1 id1 body
 	// inv 1 forward 0: taken=true started=false done=0
@@ -366,7 +366,7 @@
 			s.Forward(j, fwd, s.id)
 			s.until(1, 1)
 			s.byUID["s-1"].idle[0].parked -= strayMost
-			s.Take(News{ID: "id1", From: "s-1", State: "returned"})
+			s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "returned"})
 			s.until(1, 0)
 		}
 	}
@@ -404,7 +404,7 @@
 		s.until(1, 1)
 	}
 	j := s.job(9)
-	j.GivenUp = s.loop.Now() + 300*time.Millisecond
+	j.Deadline = s.loop.Now() + 300*time.Millisecond
 	s.Forward(j, 0, s.id)
 	s.until(1, 2)
 	fmt.Println("sockets:", s.share.Used())
@@ -435,7 +435,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := perform(took, took)
 			taken := 0
-			s.Event = func(e dispatch.Event) {
+			s.OnEvent = func(e dispatch.Event) {
 				if sign, is := e.(dispatch.AttemptProgress); is && sign.Accepted {
 					taken++
 				} else {
--- a/internal/workers/exchange.go
+++ b/internal/workers/exchange.go
@@ -11,13 +11,13 @@
 type exchange struct {
 	request    func() conn.Outgoing // is built at the moment of sending
 	onBegun    func()               // some of it has been written; nil: nobody wants to know
-	done       func(m *http1.Message, e conn.Ending)
+	done       func(m *http1.Message, e conn.CloseReason)
 	needsProof bool   // an answer taken for its own that is another's could have it run twice
 	onWritten  func() // its last byte has been written; nil: nobody wants to know
-	limit      *conn.Alarm
+	limit      *conn.Timer
 	connection *connection   // that it goes over
 	dialling   []*connection // that come up for it, while there is none
-	redial     *conn.Alarm   // until one more is dialled
+	redial     *conn.Timer   // until one more is dialled
 	dialUntil  time.Duration // connections for it may come up
 }
 
--- a/internal/workers/handover.go
+++ b/internal/workers/handover.go
@@ -6,7 +6,7 @@
 )
 
 // Settled tells whether each forward of an invocation that is out has been taken by its worker: nothing of it is on its way.
-func (f *Fleet) Settled(inv dispatch.InvocationID, forwards int) bool {
+func (f *Transport) AttemptsAccepted(inv dispatch.InvocationID, forwards int) bool {
 	for fwd := range forwards {
 		if a := f.byNumber[attemptKey{inv, fwd}]; a != nil && !a.taken {
 			return false
@@ -16,7 +16,7 @@
 }
 
 // Give takes the forwards of an invocation out of the books: another process has them from now on.
-func (f *Fleet) Give(inv dispatch.InvocationID, forwards int) {
+func (f *Transport) ReleaseAttempts(inv dispatch.InvocationID, forwards int) {
 	for fwd := range forwards {
 		if a := f.byNumber[attemptKey{inv, fwd}]; a != nil {
 			delete(f.byNumber, attemptKey{inv, fwd})
@@ -27,14 +27,14 @@
 }
 
 // Keep enters a forward that another process has sent and that its worker has taken.
-func (f *Fleet) Keep(inv *Invocation, fwd int, to dispatch.WorkerID) {
+func (f *Transport) AdoptAttempt(inv *Invocation, fwd int, to dispatch.WorkerID) {
 	w := f.workers[to]
 	a := &attempt{inv: inv, number: fwd, worker: w, written: true, taken: true}
-	f.byNumber[attemptKey{inv.Inv, fwd}], f.byName[workKey{inv.ID, w.uid}] = a, a
-	a.deadline = f.loop.After(inv.GivenUp-f.loop.Now(), func() { f.end(a, conn.TimedOut, nil) })
+	f.byNumber[attemptKey{inv.Number, fwd}], f.byName[workKey{inv.ID, w.uid}] = a, a
+	a.deadline = f.loop.After(inv.Deadline-f.loop.Now(), func() { f.end(a, conn.TimedOut, nil) })
 }
 
 // Had enters that a worker has had an invocation, by another process.
-func (f *Fleet) Had(inv *Invocation, worker dispatch.WorkerID) {
+func (f *Transport) MarkAttempted(inv *Invocation, worker dispatch.WorkerID) {
 	inv.had = append(inv.had, f.workers[worker])
 }
--- a/internal/workers/late_test.go
+++ b/internal/workers/late_test.go
@@ -33,7 +33,7 @@
 }{
 	{"window", func(s *stage, _ *Invocation) time.Duration { return s.loop.Clock() + bound }, stoppedWindow},
 	{"client timeout", func(s *stage, j *Invocation) time.Duration {
-		j.GivenUp = s.loop.Clock() + bound
+		j.Deadline = s.loop.Clock() + bound
 		return 0
 	}, stoppedTimeout},
 }
@@ -47,16 +47,16 @@
 			s.Forward(s.job(1), 0, s.id)
 			s.until(1, 1)
 			var ends []dispatch.Outcome
-			s.Event = func(e dispatch.Event) {
+			s.OnEvent = func(e dispatch.Event) {
 				if o, is := e.(dispatch.Outcome); is {
 					ends = append(ends, o)
 				}
 			}
-			s.loop.Put(turn(func() {
+			s.loop.Post(turn(func() {
 				j := s.job(2)
 				until := b.until(s, j)
 				time.Sleep(heldFor)
-				s.Fleet.Forward(j, 1, s.id, until)
+				s.Transport.Forward(j, 1, s.id, until)
 			}))
 			s.settle("the end of the forward", func() bool { return len(ends) > 0 })
 			if ends[0].Result != dispatch.NotSent || s.Counts.Stopped[b.why] != 1 || len(s.heard) > 0 {
@@ -92,9 +92,9 @@
 			near, far := net.Pipe()
 			s.loop.DialContext = func(context.Context, string, string) (net.Conn, error) { return near, nil }
 			var ends []dispatch.Outcome
-			s.Event = func(e dispatch.Event) { ends = append(ends, e.(dispatch.Outcome)) }
+			s.OnEvent = func(e dispatch.Event) { ends = append(ends, e.(dispatch.Outcome)) }
 			j := s.job(1)
-			s.Fleet.Forward(j, 1, s.id, b.until(s, j))
+			s.Transport.Forward(j, 1, s.id, b.until(s, j))
 			arrived := readAfter(far, heldFor)
 			s.settle("the end of the forward", func() bool { return len(ends) > 0 })
 			got := <-arrived
@@ -128,10 +128,10 @@
 				return nc, err
 			}
 			var ends []dispatch.Outcome
-			s.Event = func(e dispatch.Event) { ends = append(ends, e.(dispatch.Outcome)) }
+			s.OnEvent = func(e dispatch.Event) { ends = append(ends, e.(dispatch.Outcome)) }
 			j := s.job(1)
 			j.Body = bytes.Repeat([]byte("x"), 60<<10)
-			s.Fleet.Forward(j, 1, s.id, b.until(s, j))
+			s.Transport.Forward(j, 1, s.id, b.until(s, j))
 			far, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -161,7 +161,7 @@
 		"in one turn": {func(*stage) {}, 1},
 		"given up":    {func(s *stage) { s.Cancel(1, 0) }, 0},
 		"moved": {func(s *stage) {
-			s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: "127.0.0.1:1",
+			s.ApplyUpdate(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: "127.0.0.1:1",
 				Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready}}}})
 		}, 0},
 	} {
@@ -186,7 +186,7 @@
 			}
 			s.Forward(s.job(1), 0, s.id)
 			s.settle("all dials", func() bool { return waiting.Load() == dialsMost })
-			s.loop.Put(turn(func() { // all of them come up while the loop is busy
+			s.loop.Post(turn(func() { // all of them come up while the loop is busy
 				close(open)
 				for standing.Load() < dialsMost {
 					time.Sleep(time.Millisecond)
@@ -223,7 +223,7 @@
 			kept := s.byUID["s-1"].idle[0]
 			kept.parked -= strayMost
 			comes := true
-			s.Waits = func(dispatch.InvocationID) bool {
+			s.ClientWaiting = func(dispatch.InvocationID) bool {
 				if comes {
 					comes = false
 					does(s)
@@ -233,7 +233,7 @@
 				return true
 			}
 			var told []dispatch.Event
-			s.Event = func(e dispatch.Event) { told = append(told, e) }
+			s.OnEvent = func(e dispatch.Event) { told = append(told, e) }
 			j := s.job(2)
 			j.Effect = dispatch.NonIdempotent
 			s.Forward(j, 0, s.id)
--- a/internal/workers/news.go
+++ b/internal/workers/news.go
@@ -6,7 +6,7 @@
 )
 
 // News is what a worker calls back about an attempt.
-type News struct {
+type Callback struct {
 	ID, From, State string
 	Share           float64
 	Result          *string
@@ -15,7 +15,7 @@
 
 // Take passes news on once: the end of an attempt takes it out of the books, so that repeats, late ones and those
 // for ids that this process never sent meet nothing. That is told, as another process may have sent them.
-func (f *Fleet) Take(n News) bool {
+func (f *Transport) HandleCallback(n Callback) bool {
 	f.Counts.News++
 	a := f.byName[workKey{n.ID, n.From}]
 	if a == nil {
@@ -27,20 +27,20 @@
 		return true
 	}
 	n.Load = a.worker.firstReport(n.Load, f.site.Report.Unknown())
-	sign := dispatch.AttemptProgress{Invocation: a.inv.Inv, Worker: a.worker.entry.Worker, Attempt: a.number, Done: n.Share}
+	sign := dispatch.AttemptProgress{Invocation: a.inv.Number, Worker: a.worker.entry.Worker, Attempt: a.number, Done: n.Share}
 	switch n.State {
 	case "started":
 		a.began, sign.Started = true, true
-		f.Event(sign)
+		f.OnEvent(sign)
 	case "running":
 		a.began = true
-		f.Event(sign)
+		f.OnEvent(sign)
 	case "done":
 		if n.Result == nil {
 			f.end(a, conn.Malformed, n.Load)
 			return true
 		}
-		f.Deliver(a.inv.Inv, *n.Result)
+		f.Deliver(a.inv.Number, *n.Result)
 		f.end(a, conn.Succeeded, n.Load)
 	case "failed":
 		f.end(a, conn.WorkerError, n.Load)
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -26,7 +26,7 @@
 
 // send sends on the connection used last, as it is the least likely to have been closed by the worker, or opens one.
 // False: it has failed at once, and done has been called.
-func (f *Fleet) send(w *worker, x *exchange) bool {
+func (f *Transport) send(w *worker, x *exchange) bool {
 	for n := len(w.idle) - 1; n >= 0; n-- {
 		c := w.idle[n]
 		rested := f.loop.Now() - c.parked
@@ -39,11 +39,11 @@
 			c.socket.Close()
 			continue
 		}
-		c.socket.Set(conn.Busy)
+		c.socket.SetState(conn.StateActive)
 		c.exchange, x.connection = x, c
 		return c.send()
 	}
-	if !f.share.Spare(0) {
+	if !f.share.EnsureFree(0) {
 		x.done(nil, conn.NoDescriptor)
 		return false
 	}
@@ -53,7 +53,7 @@
 }
 
 // anotherDial tells whether another connection may come up for the exchange of one that has not.
-func (f *Fleet) anotherDial(c *connection, e conn.Ending) bool {
+func (f *Transport) anotherDial(c *connection, e conn.CloseReason) bool {
 	x := c.exchange
 	x.dialling = slices.DeleteFunc(x.dialling, func(other *connection) bool { return other == c })
 	switch e {
@@ -66,13 +66,13 @@
 }
 
 // dialAgain dials once more after a while where our own machine could not, as that may be over soon. False: the time for it is up.
-func (f *Fleet) dialAgain(w *worker, x *exchange) bool {
+func (f *Transport) dialAgain(w *worker, x *exchange) bool {
 	if f.loop.Now()+localAgain >= x.dialUntil {
 		return false
 	}
 	x.redial.Stop()
 	x.redial = f.loop.After(localAgain, func() {
-		if f.share.Spare(0) {
+		if f.share.EnsureFree(0) {
 			f.dial(w, x)
 			return
 		}
@@ -83,13 +83,13 @@
 }
 
 // dial opens one more connection for an exchange. All have the time of the first.
-func (f *Fleet) dial(w *worker, x *exchange) {
+func (f *Transport) dial(w *worker, x *exchange) {
 	f.Counts.Dialled++
 	c := &connection{fleet: f, worker: w, endpoint: w.endpoint, parser: http1.Parser{Answers: true}, exchange: x}
 	c.socket = f.share.Dial(w.endpoint, x.dialUntil-f.loop.Now(), c)
 	if x.dialling = append(x.dialling, c); len(x.dialling) < dialsMost {
 		x.redial = f.loop.After(f.site.ConnectTimeout/redialPart, func() {
-			if f.share.Room() > redialRoom && w.entry.State == dispatch.Ready && w.endpoint == c.endpoint {
+			if f.share.Available() > redialRoom && w.entry.State == dispatch.Ready && w.endpoint == c.endpoint {
 				f.dial(w, x)
 			}
 		})
@@ -105,7 +105,7 @@
 		return
 	}
 	w.idle = append(w.idle, c)
-	c.socket.Set(conn.Done) // whatever comes over it is no answer
+	c.socket.SetState(conn.StateFinished) // whatever comes over it is no answer
 	c.reused, c.parked = true, f.loop.Now()
 	c.expiry = f.loop.After(f.idleTime(), func() {
 		w.remove(c)
@@ -135,12 +135,12 @@
 
 // idleTime is how long connections are kept: a part of the time that the settings give, as a request must not cross the
 // worker's closing, and less while kept ones end before that.
-func (f *Fleet) idleTime() time.Duration {
+func (f *Transport) idleTime() time.Duration {
 	most := time.Duration(idlePart * float64(f.site.ConnectionIdle))
 	return min(most, f.lasted<<min(int((f.loop.Now()-f.brokeAt)/keepAgain), 30))
 }
 
 // shortenIdleTime keeps connections for less from now on, as one has ended after resting for so long.
-func (f *Fleet) shortenIdleTime(lasted time.Duration) {
+func (f *Transport) shortenIdleTime(lasted time.Duration) {
 	f.lasted, f.brokeAt = min(f.idleTime(), max(lasted/2, keepLeast/2)), f.loop.Now()
 }
--- a/internal/workers/probe.go
+++ b/internal/workers/probe.go
@@ -7,7 +7,7 @@
 )
 
 // endingOf tells what an answer other than 202 to an attempt, or any to a probe, amounts to.
-func endingOf(m *http1.Message) conn.Ending {
+func endingOf(m *http1.Message) conn.CloseReason {
 	switch {
 	case m.Status == 200:
 		return conn.Succeeded
@@ -19,7 +19,7 @@
 	return conn.WorkerError
 }
 
-func (f *Fleet) load(w *worker, m *http1.Message) *dispatch.LoadReport {
+func (f *Transport) load(w *worker, m *http1.Message) *dispatch.LoadReport {
 	if m == nil {
 		return nil
 	}
@@ -41,10 +41,10 @@
 }
 
 // Probe asks a worker for its load.
-func (f *Fleet) Probe(id dispatch.WorkerID) {
+func (f *Transport) HealthCheck(id dispatch.WorkerID) {
 	w, asked := f.workers[id], f.loop.Now()
 	if w == nil {
-		f.Event(dispatch.HealthCheckResult{Worker: id, Result: conn.Refused.Result()})
+		f.OnEvent(dispatch.HealthCheckResult{Worker: id, Result: conn.Refused.Result()})
 		return
 	}
 	f.Counts.Probes++
@@ -53,12 +53,12 @@
 		path = "/-/load"
 	}
 	request := http1.Request("GET", path, w.endpoint, nil)
-	answer := func(e conn.Ending, load *dispatch.LoadReport) {
+	answer := func(e conn.CloseReason, load *dispatch.LoadReport) {
 		f.Counts.Answered[e.String()]++
-		f.Event(dispatch.HealthCheckResult{Worker: id, Result: e.Result(), Latency: f.loop.Now() - asked, Load: load})
+		f.OnEvent(dispatch.HealthCheckResult{Worker: id, Result: e.Result(), Latency: f.loop.Now() - asked, Load: load})
 	}
 	x := &exchange{request: unbounded(request)}
-	x.done = func(m *http1.Message, e conn.Ending) {
+	x.done = func(m *http1.Message, e conn.CloseReason) {
 		if m != nil {
 			e = endingOf(m)
 		}
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -28,11 +28,11 @@
 
 // Invocation is one as it goes to a worker.
 type Invocation struct {
-	Inv                dispatch.InvocationID
+	Number             dispatch.InvocationID
 	ID, Method, Target string
 	Fields             []http1.Field // go on unchanged
 	Body               []byte
-	GivenUp            time.Duration // when its client stops waiting
+	Deadline           time.Duration // when its client stops waiting
 	Effect             dispatch.Effect
 	Hint               float64 // what it says of its work, in seconds; 0: nothing
 
@@ -59,18 +59,18 @@
 }
 
 // Fleet is the workers as seen from here.
-type Fleet struct {
-	Event   func(dispatch.Event)
-	Deliver func(inv dispatch.InvocationID, result string) // to the client, unless it is gone or has its answer
-	Owed    func(dispatch.InvocationID) bool               // whether its client still waits for an answer
-	Waits   func(dispatch.InvocationID) bool               // the same at the moment of a send, with the kernel asked
-	Wrote   func()                                         // an attempt has been written whole
-	Guard   *guard.Checker                                 // asked before each first byte
-	Counts  Counts
+type Transport struct {
+	OnEvent       func(dispatch.Event)
+	Deliver       func(inv dispatch.InvocationID, result string) // to the client, unless it is gone or has its answer
+	AwaitsAnswer  func(dispatch.InvocationID) bool               // whether its client still waits for an answer
+	ClientWaiting func(dispatch.InvocationID) bool               // the same at the moment of a send, with the kernel asked
+	OnWritten     func()                                         // an attempt has been written whole
+	Invariants    *guard.Checker                                 // asked before each first byte
+	Counts        Counts
 
 	loop     *conn.Loop
 	site     settings.Deployment
-	share    *conn.Share
+	share    *conn.Quota
 	lasted   time.Duration // so long a kept connection may be trusted, as it seemed when one last broke
 	brokeAt  time.Duration // that was then
 	workers  map[dispatch.WorkerID]*worker
@@ -87,22 +87,22 @@
 }
 
 // NewFleet knows no workers yet.
-func NewFleet(loop *conn.Loop, site settings.Deployment, share *conn.Share) *Fleet {
-	f := &Fleet{loop: loop, site: site, share: share, lasted: site.ConnectionIdle, workers: map[dispatch.WorkerID]*worker{},
+func NewTransport(loop *conn.Loop, site settings.Deployment, share *conn.Quota) *Transport {
+	f := &Transport{loop: loop, site: site, share: share, lasted: site.ConnectionIdle, workers: map[dispatch.WorkerID]*worker{},
 		byUID: map[string]*worker{}, byNumber: map[attemptKey]*attempt{}, byName: map[workKey]*attempt{},
-		Guard:  guard.New(loop.Clock),
-		Counts: Counts{Ended: map[string]int{}, Answered: map[string]int{}, Changes: map[string]int{}, Stopped: map[string]int{}}}
-	f.Guard.ClientWaiting = func(inv dispatch.InvocationID) bool { return f.Waits(inv) }
+		Invariants: guard.New(loop.Clock),
+		Counts:     Counts{Ended: map[string]int{}, Answered: map[string]int{}, Changes: map[string]int{}, Stopped: map[string]int{}}}
+	f.Invariants.ClientWaiting = func(inv dispatch.InvocationID) bool { return f.ClientWaiting(inv) }
 	return f
 }
 
 // Retune follows newer settings.
-func (f *Fleet) Retune(site settings.Deployment) { f.site = site }
+func (f *Transport) Reconfigure(site settings.Deployment) { f.site = site }
 
 var standings = map[dispatch.EndpointState]string{dispatch.Gone: "gone", dispatch.Ready: "ready", dispatch.Draining: "draining"}
 
 // List follows the list.
-func (f *Fleet) List(list discovery.Update) {
+func (f *Transport) ApplyUpdate(list discovery.Update) {
 	named := map[string]bool{}
 	for _, e := range list.Workers {
 		w := f.byUID[e.UID]
@@ -121,7 +121,7 @@
 			f.Counts.Changes["restarted"]++
 		}
 		if e.StartKnown {
-			f.Guard.CheckStart(e.UID, e.StartedAt)
+			f.Invariants.CheckStart(e.UID, e.StartedAt)
 		}
 		w.entry = e.Endpoint
 		w.stand(e.State)
@@ -142,7 +142,7 @@
 }
 
 // UID is how all schedulers name a worker; empty: it is not known here.
-func (f *Fleet) UID(id dispatch.WorkerID) string {
+func (f *Transport) UID(id dispatch.WorkerID) string {
 	if w := f.workers[id]; w != nil {
 		return w.uid
 	}
@@ -150,7 +150,7 @@
 }
 
 // ID is our own name of it.
-func (f *Fleet) ID(uid string) (dispatch.WorkerID, bool) {
+func (f *Transport) ID(uid string) (dispatch.WorkerID, bool) {
 	if w := f.byUID[uid]; w != nil {
 		return w.entry.Worker, true
 	}
@@ -158,7 +158,7 @@
 }
 
 // Listing is the whole list as it stands, in one order for any run.
-func (f *Fleet) Listing() dispatch.EndpointUpdate {
+func (f *Transport) Endpoints() dispatch.EndpointUpdate {
 	list := dispatch.EndpointUpdate{Kind: dispatch.FullUpdate}
 	for _, uid := range slices.Sorted(maps.Keys(f.byUID)) {
 		if w := f.byUID[uid]; w.entry.State != dispatch.Gone {
@@ -169,7 +169,7 @@
 }
 
 // Listed counts the workers of the list, ready and draining.
-func (f *Fleet) Listed() (n int) {
+func (f *Transport) EndpointCount() (n int) {
 	for _, w := range f.byUID {
 		if w.entry.State != dispatch.Gone {
 			n++
@@ -179,4 +179,4 @@
 }
 
 // Out counts the forwards that are under way.
-func (f *Fleet) Out() int { return len(f.byNumber) }
+func (f *Transport) InFlight() int { return len(f.byNumber) }
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -24,7 +24,7 @@
 
 // stage is a fleet of one worker on loopback, whose answers are written down beforehand.
 type stage struct {
-	*Fleet
+	*Transport
 	loop   *conn.Loop
 	id     dispatch.WorkerID
 	heard  chan string // requests at the worker, by connection
@@ -84,8 +84,8 @@
 			}()
 		}
 	}()
-	s.Fleet = NewFleet(s.loop, site, s.loop.Share(36))
-	s.Event = func(e dispatch.Event) {
+	s.Transport = NewTransport(s.loop, site, s.loop.NewQuota(36))
+	s.OnEvent = func(e dispatch.Event) {
 		switch e := e.(type) {
 		case dispatch.Outcome:
 			s.ended++
@@ -102,15 +102,15 @@
 		s.note("to the client: %d %s", inv, result)
 		s.closed[inv] = true
 	}
-	s.Owed = func(inv dispatch.InvocationID) bool { return !s.closed[inv] }
-	s.Waits = s.Owed
+	s.AwaitsAnswer = func(inv dispatch.InvocationID) bool { return !s.closed[inv] }
+	s.ClientWaiting = s.AwaitsAnswer
 	s.stand(dispatch.Ready)
 	return s
 }
 
 // Forward begins an attempt that the client timeout alone bounds.
 func (s *stage) Forward(inv *Invocation, fwd int, to dispatch.WorkerID) {
-	s.Fleet.Forward(inv, fwd, to, 0)
+	s.Transport.Forward(inv, fwd, to, 0)
 }
 
 // say has the worker send something over its nth connection.
@@ -121,15 +121,15 @@
 }
 
 func (s *stage) stand(standing dispatch.EndpointState) {
-	s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
+	s.ApplyUpdate(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
 		Endpoint: dispatch.Endpoint{Worker: s.id, State: standing}}}})
 }
 
 // job is a request that the guard knows, and lets out as often as a test likes.
 func (s *stage) job(inv dispatch.InvocationID) *Invocation {
-	s.Guard.RequestAdmitted(inv, guard.RequestLimits{MaxInFlight: math.MaxInt})
-	return &Invocation{Inv: inv, ID: fmt.Sprint("id", inv), Method: "POST", Target: "/render/7f", Body: []byte(" body"),
-		Fields: []http1.Field{{Name: "X-Call-Id", Value: fmt.Sprint("id", inv)}}, GivenUp: s.loop.Now() + 5*time.Second}
+	s.Invariants.RequestAdmitted(inv, guard.RequestLimits{MaxInFlight: math.MaxInt})
+	return &Invocation{Number: inv, ID: fmt.Sprint("id", inv), Method: "POST", Target: "/render/7f", Body: []byte(" body"),
+		Fields: []http1.Field{{Name: "X-Call-Id", Value: fmt.Sprint("id", inv)}}, Deadline: s.loop.Now() + 5*time.Second}
 }
 
 func (s *stage) note(format string, args ...any) {
@@ -194,19 +194,19 @@
 	s := perform(took, took)
 	s.Forward(s.job(1), 0, s.id)
 	s.until(1, 1)
-	s.Take(News{ID: "id1", From: "s-1", State: "started"})
-	s.Take(News{ID: "id1", From: "s-1", State: "running", Share: 0.4})
-	s.Take(News{ID: "id1", From: "s-2", State: "done", Result: result("another's")})
-	s.Take(News{ID: "id9", From: "s-1", State: "failed"})
-	s.Take(News{ID: "id1", From: "s-1", State: "unheard"})
-	s.Take(News{ID: "id1", From: "s-1", State: "done", Result: result("fine")})
-	s.Take(News{ID: "id1", From: "s-1", State: "done", Result: result("again")})
+	s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "started"})
+	s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "running", Share: 0.4})
+	s.HandleCallback(Callback{ID: "id1", From: "s-2", State: "done", Result: result("another's")})
+	s.HandleCallback(Callback{ID: "id9", From: "s-1", State: "failed"})
+	s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "unheard"})
+	s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "done", Result: result("fine")})
+	s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "done", Result: result("again")})
 	s.until(3, 0)
 	s.Forward(s.job(2), 0, s.id)
 	s.until(1, 1)
-	s.Take(News{ID: "id2", From: "s-1", State: "returned"})
+	s.HandleCallback(Callback{ID: "id2", From: "s-1", State: "returned"})
 	s.until(1, 0)
-	fmt.Println("news:", s.Counts.News, "strange:", s.Counts.Strange, "dialled:", s.Counts.Dialled, "out:", s.Out())
+	fmt.Println("news:", s.Counts.News, "strange:", s.Counts.Strange, "dialled:", s.Counts.Dialled, "out:", s.InFlight())
 	// Output:
 	// connection 1: POST /render/7f HTTP/1.1 id1 body
 	// inv 1 forward 0: taken=true started=false done=0
@@ -225,11 +225,11 @@
 	s := perform("", took)
 	s.Forward(s.job(1), 0, s.id)
 	s.until(0, 1)
-	s.Take(News{ID: "id1", From: "s-1", State: "lost"})
+	s.HandleCallback(Callback{ID: "id1", From: "s-1", State: "lost"})
 	s.until(1, 1) // the connection whose answer does not come is given up
 	s.Forward(s.job(2), 0, s.id)
 	s.until(1, 1)
-	s.Take(News{ID: "id2", From: "s-1", State: "done"})
+	s.HandleCallback(Callback{ID: "id2", From: "s-1", State: "done"})
 	s.until(1, 0)
 	// Output:
 	// connection 1: POST /render/7f HTTP/1.1 id1 body
@@ -280,7 +280,7 @@
 	s.until(1, 1)
 	s.answered()
 	late := s.job(3)
-	late.GivenUp = s.loop.Now() + time.Second
+	late.Deadline = s.loop.Now() + time.Second
 	s.Forward(late, 0, s.id)
 	s.until(2, 2)
 	// Output:
@@ -323,12 +323,12 @@
 	blank, some := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=0", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=2"
 	s := perform(blank, some, blank, blank)
 	for range 3 {
-		s.Probe(s.id)
+		s.HealthCheck(s.id)
 		s.until(1, 1)
 	}
-	s.List(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
+	s.ApplyUpdate(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: s.id.String(),
 		Endpoint: dispatch.Endpoint{Worker: s.id, State: dispatch.Ready, StartKnown: true, StartedAt: time.Second}}}})
-	s.Probe(s.id)
+	s.HealthCheck(s.id)
 	s.until(1, 1)
 	// Output:
 	// connection 1: GET /-/load HTTP/1.1
@@ -345,7 +345,7 @@
 func Example_probes() {
 	s := perform("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=3", turns, "", took)
 	for range 3 {
-		s.Probe(s.id)
+		s.HealthCheck(s.id)
 		s.until(1, 1)
 	}
 	s.Forward(s.job(1), 0, s.id)
