--- a/cmd/stoatweir/crossings_test.go
+++ b/cmd/stoatweir/crossings_test.go
@@ -262,7 +262,7 @@
 		}
 	}
 	come(1)
-	newer{s, read(strings.NewReplacer("read_like", "non_idempotent", "non_idempotent", "read_like").Replace(text)), nil}.Take()
+	newer{s, read(strings.NewReplacer("read_like", "non_idempotent", "non_idempotent", "read_like").Replace(text)), nil}.Run()
 	come(10)
 	fmt.Println("in hand before:", s.invs[1].Effect == dispatch.NonIdempotent, s.invs[3].Effect == dispatch.NonIdempotent)
 	// Output:
--- a/cmd/stoatweir/life.go
+++ b/cmd/stoatweir/life.go
@@ -23,7 +23,7 @@
 }
 
 // Take carries it out.
-func (o order) Take() { o.do() }
+func (o order) Run() { o.do() }
 
 // calls are what operators may ask. Whatever only tells is read from what the loop has published.
 func (s *service) calls() admin.Commands {
--- a/cmd/stoatweir/retune.go
+++ b/cmd/stoatweir/retune.go
@@ -24,7 +24,7 @@
 }
 
 // Take follows a newer configuration, whole or not at all: one that can't be used must not cost the service what it has.
-func (n newer) Take() {
+func (n newer) Run() {
 	s := n.service
 	if n.err == nil {
 		n.err = s.node.MissingKey(n.node)
--- a/cmd/stoatweir/service_test.go
+++ b/cmd/stoatweir/service_test.go
@@ -101,7 +101,7 @@
 
 type breaks struct{ *service }
 
-func (b breaks) Take() { b.core, b.events = nil, append(b.events, dispatch.TimerFired{}) }
+func (b breaks) Run() { b.core, b.events = nil, append(b.events, dispatch.TimerFired{}) }
 
 // The whole way: known list, watch, an invocation to a worker, its news, the answer; then the order to stop, with one
 // invocation in hand that no worker ends: it is answered all the same, and the service ends by itself.
--- a/cmd/stoatweir/successor.go
+++ b/cmd/stoatweir/successor.go
@@ -162,7 +162,7 @@
 }
 
 // Take gives a newcomer our socket and half of what we have.
-func (n came) Take() {
+func (n came) Run() {
 	s := n.service
 	if n.Name != "" && n.Name != s.node.Name {
 		s.log.Warn("a process named ", n.Name, " wants our address, and is sent away")
@@ -202,7 +202,7 @@
 }
 
 // Take is the end of a bond. Whatever the other one had is ours again.
-func (p parted) Take() {
+func (p parted) Run() {
 	s := p.service
 	if s.bond != p.bond {
 		return
@@ -225,7 +225,7 @@
 }
 
 // Take takes a message in.
-func (m word) Take() {
+func (m word) Run() {
 	s, b := m.service, m.bond
 	if m.File != nil {
 		defer m.File.Close()
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -174,7 +174,7 @@
 }
 
 // Take takes a connection in.
-func (a accepted) Take() {
+func (a accepted) Run() {
 	d := a.Server
 	d.leave = false
 	if a.net == nil {
@@ -220,7 +220,7 @@
 	j := d.inHand[inv]
 	if j != nil && j.connection.c.PeerClosed() {
 		j.connection.c.Close()
-		j.connection.Down(j.connection.c, conn.Closed)
+		j.connection.Disconnected(j.connection.c, conn.Closed)
 	}
 	return d.AwaitsAnswer(inv)
 }
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -31,10 +31,10 @@
 }
 
 // Up has nothing to do.
-func (v *connection) Up(*conn.Conn) {}
+func (v *connection) Connected(*conn.Conn) {}
 
 // Sent makes the connection one that may be closed for want of descriptors.
-func (v *connection) Sent(c *conn.Conn) {
+func (v *connection) Flushed(c *conn.Conn) {
 	if v.inv != 0 || v.waits || v.parser.Started() {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // Down of a client with an invocation in hand: it has gone away.
-func (v *connection) Down(_ *conn.Conn, e conn.CloseReason) {
+func (v *connection) Disconnected(_ *conn.Conn, e conn.CloseReason) {
 	d := v.door
 	delete(d.connections, v)
 	v.slow.Stop()
@@ -111,7 +111,7 @@
 
 // Read takes a request in. One at a time: clients wait for answers, so what follows an invocation before its answer is
 // the rest of a body longer than its length says, or a request that is hidden in it. The connection ends with that answer.
-func (v *connection) Read(c *conn.Conn) {
+func (v *connection) DataReceived(c *conn.Conn) {
 	for c.In.Len() > 0 && v.inv == 0 && !v.last && !v.waits {
 		n, step, err := v.parser.Feed(c.In.Bytes())
 		c.In.Drop(n)
@@ -202,7 +202,7 @@
 		v.waits, v.slow = false, nil
 		v.answer(status, nil, fields...)
 		if !v.last {
-			v.Read(v.c)
+			v.DataReceived(v.c)
 		}
 	})
 }
--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -39,7 +39,7 @@
 			defer shut()
 			near, far := net.Pipe()
 			defer far.Close()
-			accepted{d, near}.Take()
+			accepted{d, near}.Run()
 			var v *connection
 			for v = range d.connections {
 				v.came -= firstIn
--- a/internal/clients/news.go
+++ b/internal/clients/news.go
@@ -51,6 +51,6 @@
 	}
 	v.waits = false
 	if v.answer(status, nil); !v.last {
-		v.Read(v.c)
+		v.DataReceived(v.c)
 	}
 }
--- a/internal/clients/pass.go
+++ b/internal/clients/pass.go
@@ -126,11 +126,11 @@
 	}
 	if v.c.PeerClosed() { // while it was on the way; what waits on it must not be sent on before that is read
 		v.c.Close()
-		v.Down(v.c, conn.Closed)
+		v.Disconnected(v.c, conn.Closed)
 		return
 	}
 	v.c.Attach()
-	v.Read(v.c)
+	v.DataReceived(v.c)
 }
 
 // Lost: the other process has died with it on the way, and may have sent it on; or it hangs, and may still find the
@@ -172,7 +172,7 @@
 			v.c.SetState(conn.StateNew)
 			v.limitSilence()
 		}
-		v.Read(v.c)
+		v.DataReceived(v.c)
 		return 0, true
 	}
 	d.last++
@@ -186,7 +186,7 @@
 	d.inHand[j.Number], d.ids[j.ID] = job, true
 	d.watch(j.Number, job)
 	d.OnOwnership(j.ID, true)
-	v.Read(v.c)
+	v.DataReceived(v.c)
 	return j.Number, true
 }
 
--- a/internal/conn/capacity_test.go
+++ b/internal/conn/capacity_test.go
@@ -15,10 +15,10 @@
 // holder is an owner that leaves a connection as it is.
 type holder struct{ read int }
 
-func (h *holder) Up(*Conn)                {}
-func (h *holder) Read(c *Conn)            { h.read++; c.In.Drop(c.In.Len()) }
-func (h *holder) Sent(*Conn)              {}
-func (h *holder) Down(*Conn, CloseReason) {}
+func (h *holder) Connected(*Conn)                 {}
+func (h *holder) DataReceived(c *Conn)            { h.read++; c.In.Drop(c.In.Len()) }
+func (h *holder) Flushed(*Conn)                   {}
+func (h *holder) Disconnected(*Conn, CloseReason) {}
 
 // BenchmarkConnections adopts so many: mute ones have said nothing, those in hand have brought a request and wait for its
 // answer, written ones have had one too.
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -27,10 +27,10 @@
 
 // Owner is told of a connection, in the loop. Down comes once and last, and not after Close.
 type Handler interface {
-	Up(c *Conn)                  // a dialled connection is up
-	Read(c *Conn)                // In holds more bytes
-	Sent(c *Conn)                // all that was written has gone out
-	Down(c *Conn, e CloseReason) // it has ended
+	Connected(c *Conn)                   // a dialled connection is up
+	DataReceived(c *Conn)                // In holds more bytes
+	Flushed(c *Conn)                     // all that was written has gone out
+	Disconnected(c *Conn, e CloseReason) // it has ended
 }
 
 // Conn is a connection with one ring a direction. A goroutine each way moves bytes between socket and ring, and
@@ -95,7 +95,7 @@
 }
 
 // Take reads what a goroutine has left.
-func (n note) Take() {
+func (n note) Run() {
 	c := n.Conn
 	switch n.what {
 	case dialed:
@@ -114,7 +114,7 @@
 			} else {
 				c.In.Add(n.n)
 			}
-			c.owner.Read(c)
+			c.owner.DataReceived(c)
 		}
 	case wrote:
 		c.writing = false
@@ -140,7 +140,7 @@
 		if c.quits {
 			c.shut()
 		} else {
-			c.owner.Sent(c)
+			c.owner.Flushed(c)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		if unsent {
 			c.ending = NotWritten
 		}
-		owner.Down(c, c.ending)
+		owner.Disconnected(c, c.ending)
 	}
 }
 
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -20,13 +20,13 @@
 	up   func(c *Conn)
 }
 
-func (o *owner) Up(c *Conn) {
+func (o *owner) Connected(c *Conn) {
 	o.seen = append(o.seen, "up")
 	if o.up != nil {
 		o.up(c)
 	}
 }
-func (o *owner) Read(c *Conn) {
+func (o *owner) DataReceived(c *Conn) {
 	for c.In.Len() > 0 {
 		b := c.In.Bytes()
 		o.got = append(o.got, b...)
@@ -36,8 +36,8 @@
 		o.read(c)
 	}
 }
-func (o *owner) Sent(*Conn)                  {}
-func (o *owner) Down(_ *Conn, e CloseReason) { o.seen = append(o.seen, e.String()) }
+func (o *owner) Flushed(*Conn)                       {}
+func (o *owner) Disconnected(_ *Conn, e CloseReason) { o.seen = append(o.seen, e.String()) }
 
 // await runs the loop until what is waited for has happened.
 func await(l *Loop, what string, done func() bool) {
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -41,10 +41,10 @@
 	case n.err != nil:
 		c.ended = true
 		c.release()
-		c.owner.Down(c, dialled(n.err))
+		c.owner.Disconnected(c, dialled(n.err))
 	default:
 		c.net = n.net
 		c.begin()
-		c.owner.Up(c)
+		c.owner.Connected(c)
 	}
 }
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -9,7 +9,7 @@
 )
 
 // Note is something that waits in the loop's inbox; Take is called in the loop.
-type Task interface{ Take() }
+type Task interface{ Run() }
 
 // Loop owns an inbox and alarms. All that it calls runs in one goroutine, one thing after the other.
 type Loop struct {
@@ -146,7 +146,7 @@
 func (l *Loop) take(n Task) time.Duration {
 	l.now = time.Since(l.start)
 	began := l.now
-	l.guard(n.Take)
+	l.guard(n.Run)
 	return began
 }
 
--- a/internal/conn/loop_test.go
+++ b/internal/conn/loop_test.go
@@ -11,7 +11,7 @@
 }
 
 // Take keeps the loop from all else.
-func (b busy) Take() {
+func (b busy) Run() {
 	for began := time.Now(); time.Since(began) < b.span; {
 	}
 	b.Stop()
--- a/internal/conn/share.go
+++ b/internal/conn/share.go
@@ -128,7 +128,7 @@
 func (c *Conn) crowdedOut() {
 	owner := c.owner
 	if c.Close(); owner != nil {
-		owner.Down(c, NoDescriptor)
+		owner.Disconnected(c, NoDescriptor)
 	}
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -330,15 +330,15 @@
 }
 
 // Up asks once the connection stands.
-func (n *watch) Up(c *conn.Conn) {
+func (n *watch) Connected(c *conn.Conn) {
 	c.Write(http1.Request("GET", "/api/targets?stream=1&index="+strconv.FormatUint(n.rev, 10), n.addr, nil))
 }
 
 // Sent has nothing to do.
-func (n *watch) Sent(*conn.Conn) {}
+func (n *watch) Flushed(*conn.Conn) {}
 
 // Down is the end of the watch.
-func (n *watch) Down(c *conn.Conn, e conn.CloseReason) {
+func (n *watch) Disconnected(c *conn.Conn, e conn.CloseReason) {
 	if c == n.c {
 		n.fail(errors.New("the connection has ended: " + e.String()))
 	}
@@ -346,7 +346,7 @@
 
 // Read takes the answer in. Only what is whole shows that the watch is alive: a list, an empty line. Bytes that never
 // come to an end would have it stand for good, and tell nothing.
-func (n *watch) Read(c *conn.Conn) {
+func (n *watch) DataReceived(c *conn.Conn) {
 	for c == n.c && c.In.Len() > 0 {
 		used, step, err := n.parser.Feed(c.In.Bytes())
 		switch {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -151,7 +151,7 @@
 }
 
 // Take hands on what makes sense.
-func (c come) Take() {
+func (c come) Run() {
 	c.waiting.Add(-1)
 	c.now = c.loop.Now()
 	if told, ok := c.sift(c.from, c.bytes); ok {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -41,7 +41,7 @@
 
 type stopper struct{ *conn.Loop }
 
-func (s stopper) Take() { s.Stop() }
+func (s stopper) Run() { s.Stop() }
 
 func frame(number uint16, epoch uint64, count uint32, notes ...dispatch.GossipEntry) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{version}, number)
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -86,7 +86,7 @@
 }
 
 // Up sends what the connection was opened for, unless another one has it by now.
-func (c *connection) Up(*conn.Conn) {
+func (c *connection) Connected(*conn.Conn) {
 	x := c.exchange
 	switch {
 	case x != nil:
@@ -101,7 +101,7 @@
 }
 
 // Sent lets an answer that came first take effect.
-func (c *connection) Sent(*conn.Conn) {
+func (c *connection) Flushed(*conn.Conn) {
 	c.exchange.written()
 	if c.earlyAnswer != nil {
 		c.park()
@@ -124,7 +124,7 @@
 }
 
 // Read takes an answer in.
-func (c *connection) Read(nc *conn.Conn) {
+func (c *connection) DataReceived(nc *conn.Conn) {
 	for nc.In.Len() > 0 {
 		n, step, err := c.parser.Feed(nc.In.Bytes())
 		nc.In.Drop(n)
@@ -192,7 +192,7 @@
 }
 
 // Down ends what was asked. An answer without a length ends with its connection.
-func (c *connection) Down(_ *conn.Conn, e conn.CloseReason) {
+func (c *connection) Disconnected(_ *conn.Conn, e conn.CloseReason) {
 	if c.earlyAnswer != nil {
 		c.stopWaiting()
 		return
--- a/internal/workers/late_test.go
+++ b/internal/workers/late_test.go
@@ -23,7 +23,7 @@
 // turn is something that the loop does in a turn of its own.
 type turn func()
 
-func (t turn) Take() { t() }
+func (t turn) Run() { t() }
 
 // bounds are what may end before a request is written.
 var bounds = []struct {
