--- a/cmd/stoatweir/guard.go
+++ b/cmd/stoatweir/guard.go
@@ -6,22 +6,22 @@
 	"github.com/sirupsen/logrus"
 
 	"stoatweir/dispatch"
-	"stoatweir/internal/guard"
+	"stoatweir/internal/invariant"
 	"stoatweir/internal/workers"
 )
 
 // terms are what the guard holds a request to. It keeps those under which it came, whatever the settings become.
-func (s *service) terms(j *workers.Invocation, operation int) guard.RequestLimits {
+func (s *service) terms(j *workers.Invocation, operation int) invariant.RequestLimits {
 	d := &s.site.Dispatch
 	o := &d.Operations[operation]
-	return guard.RequestLimits{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.Deadline,
+	return invariant.RequestLimits{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.Deadline,
 		MaxAttempts: d.Limits.MaxAttempts, MaxInFlight: d.Limits.MaxInFlight}
 }
 
 // inherited are the attempts that another process made, as the guard knows them.
-func (s *service) inherited(tries []dispatch.Attempt) (all []guard.MigratedAttempt) {
+func (s *service) inherited(tries []dispatch.Attempt) (all []invariant.MigratedAttempt) {
 	for number, t := range tries {
-		all = append(all, guard.MigratedAttempt{Number: number, Worker: s.fleet.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, InFlight: t.InFlight, MayHaveRun: t.MayHaveRun})
+		all = append(all, invariant.MigratedAttempt{Number: number, Worker: s.fleet.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, InFlight: t.InFlight, MayHaveRun: t.MayHaveRun})
 	}
 	return all
 }
@@ -48,7 +48,7 @@
 }
 
 // violated logs what the guard has found, with all that is known of the request.
-func (s *service) violated(v guard.Violation) {
+func (s *service) violated(v invariant.Violation) {
 	fields := logrus.Fields{"rule": string(v.Reason)}
 	if v.ID != "" {
 		fields["id"] = v.ID
--- a/cmd/stoatweir/lab.go
+++ b/cmd/stoatweir/lab.go
@@ -19,11 +19,11 @@
 
 	"stoatweir/internal/lab/load"
 	"stoatweir/internal/lab/loopback"
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/report"
 	"stoatweir/internal/lab/scenario"
 	"stoatweir/internal/lab/trace"
 	"stoatweir/internal/lab/virtual"
-	"stoatweir/internal/lab/world"
 )
 
 // errFound: what was asked for was done, and what it has found is no good.
@@ -64,7 +64,7 @@
 			for _, file := range files {
 				s, err := scenario.Read(file)
 				if all = append(all, err); err == nil {
-					w := world.New(s)
+					w := model.New(s)
 					fmt.Fprintf(c.OutOrStdout(), "%s: %s, %d schedulers, %d workers, %.1f invocations a second, %d troubles\n", file, s.Name,
 						s.Schedulers.Count, len(w.Fleet.Machines), w.Clients.Rate(0), len(s.Troubles))
 				}
@@ -85,7 +85,7 @@
 }
 
 // source is the trace, if there is one.
-func (p *played) source(s scenario.Scenario, clients *world.Clients) (world.Source, *trace.Reader, io.Closer, error) {
+func (p *played) source(s scenario.Scenario, clients *model.Clients) (model.Source, *trace.Reader, io.Closer, error) {
 	if p.csv == "" {
 		return nil, nil, nil, nil
 	}
@@ -108,7 +108,7 @@
 // day plays one.
 func (p *played) day(ctx context.Context, s scenario.Scenario, decider string) (r report.Report, err error) {
 	if p.mode == "loopback" {
-		source, reader, file, err := p.source(s, world.New(s).Clients)
+		source, reader, file, err := p.source(s, model.New(s).Clients)
 		if err != nil {
 			return r, err
 		}
@@ -318,7 +318,7 @@
 			if err != nil {
 				return err
 			}
-			source, reader, file, err := p.source(s, world.New(s).Clients)
+			source, reader, file, err := p.source(s, model.New(s).Clients)
 			if err != nil {
 				return err
 			}
@@ -369,7 +369,7 @@
 			if p.csv == "" {
 				return errors.New("--trace: is not set")
 			}
-			_, r, file, err := p.source(s, world.New(s).Clients)
+			_, r, file, err := p.source(s, model.New(s).Clients)
 			if err != nil {
 				return err
 			}
--- a/cmd/stoatweir/life.go
+++ b/cmd/stoatweir/life.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"stoatweir/internal/admin"
-	"stoatweir/internal/life"
+	"stoatweir/internal/lifecycle"
 )
 
 const (
@@ -39,7 +39,7 @@
 			}})
 			select {
 			case err := <-held:
-				return life.State(s.stands.Load()).String(), err
+				return lifecycle.State(s.stands.Load()).String(), err
 			case <-time.After(orderIn):
 				return "", errors.New("no answer in time; the order stands")
 			}
@@ -47,7 +47,7 @@
 	}
 	return admin.Commands{
 		"status": func() (string, error) {
-			if state := life.State(s.stands.Load()); state != life.Ready {
+			if state := lifecycle.State(s.stands.Load()); state != lifecycle.Ready {
 				return "", errors.New(state.String())
 			}
 			return "ready", nil
@@ -55,7 +55,7 @@
 		"stats": func() (string, error) {
 			f := s.figures.Load()
 			if f == nil {
-				return "", errors.New(life.Starting.String())
+				return "", errors.New(lifecycle.Starting.String())
 			}
 			return "figures\n" + f.Text() + ".", nil
 		},
@@ -70,7 +70,7 @@
 	done := step()
 	if now := s.life.State(); now != before {
 		s.log.Info(what, ": ", before, " to ", now, ", ", s.door.InFlight(), " in hand")
-		if now == life.Ready {
+		if now == lifecycle.Ready {
 			s.serves()
 		}
 		s.stands.Store(uint32(now))
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -13,13 +13,13 @@
 	"github.com/sirupsen/logrus"
 
 	"stoatweir/dispatch"
+	"stoatweir/internal/accounting"
 	"stoatweir/internal/clients"
 	"stoatweir/internal/conn"
 	"stoatweir/internal/discovery"
+	"stoatweir/internal/gossip"
 	"stoatweir/internal/handover"
-	"stoatweir/internal/ledger"
-	"stoatweir/internal/life"
-	"stoatweir/internal/peers"
+	"stoatweir/internal/lifecycle"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/tenants"
 	"stoatweir/internal/workers"
@@ -49,7 +49,7 @@
 	ours   *conn.Quota // of the descriptors: for clients and news
 	theirs *conn.Quota // for workers
 	log    *logrus.Entry
-	book   *ledger.Ledger
+	book   *accounting.Ledger
 	core   *dispatch.Dispatcher
 	door   *clients.Server
 	fleet  *workers.Transport
@@ -65,15 +65,15 @@
 	last   time.Duration // when the module was last asked
 
 	at            address
-	opened        bool             // clients are let in
-	studies       bool             // what the process before has learned was asked for
-	post          *handover.Post   // where a successor finds us; nil: nowhere
-	road          *peers.Transport // to other schedulers; nil: none
-	hosting       *hosting         // nil: no tenants are served
-	bond          *bond            // nil: no other process serves at our address
-	life          life.Lifecycle
+	opened        bool              // clients are let in
+	studies       bool              // what the process before has learned was asked for
+	post          *handover.Post    // where a successor finds us; nil: nowhere
+	road          *gossip.Transport // to other schedulers; nil: none
+	hosting       *hosting          // nil: no tenants are served
+	bond          *bond             // nil: no other process serves at our address
+	life          lifecycle.Lifecycle
 	stands        atomic.Uint32 // the state of life, for operators
-	figures       atomic.Pointer[ledger.Totals]
+	figures       atomic.Pointer[accounting.Totals]
 	published     int         // changes of the ledger that these hold
 	publishing    *conn.Timer // nil: nothing has happened since
 	seed          int64
@@ -97,7 +97,7 @@
 func newService(node settings.Process, log *logrus.Entry) (*service, error) {
 	start, given := time.Now(), node
 	loop := conn.NewLoop(start)
-	ours, theirs, book := loop.NewQuota(0), loop.NewQuota(0), ledger.New()
+	ours, theirs, book := loop.NewQuota(0), loop.NewQuota(0), accounting.New()
 	s := &service{loop: loop, ours: ours, theirs: theirs, log: log, book: book, node: given, base: given.Deployment, known: node.CachedEndpoints, invs: map[dispatch.InvocationID]*tracked{}, givenUp: map[string]int{},
 		seed: node.Seed, last: -1,
 		door:  clients.New(loop, node.Deployment, ours, book),
@@ -124,13 +124,13 @@
 	s.door.OnCallback, s.door.Counters, s.door.History = s.fleet.HandleCallback, s.report, s.historyOf
 	s.door.RelayCallback, s.door.OwnedByPeer, s.door.OnOwnership = s.relay, s.foreign, s.holds
 	s.door.OnServed = func(t time.Duration) { s.waits.RecordValue(t.Microseconds()) }
-	s.door.Behavior = func() life.Behavior { return s.life.Behavior(loop.Now()) }
+	s.door.Behavior = func() lifecycle.Behavior { return s.life.Behavior(loop.Now()) }
 	s.fleet.Deliver, s.fleet.AwaitsAnswer, s.fleet.ClientWaiting, s.fleet.OnWritten = s.door.Deliver, s.door.AwaitsAnswer, s.door.ClientWaiting, book.Forwarded
 	s.list.OnUpdate, loop.Panicked = s.told, s.panicked
 	s.list.OnFailure = func(why string) { log.Warn("the watch of the list has failed: ", why) }
 	s.resize(node.Sockets)
 	if len(node.Peers) > 0 {
-		s.road = peers.Open(loop, node.Peers, node.Deployment.Dispatch.Index, start, func(err error) {
+		s.road = gossip.Open(loop, node.Peers, node.Deployment.Dispatch.Index, start, func(err error) {
 			log.WithError(err).Warn("peers: our address can't be had, nothing is told until it can")
 		})
 		s.road.OnReceive = func(t dispatch.GossipReceived) { s.events = append(s.events, t) }
--- a/cmd/stoatweir/told_test.go
+++ b/cmd/stoatweir/told_test.go
@@ -20,7 +20,7 @@
 
 	"stoatweir/dispatch"
 	"stoatweir/internal/discovery"
-	"stoatweir/internal/life"
+	"stoatweir/internal/lifecycle"
 	"stoatweir/internal/settings"
 )
 
@@ -588,7 +588,7 @@
 					yes := map[*player]bool{}
 					for at.now() < watched {
 						for _, p := range all {
-							if !yes[p] && life.State(p.stands.Load()) == life.Ready {
+							if !yes[p] && lifecycle.State(p.stands.Load()) == lifecycle.Ready {
 								yes[p] = true
 								ready = append(ready, at.now())
 							}
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -20,12 +20,12 @@
 	"github.com/sirupsen/logrus"
 
 	"stoatweir/dispatch"
+	"stoatweir/internal/accounting"
 	"stoatweir/internal/admin"
 	"stoatweir/internal/clients"
-	"stoatweir/internal/guard"
-	"stoatweir/internal/ledger"
-	"stoatweir/internal/life"
-	"stoatweir/internal/peers"
+	"stoatweir/internal/gossip"
+	"stoatweir/internal/invariant"
+	"stoatweir/internal/lifecycle"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/workers"
 )
@@ -173,13 +173,13 @@
 var memoryFigures = regexp.MustCompile(`"(heap_bytes|allocations|collections)":\d+`)
 
 // fillBook makes a different number of each kind of entry.
-func fillBook(l *ledger.Ledger) {
+func fillBook(l *accounting.Ledger) {
 	l.Forwards, l.Applied, l.Rejected = 1001, 1002, 1003
 	class := l.Class("render")
 	for range 30 {
 		l.Admitted(class)
 	}
-	for how, times := range map[ledger.Disposition]int{ledger.Succeeded: 1, ledger.Declined: 2, ledger.Aborted: 3, ledger.Abandoned: 4, ledger.Migrated: 5} {
+	for how, times := range map[accounting.Disposition]int{accounting.Succeeded: 1, accounting.Declined: 2, accounting.Aborted: 3, accounting.Abandoned: 4, accounting.Migrated: 5} {
 		for range times {
 			l.Completed(class, how)
 		}
@@ -190,10 +190,10 @@
 func fillCounts(t *testing.T, s *service) {
 	t.Helper()
 	fillBook(s.book)
-	s.door.Counts, s.fleet.Counts, s.fleet.Invariants.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[guard.Counts](t)
+	s.door.Counts, s.fleet.Counts, s.fleet.Invariants.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[invariant.Counts](t)
 	s.door.ClosedConnections, s.givenUp = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
 	s.list.WatchesStarted, s.panics = 1006, 1007
-	s.road = &peers.Transport{}
+	s.road = &gossip.Transport{}
 	for n, c := range []interface{ Store(uint64) }{&s.road.Counts.Sent, &s.road.Counts.Heard, &s.road.Counts.Unsent, &s.road.Counts.Foreign,
 		&s.road.Counts.Old, &s.road.Counts.Broken, &s.road.Counts.Crowded} {
 		c.Store(uint64(1010 + n))
@@ -206,7 +206,7 @@
 	s, _ := wireService(t)
 	fillCounts(t, s)
 	golden(t, "counts", memoryFigures.ReplaceAll(s.report(), []byte(`"$1":MEMORY`)))
-	figures, err := json.Marshal(filled[ledger.Totals](t))
+	figures, err := json.Marshal(filled[accounting.Totals](t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,11 +215,11 @@
 
 // The words that counts, answers' reasons and admin answers go by where they are constants of Go.
 func TestCountKeysGolden(t *testing.T) {
-	keys := []any{guard.WorkerUnavailable, guard.WorkerRestarted, guard.WorkerMoved, guard.ClientGone, guard.TimeoutPassed,
-		guard.WindowPassed, guard.UnknownRequest, guard.TooManyAttempts, guard.SecondOut, guard.SecondAtWorker, guard.RepeatedUnproven,
-		guard.RepeatedOutOfGroup, guard.RepeatedTooLate, guard.AnsweredTwice, guard.AnsweredLate, guard.RefusedUnproven, guard.ClosedUnanswered,
-		guard.StartInFuture, dispatch.ReasonTimeout, dispatch.ReasonTooLate, dispatch.ReasonAttempts, dispatch.ReasonUnfit,
-		dispatch.ReasonUnproven, dispatch.ReasonWindow, life.Starting, life.Ready, life.Standby, life.HandingOver, life.Stopping}
+	keys := []any{invariant.WorkerUnavailable, invariant.WorkerRestarted, invariant.WorkerMoved, invariant.ClientGone, invariant.TimeoutPassed,
+		invariant.WindowPassed, invariant.UnknownRequest, invariant.TooManyAttempts, invariant.SecondOut, invariant.SecondAtWorker, invariant.RepeatedUnproven,
+		invariant.RepeatedOutOfGroup, invariant.RepeatedTooLate, invariant.AnsweredTwice, invariant.AnsweredLate, invariant.RefusedUnproven, invariant.ClosedUnanswered,
+		invariant.StartInFuture, dispatch.ReasonTimeout, dispatch.ReasonTooLate, dispatch.ReasonAttempts, dispatch.ReasonUnfit,
+		dispatch.ReasonUnproven, dispatch.ReasonWindow, lifecycle.Starting, lifecycle.Ready, lifecycle.Standby, lifecycle.HandingOver, lifecycle.Stopping}
 	var text []byte
 	for _, key := range keys {
 		text = fmt.Appendln(text, key)
@@ -231,14 +231,14 @@
 func TestHistoryGolden(t *testing.T) {
 	s, _ := wireService(t)
 	now := time.Duration(0)
-	g := guard.New(func() time.Duration { now += 250 * time.Millisecond; return now })
+	g := invariant.New(func() time.Duration { now += 250 * time.Millisecond; return now })
 	s.fleet.Invariants = g
-	g.RequestAdmitted(1, guard.RequestLimits{ID: "job-1", Effect: dispatch.NonIdempotent, Deadline: time.Minute, MaxAttempts: 2, MaxInFlight: 1})
-	worker := guard.Target{UID: "s-1", Endpoint: dispatch.Endpoint{State: dispatch.Ready}}
+	g.RequestAdmitted(1, invariant.RequestLimits{ID: "job-1", Effect: dispatch.NonIdempotent, Deadline: time.Minute, MaxAttempts: 2, MaxInFlight: 1})
+	worker := invariant.Target{UID: "s-1", Endpoint: dispatch.Endpoint{State: dispatch.Ready}}
 	gone := worker
 	gone.State++
-	g.CheckSend(guard.Attempt{Request: 1, Chosen: worker, Current: gone, Deadline: time.Minute})
-	sent := guard.Attempt{Request: 1, Number: 1, Chosen: worker, Current: worker, Deadline: time.Minute}
+	g.CheckSend(invariant.Attempt{Request: 1, Chosen: worker, Current: gone, Deadline: time.Minute})
+	sent := invariant.Attempt{Request: 1, Number: 1, Chosen: worker, Current: worker, Deadline: time.Minute}
 	if why := g.CheckSend(sent); why != "" {
 		t.Fatal(why)
 	}
@@ -247,7 +247,7 @@
 	g.AttemptEnded(1, 1, "broken", true)
 	g.CheckSend(sent)
 	g.CheckClose(1)
-	g.CheckAnswer(1, guard.Refused, "an attempt may have run")
+	g.CheckAnswer(1, invariant.Refused, "an attempt may have run")
 	golden(t, "history", s.historyOf("job-1"))
 	if text := s.historyOf("another"); len(text) > 0 {
 		t.Errorf("of another request: %s", text)
--- a/internal/ledger/capacity_test.go
+++ b/internal/accounting/capacity_test.go
@@ -1,4 +1,4 @@
-package ledger
+package accounting
 
 import (
 	"fmt"
--- a/internal/ledger/ledger.go
+++ b/internal/accounting/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger is the one book of what was taken in, how it ended, and what went out. It has neither clock nor I/O.
-package ledger
+// Package accounting is the one book of what was taken in, how it ended, and what went out. It has neither clock nor I/O.
+package accounting
 
 import (
 	"fmt"
--- a/internal/ledger/ledger_test.go
+++ b/internal/accounting/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package accounting
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 // The figures as operators see them. A class with strange letters must not break the lines of others; one that has
 // vanished keeps its count, and goes on with it when it comes back.
-func ExampleFigures_Text() {
+func ExampleTotals_Text() {
 	l := New("render", "a\"b\\c\nd")
 	l.Admitted(l.Class("render"))
 	l.Admitted(l.Class("render"))
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"stoatweir/dispatch"
+	"stoatweir/internal/accounting"
 	"stoatweir/internal/conn"
-	"stoatweir/internal/guard"
 	"stoatweir/internal/http1"
-	"stoatweir/internal/ledger"
-	"stoatweir/internal/life"
+	"stoatweir/internal/invariant"
+	"stoatweir/internal/lifecycle"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/tenants"
 	"stoatweir/internal/workers"
@@ -67,7 +67,7 @@
 	OnRequest  func(j *workers.Invocation, operation int) // an invocation has come; the event follows
 	OnCallback func(workers.Callback) bool                // of a worker; false: of nothing that is known here
 	OnServed   func(time.Duration)                        // how long a client waited for its worker's result
-	Behavior   func() life.Behavior
+	Behavior   func() lifecycle.Behavior
 	Accept     func(net.Listener) (net.Conn, error) // lets the next connection in, as the listener does unless it is set
 	Counters   func() []byte                        // the counters, for people
 	History    func(id string) []byte               // what is known of a request
@@ -80,9 +80,9 @@
 	Counts            Counts
 	ClosedConnections map[string]int // connections, by why they ended
 	LongestTimeout    time.Duration  // that a client has said it waits
-	Ledger            *ledger.Ledger
+	Ledger            *accounting.Ledger
 	Admission         *tenants.Controller                // who may come in, where tenants are served; nil: all may
-	Invariants        *guard.Checker                     // each final answer and each end of a connection passes it; nil: none does
+	Invariants        *invariant.Checker                 // each final answer and each end of a connection passes it; nil: none does
 	Reason            func(dispatch.InvocationID) string // why the answer that is being given is given, for the history of the request; nil: not told
 
 	loop        *conn.Loop
@@ -118,7 +118,7 @@
 }
 
 // New makes a door that is shut and has no room yet.
-func New(loop *conn.Loop, site settings.Deployment, share *conn.Quota, book *ledger.Ledger) *Server {
+func New(loop *conn.Loop, site settings.Deployment, share *conn.Quota, book *accounting.Ledger) *Server {
 	d := &Server{loop: loop, share: share,
 		inHand: map[dispatch.InvocationID]*inHand{}, ids: map[string]bool{}, connections: map[*connection]struct{}{},
 		more: make(chan struct{}, 1), Ledger: book, ClosedConnections: map[string]int{}, Accept: net.Listener.Accept}
@@ -232,7 +232,7 @@
 func (d *Server) Deliver(inv dispatch.InvocationID, result string) {
 	if j := d.inHand[inv]; j != nil {
 		d.OnServed(d.loop.Now() - j.came)
-		d.answer(inv, ledger.Succeeded, 200, []byte(result))
+		d.answer(inv, accounting.Succeeded, 200, []byte(result))
 	}
 }
 
@@ -245,28 +245,28 @@
 	if after > 0 {
 		fields = []http1.Field{{Name: "Retry-After", Value: strconv.FormatFloat(after.Seconds(), 'f', -1, 64)}}
 	}
-	d.answer(inv, ledger.Declined, 503, nil, fields...)
+	d.answer(inv, accounting.Declined, 503, nil, fields...)
 }
 
 // Fail promises nothing.
 func (d *Server) Fail(inv dispatch.InvocationID) {
 	if d.inHand[inv] != nil {
-		d.answer(inv, ledger.Aborted, 500, nil)
+		d.answer(inv, accounting.Aborted, 500, nil)
 	}
 }
 
-func (d *Server) answer(inv dispatch.InvocationID, how ledger.Disposition, status int, body []byte, fields ...http1.Field) {
+func (d *Server) answer(inv dispatch.InvocationID, how accounting.Disposition, status int, body []byte, fields ...http1.Field) {
 	v := d.inHand[inv].connection
 	if given := d.Invariants.CheckAnswer(inv, kinds[how], d.reason(inv)); given != kinds[how] {
-		how, status, fields = ledger.Aborted, 500, nil // the only answer that promises nothing
+		how, status, fields = accounting.Aborted, 500, nil // the only answer that promises nothing
 	}
 	d.forget(inv, how)
 	v.inv = 0
 	v.answer(status, body, fields...)
 }
 
-var kinds = map[ledger.Disposition]guard.Kind{ledger.Succeeded: guard.Succeeded, ledger.Declined: guard.Refused,
-	ledger.Aborted: guard.Failed, ledger.Abandoned: guard.Abandoned, ledger.Migrated: guard.Migrated}
+var kinds = map[accounting.Disposition]invariant.Kind{accounting.Succeeded: invariant.Succeeded, accounting.Declined: invariant.Refused,
+	accounting.Aborted: invariant.Failed, accounting.Abandoned: invariant.Abandoned, accounting.Migrated: invariant.Migrated}
 
 func (d *Server) reason(inv dispatch.InvocationID) string {
 	if d.Reason == nil {
@@ -276,7 +276,7 @@
 }
 
 // forget is where every invocation ends, once.
-func (d *Server) forget(inv dispatch.InvocationID, how ledger.Disposition) {
+func (d *Server) forget(inv dispatch.InvocationID, how accounting.Disposition) {
 	j := d.inHand[inv]
 	d.Ledger.Completed(j.class, how)
 	if j.seat != nil {
@@ -286,8 +286,8 @@
 	delete(d.inHand, inv)
 }
 
-var endings = map[ledger.Disposition]tenants.Disposition{ledger.Succeeded: tenants.Succeeded, ledger.Declined: tenants.Declined,
-	ledger.Aborted: tenants.Aborted, ledger.Abandoned: tenants.Abandoned, ledger.Migrated: tenants.Migrated}
+var endings = map[accounting.Disposition]tenants.Disposition{accounting.Succeeded: tenants.Succeeded, accounting.Declined: tenants.Declined,
+	accounting.Aborted: tenants.Aborted, accounting.Abandoned: tenants.Abandoned, accounting.Migrated: tenants.Migrated}
 
 // Free lets an id go some time after the last forward of it has ended; unless it was never sent, news of it may come.
 func (d *Server) ReleaseID(id string, sent bool) {
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"stoatweir/dispatch"
+	"stoatweir/internal/accounting"
 	"stoatweir/internal/conn"
-	"stoatweir/internal/ledger"
-	"stoatweir/internal/life"
+	"stoatweir/internal/lifecycle"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/workers"
 )
@@ -28,7 +28,7 @@
 		panic(err)
 	}
 	l = conn.NewLoop(time.Now())
-	d = New(l, site, l.NewQuota(40), ledger.New())
+	d = New(l, site, l.NewQuota(40), accounting.New())
 	d.SetMaxInFlight(most)
 	d.RelayCallback = func(workers.Callback, []byte, func(bool)) bool { return false }
 	d.OwnedByPeer, d.OnOwnership = func(string) bool { return false }, func(string, bool) {}
@@ -48,8 +48,8 @@
 		return true
 	}
 	d.OnServed = func(time.Duration) {}
-	manner = life.Behavior{Ready: true, Accepts: true, Admits: true}
-	d.Behavior, d.Counters = func() life.Behavior { return manner }, func() []byte { return []byte("{}") }
+	manner = lifecycle.Behavior{Ready: true, Accepts: true, Admits: true}
+	d.Behavior, d.Counters = func() lifecycle.Behavior { return manner }, func() []byte { return []byte("{}") }
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -58,7 +58,7 @@
 	return l, d, listener.Addr().String(), func() { listener.Close() }
 }
 
-var manner life.Behavior // what the door is told of the life cycle
+var manner lifecycle.Behavior // what the door is told of the life cycle
 
 // until runs the loop in which the door lives.
 func until(l *conn.Loop, what string, done func() bool) {
@@ -142,7 +142,7 @@
 	// inv 3: operation 0 tenant 0 slots 1 hint 0 budget 5s
 	// owed: 0
 	// "500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// {Connections:3 Overdue:0 Malformed:0 Crowded:0 Silent:0} [{Name:render Taken:3 Ended:[1 1 1 0 0]} {Name:sale Taken:0 Ended:[0 0 0 0 0]}]
+	// {Connections:3 Overdue:0 Malformed:0 Crowded:0 Silent:0} [{Name:render Admitted:3 Completed:[1 1 1 0 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
 // What makes no sense gets a plain status, and nothing of it reaches the decisions.
@@ -260,7 +260,7 @@
 	// job 9b21 POST /render/7f3a?x=1 [{X-Call-Id 9b21}] body
 	// inv 4: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// {Connections:7 Overdue:1 Malformed:2 Crowded:1 Silent:0} [{Name:render Taken:5 Ended:[0 1 1 1 0]} {Name:sale Taken:0 Ended:[0 0 0 0 0]}]
+	// {Connections:7 Overdue:1 Malformed:2 Crowded:1 Silent:0} [{Name:render Admitted:5 Completed:[0 1 1 1 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
 // Half requests on more connections than there are descriptors for don't keep others out.
@@ -429,7 +429,7 @@
 		}
 		return len(d.connections) == 3 && begun == 2
 	})
-	manner = life.Behavior{Accepts: true, Admits: true, ClosesIdle: true, KeepsCallbacks: true}
+	manner = lifecycle.Behavior{Accepts: true, Admits: true, ClosesIdle: true, KeepsCallbacks: true}
 	goes := func(left int) {
 		l.After(0, d.ApplyBehavior)
 		until(l, "those that go", func() bool {
@@ -506,8 +506,8 @@
 		until(l, "all answers", func() bool { l.After(100*time.Microsecond, func() {}); return step() })
 		ended := d.Ledger.Totals(0, 0).Classes[0].Completed
 		// Some of those that left had their answer on the way.
-		more, sound := ended[ledger.Abandoned], true
-		for status, how := range map[int]ledger.Disposition{200: ledger.Succeeded, 503: ledger.Declined, 500: ledger.Aborted} {
+		more, sound := ended[accounting.Abandoned], true
+		for status, how := range map[int]accounting.Disposition{200: accounting.Succeeded, 503: accounting.Declined, 500: accounting.Aborted} {
 			more += ended[how] - heard[status]
 			sound = sound && ended[how] >= heard[status]
 		}
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"stoatweir/dispatch"
+	"stoatweir/internal/accounting"
 	"stoatweir/internal/conn"
-	"stoatweir/internal/guard"
 	"stoatweir/internal/http1"
-	"stoatweir/internal/ledger"
+	"stoatweir/internal/invariant"
 )
 
 // connection is one from a client, or from a worker with news.
@@ -53,8 +53,8 @@
 		d.Invariants.CheckClose(v.inv) // it was we who closed it
 	}
 	if v.inv != 0 && d.AwaitsAnswer(v.inv) {
-		d.Invariants.CheckAnswer(v.inv, guard.Abandoned, e.String())
-		d.forget(v.inv, ledger.Abandoned)
+		d.Invariants.CheckAnswer(v.inv, invariant.Abandoned, e.String())
+		d.forget(v.inv, accounting.Abandoned)
 		d.OnEvent(dispatch.ClientDisconnected{Invocation: v.inv})
 	}
 }
--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -17,7 +17,7 @@
 	"stoatweir/dispatch"
 	"stoatweir/internal/conn"
 	"stoatweir/internal/discovery"
-	"stoatweir/internal/guard"
+	"stoatweir/internal/invariant"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/workers"
 )
@@ -185,7 +185,7 @@
 	var j *workers.Invocation
 	d.OnRequest, d.OnEvent = func(given *workers.Invocation, _ int) {
 		j = given
-		f.Invariants.RequestAdmitted(j.Number, guard.RequestLimits{})
+		f.Invariants.RequestAdmitted(j.Number, invariant.RequestLimits{})
 	}, func(dispatch.Event) {}
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/clients/pass.go
+++ b/internal/clients/pass.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"stoatweir/dispatch"
+	"stoatweir/internal/accounting"
 	"stoatweir/internal/conn"
-	"stoatweir/internal/guard"
-	"stoatweir/internal/ledger"
+	"stoatweir/internal/invariant"
 	"stoatweir/internal/tenants"
 	"stoatweir/internal/workers"
 )
@@ -24,7 +24,7 @@
 
 	connection *connection
 	job        *inHand
-	record     *guard.MigratedRequest
+	record     *invariant.MigratedRequest
 }
 
 // Offer stops connections that could go to another process, and gives each to pass once nothing moves on it any more; most may
@@ -84,7 +84,7 @@
 	}
 	if v.inv != 0 {
 		p.job, p.record = d.inHand[v.inv], d.Invariants.MigrateOut(v.inv)
-		d.forget(v.inv, ledger.Migrated)
+		d.forget(v.inv, accounting.Migrated)
 	}
 	v.parcel = p
 	d.passing++
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 
 	"stoatweir/dispatch"
+	"stoatweir/internal/accounting"
 	"stoatweir/internal/http1"
-	"stoatweir/internal/ledger"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/tenants"
 	"stoatweir/internal/workers"
@@ -65,7 +65,7 @@
 	case len(d.inHand) >= d.most, !d.Behavior().Admits:
 		d.Counts.Crowded++
 		d.Ledger.Admitted(d.classes[operation])
-		d.Ledger.Completed(d.classes[operation], ledger.Declined)
+		d.Ledger.Completed(d.classes[operation], accounting.Declined)
 		v.last = true // the descriptor is wanted: what waits to be accepted counts as taken, workers' news among it
 		v.answer(503, nil)
 		return
--- a/internal/clients/silent_test.go
+++ b/internal/clients/silent_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"stoatweir/internal/life"
+	"stoatweir/internal/lifecycle"
 )
 
 // silentMost is what a client is owed that connects and says nothing, less what it takes to see its end.
@@ -42,7 +42,7 @@
 	began := time.Now()
 	until(l, "the connection", func() bool { return len(d.connections) == 1 })
 	var parcel *MigratingConnection
-	d.Behavior = func() life.Behavior { return life.Behavior{Admits: true, Accepts: true} }
+	d.Behavior = func() lifecycle.Behavior { return lifecycle.Behavior{Admits: true, Accepts: true} }
 	d.MigrateConnections(1, nil, func(p *MigratingConnection) { parcel = p })
 	until(l, "the offer", func() bool { return parcel != nil })
 	if parcel.SilentFor <= 0 || !parcel.Unused {
--- a/internal/peers/clock_test.go
+++ b/internal/gossip/clock_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"net/netip"
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -1,6 +1,6 @@
-// Package peers carries messages between schedulers as datagrams. What is lost, late, doubled or foreign is not made good:
+// Package gossip carries messages between schedulers as datagrams. What is lost, late, doubled or foreign is not made good:
 // the decisions bear it. No connection, no queue that grows, no word that anybody waits for.
-package peers
+package gossip
 
 import (
 	"encoding/binary"
--- a/internal/guard/guard.go
+++ b/internal/invariant/guard.go
@@ -1,8 +1,8 @@
-// Package guard holds the invariants of sending, repeating, closing and starting. Each attempt asks Send directly before its first byte is
+// Package invariant holds the invariants of sending, repeating, closing and starting. Each attempt asks Send directly before its first byte is
 // written, each final answer passes Answer, each end of a connection that holds a request passes Closed, and each start of a worker passes
 // Started. The guard keeps books of its own, so that a mistake in those who decide shows: what must not happen is stopped where it can
 // be, counted, and reported with the request's history. It has no I/O, and reads no clock but the one it is given.
-package guard
+package invariant
 
 import (
 	"time"
--- a/internal/guard/guard_test.go
+++ b/internal/invariant/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"fmt"
@@ -114,7 +114,7 @@
 }
 
 // A final answer is given once, in time, and refuses only what may be asked again; a connection that we close holds no request.
-func ExampleGuard_Answer() {
+func ExampleChecker_CheckAnswer() {
 	d := open(RequestLimits{ID: "9b1f", Effect: dispatch.NonIdempotent, Deadline: 2 * time.Second})
 	d.OnViolation = func(v Violation) { fmt.Println(v.ID, v.Reason) }
 	d.send(0, at("s-1", 0))
@@ -150,7 +150,7 @@
 }
 
 // A request goes to another process and comes back with what is known of it; what comes from one is held to the same terms.
-func ExampleGuard_Give() {
+func ExampleChecker_MigrateOut() {
 	d := open(RequestLimits{Effect: dispatch.NonIdempotent})
 	d.send(0, at("s-1", 0))
 	r := d.MigrateOut(1)
--- a/internal/guard/send.go
+++ b/internal/invariant/send.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"strconv"
--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/eventqueue/agenda.go
@@ -1,5 +1,5 @@
-// Package agenda keeps what is to happen in the order of its time; of one moment, in the order in which it was entered.
-package agenda
+// Package eventqueue keeps what is to happen in the order of its time; of one moment, in the order in which it was entered.
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/lab/agenda/agenda_test.go
+++ b/internal/lab/eventqueue/agenda_test.go
@@ -1,4 +1,4 @@
-package agenda
+package eventqueue
 
 import (
 	"fmt"
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -17,9 +17,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/report"
 	"stoatweir/internal/lab/scenario"
-	"stoatweir/internal/lab/world"
 )
 
 // Loopback refuses an address that is not on this machine: a load tool that is aimed elsewhere by mistake is an attack.
@@ -92,20 +92,20 @@
 
 // Answer is what a try has brought.
 type Answer struct {
-	How    world.Reply
+	How    model.Reply
 	Advice time.Duration
 	Body   string
 	Status int
 }
 
 // Send hands a try in and waits for its end, within at most.
-func (s *Sender) Send(ctx context.Context, addr string, j *world.Job, budget, within time.Duration) Answer {
+func (s *Sender) Send(ctx context.Context, addr string, j *model.Job, budget, within time.Duration) Answer {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	o := s.Scenario.Operations[j.Op]
 	in, err := http.NewRequestWithContext(ctx, "POST", "http://"+addr+"/"+o.Name+"/"+strconv.FormatInt(j.Origin, 16), strings.NewReader("work"))
 	if err != nil {
-		return Answer{How: world.NoneThere}
+		return Answer{How: model.NoneThere}
 	}
 	in.Header.Set("X-Call-Id", strconv.FormatInt(j.ID, 16))
 	in.Header.Set("X-Call-Class", o.Name)
@@ -129,21 +129,21 @@
 	if err != nil {
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			return Answer{How: world.NoneThere}
+			return Answer{How: model.NoneThere}
 		}
-		return Answer{How: world.Unanswered}
+		return Answer{How: model.Unanswered}
 	}
 	defer out.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(out.Body, 1<<20))
 	if err != nil {
-		return Answer{How: world.Unanswered}
+		return Answer{How: model.Unanswered}
 	}
-	a := Answer{How: world.Errored, Body: string(body), Status: out.StatusCode}
+	a := Answer{How: model.Errored, Body: string(body), Status: out.StatusCode}
 	switch out.StatusCode {
 	case 200:
-		a.How = world.Succeeded
+		a.How = model.Succeeded
 	case 429, 503:
-		a.How = world.Throttled
+		a.How = model.Throttled
 		if after, err := strconv.ParseFloat(out.Header.Get("Retry-After"), 64); err == nil && after > 0 {
 			a.Advice = time.Duration(min(after, 3600) * float64(time.Second))
 		}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/scenario"
-	"stoatweir/internal/lab/world"
 )
 
 func day(t *testing.T, more string) scenario.Scenario {
@@ -77,7 +77,7 @@
 	s := day(t, "")
 	addr := stalling(t)
 	sender, audit, start := NewSender(s), NewAudit(), time.Now()
-	for clients := world.New(s).Clients; ; {
+	for clients := model.New(s).Clients; ; {
 		j, more := clients.Next()
 		if !more {
 			break
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/report"
 	"stoatweir/internal/lab/scenario"
-	"stoatweir/internal/lab/world"
 )
 
 // Bounds of one run of the load tool.
@@ -21,14 +21,14 @@
 
 // Run sends the load of a scenario to a scheduler that is running, and tells what its clients saw. The workers are
 // whoever the scheduler knows: nothing but the load is taken from the scenario.
-func Run(ctx context.Context, s scenario.Scenario, source world.Source, addr string) (report.Report, error) {
+func Run(ctx context.Context, s scenario.Scenario, source model.Source, addr string) (report.Report, error) {
 	if err := Loopback(addr); err != nil {
 		return report.Report{}, err
 	}
 	if s.Length.D() > MostLength {
 		return report.Report{}, fmt.Errorf("length: %v is more than %v", s.Length.D(), MostLength)
 	}
-	w := world.New(s)
+	w := model.New(s)
 	if source == nil {
 		source = w.Clients
 	}
@@ -37,8 +37,8 @@
 	var mu sync.Mutex // of the world, from here on
 	var wait sync.WaitGroup
 	open, sent := 0, 0
-	var try func(j world.Job)
-	try = func(j world.Job) {
+	var try func(j model.Job)
+	try = func(j model.Job) {
 		defer wait.Done()
 		mu.Lock()
 		w.Tally.Tries++
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"stoatweir/internal/lab/agenda"
+	"stoatweir/internal/lab/eventqueue"
 	"stoatweir/internal/lab/load"
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/report"
 	"stoatweir/internal/lab/scenario"
-	"stoatweir/internal/lab/world"
 )
 
 // What one machine is asked to carry: real processes and sockets.
@@ -30,8 +30,8 @@
 	s       scenario.Scenario
 	program string
 	dir     string
-	world   *world.World
-	source  world.Source
+	world   *model.World
+	source  model.Source
 	sender  *load.Sender
 	audit   *load.Audit
 	start   time.Time
@@ -40,7 +40,7 @@
 	cancel  context.CancelFunc
 
 	todo     chan func(now time.Duration)
-	plans    agenda.Agenda[func(now time.Duration)]
+	plans    eventqueue.Agenda[func(now time.Duration)]
 	open     int // invocations that have not ended
 	drained  bool
 	last     time.Duration
@@ -53,16 +53,16 @@
 
 // handed is a try that a scheduler has, and what has reached workers of it.
 type handed struct {
-	job       *world.Job
+	job       *model.Job
 	scheduler int
-	attempts  []*world.Attempt
+	attempts  []*model.Attempt
 	results   map[string]bool // that workers made
 	wire      string          // its id as workers have it
 	end       time.Duration
 }
 
 // Play plays the day of a scenario against so many runs of a program. What it starts has ended when it returns.
-func Play(ctx context.Context, s scenario.Scenario, source world.Source, program string) (r report.Report, err error) {
+func Play(ctx context.Context, s scenario.Scenario, source model.Source, program string) (r report.Report, err error) {
 	workers := 0
 	for _, g := range s.Workers {
 		workers += g.Count
@@ -77,7 +77,7 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	d := &Day{cancel: cancel, s: s, program: program, dir: dir, world: world.New(s), source: source, sender: load.NewSender(s), audit: load.NewAudit(),
+	d := &Day{cancel: cancel, s: s, program: program, dir: dir, world: model.New(s), source: source, sender: load.NewSender(s), audit: load.NewAudit(),
 		ctx: ctx, todo: make(chan func(time.Duration), 4096), jobs: map[int64]*handed{}, start: time.Now()}
 	if source == nil {
 		d.source = d.world.Clients
@@ -191,7 +191,7 @@
 			d.world.Judge.Close(now + time.Hour)
 			return nil
 		}
-		next := min(d.world.Next(), d.plans.Next(world.Never), now+100*time.Millisecond)
+		next := min(d.world.Next(), d.plans.Next(model.Never), now+100*time.Millisecond)
 		timer.Reset(max(0, next-d.now()))
 		select {
 		case do := <-d.todo:
@@ -220,7 +220,7 @@
 }
 
 // front deals tries out among the schedulers of a zone that are not known to be gone.
-func (d *Day) front(now time.Duration, j *world.Job) *node {
+func (d *Day) front(now time.Duration, j *model.Job) *node {
 	n := d.world.Clients.Front(j, func(n int) bool { return !d.nodes[n].up && now >= d.nodes[n].noticed })
 	if n < 0 {
 		return nil
@@ -229,12 +229,12 @@
 }
 
 // handIn sends a try in a goroutine of its own: nothing that it waits for may hold up the next one.
-func (d *Day) handIn(j *world.Job) {
+func (d *Day) handIn(j *model.Job) {
 	now := d.now()
 	d.world.Tally.Tries++
 	x := d.front(now, j)
 	if x == nil {
-		d.replied(now, j, load.Answer{How: world.NoneThere})
+		d.replied(now, j, load.Answer{How: model.NoneThere})
 		return
 	}
 	h := &handed{job: j, scheduler: x.number, results: map[string]bool{}, end: j.Deadline + 10*time.Second}
@@ -245,7 +245,7 @@
 		within = min(within, j.Leaves-now)
 		d.at(j.Leaves, func(now time.Duration) { d.world.Judge.Left(now, j) })
 	}
-	d.at(j.Deadline+d.s.Rules.AnswerSlack.D(), func(now time.Duration) { d.replied(now, j, load.Answer{How: world.Unanswered}) })
+	d.at(j.Deadline+d.s.Rules.AnswerSlack.D(), func(now time.Duration) { d.replied(now, j, load.Answer{How: model.Unanswered}) })
 	d.at(h.end, func(time.Duration) { delete(d.jobs, j.ID) })
 	d.audit.Sent(j.At, now)
 	d.wait.Add(1)
@@ -259,23 +259,23 @@
 func (d *Day) answered(now time.Duration, x *node, h *handed, a load.Answer) {
 	j := h.job
 	switch a.How {
-	case world.NoneThere: // it was never taken
+	case model.NoneThere: // it was never taken
 		d.world.Judge.Left(now, j)
-	case world.Unanswered:
+	case model.Unanswered:
 	default:
 		d.world.Judge.Answered(now, x.number, j, a.How)
-		if a.How == world.Succeeded && !h.results[a.Body] {
+		if a.How == model.Succeeded && !h.results[a.Body] {
 			d.world.Judge.Spoilt(now, x.number, j, a.Body)
 		}
 	}
-	if a.How == world.Unanswered && j.Leaves > 0 && now >= j.Leaves {
-		a.How = world.Left
+	if a.How == model.Unanswered && j.Leaves > 0 && now >= j.Leaves {
+		a.How = model.Left
 	}
 	d.replied(now, j, a)
 }
 
 // replied: a client has the end of a try, and may try again.
-func (d *Day) replied(now time.Duration, j *world.Job, a load.Answer) {
+func (d *Day) replied(now time.Duration, j *model.Job, a load.Answer) {
 	if !d.world.Clients.First(j) {
 		return
 	}
@@ -288,7 +288,7 @@
 }
 
 // tell calls a scheduler back.
-func (d *Day) tell(now time.Duration, a *world.Attempt, sign world.Sign, share float64) {
+func (d *Day) tell(now time.Duration, a *model.Attempt, sign model.Sign, share float64) {
 	uid := d.world.Fleet.Machines[a.Machine].UID
 	h := d.jobs[a.Job.ID]
 	if h == nil {
@@ -298,19 +298,19 @@
 	news := map[string]any{"id": id, "from": uid}
 	end := ""
 	switch sign {
-	case world.Started:
+	case model.Started:
 		news["state"] = "started"
-	case world.Progress:
+	case model.Progress:
 		news["state"], news["share"] = "running", share
-	case world.Done:
+	case model.Done:
 		result := fmt.Sprintf("made %s at %s", id, uid)
 		h.results[result] = true
 		news["state"], news["result"], end = "done", result, "done"
-	case world.Failed:
+	case model.Failed:
 		news["state"], end = "failed", "failed"
-	case world.Returned:
+	case model.Returned:
 		news["state"], end = "returned", "returned unstarted"
-	case world.Lost:
+	case model.Lost:
 		news["state"], end = "lost", "lost with its process"
 	}
 	x := d.nodes[h.scheduler]
@@ -319,7 +319,7 @@
 		defer d.wait.Done()
 		if x.news(news) && end != "" {
 			d.put(func(now time.Duration) {
-				d.world.Judge.Ended(now, a.Job, a.Forward, sign == world.Returned, end)
+				d.world.Judge.Ended(now, a.Job, a.Forward, sign == model.Returned, end)
 			})
 		}
 	}()
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"stoatweir/internal/lab/world"
+	"stoatweir/internal/lab/model"
 )
 
 // node is one scheduler: its process, and the address at which the list answers it alone, so that it shows who was told
@@ -33,7 +33,7 @@
 	noticed time.Duration
 	rev     int
 	watch   chan []byte // nil: none stands
-	known   []world.Entry
+	known   []model.Entry
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
@@ -266,7 +266,7 @@
 }
 
 // tell writes entries for this scheduler, which counts as told with them.
-func (x *node) tell(entries []world.Entry, whole bool) []byte {
+func (x *node) tell(entries []model.Entry, whole bool) []byte {
 	for _, e := range entries {
 		x.d.world.Judge.Told(x.d.now(), x.number, e.Machine, e.Standing)
 	}
@@ -295,10 +295,10 @@
 	}
 }
 
-var states = map[world.Standing]string{world.Gone: "Gone", world.Ready: "Ready", world.Draining: "Terminating"}
+var states = map[model.Standing]string{model.Gone: "Gone", model.Ready: "Ready", model.Draining: "Terminating"}
 
 // list writes entries as the list does.
-func (d *Day) list(entries []world.Entry, rev int, whole bool) []byte {
+func (d *Day) list(entries []model.Entry, rev int, whole bool) []byte {
 	targets := []map[string]any{}
 	for _, e := range entries {
 		m := d.world.Fleet.Machines[e.Machine]
--- a/internal/lab/loopback/worker.go
+++ b/internal/lab/loopback/worker.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"stoatweir/internal/lab/world"
+	"stoatweir/internal/lab/model"
 )
 
 // worker is the listener of one machine of the model.
@@ -62,19 +62,19 @@
 		if err != nil {
 			return nil, err
 		}
-		got := make(chan world.Verdict, 1)
+		got := make(chan model.Verdict, 1)
 		d := g.w.d
 		d.put(func(now time.Duration) {
 			d.world.Tally.Connections++
 			d.world.Now(now)
 			got <- d.world.Fleet.Connect(g.w.machine)
 		})
-		v := world.Taken
+		v := model.Taken
 		select {
 		case v = <-got:
 		case <-d.ctx.Done():
 		}
-		if v != world.NoConnection {
+		if v != model.NoConnection {
 			return c, nil
 		}
 		if tcp, is := c.(*net.TCPConn); is {
@@ -154,8 +154,8 @@
 
 func (w *worker) probe(out http.ResponseWriter, in *http.Request) {
 	type answer struct {
-		report  *world.Report
-		verdict world.Verdict
+		report  *model.Report
+		verdict model.Verdict
 	}
 	got := make(chan answer, 1)
 	w.d.put(func(now time.Duration) {
@@ -167,9 +167,9 @@
 	select {
 	case a := <-got:
 		switch {
-		case a.verdict == world.NoWord:
+		case a.verdict == model.NoWord:
 			w.quiet(in)
-		case a.verdict == world.NoConnection:
+		case a.verdict == model.NoConnection:
 			reset(out)
 		case a.report != nil && in.URL.Path == "/-/load":
 			io.WriteString(out, w.d.report(a.report))
@@ -179,7 +179,7 @@
 }
 
 // report writes the fields that the scenario names.
-func (d *Day) report(r *world.Report) string {
+func (d *Day) report(r *model.Report) string {
 	var fields []string
 	for i, name := range d.s.ReportNames() {
 		v := map[string]float64{"free_slots": r.FreeSlots, "waiting": r.Waiting, "active": r.Active, "service_ms": r.ServiceMs}[d.s.Reports.Fields[i]]
@@ -226,8 +226,8 @@
 		return
 	}
 	type taken struct {
-		a       *world.Attempt
-		verdict world.Verdict
+		a       *model.Attempt
+		verdict model.Verdict
 	}
 	got := make(chan *taken, 1)
 	w.d.put(func(now time.Duration) {
@@ -237,16 +237,16 @@
 			got <- nil
 			return
 		}
-		a := &world.Attempt{Scheduler: h.scheduler, Job: h.job, Forward: len(h.attempts), Machine: w.machine}
+		a := &model.Attempt{Scheduler: h.scheduler, Job: h.job, Forward: len(h.attempts), Machine: w.machine}
 		h.attempts, h.wire = append(h.attempts, a), in.Header.Get("X-Call-Id")
 		w.d.world.Judge.Sent(now, h.scheduler, h.job, a.Forward, w.machine)
 		v := w.d.world.Fleet.Take(now, a)
 		switch v {
-		case world.TurnedAway, world.NoConnection:
+		case model.TurnedAway, model.NoConnection:
 			w.d.world.Judge.Ended(now, a.Job, a.Forward, true, "turned away")
-		case world.Fails:
+		case model.Fails:
 			w.d.world.Judge.Ended(now, a.Job, a.Forward, false, "failed at once")
-		case world.Breaks:
+		case model.Breaks:
 			w.d.world.Judge.Ended(now, a.Job, a.Forward, false, "the connection broke")
 		}
 		got <- &taken{a, v}
@@ -262,16 +262,16 @@
 		return
 	}
 	switch t.verdict {
-	case world.Taken:
+	case model.Taken:
 		out.WriteHeader(202)
-	case world.TurnedAway, world.NoConnection:
+	case model.TurnedAway, model.NoConnection:
 		out.Header().Set("X-Rejected", "1")
 		out.WriteHeader(503)
-	case world.Fails:
+	case model.Fails:
 		out.WriteHeader(500)
-	case world.Breaks:
+	case model.Breaks:
 		reset(out)
-	case world.NoWord:
+	case model.NoWord:
 		w.quiet(in)
 		// Whoever waited for a word has given it up.
 		w.d.put(func(now time.Duration) {
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/model/fleet.go
@@ -1,4 +1,4 @@
-package world
+package model
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"stoatweir/internal/lab/agenda"
+	"stoatweir/internal/lab/eventqueue"
 	"stoatweir/internal/lab/scenario"
 )
 
@@ -120,7 +120,7 @@
 	tally    *Tally
 	judge    *Judge
 	changed  func(now time.Duration, machine int, silently bool) // in standing or start
-	due      agenda.Agenda[due]
+	due      eventqueue.Agenda[due]
 	chance   *rand.Rand
 	late     time.Duration // reports are so late
 	absent   int           // troubles by which there are none
--- a/internal/lab/world/judge.go
+++ b/internal/lab/model/judge.go
@@ -1,4 +1,4 @@
-package world
+package model
 
 import (
 	"fmt"
--- a/internal/lab/world/list.go
+++ b/internal/lab/model/list.go
@@ -1,9 +1,9 @@
-package world
+package model
 
 import (
 	"time"
 
-	"stoatweir/internal/lab/agenda"
+	"stoatweir/internal/lab/eventqueue"
 	"stoatweir/internal/lab/scenario"
 )
 
@@ -26,7 +26,7 @@
 	log     []Entry // by version: the entry that it brought
 	entries []Entry // by machine, as they stand
 	listed  []bool
-	coming  agenda.Agenda[Entry] // changes on their way
+	coming  eventqueue.Agenda[Entry] // changes on their way
 	late    time.Duration
 	slower  float64
 	dead    int
--- a/internal/lab/world/world.go
+++ b/internal/lab/model/world.go
@@ -1,6 +1,6 @@
-// Package world is the laboratory's model of a day: workers, the list of workers, clients, troubles, and the judge of
+// Package model is the laboratory's model of a day: workers, the list of workers, clients, troubles, and the judge of
 // the rules. It has neither I/O nor a clock: whoever drives it says what has happened and when.
-package world
+package model
 
 import (
 	"hash/fnv"
--- a/internal/lab/report/forms_test.go
+++ b/internal/lab/report/forms_test.go
@@ -7,14 +7,14 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"stoatweir/internal/lab/world"
+	"stoatweir/internal/lab/model"
 )
 
 // A report with every field set is the same to the byte, and the recorded one is read back whole.
 func TestGoldenReport(t *testing.T) {
 	r := filled[Report]()
 	r.Rules = map[string]int{}
-	for n, rule := range []world.Rule{world.OneAnswer, world.OneEffect, world.Drains, world.Cold} {
+	for n, rule := range []model.Rule{model.OneAnswer, model.OneEffect, model.Drains, model.Cold} {
 		r.Rules[rule.String()] = n + 1
 	}
 	var text, trace bytes.Buffer
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"stoatweir/internal/lab/world"
+	"stoatweir/internal/lab/model"
 )
 
 // Report is one played day. The same day in virtual time gives the same report to the byte, so it holds nothing of the
@@ -36,7 +36,7 @@
 	Seconds1   []float64       `json:"service_by_second"`
 	Costs      Costs           `json:"costs"`
 	Rules      map[string]int  `json:"rules_broken"`
-	Breaks     []world.Break   `json:"breaks,omitempty"`
+	Breaks     []model.Break   `json:"breaks,omitempty"`
 	Lateness   *Lateness       `json:"lateness,omitempty"`
 	Trace      json.RawMessage `json:"trace,omitempty"`
 }
@@ -83,7 +83,7 @@
 const worstSpan = 10 // seconds
 
 // Of makes the report of a day that is over.
-func Of(w *world.World) Report {
+func Of(w *model.World) Report {
 	t := w.Tally
 	r := Report{Version: 1, All: line(t.All), Rules: map[string]int{}, Breaks: w.Judge.Breaks, Worst: 1, WorstSpan: 1,
 		Costs: Costs{Tries: t.Tries, Forwards: t.Forwards, Duplicates: t.Duplicates, Wasted: round(t.Wasted()), Probes: t.Probes,
@@ -112,7 +112,7 @@
 		}
 	}
 	for rule, n := range w.Judge.Counted {
-		r.Rules[world.Rule(rule).String()] = n
+		r.Rules[model.Rule(rule).String()] = n
 	}
 	return r
 }
@@ -127,7 +127,7 @@
 	return round(part / of)
 }
 
-func line(l *world.Line) Line {
+func line(l *model.Line) Line {
 	at := func(q float64) float64 { return float64(l.Waits.ValueAtQuantile(q)) / 1e3 }
 	return Line{Name: l.Name, Offered: l.Offered, Value: round(l.Value), Served: round(l.Served), Service: share(l.Served, l.Value), InTime: l.InTime, Late: l.Late,
 		Throttled: l.Throttled, Errored: l.Errored, Missed: l.Missed, P50: at(50), P90: at(90), P99: at(99), P999: at(99.9)}
@@ -182,7 +182,7 @@
 		return
 	}
 	var all []string
-	for n := range world.Rule(len(r.Rules)) {
+	for n := range model.Rule(len(r.Rules)) {
 		if count := r.Rules[n.String()]; count > 0 {
 			all = append(all, fmt.Sprintf("%s %d times", n, count))
 		}
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -15,8 +15,8 @@
 	"strings"
 	"time"
 
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/scenario"
-	"stoatweir/internal/lab/world"
 )
 
 // Kind is a way in which a row is not as it should be.
@@ -63,7 +63,7 @@
 
 	m        Mapping
 	s        scenario.Scenario
-	clients  *world.Clients
+	clients  *model.Clients
 	in       *bufio.Reader
 	line     int
 	at       map[string]int // columns
@@ -81,7 +81,7 @@
 }
 
 // Open begins a trace. An empty one, or one whose columns are missing, is an error: nothing is guessed.
-func Open(in io.Reader, m Mapping, s scenario.Scenario, clients *world.Clients) (*Reader, error) {
+func Open(in io.Reader, m Mapping, s scenario.Scenario, clients *model.Clients) (*Reader, error) {
 	r := &Reader{m: m, s: s, clients: clients, in: bufio.NewReaderSize(in, 1<<16), at: map[string]int{}, any: -1, ops: map[string]int{},
 		tenants: map[string]int{}, rng: rand.New(rand.NewPCG(uint64(s.Seed), 0x7472))}
 	index := map[string]int{}
@@ -200,12 +200,12 @@
 }
 
 // Next gives the next invocation.
-func (r *Reader) Next() (world.Job, bool) {
+func (r *Reader) Next() (model.Job, bool) {
 	for !r.stopped {
 		fields, line, err := r.row()
 		switch {
 		case err == io.EOF:
-			return world.Job{}, false
+			return model.Job{}, false
 		case errors.Is(err, errLong):
 			r.Rows++
 			r.odd(Long, line, r.m.Policies.Long)
@@ -224,7 +224,7 @@
 			return j, true
 		}
 	}
-	return world.Job{}, false
+	return model.Job{}, false
 }
 
 // number reads a column; what is no finite number is none.
@@ -235,7 +235,7 @@
 
 func (r *Reader) has(key string) bool { _, has := r.at[key]; return has }
 
-func (r *Reader) job(fields []string, line int) (j world.Job, ok bool) {
+func (r *Reader) job(fields []string, line int) (j model.Job, ok bool) {
 	if len(fields) <= r.widest {
 		r.odd(Bad, line, r.m.Policies.Bad)
 		return j, false
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/scenario"
-	"stoatweir/internal/lab/world"
 )
 
 func day() scenario.Scenario {
@@ -66,7 +66,7 @@
 		fmt.Println(err)
 		return
 	}
-	r, err := Open(strings.NewReader(text), m, s, world.New(s).Clients)
+	r, err := Open(strings.NewReader(text), m, s, model.New(s).Clients)
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -156,7 +156,7 @@
 	const rows, oddEvery = 200_000, 100
 	in, out := io.Pipe()
 	go func() { out.CloseWithError(Generate(out, rows, 1, 1000, oddEvery)) }()
-	r, err := Open(in, m, s, world.New(s).Clients)
+	r, err := Open(in, m, s, model.New(s).Clients)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"stoatweir/dispatch"
-	"stoatweir/internal/lab/agenda"
+	"stoatweir/internal/lab/eventqueue"
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/scenario"
-	"stoatweir/internal/lab/world"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/simwire"
 )
@@ -46,15 +46,15 @@
 
 // Day is one that is being played.
 type Day struct {
-	World *world.World
+	World *model.World
 	Log   func(now time.Duration, scheduler int, text string) // what deciders log; may be nil
 	Steps int                                                 // events that were worked off
 
 	s          scenario.Scenario
-	source     world.Source
+	source     model.Source
 	maker      Maker
 	schedulers []*scheduler
-	queue      agenda.Agenda[func()]
+	queue      eventqueue.Agenda[func()]
 	now        time.Duration
 	dirty      []*scheduler
 	net        *rand.Rand
@@ -80,14 +80,14 @@
 
 // try is one that a scheduler has in hand.
 type try struct {
-	job      *world.Job
+	job      *model.Job
 	life     int
 	answered bool
 	forwards []*forward
 }
 
 type forward struct {
-	*world.Attempt
+	*model.Attempt
 	try     *try
 	over    bool // its scheduler knows its end
 	reached bool
@@ -95,7 +95,7 @@
 
 // New makes a day.
 func New(s scenario.Scenario, maker Maker) *Day {
-	d := &Day{World: world.New(s), s: s, maker: maker,
+	d := &Day{World: model.New(s), s: s, maker: maker,
 		net: rand.New(rand.NewPCG(uint64(s.Seed), 0x6e6574))}
 	w := d.World
 	w.Fleet.Tell = d.tell
@@ -108,7 +108,7 @@
 func (d *Day) Time() time.Duration { return d.now }
 
 // Play plays the day to its end. A nil source stands for the scenario's own load.
-func (d *Day) Play(ctx context.Context, source world.Source) error {
+func (d *Day) Play(ctx context.Context, source model.Source) error {
 	if d.s.Hosted.Room > 0 {
 		return errors.New("hosted.room: tenants are hosted on loopback alone, by real programs")
 	}
@@ -123,8 +123,8 @@
 	d.decide() // a list that is there at the start is only what was cached
 	d.arrive()
 	for d.err == nil && ctx.Err() == nil {
-		at := min(d.World.Next(), d.queue.Next(world.Never))
-		if at == world.Never || at > max(d.s.Length.D(), d.last)+tail {
+		at := min(d.World.Next(), d.queue.Next(model.Never))
+		if at == model.Never || at > max(d.s.Length.D(), d.last)+tail {
 			break
 		}
 		d.now = max(d.now, at)
@@ -180,7 +180,7 @@
 	}
 	s.decider, s.up, s.base, s.last = decider, true, d.now, -1
 	s.tries, s.conns, s.events, s.watches = map[int64]*try{}, map[int][]time.Duration{}, nil, false
-	s.wakeAt = world.Never
+	s.wakeAt = model.Never
 	if s.life == 1 {
 		s.rev = d.World.List.Rev()
 	}
@@ -237,9 +237,9 @@
 	case dispatch.Forward:
 		d.forward(s, a)
 	case dispatch.Throttle:
-		d.answer(s, s.tries[int64(a.Invocation)], world.Throttled, a.RetryAfter)
+		d.answer(s, s.tries[int64(a.Invocation)], model.Throttled, a.RetryAfter)
 	case dispatch.Fail:
-		d.answer(s, s.tries[int64(a.Invocation)], world.Errored, 0)
+		d.answer(s, s.tries[int64(a.Invocation)], model.Errored, 0)
 	case dispatch.Cancel:
 		if t := s.tries[int64(a.Invocation)]; t != nil && a.Attempt < len(t.forwards) {
 			d.cancel(s, t.forwards[a.Attempt])
@@ -265,7 +265,7 @@
 	life := s.life
 	d.at(at, func() {
 		if s.life == life && s.wakeAt == at {
-			s.wakeAt = world.Never
+			s.wakeAt = model.Never
 			d.event(s, dispatch.TimerFired{})
 		}
 	})
@@ -286,11 +286,11 @@
 }
 
 // handIn has a client send a try to a scheduler of its zone, or of another where there is none.
-func (d *Day) handIn(j *world.Job) {
+func (d *Day) handIn(j *model.Job) {
 	d.World.Tally.Tries++
 	s := d.front(j)
 	if s == nil || !s.up {
-		d.replied(j, world.NoneThere, 0)
+		d.replied(j, model.NoneThere, 0)
 		return
 	}
 	life := s.life
@@ -299,7 +299,7 @@
 	}
 	d.after(d.jitter(d.s.Network.Client.D()), func() {
 		if s.life != life || !s.up {
-			d.replied(j, world.Unanswered, 0)
+			d.replied(j, model.Unanswered, 0)
 			return
 		}
 		d.World.Judge.Offered(d.now, s.number, j)
@@ -308,12 +308,12 @@
 		d.event(s, dispatch.Arrival{Invocation: dispatch.InvocationID(j.ID), Operation: j.Op, Tenant: j.Tenant,
 			Budget: j.Deadline - d.now - early, Hint: j.Hint, Slots: float64(j.Slots)})
 		d.at(j.Deadline-early, func() { d.overdue(s, t) })
-		d.at(j.Deadline+d.s.Rules.AnswerSlack.D(), func() { d.replied(j, world.Unanswered, 0) })
+		d.at(j.Deadline+d.s.Rules.AnswerSlack.D(), func() { d.replied(j, model.Unanswered, 0) })
 	})
 }
 
 // front deals tries out among the schedulers of a zone. It goes on dealing to one that has died until that is noticed.
-func (d *Day) front(j *world.Job) *scheduler {
+func (d *Day) front(j *model.Job) *scheduler {
 	n := d.World.Clients.Front(j, func(n int) bool { return !d.schedulers[n].up && d.now >= d.schedulers[n].noticed })
 	if n < 0 {
 		return nil
@@ -332,9 +332,9 @@
 	s.settle(t.job.ID)
 }
 
-func (d *Day) leave(s *scheduler, life int, j *world.Job) {
+func (d *Day) leave(s *scheduler, life int, j *model.Job) {
 	d.World.Judge.Left(d.now, j)
-	d.replied(j, world.Left, 0)
+	d.replied(j, model.Left, 0)
 	if t := s.tries[j.ID]; t != nil && s.life == life && s.up && !t.answered {
 		t.answered = true
 		d.event(s, dispatch.ClientDisconnected{Invocation: dispatch.InvocationID(j.ID)})
@@ -342,12 +342,12 @@
 }
 
 // answer is the final answer of a scheduler.
-func (d *Day) answer(s *scheduler, t *try, how world.Reply, advice time.Duration) {
+func (d *Day) answer(s *scheduler, t *try, how model.Reply, advice time.Duration) {
 	if t == nil {
 		return // it has left, or has its answer: the module may not know yet
 	}
 	if t.answered {
-		if how != world.Succeeded {
+		if how != model.Succeeded {
 			d.World.Judge.Answered(d.now, s.number, t.job, how)
 		}
 		return
@@ -359,7 +359,7 @@
 }
 
 // replied: a client has the end of a try, and may try again.
-func (d *Day) replied(j *world.Job, how world.Reply, advice time.Duration) {
+func (d *Day) replied(j *model.Job, how model.Reply, advice time.Duration) {
 	if !d.World.Clients.First(j) {
 		return
 	}
@@ -377,7 +377,7 @@
 	if t == nil || machine >= len(d.World.Fleet.Machines) {
 		return
 	}
-	f := &forward{try: t, Attempt: &world.Attempt{Scheduler: s.number, Job: t.job, Forward: len(t.forwards), Machine: machine}}
+	f := &forward{try: t, Attempt: &model.Attempt{Scheduler: s.number, Job: t.job, Forward: len(t.forwards), Machine: machine}}
 	t.forwards = append(t.forwards, f)
 	if t.answered {
 		d.outcome(s, f, dispatch.NotSent, nil, "not sent")
@@ -411,9 +411,9 @@
 			return
 		}
 		switch d.World.Fleet.Connect(machine) {
-		case world.Taken:
+		case model.Taken:
 			up(false)
-		case world.NoConnection:
+		case model.NoConnection:
 			failed()
 		default:
 			d.after(d.s.Network.ConnectTimeout.D(), func() {
@@ -429,7 +429,7 @@
 func (d *Day) reach(s *scheduler, f *forward, kept bool) {
 	f.reached = true
 	verdict := d.World.Fleet.Take(d.now, f.Attempt)
-	if verdict == world.NoWord {
+	if verdict == model.NoWord {
 		return
 	}
 	d.after(d.way(s, f.Machine), func() {
@@ -437,20 +437,20 @@
 			return
 		}
 		switch verdict {
-		case world.Taken:
+		case model.Taken:
 			d.free(s, f.Machine)
 			if !f.over {
 				d.event(s, dispatch.AttemptProgress{Invocation: dispatch.InvocationID(f.Job.ID), Worker: d.id(f.Machine), Attempt: f.Forward, Accepted: true})
 			}
-		case world.TurnedAway:
+		case model.TurnedAway:
 			d.free(s, f.Machine)
 			d.outcome(s, f, dispatch.Rejected, nil, "turned away")
-		case world.Fails:
+		case model.Fails:
 			d.free(s, f.Machine)
 			d.outcome(s, f, dispatch.Failed, nil, "failed at once")
-		case world.Breaks:
+		case model.Breaks:
 			d.outcome(s, f, dispatch.ConnectionBroken, nil, "the connection broke")
-		case world.NoConnection:
+		case model.NoConnection:
 			if kept { // it had gone, and the connection with it
 				d.outcome(s, f, dispatch.ReusedConnectionBroken, nil, "a kept connection broke")
 			} else {
@@ -489,7 +489,7 @@
 }
 
 // tell brings to a scheduler what a machine calls back.
-func (d *Day) tell(now time.Duration, a *world.Attempt, sign world.Sign, share float64) {
+func (d *Day) tell(now time.Duration, a *model.Attempt, sign model.Sign, share float64) {
 	s := d.schedulers[a.Scheduler]
 	t := s.tries[a.Job.ID]
 	if t == nil || a.Forward >= len(t.forwards) || t.forwards[a.Forward].Attempt != a {
@@ -502,21 +502,21 @@
 		}
 		note := dispatch.AttemptProgress{Invocation: dispatch.InvocationID(a.Job.ID), Worker: d.id(a.Machine), Attempt: a.Forward, Done: share}
 		switch sign {
-		case world.Started:
+		case model.Started:
 			note.Started = true
 			d.event(s, note)
-		case world.Progress:
+		case model.Progress:
 			d.event(s, note)
-		case world.Done:
+		case model.Done:
 			if !t.answered {
-				d.answer(s, t, world.Succeeded, 0)
+				d.answer(s, t, model.Succeeded, 0)
 			}
 			d.outcome(s, f, dispatch.Succeeded, nil, "done")
-		case world.Failed:
+		case model.Failed:
 			d.outcome(s, f, dispatch.Failed, nil, "failed")
-		case world.Returned:
+		case model.Returned:
 			d.outcome(s, f, dispatch.Rejected, nil, "returned unstarted")
-		case world.Lost:
+		case model.Lost:
 			d.outcome(s, f, dispatch.ConnectionBroken, nil, "lost with its process")
 		}
 	})
@@ -539,11 +539,11 @@
 	d.connect(s, machine, func(bool) {
 		d.after(d.way(s, machine), func() {
 			report, verdict := d.World.Fleet.Probe(d.now, machine)
-			if verdict == world.NoWord {
+			if verdict == model.NoWord {
 				return
 			}
 			d.after(d.way(s, machine), func() {
-				if verdict == world.NoConnection {
+				if verdict == model.NoConnection {
 					answer(dispatch.Unreachable, nil)
 					return
 				}
@@ -562,7 +562,7 @@
 	})
 }
 
-func (d *Day) load(r *world.Report) *dispatch.LoadReport {
+func (d *Day) load(r *model.Report) *dispatch.LoadReport {
 	if r == nil {
 		return nil
 	}
@@ -637,7 +637,7 @@
 }
 
 // listing is what the module is told of entries, whose times count from its start.
-func (d *Day) listing(s *scheduler, entries []world.Entry, form dispatch.UpdateKind) dispatch.EndpointUpdate {
+func (d *Day) listing(s *scheduler, entries []model.Entry, form dispatch.UpdateKind) dispatch.EndpointUpdate {
 	l := dispatch.EndpointUpdate{Kind: form}
 	for _, e := range entries {
 		m := d.World.Fleet.Machines[e.Machine]
@@ -664,7 +664,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.tries)) {
 		t := s.tries[id]
 		if !t.answered {
-			d.at(now, func() { d.replied(t.job, world.Unanswered, 0) })
+			d.at(now, func() { d.replied(t.job, model.Unanswered, 0) })
 		}
 	}
 	s.tries = map[int64]*try{}
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -11,9 +11,9 @@
 
 	"stoatweir/dispatch"
 	"stoatweir/internal/lab/baseline"
+	"stoatweir/internal/lab/model"
 	"stoatweir/internal/lab/report"
 	"stoatweir/internal/lab/scenario"
-	"stoatweir/internal/lab/world"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/simwire"
 )
@@ -159,8 +159,8 @@
 	d := New(s, Module)
 	done := map[time.Duration]int{}
 	tell := d.World.Fleet.Tell
-	d.World.Fleet.Tell = func(now time.Duration, a *world.Attempt, sign world.Sign, share float64) {
-		if sign == world.Done {
+	d.World.Fleet.Tell = func(now time.Duration, a *model.Attempt, sign model.Sign, share float64) {
+		if sign == model.Done {
 			done[now.Truncate(time.Second)]++
 		}
 		tell(now, a, sign, share)
--- a/internal/life/life.go
+++ b/internal/lifecycle/life.go
@@ -1,6 +1,6 @@
-// Package life says how a process stands between its start and its end. All who must know ask here: readiness, the
+// Package lifecycle says how a process stands between its start and its end. All who must know ask here: readiness, the
 // operators, the door for clients, and the stop. It has neither clock nor I/O: what has happened is told with its time.
-package life
+package lifecycle
 
 import (
 	"cmp"
--- a/internal/life/life_test.go
+++ b/internal/lifecycle/life_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"fmt"
@@ -29,7 +29,7 @@
 }
 
 // A drain, and its end: yes comes back at once. A second order does not begin the drain anew.
-func ExampleCycle_Standby() {
+func ExampleLifecycle_Standby() {
 	var c Lifecycle
 	trace(&c, 0)
 	c.EndpointsKnown(time.Second)
@@ -51,7 +51,7 @@
 }
 
 // Taken out before there is a list, it stays out when the list comes; back before the list, it starts.
-func ExampleCycle_Active() {
+func ExampleLifecycle_Active() {
 	var c Lifecycle
 	c.Standby(0)
 	c.Active(1)
@@ -68,7 +68,7 @@
 }
 
 // The order to stop: no kill comes before 3.7 s. Operators' orders change nothing any more, nor does a second one.
-func ExampleCycle_Stop() {
+func ExampleLifecycle_Stop() {
 	var c Lifecycle
 	c.EndpointsKnown(0)
 	c.Stop(2*time.Second, 25*time.Second)
@@ -117,7 +117,7 @@
 
 // However short its clients wait, all is over before the kill, 0.7 s after the longest of them, in a drain too. Where nobody
 // has told how long that is, there is nobody to be answered late.
-func ExampleCycle_Stop_short() {
+func ExampleLifecycle_Stop_short() {
 	for _, longest := range []time.Duration{0, 450 * time.Millisecond, 900 * time.Millisecond, 2 * time.Second} {
 		var c Lifecycle
 		c.EndpointsKnown(0)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -47,7 +47,7 @@
 }
 
 // What a newer file says of all but discovery and settings waits for the next start, which is to be told.
-func ExampleNode_Fixed() {
+func ExampleProcess_StartOnlyChanges() {
 	text := `{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","limits":{"sockets":300},
 		"settings":{"PeersTotal":1,"Operations":[{"Name":"render","Effect":"read_like"}]}}`
 	read := func(changes ...string) Process {
@@ -125,7 +125,7 @@
 
 // A newer text is taken over by names: what has not changed keeps its index and all it has learned, what has changed goes on
 // with the learning of the one before, what is gone keeps its index while something is under way there.
-func ExampleSite_Retune() {
+func ExampleDeployment_Reconfigure() {
 	read := func(operations string) Deployment {
 		s, err := ParseDeployment([]byte(`{"Operations": [` + operations + `]}`))
 		if err != nil {
@@ -160,7 +160,7 @@
 }
 
 // Zones and kinds are known by name as well.
-func ExampleSite_Renumber() {
+func ExampleDeployment_Reindex() {
 	s, err := ParseDeployment([]byte(`{"MyZone": 1, "Dcs": ["y", "x"], "Kinds": ["m", "k"], "FamilyInfo": {"ClassKind": [0, -1]},
 		"Operations": [{"Name": "a", "Effect": "read_like"}, {"Name": "b", "Effect": "read_like"}]}`))
 	known := map[string]int{"x": 0, "y": 1, "k": 0, "m": 1}
@@ -171,7 +171,7 @@
 }
 
 // A file that is short of what the running one has was cut or is a mistake; what only starts read may be missing.
-func ExampleNode_Lacks() {
+func ExampleProcess_MissingKey() {
 	old := Process{Text: []byte(`{"name": "n", "known": {}, "seed": "1", "settings": {"Limits": {"MostForwards": 3},
 		"Operations": [{"Name": "a", "ClientTimeout": 5, "More": 1}, {"Name": "b", "ClientTimeout": 5}], "Dcs": ["x"]}}`)}
 	for _, text := range []string{
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -7,8 +7,8 @@
 
 	"stoatweir/dispatch"
 	"stoatweir/internal/conn"
-	"stoatweir/internal/guard"
 	"stoatweir/internal/http1"
+	"stoatweir/internal/invariant"
 )
 
 // Why the guard stopped an attempt, as the counts have it.
@@ -21,13 +21,13 @@
 )
 
 // stops maps the guard's reasons to these, and to how the attempt ends. Whatever else it has is a violation.
-var stops = map[guard.Reason]struct {
+var stops = map[invariant.Reason]struct {
 	why    string
 	ending conn.CloseReason
 }{
-	guard.WorkerUnavailable: {stoppedWorker, conn.WorkerUnavailable}, guard.WorkerRestarted: {stoppedWorker, conn.WorkerUnavailable},
-	guard.WorkerMoved: {stoppedWorker, conn.WorkerUnavailable}, guard.ClientGone: {stoppedClient, conn.NotSent},
-	guard.TimeoutPassed: {stoppedTimeout, conn.NotSent}, guard.WindowPassed: {stoppedWindow, conn.NotSent},
+	invariant.WorkerUnavailable: {stoppedWorker, conn.WorkerUnavailable}, invariant.WorkerRestarted: {stoppedWorker, conn.WorkerUnavailable},
+	invariant.WorkerMoved: {stoppedWorker, conn.WorkerUnavailable}, invariant.ClientGone: {stoppedClient, conn.NotSent},
+	invariant.TimeoutPassed: {stoppedTimeout, conn.NotSent}, invariant.WindowPassed: {stoppedWindow, conn.NotSent},
 }
 
 // attemptKey names an attempt as the decisions do.
@@ -65,7 +65,7 @@
 	f.Counts.Sent++
 	f.byNumber[attemptKey{inv.Number, fwd}], f.byName[workKey{inv.ID, w.uid}] = a, a
 	a.deadline = f.loop.After(inv.Deadline-f.loop.Now(), func() { f.end(a, conn.TimedOut, nil) })
-	asked := guard.Attempt{Request: inv.Number, Number: fwd, Chosen: guard.Target{UID: w.uid, Endpoint: chosen}, NotAfter: until, MinTimeLeft: leastTold}
+	asked := invariant.Attempt{Request: inv.Number, Number: fwd, Chosen: invariant.Target{UID: w.uid, Endpoint: chosen}, NotAfter: until, MinTimeLeft: leastTold}
 	a.exchange = &exchange{
 		onWritten:  f.OnWritten,
 		needsProof: inv.needsProof(),
@@ -76,7 +76,7 @@
 					http1.Field{Name: "X-Budget", Value: strconv.FormatFloat(left, 'f', 3, 64)})...)}
 		},
 		onBegun: func() {
-			asked.Current = guard.Target{UID: w.uid, Endpoint: w.entry}
+			asked.Current = invariant.Target{UID: w.uid, Endpoint: w.entry}
 			f.Invariants.AttemptStarted(asked)
 			a.written, a.repeats = true, slices.Contains(inv.had, w)
 			inv.had = append(inv.had, w)
@@ -102,8 +102,8 @@
 
 // allowed asks the guard directly before an attempt's first byte is written: the connection may have taken its time to come up, and
 // this process to run.
-func (f *Transport) allowed(a *attempt, asked guard.Attempt) conn.CloseReason {
-	asked.Current, asked.Deadline = guard.Target{UID: a.worker.uid, Endpoint: a.worker.entry}, a.inv.Deadline
+func (f *Transport) allowed(a *attempt, asked invariant.Attempt) conn.CloseReason {
+	asked.Current, asked.Deadline = invariant.Target{UID: a.worker.uid, Endpoint: a.worker.entry}, a.inv.Deadline
 	why := f.Invariants.CheckSend(asked)
 	if why == "" {
 		return conn.Open
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -10,8 +10,8 @@
 	"stoatweir/dispatch"
 	"stoatweir/internal/conn"
 	"stoatweir/internal/discovery"
-	"stoatweir/internal/guard"
 	"stoatweir/internal/http1"
+	"stoatweir/internal/invariant"
 	"stoatweir/internal/settings"
 )
 
@@ -65,7 +65,7 @@
 	AwaitsAnswer  func(dispatch.InvocationID) bool               // whether its client still waits for an answer
 	ClientWaiting func(dispatch.InvocationID) bool               // the same at the moment of a send, with the kernel asked
 	OnWritten     func()                                         // an attempt has been written whole
-	Invariants    *guard.Checker                                 // asked before each first byte
+	Invariants    *invariant.Checker                             // asked before each first byte
 	Counts        Counts
 
 	loop     *conn.Loop
@@ -90,7 +90,7 @@
 func NewTransport(loop *conn.Loop, site settings.Deployment, share *conn.Quota) *Transport {
 	f := &Transport{loop: loop, site: site, share: share, lasted: site.ConnectionIdle, workers: map[dispatch.WorkerID]*worker{},
 		byUID: map[string]*worker{}, byNumber: map[attemptKey]*attempt{}, byName: map[workKey]*attempt{},
-		Invariants: guard.New(loop.Clock),
+		Invariants: invariant.New(loop.Clock),
 		Counts:     Counts{Ended: map[string]int{}, Answered: map[string]int{}, Changes: map[string]int{}, Stopped: map[string]int{}}}
 	f.Invariants.ClientWaiting = func(inv dispatch.InvocationID) bool { return f.ClientWaiting(inv) }
 	return f
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -17,8 +17,8 @@
 	"stoatweir/dispatch"
 	"stoatweir/internal/conn"
 	"stoatweir/internal/discovery"
-	"stoatweir/internal/guard"
 	"stoatweir/internal/http1"
+	"stoatweir/internal/invariant"
 	"stoatweir/internal/settings"
 )
 
@@ -127,7 +127,7 @@
 
 // job is a request that the guard knows, and lets out as often as a test likes.
 func (s *stage) job(inv dispatch.InvocationID) *Invocation {
-	s.Invariants.RequestAdmitted(inv, guard.RequestLimits{MaxInFlight: math.MaxInt})
+	s.Invariants.RequestAdmitted(inv, invariant.RequestLimits{MaxInFlight: math.MaxInt})
 	return &Invocation{Number: inv, ID: fmt.Sprint("id", inv), Method: "POST", Target: "/render/7f", Body: []byte(" body"),
 		Fields: []http1.Field{{Name: "X-Call-Id", Value: fmt.Sprint("id", inv)}}, Deadline: s.loop.Now() + 5*time.Second}
 }
