--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill lets the decision module play in the simulator, on the simulator's wire. It decides nothing itself.
+// Command simadapter runs the decision module in the simulator, over the simulator's protocol on standard input and output. It decides nothing itself.
 package main
 
 import (
