--- a/dispatch/board.go
+++ b/dispatch/board.go
@@ -14,138 +14,138 @@
 // brought up to the last round that it had part in when somebody reads it, or before its book changes.
 
 // round is what one beat brought.
-type round struct {
-	beat int
-	at   time.Duration
-	view
+type refreshEpoch struct {
+	number int
+	at     time.Duration
+	fleetStats
 	paced map[int]float64 // is not written to any more
 }
 
 // seat is one worker's on the board.
-type seat struct {
-	card
-	beat            int // of the round that the card is from
-	watched, pooled bool
+type viewEntry struct {
+	workerView
+	epoch           int // of the round that the card is from
+	tracked, pooled bool
 }
 
 // look is desk to worker, by way of the door when a round begins: something may be due.
-type look struct{}
+type refresh struct{}
 
 // asked is door to desk: who is to be asked in a round. Who has something due besides goes first, as ever.
-type asked struct {
-	at int
-	ask
+type orderedCheck struct {
+	worker int
+	joinPool
 }
 
 // entry is a worker's on the board.
-func (k *desk) entry(at int) *seat {
-	if more := at + 1 - len(k.board); more > 0 {
-		k.board = append(k.board, make([]*seat, more)...)
+func (s *scheduler) viewEntry(at int) *viewEntry {
+	if more := at + 1 - len(s.views); more > 0 {
+		s.views = append(s.views, make([]*viewEntry, more)...)
 	}
-	if k.board[at] == nil {
-		k.board[at] = &seat{card: card{seen: -1}}
+	if s.views[at] == nil {
+		s.views[at] = &viewEntry{workerView: workerView{pooledAt: -1}}
 	}
-	return k.board[at]
+	return s.views[at]
 }
 
 // current is a worker's card as of the last round that it had part in: those with work of ours in each, all others of the
 // pool in those where something was held.
-func (k *desk) current(at int) *card {
-	if at >= len(k.board) || k.board[at] == nil {
+func (s *scheduler) currentView(at int) *workerView {
+	if at >= len(s.views) || s.views[at] == nil {
 		return nil
 	}
-	s := k.board[at]
-	r := &k.everyone
-	if s.watched {
-		r = &k.round
-	} else if !s.pooled {
-		return &s.card
+	entry := s.views[at]
+	r := &s.poolEpoch
+	if entry.tracked {
+		r = &s.epoch
+	} else if !entry.pooled {
+		return &entry.workerView
 	}
-	if s.beat < r.beat {
-		w := k.door.list[at].worker
-		w.all = r.view
+	if entry.epoch < r.number {
+		w := s.dispatcher.records[at].worker
+		w.fleet = r.fleetStats
 		w.estimate(r.at)
-		s.beat, s.card = r.beat, w.card
-		s.showPace(r.paced, r.view)
+		entry.epoch, entry.workerView = r.number, w.workerView
+		entry.estimatePace(r.paced, r.fleetStats)
 	}
-	return &s.card
+	return &entry.workerView
 }
 
 // anew brings all cards up to date before something changes that all depend on; then all look at the time once.
-func (k *desk) anew() {
-	for at, s := range k.board {
-		if k.current(at); s != nil {
-			s.due = 0
+func (s *scheduler) refreshAll() {
+	for at, entry := range s.views {
+		if s.currentView(at); entry != nil {
+			entry.dueAt = 0
 		}
 	}
 }
 
 // enter puts a card on the board. The pool is in the order in which its workers were last asked.
-func (k *desk) enter(n *card) {
-	old := k.entry(n.at)
-	joins, leaves := n.open && (n.seen > old.seen || !old.open), !n.open && old.open
-	if n.busy && !old.watched {
-		k.busy, old.watched = append(k.busy, n.at), true
+func (s *scheduler) storeView(n *workerView) {
+	old := s.viewEntry(n.index)
+	joins, leaves := n.eligible && (n.pooledAt > old.pooledAt || !old.eligible), !n.eligible && old.eligible
+	if n.active && !old.tracked {
+		s.tracked, old.tracked = append(s.tracked, n.index), true
 	}
-	if old.card, old.beat = *n, k.beats; joins || leaves {
-		k.pool, old.pooled = slices.DeleteFunc(k.pool, func(at int) bool { return at == n.at }), joins
+	if old.workerView, old.epoch = *n, s.epochs; joins || leaves {
+		s.pool, old.pooled = slices.DeleteFunc(s.pool, func(at int) bool { return at == n.index }), joins
 	}
 	if joins {
-		k.pool = append(k.pool, n.at)
+		s.pool = append(s.pool, n.index)
 	}
 }
 
 // leave takes the one at a place out of the pool, with its card as it is now: no more rounds reach it there.
-func (k *desk) leave(place int) {
-	k.current(k.pool[place])
-	k.board[k.pool[place]].pooled = false
-	k.pool = slices.Delete(k.pool, place, place+1)
+func (s *scheduler) leavePool(place int) {
+	s.currentView(s.pool[place])
+	s.views[s.pool[place]].pooled = false
+	s.pool = slices.Delete(s.pool, place, place+1)
 }
 
 // begin writes a round down. Only those look at the time for whom something is due, and the first, so that the pool is
 // brought to its size; nothing would come of it for the others.
-func (k *desk) begin() {
-	busy := k.busy[:0]
-	for _, at := range k.busy {
-		if s := k.board[at]; s.card.busy {
+func (s *scheduler) beginEpoch() {
+	busy := s.tracked[:0]
+	for _, at := range s.tracked {
+		if entry := s.views[at]; entry.workerView.active {
 			busy = append(busy, at)
 		} else {
-			s.watched = false
+			entry.tracked = false
 		}
 	}
-	k.busy, k.beats = busy, k.beats+1
-	k.round = round{k.beats, k.now, k.all, k.paced}
-	all := len(k.held) > 0
+	s.tracked, s.epochs = busy, s.epochs+1
+	s.epoch = refreshEpoch{s.epochs, s.now, s.fleet, s.kindPace}
+	all := len(s.queue) > 0
 	if all {
-		k.everyone = k.round
+		s.poolEpoch = s.epoch
 	}
 	wake := func(at int) {
-		w := k.door.list[at].worker
-		if w.put(look{}); all && k.board[at].watched && k.board[at].pooled {
-			w.put(look{})
+		w := s.dispatcher.records[at].worker
+		if w.send(refresh{}); all && s.views[at].tracked && s.views[at].pooled {
+			w.send(refresh{})
 		}
-		k.ask(at)
+		s.deliverChecks(at)
 	}
-	for n, at := range k.busy {
-		if n == 0 || k.board[at].due <= k.now || k.isAsked(at) {
+	for n, at := range s.tracked {
+		if n == 0 || s.views[at].dueAt <= s.now || s.hasOrderedCheck(at) {
 			wake(at)
 		}
 	}
-	if all && (len(k.toAsk) > 0 || len(k.busy) == 0) {
-		for n, at := range k.pool {
-			if !k.board[at].watched && (n == 0 && len(k.busy) == 0 || k.isAsked(at)) {
+	if all && (len(s.orderedChecks) > 0 || len(s.tracked) == 0) {
+		for n, at := range s.pool {
+			if !s.views[at].tracked && (n == 0 && len(s.tracked) == 0 || s.hasOrderedCheck(at)) {
 				wake(at)
 			}
 		}
 	}
-	for len(k.toAsk) > 0 {
-		k.ask(k.toAsk[0].at)
+	for len(s.orderedChecks) > 0 {
+		s.deliverChecks(s.orderedChecks[0].worker)
 	}
 }
 
-func (k *desk) isAsked(at int) bool {
-	for _, a := range k.toAsk {
-		if a.at == at {
+func (s *scheduler) hasOrderedCheck(at int) bool {
+	for _, a := range s.orderedChecks {
+		if a.worker == at {
 			return true
 		}
 	}
@@ -153,90 +153,90 @@
 }
 
 // ask hands over what a round asks of a worker.
-func (k *desk) ask(at int) {
-	rest := k.toAsk[:0]
-	for _, a := range k.toAsk {
-		if a.at == at {
-			k.door.meet(at).put(a.ask)
+func (s *scheduler) deliverChecks(at int) {
+	rest := s.orderedChecks[:0]
+	for _, a := range s.orderedChecks {
+		if a.worker == at {
+			s.dispatcher.workerAt(at).send(a.joinPool)
 		} else {
 			rest = append(rest, a)
 		}
 	}
-	k.toAsk = rest
+	s.orderedChecks = rest
 }
 
 // never is later than all that happens.
 const never = time.Duration(math.MaxInt64)
 
 // nextDue is the earliest time at which looking at the time may have a result; it may be too early, never too late.
-func (w *worker) nextDue() time.Duration {
+func (w *worker) earliestDue() time.Duration {
 	next := never
 	if w.recheck {
-		next = w.probedAt + beat
+		next = w.checkedAt + tickInterval
 	}
-	if w.aside {
-		return min(next, max(w.asideTill, w.probedAt+asideFirst/2))
+	if w.ejected {
+		return min(next, max(w.ejectedUntil, w.checkedAt+minEjection/2))
 	}
-	for i := range w.errands {
-		e := &w.errands[i]
-		if e.end != 0 || e.lost {
+	for i := range w.attempts {
+		e := &w.attempts[i]
+		if e.endedAt != 0 || e.lost {
 			continue
 		}
-		if w.tellsTaken && !e.taken {
-			next = min(next, e.sent+patience)
+		if w.notifiesAccepted && !e.accepted {
+			next = min(next, e.sentAt+progressTimeout)
 		}
-		due := e.sent
+		due := e.sentAt
 		switch {
-		case w.progress > 0 && e.began > 0 && w.lastSign > e.heard+w.progress+patience:
+		case w.progressInterval > 0 && e.startedAt > 0 && w.lastProgress > e.progressAt+w.progressInterval+progressTimeout:
 			return 0
-		case w.tellsStart && e.began == 0:
-			if begin := e.sent + 2*beat; w.now < begin+beat {
+		case w.notifiesStart && e.startedAt == 0:
+			if begin := e.sentAt + 2*tickInterval; w.now < begin+tickInterval {
 				next = min(next, begin)
 			}
-		case w.progress > 0:
-			due = max(due, e.heard) + w.progress
+		case w.progressInterval > 0:
+			due = max(due, e.progressAt) + w.progressInterval
 		default:
 			due += seconds(4 * e.work * max(1, w.pace))
 		}
-		next = min(next, max(due, w.lastSign)+patience)
+		next = min(next, max(due, w.lastProgress)+progressTimeout)
 	}
 	return next
 }
 
 // showPace sets what the desk takes for a worker's pace: its reports may show that it is slow, long before the few finishes
 // of thin traffic do.
-func (c *card) showPace(paced map[int]float64, all view) {
-	if c.pace == 0 {
-		c.pace = cmp.Or(paced[c.kind], 1) * max(1, c.service/max(all.service, c.service/8, 1e-6)/2)
+func (v *workerView) estimatePace(paced map[int]float64, all fleetStats) {
+	if v.pace == 0 {
+		v.pace = cmp.Or(paced[v.kind], 1) * max(1, v.serviceTime/max(all.serviceTime, v.serviceTime/8, 1e-6)/2)
 	}
-	c.pace /= c.warmth
+	v.pace /= v.warmUpWeight
 }
 
 // show posts a copy of the card as it is now. Copies are used again, as there are thousands a second.
-func (w *worker) show() {
+func (w *worker) publishView() {
 	w.estimate(w.now)
-	w.due = w.nextDue()
-	var c *card
-	if n := len(w.copies); n > 0 {
-		c, w.copies = w.copies[n-1], w.copies[:n-1]
+	w.dueAt = w.earliestDue()
+	var c *workerView
+	if n := len(w.spareViews); n > 0 {
+		c, w.spareViews = w.spareViews[n-1], w.spareViews[:n-1]
 	} else {
-		c = new(card)
+		c = new(workerView)
 	}
-	*c = w.card
-	w.desk.put(c)
+	*c = w.workerView
+	w.scheduler.send(c)
 }
 
 // setPaced leaves the rounds that were written down as they are.
-func (k *desk) setPaced(kind int, pace float64) {
-	k.paced = maps.Clone(k.paced)
-	k.paced[kind] = pace
+func (s *scheduler) setKindPace(kind int, pace float64) {
+	s.kindPace = maps.Clone(s.kindPace)
+	s.kindPace[kind] = pace
 }
 
 // ask has a worker asked, in a round when its turn in that comes.
-func (d *Dispatcher) ask(at int, w wanted, a ask) {
-	if w.round {
-		d.desk.put(asked{at, a})
+func (d *Dispatcher) orderCheck(at int, w poolRequest, a joinPool) {
+	if w.nextEpoch {
+		d.scheduler.send(orderedCheck{at, a})
 	} else {
-		d.meet(at).put(a)
+		d.workerAt(at).send(a)
 	}
 }
--- a/dispatch/board_test.go
+++ b/dispatch/board_test.go
@@ -10,10 +10,10 @@
 func TestNotesDoNotGrowWithFleet(t *testing.T) {
 	reads := func(workers int) (n int) {
 		w := cost(workers)
-		for at := range w.d.list {
-			in := &w.d.meet(at).inbox
-			read := in.read
-			in.read = func(note any) { n++; read(note) }
+		for at := range w.d.records {
+			in := &w.d.workerAt(at).mailbox
+			read := in.handle
+			in.handle = func(note any) { n++; read(note) }
 		}
 		w.play(w.now + 10*time.Second)
 		return n
@@ -32,22 +32,22 @@
 		w.rate = 20
 		w.handled = func(_ int, do func()) {
 			do()
-			k := &w.d.desk
-			for at, s := range k.board {
-				if s == nil || k.round.beat == 0 || !s.watched || s.beat >= k.round.beat {
+			k := &w.d.scheduler
+			for at, s := range k.views {
+				if s == nil || k.epoch.number == 0 || !s.tracked || s.epoch >= k.epoch.number {
 					continue
 				}
-				if k.now >= s.due && s.due < k.round.at {
-					t.Fatalf("seed %d, %v: something was due at %v and was not looked at", seed, w.now, s.due)
+				if k.now >= s.dueAt && s.dueAt < k.epoch.at {
+					t.Fatalf("seed %d, %v: something was due at %v and was not looked at", seed, w.now, s.dueAt)
 				}
-				actor := w.d.list[at].worker
-				was, all := actor.card, actor.all
-				actor.all = k.round.view
-				actor.estimate(k.round.at)
-				want := actor.card
-				actor.card, actor.all = was, all
-				want.showPace(k.round.paced, k.round.view)
-				if got := *k.current(at); got != want {
+				actor := w.d.records[at].worker
+				was, all := actor.workerView, actor.fleet
+				actor.fleet = k.epoch.fleetStats
+				actor.estimate(k.epoch.at)
+				want := actor.workerView
+				actor.workerView, actor.fleet = was, all
+				want.estimatePace(k.epoch.paced, k.epoch.fleetStats)
+				if got := *k.currentView(at); got != want {
 					t.Fatalf("seed %d, %v: card %+v, want %+v", seed, w.now, got, want)
 				}
 			}
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -300,7 +300,7 @@
 
 // Forward's number among those of its invocation.
 func (a Forward) Forward(s *coldScheduler) int {
-	return len(s.d.desk.invs[s.d.invAt[a.Invocation]].tries) - 1
+	return len(s.d.scheduler.invocations[s.d.invocationIndex[a.Invocation]].attempts) - 1
 }
 
 // arrive has one request come to some scheduler, and the next one after it.
@@ -495,21 +495,21 @@
 	dep.Schedulers = told
 	for dep.Index = range schedulers {
 		d := New(dep, 1)
-		sum += mostSent(&d.desk, d.lot(start), calls, run)
+		sum += mostSent(&d.scheduler, d.lotteryRank(start), calls, run)
 	}
 	return sum
 }
 
 // mostSent is what a scheduler may send a cold worker in a span, were there always one more small invocation, in requests of mean work.
-func mostSent(k *desk, lot int, calls, run float64) float64 {
-	c := &card{pace: 1, warmth: 1, lot: lot}
-	c.size = calls * run / k.budget
-	c.pace = max(1, 1/c.size) // a worker of less than one slot is a slower one
-	k.all.run, k.now, k.jobs = run, 20*time.Second, 20*calls
-	for cost := run / 100; k.warms(cost, c) && c.spent < 3*calls*run; {
-		c.spent += cost
-	}
-	return c.spent / run
+func mostSent(k *scheduler, lot int, calls, run float64) float64 {
+	c := &workerView{pace: 1, warmUpWeight: 1, lotteryRank: lot}
+	c.maxFree = calls * run / k.overloadBudget
+	c.pace = max(1, 1/c.maxFree) // a worker of less than one slot is a slower one
+	k.fleet.runTime, k.now, k.admitted = run, 20*time.Second, 20*calls
+	for cost := run / 100; k.withinSlowStartBudget(cost, c) && c.budgetUsed < 3*calls*run; {
+		c.budgetUsed += cost
+	}
+	return c.budgetUsed / run
 }
 
 // The number of schedulers changes with new settings while a worker is cold: those that ran before draw their lots among all anew.
@@ -544,7 +544,7 @@
 			dep.Schedulers = after
 			d.Handle(2*time.Millisecond, []Event{Reconfigured{Config: dep, PreviousOperations: []int{0}}})
 		}
-		sum += mostSent(&d.desk, d.list[0].lot, calls, run)
+		sum += mostSent(&d.scheduler, d.records[0].lotteryRank, calls, run)
 	}
 	return sum
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -20,944 +20,946 @@
 )
 
 const (
-	epsilon, spreadTimes, cloneShare = 0.6, 3, 0.2 // the design's: the running set's part, r, a limit on clones
-
-	sampleCount             = 16                  // measurements are the last few samples
-	few, reach              = 16, 8 * time.Second // a pool's first workers; it holds what probes go round in
-	probeFloor, probePoints = 3, 0.002            // probes a second; points of the result that more may cost
-	startPart               = 0.15                // of our forwards that start at once if room is somewhere
-	figureCount, usualLike  = 8, 6                // reports kept, and that the pool's usual one stands for
-	lagTimes, freshLeast    = 2, 0.6              // spans a report may be old; how far it must hold with keepers
-	queueShare, sureFresh   = 0.5, 0.6            // what may queue on old figures; how far they hold for a clone
-	crowd                   = 6                   // schedulers, of all, that take notice of a cold worker
-	coldPart, evenPart      = 1.25, 0.25          // of a cold budget, by hints: where few share it, where all do
-	coldRuns, fewest        = 1.5, 5              // usual runs that a part should hold; that share it at least
-	asideProbes, trialRuns  = 2, 3                // answers until it is on trial, successes until in full
-	gives, servedWell       = 1000, 0.95          // how far late work gives way; served of what is served well
-	unfitMost, sureTimes    = 2, 1.5              // workers that need not have one; its pace, to be sure
-	unmeasuredTimes         = 3                   // its hint, for a cold worker, until results tell how far hints are off
-	hintLow, waitShare      = 1.4, 0.5            // work over hinted cost in the middle; slack for waiting
-
-	beat, patience       = 20 * time.Millisecond, 300 * time.Millisecond   // time alone decides; a sign is due
-	asideFirst, awaySpan = 500 * time.Millisecond, 1250 * time.Millisecond // set aside; throttled, or on trial for others' sake, at most
-	asideMost, upToDate  = 8 * time.Second, 10 * beat                      // at most; since a keeper's answer
-
-	askBytes, askPoints, asksMost = 32, 0.006, 5 // a question and its answer; points they may cost; most
+	runningSetShare, deviationWeight, maxHedgeShare = 0.6, 3, 0.2 // the design's: the running set's part, r, a limit on clones
+
+	sampleCount                             = 16                  // measurements are the last few samples
+	minPoolSize, poolSpan                   = 16, 8 * time.Second // a pool's first workers; it holds what probes go round in
+	minChecksPerSecond, checkBudgetPoints   = 3, 0.002            // probes a second; points of the result that more may cost
+	immediateStartShare                     = 0.15                // of our forwards that start at once if room is somewhere
+	freeSampleCount, usualSampleWeight      = 8, 6                // reports kept, and that the pool's usual one stands for
+	lagFactor, minConfidence                = 2, 0.6              // spans a report may be old; how far it must hold with keepers
+	defaultStaleQueueShare, hedgeConfidence = 0.5, 0.6            // what may queue on old figures; how far they hold for a clone
+	slowStartWatchers                       = 6                   // schedulers, of all, that take notice of a cold worker
+	budgetShareByHints, evenBudgetShare     = 1.25, 0.25          // of a cold budget, by hints: where few share it, where all do
+	minRunsPerShare, minSharers             = 1.5, 5              // usual runs that a part should hold; that share it at least
+	reinstateChecks, probationRuns          = 2, 3                // answers until it is on trial, successes until in full
+	lateRankDivisor, wellServedShare        = 1000, 0.95          // how far late work gives way; served of what is served well
+	maxBadRequests, surePaceFactor          = 2, 1.5              // workers that need not have one; its pace, to be sure
+	unmeasuredCostFactor                    = 3                   // its hint, for a cold worker, until results tell how far hints are off
+	medianHintRatio, waitShare              = 1.4, 0.5            // work over hinted cost in the middle; slack for waiting
+
+	tickInterval, progressTimeout     = 20 * time.Millisecond, 300 * time.Millisecond   // time alone decides; a sign is due
+	minEjection, probationGuard       = 500 * time.Millisecond, 1250 * time.Millisecond // set aside; throttled, or on trial for others' sake, at most
+	maxEjection, ownerAnswerFreshness = 8 * time.Second, 10 * tickInterval              // at most; since a keeper's answer
+
+	queryBytes, queryBudgetPoints, maxQueries = 32, 0.006, 5 // a question and its answer; points they may cost; most
 )
 
-func (d *Dispatcher) read(note any) {
+func (d *Dispatcher) handleMessage(note any) {
 	switch n := note.(type) {
-	case freed:
-		delete(d.invAt, n.id)
-	case tick:
-		if d.asks && !d.follows && d.now >= d.askAt {
-			d.do(WatchEndpoints{})
-			d.askAt = d.now + max(time.Second, d.within/2)
-		}
-	case alarm:
-		if d.asks && !d.follows {
-			n.at = min(n.at, d.askAt)
-		}
-		if n.at < d.wakeAt || d.wakeAt <= d.now {
-			d.wakeAt = max(n.at, d.now+1)
-			d.do(SetTimer{At: d.wakeAt})
-		}
-	case wanted:
-		if d.own++; n.hearsay || len(d.keeps) == 0 || d.own%3 == 0 {
-			d.next(n)
+	case invocationReleased:
+		delete(d.invocationIndex, n.id)
+	case clockTick:
+		if d.polls && !d.watching && d.now >= d.pollAt {
+			d.emit(WatchEndpoints{})
+			d.pollAt = d.now + max(time.Second, d.pollWithin/2)
+		}
+	case timerRequest:
+		if d.polls && !d.watching {
+			n.at = min(n.at, d.pollAt)
+		}
+		if n.at < d.timerAt || d.timerAt <= d.now {
+			d.timerAt = max(n.at, d.now+1)
+			d.emit(SetTimer{At: d.timerAt})
+		}
+	case poolRequest:
+		if d.checksRequested++; n.viaGossip || len(d.owned) == 0 || d.checksRequested%3 == 0 {
+			d.checkNext(n)
 		} else {
-			d.ask(d.keeps[d.own/2%len(d.keeps)], n, ask{n.view, false})
+			d.orderCheck(d.owned[d.checksRequested/2%len(d.owned)], n, joinPool{n.fleetStats, false})
 		}
 	case EndpointUpdate:
-		d.follow(n)
+		d.applyUpdate(n)
 	case GossipReceived:
-		d.hear(n)
-	case look:
-		d.desk.put(n)
+		d.receiveGossip(n)
+	case refresh:
+		d.scheduler.send(n)
 	case Reconfigured:
-		d.desk.anew()
-		d.tune(n)
-		d.reappoint()
+		d.scheduler.refreshAll()
+		d.applyConfig(n)
+		d.reassignOwners()
 	case QuotaUpdate:
-		n.to(&d.desk)
+		n.to(&d.scheduler)
 	case SnapshotLoaded:
-		d.heed(n.Snapshot)
+		d.loadSnapshot(n.Snapshot)
 	}
 }
 
-func (d *Dispatcher) follow(list EndpointUpdate) {
+func (d *Dispatcher) applyUpdate(list EndpointUpdate) {
 	if list.Kind == WatchFailed {
 		// Not all schedulers' calls at once, but inside what is left of our time after a call that was lost.
-		wait := max(min(againFirst<<max(min(d.failed, 6)-1, 0), d.within/againPart), againLeast)
-		d.follows, d.failed = false, d.failed+1
-		if !d.asks {
+		wait := max(min(pollBackoffFirst<<max(min(d.watchFailures, 6)-1, 0), d.pollWithin/pollBackoffParts), pollBackoffMin)
+		d.watching, d.watchFailures = false, d.watchFailures+1
+		if !d.polls {
 			return // it is pushed: nothing to ask for, and whoever carries it tells of its failures
 		}
-		d.askAt = d.now + wait/2 + time.Duration(d.rng.Int63n(int64(wait)))
-		d.do(Log{fmt.Sprintf("list call failed or subscription lost, asking again at %v", d.askAt)})
+		d.pollAt = d.now + wait/2 + time.Duration(d.rng.Int63n(int64(wait)))
+		d.emit(Log{fmt.Sprintf("list call failed or subscription lost, asking again at %v", d.pollAt)})
 		return
 	}
 	if d.now > 0 { // the first one is only what was cached
-		d.follows, d.failed = true, 0
+		d.watching, d.watchFailures = true, 0
 	}
-	d.version++
+	d.update++
 	for _, e := range list.Endpoints {
-		at, known := d.workerAt[e.Worker]
+		at, known := d.recordIndex[e.Worker]
 		if !known {
-			at = len(d.list)
-			d.list, d.workerAt[e.Worker] = append(d.list, place{}), at
-			d.tagAt[tagOf(e.Worker)] = at
-			d.list[at].Worker = e.Worker
-			d.appoint(at)
+			at = len(d.records)
+			d.records, d.recordIndex[e.Worker] = append(d.records, workerRecord{}), at
+			d.tagIndex[workerTag(e.Worker)] = at
+			d.records[at].Worker = e.Worker
+			d.assignOwner(at)
 		}
-		d.enlist(at, e)
+		d.applyEndpoint(at, e)
 	}
-	for at := range d.list {
-		if p := &d.list[at]; list.Kind == FullUpdate && p.version != d.version && p.State != Gone {
+	for at := range d.records {
+		if p := &d.records[at]; list.Kind == FullUpdate && p.update != d.update && p.State != Gone {
 			gone := p.Endpoint
 			gone.State = Gone
-			d.enlist(at, gone)
+			d.applyEndpoint(at, gone)
 		}
 	}
 }
 
-func (d *Dispatcher) enlist(at int, e Endpoint) {
-	p := &d.list[at]
+func (d *Dispatcher) applyEndpoint(at int, e Endpoint) {
+	p := &d.records[at]
 	starts := e.StartKnown && e.State == Ready && (!p.StartKnown || e.StartedAt > p.StartedAt)
-	if p.Endpoint, p.version = e, d.version; starts {
-		p.lot = d.lot(e.Incarnation)
+	if p.Endpoint, p.update = e, d.update; starts {
+		p.lotteryRank = d.lotteryRank(e.Incarnation)
 	}
-	if e.State == Ready && !p.inOrder {
-		n := d.rng.Intn(len(d.order) + 1)
-		d.order = append(d.order, at)
-		d.order[n], d.order[len(d.order)-1], p.inOrder = at, d.order[n], true
+	if e.State == Ready && !p.inCheckOrder {
+		n := d.rng.Intn(len(d.checkOrder) + 1)
+		d.checkOrder = append(d.checkOrder, at)
+		d.checkOrder[n], d.checkOrder[len(d.checkOrder)-1], p.inCheckOrder = at, d.checkOrder[n], true
 	}
-	d.relist(at)
-	if starts && p.lot < crowd && d.now < e.StartedAt+d.warmAfter { // at our start too: who knew has forgotten
-		d.meet(at).put(ask{view{run: 1}, false})
+	d.notifyWorker(at)
+	if starts && p.lotteryRank < slowStartWatchers && d.now < e.StartedAt+d.slowStartDuration { // at our start too: who knew has forgotten
+		d.workerAt(at).send(joinPool{fleetStats{runTime: 1}, false})
 	}
 }
 
 // next asks the worker whose turn it is, which chance sets: one in all schedulers' pools would draw a crowd.
-func (d *Dispatcher) next(w wanted) {
-	for n := 0; n < len(d.order); {
-		here, turn := (d.turn+n)%len(d.order), d.turn%len(d.order)
-		at := d.order[here]
-		switch p := &d.list[at]; {
+func (d *Dispatcher) checkNext(w poolRequest) {
+	for n := 0; n < len(d.checkOrder); {
+		here, turn := (d.checkTurn+n)%len(d.checkOrder), d.checkTurn%len(d.checkOrder)
+		at := d.checkOrder[here]
+		switch p := &d.records[at]; {
 		case p.State != Ready:
-			p.inOrder, d.order[here] = false, d.order[len(d.order)-1]
-			d.order = d.order[:len(d.order)-1]
-		case !w.suits(p.Kind, p.Zone, p.Cell):
+			p.inCheckOrder, d.checkOrder[here] = false, d.checkOrder[len(d.checkOrder)-1]
+			d.checkOrder = d.checkOrder[:len(d.checkOrder)-1]
+		case !w.matches(p.Kind, p.Zone, p.Cell):
 			n++
 		default:
-			d.order[here], d.order[turn], d.turn = d.order[turn], at, turn+1
-			d.ask(at, w, ask{w.view, w.hearsay})
+			d.checkOrder[here], d.checkOrder[turn], d.checkTurn = d.checkOrder[turn], at, turn+1
+			d.orderCheck(at, w, joinPool{w.fleetStats, w.viaGossip})
 			return
 		}
 	}
 }
 
 // lot is our place among all for one start of a worker: left to chance, now none and now many would come.
-func (d *Dispatcher) lot(start uint64) (before int) {
-	mine := mix(start, d.me)
-	for other := range int(d.peers) {
-		if d.me >= int(d.peers) || mix(start, other) < mine { // beyond the number told: all come before us
+func (d *Dispatcher) lotteryRank(start uint64) (before int) {
+	mine := rendezvousHash(start, d.self)
+	for other := range int(d.schedulers) {
+		if d.self >= int(d.schedulers) || rendezvousHash(start, other) < mine { // beyond the number told: all come before us
 			before++
 		}
 	}
 	return before
 }
 
-func (w *worker) read(note any) {
-	w.desk.current(w.at)
+func (w *worker) handleMessage(note any) {
+	w.scheduler.currentView(w.index)
 	switch n := note.(type) {
-	case listed:
-		w.lot, w.keeper, w.kept = n.lot, n.keeper, w.tells && n.keeper == w.me
-		w.follow(n.Endpoint)
-	case sent:
+	case recordChanged:
+		w.lotteryRank, w.owner, w.ownedHere = n.lotteryRank, n.owner, w.gossips && n.owner == w.self
+		w.applyEndpoint(n.Endpoint)
+	case attemptSent:
 		w.serial++
 		n.serial = w.serial
-		w.errands = append(w.errands, n.errand)
-		w.tell(w.keeper, GossipEntry{GossipAttemptStarted, n.serial, w.tag})
-	case theirs:
-		w.hear(n)
-	case bequest:
+		w.attempts = append(w.attempts, n.workerAttempt)
+		w.sendGossip(w.owner, GossipEntry{GossipAttemptStarted, n.serial, w.tag})
+	case gossipMessage:
+		w.receiveGossip(n)
+	case stateTransfer:
 		n.to(w)
-	case look:
-		w.watch()
-	case ask:
-		w.all, w.seen, w.recheck = n.view, w.now, n.learn && !n.hearsay
-		if n.hearsay && !w.kept && !(w.asking && w.askedAt == w.now) {
-			w.askedAt, w.asking, w.unanswered = w.now, true, cmp.Or(w.unanswered, w.now)
-			w.tell(w.keeper, GossipEntry{Kind: GossipCapacityQuery, Tag: w.tag})
-		}
-		if !n.hearsay || w.silent && w.rng.Intn(asksMost) == 0 { // its keeper can't be heard: as without one
-			w.probe()
-		}
-	case about:
+	case refresh:
+		w.checkOverdue()
+	case joinPool:
+		w.fleet, w.pooledAt, w.recheck = n.fleetStats, w.now, n.unmeasured && !n.viaGossip
+		if n.viaGossip && !w.ownedHere && !(w.checkPending && w.queriedAt == w.now) {
+			w.queriedAt, w.checkPending, w.unansweredSince = w.now, true, cmp.Or(w.unansweredSince, w.now)
+			w.sendGossip(w.owner, GossipEntry{Kind: GossipCapacityQuery, Tag: w.tag})
+		}
+		if !n.viaGossip || w.ownerSilent && w.rng.Intn(maxQueries) == 0 { // its keeper can't be heard: as without one
+			w.healthCheck()
+		}
+	case eventMessage:
 		switch e := n.event.(type) {
 		case AttemptProgress:
-			if f := w.find(n.inv, e.Attempt); f != nil {
-				if f.taken = true; e.Accepted { // no sign that work goes on: one that hangs takes all it gets
+			if f := w.inFlightAttempt(n.invocation, e.Attempt); f != nil {
+				if f.accepted = true; e.Accepted { // no sign that work goes on: one that hangs takes all it gets
 					break
 				}
-				if w.lastSign, f.heard = w.now, w.now; e.Started {
-					if f.began == 0 && w.now < f.sent+2*beat {
-						w.desk.put(begun{1})
+				if w.lastProgress, f.progressAt = w.now, w.now; e.Started {
+					if f.startedAt == 0 && w.now < f.sentAt+2*tickInterval {
+						w.scheduler.send(startObserved{1})
 					}
-					f.began = w.now
-				} else if f.began == 0 { // its first progress note
-					f.began = w.now - w.progress
+					f.startedAt = w.now
+				} else if f.startedAt == 0 { // its first progress note
+					f.startedAt = w.now - w.progressInterval
 				}
-				w.comeBack(true)
+				w.reinstate(true)
 			}
 		case Outcome:
-			w.finish(n, e)
+			w.attemptEnded(n, e)
 		case HealthCheckResult:
-			w.answered(e)
+			w.healthCheckEnded(e)
 		}
-	case blamed:
-		w.setAside("turns away what others take", false)
+	case rejectedElsewhereAccepted:
+		w.eject("turns away what others take", false)
 	}
-	w.show()
+	w.publishView()
 }
 
-func (w *worker) hear(n theirs) {
+func (w *worker) receiveGossip(n gossipMessage) {
 	switch inv := -2 - n.from; n.Kind {
 	case GossipAttemptStarted: // its end may never be told, and it may be told twice
-		w.hear(theirs{n.from, GossipEntry{Kind: GossipAttemptEnded, Serial: n.Serial}})
-		w.errands = append(w.errands, errand{inv: inv, fwd: int(n.Serial), slots: 1, sent: w.now,
-			end: w.now + asideMost})
+		w.receiveGossip(gossipMessage{n.from, GossipEntry{Kind: GossipAttemptEnded, Serial: n.Serial}})
+		w.attempts = append(w.attempts, workerAttempt{invocation: inv, number: int(n.Serial), slots: 1, sentAt: w.now,
+			endedAt: w.now + maxEjection})
 	case GossipAttemptEnded, GossipRestarted: // of a scheduler that starts anew all is soon over
-		for i := range w.errands {
-			if e := &w.errands[i]; e.inv == inv && n.Kind == GossipRestarted {
-				e.end = min(e.end, w.now+seconds(w.all.run))
-			} else if e.inv == inv && e.fwd == int(n.Serial) {
-				e.end = min(e.end, w.now)
+		for i := range w.attempts {
+			if e := &w.attempts[i]; e.invocation == inv && n.Kind == GossipRestarted {
+				e.endedAt = min(e.endedAt, w.now+seconds(w.fleet.runTime))
+			} else if e.invocation == inv && e.number == int(n.Serial) {
+				e.endedAt = min(e.endedAt, w.now)
 			}
 		}
 	case GossipCapacityQuery:
 		// Others who were told of the same slot just before may take it.
-		for w.told.add(w.now.Seconds()); w.told[0] < (w.now - 2*beat).Seconds(); {
-			w.told = w.told[1:]
+		for w.recentQueries.add(w.now.Seconds()); w.recentQueries[0] < (w.now - 2*tickInterval).Seconds(); {
+			w.recentQueries = w.recentQueries[1:]
 		}
-		if free := math.Round(w.room - float64(len(w.told))/asksMost); w.known && w.open {
-			w.tell(n.from, GossipEntry{GossipCapacityReply, uint8(int8(max(-99, min(99, free)))), w.tag})
-		} else if w.aside {
-			w.tell(n.from, GossipEntry{GossipCapacityReply, uint8(int8(-min(99, w.size))), w.tag})
+		if free := math.Round(w.free - float64(len(w.recentQueries))/maxQueries); w.measured && w.eligible {
+			w.sendGossip(n.from, GossipEntry{GossipCapacityReply, uint8(int8(max(-99, min(99, free)))), w.tag})
+		} else if w.ejected {
+			w.sendGossip(n.from, GossipEntry{GossipCapacityReply, uint8(int8(-min(99, w.maxFree))), w.tag})
 		}
 	case GossipCapacityReply:
-		if w.asking, w.unanswered = false, 0; !w.kept {
-			w.size = max(w.size, float64(int8(n.Serial)))
-			w.figure(w.askedAt-beat, float64(int8(n.Serial)))
+		if w.checkPending, w.unansweredSince = false, 0; !w.ownedHere {
+			w.maxFree = max(w.maxFree, float64(int8(n.Serial)))
+			w.recordFreeSlots(w.queriedAt-tickInterval, float64(int8(n.Serial)))
 		}
 	}
 }
 
 // estimate tells what the worker's book says at a time.
 func (w *worker) estimate(now time.Duration) {
-	w.open, w.trial, w.known = w.standing == Ready && !w.aside, w.wanted > 0, len(w.figures) > 0
-	w.full, w.busy = now < w.fullTill, w.aside || w.recheck
-	w.silent = w.unanswered > 0 && now > w.unanswered+upToDate
-	w.mine, w.ours, w.warmth, w.spent = w.held(now), w.out(), 1, 0
-	if n := len(w.figures); w.kept { // all that is there is known
-		w.fresh, w.room = 1, math.Round(w.last-w.mine)
+	w.eligible, w.onProbation, w.measured = w.state == Ready && !w.ejected, w.probationLeft > 0, len(w.freeSamples) > 0
+	w.rejecting, w.active = now < w.rejectedUntil, w.ejected || w.recheck
+	w.ownerSilent = w.unansweredSince > 0 && now > w.unansweredSince+ownerAnswerFreshness
+	w.reserved, w.inFlight, w.warmUpWeight, w.budgetUsed = w.reservedAt(now), w.slotsInFlight(), 1, 0
+	if n := len(w.freeSamples); w.ownedHere { // all that is there is known
+		w.confidence, w.free = 1, math.Round(w.lastFree-w.reserved)
 	} else if n > 0 {
 		// A crowd chases the worker that looked emptiest: the older its last figure, the more the mean of the last
 		// few counts, and the fewer there are, the more what is usual anywhere.
-		w.fresh = math.Exp(-max(0, now-w.figureAt).Seconds() / max(w.all.run, 0.1))
-		faded := w.all.usual + w.figures.sum()/float64(n+usualLike)
-		w.room = math.Round(min(w.fresh*w.last+(1-w.fresh)*faded-w.mine, w.size))
+		w.confidence = math.Exp(-max(0, now-w.freeSampledAt).Seconds() / max(w.fleet.runTime, 0.1))
+		faded := w.fleet.usualFree + w.freeSamples.sum()/float64(n+usualSampleWeight)
+		w.free = math.Round(min(w.confidence*w.lastFree+(1-w.confidence)*faded-w.reserved, w.maxFree))
 	}
-	if age := now - w.startedAt; w.cold && age < w.warmAfter {
-		w.warmth = w.coldFrom + (1-w.coldFrom)*max(0, age.Seconds()/w.warmAfter.Seconds())
+	if age := now - w.startedAt; w.startKnown && age < w.slowStartDuration {
+		w.warmUpWeight = w.slowStartFrom + (1-w.slowStartFrom)*max(0, age.Seconds()/w.slowStartDuration.Seconds())
 	}
-	for i := range w.errands {
-		e := &w.errands[i]
-		if w.busy = w.busy || e.end == 0; w.warmth < 1 && e.sent+w.window > now && e.sent > w.startedAt {
-			w.spent += e.cost
+	for i := range w.attempts {
+		e := &w.attempts[i]
+		if w.active = w.active || e.endedAt == 0; w.warmUpWeight < 1 && e.sentAt+w.overloadWindow > now && e.sentAt > w.startedAt {
+			w.budgetUsed += e.cost
 		}
 	}
 }
 
-func (w *worker) follow(e Endpoint) {
-	if w.standing = e.State; e.State == Gone {
-		w.release(w.now)
+func (w *worker) applyEndpoint(e Endpoint) {
+	if w.state = e.State; e.State == Gone {
+		w.loseAttempts(w.now)
 		return
 	}
-	if e.StartKnown && (!w.cold || e.StartedAt > w.startedAt) {
-		w.cold, w.startedAt, w.figures, w.load, w.paces, w.pace = true, e.StartedAt, nil, LoadReport{}, nil, 0
-		w.aside, w.wanted, w.missed = false, 0, 0
-		w.release(e.StartedAt)
+	if e.StartKnown && (!w.startKnown || e.StartedAt > w.startedAt) {
+		w.startKnown, w.startedAt, w.freeSamples, w.lastReport, w.paces, w.pace = true, e.StartedAt, nil, LoadReport{}, nil, 0
+		w.ejected, w.probationLeft, w.checksMissed = false, 0, 0
+		w.loseAttempts(e.StartedAt)
 	}
 	w.zone, w.kind, w.cell = e.Zone, e.Kind, e.Cell
 }
 
-func (w *worker) probe() {
-	if w.probes && w.standing == Ready && !(w.asking && w.probedAt == w.now) {
-		w.probedAt, w.asking = w.now, true
-		w.do(HealthCheck{w.id})
+func (w *worker) healthCheck() {
+	if w.healthChecks && w.state == Ready && !(w.checkPending && w.checkedAt == w.now) {
+		w.checkedAt, w.checkPending = w.now, true
+		w.emit(HealthCheck{w.id})
 	}
 }
 
-func (w *worker) answered(a HealthCheckResult) {
-	w.asking = false
+func (w *worker) healthCheckEnded(a HealthCheckResult) {
+	w.checkPending = false
 	switch a.Result {
 	case Succeeded:
-		w.missed, w.answers, w.fullTill = 0, w.answers+1, 0
-		if w.report(a.Load); a.Load == nil && w.now > w.reportAt+awaySpan {
+		w.checksMissed, w.checksAnswered, w.rejectedUntil = 0, w.checksAnswered+1, 0
+		if w.recordReport(a.Load); a.Load == nil && w.now > w.reportedAt+probationGuard {
 			// It has ceased to report: what was free once tells nothing, our own counts do.
-			w.figures, w.room, w.size, w.fresh = nil, 0, 0, 0
+			w.freeSamples, w.free, w.maxFree, w.confidence = nil, 0, 0, 0
 		}
-		w.comeBack(w.answers >= asideProbes)
+		w.reinstate(w.checksAnswered >= reinstateChecks)
 	case Rejected, ReusedConnectionBroken: // probes are capped, connections break, which tells nothing
 	default:
-		w.answers, w.missed = 0, w.missed+1
+		w.checksAnswered, w.checksMissed = 0, w.checksMissed+1
 		// What fails at once may be the network's doing: it is tried again at once before it counts.
-		w.recheck = a.Latency < patience/2 && w.missed < 3
-		if !w.recheck && (w.missed > 1 || w.lastSign < w.now-a.Latency) {
-			w.setAside("probes go unanswered", true)
+		w.recheck = a.Latency < progressTimeout/2 && w.checksMissed < 3
+		if !w.recheck && (w.checksMissed > 1 || w.lastProgress < w.now-a.Latency) {
+			w.eject("probes go unanswered", true)
 		}
 	}
 }
 
 // report takes a load report in. One that equals the last and comes soon after is the same figure seen again.
-func (w *worker) report(load *LoadReport) {
+func (w *worker) recordReport(load *LoadReport) {
 	if load == nil {
 		return
 	}
-	first, changed, gap := w.load == LoadReport{}, *load != w.load, w.now-w.reportAt
-	if w.load, w.reportAt = *load, w.now; gap < 10*beat && !first {
-		w.desk.put(pair{gap.Seconds(), map[bool]float64{true: 1}[changed]})
+	first, changed, gap := w.lastReport == LoadReport{}, *load != w.lastReport, w.now-w.reportedAt
+	if w.lastReport, w.reportedAt = *load, w.now; gap < 10*tickInterval && !first {
+		w.scheduler.send(reportPair{gap.Seconds(), map[bool]float64{true: 1}[changed]})
 	}
-	if !changed && gap < 5*w.all.lag || load.FreeSlots < 0 {
+	if !changed && gap < 5*w.fleet.lag || load.FreeSlots < 0 {
 		return
 	}
 	// What fails fast leaves its slots free: they are counted as if it had run.
-	free := math.Round(load.FreeSlots - load.Queued - load.ErrorRate*w.all.run)
-	w.size, w.service = max(w.size, free), load.ServiceTime
-	w.figure(w.now-w.all.lag, free)
-	oldest := w.now - max(w.all.lag, w.window)
-	w.errands = slices.DeleteFunc(w.errands, func(e errand) bool { return e.end != 0 && e.end < oldest })
+	free := math.Round(load.FreeSlots - load.Queued - load.ErrorRate*w.fleet.runTime)
+	w.maxFree, w.serviceTime = max(w.maxFree, free), load.ServiceTime
+	w.recordFreeSlots(w.now-w.fleet.lag, free)
+	oldest := w.now - max(w.fleet.lag, w.overloadWindow)
+	w.attempts = slices.DeleteFunc(w.attempts, func(e workerAttempt) bool { return e.endedAt != 0 && e.endedAt < oldest })
 }
 
-func (w *worker) figure(at time.Duration, free float64) {
-	open := free + w.held(at)
-	if w.last, w.figureAt = min(open, w.size), at; !w.kept {
+func (w *worker) recordFreeSlots(at time.Duration, free float64) {
+	open := free + w.reservedAt(at)
+	if w.lastFree, w.freeSampledAt = min(open, w.maxFree), at; !w.ownedHere {
 		// By how much it lies off what is usual: when all have filled or emptied, old figures tell no more.
-		w.figures.add(w.last - w.all.usual)
-	} else if w.load.Queued > 0 || free > 0 || len(w.figures) == 0 || open < w.figures.at(0.5) {
-		w.figures.add(open) // a full one may have more waiting than it tells
+		w.freeSamples.add(w.lastFree - w.fleet.usualFree)
+	} else if w.lastReport.Queued > 0 || free > 0 || len(w.freeSamples) == 0 || open < w.freeSamples.quantile(0.5) {
+		w.freeSamples.add(open) // a full one may have more waiting than it tells
 	}
-	if w.figures = w.figures[max(0, len(w.figures)-figureCount):]; w.kept {
-		w.last, w.size = w.figures.at(0.5), max(1, w.figures.at(0.5))
+	if w.freeSamples = w.freeSamples[max(0, len(w.freeSamples)-freeSampleCount):]; w.ownedHere {
+		w.lastFree, w.maxFree = w.freeSamples.quantile(0.5), max(1, w.freeSamples.quantile(0.5))
 		open = free
 	}
-	if w.warmth == 1 {
-		w.desk.put(figure(min(open, w.size)))
+	if w.warmUpWeight == 1 {
+		w.scheduler.send(freeSlotsObserved(min(open, w.maxFree)))
 	}
 }
 
-func (w *worker) finish(n about, o Outcome) {
-	w.report(o.Load)
-	if e := w.find(n.inv, o.Attempt); e != nil {
-		defer w.ended(e.serial, o.Result)
-		e.end, w.lastSign = w.now, w.now
+func (w *worker) attemptEnded(n eventMessage, o Outcome) {
+	w.recordReport(o.Load)
+	if e := w.inFlightAttempt(n.invocation, o.Attempt); e != nil {
+		defer w.gossipEnded(e.serial, o.Result)
+		e.endedAt, w.lastProgress = w.now, w.now
 		switch o.Result {
 		case Succeeded:
-			n.ran, w.fullTill, w.breaks = w.now-cmp.Or(e.began, e.sent), 0, 0
-			w.paces.add(n.ran.Seconds() / e.work * w.warmth) // as it will be: how cold it is comes on top
-			if w.pace = w.paces.at(0.5); w.tells && !w.kept {
-				w.figure(w.now, 1) // the slot that it leaves is ours at once, before its keeper hears of it
+			n.runTime, w.rejectedUntil, w.consecutiveBreaks = w.now-cmp.Or(e.startedAt, e.sentAt), 0, 0
+			w.paces.add(n.runTime.Seconds() / e.work * w.warmUpWeight) // as it will be: how cold it is comes on top
+			if w.pace = w.paces.quantile(0.5); w.gossips && !w.ownedHere {
+				w.recordFreeSlots(w.now, 1) // the slot that it leaves is ours at once, before its keeper hears of it
 			}
-			w.comeBack(true)
-			if w.wanted = max(0, w.wanted-1); w.wanted == 0 {
-				w.asides = max(0, w.asides-1)
+			w.reinstate(true)
+			if w.probationLeft = max(0, w.probationLeft-1); w.probationLeft == 0 {
+				w.ejections = max(0, w.ejections-1)
 			}
 		case Failed, ConnectionBroken:
 			// One that fails fast shows the most free slots and would draw all work; the network breaks some.
 			w.recheck = o.Result == ConnectionBroken
-			if w.breaks++; !w.recheck || w.breaks >= trialRuns {
-				w.setAside("fails what it gets", false)
+			if w.consecutiveBreaks++; !w.recheck || w.consecutiveBreaks >= probationRuns {
+				w.eject("fails what it gets", false)
 			}
 		case Cancelled: // it may go on: its slots stay counted for as long as it would have run
-			e.end = max(w.now, e.sent+seconds(e.work*max(0.5, w.pace)))
+			e.endedAt = max(w.now, e.sentAt+seconds(e.work*max(0.5, w.pace)))
 		case Rejected:
-			e.end, w.fullTill = e.sent, w.now+asideFirst // it counts as sent to a cold worker all the same
-			if w.known {
-				w.figure(w.now, 0)
+			e.endedAt, w.rejectedUntil = e.sentAt, w.now+minEjection // it counts as sent to a cold worker all the same
+			if w.measured {
+				w.recordFreeSlots(w.now, 0)
 			}
 		case Unreachable, NotSent:
-			if e.end, e.cost = e.sent, 0; o.Result == Unreachable {
-				w.missed, w.recheck = w.missed+1, true
-				if w.missed > 1 || w.now-e.sent >= patience/2 {
-					w.setAside("can't be reached", true)
+			if e.endedAt, e.cost = e.sentAt, 0; o.Result == Unreachable {
+				w.checksMissed, w.recheck = w.checksMissed+1, true
+				if w.checksMissed > 1 || w.now-e.sentAt >= progressTimeout/2 {
+					w.eject("can't be reached", true)
 				}
 			}
 		}
 	}
-	w.desk.put(n)
+	w.scheduler.send(n)
 }
 
 // ended tells the keeper. What a silent worker has may hold its slots for long, whatever we wait for.
-func (w *worker) ended(serial uint8, r Result) {
-	if !w.aside || r != TimedOut && r != Cancelled {
-		w.tell(w.keeper, GossipEntry{Kind: GossipAttemptEnded, Serial: serial})
+func (w *worker) gossipEnded(serial uint8, r Result) {
+	if !w.ejected || r != TimedOut && r != Cancelled {
+		w.sendGossip(w.owner, GossipEntry{Kind: GossipAttemptEnded, Serial: serial})
 	}
 }
 
-func (w *worker) comeBack(seen bool) {
-	if w.aside && seen && w.now >= w.asideTill {
-		w.aside, w.wanted, w.seen, w.back = false, trialRuns*max(1, w.asides), w.now, w.now
-		w.do(Log{fmt.Sprintf("worker %v is back, on trial", w.id)})
+func (w *worker) reinstate(seen bool) {
+	if w.ejected && seen && w.now >= w.ejectedUntil {
+		w.ejected, w.probationLeft, w.pooledAt, w.reinstatedAt = false, probationRuns*max(1, w.ejections), w.now, w.now
+		w.emit(Log{fmt.Sprintf("worker %v is back, on trial", w.id)})
 	}
 }
 
 // setAside doubles the span each time, as probes are not to be spent on the dead where there are few.
-func (w *worker) setAside(why string, silent bool) {
-	if w.standing == Ready && (!w.aside || silent && w.now >= w.asideTill) {
-		w.do(Log{fmt.Sprintf("worker %v is set aside: %s", w.id, why)})
-		w.asideTill = w.now + min(asideFirst<<w.asides, asideMost)
-		w.aside, w.answers, w.asides = true, 0, min(w.asides+1, 5)
+func (w *worker) eject(why string, silent bool) {
+	if w.state == Ready && (!w.ejected || silent && w.now >= w.ejectedUntil) {
+		w.emit(Log{fmt.Sprintf("worker %v is set aside: %s", w.id, why)})
+		w.ejectedUntil = w.now + min(minEjection<<w.ejections, maxEjection)
+		w.ejected, w.checksAnswered, w.ejections = true, 0, min(w.ejections+1, 5)
 	}
 	if silent {
-		w.release(w.now)
+		w.loseAttempts(w.now)
 	}
 }
 
 // watch looks for overdue signs. A hung worker shows the most free slots and would draw all work, but a busy
 // one must not lose its place: suspicion asks, silence beyond what waiting explains decides.
-func (w *worker) watch() {
-	longest, most := time.Duration(0), 3*w.all.run*max(1, w.pace)
-	if w.load.FreeSlots <= 0 {
+func (w *worker) checkOverdue() {
+	longest, most := time.Duration(0), 3*w.fleet.runTime*max(1, w.pace)
+	if w.lastReport.FreeSlots <= 0 {
 		// In thin traffic nothing else of ours shows that a full one is at work: its queue explains silence.
-		most *= 2 + w.load.Queued/max(1, w.size)
+		most *= 2 + w.lastReport.Queued/max(1, w.maxFree)
 	}
-	for i := range w.errands {
-		e := &w.errands[i]
-		due := e.sent
+	for i := range w.attempts {
+		e := &w.attempts[i]
+		due := e.sentAt
 		switch {
-		case e.end != 0 || e.lost || w.aside:
+		case e.endedAt != 0 || e.lost || w.ejected:
 			continue
-		case w.tellsTaken && !e.taken && w.now >= e.sent+patience:
+		case w.notifiesAccepted && !e.accepted && w.now >= e.sentAt+progressTimeout:
 			// The connection may have fallen silent under the request, whatever else is heard of the worker.
-			w.lose(e)
+			w.loseAttempt(e)
 			continue
-		case w.progress > 0 && e.began > 0 && w.lastSign > e.heard+w.progress+patience:
+		case w.progressInterval > 0 && e.startedAt > 0 && w.lastProgress > e.progressAt+w.progressInterval+progressTimeout:
 			// The worker has told of others since this one's note was due: it has lost this one, or its answer.
-			w.lose(e)
+			w.loseAttempt(e)
 			continue
-		case w.tellsStart && e.began == 0:
-			if begin := e.sent + 2*beat; begin <= w.now && w.now < begin+beat {
-				if w.desk.put(begun{0}); w.known {
-					w.figure(w.now, -e.slots) // it waits: nothing is free now, whatever the last report says
+		case w.notifiesStart && e.startedAt == 0:
+			if begin := e.sentAt + 2*tickInterval; begin <= w.now && w.now < begin+tickInterval {
+				if w.scheduler.send(startObserved{0}); w.measured {
+					w.recordFreeSlots(w.now, -e.slots) // it waits: nothing is free now, whatever the last report says
 				}
 			}
-		case w.progress > 0:
-			due = max(due, e.heard) + w.progress
+		case w.progressInterval > 0:
+			due = max(due, e.progressAt) + w.progressInterval
 		default:
 			due += seconds(4 * e.work * max(1, w.pace))
 		}
-		silent := w.now - max(due, w.lastSign) - patience
+		silent := w.now - max(due, w.lastProgress) - progressTimeout
 		if longest = max(longest, silent); silent > seconds(most) {
-			w.setAside("silent", true)
+			w.eject("silent", true)
 		}
 	}
-	if !w.probes { // nobody may ask it: time alone lets it be tried again
-		w.comeBack(true)
+	if !w.healthChecks { // nobody may ask it: time alone lets it be tried again
+		w.reinstate(true)
 	}
-	if past := w.now - w.probedAt; w.recheck && past >= beat || longest > 0 && past >= max(patience, longest) ||
-		w.aside && w.now >= w.asideTill && past >= asideFirst/2 {
+	if past := w.now - w.checkedAt; w.recheck && past >= tickInterval || longest > 0 && past >= max(progressTimeout, longest) ||
+		w.ejected && w.now >= w.ejectedUntil && past >= minEjection/2 {
 		w.recheck = false
-		w.probe()
+		w.healthCheck()
 	}
 }
 
-func (k *desk) read(note any) {
+func (s *scheduler) handleMessage(note any) {
 	switch n := note.(type) {
-	case *card:
-		k.post(n)
-		k.copies = append(k.copies, n)
-	case begun:
-		k.starts.add(n.atOnce)
-	case figure:
-		k.slots.add(float64(n))
-	case pair:
-		k.gaps.add(n.gap)
-		k.changes.add(n.changed)
-	case stuck:
-		if j := &k.invs[n.inv]; !j.done && n.fwd < len(j.tries) {
-			j.tries[n.fwd].stuck = true
-			k.again(n.inv)
-		}
-	case tick:
-		k.watch()
-	case asked:
-		k.toAsk = append(k.toAsk, n)
-	case look:
-		k.begin()
-	case choose:
-		k.choose()
-	case about:
+	case *workerView:
+		s.updateView(n)
+		s.spareViews = append(s.spareViews, n)
+	case startObserved:
+		s.immediateStarts.add(n.immediate)
+	case freeSlotsObserved:
+		s.freeSlots.add(float64(n))
+	case reportPair:
+		s.reportGaps.add(n.gap)
+		s.reportChanges.add(n.changed)
+	case attemptStalled:
+		if j := &s.invocations[n.invocation]; !j.answered && n.number < len(j.attempts) {
+			j.attempts[n.number].stalled = true
+			s.retry(n.invocation)
+		}
+	case clockTick:
+		s.tick()
+	case orderedCheck:
+		s.orderedChecks = append(s.orderedChecks, n)
+	case refresh:
+		s.beginEpoch()
+	case scheduleNow:
+		s.schedule()
+	case eventMessage:
 		switch e := n.event.(type) {
 		case Arrival:
-			k.take(n.inv, e)
+			s.admit(n.invocation, e)
 		case MigratedIn:
-			k.resume(n.inv, e)
+			s.migrateIn(n.invocation, e)
 		case MigratedOut:
-			k.pass(n.inv)
+			s.migrateOut(n.invocation)
 		case Outcome:
-			k.ended(n, e)
+			s.attemptEnded(n, e)
 		case ResponseStarted:
-			k.land(n.inv, e.Attempt)
+			s.complete(n.invocation, e.Attempt)
 		case ClientDisconnected:
-			k.land(n.inv, -1)
+			s.complete(n.invocation, -1)
 		}
 	}
 }
 
 // post keeps the board, and the pool within its size.
-func (k *desk) post(n *card) {
-	n.showPace(k.paced, k.all)
-	k.enter(n)
-	for n := 0; len(k.pool) > int(k.size) && n < len(k.pool); {
-		if c := k.current(k.pool[n]); c.lot >= crowd || c.warmth == 1 {
-			k.leave(n)
-		} else if n++; k.now > c.seen+reach/4 { // we are one of few that may use it
-			k.door.list[c.at].worker.put(ask{k.all, false})
+func (s *scheduler) updateView(n *workerView) {
+	n.estimatePace(s.kindPace, s.fleet)
+	s.storeView(n)
+	for n := 0; len(s.pool) > int(s.poolSize) && n < len(s.pool); {
+		if c := s.currentView(s.pool[n]); c.lotteryRank >= slowStartWatchers || c.warmUpWeight == 1 {
+			s.leavePool(n)
+		} else if n++; s.now > c.pooledAt+poolSpan/4 { // we are one of few that may use it
+			s.dispatcher.records[c.index].worker.send(joinPool{s.fleet, false})
 		}
 	}
 }
 
 // watch lets only those workers look at the time that matter now: its cost must not grow with the fleet.
-func (k *desk) watch() {
-	rate := probeFloor + k.each*float64(len(k.arrivals))/max(0.1, k.now.Seconds()-k.arrivals[0])
-	k.size = max(few, min(k.size, rate*reach.Seconds()))
-	k.credit += probeFloor * (k.now - k.creditAt).Seconds()
-	round := k.now >= k.viewed+beat
+func (s *scheduler) tick() {
+	rate := minChecksPerSecond + s.checksPerInvocation*float64(len(s.arrivals))/max(0.1, s.now.Seconds()-s.arrivals[0])
+	s.poolSize = max(minPoolSize, min(s.poolSize, rate*poolSpan.Seconds()))
+	s.checkCredit += minChecksPerSecond * (s.now - s.creditedAt).Seconds()
+	round := s.now >= s.refreshedAt+tickInterval
 	// Best when an invocation comes, as figures are worth most while they are young; else a few each second.
-	if k.creditAt = k.now; k.comes || k.credit >= probeFloor {
-		for k.comes = false; k.credit >= 1; k.credit-- {
-			k.door.put(wanted{-1, -1, -1, 0, false, round, k.all})
+	if s.creditedAt = s.now; s.arrivedSinceTick || s.checkCredit >= minChecksPerSecond {
+		for s.arrivedSinceTick = false; s.checkCredit >= 1; s.checkCredit-- {
+			s.dispatcher.send(poolRequest{-1, -1, -1, 0, false, round, s.fleet})
 		}
-		if k.all.learn {
-			k.left = k.now
+		if s.fleet.unmeasured {
+			s.forwardedAt = s.now
 		}
 	}
 	if !round {
 		return
 	}
-	if k.viewed = k.now; k.now >= k.learned+5*beat {
-		k.learn()
-		k.rerank()
+	if s.refreshedAt = s.now; s.now >= s.learnedAt+5*tickInterval {
+		s.learnFleet()
+		s.rerankQueue()
 	}
-	k.door.put(look{})
+	s.dispatcher.send(refresh{})
 }
 
-func (k *desk) learn() { // of the middle, as the queue of one that hangs would drag a mean down
+func (s *scheduler) learnFleet() { // of the middle, as the queue of one that hangs would drag a mean down
 	var service samples
-	for _, at := range k.pool {
-		if c := k.board[at]; c.known {
-			service.add(c.service)
+	for _, at := range s.pool {
+		if c := s.views[at]; c.measured {
+			service.add(c.serviceTime)
 		}
 	}
 	// Few reports a second can't show where room is: while some of what we send starts at once, it is somewhere.
-	slots := k.slots.at(0.5)
-	if k.starts.mean() > startPart && (k.asks == 0 || len(k.slots) < sampleCount) {
+	slots := s.freeSlots.quantile(0.5)
+	if s.immediateStarts.mean() > immediateStartShare && (s.queriesPerInvocation == 0 || len(s.freeSlots) < sampleCount) {
 		slots = max(1, slots)
 	}
-	k.learned, k.all = k.now, view{run: cmp.Or(k.runs.mean(), 1), learn: len(k.gaps) < sampleCount/2,
-		usual: slots, service: service.at(0.5),
-		lag: seconds(lagTimes * (patience.Seconds() + k.gaps.sum()) / (1 + k.changes.sum()))}
+	s.learnedAt, s.fleet = s.now, fleetStats{runTime: cmp.Or(s.runTimes.mean(), 1), unmeasured: len(s.reportGaps) < sampleCount/2,
+		usualFree: slots, serviceTime: service.quantile(0.5),
+		lag: seconds(lagFactor * (progressTimeout.Seconds() + s.reportGaps.sum()) / (1 + s.reportChanges.sum()))}
 }
 
-func (k *desk) take(i int, a Arrival) {
-	o, j := &k.ops[min(a.Operation, len(k.ops)-1)], &k.invs[i]
-	*j = inv{id: a.Invocation, op: a.Operation, tenant: a.Tenant, came: k.now, givenUp: k.now + a.Budget,
-		work: cmp.Or(max(0, a.Hint), o.sizes.mean(), 1), slots: max(1, a.Slots), tries: j.tries[:0]}
+func (s *scheduler) admit(i int, a Arrival) {
+	o, j := &s.operations[min(a.Operation, len(s.operations)-1)], &s.invocations[i]
+	*j = invocation{id: a.Invocation, operation: a.Operation, tenant: a.Tenant, arrivedAt: s.now, deadline: s.now + a.Budget,
+		work: cmp.Or(max(0, a.Hint), o.runTimes.mean(), 1), slots: max(1, a.Slots), attempts: j.attempts[:0]}
 	// What is left of a later try tells how long its client has waited. One that waits for less than others from
 	// the first looks the same: neither is refused for that, both go behind.
-	o.most = max(o.most, a.Budget)
-	j.first = k.now - (o.most - a.Budget)
-	k.jobs, o.came = k.jobs+1, o.came+1
-	if a.Tenant < len(k.tenants) {
-		k.tenants[a.Tenant].came.add(k.now.Seconds())
+	o.longestBudget = max(o.longestBudget, a.Budget)
+	j.firstTriedAt = s.now - (o.longestBudget - a.Budget)
+	s.admitted, o.arrived = s.admitted+1, o.arrived+1
+	if a.Tenant < len(s.tenants) {
+		s.tenants[a.Tenant].arrivals.add(s.now.Seconds())
 	}
-	k.arrivals.add(k.now.Seconds())
-	if !slices.ContainsFunc(k.pool, func(at int) bool { return k.current(at).sure(j) }) {
-		for range min(k.asks, len(k.door.order)) {
-			k.door.put(wanted{-1, -1, -1, 0, true, false, k.all})
+	s.arrivals.add(s.now.Seconds())
+	if !slices.ContainsFunc(s.pool, func(at int) bool { return s.currentView(at).hasOwnedCapacity(j) }) {
+		for range min(s.queriesPerInvocation, len(s.dispatcher.checkOrder)) {
+			s.dispatcher.send(poolRequest{-1, -1, -1, 0, true, false, s.fleet})
 		}
 	}
-	if k.comes = true; k.asks == 0 && k.credit+probeFloor*(k.now-k.creditAt).Seconds() < 1 { // floor's are spent
-		k.credit += k.each
+	if s.arrivedSinceTick = true; s.queriesPerInvocation == 0 && s.checkCredit+minChecksPerSecond*(s.now-s.creditedAt).Seconds() < 1 { // floor's are spent
+		s.checkCredit += s.checksPerInvocation
 	}
-	k.hold(i)
+	s.enqueue(i)
 }
 
-func (k *desk) hold(i int) {
-	j := &k.invs[i]
-	j.size = j.work * (1 + spreadTimes*k.ops[j.op].ratios.spread())
-	j.cost = k.expectedCost(j)
-	k.rank(j)
-	at := sort.Search(len(k.held), func(n int) bool { return k.invs[k.held[n]].rank < j.rank })
-	k.held = slices.Insert(k.held, at, i)
+func (s *scheduler) enqueue(i int) {
+	j := &s.invocations[i]
+	j.effectiveSize = j.work * (1 + deviationWeight*s.operations[j.operation].costRatios.spread())
+	j.budgetCost = s.budgetCost(j)
+	s.updateRank(j)
+	at := sort.Search(len(s.queue), func(n int) bool { return s.invocations[s.queue[n]].rank < j.rank })
+	s.queue = slices.Insert(s.queue, at, i)
 }
 
 // expectedCost is what an invocation counts for at a cold worker. All hints may be far off, which only results show: until there is one of its
 // operation, and no worker has reported how long anything runs, they count several times.
-func (k *desk) expectedCost(j *inv) float64 {
-	measured := k.ops[j.op].rough
-	if len(measured) == 0 && k.all.service == 0 {
-		return j.work * unmeasuredTimes
+func (s *scheduler) budgetCost(j *invocation) float64 {
+	measured := s.operations[j.operation].hintErrors
+	if len(measured) == 0 && s.fleet.serviceTime == 0 {
+		return j.work * unmeasuredCostFactor
 	}
 	return j.work * max(1, measured.mean())
 }
 
 // rank is weight over size: of what an answer still brings, less once late or beyond its tenant's share.
-func (k *desk) rank(j *inv) {
-	o := &k.ops[j.op]
+func (s *scheduler) updateRank(j *invocation) {
+	o := &s.operations[j.operation]
 	worth := o.weight
-	if k.tardy(j, j.first) {
-		worth, j.spare = worth*cmp.Or(o.lateValue, 1)/gives, 1 // it may have what is left over
+	if s.late(j, j.firstTriedAt) {
+		worth, j.reserve = worth*cmp.Or(o.lateWeight, 1)/lateRankDivisor, 1 // it may have what is left over
 	}
-	if j.tenant < len(k.tenants) && len(k.tenants[j.tenant].came) > 0 { // or known only since
-		t := &k.tenants[j.tenant]
-		rate := k.peers * float64(len(t.came)) / max(0.1, k.now.Seconds()-t.came[0])
+	if j.tenant < len(s.tenants) && len(s.tenants[j.tenant].arrivals) > 0 { // or known only since
+		t := &s.tenants[j.tenant]
+		rate := s.schedulers * float64(len(t.arrivals)) / max(0.1, s.now.Seconds()-t.arrivals[0])
 		within := min(1, t.QuotaPerSecond/rate)
-		worth *= within + (1-within)*k.excess
+		worth *= within + (1-within)*s.excessWeight
 	}
-	if j.op == k.worst { // while work is lost it counts twice, by its part
-		worth *= 1 + k.worstPart/max(0.01, o.weight*o.came/k.asked)
+	if j.operation == s.worstOperation { // while work is lost it counts twice, by its part
+		worth *= 1 + s.worstOperationWeight/max(0.01, o.weight*o.arrived/s.offeredWeight)
 	}
-	j.weight, j.rank = worth, worth/j.size
+	j.weight, j.rank = worth, worth/j.effectiveSize
 }
 
-func (k *desk) rerank() {
-	k.asked, k.worst = 0, -1
-	least, most := servedWell, 0.0
-	for i := range k.ops {
-		o := &k.ops[i]
-		k.asked += o.weight * o.came
+func (s *scheduler) rerankQueue() {
+	s.offeredWeight, s.worstOperation = 0, -1
+	least, most := wellServedShare, 0.0
+	for i := range s.operations {
+		o := &s.operations[i]
+		s.offeredWeight += o.weight * o.arrived
 		served := o.served.mean()
 		if most = max(most, served); len(o.served) > 0 && served < least {
-			least, k.worst = served, i
+			least, s.worstOperation = served, i
 		}
 	}
 	if least > most-0.1 {
-		k.worst = -1
+		s.worstOperation = -1
 	}
-	for _, i := range k.held {
-		k.rank(&k.invs[i])
+	for _, i := range s.queue {
+		s.updateRank(&s.invocations[i])
 	}
-	slices.SortStableFunc(k.held, func(a, b int) int { return cmp.Compare(k.invs[b].rank, k.invs[a].rank) })
+	slices.SortStableFunc(s.queue, func(a, b int) int { return cmp.Compare(s.invocations[b].rank, s.invocations[a].rank) })
 }
 
-func (k *desk) again(i int) {
-	j := &k.invs[i]
-	hope := slices.ContainsFunc(j.tries, func(t tried) bool { return t.out && !t.stuck })
-	if j.done || hope || slices.Contains(k.held, i) {
+func (s *scheduler) retry(i int) {
+	j := &s.invocations[i]
+	hope := slices.ContainsFunc(j.attempts, func(t requestAttempt) bool { return t.inFlight && !t.stalled })
+	if j.answered || hope || slices.Contains(s.queue, i) {
 		return
 	}
-	if k.survey(); k.may(j) && !k.hopeless(j) {
-		k.hold(i)
+	if s.summarizePool(); s.mayAttempt(j) && !s.cannotMeetDeadline(j) {
+		s.enqueue(i)
 	} else {
-		k.giveUp(i)
+		s.giveUp(i)
 	}
 }
 
 // may tells whether the effect class and the limits allow one more forward.
-func (k *desk) may(j *inv) bool {
-	o := &k.ops[j.op]
-	out, first := j.live()
-	return len(j.tries) < k.mostForwards && out < k.mostOut && j.unfit < unfitMost && (first == nil ||
-		o.effect == Idempotent || o.effect == Deduplicated && k.now < first.sent+o.window)
+func (s *scheduler) mayAttempt(j *invocation) bool {
+	o := &s.operations[j.operation]
+	out, first := j.inFlight()
+	return len(j.attempts) < s.maxAttempts && out < s.maxInFlight && j.badRequests < maxBadRequests && (first == nil ||
+		o.effect == Idempotent || o.effect == Deduplicated && s.now < first.sentAt+o.dedupWindow)
 }
 
 // slack is how long an invocation may wait, from its first try, before a worker of that pace is too late.
-func (k *desk) slack(j *inv, pace float64) time.Duration {
-	o := &k.ops[j.op]
-	return o.objective + seconds(waitShare*j.work*(hintLow*o.stretch-pace))
+func (s *scheduler) slack(j *invocation, pace float64) time.Duration {
+	o := &s.operations[j.operation]
+	return o.objective + seconds(waitShare*j.work*(medianHintRatio*o.stretch-pace))
 }
 
 // tardy: it has waited too long for any worker; not before the plain objective, as paces may be wrong.
-func (k *desk) tardy(j *inv, since time.Duration) bool {
-	most := k.ops[j.op].objective
-	if len(k.pool) > 0 {
-		most = max(most, k.slack(j, k.sums.fastest))
+func (s *scheduler) late(j *invocation, since time.Duration) bool {
+	most := s.operations[j.operation].objective
+	if len(s.pool) > 0 {
+		most = max(most, s.slack(j, s.summary.fastestPace))
 	}
-	return k.now-since > most
+	return s.now-since > most
 }
 
 // hopeless: nothing is to be earned any more, as it would be late, or not done before its client gives up.
-func (k *desk) hopeless(j *inv) bool {
-	left := j.givenUp - k.now
-	return left <= 2*beat || k.tardy(j, j.came) && !k.ops[j.op].late ||
-		k.tardy(j, j.first) && left <= seconds(j.work*k.sums.fastest)
+func (s *scheduler) cannotMeetDeadline(j *invocation) bool {
+	left := j.deadline - s.now
+	return left <= 2*tickInterval || s.late(j, j.arrivedAt) && !s.operations[j.operation].countsLate ||
+		s.late(j, j.firstTriedAt) && left <= seconds(j.work*s.summary.fastestPace)
 }
 
-func (k *desk) giveUp(i int) {
-	j := &k.invs[i]
-	o := &k.ops[j.op]
-	k.why[j.id] = k.reason(j)
-	switch out, first := j.live(); {
+func (s *scheduler) giveUp(i int) {
+	j := &s.invocations[i]
+	o := &s.operations[j.operation]
+	s.reasons[j.id] = s.rejectionReason(j)
+	switch out, first := j.inFlight(); {
 	case out > 0: // it may still be answered
-		k.unhold(i)
+		s.dequeue(i)
 		return
-	case j.unfit < unfitMost && (first == nil || o.effect == Idempotent ||
+	case j.badRequests < maxBadRequests && (first == nil || o.effect == Idempotent ||
 		o.effect == Deduplicated && o.scope == ScopeAll):
 		// Those that many schedulers turn away at one moment would all come back at one moment.
-		k.do(Throttle{j.id, k.after*3/5 + time.Duration(k.rng.Int63n(int64(k.after)*2/5+1))})
+		s.emit(Throttle{j.id, s.retryAfter*3/5 + time.Duration(s.rng.Int63n(int64(s.retryAfter)*2/5+1))})
 	default:
-		k.do(Fail{j.id})
+		s.emit(Fail{j.id})
 	}
-	k.land(i, -1)
+	s.complete(i, -1)
 }
 
-func (k *desk) land(i, but int) {
-	j := &k.invs[i]
-	if o := &k.ops[j.op]; !j.done && but != landed {
+func (s *scheduler) complete(i, but int) {
+	j := &s.invocations[i]
+	if o := &s.operations[j.operation]; !j.answered && but != keepAttempts {
 		o.served.add(0)
-	} else if !j.done && k.now-j.came > o.objective+seconds(o.stretch*j.work) {
-		o.served.add(o.lateValue)
-	} else if !j.done {
+	} else if !j.answered && s.now-j.arrivedAt > o.objective+seconds(o.stretch*j.work) {
+		o.served.add(o.lateWeight)
+	} else if !j.answered {
 		o.served.add(1)
 	}
-	k.unhold(i)
-	j.over = true
-	for f, t := range j.tries {
-		if t.out && !j.done && f != but && k.cancels {
-			k.do(Cancel{j.id, f})
+	s.dequeue(i)
+	j.finished = true
+	for f, t := range j.attempts {
+		if t.inFlight && !j.answered && f != but && s.cancels {
+			s.emit(Cancel{j.id, f})
 		}
-		j.over = j.over && !t.out
+		j.finished = j.finished && !t.inFlight
 	}
-	if j.done = true; j.over {
-		k.spare = append(k.spare, i)
-		k.door.put(freed{j.id})
+	if j.answered = true; j.finished {
+		s.freeInvocations = append(s.freeInvocations, i)
+		s.dispatcher.send(invocationReleased{j.id})
 	}
 }
 
-func (k *desk) ended(n about, e Outcome) {
-	j := &k.invs[n.inv]
-	if e.Attempt >= len(j.tries) || !j.tries[e.Attempt].out {
+func (s *scheduler) attemptEnded(n eventMessage, e Outcome) {
+	j := &s.invocations[n.invocation]
+	if e.Attempt >= len(j.attempts) || !j.attempts[e.Attempt].inFlight {
 		return
 	}
-	t, o := &j.tries[e.Attempt], &k.ops[j.op]
-	t.out, t.ran = false, e.Result != Rejected && e.Result != Unreachable && e.Result != NotSent
-	key := [3]int{t.at, j.op, j.tenant}
+	t, o := &j.attempts[e.Attempt], &s.operations[j.operation]
+	t.inFlight, t.mayHaveRun = false, e.Result != Rejected && e.Result != Unreachable && e.Result != NotSent
+	key := [3]int{t.worker, j.operation, j.tenant}
 	switch e.Result {
 	case BadRequest: // its own fault or the worker's: the next worker's word tells which
-		t.unfit, j.unfit = true, j.unfit+1
+		t.badRequest, j.badRequests = true, j.badRequests+1
 	case Succeeded:
-		for _, t := range j.tries {
-			if t.unfit {
-				k.door.list[t.at].worker.put(blamed{})
+		for _, t := range j.attempts {
+			if t.badRequest {
+				s.dispatcher.records[t.worker].worker.send(rejectedElsewhereAccepted{})
 			}
 		}
-		delete(k.refused, key)
-		o.sizes.add(n.ran.Seconds())
-		o.ratios.add(n.ran.Seconds() / j.work)
-		k.runs.add(n.ran.Seconds())
-		c := k.current(t.at)
-		o.rough.add(n.ran.Seconds() / (j.work * c.pace))
-		if c.warmth == 1 {
-			paces := k.paces[c.kind]
-			paces.add(n.ran.Seconds() / j.work)
-			k.paces[c.kind] = paces
-			k.setPaced(c.kind, paces.at(0.5))
+		delete(s.rejections, key)
+		o.runTimes.add(n.runTime.Seconds())
+		o.costRatios.add(n.runTime.Seconds() / j.work)
+		s.runTimes.add(n.runTime.Seconds())
+		c := s.currentView(t.worker)
+		o.hintErrors.add(n.runTime.Seconds() / (j.work * c.pace))
+		if c.warmUpWeight == 1 {
+			paces := s.kindPaces[c.kind]
+			paces.add(n.runTime.Seconds() / j.work)
+			s.kindPaces[c.kind] = paces
+			s.setKindPace(c.kind, paces.quantile(0.5))
 		}
 	case Rejected, Unreachable:
 		// One that turns a tenant away while its probes show room would draw its top invocation for ever.
-		span := min(max(2*k.refused[key][1], asideFirst/8), asideMost)
-		k.refused[key] = [2]time.Duration{k.now + span, span}
+		span := min(max(2*s.rejections[key][1], minEjection/8), maxEjection)
+		s.rejections[key] = [2]time.Duration{s.now + span, span}
 	}
-	if j.done || e.Answered || e.Result == Succeeded {
-		k.land(n.inv, landed)
-	} else if k.now < j.givenUp && e.Result != NotSent {
-		k.again(n.inv)
+	if j.answered || e.Answered || e.Result == Succeeded {
+		s.complete(n.invocation, keepAttempts)
+	} else if s.now < j.deadline && e.Result != NotSent {
+		s.retry(n.invocation)
 	} else {
-		k.giveUp(n.inv)
+		s.giveUp(n.invocation)
 	}
 }
 
 // choose is the design's step: running set, release in rank order, clones from what room is left.
-func (k *desk) choose() {
+func (s *scheduler) schedule() {
 	total, above, running := 0.0, 0.0, []int(nil)
-	for n, i := range k.held {
-		if total += k.invs[i].weight; n == 0 {
-			k.survey()
+	for n, i := range s.queue {
+		if total += s.invocations[i].weight; n == 0 {
+			s.summarizePool()
 		}
 	}
-	asking := slices.ContainsFunc(k.pool, func(at int) bool { return k.board[at].asking })
-	for n := 0; n < len(k.held); {
-		i := k.held[n]
-		j := &k.invs[i]
-		inSet := above < epsilon*total
+	asking := slices.ContainsFunc(s.pool, func(at int) bool { return s.views[at].checkPending })
+	for n := 0; n < len(s.queue); {
+		i := s.queue[n]
+		j := &s.invocations[i]
+		inSet := above < runningSetShare*total
 		above += j.weight
-		if !k.may(j) || k.hopeless(j) { // what it was held for may have passed since, or the limits changed
-			k.giveUp(i)
-		} else if asking && k.now < j.came+beat {
+		if !s.mayAttempt(j) || s.cannotMeetDeadline(j) { // what it was held for may have passed since, or the limits changed
+			s.giveUp(i)
+		} else if asking && s.now < j.arrivedAt+tickInterval {
 			n++
-		} else if at, _ := k.pick(j); at >= 0 {
-			k.send(i, at)
-			if inSet && k.ops[j.op].effect == Idempotent && len(j.tries) == 1 {
+		} else if at, _ := s.selectWorker(j); at >= 0 {
+			s.forward(i, at)
+			if inSet && s.operations[j.operation].effect == Idempotent && len(j.attempts) == 1 {
 				running = append(running, i)
 			}
 		} else {
-			k.grow(j)
+			s.growPool(j)
 			n++
 		}
 	}
-	k.clone(running)
-	next := k.now + seconds(max(0, 1-k.credit/probeFloor))
-	if len(k.held) > 0 || k.now < k.left+2*beat {
-		next = min(next, k.now+beat)
-	} else if len(k.busy) > 0 {
-		next = min(next, k.now+patience/3)
+	s.hedge(running)
+	next := s.now + seconds(max(0, 1-s.checkCredit/minChecksPerSecond))
+	if len(s.queue) > 0 || s.now < s.forwardedAt+2*tickInterval {
+		next = min(next, s.now+tickInterval)
+	} else if len(s.tracked) > 0 {
+		next = min(next, s.now+progressTimeout/3)
 	}
-	k.door.put(alarm{next})
+	s.dispatcher.send(timerRequest{next})
 }
 
-func (k *desk) clone(running []int) {
-	slices.SortStableFunc(running, func(a, b int) int { return cmp.Compare(k.invs[b].weight, k.invs[a].weight) })
+func (s *scheduler) hedge(running []int) {
+	slices.SortStableFunc(running, func(a, b int) int { return cmp.Compare(s.invocations[b].weight, s.invocations[a].weight) })
 	for _, i := range running {
-		at, roomy := k.pick(&k.invs[i])
-		if len(k.held) > 0 || !roomy || k.clones+1 >= cloneShare*k.jobs || !k.may(&k.invs[i]) {
+		at, roomy := s.selectWorker(&s.invocations[i])
+		if len(s.queue) > 0 || !roomy || s.hedges+1 >= maxHedgeShare*s.admitted || !s.mayAttempt(&s.invocations[i]) {
 			return
 		}
-		if at >= 0 && k.board[at].fresh > sureFresh { // clones would spawn on the phantom room of late reports
-			k.clones++
-			k.send(i, at)
+		if at >= 0 && s.views[at].confidence > hedgeConfidence { // clones would spawn on the phantom room of late reports
+			s.hedges++
+			s.forward(i, at)
 		}
 	}
 }
 
 // grow adds a worker when those of the pool are all busy, ever more rarely, as the whole fleet may be.
-func (k *desk) grow(j *inv) {
-	if k.now >= j.askAt {
-		j.askAt = k.now + 2*beat + 2*(k.now-j.came)
-		k.size++
-		for range max(1, k.asks/2) {
-			k.door.put(k.wants(j))
+func (s *scheduler) growPool(j *invocation) {
+	if s.now >= j.growAt {
+		j.growAt = s.now + 2*tickInterval + 2*(s.now-j.arrivedAt)
+		s.poolSize++
+		for range max(1, s.queriesPerInvocation/2) {
+			s.dispatcher.send(s.requirements(j))
 		}
 	}
 }
 
 // wants tells which workers may have an invocation next; its first forward that may have run fixes the group.
-func (k *desk) wants(j *inv) wanted {
-	o, w := &k.ops[j.op], wanted{k.ops[j.op].kind, -1, -1, 0, k.tells, false, k.all}
-	if _, first := j.live(); first != nil && o.effect == Deduplicated {
-		w.until = first.sent + o.window
+func (s *scheduler) requirements(j *invocation) poolRequest {
+	o, w := &s.operations[j.operation], poolRequest{s.operations[j.operation].kind, -1, -1, 0, s.gossips, false, s.fleet}
+	if _, first := j.inFlight(); first != nil && o.effect == Deduplicated {
+		w.notAfter = first.sentAt + o.dedupWindow
 		w.zone, w.cell = o.group(first)
 	}
 	return w
 }
 
-func (k *desk) send(i, at int) {
-	j, c := &k.invs[i], &k.board[at].card
-	k.unhold(i)
-	k.do(Forward{j.id, k.door.list[at].Worker, k.wants(j).until})
-	j.tries = append(j.tries, tried{at: at, zone: c.zone, cell: c.cell, sent: k.now, out: true})
-	k.left = k.now
-	c.room, c.mine, c.ours, c.spent = c.room-j.slots, c.mine+j.slots, c.ours+j.slots, c.spent+j.cost
-	k.door.list[at].worker.put(sent{errand{inv: i, fwd: len(j.tries) - 1, slots: j.slots, work: j.work,
-		cost: j.cost, sent: k.now}})
+func (s *scheduler) forward(i, at int) {
+	j, c := &s.invocations[i], &s.views[at].workerView
+	s.dequeue(i)
+	s.emit(Forward{j.id, s.dispatcher.records[at].Worker, s.requirements(j).notAfter})
+	j.attempts = append(j.attempts, requestAttempt{worker: at, zone: c.zone, cell: c.cell, sentAt: s.now, inFlight: true})
+	s.forwardedAt = s.now
+	c.free, c.reserved, c.inFlight, c.budgetUsed = c.free-j.slots, c.reserved+j.slots, c.inFlight+j.slots, c.budgetUsed+j.budgetCost
+	s.dispatcher.records[at].worker.send(attemptSent{workerAttempt{invocation: i, number: len(j.attempts) - 1, slots: j.slots, work: j.work,
+		cost: j.budgetCost, sentAt: s.now}})
 }
 
 // survey looks over the pool once for all that is decided at one moment, as time for decisions may be short.
-func (k *desk) survey() {
-	k.sums, k.free = survey{fastest: math.Inf(1)}, k.free[:0]
-	told := k.asks > 0 && k.now < k.door.answered+upToDate
-	for _, at := range k.pool {
-		c, s := k.current(at), &k.sums
-		if s.pooled, s.mine, s.fastest = s.pooled+1, s.mine+c.mine, min(s.fastest, c.pace); c.known {
-			s.known, s.room, s.usual = s.known+1, s.room+c.room, s.usual+c.mine
-		}
-		s.roomCount += max(0, min(1, math.Floor(c.room)))
-		if told && !c.silent && c.fresh < freshLeast && c.warmth == 1 {
+func (s *scheduler) summarizePool() {
+	s.summary, s.candidates = poolSummary{fastestPace: math.Inf(1)}, s.candidates[:0]
+	told := s.queriesPerInvocation > 0 && s.now < s.dispatcher.ownerAnsweredAt+ownerAnswerFreshness
+	for _, at := range s.pool {
+		view, summary := s.currentView(at), &s.summary
+		if summary.pooled, summary.reserved, summary.fastestPace = summary.pooled+1, summary.reserved+view.reserved, min(summary.fastestPace, view.pace); view.measured {
+			summary.measured, summary.free, summary.reservedMeasured = summary.measured+1, summary.free+view.free, summary.reservedMeasured+view.reserved
+		}
+		summary.withFree += max(0, min(1, math.Floor(view.free)))
+		if told && !view.ownerSilent && view.confidence < minConfidence && view.warmUpWeight == 1 {
 			continue // while keepers answer, what none of them has told of lately counts for nothing
 		}
-		if (!c.known || c.room+(1-c.fresh)*c.size*k.queue >= 1) && (c.warmth == 1 || k.warms(0, c)) {
-			k.free = append(k.free, at)
+		if (!view.measured || view.free+(1-view.confidence)*view.maxFree*s.staleQueueShare >= 1) && (view.warmUpWeight == 1 || s.withinSlowStartBudget(0, view)) {
+			s.candidates = append(s.candidates, at)
 		}
 	}
 }
 
 // pick gives -1 where no room seems free. roomy: over half the pooled workers show room.
-func (k *desk) pick(j *inv) (best int, roomy bool) {
-	s, want := &k.sums, k.wants(j)
-	best, roomy = -1, 2*s.roomCount > s.pooled
-	if len(k.free) == 0 {
+func (s *scheduler) selectWorker(j *invocation) (best int, roomy bool) {
+	summary, want := &s.summary, s.requirements(j)
+	best, roomy = -1, 2*summary.withFree > summary.pooled
+	if len(s.candidates) == 0 {
 		return best, roomy
 	}
 	// Better held for one that can do it in time than sent to one that can't.
-	waited, bestRoom, from := k.now-j.came, 0.0, k.rng.Intn(len(k.free))
-	timely := len(j.tries) == 0 && want.kind < 0 && (k.ops[j.op].late || waited <= k.slack(j, s.fastest))
-	latest := k.ops[j.op].objective + seconds(hintLow*k.ops[j.op].stretch*j.work) - waited
-	for n := range k.free {
-		at := k.free[(from+n)%len(k.free)]
-		c := &k.board[at].card
-		if !want.suits(c.kind, c.zone, c.cell) || !k.fits(j, at, c) {
+	waited, bestRoom, from := s.now-j.arrivedAt, 0.0, s.rng.Intn(len(s.candidates))
+	timely := len(j.attempts) == 0 && want.kind < 0 && (s.operations[j.operation].countsLate || waited <= s.slack(j, summary.fastestPace))
+	latest := s.operations[j.operation].objective + seconds(medianHintRatio*s.operations[j.operation].stretch*j.work) - waited
+	for n := range s.candidates {
+		at := s.candidates[(from+n)%len(s.candidates)]
+		c := &s.views[at].workerView
+		if !want.matches(c.kind, c.zone, c.cell) || !s.eligible(j, at, c) {
 			continue
 		}
-		has := c.room
-		if s.known == 0 { // no figure of free slots anywhere: the workers where we have least, up to the mean
-			if has = j.slots + math.Floor(s.mine/s.pooled-c.mine); c.full {
+		has := c.free
+		if summary.measured == 0 { // no figure of free slots anywhere: the workers where we have least, up to the mean
+			if has = j.slots + math.Floor(summary.reserved/summary.pooled-c.reserved); c.rejecting {
 				has = 0 // nor where the last answer was full
 			}
-		} else if !c.known { // new to the pool: it counts at the mean
-			has = math.Round((s.room+s.usual)/s.known - c.mine)
+		} else if !c.measured { // new to the pool: it counts at the mean
+			has = math.Round((summary.free+summary.reservedMeasured)/summary.measured - c.reserved)
 		}
-		left := k.slack(j, c.pace) - waited
-		inTime := k.ops[j.op].late || left >= 0
+		left := s.slack(j, c.pace) - waited
+		inTime := s.operations[j.operation].countsLate || left >= 0
 		// Figures that come late show no room that has been free for less: work that can wait may queue there.
-		seat := has + k.queue*(1-c.fresh)*c.size*max(0, min(1, left.Seconds()/k.all.run))
-		if seat < j.slots+j.spare || timely && !inTime {
+		seat := has + s.staleQueueShare*(1-c.confidence)*c.maxFree*max(0, min(1, left.Seconds()/s.fleet.runTime))
+		if seat < j.slots+j.reserve || timely && !inTime {
 			continue
 		}
-		if seconds(j.work*c.pace*sureTimes) <= latest {
-			has += few * few // before those that may be too slow
+		if seconds(j.work*c.pace*surePaceFactor) <= latest {
+			has += minPoolSize * minPoolSize // before those that may be too slow
 		}
-		if c.sure(j) {
-			has += few // what others tell of theirs may be taken by the time that we are there
+		if c.hasOwnedCapacity(j) {
+			has += minPoolSize // what others tell of theirs may be taken by the time that we are there
 		}
-		if c.zone == k.zone {
+		if c.zone == s.zone {
 			has += 0.5 // among equals the own zone, then the faster one
 		}
-		if best < 0 || has > bestRoom || has == bestRoom && c.pace < k.board[best].pace {
+		if best < 0 || has > bestRoom || has == bestRoom && c.pace < s.views[best].pace {
 			best, bestRoom = at, has
 		}
 	}
 	return best, roomy
 }
 
-func (c *card) sure(j *inv) bool { return c.kept && c.warmth == 1 && c.room >= j.slots } // we know
+func (v *workerView) hasOwnedCapacity(j *invocation) bool {
+	return v.ownedHere && v.warmUpWeight == 1 && v.free >= j.slots
+} // we know
 
-func (k *desk) fits(j *inv, at int, c *card) bool {
-	spared := len(k.refused) > 0 && k.refused[[3]int{at, j.op, j.tenant}][0] > k.now
+func (s *scheduler) eligible(j *invocation, at int, c *workerView) bool {
+	spared := len(s.rejections) > 0 && s.rejections[[3]int{at, j.operation, j.tenant}][0] > s.now
 	return !spared &&
-		!(c.trial && (c.ours > 0 || k.ops[j.op].effect == NonIdempotent && k.now < c.back+awaySpan)) &&
-		!slices.ContainsFunc(j.tries, func(t tried) bool { return t.at == at && (t.out || t.ran) }) &&
-		(c.warmth == 1 || k.warms(j.cost, c))
+		!(c.onProbation && (c.inFlight > 0 || s.operations[j.operation].effect == NonIdempotent && s.now < c.reinstatedAt+probationGuard)) &&
+		!slices.ContainsFunc(j.attempts, func(t requestAttempt) bool { return t.worker == at && (t.inFlight || t.mayHaveRun) }) &&
+		(c.warmUpWeight == 1 || s.withinSlowStartBudget(j.budgetCost, c))
 }
 
 // warms tells whether a cold worker may get an invocation if all others send too. All share its budget evenly
 // where an even part holds a few usual runs. Else a lot names those that share it: two have a third each, as
 // most work is heavy and even parts would hold none; others, twice as many as keep it busy, the last third.
-func (k *desk) warms(cost float64, c *card) bool {
+func (s *scheduler) withinSlowStartBudget(cost float64, c *workerView) bool {
 	// Its first runs may be quick and it still unable to bear as many: its kind's usual pace is the least.
-	able := max(1, c.size) / max(c.pace, cmp.Or(k.paced[c.kind], 1)/c.warmth)
-	budget, run := k.budget*able, cmp.Or(k.all.run, 1)
-	if float64(c.lot) < k.peers && (k.peers <= crowd || budget >= coldRuns*run*k.peers) {
-		return k.peers*(c.spent+cost) <= evenPart*budget
+	able := max(1, c.maxFree) / max(c.pace, cmp.Or(s.kindPace[c.kind], 1)/c.warmUpWeight)
+	budget, run := s.overloadBudget*able, cmp.Or(s.fleet.runTime, 1)
+	if float64(c.lotteryRank) < s.schedulers && (s.schedulers <= slowStartWatchers || budget >= minRunsPerShare*run*s.schedulers) {
+		return s.schedulers*(c.budgetUsed+cost) <= evenBudgetShare*budget
 	}
 	// The work that we get a second, over all our time: a jump of the traffic must not name others in a moment.
-	ours := run * max(1, k.jobs) / max(reach, k.now).Seconds()
-	sharing := max(fewest, math.Floor(min(2*able/ours, 2+coldPart*budget/(3*coldRuns*run))))
+	ours := run * max(1, s.admitted) / max(poolSpan, s.now).Seconds()
+	sharing := max(minSharers, math.Floor(min(2*able/ours, 2+budgetShareByHints*budget/(3*minRunsPerShare*run))))
 	// Of each of the first two; the others share the last third. Of many runs chance bears less in proportion.
-	part := min(coldPart*budget, budget+math.Sqrt(budget*run)) / 3
-	if c.lot > 1 {
-		part /= max(1, min(sharing, k.peers)-2)
+	part := min(budgetShareByHints*budget, budget+math.Sqrt(budget*run)) / 3
+	if c.lotteryRank > 1 {
+		part /= max(1, min(sharing, s.schedulers)-2)
 	}
-	return float64(c.lot) < min(sharing, k.peers) && c.spent+cost <= part
+	return float64(c.lotteryRank) < min(sharing, s.schedulers) && c.budgetUsed+cost <= part
 }
--- a/dispatch/first_test.go
+++ b/dispatch/first_test.go
@@ -13,7 +13,7 @@
 		for seed := range int64(200) {
 			dep := shop()
 			dep.Schedulers, dep.Rules.PollWithin, dep.Rules.DrainGrace = 300, 5*time.Second, grace
-			most = max(most, New(dep, seed).askAt)
+			most = max(most, New(dep, seed).pollAt)
 		}
 		fmt.Println(grace, most > grace/16, most <= grace/8, most > 2*time.Second, most <= 2500*ms)
 	}
--- a/dispatch/held_test.go
+++ b/dispatch/held_test.go
@@ -26,8 +26,8 @@
 
 // full lets time pass with no room anywhere.
 func (p *play) full(till time.Duration) {
-	for p.now+beat <= till {
-		p.at(p.now+beat, free('a', 0), free('b', 0), free('c', 0))
+	for p.now+tickInterval <= till {
+		p.at(p.now+tickInterval, free('a', 0), free('b', 0), free('c', 0))
 	}
 }
 
--- a/dispatch/lesson.go
+++ b/dispatch/lesson.go
@@ -70,32 +70,32 @@
 
 // Lesson writes down what was measured.
 func (d *Dispatcher) Snapshot() Snapshot {
-	k, ago := &d.desk, func(t time.Duration) time.Duration { return d.now - t }
-	l := Snapshot{Version: SnapshotVersion, RunTimes: k.runs, ReportGaps: k.gaps, ReportChanges: k.changes, FreeSlots: k.slots,
-		ImmediateStarts: k.starts, Admitted: k.jobs, Hedges: k.clones, PoolSize: k.size, HealthCheckCredit: k.credit, KindPaces: map[int][]float64{},
+	k, ago := &d.scheduler, func(t time.Duration) time.Duration { return d.now - t }
+	l := Snapshot{Version: SnapshotVersion, RunTimes: k.runTimes, ReportGaps: k.reportGaps, ReportChanges: k.reportChanges, FreeSlots: k.freeSlots,
+		ImmediateStarts: k.immediateStarts, Admitted: k.admitted, Hedges: k.hedges, PoolSize: k.poolSize, HealthCheckCredit: k.checkCredit, KindPaces: map[int][]float64{},
 		Operations: map[int]OperationSnapshot{}}
 	for _, at := range k.arrivals {
 		l.Arrivals = append(l.Arrivals, ago(seconds(at)))
 	}
-	for kind, paces := range k.paces {
+	for kind, paces := range k.kindPaces {
 		l.KindPaces[kind] = paces
 	}
-	for i, o := range k.ops {
-		l.Operations[i] = OperationSnapshot{o.ratios, o.sizes, o.rough, o.most}
+	for i, o := range k.operations {
+		l.Operations[i] = OperationSnapshot{o.costRatios, o.runTimes, o.hintErrors, o.longestBudget}
 	}
-	for i := range d.list {
-		w := d.list[i].worker
-		if w == nil || w.standing != Ready {
+	for i := range d.records {
+		w := d.records[i].worker
+		if w == nil || w.state != Ready {
 			continue
 		}
-		k.current(i)
-		n := WorkerSnapshot{Worker: w.id, Incarnation: d.list[i].Incarnation, Paces: w.paces, ServiceTime: w.service, LastFreeSlots: w.last,
-			MaxFreeSlots: w.size, FreeSlots: w.figures, Load: w.load, FreeSlotsAge: ago(w.figureAt), ReportAge: ago(w.reportAt), LastProgressAge: ago(w.lastSign),
-			Ejected: w.aside, EjectionLeft: w.asideTill - d.now, RejectionLeft: w.fullTill - d.now, Ejections: w.asides, ProbationLeft: w.wanted,
-			Missed: w.missed}
-		for _, e := range w.errands { // those that are out are passed with their invocations
-			if e.end != 0 && e.cost > 0 && w.warmth < 1 && e.sent+w.window > d.now {
-				n.BudgetUsed = append(n.BudgetUsed, BudgetUse{ago(e.sent), e.cost})
+		k.currentView(i)
+		n := WorkerSnapshot{Worker: w.id, Incarnation: d.records[i].Incarnation, Paces: w.paces, ServiceTime: w.serviceTime, LastFreeSlots: w.lastFree,
+			MaxFreeSlots: w.maxFree, FreeSlots: w.freeSamples, Load: w.lastReport, FreeSlotsAge: ago(w.freeSampledAt), ReportAge: ago(w.reportedAt), LastProgressAge: ago(w.lastProgress),
+			Ejected: w.ejected, EjectionLeft: w.ejectedUntil - d.now, RejectionLeft: w.rejectedUntil - d.now, Ejections: w.ejections, ProbationLeft: w.probationLeft,
+			Missed: w.checksMissed}
+		for _, e := range w.attempts { // those that are out are passed with their invocations
+			if e.endedAt != 0 && e.cost > 0 && w.warmUpWeight < 1 && e.sentAt+w.overloadWindow > d.now {
+				n.BudgetUsed = append(n.BudgetUsed, BudgetUse{ago(e.sentAt), e.cost})
 			}
 		}
 		l.Workers = append(l.Workers, n)
@@ -103,71 +103,71 @@
 	return l
 }
 
-func joined(old []float64, now samples) samples {
+func joinSamples(old []float64, now samples) samples {
 	all := append(slices.Clone(old), now...)
 	return all[max(0, len(all)-sampleCount):]
 }
 
 // heed takes a lesson in. What was measured here comes after what was taught.
-func (d *Dispatcher) heed(l Snapshot) {
+func (d *Dispatcher) loadSnapshot(l Snapshot) {
 	if l.Version != SnapshotVersion {
 		return
 	}
-	k := &d.desk
+	k := &d.scheduler
 	for _, v := range []struct {
 		to   *samples
 		from []float64
-	}{{&k.runs, l.RunTimes}, {&k.gaps, l.ReportGaps}, {&k.changes, l.ReportChanges}, {&k.slots, l.FreeSlots}, {&k.starts, l.ImmediateStarts}} {
-		*v.to = joined(v.from, *v.to)
+	}{{&k.runTimes, l.RunTimes}, {&k.reportGaps, l.ReportGaps}, {&k.reportChanges, l.ReportChanges}, {&k.freeSlots, l.FreeSlots}, {&k.immediateStarts, l.ImmediateStarts}} {
+		*v.to = joinSamples(v.from, *v.to)
 	}
 	var came []float64
 	for _, age := range l.Arrivals {
 		came = append(came, (d.now - age).Seconds())
 	}
-	if k.jobs == 0 && len(came) > 0 { // else our own say more
-		k.arrivals = joined(came, nil)
+	if k.admitted == 0 && len(came) > 0 { // else our own say more
+		k.arrivals = joinSamples(came, nil)
 	}
-	k.jobs, k.clones, k.size = k.jobs+l.Admitted, k.clones+l.Hedges, max(k.size, l.PoolSize)
+	k.admitted, k.hedges, k.poolSize = k.admitted+l.Admitted, k.hedges+l.Hedges, max(k.poolSize, l.PoolSize)
 	for kind, paces := range l.KindPaces {
-		k.paces[kind] = joined(paces, k.paces[kind])
-		k.setPaced(kind, k.paces[kind].at(0.5))
+		k.kindPaces[kind] = joinSamples(paces, k.kindPaces[kind])
+		k.setKindPace(kind, k.kindPaces[kind].quantile(0.5))
 	}
 	for i, o := range l.Operations {
-		if i < 0 || i >= len(k.ops) {
+		if i < 0 || i >= len(k.operations) {
 			continue
 		}
-		to := &k.ops[i]
-		to.ratios, to.sizes, to.rough = joined(o.CostRatios, to.ratios), joined(o.RunTimes, to.sizes), joined(o.HintErrors, to.rough)
-		to.most = max(to.most, o.LongestBudget)
+		to := &k.operations[i]
+		to.costRatios, to.runTimes, to.hintErrors = joinSamples(o.CostRatios, to.costRatios), joinSamples(o.RunTimes, to.runTimes), joinSamples(o.HintErrors, to.hintErrors)
+		to.longestBudget = max(to.longestBudget, o.LongestBudget)
 	}
 	for _, n := range l.Workers {
-		if at, known := d.workerAt[n.Worker]; known && d.list[at].Incarnation == n.Incarnation && d.list[at].State == Ready {
-			d.meet(at).put(n)
+		if at, known := d.recordIndex[n.Worker]; known && d.records[at].Incarnation == n.Incarnation && d.records[at].State == Ready {
+			d.workerAt(at).send(n)
 		}
 	}
-	k.learn()
+	k.learnFleet()
 }
 
 func (n WorkerSnapshot) to(w *worker) {
-	if w.paces = joined(n.Paces, w.paces); len(w.paces) > 0 {
-		w.pace = w.paces.at(0.5)
+	if w.paces = joinSamples(n.Paces, w.paces); len(w.paces) > 0 {
+		w.pace = w.paces.quantile(0.5)
 	}
-	w.size = max(w.size, n.MaxFreeSlots)
-	if len(w.figures) == 0 {
-		w.last, w.figureAt, w.load, w.reportAt, w.service = n.LastFreeSlots, w.now-n.FreeSlotsAge, n.Load, w.now-n.ReportAge, n.ServiceTime
+	w.maxFree = max(w.maxFree, n.MaxFreeSlots)
+	if len(w.freeSamples) == 0 {
+		w.lastFree, w.freeSampledAt, w.lastReport, w.reportedAt, w.serviceTime = n.LastFreeSlots, w.now-n.FreeSlotsAge, n.Load, w.now-n.ReportAge, n.ServiceTime
 	}
-	w.figures = joined(n.FreeSlots, w.figures)
-	w.figures = w.figures[max(0, len(w.figures)-figureCount):]
-	w.lastSign = max(w.lastSign, w.now-n.LastProgressAge)
+	w.freeSamples = joinSamples(n.FreeSlots, w.freeSamples)
+	w.freeSamples = w.freeSamples[max(0, len(w.freeSamples)-freeSampleCount):]
+	w.lastProgress = max(w.lastProgress, w.now-n.LastProgressAge)
 	if n.RejectionLeft > 0 {
-		w.fullTill = w.now + n.RejectionLeft
+		w.rejectedUntil = w.now + n.RejectionLeft
 	}
-	w.asides, w.wanted, w.missed = max(w.asides, n.Ejections), max(w.wanted, n.ProbationLeft), max(w.missed, n.Missed)
-	if n.Ejected && !w.aside {
-		w.aside, w.answers, w.asideTill = true, 0, w.now+max(0, n.EjectionLeft)
+	w.ejections, w.probationLeft, w.checksMissed = max(w.ejections, n.Ejections), max(w.probationLeft, n.ProbationLeft), max(w.checksMissed, n.Missed)
+	if n.Ejected && !w.ejected {
+		w.ejected, w.checksAnswered, w.ejectedUntil = true, 0, w.now+max(0, n.EjectionLeft)
 	}
 	for _, s := range n.BudgetUsed {
 		sent := w.now - s.Age
-		w.errands = append(w.errands, errand{inv: -1, sent: sent, end: max(sent, 1), cost: s.Cost})
+		w.attempts = append(w.attempts, workerAttempt{invocation: -1, sentAt: sent, endedAt: max(sent, 1), cost: s.Cost})
 	}
 }
--- a/dispatch/lesson_test.go
+++ b/dispatch/lesson_test.go
@@ -44,10 +44,10 @@
 		err = json.Unmarshal(text, &lesson)
 	}
 	next.at(350*ms, SnapshotLoaded{lesson})
-	fmt.Println(err, next.d.Ejected(), old.d.Ejected(), next.d.desk.paced, next.d.desk.ops[0].sizes.mean() == old.d.desk.ops[0].sizes.mean())
+	fmt.Println(err, next.d.Ejected(), old.d.Ejected(), next.d.scheduler.kindPace, next.d.scheduler.operations[0].runTimes.mean() == old.d.scheduler.operations[0].runTimes.mean())
 	spent := func(p *play) float64 {
-		p.d.list[2].worker.show()
-		return p.d.list[2].worker.spent
+		p.d.records[2].worker.publishView()
+		return p.d.records[2].worker.budgetUsed
 	}
 	fmt.Println("spent on the cold one:", spent(old) > 0, spent(next) == spent(old))
 	for n := InvocationID(21); n <= 23; n++ {
@@ -74,7 +74,7 @@
 	lesson.Version++
 	fresh := start(dep, ready('a', 0))
 	fresh.at(10*ms, SnapshotLoaded{lesson})
-	fmt.Println("of another version:", len(fresh.d.desk.runs))
+	fmt.Println("of another version:", len(fresh.d.scheduler.runTimes))
 	// Output:
 	// the old one: 1 to b; 2 to a; 3 to b; 4 to b; 5 to b; 22 to b; 23 to a; 21 to b; worker b is set aside: fails what it gets; 21 to a; 25 to c
 	// <nil> 1 1 map[0:2] true
--- a/dispatch/memo.go
+++ b/dispatch/memo.go
@@ -30,7 +30,7 @@
 	Entries []GossipEntry
 }
 
-type memo struct {
+type outgoingGossip struct {
 	to int
 	GossipEntry
 }
@@ -52,17 +52,17 @@
 
 // form is how a kind of note is written. Bytes are paid for, so a note has none to spare: the first has the version, the
 // kind and the tag's first bits.
-type form struct{ tag, serial bool }
+type entryLayout struct{ hasTag, hasSerial bool }
 
-var noteForms = map[GossipKind]form{GossipRestarted: {}, GossipAttemptStarted: {true, true}, GossipAttemptEnded: {false, true}, GossipCapacityQuery: {true, false},
+var gossipLayouts = map[GossipKind]entryLayout{GossipRestarted: {}, GossipAttemptStarted: {true, true}, GossipAttemptEnded: {false, true}, GossipCapacityQuery: {true, false},
 	GossipCapacityReply: {true, true}}
 
-func (f form) size() int {
+func (f entryLayout) size() int {
 	size := 1
-	if f.tag {
+	if f.hasTag {
 		size += 2
 	}
-	if f.serial {
+	if f.hasSerial {
 		size++
 	}
 	return size
@@ -72,15 +72,15 @@
 func EncodeGossip(notes []GossipEntry) (memos [][]byte) {
 	var b []byte
 	for _, n := range notes {
-		f := noteForms[n.Kind]
+		f := gossipLayouts[n.Kind]
 		if len(b)+f.size() > MaxGossipBytes {
 			memos, b = append(memos, b), nil
 		}
 		b = append(b, memoVersion<<6|byte(n.Kind)<<3|byte(n.Tag>>16&7))
-		if f.tag {
+		if f.hasTag {
 			b = binary.LittleEndian.AppendUint16(b, uint16(n.Tag))
 		}
-		if f.serial {
+		if f.hasSerial {
 			b = append(b, n.Serial)
 		}
 	}
@@ -94,14 +94,14 @@
 	}
 	for len(b) > 0 {
 		n := GossipEntry{Kind: GossipKind(b[0] >> 3 & 7)}
-		f, known := noteForms[n.Kind]
+		f, known := gossipLayouts[n.Kind]
 		if b[0]>>6 != memoVersion || !known || len(b) < f.size() {
 			return nil, false
 		}
-		if f.tag {
+		if f.hasTag {
 			n.Tag = uint32(b[0]&7)<<16 | uint32(binary.LittleEndian.Uint16(b[1:]))
 		}
-		if f.serial {
+		if f.hasSerial {
 			n.Serial = b[f.size()-1]
 		}
 		notes, b = append(notes, n), b[f.size():]
@@ -110,46 +110,46 @@
 }
 
 // tagOf names a worker in few bits, the same at every scheduler.
-func tagOf(id WorkerID) uint32 {
+func workerTag(id WorkerID) uint32 {
 	a := id.Addr().As16()
-	h := mix(binary.LittleEndian.Uint64(a[8:])^uint64(id.Port())<<16, 0)
+	h := rendezvousHash(binary.LittleEndian.Uint64(a[8:])^uint64(id.Port())<<16, 0)
 	return uint32(h >> (64 - tagBits))
 }
 
 // hear enters what other schedulers tell in the books of the workers that it is about.
-func (d *Dispatcher) hear(t GossipReceived) {
-	if !d.tells || t.From < 0 || t.From >= int(d.peers) || t.From == d.me {
+func (d *Dispatcher) receiveGossip(t GossipReceived) {
+	if !d.gossips || t.From < 0 || t.From >= int(d.schedulers) || t.From == d.self {
 		return // not allowed, or there is no such scheduler: what it says may be anything
 	}
 	for _, n := range t.Entries {
 		key := [2]int{t.From, int(n.Serial)}
-		at, known := d.tagAt[n.Tag]
+		at, known := d.tagIndex[n.Tag]
 		switch n.Kind {
 		case GossipRestarted:
-			for _, at := range d.keeps {
-				d.meet(at).put(theirs{t.From, n})
+			for _, at := range d.owned {
+				d.workerAt(at).send(gossipMessage{t.From, n})
 			}
 			continue
 		case GossipAttemptStarted:
 			if known {
-				d.sentTo[key] = at
+				d.remoteAttempts[key] = at
 			}
 		case GossipCapacityReply:
-			d.answered = d.now
+			d.ownerAnsweredAt = d.now
 		case GossipAttemptEnded:
-			at, known = d.sentTo[key]
-			delete(d.sentTo, key)
+			at, known = d.remoteAttempts[key]
+			delete(d.remoteAttempts, key)
 		}
 		if known {
-			d.meet(at).put(theirs{t.From, n})
+			d.workerAt(at).send(gossipMessage{t.From, n})
 		}
 	}
 }
 
 // keeper is the scheduler that is told of all that is sent to a worker and knows best what is free there.
-func (d *Dispatcher) keeper(id WorkerID) (who int) {
-	for other, most := 0, uint64(0); d.tells && other < int(d.peers); other++ {
-		if m := mix(uint64(tagOf(id)), other); m > most {
+func (d *Dispatcher) ownerOf(id WorkerID) (who int) {
+	for other, most := 0, uint64(0); d.gossips && other < int(d.schedulers); other++ {
+		if m := rendezvousHash(uint64(workerTag(id)), other); m > most {
 			who, most = other, m
 		}
 	}
--- a/dispatch/memo_test.go
+++ b/dispatch/memo_test.go
@@ -54,8 +54,8 @@
 // is never told counts for 8 s at most, or a run after its sender has started anew.
 func Example_keeper() {
 	p := start(pooled(3, 1), ready('a', 0), ready('c', 0))
-	fmt.Println("keepers:", p.d.list[0].keeper, p.d.list[1].keeper)
-	tag := p.d.meet(0).tag
+	fmt.Println("keepers:", p.d.records[0].owner, p.d.records[1].owner)
+	tag := p.d.workerAt(0).tag
 	hear := func(from int, notes ...GossipEntry) { p.at(p.now+50*ms, GossipReceived{from, notes}) }
 	ask := GossipEntry{Kind: GossipCapacityQuery, Tag: tag}
 	hear(0, ask)
@@ -85,11 +85,11 @@
 // What one scheduler can't see, as another's forward fills the worker that its own report shows free, its keeper tells.
 func Example_asking() {
 	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
-	fmt.Println("keepers:", p.d.list[0].keeper, p.d.list[1].keeper)
+	fmt.Println("keepers:", p.d.records[0].owner, p.d.records[1].owner)
 	p.at(20*ms, job(1, 0, 0.1))
 	answer := func(name byte, slots int) GossipReceived {
-		w := p.d.meet(p.d.workerAt[id(name)])
-		return GossipReceived{w.keeper, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
+		w := p.d.workerAt(p.d.recordIndex[id(name)])
+		return GossipReceived{w.owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
 	}
 	p.at(30*ms, answer('c', 2), answer('a', -1))
 	p.until(90 * ms)
@@ -133,7 +133,7 @@
 			chance.Read(garbage)
 			garbage[0] = garbage[0]&0x3f | memoVersion<<6
 			notes, _ := DecodeGossip(garbage)
-			notes = append(notes, GossipEntry{GossipKind(chance.Intn(5)), uint8(chance.Intn(256)), tagOf(id(byte(1 + chance.Intn(14))))})
+			notes = append(notes, GossipEntry{GossipKind(chance.Intn(5)), uint8(chance.Intn(256)), workerTag(id(byte(1 + chance.Intn(14))))})
 			events = append(events, GossipReceived{chance.Intn(6) - 1, append(notes, notes...)})
 		}
 		for n := InvocationID(1); n <= 1000; n++ {
@@ -162,7 +162,7 @@
 			t.Fatal(n, answers[n])
 		}
 	}
-	if books := len(d.list); books != 12 {
+	if books := len(d.records); books != 12 {
 		t.Fatal(books)
 	}
 }
@@ -183,8 +183,8 @@
 		p.at(p.now+400*ms, free('a', 0))
 		p.lines = nil
 		fmt.Print(title, ":")
-		for _, i := range p.d.desk.held {
-			fmt.Print(" ", p.d.desk.invs[i].id)
+		for _, i := range p.d.scheduler.queue {
+			fmt.Print(" ", p.d.scheduler.invocations[i].id)
 		}
 		fmt.Println()
 		return p
@@ -196,7 +196,7 @@
 	order("a late one last", job(1, 0, 3), again, job(2, 0, 2))
 	p := start(dep, ready('a', 0))
 	p.at(10*ms, free('a', 1))
-	p.d.desk.ops[0].most = again.Budget + 3*time.Second // as it has seen first tries
+	p.d.scheduler.operations[0].longestBudget = again.Budget + 3*time.Second // as it has seen first tries
 	p.at(20*ms, again)
 	p.until(200 * ms)
 	p.at(300*ms, free('a', 4))
@@ -242,7 +242,7 @@
 		}
 	}
 	handle(time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: cold})
-	for now := time.Second; now < 5*time.Second; now += beat {
+	for now := time.Second; now < 5*time.Second; now += tickInterval {
 		handle(now, job(InvocationID(now), 0, 0.1))
 	}
 	fmt.Println("60 started, probes in 4 s under 300:", probes < 300)
@@ -259,14 +259,14 @@
 	p := start(silent, ready('a', 0), ready('c', 0))
 	p.at(20*ms, free('a', 2), job(1, 0, 0.1))
 	p.at(50*ms, p.end(1, 0, Succeeded), Reconfigured{dep, []int{0, 1, 2}})
-	fmt.Println("keepers:", p.d.list[0].keeper, p.d.list[1].keeper, "ours:", p.d.keeps)
+	fmt.Println("keepers:", p.d.records[0].owner, p.d.records[1].owner, "ours:", p.d.owned)
 	drains := ready('a', 0)
 	drains.State = Draining // else it would come first, as we keep it
 	p.at(55*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{drains}})
 	p.at(60*ms, free('c', 4), job(2, 0, 0.1))
 	p.until(90 * ms)
 	p.at(100*ms, p.end(2, 0, Succeeded), Reconfigured{silent, []int{0, 1, 2}})
-	p.at(110*ms, free('c', 4), job(3, 0, 0.1), GossipReceived{0, []GossipEntry{{Kind: GossipCapacityQuery, Tag: p.d.meet(0).tag}}})
+	p.at(110*ms, free('c', 4), job(3, 0, 0.1), GossipReceived{0, []GossipEntry{{Kind: GossipCapacityQuery, Tag: p.d.workerAt(0).tag}}})
 	// Output:
 	// 20ms 1 to c
 	// keepers: 1 0 ours: [0]
@@ -281,11 +281,11 @@
 // round of questions goes out for who is held. When nobody answers any more, old figures count again.
 func Example_onlyFresh() {
 	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
-	w := func(name byte) *worker { return p.d.meet(p.d.workerAt[id(name)]) }
+	w := func(name byte) *worker { return p.d.workerAt(p.d.recordIndex[id(name)]) }
 	answer := func(name byte, slots int) GossipReceived {
-		return GossipReceived{w(name).keeper, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w(name).tag}}}
+		return GossipReceived{w(name).owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w(name).tag}}}
 	}
-	p.d.desk.runs = samples{0.2, 0.2}
+	p.d.scheduler.runTimes = samples{0.2, 0.2}
 	p.at(20*ms, answer('a', 4), answer('c', 4))
 	p.quiet = true
 	p.until(700 * ms)
@@ -321,10 +321,10 @@
 // themselves, and go by what they answer. Its next word ends that.
 func Example_silentKeeper() {
 	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
-	a, c := p.d.meet(0), p.d.meet(1)
+	a, c := p.d.workerAt(0), p.d.workerAt(1)
 	p.probes, p.waits = true, true
 	answers := func(slots int) GossipReceived {
-		return GossipReceived{c.keeper, []GossipEntry{{GossipCapacityReply, uint8(slots), c.tag}}}
+		return GossipReceived{c.owner, []GossipEntry{{GossipCapacityReply, uint8(slots), c.tag}}}
 	}
 	for n := range InvocationID(6) {
 		p.quiet = n < 4
@@ -336,9 +336,9 @@
 		}
 		p.until(at + 100*ms)
 	}
-	fmt.Println(a.silent, c.silent)
-	p.at(p.now+beat, GossipReceived{a.keeper, []GossipEntry{{GossipCapacityReply, 0, a.tag}}})
-	fmt.Println(a.silent, c.silent)
+	fmt.Println(a.ownerSilent, c.ownerSilent)
+	p.at(p.now+tickInterval, GossipReceived{a.owner, []GossipEntry{{GossipCapacityReply, 0, a.tag}}})
+	fmt.Println(a.ownerSilent, c.ownerSilent)
 	// Output:
 	// 0s tells -1: anew
 	// 2s probes a
@@ -363,8 +363,8 @@
 func Example_ownSlot() {
 	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
 	answer := func(name byte, slots int) GossipReceived {
-		w := p.d.meet(p.d.workerAt[id(name)])
-		return GossipReceived{w.keeper, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
+		w := p.d.workerAt(p.d.recordIndex[id(name)])
+		return GossipReceived{w.owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
 	}
 	p.at(20*ms, job(1, 0, 0.1))
 	p.at(30*ms, answer('a', 1), answer('c', 0))
@@ -389,12 +389,12 @@
 func Example_keptFirst() {
 	p := start(pooled(3, 0), ready('a', 0), ready('c', 0))
 	p.frequent('a', 'c')
-	theirs := p.d.meet(0)
-	fmt.Println("keepers:", p.d.list[0].keeper, p.d.list[1].keeper)
+	theirs := p.d.workerAt(0)
+	fmt.Println("keepers:", p.d.records[0].owner, p.d.records[1].owner)
 	p.at(p.now+5*ms, free('c', 2), GossipReceived{1, []GossipEntry{{GossipCapacityReply, 4, theirs.tag}}})
 	for n := range InvocationID(3) {
 		p.at(p.now+5*ms, job(n+1, 0, 0.1))
-		p.until(p.now + 2*beat)
+		p.until(p.now + 2*tickInterval)
 		p.at(p.now, GossipReceived{1, []GossipEntry{{GossipCapacityReply, 3, theirs.tag}}})
 	}
 	// Output:
--- a/dispatch/play_test.go
+++ b/dispatch/play_test.go
@@ -77,8 +77,8 @@
 }
 
 func (p *play) until(when time.Duration) {
-	for p.now+beat <= when {
-		p.at(p.now+beat, TimerFired{})
+	for p.now+tickInterval <= when {
+		p.at(p.now+tickInterval, TimerFired{})
 	}
 }
 
@@ -99,7 +99,7 @@
 		return fmt.Sprintf("%d to %s", a.Invocation, name(a.Worker))
 	case Throttle:
 		when := "at once"
-		if dep := p.d.desk.after; a.RetryAfter >= dep*3/5 && a.RetryAfter <= dep && dep > 0 {
+		if dep := p.d.scheduler.retryAfter; a.RetryAfter >= dep*3/5 && a.RetryAfter <= dep && dep > 0 {
 			when = fmt.Sprintf("after %v to %v", dep*3/5, dep) // chance sets when
 		}
 		return fmt.Sprintf("%d throttled, back %s", a.Invocation, when)
@@ -115,9 +115,9 @@
 		line := fmt.Sprintf("tells %d:", a.To)
 		for _, n := range a.Entries {
 			who := "?"
-			for at := range p.d.list {
-				if n.Tag == tagOf(p.d.list[at].Worker) {
-					who = name(p.d.list[at].Worker)
+			for at := range p.d.records {
+				if n.Tag == workerTag(p.d.records[at].Worker) {
+					who = name(p.d.records[at].Worker)
 				}
 			}
 			switch n.Kind {
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -14,22 +14,22 @@
 )
 
 // Why tells why an invocation was given up by the last call of Handle; empty: it was not.
-func (d *Dispatcher) RejectionReason(id InvocationID) Reason { return d.desk.why[id] }
+func (d *Dispatcher) RejectionReason(id InvocationID) Reason { return d.scheduler.reasons[id] }
 
 // reason names the first of the conditions of may and hopeless that does not hold.
-func (k *desk) reason(j *inv) Reason {
-	o := &k.ops[j.op]
-	_, first := j.live()
+func (s *scheduler) rejectionReason(j *invocation) Reason {
+	o := &s.operations[j.operation]
+	_, first := j.inFlight()
 	switch {
-	case j.unfit >= unfitMost:
+	case j.badRequests >= maxBadRequests:
 		return ReasonUnfit
 	case first != nil && o.effect == NonIdempotent:
 		return ReasonUnproven
-	case first != nil && o.effect == Deduplicated && k.now >= first.sent+o.window:
+	case first != nil && o.effect == Deduplicated && s.now >= first.sentAt+o.dedupWindow:
 		return ReasonWindow
-	case len(j.tries) >= k.mostForwards:
+	case len(j.attempts) >= s.maxAttempts:
 		return ReasonAttempts
-	case j.givenUp-k.now <= 2*beat:
+	case j.deadline-s.now <= 2*tickInterval:
 		return ReasonTimeout
 	}
 	return ReasonTooLate
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -38,7 +38,7 @@
 func (e MigratedIn) About() (InvocationID, WorkerID)  { return e.Invocation, WorkerID{} }
 
 // begins tells whether an event brings an invocation in.
-func begins(e Event) bool {
+func opensInvocation(e Event) bool {
 	switch e.(type) {
 	case Arrival, MigratedIn:
 		return true
@@ -48,23 +48,23 @@
 
 // Record is an invocation as another instance would have to have it; false: it is not held here any more.
 func (d *Dispatcher) MigrationRecord(id InvocationID) (r MigratedIn, held bool) {
-	i, held := d.invAt[id]
-	if !held || d.desk.invs[i].done {
+	i, held := d.invocationIndex[id]
+	if !held || d.scheduler.invocations[i].answered {
 		return r, false
 	}
-	j, ago := &d.desk.invs[i], func(t time.Duration) time.Duration { return d.now - t }
-	r = MigratedIn{Arrival: Arrival{Invocation: id, Operation: j.op, Tenant: j.tenant, Budget: j.givenUp - d.now, Hint: j.work,
-		Slots: j.slots}, Waited: ago(j.first), Age: ago(j.came)}
-	for f, t := range j.tries {
-		try := Attempt{Worker: d.list[t.at].Worker, Zone: t.zone, Cell: t.cell, Age: ago(t.sent), StartedAge: -1, LastProgressAge: -1, InFlight: t.out, MayHaveRun: t.ran, Stuck: t.stuck,
-			BadRequest: t.unfit}
-		if w := d.list[t.at].worker; w != nil {
-			if e := w.find(i, f); e != nil {
-				if try.Cost = e.cost; e.began > 0 {
-					try.StartedAge = ago(e.began)
+	j, ago := &d.scheduler.invocations[i], func(t time.Duration) time.Duration { return d.now - t }
+	r = MigratedIn{Arrival: Arrival{Invocation: id, Operation: j.operation, Tenant: j.tenant, Budget: j.deadline - d.now, Hint: j.work,
+		Slots: j.slots}, Waited: ago(j.firstTriedAt), Age: ago(j.arrivedAt)}
+	for f, t := range j.attempts {
+		try := Attempt{Worker: d.records[t.worker].Worker, Zone: t.zone, Cell: t.cell, Age: ago(t.sentAt), StartedAge: -1, LastProgressAge: -1, InFlight: t.inFlight, MayHaveRun: t.mayHaveRun, Stuck: t.stalled,
+			BadRequest: t.badRequest}
+		if w := d.records[t.worker].worker; w != nil {
+			if e := w.inFlightAttempt(i, f); e != nil {
+				if try.Cost = e.cost; e.startedAt > 0 {
+					try.StartedAge = ago(e.startedAt)
 				}
-				if e.heard > 0 {
-					try.LastProgressAge = ago(e.heard)
+				if e.progressAt > 0 {
+					try.LastProgressAge = ago(e.progressAt)
 				}
 			}
 		}
@@ -88,59 +88,59 @@
 }
 
 // handed is desk to worker: a forward of ours is another instance's.
-type handed struct{ inv, fwd int }
+type attemptMigrated struct{ invocation, number int }
 
 // bequest is what one instance leaves another, or takes from its own books for that, of one worker.
-type bequest interface{ to(w *worker) }
+type stateTransfer interface{ to(w *worker) }
 
-func (n handed) to(w *worker) {
-	if e := w.find(n.inv, n.fwd); e != nil {
-		e.end = w.now
+func (n attemptMigrated) to(w *worker) {
+	if e := w.inFlightAttempt(n.invocation, n.number); e != nil {
+		e.endedAt = w.now
 	}
 }
 
 // pass lets an invocation go to another instance.
-func (k *desk) pass(i int) {
-	k.unhold(i)
-	j := &k.invs[i]
-	for f := range j.tries {
-		if t := &j.tries[f]; t.out {
-			t.out = false
-			k.door.list[t.at].worker.put(handed{i, f})
+func (s *scheduler) migrateOut(i int) {
+	s.dequeue(i)
+	j := &s.invocations[i]
+	for f := range j.attempts {
+		if t := &j.attempts[f]; t.inFlight {
+			t.inFlight = false
+			s.dispatcher.records[t.worker].worker.send(attemptMigrated{i, f})
 		}
 	}
-	j.done, j.over = true, true
-	k.spare = append(k.spare, i)
-	k.door.put(freed{j.id})
+	j.answered, j.finished = true, true
+	s.freeInvocations = append(s.freeInvocations, i)
+	s.dispatcher.send(invocationReleased{j.id})
 }
 
 // resume takes an invocation of another instance in.
-func (k *desk) resume(i int, r MigratedIn) {
-	k.take(i, r.Arrival)
-	k.unhold(i)
-	j := &k.invs[i]
-	j.first, j.came = k.now-r.Waited, k.now-r.Age
+func (s *scheduler) migrateIn(i int, r MigratedIn) {
+	s.admit(i, r.Arrival)
+	s.dequeue(i)
+	j := &s.invocations[i]
+	j.firstTriedAt, j.arrivedAt = s.now-r.Waited, s.now-r.Age
 	for f, t := range r.Attempts {
-		at, known := k.door.workerAt[t.Worker]
+		at, known := s.dispatcher.recordIndex[t.Worker]
 		if !known {
 			continue
 		}
-		j.tries = append(j.tries, tried{at: at, zone: t.Zone, cell: t.Cell, sent: k.now - t.Age, out: t.InFlight, ran: t.MayHaveRun,
-			stuck: t.Stuck, unfit: t.BadRequest})
+		j.attempts = append(j.attempts, requestAttempt{worker: at, zone: t.Zone, cell: t.Cell, sentAt: s.now - t.Age, inFlight: t.InFlight, mayHaveRun: t.MayHaveRun,
+			stalled: t.Stuck, badRequest: t.BadRequest})
 		if t.BadRequest {
-			j.unfit++
+			j.badRequests++
 		}
 		if !t.InFlight {
 			continue
 		}
-		e := errand{inv: i, fwd: f, slots: j.slots, work: j.work, cost: t.Cost, lost: t.Stuck, taken: true, sent: max(0, k.now-t.Age)}
+		e := workerAttempt{invocation: i, number: f, slots: j.slots, work: j.work, cost: t.Cost, lost: t.Stuck, accepted: true, sentAt: max(0, s.now-t.Age)}
 		if t.StartedAge >= 0 {
-			e.began = max(1, k.now-t.StartedAge)
+			e.startedAt = max(1, s.now-t.StartedAge)
 		}
 		if t.LastProgressAge >= 0 {
-			e.heard = max(1, k.now-t.LastProgressAge)
+			e.progressAt = max(1, s.now-t.LastProgressAge)
 		}
-		k.door.meet(at).put(sent{e})
+		s.dispatcher.workerAt(at).send(attemptSent{e})
 	}
-	k.again(i)
+	s.retry(i)
 }
--- a/dispatch/retune_test.go
+++ b/dispatch/retune_test.go
@@ -25,10 +25,10 @@
 	p.tell("after")
 	p.at(p.now+10*ms, p.end(11, 0, ConnectionBroken), p.end(12, 0, ConnectionBroken))
 	p.tell("both break")
-	ops := p.d.desk.ops
-	fmt.Println(len(ops[3].ratios) >= 5, len(ops[1].ratios))
-	ops[3].ratios.add(99)
-	fmt.Println(ops[0].ratios.sum() < 99)
+	ops := p.d.scheduler.operations
+	fmt.Println(len(ops[3].costRatios) >= 5, len(ops[1].costRatios))
+	ops[3].costRatios.add(99)
+	fmt.Println(ops[0].costRatios.sum() < 99)
 	// Output:
 	// before: 11 to a
 	// after: 12 to b
@@ -49,10 +49,10 @@
 	p.at(30*ms, Reconfigured{Config: dep, PreviousOperations: []int{0, 1, 2}})
 	p.at(40*ms, p.end(1, 1, Rejected))
 	p.tell("after")
-	fmt.Println(p.d.desk.mostForwards, p.d.desk.cancels, p.d.desk.peers, p.d.me)
+	fmt.Println(p.d.scheduler.maxAttempts, p.d.scheduler.cancels, p.d.scheduler.schedulers, p.d.self)
 	dep.Limits.Cancel, dep.Schedulers, dep.Index = false, 7, -1
 	p.at(50*ms, Reconfigured{Config: dep, PreviousOperations: []int{0, 1, 2}})
-	fmt.Println(p.d.desk.mostForwards, p.d.desk.cancels, p.d.desk.peers, p.d.me)
+	fmt.Println(p.d.scheduler.maxAttempts, p.d.scheduler.cancels, p.d.scheduler.schedulers, p.d.self)
 	// Output:
 	// before: 1 to c; 1 to a
 	// after: 1 throttled, back at once
@@ -89,7 +89,7 @@
 	p.tell("sent")
 	p.at(30*ms, AttemptProgress{Invocation: 3, Worker: p.went[3][0], Accepted: true})
 	for n := range 40 {
-		p.at(40*ms+time.Duration(n)*beat, TimerFired{}, AttemptProgress{Invocation: 3, Worker: p.went[3][0], Started: true})
+		p.at(40*ms+time.Duration(n)*tickInterval, TimerFired{}, AttemptProgress{Invocation: 3, Worker: p.went[3][0], Started: true})
 	}
 	p.tell("0.8 s later")
 	p.at(900*ms, p.end(1, 1, Succeeded), p.end(2, 0, Succeeded))
@@ -119,7 +119,7 @@
 	dep.Tenants = append(dep.Tenants, Tenant{QuotaPerSecond: 5})
 	p.at(p.now+10*ms, Reconfigured{Config: dep, PreviousOperations: []int{0, 1, 2}}, by(11, 2))
 	p.until(p.now + 200*ms)
-	fmt.Println(len(p.d.desk.tenants[0].came), len(p.d.desk.tenants[2].came))
+	fmt.Println(len(p.d.scheduler.tenants[0].arrivals), len(p.d.scheduler.tenants[2].arrivals))
 	p.at(p.now+10*ms, free('a', 3))
 	p.tell("one has flooded before, the others have not")
 	// Output:
--- a/dispatch/shared.go
+++ b/dispatch/shared.go
@@ -15,14 +15,14 @@
 
 func (e QuotaUpdate) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
-func (e QuotaUpdate) to(k *desk) {
+func (e QuotaUpdate) to(k *scheduler) {
 	for _, q := range e.Quotas {
 		for len(k.tenants) <= q.Tenant {
 			k.tenants = append(k.tenants, tenant{})
 		}
 		t := &k.tenants[q.Tenant]
 		if t.QuotaPerSecond = q.QuotaPerSecond; q.Reassigned {
-			t.came = nil
+			t.arrivals = nil
 		}
 	}
 }
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -55,7 +55,7 @@
 	p.lines, p.waits = nil, true
 	p.frequent('a', 'b', 'c')
 	asked := func(a, b, c float64, title string, jobs ...Event) {
-		p.at(p.now+beat, jobs...)
+		p.at(p.now+tickInterval, jobs...)
 		p.at(p.now+5*ms, free('a', a), free('b', b), free('c', c))
 		p.tell(title)
 	}
@@ -246,7 +246,7 @@
 		p.at(p.now+20*ms, AttemptProgress{Invocation: 2, Worker: id('a'), Done: 0.1}, free('b', 2))
 	}
 	p.at(p.now+10*ms, free('a', 0), job(3, 1, 0.2), job(4, 1, 0.2))
-	p.until(p.now + 14*beat)
+	p.until(p.now + 14*tickInterval)
 	// Output:
 	// 10ms 2 to a
 	// 10ms 1 to b
@@ -277,7 +277,7 @@
 	p.at(3*time.Second, job(1, 2, 0.2))
 	p.at(3*time.Second+2*ms, free('a', 0), free('b', 1))
 	p.at(6*time.Second, job(2, 2, 0.2))
-	p.until(6*time.Second + 2*beat)
+	p.until(6*time.Second + 2*tickInterval)
 	// Output:
 	// 3s probes a
 	// 3s probes b
@@ -310,7 +310,7 @@
 	}
 	p.at(15*time.Second, job(1, 2, 0.2))
 	for _, name := range []byte("ad") {
-		fmt.Printf("%c counts as having %.0f free\n", name, p.d.list[p.d.workerAt[id(name)]].worker.room)
+		fmt.Printf("%c counts as having %.0f free\n", name, p.d.records[p.d.recordIndex[id(name)]].worker.free)
 	}
 	// Output:
 	// a counts as having 4 free
@@ -350,7 +350,7 @@
 	for _, dep.Schedulers = range []int{1000, 100, 10000} {
 		named := 0
 		for dep.Index = range 1000 {
-			if d := New(dep, 1); d.lot(17) < fewest {
+			if d := New(dep, 1); d.lotteryRank(17) < minSharers {
 				named++
 			}
 		}
@@ -425,7 +425,7 @@
 	p.at(1210*ms, ClientDisconnected{Invocation: 1})
 	p.at(1220*ms, p.end(1, 0, Cancelled))
 	p.at(9*time.Second, free('a', 1), job(5, 1, 8))
-	p.until(9*time.Second + 2*beat)
+	p.until(9*time.Second + 2*tickInterval)
 	p.at(14*time.Second, p.end(5, 0, TimedOut))
 	p.at(15*time.Second, p.end(5, 0, TimedOut), ClientDisconnected{Invocation: 5}, Outcome{Invocation: 99, Worker: id('z')})
 	// Output:
@@ -530,27 +530,27 @@
 func Example_pool() {
 	p := start(shop(), fleet(200)...)
 	p.quiet = true
-	size := func(title string) { fmt.Printf("%s: %d of 200\n", title, len(p.d.desk.pool)) }
+	size := func(title string) { fmt.Printf("%s: %d of 200\n", title, len(p.d.scheduler.pool)) }
 	answer := func(slots float64) {
-		for _, at := range slices.Clone(p.d.desk.pool) {
+		for _, at := range slices.Clone(p.d.scheduler.pool) {
 			p.at(p.now+ms, free(byte(at+1), slots))
 		}
 	}
 	size("at the start")
-	before := slices.Clone(p.d.desk.pool)
+	before := slices.Clone(p.d.scheduler.pool)
 	p.until(20 * time.Second)
 	slices.Sort(before)
-	after := slices.Sorted(slices.Values(p.d.desk.pool))
+	after := slices.Sorted(slices.Values(p.d.scheduler.pool))
 	size("after 20 s without invocations")
 	fmt.Println("the same workers:", slices.Equal(before, after))
 	answer(0)
 	for n := range InvocationID(5) {
 		p.at(p.now+100*ms, job(n+1, 2, 0.2))
 		answer(0)
-		p.until(p.now + 2*beat)
+		p.until(p.now + 2*tickInterval)
 	}
 	size("five invocations while all are busy")
-	drains := p.d.list[p.d.desk.pool[0]].Endpoint
+	drains := p.d.records[p.d.scheduler.pool[0]].Endpoint
 	drains.State = Draining
 	p.at(p.now+ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{drains}})
 	size("one drains")
@@ -568,16 +568,16 @@
 		p := start(shop(), fleet(n)...)
 		p.quiet = true
 		reads := 0
-		for at := range p.d.list {
-			w := p.d.meet(at)
-			read := w.inbox.read
-			w.inbox.read = func(note any) { reads++; read(note) }
+		for at := range p.d.records {
+			w := p.d.workerAt(at)
+			read := w.mailbox.handle
+			w.mailbox.handle = func(note any) { reads++; read(note) }
 		}
-		p.d.settle()
+		p.d.deliverMessages()
 		reads = 0
 		for i := range InvocationID(20) {
 			p.at(p.now+200*ms, job(i+1, 2, 0.1))
-			p.until(p.now + 2*beat)
+			p.until(p.now + 2*tickInterval)
 		}
 		fmt.Println(n, "workers, notes that they read for an invocation:", reads/20)
 	}
@@ -765,7 +765,7 @@
 	p := start(shop(), ready('a', 0), ready('b', 0))
 	p.at(10*ms, free('a', 1), free('b', 1))
 	for at, pace := range []float64{3, 0.8} {
-		w := p.d.meet(at)
+		w := p.d.workerAt(at)
 		w.paces, w.pace = samples{pace}, pace
 	}
 	p.frequent('a', 'b')
@@ -787,7 +787,7 @@
 		cold.StartKnown, cold.Incarnation = true, 5
 		p := start(dep, cold)
 		p.quiet = true
-		p.d.desk.runs = samples{run, run}
+		p.d.scheduler.runTimes = samples{run, run}
 		p.at(time.Second, free('a', 100))
 		sent := 0
 		for n := InvocationID(1); n <= 100; n++ {
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -269,8 +269,8 @@
 
 // Avoided counts the listed workers that are set aside now.
 func (d *Dispatcher) Ejected() (n int) {
-	for i := range d.list {
-		if p := &d.list[i]; p.State == Ready && p.worker != nil && p.worker.aside {
+	for i := range d.records {
+		if p := &d.records[i]; p.State == Ready && p.worker != nil && p.worker.ejected {
 			n++
 		}
 	}
@@ -280,68 +280,68 @@
 // The parts: each has an inbox, and they talk only by notes in inboxes, which one loop empties.
 
 // house is what all parts share, with the few figures of the deployment that every worker's book needs.
-type house struct {
-	now, progress, warmAfter, window time.Duration
-	rng                              *rand.Rand
-	out                              []Action
-	unread                           []*inbox // with notes in them, oldest first
-	probes, tellsStart, tellsTaken   bool
-	tells                            bool   // schedulers tell one another
-	memo                             []memo // to be sent at the end of this moment
-	me                               int
-	serial                           uint8 // of our last forward
-	coldFrom                         float64
-	beats                            int
-	copies                           []*card // that can be used again
-}
-
-func (h *house) do(a Action) { h.out = append(h.out, a) }
+type sharedState struct {
+	now, progressInterval, slowStartDuration, overloadWindow time.Duration
+	rng                                                      *rand.Rand
+	actions                                                  []Action
+	pending                                                  []*mailbox // with notes in them, oldest first
+	healthChecks, notifiesStart, notifiesAccepted            bool
+	gossips                                                  bool             // schedulers tell one another
+	gossipQueue                                              []outgoingGossip // to be sent at the end of this moment
+	self                                                     int
+	serial                                                   uint8 // of our last forward
+	slowStartFrom                                            float64
+	epochs                                                   int
+	spareViews                                               []*workerView // that can be used again
+}
+
+func (s *sharedState) emit(a Action) { s.actions = append(s.actions, a) }
 
 // tell has a note sent to one scheduler, or below 0 to all.
-func (h *house) tell(to int, n GossipEntry) {
-	if h.tells && to != h.me {
-		h.memo = append(h.memo, memo{to, n})
+func (s *sharedState) sendGossip(to int, n GossipEntry) {
+	if s.gossips && to != s.self {
+		s.gossipQueue = append(s.gossipQueue, outgoingGossip{to, n})
 	}
 }
 
 // post sends what is to be told, all for one scheduler together.
-func (h *house) post() {
-	for i, m := range h.memo {
+func (s *sharedState) flushGossip() {
+	for i, m := range s.gossipQueue {
 		if m.Kind == gossipPacked {
 			continue
 		}
 		t := SendGossip{To: m.to, Entries: []GossipEntry{m.GossipEntry}}
-		for n := i + 1; n < len(h.memo); n++ {
-			if o := &h.memo[n]; o.to == m.to && o.Kind != gossipPacked {
+		for n := i + 1; n < len(s.gossipQueue); n++ {
+			if o := &s.gossipQueue[n]; o.to == m.to && o.Kind != gossipPacked {
 				t.Entries, o.Kind = append(t.Entries, o.GossipEntry), gossipPacked
 			}
 		}
-		h.do(t)
+		s.emit(t)
 	}
-	h.memo = h.memo[:0]
+	s.gossipQueue = s.gossipQueue[:0]
 }
 
-func (h *house) settle() {
-	for n := 0; n < len(h.unread); n++ {
-		b, notes := h.unread[n], h.unread[n].notes
-		b.notes = b.spare[:0]
+func (s *sharedState) deliverMessages() {
+	for n := 0; n < len(s.pending); n++ {
+		b, notes := s.pending[n], s.pending[n].messages
+		b.messages = b.spare[:0]
 		for _, note := range notes {
-			b.read(note)
+			b.handle(note)
 		}
 		b.spare = notes
 	}
-	h.unread = h.unread[:0]
+	s.pending = s.pending[:0]
 }
 
-type inbox struct {
-	*house
-	read         func(note any)
-	notes, spare []any
+type mailbox struct {
+	*sharedState
+	handle          func(note any)
+	messages, spare []any
 }
 
-func (b *inbox) put(note any) {
-	if b.notes = append(b.notes, note); len(b.notes) == 1 {
-		b.unread = append(b.unread, b)
+func (m *mailbox) send(note any) {
+	if m.messages = append(m.messages, note); len(m.messages) == 1 {
+		m.pending = append(m.pending, m)
 	}
 }
 
@@ -364,172 +364,172 @@
 func (s samples) mean() float64 { return s.sum() / float64(max(1, len(s))) }
 
 // at is a quantile, which one heavy invocation can't move as it moves a mean. 0 where nothing was measured.
-func (s samples) at(part float64) float64 {
+func (s samples) quantile(part float64) float64 {
 	var sorted [sampleCount + 1]float64
 	slices.Sort(sorted[:copy(sorted[:], s)])
 	return sorted[int(part*float64(len(s)))]
 }
 
-func (s samples) spread() float64 { return s.at(0.84) - s.at(0.5) }
+func (s samples) spread() float64 { return s.quantile(0.84) - s.quantile(0.5) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // The notes that parts put into each other's inboxes, beside the events themselves.
 type (
-	tick   struct{}                   // time has passed
-	choose struct{}                   // all that has happened at this moment is in
-	alarm  struct{ at time.Duration } // desk to door: when time alone may change a decision
-	about  struct {                   // door to desk or worker, and on to the desk with the running time
-		inv   int
-		event Event
-		ran   time.Duration
+	clockTick    struct{}                   // time has passed
+	scheduleNow  struct{}                   // all that has happened at this moment is in
+	timerRequest struct{ at time.Duration } // desk to door: when time alone may change a decision
+	eventMessage struct {                   // door to desk or worker, and on to the desk with the running time
+		invocation int
+		event      Event
+		runTime    time.Duration
 	}
-	blamed struct{}                  // desk to worker: another one took what it would not have
-	freed  struct{ id InvocationID } // desk to door: nothing more will be heard of it
-	sent   struct{ errand }          // desk to worker
-	theirs struct {                  // door to worker: another scheduler's note
+	rejectedElsewhereAccepted struct{}                  // desk to worker: another one took what it would not have
+	invocationReleased        struct{ id InvocationID } // desk to door: nothing more will be heard of it
+	attemptSent               struct{ workerAttempt }   // desk to worker
+	gossipMessage             struct {                  // door to worker: another scheduler's note
 		from int
 		GossipEntry
 	}
-	stuck struct{ inv, fwd int }         // worker to desk: no answer is to be expected soon
-	begun struct{ atOnce float64 }       // worker to desk: whether a forward has started within two beats
-	pair  struct{ gap, changed float64 } // worker to desk: two answers in a row, with one report or two
-	view  struct {                       // desk to worker, while it matters: what was learned of all workers
-		lag     time.Duration // how old a report is when it comes
-		run     float64       // the usual running time
-		usual   float64       // slots that are free
-		service float64       // running time by reports
-		learn   bool          // how often reports are made is not known yet
+	attemptStalled struct{ invocation, number int } // worker to desk: no answer is to be expected soon
+	startObserved  struct{ immediate float64 }      // worker to desk: whether a forward has started within two beats
+	reportPair     struct{ gap, changed float64 }   // worker to desk: two answers in a row, with one report or two
+	fleetStats     struct {                         // desk to worker, while it matters: what was learned of all workers
+		lag         time.Duration // how old a report is when it comes
+		runTime     float64       // the usual running time
+		usualFree   float64       // slots that are free
+		serviceTime float64       // running time by reports
+		unmeasured  bool          // how often reports are made is not known yet
 	}
-	ask struct { // desk or door to worker: it joins the pool, and it or its keeper is asked
-		view
-		hearsay bool
+	joinPool struct { // desk or door to worker: it joins the pool, and it or its keeper is asked
+		fleetStats
+		viaGossip bool
 	}
-	wanted struct { // desk to door: one more worker, -1: of any kind, zone or cell
-		kind, zone, cell int
-		until            time.Duration // as in Forward
-		hearsay, round   bool          // round: as a round begins
-		view
+	poolRequest struct { // desk to door: one more worker, -1: of any kind, zone or cell
+		kind, zone, cell     int
+		notAfter             time.Duration // as in Forward
+		viaGossip, nextEpoch bool          // round: as a round begins
+		fleetStats
 	}
-	listed struct { // door to worker: its entry, and our place among those that may use it while it is cold
+	recordChanged struct { // door to worker: its entry, and our place among those that may use it while it is cold
 		Endpoint
-		lot, keeper int
+		lotteryRank, owner int
 	}
 )
 
 // place is what the list says of one worker. A fleet is large and a scheduler meets few of it: an actor for
 // each would cost memory and time for nothing.
-type place struct {
+type workerRecord struct {
 	Endpoint
-	worker  *worker // nil: never met
-	keeper  int
-	lot     int // how many schedulers come before us while it is cold
-	inOrder bool
-	version int // the last list that named it
+	worker       *worker // nil: never met
+	owner        int
+	lotteryRank  int // how many schedulers come before us while it is cold
+	inCheckOrder bool
+	update       int // the last list that named it
 }
 
 // survey is what one look over the pool gives. usual: our slots at workers with a figure.
-type survey struct {
-	pooled, known, roomCount, room, mine, usual, fastest float64
+type poolSummary struct {
+	pooled, measured, withFree, free, reserved, reservedMeasured, fastestPace float64
 }
 
 // figure is how many slots a warm worker's report, and what is held there, have shown.
-type figure float64
+type freeSlotsObserved float64
 
-type errand struct {
-	inv, fwd                int // of another scheduler: below -1 by its number, and the serial
-	slots, work, cost       float64
-	lost, taken             bool
-	serial                  uint8
-	sent, began, heard, end time.Duration // end: when its slots are free again; 0 while it is out
+type workerAttempt struct {
+	invocation, number                     int // of another scheduler: below -1 by its number, and the serial
+	slots, work, cost                      float64
+	lost, accepted                         bool
+	serial                                 uint8
+	sentAt, startedAt, progressAt, endedAt time.Duration // end: when its slots are free again; 0 while it is out
 }
 
-type tried struct {
-	at, zone, cell  int // where the worker was then: a list that moves it does not move what drops repeats
-	sent            time.Duration
-	out, ran, stuck bool // ran: it may have run
-	unfit           bool // the worker would not have it
+type requestAttempt struct {
+	worker, zone, cell            int // where the worker was then: a list that moves it does not move what drops repeats
+	sentAt                        time.Duration
+	inFlight, mayHaveRun, stalled bool // ran: it may have run
+	badRequest                    bool // the worker would not have it
 }
 
 // Dispatcher is one scheduler's decisions. As the door it makes ids small indices, and it follows the list.
 type Dispatcher struct {
-	house
-	inbox
-	desk                  desk
-	list                  []place
-	answered              time.Duration // when a keeper last did
-	keeps                 []int         // workers whose keeper we are
-	own                   int           // probes that have gone round
-	order                 []int         // workers, shuffled: they are probed in turn
-	workerAt              map[WorkerID]int
-	tagAt                 map[uint32]int // of workers
-	sentTo                map[[2]int]int // where other schedulers' forwards are, by their numbers and serials
-	invAt                 map[InvocationID]int
-	asks, follows         bool
-	turn, failed, version int
-	peers                 float64
-	wakeAt, within, askAt time.Duration // askAt: when to ask for the list again if nothing has come by then
-}
-
-type card struct {
-	at, zone, kind, cell     int
-	open, trial, known, full bool
-	silent, kept             bool // its keeper can't be heard; we are its keeper
-	busy, asking             bool
-	lot                      int           // schedulers before us while it is cold
-	seen                     time.Duration // when it was last asked: the pool is those asked last
-	back                     time.Duration // when it last came back on trial
-	due                      time.Duration // before that nothing comes of looking at the time
-	room, last, size         float64       // estimate, last figure, the most seen free
-	service                  float64       // running time by its reports
-	ours                     float64       // our slots there that are out
-	mine, fresh, pace        float64       // how far the last figure holds; running time over hinted cost
-	warmth, spent            float64       // of a cold worker: its part of capacity, our work of late
+	sharedState
+	mailbox
+	scheduler                        scheduler
+	records                          []workerRecord
+	ownerAnsweredAt                  time.Duration // when a keeper last did
+	owned                            []int         // workers whose keeper we are
+	checksRequested                  int           // probes that have gone round
+	checkOrder                       []int         // workers, shuffled: they are probed in turn
+	recordIndex                      map[WorkerID]int
+	tagIndex                         map[uint32]int // of workers
+	remoteAttempts                   map[[2]int]int // where other schedulers' forwards are, by their numbers and serials
+	invocationIndex                  map[InvocationID]int
+	polls, watching                  bool
+	checkTurn, watchFailures, update int
+	schedulers                       float64
+	timerAt, pollWithin, pollAt      time.Duration // askAt: when to ask for the list again if nothing has come by then
+}
+
+type workerView struct {
+	index, zone, kind, cell                    int
+	eligible, onProbation, measured, rejecting bool
+	ownerSilent, ownedHere                     bool // its keeper can't be heard; we are its keeper
+	active, checkPending                       bool
+	lotteryRank                                int           // schedulers before us while it is cold
+	pooledAt                                   time.Duration // when it was last asked: the pool is those asked last
+	reinstatedAt                               time.Duration // when it last came back on trial
+	dueAt                                      time.Duration // before that nothing comes of looking at the time
+	free, lastFree, maxFree                    float64       // estimate, last figure, the most seen free
+	serviceTime                                float64       // running time by its reports
+	inFlight                                   float64       // our slots there that are out
+	reserved, confidence, pace                 float64       // how far the last figure holds; running time over hinted cost
+	warmUpWeight, budgetUsed                   float64       // of a cold worker: its part of capacity, our work of late
 }
 
 // worker is the actor that keeps one worker's book.
 type worker struct {
-	inbox
-	card
-	desk                         *desk
-	id                           WorkerID
-	standing                     EndpointState
-	cold, aside, recheck         bool
-	keeper                       int
-	tag                          uint32
-	told                         samples       // when others asked for what is free here
-	askedAt                      time.Duration // its keeper
-	startedAt, asideTill         time.Duration
-	fullTill, lastSign, probedAt time.Duration
-	figureAt, reportAt           time.Duration
-	all                          view
-	errands                      []errand
-	figures                      samples    // free or ours at the last few reports, less what was usual; last at figureAt
-	load                         LoadReport // the last report as it came
-	paces                        samples
-	unanswered                   time.Duration // the first question to its keeper since its last answer; 0: none
-	asides, wanted               int           // how often it was set aside of late; successes still wanted on trial
-	answers, missed              int           // probes in a row with and without an answer
-	breaks                       int           // forwards in a row that broke
+	mailbox
+	workerView
+	scheduler                              *scheduler
+	id                                     WorkerID
+	state                                  EndpointState
+	startKnown, ejected, recheck           bool
+	owner                                  int
+	tag                                    uint32
+	recentQueries                          samples       // when others asked for what is free here
+	queriedAt                              time.Duration // its keeper
+	startedAt, ejectedUntil                time.Duration
+	rejectedUntil, lastProgress, checkedAt time.Duration
+	freeSampledAt, reportedAt              time.Duration
+	fleet                                  fleetStats
+	attempts                               []workerAttempt
+	freeSamples                            samples    // free or ours at the last few reports, less what was usual; last at figureAt
+	lastReport                             LoadReport // the last report as it came
+	paces                                  samples
+	unansweredSince                        time.Duration // the first question to its keeper since its last answer; 0: none
+	ejections, probationLeft               int           // how often it was set aside of late; successes still wanted on trial
+	checksAnswered, checksMissed           int           // probes in a row with and without an answer
+	consecutiveBreaks                      int           // forwards in a row that broke
 }
 
 type operation struct {
-	weight, stretch   float64
-	objective, window time.Duration
-	lateValue         float64
-	came              float64 // invocations so far
-	served            samples // what the last ones brought, of their billed value
-	late              bool    // an answer after the objective still has a value
-	effect            Effect
-	scope             DedupScope
-	kind              int
-	ratios, sizes     samples       // running time over hinted cost, and running time, of finishes
-	rough             samples       // the first less the worker's pace: how far hints are off
-	most              time.Duration // the longest a client has been ready to wait
+	weight, stretch        float64
+	objective, dedupWindow time.Duration
+	lateWeight             float64
+	arrived                float64 // invocations so far
+	served                 samples // what the last ones brought, of their billed value
+	countsLate             bool    // an answer after the objective still has a value
+	effect                 Effect
+	scope                  DedupScope
+	kind                   int
+	costRatios, runTimes   samples       // running time over hinted cost, and running time, of finishes
+	hintErrors             samples       // the first less the worker's pace: how far hints are off
+	longestBudget          time.Duration // the longest a client has been ready to wait
 }
 
 // group is where repeats of what was tried there are dropped; -1: in any zone or cell.
-func (o *operation) group(t *tried) (zone, cell int) {
+func (o *operation) group(t *requestAttempt) (zone, cell int) {
 	switch o.scope {
 	case ScopeZone:
 		return t.zone, -1
@@ -539,7 +539,7 @@
 	return -1, -1
 }
 
-func (w wanted) suits(kind, zone, cell int) bool {
+func (w poolRequest) matches(kind, zone, cell int) bool {
 	return (w.kind < 0 || w.kind == kind) && (w.zone < 0 || w.zone == zone) && (w.cell < 0 || w.cell == cell)
 }
 
@@ -547,14 +547,14 @@
 func (n Reconfigured) operations(old []operation) (ops []operation) {
 	for i, o := range n.Operations {
 		op := operation{weight: cmp.Or(max(0, o.PriorityWeight), 1), stretch: o.Stretch, objective: o.LatencyObjective,
-			window: o.DedupWindow, late: o.LateWeight > 0, lateValue: o.LateWeight, effect: o.Effect, scope: o.DedupScope, kind: o.WorkerKind}
+			dedupWindow: o.DedupWindow, countsLate: o.LateWeight > 0, lateWeight: o.LateWeight, effect: o.Effect, scope: o.DedupScope, kind: o.WorkerKind}
 		switch {
 		case i >= len(n.PreviousOperations) || n.PreviousOperations[i] < 0:
 		case n.PreviousOperations[i] == i:
 			op = old[i]
 		default:
 			was := old[n.PreviousOperations[i]]
-			op.ratios, op.sizes, op.rough = slices.Clone(was.ratios), slices.Clone(was.sizes), slices.Clone(was.rough)
+			op.costRatios, op.runTimes, op.hintErrors = slices.Clone(was.costRatios), slices.Clone(was.runTimes), slices.Clone(was.hintErrors)
 		}
 		ops = append(ops, op)
 	}
@@ -562,11 +562,11 @@
 }
 
 // landed says that an invocation was answered with a result, and no forward is spared its cancel.
-const landed = -2
+const keepAttempts = -2
 
 type tenant struct {
 	Tenant
-	came samples // when its last invocations came, in seconds
+	arrivals samples // when its last invocations came, in seconds
 }
 
 // tenants keep their index when told anew, and what was seen of them: a flood does not end with new settings.
@@ -574,74 +574,76 @@
 	for i, t := range n.Tenants {
 		t.QuotaPerSecond = cmp.Or(t.QuotaPerSecond, math.Inf(1)) // not told: nothing is beyond it
 		if all = append(all, tenant{Tenant: t}); i < len(old) {
-			all[i].came = old[i].came
+			all[i].arrivals = old[i].arrivals
 		}
 	}
 	return append(all, old[min(len(all), len(old)):]...)
 }
 
-type inv struct {
-	id                   InvocationID
-	op, tenant           int
-	first, came, givenUp time.Duration // its first try came, this one came, its client timeout
-	askAt                time.Duration // when one more worker may be asked for its sake
-	slots                float64
-	work, cost, size     float64 // hinted cost, that and one deviation, effective size
-	weight, rank         float64
-	spare                float64 // slots that must be left beside it
-	done, over           bool    // answered; nothing more will be heard of it
-	unfit                int     // workers that would not have it
-	tries                []tried
-}
-
-type desk struct {
-	inbox
-	door                            *Dispatcher
-	zone                            int
-	after                           time.Duration // how long a throttled client is to stay away
-	cancels, comes                  bool          // comes: an invocation has come since the last look round
-	mostForwards, mostOut           int
-	budget, peers                   float64 // of a cold worker's capacity, what all schedulers may send
-	ops                             []operation
-	invs                            []inv
-	held                            []int   // by rank, highest first
-	board                           []*seat // nil: never met
-	round, everyone                 round   // the last beat, and the last one with something held
-	toAsk                           []asked
-	pool, busy, spare               []int           // asked last is last; with work of ours or aside; of invs
-	paced                           map[int]float64 // their middle
-	paces                           map[int]samples // of warm workers of a kind
-	runs, gaps, changes             samples         // running times; spans between answers, new reports in them
-	slots, starts                   samples         // the last figures of any warm worker; forwards that started at once
-	all                             view
-	asks                            int           // questions to keepers that an invocation is worth
-	size, each, credit, queue       float64       // of the pool; probes an invocation pays for, and in hand
-	creditAt, viewed, left, learned time.Duration // left: when the last forward or first question did
-	jobs, clones                    float64
-	why                             map[InvocationID]Reason // of those given up at this moment
-	arrivals                        samples
-	sums                            survey
-	tenants                         []tenant
-	excess, worstPart, asked        float64
-	worst                           int                         // the operation that is served worst, -1: none badly
-	free                            []int                       // pooled workers that may have room
-	refused                         map[[3]int][2]time.Duration // a worker, operation, tenant
-}
-
-func (k *desk) slot() (i int) {
-	if n := len(k.spare); n > 0 {
-		i, k.spare = k.spare[n-1], k.spare[:n-1]
+type invocation struct {
+	id                                InvocationID
+	operation, tenant                 int
+	firstTriedAt, arrivedAt, deadline time.Duration // its first try came, this one came, its client timeout
+	growAt                            time.Duration // when one more worker may be asked for its sake
+	slots                             float64
+	work, budgetCost, effectiveSize   float64 // hinted cost, that and one deviation, effective size
+	weight, rank                      float64
+	reserve                           float64 // slots that must be left beside it
+	answered, finished                bool    // answered; nothing more will be heard of it
+	badRequests                       int     // workers that would not have it
+	attempts                          []requestAttempt
+}
+
+type scheduler struct {
+	mailbox
+	dispatcher                                                  *Dispatcher
+	zone                                                        int
+	retryAfter                                                  time.Duration // how long a throttled client is to stay away
+	cancels, arrivedSinceTick                                   bool          // comes: an invocation has come since the last look round
+	maxAttempts, maxInFlight                                    int
+	overloadBudget, schedulers                                  float64 // of a cold worker's capacity, what all schedulers may send
+	operations                                                  []operation
+	invocations                                                 []invocation
+	queue                                                       []int        // by rank, highest first
+	views                                                       []*viewEntry // nil: never met
+	epoch, poolEpoch                                            refreshEpoch // the last beat, and the last one with something held
+	orderedChecks                                               []orderedCheck
+	pool, tracked, freeInvocations                              []int           // asked last is last; with work of ours or aside; of invs
+	kindPace                                                    map[int]float64 // their middle
+	kindPaces                                                   map[int]samples // of warm workers of a kind
+	runTimes, reportGaps, reportChanges                         samples         // running times; spans between answers, new reports in them
+	freeSlots, immediateStarts                                  samples         // the last figures of any warm worker; forwards that started at once
+	fleet                                                       fleetStats
+	queriesPerInvocation                                        int           // questions to keepers that an invocation is worth
+	poolSize, checksPerInvocation, checkCredit, staleQueueShare float64       // of the pool; probes an invocation pays for, and in hand
+	creditedAt, refreshedAt, forwardedAt, learnedAt             time.Duration // left: when the last forward or first question did
+	admitted, hedges                                            float64
+	reasons                                                     map[InvocationID]Reason // of those given up at this moment
+	arrivals                                                    samples
+	summary                                                     poolSummary
+	tenants                                                     []tenant
+	excessWeight, worstOperationWeight, offeredWeight           float64
+	worstOperation                                              int                         // the operation that is served worst, -1: none badly
+	candidates                                                  []int                       // pooled workers that may have room
+	rejections                                                  map[[3]int][2]time.Duration // a worker, operation, tenant
+}
+
+func (s *scheduler) newInvocation() (i int) {
+	if n := len(s.freeInvocations); n > 0 {
+		i, s.freeInvocations = s.freeInvocations[n-1], s.freeInvocations[:n-1]
 		return i
 	}
-	k.invs = append(k.invs, inv{})
-	return len(k.invs) - 1
+	s.invocations = append(s.invocations, invocation{})
+	return len(s.invocations) - 1
 }
 
-func (k *desk) unhold(i int) { k.held = slices.DeleteFunc(k.held, func(n int) bool { return n == i }) }
+func (s *scheduler) dequeue(i int) {
+	s.queue = slices.DeleteFunc(s.queue, func(n int) bool { return n == i })
+}
 
-func (w *worker) find(inv, fwd int) *errand {
-	for i := range w.errands {
-		if e := &w.errands[i]; e.inv == inv && e.fwd == fwd && e.end == 0 {
+func (w *worker) inFlightAttempt(inv, fwd int) *workerAttempt {
+	for i := range w.attempts {
+		if e := &w.attempts[i]; e.invocation == inv && e.number == fwd && e.endedAt == 0 {
 			return e
 		}
 	}
@@ -650,70 +652,70 @@
 
 // Handle takes the events of one moment and gives back what is to be done, good until the next call.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
-	d.now, d.out = now, d.out[:0]
-	clear(d.desk.why)
+	d.now, d.actions = now, d.actions[:0]
+	clear(d.scheduler.reasons)
 	for _, event := range events {
-		d.enter(event)
+		d.route(event)
 	}
-	for _, note := range []any{tick{}, choose{}} {
-		d.put(note)
-		d.desk.put(note)
-		d.settle()
+	for _, note := range []any{clockTick{}, scheduleNow{}} {
+		d.send(note)
+		d.scheduler.send(note)
+		d.deliverMessages()
 	}
-	d.post()
-	return d.out
+	d.flushGossip()
+	return d.actions
 }
 
 // enter finds whom an event is for. What is about an invocation that is not held any more is passed over.
-func (d *Dispatcher) enter(event Event) {
+func (d *Dispatcher) route(event Event) {
 	id, worker := event.About()
-	at, known := d.workerAt[worker]
-	inv, held := d.invAt[id]
-	if begins(event) && !held {
-		inv, held = d.desk.slot(), true
-		d.invAt[id] = inv
+	at, known := d.recordIndex[worker]
+	inv, held := d.invocationIndex[id]
+	if opensInvocation(event) && !held {
+		inv, held = d.scheduler.newInvocation(), true
+		d.invocationIndex[id] = inv
 	}
-	switch n := (about{inv: inv, event: event}); {
+	switch n := (eventMessage{invocation: inv, event: event}); {
 	case id > 0 && !held:
 	case known:
-		d.meet(at).put(n)
+		d.workerAt(at).send(n)
 	case held:
-		d.desk.put(n)
+		d.scheduler.send(n)
 	default:
-		d.put(event)
+		d.send(event)
 	}
-	d.settle()
+	d.deliverMessages()
 }
 
-func (d *Dispatcher) meet(at int) *worker {
-	p := &d.list[at]
+func (d *Dispatcher) workerAt(at int) *worker {
+	p := &d.records[at]
 	if p.worker == nil {
-		p.worker = &worker{inbox: inbox{house: &d.house}, desk: &d.desk, id: p.Worker, tag: tagOf(p.Worker),
-			card: card{at: at}}
-		p.worker.inbox.read = p.worker.read
-		p.worker.put(listed{p.Endpoint, p.lot, p.keeper})
+		p.worker = &worker{mailbox: mailbox{sharedState: &d.sharedState}, scheduler: &d.scheduler, id: p.Worker, tag: workerTag(p.Worker),
+			workerView: workerView{index: at}}
+		p.worker.mailbox.handle = p.worker.handleMessage
+		p.worker.send(recordChanged{p.Endpoint, p.lotteryRank, p.owner})
 	}
 	return p.worker
 }
 
-func (w *worker) release(before time.Duration) {
-	for i := range w.errands {
-		if e := &w.errands[i]; e.end == 0 && !e.lost && e.sent <= before {
-			w.lose(e)
+func (w *worker) loseAttempts(before time.Duration) {
+	for i := range w.attempts {
+		if e := &w.attempts[i]; e.endedAt == 0 && !e.lost && e.sentAt <= before {
+			w.loseAttempt(e)
 		}
 	}
 }
 
-func (w *worker) lose(e *errand) {
+func (w *worker) loseAttempt(e *workerAttempt) {
 	e.lost = true // told once: after a return new work is to show how the worker does
-	w.desk.put(stuck{e.inv, e.fwd})
+	w.scheduler.send(attemptStalled{e.invocation, e.number})
 }
 
 // held is what of ours the worker had at a time. What is lost there holds nothing: were it to run on, reports would
 // say so.
-func (w *worker) held(at time.Duration) (n float64) {
-	for i := range w.errands {
-		if e := &w.errands[i]; !e.lost && e.sent <= at && (e.end == 0 || at < e.end) && e.sent >= w.startedAt {
+func (w *worker) reservedAt(at time.Duration) (n float64) {
+	for i := range w.attempts {
+		if e := &w.attempts[i]; !e.lost && e.sentAt <= at && (e.endedAt == 0 || at < e.endedAt) && e.sentAt >= w.startedAt {
 			n += e.slots
 		}
 	}
@@ -721,9 +723,9 @@
 }
 
 // out is how many slots our own forwards have.
-func (w *worker) out() (n float64) {
-	for i := range w.errands {
-		if e := &w.errands[i]; e.end == 0 && !e.lost {
+func (w *worker) slotsInFlight() (n float64) {
+	for i := range w.attempts {
+		if e := &w.attempts[i]; e.endedAt == 0 && !e.lost {
 			n += e.slots
 		}
 	}
@@ -731,13 +733,13 @@
 }
 
 // live counts the forwards that are out. first is the first that may have run.
-func (j *inv) live() (out int, first *tried) {
-	for f := range j.tries {
-		t := &j.tries[f]
-		if t.out {
+func (v *invocation) inFlight() (out int, first *requestAttempt) {
+	for f := range v.attempts {
+		t := &v.attempts[f]
+		if t.inFlight {
 			out++
 		}
-		if first == nil && (t.out || t.ran) {
+		if first == nil && (t.inFlight || t.mayHaveRun) {
 			first = t
 		}
 	}
@@ -745,6 +747,6 @@
 }
 
 // mix draws a number for one scheduler and one start, which all schedulers draw alike.
-func mix(start uint64, scheduler int) uint64 {
+func rendezvousHash(start uint64, scheduler int) uint64 {
 	return pcg.NewPCG(start, uint64(scheduler)).Uint64()
 }
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -330,7 +330,7 @@
 	for range 1 + w.rng.Intn(4) {
 		a := w.workers[w.rng.Intn(len(w.workers))]
 		n.Entries = append(n.Entries, GossipEntry{Kind: []GossipKind{GossipAttemptStarted, GossipAttemptEnded, GossipCapacityQuery, GossipCapacityReply, GossipCapacityReply, GossipAttemptStarted, GossipCapacityQuery, GossipAttemptEnded,
-			GossipRestarted}[w.rng.Intn(9-min(1, w.rng.Intn(10)))], Serial: uint8(w.rng.Intn(12)), Tag: tagOf(a.Worker)})
+			GossipRestarted}[w.rng.Intn(9-min(1, w.rng.Intn(10)))], Serial: uint8(w.rng.Intn(12)), Tag: workerTag(a.Worker)})
 	}
 	w.handle(n)
 }
