--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -372,7 +372,7 @@
 	case dispatch.WatchEndpoints:
 		s.list.Watch()
 	case dispatch.Log:
-		s.log.Info(a.Text)
+		s.log.WithFields(logFields(a)).Info(a.Message)
 	}
 }
 
--- a/dispatch/board_test.go
+++ b/dispatch/board_test.go
@@ -13,7 +13,7 @@
 		for at := range w.d.records {
 			in := &w.d.workerAt(at).mailbox
 			read := in.handle
-			in.handle = func(note any) { n++; read(note) }
+			in.handle = func(message workerMessage) { n++; read(message) }
 		}
 		w.play(w.now + 10*time.Second)
 		return n
@@ -46,7 +46,7 @@
 				actor.estimate(k.epoch.at)
 				want := actor.workerView
 				actor.workerView, actor.fleet = was, all
-				want.estimatePace(k.epoch.paced, k.epoch.fleetStats)
+				want.estimatePace(k.epoch.kindPace, k.epoch.fleetStats)
 				if got := *k.currentView(at); got != want {
 					t.Fatalf("seed %d, %v: card %+v, want %+v", seed, w.now, got, want)
 				}
--- a/dispatch/history_test.go
+++ b/dispatch/history_test.go
@@ -20,6 +20,34 @@
 
 const recorded = "testdata/histories.txt"
 
+// recordedText is an action as the recorded histories have it.
+func recordedText(action Action) string {
+	if line, isLog := action.(Log); isLog {
+		return recordedName(action) + "{" + recordedLine(line) + "}"
+	}
+	return fmt.Sprintf("%s%v", recordedName(action), action)
+}
+
+// recordedReasons are the reasons of ejections as the recorded histories have them.
+var recordedReasons = map[ejectReason]string{
+	ejectRejects:     "turns away what others take",
+	ejectFails:       "fails what it gets",
+	ejectUnreachable: "can't be reached",
+	ejectUnanswered:  "probes go unanswered",
+	ejectSilent:      "silent",
+}
+
+// recordedLine is a log line as the recorded histories have it.
+func recordedLine(line Log) string {
+	switch line.Message {
+	case logWorkerEjected:
+		return fmt.Sprintf("worker %v is set aside: %s", line.Worker, recordedReasons[ejectReason(line.Reason)])
+	case logWorkerReinstated:
+		return fmt.Sprintf("worker %v is back, on trial", line.Worker)
+	}
+	return fmt.Sprintf("list call failed or subscription lost, asking again at %v", line.RetryAt)
+}
+
 // recordedName is the name by which the recorded histories have an action. It stays when the type is renamed.
 func recordedName(action Action) string {
 	switch action.(type) {
@@ -56,9 +84,10 @@
 	h := fnv.New64a()
 	w.seen = func(now time.Duration, a Action) {
 		actions++
-		fmt.Fprintf(h, "%d %s%v\n", now, recordedName(a), a)
+		text := recordedText(a)
+		fmt.Fprintf(h, "%d %s\n", now, text)
 		if to != nil {
-			fmt.Fprintf(to, "%v %s%v\n", now, recordedName(a), a)
+			fmt.Fprintf(to, "%v %s\n", now, text)
 		}
 	}
 	w.begin()
--- a/dispatch/lesson_test.go
+++ b/dispatch/lesson_test.go
@@ -76,7 +76,7 @@
 	fresh.at(10*ms, SnapshotLoaded{lesson})
 	fmt.Println("of another version:", len(fresh.d.scheduler.runTimes))
 	// Output:
-	// the old one: 1 to b; 2 to a; 3 to b; 4 to b; 5 to b; 22 to b; 23 to a; 21 to b; worker b is set aside: fails what it gets; 21 to a; 25 to c
+	// the old one: 1 to b; 2 to a; 3 to b; 4 to b; 5 to b; 22 to b; 23 to a; 21 to b; worker ejected worker=b reason="fails attempts"; 21 to a; 25 to c
 	// <nil> 1 1 map[0:2] true
 	// spent on the cold one: true true
 	// 21 190ms 2 4.81s
--- a/dispatch/memo_test.go
+++ b/dispatch/memo_test.go
@@ -131,7 +131,7 @@
 		for n := chance.Intn(4); n > 0; n-- {
 			garbage := make([]byte, 1+chance.Intn(20))
 			chance.Read(garbage)
-			garbage[0] = garbage[0]&0x3f | memoVersion<<6
+			garbage[0] = garbage[0]&0x3f | gossipVersion<<versionShift
 			notes, _ := DecodeGossip(garbage)
 			notes = append(notes, GossipEntry{GossipKind(chance.Intn(5)), uint8(chance.Intn(256)), workerTag(id(byte(1 + chance.Intn(14))))})
 			events = append(events, GossipReceived{chance.Intn(6) - 1, append(notes, notes...)})
--- a/dispatch/play_test.go
+++ b/dispatch/play_test.go
@@ -110,7 +110,7 @@
 	case WatchEndpoints:
 		return "asks for the list"
 	case Log:
-		return strings.NewReplacer(id('a').String(), "a", id('b').String(), "b", id('c').String(), "c").Replace(a.Text)
+		return strings.NewReplacer(id('a').String(), "a", id('b').String(), "b", id('c').String(), "c").Replace(a.String())
 	case SendGossip:
 		line := fmt.Sprintf("tells %d:", a.To)
 		for _, n := range a.Entries {
--- a/dispatch/retune_test.go
+++ b/dispatch/retune_test.go
@@ -73,7 +73,7 @@
 	fmt.Println(p.d.Ejected())
 	p.at(time.Second, TimerFired{})
 	// Output:
-	// 1 [1 to b worker b is set aside: fails what it gets 1 to a]
+	// 1 [1 to b worker ejected worker=b reason="fails attempts" 1 to a]
 	// 0
 }
 
--- /dev/null
+++ b/dispatch/snapshot.go
@@ -0,0 +1,251 @@
+package dispatch
+
+import (
+	"time"
+)
+
+// SnapshotVersion changes whenever a figure of a Snapshot changes its meaning.
+const SnapshotVersion = 2
+
+// Snapshot is what an instance has measured, for another one that takes its place. It holds no decision: what is loaded
+// is used by the same lines as what is measured. Times are ages, or what is left of a span.
+type Snapshot struct {
+	Version           int                       `json:"Version"`
+	RunTimes          []float64                 `json:"Runs"`    // seconds
+	ReportGaps        []float64                 `json:"Gaps"`    // seconds
+	ReportChanges     []float64                 `json:"Changes"` // 1 or 0
+	FreeSlots         []float64                 `json:"Slots"`
+	ImmediateStarts   []float64                 `json:"Starts"` // 1 or 0
+	Arrivals          []time.Duration           `json:"Arrivals"`
+	Admitted          float64                   `json:"Jobs"`
+	Hedges            float64                   `json:"Clones"`
+	PoolSize          float64                   `json:"Size"`
+	HealthCheckCredit float64                   `json:"Credit"`
+	KindPaces         map[int][]float64         `json:"Kinds"`
+	Operations        map[int]OperationSnapshot `json:"Operations"`
+	Workers           []WorkerSnapshot          `json:"Workers"`
+}
+
+// OperationSnapshot is what was measured of one operation.
+type OperationSnapshot struct {
+	CostRatios    []float64     `json:"Ratios"`
+	RunTimes      []float64     `json:"Sizes"` // seconds
+	HintErrors    []float64     `json:"Rough"`
+	LongestBudget time.Duration `json:"Most"`
+}
+
+// WorkerSnapshot is what was measured of one incarnation of a worker.
+type WorkerSnapshot struct {
+	Worker          WorkerID      `json:"Worker"`
+	Incarnation     uint64        `json:"Start"`
+	Paces           []float64     `json:"Paces"`
+	ServiceTime     float64       `json:"Service"` // seconds
+	FreeSlots       []float64     `json:"Figures"`
+	LastFreeSlots   float64       `json:"Last"`
+	MaxFreeSlots    float64       `json:"Size"`
+	Load            LoadReport    `json:"Load"`
+	FreeSlotsAge    time.Duration `json:"FigureAge"`
+	ReportAge       time.Duration `json:"ReportAge"`
+	LastProgressAge time.Duration `json:"Sign"`
+	Ejected         bool          `json:"Aside"`
+	EjectionLeft    time.Duration `json:"AsideLeft"`
+	RejectionLeft   time.Duration `json:"FullLeft"`
+	Ejections       int           `json:"Asides"`
+	ProbationLeft   int           `json:"Wanted"`
+	Missed          int           `json:"Missed"`
+	BudgetUsed      []BudgetUse   `json:"Spent"`
+}
+
+// BudgetUse is work that was sent to a worker in slow start, has ended, and still counts.
+type BudgetUse struct {
+	Age  time.Duration `json:"Age"`
+	Cost float64       `json:"Cost"`
+}
+
+// SnapshotLoaded brings a snapshot of another instance.
+type SnapshotLoaded struct{ Snapshot }
+
+// About names neither.
+func (e SnapshotLoaded) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
+
+// Snapshot writes down what was measured.
+func (d *Dispatcher) Snapshot() Snapshot {
+	s := &d.scheduler
+	snapshot := Snapshot{
+		Version:           SnapshotVersion,
+		RunTimes:          s.runTimes,
+		ReportGaps:        s.reportGaps,
+		ReportChanges:     s.reportChanges,
+		FreeSlots:         s.freeSlots,
+		ImmediateStarts:   s.immediateStarts,
+		Admitted:          s.admitted,
+		Hedges:            s.hedges,
+		PoolSize:          s.poolSize,
+		HealthCheckCredit: s.checkCredit,
+		KindPaces:         map[int][]float64{},
+		Operations:        map[int]OperationSnapshot{},
+	}
+	for _, arrivedAt := range s.arrivals {
+		snapshot.Arrivals = append(snapshot.Arrivals, d.now-seconds(arrivedAt))
+	}
+	for kind, paces := range s.kindPaces {
+		snapshot.KindPaces[kind] = paces
+	}
+	for index, operation := range s.operations {
+		snapshot.Operations[index] = operation.snapshot()
+	}
+	for index := range d.records {
+		record := &d.records[index]
+		if record.worker != nil && record.worker.state == Ready {
+			s.currentView(index)
+			snapshot.Workers = append(snapshot.Workers, record.worker.snapshot(record.Incarnation))
+		}
+	}
+	return snapshot
+}
+
+func (o *operation) snapshot() OperationSnapshot {
+	return OperationSnapshot{
+		CostRatios:    o.costRatios,
+		RunTimes:      o.runTimes,
+		HintErrors:    o.hintErrors,
+		LongestBudget: o.longestBudget,
+	}
+}
+
+func (w *worker) snapshot(incarnation uint64) WorkerSnapshot {
+	snapshot := WorkerSnapshot{
+		Worker:          w.id,
+		Incarnation:     incarnation,
+		Paces:           w.paces,
+		ServiceTime:     w.serviceTime,
+		FreeSlots:       w.freeSamples,
+		LastFreeSlots:   w.lastFree,
+		MaxFreeSlots:    w.maxFree,
+		Load:            w.lastReport,
+		FreeSlotsAge:    w.now - w.freeSampledAt,
+		ReportAge:       w.now - w.reportedAt,
+		LastProgressAge: w.now - w.lastProgress,
+		Ejected:         w.ejected,
+		EjectionLeft:    w.ejectedUntil - w.now,
+		RejectionLeft:   w.rejectedUntil - w.now,
+		Ejections:       w.ejections,
+		ProbationLeft:   w.probationLeft,
+		Missed:          w.checksMissed,
+	}
+	for i := range w.attempts { // those in flight migrate with their invocations
+		attempt := &w.attempts[i]
+		ended := attempt.endedAt != 0 && attempt.cost > 0
+		if ended && w.warmUpWeight < 1 && attempt.sentAt+w.overloadWindow > w.now {
+			use := BudgetUse{Age: w.now - attempt.sentAt, Cost: attempt.cost}
+			snapshot.BudgetUsed = append(snapshot.BudgetUsed, use)
+		}
+	}
+	return snapshot
+}
+
+// loadSnapshot takes a snapshot in. What was measured here comes after what is loaded.
+func (d *Dispatcher) loadSnapshot(snapshot Snapshot) {
+	if snapshot.Version != SnapshotVersion {
+		return
+	}
+	d.scheduler.loadSnapshot(snapshot)
+	for _, loaded := range snapshot.Workers {
+		index, known := d.recordIndex[loaded.Worker]
+		if !known {
+			continue
+		}
+		record := &d.records[index]
+		if record.Incarnation == loaded.Incarnation && record.State == Ready {
+			d.workerAt(index).send(workerSnapshotLoaded{loaded})
+		}
+	}
+	d.scheduler.learnFleet()
+}
+
+func (s *scheduler) loadSnapshot(snapshot Snapshot) {
+	s.runTimes = joinSamples(snapshot.RunTimes, s.runTimes)
+	s.reportGaps = joinSamples(snapshot.ReportGaps, s.reportGaps)
+	s.reportChanges = joinSamples(snapshot.ReportChanges, s.reportChanges)
+	s.freeSlots = joinSamples(snapshot.FreeSlots, s.freeSlots)
+	s.immediateStarts = joinSamples(snapshot.ImmediateStarts, s.immediateStarts)
+	s.loadArrivals(snapshot.Arrivals)
+	s.admitted += snapshot.Admitted
+	s.hedges += snapshot.Hedges
+	s.poolSize = max(s.poolSize, snapshot.PoolSize)
+	for kind, paces := range snapshot.KindPaces {
+		s.kindPaces[kind] = joinSamples(paces, s.kindPaces[kind])
+		s.setKindPace(kind, s.kindPaces[kind].quantile(median))
+	}
+	for index, loaded := range snapshot.Operations {
+		if index >= 0 && index < len(s.operations) {
+			s.operations[index].load(loaded)
+		}
+	}
+}
+
+// loadArrivals: where invocations have arrived here already, these say more of the traffic.
+func (s *scheduler) loadArrivals(ages []time.Duration) {
+	if s.admitted > 0 || len(ages) == 0 {
+		return
+	}
+	var arrivals []float64
+	for _, age := range ages {
+		arrivals = append(arrivals, (s.now - age).Seconds())
+	}
+	s.arrivals = joinSamples(arrivals, nil)
+}
+
+func (o *operation) load(snapshot OperationSnapshot) {
+	o.costRatios = joinSamples(snapshot.CostRatios, o.costRatios)
+	o.runTimes = joinSamples(snapshot.RunTimes, o.runTimes)
+	o.hintErrors = joinSamples(snapshot.HintErrors, o.hintErrors)
+	o.longestBudget = max(o.longestBudget, snapshot.LongestBudget)
+}
+
+// workerSnapshotLoaded brings a worker what another instance has measured of it.
+type workerSnapshotLoaded struct{ WorkerSnapshot }
+
+func (m workerSnapshotLoaded) deliverToWorker(w *worker) { w.loadSnapshot(m.WorkerSnapshot) }
+
+func (w *worker) loadSnapshot(loaded WorkerSnapshot) {
+	w.paces = joinSamples(loaded.Paces, w.paces)
+	if len(w.paces) > 0 {
+		w.pace = w.paces.quantile(median)
+	}
+	w.maxFree = max(w.maxFree, loaded.MaxFreeSlots)
+	if len(w.freeSamples) == 0 {
+		w.lastFree = loaded.LastFreeSlots
+		w.freeSampledAt = w.now - loaded.FreeSlotsAge
+		w.lastReport = loaded.Load
+		w.reportedAt = w.now - loaded.ReportAge
+		w.serviceTime = loaded.ServiceTime
+	}
+	w.freeSamples = joinSamples(loaded.FreeSlots, w.freeSamples).last(freeSampleCount)
+	w.loadHealth(loaded)
+	for _, use := range loaded.BudgetUsed {
+		sentAt := w.now - use.Age
+		w.attempts = append(w.attempts, workerAttempt{
+			invocation: noInvocation,
+			sentAt:     sentAt,
+			endedAt:    max(sentAt, 1), // 0 would be in flight
+			cost:       use.Cost,
+		})
+	}
+}
+
+// loadHealth takes over what led to an ejection, or to none.
+func (w *worker) loadHealth(loaded WorkerSnapshot) {
+	w.lastProgress = max(w.lastProgress, w.now-loaded.LastProgressAge)
+	if loaded.RejectionLeft > 0 {
+		w.rejectedUntil = w.now + loaded.RejectionLeft
+	}
+	w.ejections = max(w.ejections, loaded.Ejections)
+	w.probationLeft = max(w.probationLeft, loaded.ProbationLeft)
+	w.checksMissed = max(w.checksMissed, loaded.Missed)
+	if loaded.Ejected && !w.ejected {
+		w.ejected = true
+		w.checksAnswered = 0
+		w.ejectedUntil = w.now + max(0, loaded.EjectionLeft)
+	}
+}
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -155,19 +155,19 @@
 		}
 	}
 	// Output:
-	// idempotent, failed: 1 to a; worker a is set aside: fails what it gets; 1 to b
+	// idempotent, failed: 1 to a; worker ejected worker=a reason="fails attempts"; 1 to b
 	// idempotent, full: 1 to a; 1 to b
 	// idempotent, timed out: 1 to a; 1 to b
 	// idempotent, unreachable: 1 to a; 1 to b
 	// idempotent, broken off: 1 to a; 1 to b
 	// idempotent, cancelled: 1 to a; 1 to b
-	// deduplicated by zone, failed: 1 to a; worker a is set aside: fails what it gets; 1 to c
+	// deduplicated by zone, failed: 1 to a; worker ejected worker=a reason="fails attempts"; 1 to c
 	// deduplicated by zone, full: 1 to a; 1 to b
 	// deduplicated by zone, timed out: 1 to a; 1 to c
 	// deduplicated by zone, unreachable: 1 to a; 1 to b
 	// deduplicated by zone, broken off: 1 to a; 1 to c
 	// deduplicated by zone, cancelled: 1 to a; 1 to c
-	// non-idempotent, failed: 1 to a; worker a is set aside: fails what it gets; 1 errored
+	// non-idempotent, failed: 1 to a; worker ejected worker=a reason="fails attempts"; 1 errored
 	// non-idempotent, full: 1 to a; 1 to b
 	// non-idempotent, timed out: 1 to a; 1 errored
 	// non-idempotent, unreachable: 1 to a; 1 to b
@@ -226,12 +226,12 @@
 	p.at(570*ms, p.end(4, 0, Failed))
 	// Output:
 	// 10ms 1 to a
-	// 20ms worker a is set aside: fails what it gets
+	// 20ms worker ejected worker=a reason="fails attempts"
 	// 20ms 1 errored
-	// 530ms worker a is back, on trial
+	// 530ms worker reinstated on probation worker=a
 	// 530ms 3 to a
 	// 550ms 4 to a
-	// 570ms worker a is set aside: fails what it gets
+	// 570ms worker ejected worker=a reason="fails attempts"
 }
 
 // A hung worker that still answers probes: suspicion asks, then silence beyond what waiting explains decides. What sits
@@ -250,8 +250,8 @@
 	// Output:
 	// 10ms 2 to a
 	// 10ms 1 to b
-	// 3.83s worker b is set aside: silent
-	// 4.51s worker b is back, on trial
+	// 3.83s worker ejected worker=b reason="no sign of progress"
+	// 4.51s worker reinstated on probation worker=b
 	// 5.02s 3 to b
 	// 5.02s 4 to a
 }
@@ -265,7 +265,7 @@
 	// Output:
 	// 10ms 2 to a
 	// 10ms 1 to b
-	// 200ms worker a is set aside: probes go unanswered
+	// 200ms worker ejected worker=a reason="health checks unanswered"
 }
 
 // In thin traffic a worker is asked when an invocation comes, and its answer is waited for, for a beat at most: what is
@@ -478,9 +478,9 @@
 	p.until(9 * time.Second)
 	// Output:
 	// 0s asks for the list
-	// 20ms list call failed or subscription lost, asking again at 311.145821ms
+	// 20ms endpoint watch failed, retrying retry_at=311.145821ms
 	// 320ms asks for the list
-	// 510ms list call failed or subscription lost, asking again at 870.010051ms
+	// 510ms endpoint watch failed, retrying retry_at=870.010051ms
 	// 890ms asks for the list
 }
 
@@ -494,7 +494,7 @@
 	p.at(400*ms, Outcome{Invocation: 1, Attempt: 1, Worker: id('b'), Result: ConnectionBroken, Answered: true})
 	// Output:
 	// 10ms 1 to a
-	// 200ms worker a is set aside: probes go unanswered
+	// 200ms worker ejected worker=a reason="health checks unanswered"
 	// 200ms 1 to b
 	// 220ms 1 cancels forward 0
 }
@@ -571,7 +571,7 @@
 		for at := range p.d.records {
 			w := p.d.workerAt(at)
 			read := w.mailbox.handle
-			w.mailbox.handle = func(note any) { reads++; read(note) }
+			w.mailbox.handle = func(message workerMessage) { reads++; read(message) }
 		}
 		p.d.deliverMessages()
 		reads = 0
@@ -665,7 +665,7 @@
 	// 40ms 1 errored
 	// 50ms 2 to a
 	// 60ms 2 to c
-	// 70ms worker a is set aside: turns away what others take
+	// 70ms worker ejected worker=a reason="rejects what others accept"
 	// 80ms 3 to c
 	// 90ms 3 errored
 }
@@ -695,7 +695,7 @@
 	// 50ms 2 to b
 	// 80ms 3 to a
 	// 100ms 3 to b
-	// 120ms worker a is set aside: probes go unanswered
+	// 120ms worker ejected worker=a reason="health checks unanswered"
 }
 
 // One that has begun and of which nothing is heard, while its worker tells of others, is lost there: it goes elsewhere.
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -252,7 +252,7 @@
 		d.follow(s)
 	case dispatch.Log:
 		if d.Log != nil {
-			d.Log(d.now, s.number, a.Text)
+			d.Log(d.now, s.number, a.String())
 		}
 	}
 }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -234,7 +234,7 @@
 	case actHealthCheck:
 		return dispatch.HealthCheck{Worker: c.worker()}, nil
 	case actJournalLine:
-		return dispatch.Log{Text: string(c.take(int(c.u16())))}, nil
+		return dispatch.Log{Message: string(c.take(int(c.u16())))}, nil
 	case actBroken:
 		return nil, fmt.Errorf("the program says: %s", c.take(int(c.u16())))
 	case actFollow:
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -78,7 +78,7 @@
 	worker := netip.AddrPortFrom(netip.AddrFrom4([4]byte{0x0a, 0x12, 0x4a, 0x07}), 0x138b)
 	r.Action(3, 0, dispatch.Forward{Invocation: 0x47efc5d3a91c4, Worker: worker})
 	r.Action(3, 8, dispatch.SetTimer{At: 500 * time.Millisecond})
-	r.Action(3, 0, dispatch.Log{Text: "two workers known"})
+	r.Action(3, 0, dispatch.Log{Message: "two workers known"})
 	b := r.Bytes()
 	for _, cut := range []int{8, 27, 21} {
 		fmt.Println(hex.EncodeToString(b[:cut]))
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -255,7 +255,7 @@
 		}
 	case dispatch.Log:
 		r.record(actJournalLine, scheduler)
-		r.text(a.Text)
+		r.text(a.String())
 	default:
 		panic(fmt.Sprintf("no word on the wire for %T", action))
 	}
