--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -93,17 +93,17 @@
 }
 
 // operations gives those that have changed or are new what was measured of the ones before.
-func (r Reconfigured) operations(older []operation) (all []operation) {
-	for i, configured := range r.Operations {
-		all = append(all, r.operation(i, configured, older))
+func (e Reconfigured) operations(older []operation) (all []operation) {
+	for i, configured := range e.Operations {
+		all = append(all, e.operation(i, configured, older))
 	}
 	return all
 }
 
-func (r Reconfigured) operation(index int, configured Operation, older []operation) operation {
+func (e Reconfigured) operation(index int, configured Operation, older []operation) operation {
 	previous := -1
-	if index < len(r.PreviousOperations) {
-		previous = r.PreviousOperations[index]
+	if index < len(e.PreviousOperations) {
+		previous = e.PreviousOperations[index]
 	}
 	if previous == index {
 		return older[index]
@@ -128,8 +128,8 @@
 }
 
 // tenants keep their index and what was seen of them: a flood does not end with a newer configuration.
-func (r Reconfigured) tenants(older []tenant) (all []tenant) {
-	for i, configured := range r.Tenants {
+func (e Reconfigured) tenants(older []tenant) (all []tenant) {
+	for i, configured := range e.Tenants {
 		configured.QuotaPerSecond = cmp.Or(configured.QuotaPerSecond, math.Inf(1)) // not told: nothing is beyond it
 		newer := tenant{Tenant: configured}
 		if i < len(older) {
