--- /dev/null
+++ b/internal/golden/golden_test.go
@@ -0,0 +1,52 @@
+package golden
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+type inner struct {
+	Flag   bool
+	Ratio  float64
+	hidden int
+}
+
+type outer struct {
+	Text    string
+	Count   uint8
+	At      time.Time
+	Raw     []byte
+	Rows    []inner
+	Pair    [2]int
+	ByName  map[string]int
+	Pointer *inner
+}
+
+// The recorded forms depend on these values: they follow from the order of the fields alone.
+func TestFilledSetsEveryExportedField(t *testing.T) {
+	want := outer{
+		Text:    "text 2",
+		Count:   3,
+		At:      time.Date(2026, 1, 2, 3, 4, 4, 5, time.UTC),
+		Raw:     []byte(`{"raw":5}`),
+		Rows:    []inner{{Flag: true, Ratio: 9.5}, {Flag: true, Ratio: 12.5}},
+		Pair:    [2]int{14, 15},
+		ByName:  map[string]int{"text 17": 18},
+		Pointer: &inner{Flag: true, Ratio: 22.5},
+	}
+	got := Filled[outer](t)
+	if diff := cmp.Diff(want, got, cmp.AllowUnexported(inner{})); diff != "" {
+		t.Error(diff)
+	}
+	if got.Pointer.hidden != 0 {
+		t.Error("an unexported field was set")
+	}
+}
+
+func TestCompareReturnsTheRecordedText(t *testing.T) {
+	if got := Compare(t, "same.txt", []byte("one\ntwo\n")); string(got) != "one\ntwo\n" {
+		t.Errorf("got %q", got)
+	}
+}
--- a/internal/gossip/forms_test.go
+++ b/internal/gossip/forms_test.go
@@ -12,6 +12,7 @@
 
 	"stoatweir/dispatch"
 	"stoatweir/internal/conn"
+	"stoatweir/internal/golden"
 )
 
 // A number, a start and a count whose bytes all differ.
@@ -50,7 +51,7 @@
 			lines.WriteString(hex.EncodeToString((<-sending.out).bytes) + "\n")
 		}
 	}
-	recorded := golden(t, "datagrams.hex", []byte(lines.String()))
+	recorded := golden.Compare(t, "datagrams.hex", []byte(lines.String()))
 
 	var wanted, got []dispatch.GossipEntry
 	for _, notes := range goldenNotes() {
@@ -93,7 +94,7 @@
 		t.Fatal(err)
 	}
 	var got map[string]uint64
-	if err := json.Unmarshal(golden(t, "figures.json", text), &got); err != nil {
+	if err := json.Unmarshal(golden.Compare(t, "figures.json", text), &got); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(r.CountsByName(), got); diff != "" {
--- a/internal/lab/report/forms_test.go
+++ b/internal/lab/report/forms_test.go
@@ -7,12 +7,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"stoatweir/internal/golden"
 	"stoatweir/internal/lab/model"
 )
 
 // A report with every field set is the same to the byte, and the recorded one is read back whole.
 func TestGoldenReport(t *testing.T) {
-	r := filled[Report]()
+	r := golden.Filled[Report](t)
 	r.Rules = map[string]int{}
 	for n, rule := range []model.Rule{model.OneAnswer, model.OneEffect, model.Drains, model.Cold} {
 		r.Rules[rule.String()] = n + 1
@@ -22,7 +23,7 @@
 		t.Fatal(err)
 	}
 	var got Report
-	if err := json.Unmarshal(golden(t, "report.json", text.Bytes()), &got); err != nil {
+	if err := json.Unmarshal(golden.Compare(t, "report.json", text.Bytes()), &got); err != nil {
 		t.Fatal(err)
 	}
 	// Raw JSON is indented with all the rest.
@@ -41,5 +42,5 @@
 	if err := (Report{}).JSON(&text); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "empty.json", text.Bytes())
+	golden.Compare(t, "empty.json", text.Bytes())
 }
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/forms_test.go
@@ -11,6 +11,8 @@
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/pelletier/go-toml/v2"
+
+	"stoatweir/internal/golden"
 )
 
 // line is a value as processes write it to one another.
@@ -37,30 +39,30 @@
 
 // What a rig and its hollow processes write to one another is the same to the byte, every field set.
 func TestGoldenOrders(t *testing.T) {
-	part, order, stats := filled[Part](), filled[Order](), filled[Stats]()
-	readBack(t, golden(t, "part.json", line(t, part)), part)
-	readBack(t, golden(t, "order.json", line(t, order)), order)
-	readBack(t, golden(t, "stats.json", line(t, stats)), stats)
+	part, order, stats := golden.Filled[Part](t), golden.Filled[Order](t), golden.Filled[Stats](t)
+	readBack(t, golden.Compare(t, "part.json", line(t, part)), part)
+	readBack(t, golden.Compare(t, "order.json", line(t, order)), order)
+	readBack(t, golden.Compare(t, "stats.json", line(t, stats)), stats)
 }
 
 // A hollow process that is given recorded lines answers with the recorded ones.
 func TestGoldenExchange(t *testing.T) {
 	in := append(line(t, Part{Role: ClientsRole, Schedulers: []string{"127.0.0.1:1"}, Host: "127.0.0.1"}), line(t, Order{Do: "stats"})...)
 	var out bytes.Buffer
-	if err := Hollow(context.Background(), bytes.NewReader(golden(t, "exchange_in.json", in)), &out); err != nil {
+	if err := Hollow(context.Background(), bytes.NewReader(golden.Compare(t, "exchange_in.json", in)), &out); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "exchange_out.json", out.Bytes())
+	golden.Compare(t, "exchange_out.json", out.Bytes())
 }
 
 // The report of a sweep is the same to the byte, and the recorded file is read back whole.
 func TestGoldenReport(t *testing.T) {
-	r := filled[Report]()
+	r := golden.Filled[Report](t)
 	var text bytes.Buffer
 	if err := r.JSON(&text); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "report.json", text.Bytes())
+	golden.Compare(t, "report.json", text.Bytes())
 	got, err := ReadReport(filepath.Join("testdata", "report.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -72,8 +74,8 @@
 
 // The counts of the service are read by the keys that they have now.
 func TestGoldenCounts(t *testing.T) {
-	c := filled[counts]()
-	readBack(t, golden(t, "counts.json", line(t, c)), c)
+	c := golden.Filled[counts](t)
+	readBack(t, golden.Compare(t, "counts.json", line(t, c)), c)
 	text, err := os.ReadFile("testdata/counts.json")
 	if err != nil {
 		t.Fatal(err)
@@ -86,13 +88,13 @@
 
 // A scenario keeps its keys.
 func TestGoldenScenario(t *testing.T) {
-	s := filled[Scenario]()
+	s := golden.Filled[Scenario](t)
 	text, err := toml.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got Scenario
-	d := toml.NewDecoder(bytes.NewReader(golden(t, "scenario.toml", text))).DisallowUnknownFields()
+	d := toml.NewDecoder(bytes.NewReader(golden.Compare(t, "scenario.toml", text))).DisallowUnknownFields()
 	if err := d.Decode(&got); err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +105,7 @@
 
 // What a scheduler is told is the same to the byte.
 func TestGoldenSettings(t *testing.T) {
-	s := filled[Scenario]()
+	s := golden.Filled[Scenario](t)
 	s.Operations = []Operation{{"render", "idempotent"}, {"sale", "deduplicated"}, {"charge", "non-idempotent"}}
 	var text bytes.Buffer
 	if err := json.Indent(&text, s.settings(2), "", "  "); err != nil {
@@ -113,7 +115,7 @@
 	if err := json.Unmarshal(s.settings(2), &wanted); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(golden(t, "settings.json", text.Bytes()), &got); err != nil {
+	if err := json.Unmarshal(golden.Compare(t, "settings.json", text.Bytes()), &got); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(wanted, got); diff != "" {
--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/forms_test.go
@@ -9,16 +9,18 @@
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/pelletier/go-toml/v2"
+
+	"stoatweir/internal/golden"
 )
 
 // A scenario keeps its keys, in lower case as files have them and in any other.
 func TestGoldenScenario(t *testing.T) {
-	s := filled[Scenario]()
+	s := golden.Filled[Scenario](t)
 	text, err := toml.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorded := golden(t, "scenario.toml", text)
+	recorded := golden.Compare(t, "scenario.toml", text)
 	for _, spelt := range []string{string(recorded), keys(recorded, strings.ToLower), keys(recorded, strings.ToUpper)} {
 		var got Scenario
 		if err := toml.NewDecoder(strings.NewReader(spelt)).DisallowUnknownFields().Decode(&got); err != nil {
@@ -45,8 +47,9 @@
 }
 
 // toldOf is a day of which everything is told that schedulers can be told.
-func toldOf() Scenario {
-	s := filled[Scenario]()
+func toldOf(t *testing.T) Scenario {
+	t.Helper()
+	s := golden.Filled[Scenario](t)
 	s.Hosted.Room = 0
 	s.Reports.Fields = []string{"free_slots", "waiting", "active", "service_ms"}
 	s.Operations = append(s.Operations, s.Operations[0])
@@ -61,8 +64,8 @@
 
 // What a scheduler is told of a day is the same to the byte; its number, and what hosting leaves out, show in it.
 func TestGoldenTold(t *testing.T) {
-	day := toldOf()
-	hosted, counted := toldOf(), toldOf()
+	day := toldOf(t)
+	hosted, counted := toldOf(t), toldOf(t)
 	hosted.Hosted.Room, counted.Schedulers.Told = 4, 0
 	var text bytes.Buffer
 	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
@@ -71,7 +74,7 @@
 		}
 		text.WriteByte('\n')
 	}
-	d := json.NewDecoder(bytes.NewReader(golden(t, "told.json", text.Bytes())))
+	d := json.NewDecoder(bytes.NewReader(golden.Compare(t, "told.json", text.Bytes())))
 	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
 		var wanted, got any
 		if err := json.Unmarshal(told, &wanted); err != nil {
--- a/internal/lab/trace/forms_test.go
+++ b/internal/lab/trace/forms_test.go
@@ -7,11 +7,13 @@
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/pelletier/go-toml/v2"
+
+	"stoatweir/internal/golden"
 )
 
 // Counts that have met each kind of odd row are the same to the byte.
 func TestGoldenCounts(t *testing.T) {
-	c := filled[Counts]()
+	c := golden.Filled[Counts](t)
 	for k := range kinds {
 		c.Kinds[k], c.Lines[k] = int(k)+100, []int{int(k) + 200, int(k) + 300}
 	}
@@ -29,7 +31,7 @@
 		Odd   map[string]odd `json:"odd"`
 		Ended string         `json:"ended"`
 	}
-	if err := json.Unmarshal(golden(t, "counts.json", text), &got); err != nil {
+	if err := json.Unmarshal(golden.Compare(t, "counts.json", text), &got); err != nil {
 		t.Fatal(err)
 	}
 	wanted := map[string]odd{}
@@ -46,12 +48,12 @@
 
 // A mapping keeps its keys, in lower case as files have them and in any other.
 func TestGoldenMapping(t *testing.T) {
-	m := filled[Mapping]()
+	m := golden.Filled[Mapping](t)
 	text, err := toml.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorded := golden(t, "mapping.toml", text)
+	recorded := golden.Compare(t, "mapping.toml", text)
 	for _, spelt := range []string{string(recorded), keys(recorded, strings.ToLower), keys(recorded, strings.ToUpper)} {
 		var got Mapping
 		if err := toml.NewDecoder(strings.NewReader(spelt)).DisallowUnknownFields().Decode(&got); err != nil {
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -12,6 +12,8 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"stoatweir/internal/golden"
 )
 
 // respell spells the keys of a JSON value otherwise; none of them is a map's.
@@ -51,12 +53,12 @@
 
 func goldenKeys[T any](t *testing.T, name string) {
 	t.Helper()
-	wanted := filled[T]()
+	wanted := golden.Filled[T](t)
 	text, err := json.MarshalIndent(wanted, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, spelt := range spellings(t, golden(t, name, text)) {
+	for _, spelt := range spellings(t, golden.Compare(t, name, text)) {
 		var got T
 		if err := decode(spelt, &got); err != nil {
 			t.Fatal(err)
@@ -153,5 +155,5 @@
 	fmt.Fprintln(&lines, err)
 	_, err = ParseDeployment([]byte("3"))
 	fmt.Fprintln(&lines, err)
-	golden(t, "wrong.txt", []byte(lines.String()))
+	golden.Compare(t, "wrong.txt", []byte(lines.String()))
 }
--- a/internal/tenants/api/forms_test.go
+++ b/internal/tenants/api/forms_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"stoatweir/internal/golden"
 	"stoatweir/internal/tenants"
 	"stoatweir/internal/tenants/store"
 )
@@ -82,7 +83,7 @@
 
 // Each call's answer, good and bad, is the same to the byte but for what chance gives, and a spec with every key is taken whole.
 func TestGoldenAnswers(t *testing.T) {
-	a, r, isFull := goldenDesk(t, filled[tenants.Usage]())
+	a, r, isFull := goldenDesk(t, golden.Filled[tenants.Usage](t))
 	s := &transcript{api: a}
 	s.call("o", "PUT", "/v1/tenants/one?dry_run=true", goldenSpec)
 	s.call("o", "PUT", "/v1/tenants/one", goldenSpec, "If-None-Match", "*")
@@ -119,7 +120,7 @@
 	if len(granted.ID) != 16 {
 		t.Error(granted)
 	}
-	golden(t, "answers.txt", []byte(s.text.String()))
+	golden.Compare(t, "answers.txt", []byte(s.text.String()))
 }
 
 // bad has calls that are refused, for each reason that there is but limits of number and time.
@@ -146,7 +147,7 @@
 
 // A view and a problem with every field set are the same to the byte, and the recorded ones are read back whole.
 func TestGoldenForms(t *testing.T) {
-	v, p, k := filled[View](), filled[Problem](), filled[KeyView]()
+	v, p, k := golden.Filled[View](t), golden.Filled[Problem](t), golden.Filled[KeyView](t)
 	goldenForm(t, "view.json", answer{status: 200, body: v}, v)
 	goldenForm(t, "problem.json", answer{status: 400, problem: &p}, p)
 	goldenForm(t, "key.json", answer{status: 200, body: k}, k)
@@ -157,7 +158,7 @@
 	out := httptest.NewRecorder()
 	write(out, a)
 	var got T
-	if err := json.NewDecoder(bytes.NewReader(golden(t, name, out.Body.Bytes()))).Decode(&got); err != nil {
+	if err := json.NewDecoder(bytes.NewReader(golden.Compare(t, name, out.Body.Bytes()))).Decode(&got); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(wanted, got); diff != "" {
@@ -174,5 +175,5 @@
 		s.call("e", "GET", "/v1/tenants/one/usage", "")
 		text.WriteString(s.text.String())
 	}
-	golden(t, "reasons.txt", []byte(text.String()))
+	golden.Compare(t, "reasons.txt", []byte(text.String()))
 }
--- a/internal/tenants/store/forms_test.go
+++ b/internal/tenants/store/forms_test.go
@@ -8,18 +8,19 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
+	"stoatweir/internal/golden"
 	"stoatweir/internal/tenants"
 )
 
 // A record with every field set is the same to the byte, and the recorded one is read back whole.
 func TestGoldenRecord(t *testing.T) {
-	wanted := filled[record]()
+	wanted := golden.Filled[record](t)
 	wanted.Schema = schema
 	b, err := encode(wanted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorded := golden(t, "record.log", b)
+	recorded := golden.Compare(t, "record.log", b)
 	got, size, err := next(recorded)
 	if err != nil || size != len(recorded) {
 		t.Fatal(size, err)
@@ -32,7 +33,7 @@
 // changes makes each kind of change once.
 func changes(t *testing.T, s *Store) (all []tenants.Change) {
 	t.Helper()
-	b, spec := s.Book, filled[tenants.Spec]()
+	b, spec := s.Book, golden.Filled[tenants.Spec](t)
 	spec.Operations = spec.Operations[:1]
 	spec.Operations[0].Name, spec.Operations[0].Effect, spec.Operations[0].DedupScope = "render", tenants.Deduplicated, "cell"
 	spec.Operations[0].LateBilledValue, spec.Limits.RetryRatio = 0.5, ptr(0.25)
@@ -98,11 +99,11 @@
 		t.Fatal(err)
 	}
 	all := changes(t, s)
-	log := golden(t, "changes.log", w.names[logName].now)
+	log := golden.Compare(t, "changes.log", w.names[logName].now)
 	if err := s.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	compacted := golden(t, "snapshot.log", w.names[logName].now)
+	compacted := golden.Compare(t, "snapshot.log", w.names[logName].now)
 	for _, recorded := range [][]byte{log, compacted} {
 		got := opened(t, recorded).Book
 		if diff := cmp.Diff(all, got.Audit(0), cmpopts.EquateEmpty()); diff != "" {
