--- a/Makefile
+++ b/Makefile
@@ -14,9 +14,7 @@
 	go test $(PACKAGES)
 
 lint:
-	@test -z "$$(gofmt -l dispatch internal cmd)" || { gofmt -l dispatch internal cmd; exit 1; }
-	go vet $(PACKAGES)
-	go tool staticcheck $(PACKAGES)
+	.ci/lint
 
 run: build
 	PROXY_CONFIG=$(CONFIG) exec bin/stoatweir
