--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -7,19 +7,46 @@
 	"stoatweir/dispatch"
 )
 
-// The sums of the budget, with the decisions' waits at the time to ask within that the service tells them.
+const (
+	// addressChangeDeadline is updateDeadline for what follows a change of the address.
+	addressChangeDeadline = 4 * time.Second
+	// dispatchGrace is how long a worker may still be sent to after a change counts as known.
+	dispatchGrace = 500 * time.Millisecond
+	// callDuration is what a request takes that discovery serves at once: connection, list, and the loop's turns.
+	callDuration = 100 * time.Millisecond
+)
+
+// Each sum in the comment of budget.go is below its deadline, with the dispatcher's backoffs for the time to poll
+// that the service sets.
 func TestBudget(t *testing.T) {
-	const within = 5 * time.Second // the service's toldWithin
-	first, most := dispatch.EndpointBackoff(within)
-	for name, v := range map[string][2]time.Duration{
-		"a call is lost":              {firstWord + most + callTakes, toldAfter - graceLeft},
-		"a pushed call is lost":       {firstWord + 2*time.Second + callTakes, toldAfter - graceLeft},
-		"a first call is lost":        {within/2 + firstWord + first + callTakes, toldAfter},
-		"a watch falls silent, twice": {silence + first + nextWord + first + callTakes, toldAfter - graceLeft},
-		"moved, two calls lost":       {moveSpread + 2*moveWord + 6*moveFirst + callTakes, movedAfter},
+	const pollWithin = 5 * time.Second // the service's for lists that are polled
+	const pushedBackoffMax = 2 * time.Second
+	first, longest := dispatch.EndpointBackoff(pollWithin)
+	for name, v := range map[string]struct{ sum, deadline time.Duration }{
+		"a request is lost": {
+			sum:      firstListTimeout + longest + callDuration,
+			deadline: updateDeadline - dispatchGrace,
+		},
+		"a request for a pushed list is lost": {
+			sum:      firstListTimeout + pushedBackoffMax + callDuration,
+			deadline: updateDeadline - dispatchGrace,
+		},
+		"the first request is lost": {
+			sum:      pollWithin/2 + firstListTimeout + first + callDuration,
+			deadline: updateDeadline,
+		},
+		"a watch times out, twice": {
+			sum:      idleTimeout + first + reconnectTimeout + first + callDuration,
+			deadline: updateDeadline - dispatchGrace,
+		},
+		"the address changes, two requests lost": {
+			sum:      addressChangeJitter + 2*candidateTimeout + 6*candidateBackoffBase + callDuration,
+			deadline: addressChangeDeadline,
+		},
 	} {
-		if t.Logf("%s: %v of %v", name, v[0], v[1]); v[0] > v[1] {
-			t.Errorf("%s: %v is over %v", name, v[0], v[1])
+		t.Logf("%s: %v of %v", name, v.sum, v.deadline)
+		if v.sum > v.deadline {
+			t.Errorf("%s: %v is over %v", name, v.sum, v.deadline)
 		}
 	}
 }
--- /dev/null
+++ b/internal/discovery/nameindex.go
@@ -0,0 +1,30 @@
+package discovery
+
+// nameIndex gives each name a small index: configured names in their order, then others as they are first seen.
+type nameIndex map[string]int
+
+func newNameIndex(configured []string) nameIndex {
+	index := nameIndex{}
+	for _, name := range configured {
+		index.indexOf(name)
+	}
+	return index
+}
+
+func (n nameIndex) indexOf(name string) int {
+	index, known := n[name]
+	if !known {
+		index = len(n)
+		n[name] = index
+	}
+	return index
+}
+
+// names returns all names in the order of their indices.
+func (n nameIndex) names() []string {
+	names := make([]string, len(n))
+	for name, index := range n {
+		names[index] = name
+	}
+	return names
+}
--- a/internal/discovery/capacity_test.go
+++ b/internal/discovery/parse_bench_test.go
@@ -10,9 +10,10 @@
 	"stoatweir/internal/conn"
 )
 
-// The figures of docs/CAPACITY.md for the list: what one costs to read, by its entries, and what stays of workers that are gone.
+// The figures of docs/CAPACITY.md for the list: what one costs to read, by its entries, and the memory that workers
+// which are gone leave behind.
 
-// entries writes so many entries of a list, from one place on.
+// entries writes n entries of a list, the first numbered from.
 func entries(from, n int, state string) string {
 	all := make([]string, n)
 	for i := range all {
@@ -23,11 +24,11 @@
 	return strings.Join(all, ",")
 }
 
-func listOf(rev, from, n int, whole bool, state string) []byte {
-	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, whole, entries(from, n, state))
+func listOf(rev, from, n int, full bool, state string) []byte {
+	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, full, entries(from, n, state))
 }
 
-func knowing(b *testing.B, n int) *Watcher {
+func watcherWith(b *testing.B, n int) *Watcher {
 	w := New(conn.NewLoop(time.Now()), "127.0.0.1:1", nil, nil, time.Now())
 	if _, err := w.Parse(listOf(1, 0, n, true, "Ready")); err != nil {
 		b.Fatal(err)
@@ -35,15 +36,15 @@
 	return w
 }
 
-// BenchmarkListWhole reads a whole list from its bytes: the search for its end, its text, and the names.
+// BenchmarkListWhole reads a whole list from its bytes: finding its end, decoding it, and assigning IDs.
 func BenchmarkListWhole(b *testing.B) {
 	for _, n := range []int{60, 240, 950, 1900, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w, text := knowing(b, n), listOf(2, 0, n, true, "Ready")
+			w, text := watcherWith(b, n), listOf(2, 0, n, true, "Ready")
 			b.ResetTimer()
 			for b.Loop() {
-				var v value
-				if _, step := v.feed(text); step != complete {
+				var v valueScanner
+				if _, step := v.feed(text); step != scanComplete {
 					b.Fatal("it has no end")
 				}
 				if list, err := w.Parse(v.text); err != nil || len(list.Workers) != n {
@@ -56,11 +57,11 @@
 	}
 }
 
-// BenchmarkListChange reads the three changes that one replacement makes: one drains, one is gone, one is new.
+// BenchmarkListChange reads the three entries that change with one replacement: one drains, one is gone, one is new.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{60, 950, 1900, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := knowing(b, n)
+			w := watcherWith(b, n)
 			text := fmt.Appendf(nil, `{"rev":3,"all":false,"targets":[%s,%s,%s]}`, entries(0, 1, "Terminating"), entries(1, 1, "Gone"),
 				entries(n, 1, "Ready"))
 			for b.Loop() {
@@ -73,29 +74,29 @@
 	}
 }
 
-// BenchmarkListGone tells what memory is left of workers that were replaced, each by one of another name.
+// BenchmarkListGone measures the memory that replaced workers leave behind, each replaced by one of another UID.
 func BenchmarkListGone(b *testing.B) {
-	const fleet = 3800
+	const workers = 3800
 	for _, replaced := range []int{950, 9500, 19000, 38000} {
 		b.Run(fmt.Sprint(replaced), func(b *testing.B) {
 			for b.Loop() {
-				w, before := knowing(b, fleet), inUse()
+				w, before := watcherWith(b, workers), heapInUse()
 				for n := range replaced {
 					if _, err := w.Parse(listOf(2+n, n, 1, false, "Gone")); err != nil {
 						b.Fatal(err)
 					}
-					if _, err := w.Parse(listOf(2+n, fleet+n, 1, false, "Ready")); err != nil {
+					if _, err := w.Parse(listOf(2+n, workers+n, 1, false, "Ready")); err != nil {
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric(float64(inUse()-before)/float64(replaced), "bytes/replaced")
-				b.ReportMetric(float64(len(w.ids)), "names")
+				b.ReportMetric(float64(heapInUse()-before)/float64(replaced), "bytes/replaced")
+				b.ReportMetric(float64(len(w.ids.byUID)), "names")
 			}
 		})
 	}
 }
 
-func inUse() int64 {
+func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/discovery/starts.go
+++ b/internal/discovery/starts.go
@@ -2,71 +2,78 @@
 
 import "time"
 
-// stepLeast is the least difference by which the wall clock counts as stepped against our own: less is drift, or our own delay between
-// reading the one and the other.
-const stepLeast = 200 * time.Millisecond
+// minClockStep is the least difference between the wall clock and the loop's clock that counts as a step of the
+// wall clock. Less is drift, or a delay between reading the one and the other.
+const minClockStep = 200 * time.Millisecond
 
-// starts knows when workers started, by our own clock, which no step moves. Workers tell it by the wall clock, which may have been stepped
-// since their start: forward, and a cold worker would look warm; back, and a start would lie ahead or before an earlier one. So a start
-// is reckoned once, when it is first told, and held against what our own clock knows: it is no later than now, and one that is news
-// is no earlier than the time within which all changes are told.
-type starts struct {
-	clock     func() time.Duration
-	wall      func() time.Time
-	epoch     time.Time // where our own clock stood at zero, by the wall clock as it was at its last step
-	steppedAt time.Duration
-	steps     int           // so often it was
-	heardAt   time.Duration // of the last word of a watch; 0: there was none
-	known     map[string]knownStart
+// startTimes converts the start times of workers, which are told by the wall clock, to the loop's monotonic
+// clock. The wall clock may have been stepped since a start: forward, and a worker that warms up would look
+// warm; back, and a start would lie in the future or before an earlier one. So a start is converted once, when
+// it is first reported, and bounded by what the loop's clock knows: it is not in the future, and one that is new
+// is no earlier than the time within which all changes are reported.
+type startTimes struct {
+	clock      func() time.Duration
+	wallClock  func() time.Time
+	epoch      time.Time     // zero of the loop's clock, by the wall clock as it was after its last step
+	steppedAt  time.Duration // when a step was last seen
+	steps      int           // steps seen
+	receivedAt time.Duration // when a watch last received a list or a keep-alive; 0: never
+	lastStarts map[string]recordedStart
 }
 
-// knownStart is a worker's last start.
-type knownStart struct {
-	bootMS float64 // as it is told
-	at     time.Duration
+// recordedStart is the last reported start of a worker.
+type recordedStart struct {
+	bootMS    float64 // as reported, ms since 1970 by the wall clock
+	startedAt time.Duration
 }
 
-func newStarts(epoch time.Time, clock func() time.Duration, wall func() time.Time) *starts {
-	return &starts{epoch: epoch.Round(0), clock: clock, wall: wall, known: map[string]knownStart{}}
+func newStartTimes(epoch time.Time, clock func() time.Duration, wallClock func() time.Time) *startTimes {
+	return &startTimes{
+		clock:      clock,
+		wallClock:  wallClock,
+		epoch:      epoch.Round(0), // without its monotonic reading, which would hide steps
+		lastStarts: map[string]recordedStart{},
+	}
 }
 
-// look notes whether the wall clock has been stepped since the last look, and gives the time.
-func (s *starts) look() (now time.Duration) {
+// observeClocks notes whether the wall clock has been stepped since the last call, and returns the loop's time.
+func (s *startTimes) observeClocks() (now time.Duration) {
 	now = s.clock()
-	epoch := s.wall().Round(0).Add(-now)
-	if step := epoch.Sub(s.epoch); step.Abs() >= stepLeast {
-		s.epoch, s.steppedAt = epoch, now
+	epoch := s.wallClock().Round(0).Add(-now)
+	if step := epoch.Sub(s.epoch); step.Abs() >= minClockStep {
+		s.epoch = epoch
+		s.steppedAt = now
 		s.steps++
 	}
 	return now
 }
 
-// heard enters that a watch has told something, or that nothing has changed.
-func (s *starts) heard() { s.heardAt = s.look() }
+// recordReceived notes that a watch has received a list or a keep-alive.
+func (s *startTimes) recordReceived() { s.receivedAt = s.observeClocks() }
 
-// at gives a worker's start.
-func (s *starts) at(uid string, bootMS float64) time.Duration {
-	before, told := s.known[uid]
-	if told && before.bootMS == bootMS {
-		return before.at
+// startedAt returns the start of a worker by the loop's clock.
+func (s *startTimes) startedAt(uid string, bootMS float64) time.Duration {
+	last, reported := s.lastStarts[uid]
+	if reported && last.bootMS == bootMS {
+		return last.startedAt
 	}
-	now := s.look()
-	at := time.UnixMilli(int64(bootMS)).Sub(s.epoch)
-	if at > now || s.doubtful(at, now) {
-		at = now // as cold as it can be
+	now := s.observeClocks()
+	startedAt := time.UnixMilli(int64(bootMS)).Sub(s.epoch)
+	if startedAt > now || s.stepSuspected(startedAt, now) {
+		startedAt = now // the latest start there can be: at worst the worker warms up once more
 	}
-	if told {
-		at = max(at, before.at+1)
+	if reported {
+		startedAt = max(startedAt, last.startedAt+1)
 	}
-	s.known[uid] = knownStart{bootMS, at}
-	return at
+	s.lastStarts[uid] = recordedStart{bootMS: bootMS, startedAt: startedAt}
+	return startedAt
 }
 
-// doubtful tells whether the wall clock may have been stepped between a start that is news and the word of it. Before the first word of a
-// watch no start is known to be news.
-func (s *starts) doubtful(at, now time.Duration) bool {
-	if s.steps > 0 && now < s.steppedAt+toldAfter {
+// stepSuspected reports whether the wall clock may have been stepped between a new start and its report. Before
+// anything was received no start is known to be new.
+func (s *startTimes) stepSuspected(startedAt, now time.Duration) bool {
+	if s.steps > 0 && now < s.steppedAt+updateDeadline {
 		return true
 	}
-	return s.heardAt > 0 && at < s.heardAt-toldAfter
+	return s.receivedAt > 0 && startedAt < s.receivedAt-updateDeadline
 }
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,19 +14,19 @@
 	"stoatweir/dispatch"
 )
 
-// Lists come on one line or over many, cut anywhere; what is no list is told as soon as its line ends.
-func Example_values() {
+// Values stand on one line or span many, cut anywhere; what is no object ends with its line.
+func Example_valueScanner() {
 	const text = "\n{\"a\":\"}{\\\"\\\\\",\"b\":[1,{}]}\n\n{\n  \"c\": [\n    {\"d\": 1}\n  ]\n}\r\n oh\n{}{}"
 	read := func(pieces ...string) string {
-		var v value
+		var v valueScanner
 		var seen []string
 		for _, piece := range pieces {
 			for b := []byte(piece); len(b) > 0; {
 				used, step := v.feed(b)
 				switch b = b[used:]; step {
-				case empty:
+				case scanBlankLine:
 					seen = append(seen, "-")
-				case complete:
+				case scanComplete:
 					seen = append(seen, fmt.Sprintf("%q", strings.Join(strings.Fields(string(v.text)), "")))
 					v.text = v.text[:0]
 				}
@@ -45,22 +45,22 @@
 	// cut anywhere the same: true true
 }
 
-// An indented list is taken in, also with an empty line after it.
-func Example_indented() {
-	addr, shut := serve("discovery", "{\n  \"rev\": 4,\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"s-1\",\n     \"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n")
-	defer shut()
+// An indented list is read, also with a blank line after it.
+func Example_indentedList() {
+	addr, stop := serve("discovery", "{\n  \"rev\": 4,\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"s-1\",\n     \"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n")
+	defer stop()
 	loop, w := watcher(addr)
 	w.OnUpdate = func(l Update) { show(l); loop.Stop() }
 	w.Watch()
 	loop.After(10*time.Second, func() { panic("the watch hangs") })
 	loop.Run(func() {})
 	// Output:
-	// discovery is asked: GET /api/targets?stream=1&index=0 HTTP/1.1
-	// form 2: [s-1 127.0.0.1:1 zone 2 kind 1 cell 0 standing 1 restarted false]
+	// discovery receives: GET /api/targets?stream=1&index=0 HTTP/1.1
+	// update 2: [s-1 127.0.0.1:1 zone 2 kind 1 cell 0 state 1 restarted false]
 }
 
-// Bytes that never come to the end of a head, of a list or of a chunk's frame do not keep a watch alive.
-func TestEndlessBytesAreSilence(t *testing.T) {
+// Bytes that never reach the end of a head, of a list or of a chunk's frame do not keep a watch alive.
+func TestIncompleteBytesDoNotExtendTimeout(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, script := range map[string][2]string{
 		"a head":  {"HTTP/1.1 200 OK\r\nX-Pad: ", "x"},
@@ -93,22 +93,23 @@
 				}
 			}()
 			loop, w := watcher(l.Addr().String())
-			why, began := "", time.Now()
+			why := ""
+			began := time.Now()
 			w.OnFailure = func(s string) { why = s }
 			w.OnUpdate = func(list Update) { loop.Stop() }
-			loop.After(2*silence, loop.Stop)
+			loop.After(2*idleTimeout, loop.Stop)
 			w.Watch()
 			loop.Run(func() {})
-			if took := time.Since(began); why != "it is silent" || took > silence+connectIn {
+			if took := time.Since(began); why != "it is silent" || took > idleTimeout+connectTimeout {
 				t.Error(why, "after", took)
 			}
 		})
 	}
 }
 
-// A watch falls silent, and the next one says nothing either: a third one still brings, within 6 s, what there is to tell. Where
-// the second one has told nothing for as long, others wait in turn, and it has its time.
-func Example_silentTwice() {
+// An established watch times out, and so does the request that follows: a third one still brings the list within
+// 6 s. The short timeout holds for the second request only, as discovery may have many to serve in turn.
+func Example_timedOutTwice() {
 	const list = `{"rev":%d,"all":true,"targets":[]}`
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,7 +123,7 @@
 			if err != nil {
 				return
 			}
-			open = append(open, c) // kept: an end would be seen
+			open = append(open, c) // referenced, so that it is not closed as garbage
 			if n != 2 {
 				text := fmt.Sprintf(list, n)
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(text)+1, text)
@@ -130,65 +131,66 @@
 		}
 	}()
 	loop, w := watcher(l.Addr().String())
-	var fell time.Duration
-	told := 0
+	var receivedAt time.Duration
 	w.OnUpdate = func(list Update) {
 		show(list)
 		switch {
 		case list.Kind == dispatch.WatchFailed:
-			loop.After(375*time.Millisecond, w.Watch) // the decisions' longest first wait
-		case fell == 0:
-			fell = loop.Now()
+			loop.After(375*time.Millisecond, w.Watch) // the dispatcher's longest first backoff
+		case receivedAt == 0:
+			receivedAt = loop.Now()
 		default:
-			fmt.Println("in time:", loop.Now()-fell < 6*time.Second)
+			fmt.Println("in time:", loop.Now()-receivedAt < 6*time.Second)
 			loop.Stop()
 		}
-		told++
 	}
 	w.Watch()
 	loop.After(20*time.Second, func() { panic("the watch hangs") })
 	loop.Run(func() {})
-	fmt.Println("silent twice, and the next has its time:", !w.mute, silence > nextWord)
+	fmt.Println("timed out twice, and the next has the full timeout:", !w.lastTimedOut, idleTimeout > reconnectTimeout)
 	// Output:
-	// form 2:
+	// update 2:
 	// failed: it is silent
-	// form 0:
+	// update 0:
 	// failed: it is silent
-	// form 0:
-	// form 2:
+	// update 0:
+	// update 2:
 	// in time: true
-	// silent twice, and the next has its time: true true
+	// timed out twice, and the next has the full timeout: true true
 }
 
-// Discovery takes longer for each answer than a call has: the call goes on beside those that follow it, at most one of them, and its list
-// is taken when its turn comes. What it tells is what was asked for, and the others end.
-func TestLateAnswer(t *testing.T) {
+// Discovery takes longer for each response than a request's timeout: the request goes on beside at most one of
+// those that follow it, and its list is used once it is served. The others end.
+func TestOverdueRequestIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const late = 8 * time.Second
+		const responseTime = 8 * time.Second
 		loop, w := watcher("127.0.0.1:1")
-		open, most, total := 0, 0, 0
+		open := 0
+		mostOpen := 0
+		total := 0
 		var mu sync.Mutex
 		loop.DialContext = func(context.Context, string, string) (net.Conn, error) {
-			ours, theirs := net.Pipe()
+			local, remote := net.Pipe()
 			mu.Lock()
 			defer mu.Unlock()
-			open, total = open+1, total+1
-			most = max(most, open)
+			open++
+			total++
+			mostOpen = max(mostOpen, open)
 			go func() {
 				defer func() {
 					mu.Lock()
 					open--
 					mu.Unlock()
 				}()
-				time.AfterFunc(late, func() {
+				time.AfterFunc(responseTime, func() {
 					text := `{"rev":7,"all":true,"targets":[]}`
-					fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(text)+1, text)
+					fmt.Fprintf(remote, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(text)+1, text)
 				})
-				io.Copy(io.Discard, theirs)
+				io.Copy(io.Discard, remote)
 			}()
-			return ours, nil
+			return local, nil
 		}
-		var came time.Duration
+		var receivedAt time.Duration
 		w.OnFailure = func(string) {}
 		w.OnUpdate = func(list Update) {
 			if list.Kind == dispatch.WatchFailed {
@@ -199,22 +201,22 @@
 				})
 				return
 			}
-			came = loop.Now()
-			loop.After(3*time.Second, func() { // nothing else is open any more
-				w.present.drop()
+			receivedAt = loop.Now()
+			loop.After(3*time.Second, func() { // nothing else is open
+				w.current.close()
 				loop.After(time.Second, loop.Stop)
 			})
 		}
 		w.Watch()
 		loop.Run(func() {})
-		if came != late || most > 2 || open != 0 || w.elder != nil {
-			t.Errorf("the list came after %v, %d calls at once at most, %d in all, %d left", came, most, total, open)
+		if receivedAt != responseTime || mostOpen > 2 || open != 0 || w.overdue != nil {
+			t.Errorf("the list came after %v, %d requests at once at most, %d in all, %d left", receivedAt, mostOpen, total, open)
 		}
 	})
 }
 
-// The largest fleet comes indented, with long names.
-func TestLongList(t *testing.T) {
+// The longest list is read: all workers there may be, indented, with long names.
+func TestLongestListIsRead(t *testing.T) {
 	const workers = 3200
 	var targets []string
 	for n := range workers {
@@ -229,8 +231,8 @@
             "boot_ms": %d
         }`, n, n>>8, n&255, n%3, n/40, 1_790_000_000_000+n))
 	}
-	addr, shut := serve("discovery", "{\n    \"rev\": 4,\n    \"all\": true,\n    \"targets\": [\n        "+strings.Join(targets, ",\n        ")+"\n    ]\n}\n")
-	defer shut()
+	addr, stop := serve("discovery", "{\n    \"rev\": 4,\n    \"all\": true,\n    \"targets\": [\n        "+strings.Join(targets, ",\n        ")+"\n    ]\n}\n")
+	defer stop()
 	loop, w := watcher(addr)
 	got := 0
 	w.OnUpdate = func(l Update) { got = len(l.Workers); loop.Stop() }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/watcher_test.go
@@ -21,16 +21,16 @@
 }
 
 func show(l Update) {
-	fmt.Printf("form %d:", l.Kind)
+	fmt.Printf("update %d:", l.Kind)
 	for _, w := range l.Workers {
-		fmt.Printf(" [%s %s zone %d kind %d cell %d standing %d restarted %v]", w.UID, w.Worker, w.Zone, w.Kind, w.Cell,
+		fmt.Printf(" [%s %s zone %d kind %d cell %d state %d restarted %v]", w.UID, w.Worker, w.Zone, w.Kind, w.Cell,
 			w.State, w.StartKnown)
 	}
 	fmt.Println()
 }
 
-// A worker keeps its name when its address changes, and its successor at that address gets another.
-func Example_names() {
+// A worker keeps its ID when its address changes, and the next worker at that address gets another one.
+func Example_workerIDs() {
 	_, w := watcher("")
 	for _, line := range []string{
 		`{"rev":7,"all":true,"targets":[
@@ -47,17 +47,18 @@
 		show(l)
 	}
 	_, err := w.Parse([]byte(`{"rev":"x"`))
-	fmt.Println(err, w.rev)
+	fmt.Println(err, w.revision)
 	// Output:
-	// form 2: [s-1 127.0.0.1:1 zone 1 kind 0 cell 3 standing 1 restarted false]
-	// form 1: [s-1 127.0.0.1:1 zone 1 kind 0 cell 0 standing 1 restarted true] [s-2 [::ffff:127.0.0.1%s-2]:1 zone 2 kind 1 cell 0 standing 1 restarted false]
-	// form 1: [s-3 [::%s-3]:0 zone 3 kind 2 cell 0 standing 2 restarted false] [s-1 127.0.0.1:1 zone 1 kind 0 cell 0 standing 2 restarted false] [s-2 [::ffff:127.0.0.1%s-2]:1 zone 3 kind 2 cell 0 standing 0 restarted false]
+	// update 2: [s-1 127.0.0.1:1 zone 1 kind 0 cell 3 state 1 restarted false]
+	// update 1: [s-1 127.0.0.1:1 zone 1 kind 0 cell 0 state 1 restarted true] [s-2 [::ffff:127.0.0.1%s-2]:1 zone 2 kind 1 cell 0 state 1 restarted false]
+	// update 1: [s-3 [::%s-3]:0 zone 3 kind 2 cell 0 state 2 restarted false] [s-1 127.0.0.1:1 zone 1 kind 0 cell 0 state 2 restarted false] [s-2 [::ffff:127.0.0.1%s-2]:1 zone 3 kind 2 cell 0 state 0 restarted false]
 	// unexpected end of JSON input 9
 }
 
-// A watch goes on from the version that is known, takes lines in however they are cut up, and is told to have failed
-// when it ends. An empty line says that it stands and nothing has changed, which is told once. After a line that makes no sense the next one asks for the whole list.
-func Example_watch() {
+// A watch goes on from the known revision, reads lines however they are cut up, and is reported as failed when it
+// ends. The first keep-alive is reported as an update without changes, later ones are not. After a line that can't
+// be decoded the next watch requests the whole list.
+func Example_watchResumes() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -84,53 +85,56 @@
 		}
 	}()
 	loop, w := watcher(l.Addr().String())
-	calls := 0
+	failures := 0
 	w.OnUpdate = func(list Update) {
 		show(list)
 		if list.Kind != dispatch.WatchFailed {
 			return
 		}
-		if calls++; calls == 4 {
+		failures++
+		if failures == 4 {
 			loop.Stop()
 			return
 		}
 		w.Watch()
 	}
 	w.Watch()
-	w.Watch() // while the first is on its way: there is one call
+	w.Watch() // while the first waits for its response: there is one request
 	loop.After(10*time.Second, func() { panic("the watch hangs") })
 	loop.Run(func() {})
 	// Output:
 	// GET /api/targets?stream=1&index=0 HTTP/1.1
-	// form 2:
-	// form 1:
+	// update 2:
+	// update 1:
 	// failed: the answer has ended
-	// form 0:
+	// update 0:
 	// GET /api/targets?stream=1&index=5 HTTP/1.1
-	// form 1:
+	// update 1:
 	// failed: the answer has ended
-	// form 0:
+	// update 0:
 	// GET /api/targets?stream=1&index=5 HTTP/1.1
 	// failed: invalid character 'o' looking for beginning of object key string
-	// form 0:
+	// update 0:
 	// GET /api/targets?stream=1&index=0 HTTP/1.1
 	// failed: status 503
-	// form 0:
+	// update 0:
 }
 
-// Changes of an older version than the known one are not taken: the whole list is asked for, which may be of any version.
-func Example_versionsGoBack() {
-	addr, shut := serve("discovery", `{"rev":9,"all":true,"targets":[]}`,
+// A change to an older revision than the known one is rejected: the whole list is requested, which may be of any
+// revision.
+func Example_olderRevisionRejected() {
+	addr, stop := serve("discovery", `{"rev":9,"all":true,"targets":[]}`,
 		`{"rev":4,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9001","az":"a","state":"Ready"}]}`)
-	defer shut()
+	defer stop()
 	loop, w := watcher(addr)
-	asked := 0
+	failures := 0
 	w.OnUpdate = func(list Update) {
 		show(list)
 		if list.Kind != dispatch.WatchFailed {
 			return
 		}
-		if asked++; asked == 2 {
+		failures++
+		if failures == 2 {
 			loop.Stop()
 			return
 		}
@@ -140,19 +144,19 @@
 	loop.After(10*time.Second, func() { panic("the watch hangs") })
 	loop.Run(func() {})
 	// Output:
-	// discovery is asked: GET /api/targets?stream=1&index=0 HTTP/1.1
-	// form 2:
+	// discovery receives: GET /api/targets?stream=1&index=0 HTTP/1.1
+	// update 2:
 	// failed: changes go back from version 9 to 4
-	// form 0:
-	// discovery is asked: GET /api/targets?stream=1&index=0 HTTP/1.1
-	// form 2:
+	// update 0:
+	// discovery receives: GET /api/targets?stream=1&index=0 HTTP/1.1
+	// update 2:
 	// failed: changes go back from version 9 to 4
-	// form 0:
+	// update 0:
 }
 
-// A watch that says nothing for longer than its empty lines allow is given up, in time for another to tell.
-func Example_silence() {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // the backlog takes the connection in, and nobody ever answers
+// A request without a response times out, early enough for another one to bring a change in time.
+func Example_firstListTimeout() {
+	l, err := net.Listen("tcp", "127.0.0.1:0") // the backlog accepts the connection, and nobody ever responds
 	if err != nil {
 		panic(err)
 	}
@@ -163,15 +167,15 @@
 	w.Watch()
 	loop.Run(func() {})
 	took := time.Since(began)
-	fmt.Println(took > firstWord, took < firstWord+connectIn, silence < 6*time.Second-2*connectIn)
+	fmt.Println(took > firstListTimeout, took < firstListTimeout+connectTimeout, idleTimeout < 6*time.Second-2*connectTimeout)
 	// Output:
 	// failed: it is silent
-	// form 0:
+	// update 0:
 	// true true true
 }
 
-// serve is a discovery whose answers are lines; it prints what is asked under its name.
-func serve(name string, lines ...string) (addr string, shut func()) {
+// serve starts a discovery service that sends lines; it prints each request it receives, after its name.
+func serve(name string, lines ...string) (addr string, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -185,7 +189,7 @@
 			}
 			open = append(open, c)
 			line, _ := textproto.NewReader(bufio.NewReader(c)).ReadLine()
-			fmt.Println(name, "is asked:", line)
+			fmt.Println(name, "receives:", line)
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for _, text := range lines {
 				fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text)
@@ -200,55 +204,58 @@
 	}
 }
 
-// The watch holds while it moves, also towards an address where nobody listens yet; the whole list is asked for there,
-// as versions may be another count. The end of the old one is no failed list, the end of the new one is.
-func Example_move() {
+// The watch holds while its address changes, also to one where nobody listens yet; the whole list is requested
+// there, as revisions may be counted in another way. The end of the old watch is no failure, that of the new one is.
+func Example_changeAddress() {
 	const list = `{"rev":%d,"all":true,"targets":[{"uid":"%s","endpoint":"127.0.0.1:1","state":"Ready"}]}`
-	first, shutFirst := serve("first", fmt.Sprintf(list, 41, "s-1"))
-	second, shutSecond := serve("second", fmt.Sprintf(list, 7, "s-2"))
-	dead, shutDead := serve("dead")
-	shutDead()
+	first, closeFirst := serve("first", fmt.Sprintf(list, 41, "s-1"))
+	second, closeSecond := serve("second", fmt.Sprintf(list, 7, "s-2"))
+	dead, closeDead := serve("dead")
+	closeDead()
 	loop, w := watcher(first)
-	told := 0
-	w.OnUpdate = func(l Update) { show(l); told++ }
+	updates := 0
+	w.OnUpdate = func(l Update) {
+		show(l)
+		updates++
+	}
 	until := func(done func() bool) {
-		late := loop.After(10*time.Second, func() { panic("waited in vain") })
+		deadline := loop.After(10*time.Second, func() { panic("condition not reached in time") })
 		loop.Run(func() {
 			loop.After(time.Millisecond, func() {})
 			if done() {
 				loop.Stop()
 			}
 		})
-		late.Stop()
+		deadline.Stop()
 	}
 	w.Watch()
-	until(func() bool { return told == 1 })
+	until(func() bool { return updates == 1 })
 	w.ChangeAddress(dead)
-	until(func() bool { return w.tries == 2 })
-	w.ChangeAddress(first) // back
-	fmt.Println("moving:", w.moving)
+	until(func() bool { return w.candidateAttempts == 2 })
+	w.ChangeAddress(first) // back again
+	fmt.Println("changing:", w.changingAddress)
 	w.ChangeAddress(dead)
-	until(func() bool { return w.tries == 1 })
-	shutFirst()
-	until(func() bool { return w.present == nil })
-	w.Watch() // the decisions need not know that it moves
-	fmt.Println("moving:", w.moving, "told:", told)
+	until(func() bool { return w.candidateAttempts == 1 })
+	closeFirst()
+	until(func() bool { return w.current == nil })
+	w.Watch() // has no effect while the address changes
+	fmt.Println("changing:", w.changingAddress, "updates:", updates)
 	w.ChangeAddress(second)
 	w.ChangeAddress(second)
-	until(func() bool { return told == 2 })
-	fmt.Println("moving:", w.moving, "version:", w.rev)
-	shutSecond()
-	until(func() bool { return told == 3 })
+	until(func() bool { return updates == 2 })
+	fmt.Println("changing:", w.changingAddress, "revision:", w.revision)
+	closeSecond()
+	until(func() bool { return updates == 3 })
 	// Output:
-	// first is asked: GET /api/targets?stream=1&index=0 HTTP/1.1
-	// form 2: [s-1 127.0.0.1:1 zone 2 kind 1 cell 0 standing 1 restarted false]
+	// first receives: GET /api/targets?stream=1&index=0 HTTP/1.1
+	// update 2: [s-1 127.0.0.1:1 zone 2 kind 1 cell 0 state 1 restarted false]
 	// failed: the new address: the connection has ended: refused
-	// moving: false
+	// changing: false
 	// failed: the new address: the connection has ended: refused
-	// moving: true told: 1
-	// second is asked: GET /api/targets?stream=1&index=0 HTTP/1.1
-	// form 2: [s-2 [::ffff:127.0.0.1%s-2]:1 zone 2 kind 1 cell 0 standing 1 restarted false]
-	// moving: false version: 7
+	// changing: true updates: 1
+	// second receives: GET /api/targets?stream=1&index=0 HTTP/1.1
+	// update 2: [s-2 [::ffff:127.0.0.1%s-2]:1 zone 2 kind 1 cell 0 state 1 restarted false]
+	// changing: false revision: 7
 	// failed: the connection has ended: closed
-	// form 0:
+	// update 0:
 }
