--- /dev/null
+++ b/internal/gossip/receive.go
@@ -0,0 +1,52 @@
+package gossip
+
+import (
+	"net/netip"
+	"time"
+
+	"stoatweir/dispatch"
+)
+
+// receivedDatagram is a task of the loop: a datagram that the reader has passed on.
+type receivedDatagram struct {
+	transport *Transport
+	from      netip.AddrPort
+	payload   []byte
+}
+
+// Run validates the datagram and passes its entries to OnReceive.
+func (d receivedDatagram) Run() {
+	t := d.transport
+	t.inLoop.Add(-1)
+	if received, ok := t.validate(d.from, d.payload, t.loop.Now()); ok {
+		t.Counts.Heard.Add(1)
+		t.OnReceive(received)
+	}
+}
+
+// validate decodes a datagram; ok is false, and one of the counts rises, where it is malformed, not from the
+// scheduler that it names, or stale. Only a valid one changes the window of its sender.
+func (t *Transport) validate(from netip.AddrPort, payload []byte, now time.Duration) (_ dispatch.GossipReceived, ok bool) {
+	h, encoded, ok := decodeHeader(payload)
+	if !ok {
+		t.Counts.Broken.Add(1)
+		return dispatch.GossipReceived{}, false
+	}
+	sender := int(h.sender)
+	if sender >= len(t.addrs) || sender == t.self || t.addrs[sender] != from {
+		t.Counts.Foreign.Add(1)
+		return dispatch.GossipReceived{}, false
+	}
+	entries, ok := dispatch.DecodeGossip(encoded)
+	if !ok {
+		t.Counts.Broken.Add(1)
+		return dispatch.GossipReceived{}, false
+	}
+	window, ok := t.windows[sender].accept(h, now)
+	if !ok {
+		t.Counts.Old.Add(1)
+		return dispatch.GossipReceived{}, false
+	}
+	t.windows[sender] = window
+	return dispatch.GossipReceived{From: sender, Entries: entries}, true
+}
