--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -29,7 +29,8 @@
 func (s *steppedClock) report(full bool, bootMS int64) time.Duration {
 	s.t.Helper()
 	s.rev++
-	text := fmt.Sprintf(`{"rev":%d,"all":%v,"targets":[{"uid":"s-1","endpoint":"10.0.0.1:1","state":"Ready","boot_ms":%d}]}`, s.rev, full, bootMS)
+	const template = `{"rev":%d,"all":%v,"targets":[{"uid":"s-1","endpoint":"10.0.0.1:1","state":"Ready","boot_ms":%d}]}`
+	text := fmt.Sprintf(template, s.rev, full, bootMS)
 	list, err := s.Parse([]byte(text))
 	if err != nil || len(list.Workers) != 1 {
 		s.t.Fatal(list, err)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,7 +17,6 @@
 	maxListBytes = 4 << 20
 	// watchPath is the request for the stream of lists; the revision to go on from follows.
 	watchPath = "/api/targets?stream=1&index="
-	statusOK  = 200
 )
 
 // Causes for which a watch fails, beside those of the connection, the parser and the decoder.
@@ -107,7 +106,7 @@
 func (w *watch) parsed(step http1.Step) error {
 	switch step {
 	case http1.Head:
-		if status := w.parser.Message.Status; status != statusOK {
+		if status := w.parser.Message.Status; status != http1.StatusOK {
 			return fmt.Errorf("status %d", status)
 		}
 	case http1.Piece:
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -47,7 +47,8 @@
 
 // An indented list is read, also with a blank line after it.
 func Example_indentedList() {
-	addr, stop := serve("discovery", "{\n  \"rev\": 4,\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"s-1\",\n     \"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n")
+	addr, stop := serve("discovery", "{\n  \"rev\": 4,\n  \"all\": true,\n"+
+		"  \"targets\": [\n    {\"uid\": \"s-1\",\n     \"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n")
 	defer stop()
 	loop, w := watcher(addr)
 	w.OnUpdate = func(l Update) { show(l); loop.Stop() }
@@ -231,7 +232,8 @@
             "boot_ms": %d
         }`, n, n>>8, n&255, n%3, n/40, 1_790_000_000_000+n))
 	}
-	addr, stop := serve("discovery", "{\n    \"rev\": 4,\n    \"all\": true,\n    \"targets\": [\n        "+strings.Join(targets, ",\n        ")+"\n    ]\n}\n")
+	addr, stop := serve("discovery", "{\n    \"rev\": 4,\n    \"all\": true,\n    \"targets\": [\n        "+
+		strings.Join(targets, ",\n        ")+"\n    ]\n}\n")
 	defer stop()
 	loop, w := watcher(addr)
 	got := 0
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -35,7 +35,8 @@
 	for _, line := range []string{
 		`{"rev":7,"all":true,"targets":[
 			{"uid":"s-1","endpoint":"127.0.0.1:1","az":"site-b","model":"fast","pod_group":3,"state":"Ready","boot_ms":0}]}`,
-		`{"rev":8,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:2","az":"site-b","model":"fast","state":"Ready","boot_ms":1700000000000},
+		`{"rev":8,"all":false,"targets":[
+			{"uid":"s-1","endpoint":"127.0.0.1:2","az":"site-b","model":"fast","state":"Ready","boot_ms":1700000000000},
 			{"uid":"s-2","endpoint":"127.0.0.1:1","az":"elsewhere","model":"odd","state":"Ready"}]}`,
 		`{"rev":9,"targets":[{"uid":"s-3","endpoint":"nowhere","state":"Ready"},{"endpoint":"127.0.0.1:3","state":"Ready"},
 			{"uid":"s-1","endpoint":"127.0.0.1:2","az":"site-b","model":"fast","state":"Unheard"},{"uid":"s-2","state":"Gone"}]}`,
--- /dev/null
+++ b/internal/http1/chunked.go
@@ -0,0 +1,59 @@
+package http1
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+)
+
+// feedLine collects a line between chunks, or of the trailer, and handles it once it is complete.
+func (p *Parser) feedLine(b []byte) (int, error) {
+	newline := bytes.IndexByte(b, '\n')
+	n := newline + 1
+	if newline < 0 {
+		n = len(b)
+	}
+	p.pending = append(p.pending, b[:n]...)
+	if len(p.pending) > p.maxLine() {
+		return n, badf(StatusBadRequest, "line too long between chunks")
+	}
+	if newline < 0 {
+		return n, nil
+	}
+	line := strings.TrimSuffix(strings.TrimSuffix(string(p.pending), "\n"), "\r")
+	p.pending = p.pending[:0]
+	return n, p.handleLine(line)
+}
+
+func (p *Parser) maxLine() int {
+	if p.state == stateTrailer {
+		return maxTrailerLine
+	}
+	return maxChunkLine
+}
+
+func (p *Parser) handleLine(line string) error {
+	switch p.state {
+	case stateChunkEnd:
+		if line != "" {
+			return badf(StatusBadRequest, "chunk longer than its size")
+		}
+		p.state = stateChunkSize
+	case stateChunkSize:
+		digits, _, _ := strings.Cut(line, ";") // extensions follow
+		size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, lengthBits)
+		if err != nil {
+			return badf(StatusBadRequest, "malformed chunk size")
+		}
+		p.remaining = int(size)
+		p.state = stateChunk
+		if size == 0 {
+			p.state = stateTrailer
+		}
+	case stateTrailer:
+		if line == "" {
+			p.state = stateComplete
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/http1/framing.go
@@ -0,0 +1,71 @@
+package http1
+
+import (
+	"strconv"
+	"strings"
+)
+
+// lengthBits is the size that the length of a body or of a chunk must fit, without a sign.
+const lengthBits = 31
+
+// frame finds where the body of m ends. Two lengths, or a length beside chunks, are how requests are smuggled past
+// a peer that follows the other one: rejected, even where they agree.
+func (p *Parser) frame(m *Message) error {
+	lengths := m.Header["Content-Length"]
+	codings := m.Header["Transfer-Encoding"]
+	if len(lengths) > 1 || len(codings) > 1 || len(lengths) > 0 && len(codings) > 0 {
+		return badf(StatusBadRequest, "more than one length")
+	}
+	if p.Answers && m.Status < minFinalStatus {
+		return p.skipInterim()
+	}
+	switch {
+	case p.Answers && (m.Status == StatusNoContent || m.Status == StatusNotModified):
+		p.state = stateComplete
+	case len(codings) > 0:
+		if strings.ToLower(strings.TrimSpace(codings[0])) != "chunked" {
+			return badf(StatusNotImplemented, "unknown transfer coding")
+		}
+		p.state = stateChunkSize
+	case len(lengths) > 0:
+		if err := p.frameByLength(lengths[0]); err != nil {
+			return err
+		}
+	case p.Answers:
+		p.state = stateUntilClose
+		m.Close = true
+	default:
+		p.state = stateComplete
+	}
+	p.Message = m
+	p.pending = p.pending[:0]
+	p.continueReported = false
+	p.interim = 0
+	return nil
+}
+
+// skipInterim drops an interim response; the final one follows.
+func (p *Parser) skipInterim() error {
+	p.interim++
+	if p.interim > maxInterim {
+		return badf(StatusBadGateway, "more than %d interim answers", maxInterim)
+	}
+	p.reset()
+	return nil
+}
+
+func (p *Parser) frameByLength(length string) error {
+	n, err := strconv.ParseUint(length, 10, lengthBits)
+	if err != nil || strings.HasPrefix(length, "+") {
+		return badf(StatusBadRequest, "malformed length")
+	}
+	if n > MaxBody && !p.Stream {
+		return badf(StatusContentTooLarge, "body over %d bytes", MaxBody)
+	}
+	p.remaining = int(n)
+	p.state = stateBody
+	if n == 0 {
+		p.state = stateComplete
+	}
+	return nil
+}
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -1,323 +1,153 @@
-// Package http1 is HTTP/1.1 as a state machine: it is fed bytes and knows neither socket nor clock.
 package http1
 
-import (
-	"bufio"
-	"bytes"
-	"fmt"
-	"net/textproto"
-	"strconv"
-	"strings"
-)
-
-// Limits on what a peer may make us keep.
-const (
-	MaxHead, MaxBody  = 16 << 10, 64 << 10
-	maxLine, maxTrail = 256, 4 << 10 // of a chunk's size, and of what follows the last chunk
-	maxInterim        = 8            // answers of a peer that would never come to the real one
-)
-
-// Bad is a message that can't be read on; Status is what a server answers to it.
-type Bad struct {
-	Status int
-	Why    string
-}
-
-func (b *Bad) Error() string { return b.Why }
-
-func bad(status int, format string, args ...any) error {
-	return &Bad{status, fmt.Sprintf(format, args...)}
-}
-
-// Message is a request or an answer.
-type Message struct {
-	Method, Target string // of a request
-	Status         int    // of an answer
-	Header         textproto.MIMEHeader
-	Body           []byte
-	Close          bool // the connection ends with it
-}
+import "strings"
 
-// Step tells how far Feed has come.
+// Step is what Feed has come to.
 type Step uint8
 
 const (
-	More  Step = iota // all bytes are used up and the message goes on
-	Head              // its head is there (streams only)
-	Piece             // Parser.Piece is a part of its body (streams only)
-	Whole             // all of it has come
+	// More: all bytes are used and the message goes on.
+	More Step = iota
+	// Head: the head is complete; streams only.
+	Head
+	// Piece: Parser.Piece holds a part of the body; streams only.
+	Piece
+	// Whole: the message is complete.
+	Whole
 )
 
+// state is the part of a message that the next byte belongs to.
 type state uint8
 
 const (
-	inHead state = iota
-	inBody
-	inChunkSize
-	inChunk
-	inChunkEnd
-	inTrailer
-	toEnd // an answer's body that lasts until the connection ends
-	whole
+	stateHead state = iota
+	stateBody
+	stateChunkSize
+	stateChunk
+	stateChunkEnd // the line break behind the data of a chunk
+	stateTrailer
+	stateUntilClose // the body of a response that lasts until the connection ends
+	stateComplete
 )
 
-// Parser reads one message after the other. Answers: it reads answers, not requests. Stream: bodies are passed on
-// in pieces, for answers that never end.
+// Parser reads one message after the other from a stream of bytes. Its zero value reads requests.
 type Parser struct {
-	Answers, Stream bool
-	Message         *Message
-	Piece           []byte
-
-	state state
-	head  []byte
-	left  int
-	asked bool
-
-	interim int
+	// Answers has it read responses.
+	Answers bool
+	// Stream has it hand out bodies in pieces as they come, for responses without an end.
+	Stream bool
+	// Message is the last message whose head was complete.
+	Message *Message
+	// Piece is valid until the next call of Feed, and part of the bytes that were fed.
+	Piece []byte
+
+	state            state
+	pending          []byte // of the head, or of a line between chunks
+	remaining        int    // bytes of the body, or of the chunk, that are still to come
+	continueReported bool   // Expects has returned true for this message
+	interim          int    // interim responses since the last final one
 }
 
-// Started tells whether a message has begun and is not whole.
-func (p *Parser) Started() bool { return p.state != inHead || len(p.head) > 0 }
+// Started reports whether a message has begun and is not complete.
+func (p *Parser) Started() bool { return p.state != stateHead || len(p.pending) > 0 }
 
-// Expects tells, once a message, that its sender waits for leave before it sends the body.
+// Expects reports, once a message, that its sender waits for 100 Continue before it sends the body.
 func (p *Parser) Expects() bool {
-	if p.state != inBody && p.state != inChunkSize || p.asked ||
-		!strings.EqualFold(p.Message.Header.Get("Expect"), "100-continue") {
+	atBody := p.state == stateBody || p.state == stateChunkSize
+	if !atBody || p.continueReported || !strings.EqualFold(p.Message.Header.Get("Expect"), "100-continue") {
 		return false
 	}
-	p.asked = true
+	p.continueReported = true
 	return true
 }
 
-// Feed uses bytes up and says how many. After an error the connection is of no more use.
+// Feed consumes bytes up to the next step, and returns how many. Its errors are of type *Bad; after one the parser
+// is of no more use.
 func (p *Parser) Feed(b []byte) (used int, step Step, err error) {
 	for {
-		n, step, err := p.step(b[used:])
+		n, step, err := p.advance(b[used:])
 		used += n
-		if err != nil || step != More || used == len(b) && p.state != whole {
+		if err != nil || step != More || used == len(b) && p.state != stateComplete {
 			return used, step, err
 		}
 	}
 }
 
-func (p *Parser) step(b []byte) (n int, step Step, err error) {
-	switch p.state {
-	case inHead:
-		n, err := p.feedHead(b)
-		if err == nil && p.Stream && p.state != inHead {
-			step = Head
-		}
-		return n, step, err
-	case inBody, inChunk, toEnd:
-		n = len(b)
-		if p.state != toEnd {
-			n = min(n, p.left)
-			p.left -= n
-		}
-		if err := p.pass(b[:n]); err != nil {
-			return n, More, err
-		}
-		if p.left == 0 && p.state == inBody {
-			p.state = whole
-		} else if p.left == 0 && p.state == inChunk {
-			p.state = inChunkEnd
-		}
-		if p.Stream && n > 0 {
-			step = Piece
-		}
-		return n, step, nil
-	case inChunkSize, inChunkEnd, inTrailer:
-		return p.feedLine(b)
+// End is called when the connection has ended, and reports whether that completes the message.
+func (p *Parser) End() bool {
+	if p.state != stateUntilClose {
+		return false
 	}
-	p.state, p.head = inHead, nil
-	return 0, Whole, nil
+	p.reset()
+	return true
 }
 
-func (p *Parser) pass(b []byte) error {
-	if p.Stream {
-		p.Piece = b
-		return nil
-	}
-	if len(p.Message.Body)+len(b) > MaxBody {
-		return bad(413, "body over %d bytes", MaxBody)
-	}
-	if p.Message.Body == nil && p.state == inBody { // in one piece, and only once some of it has come
-		p.Message.Body = make([]byte, 0, len(b)+p.left)
-	}
-	p.Message.Body = append(p.Message.Body, b...)
-	return nil
+// reset makes the parser ready for the head of another message.
+func (p *Parser) reset() {
+	p.state = stateHead
+	p.pending = nil
 }
 
-// feedHead gathers bytes until the head is whole. Empty lines before a request are passed over, as is usual.
-func (p *Parser) feedHead(b []byte) (int, error) {
-	for n, c := range b {
-		if len(p.head) == 0 && (c == '\r' || c == '\n') {
-			continue
-		}
-		if c < ' ' && c != '\r' && c != '\n' && c != '\t' || c == 0x7f {
-			return n, bad(400, "control byte %#x in the head", c)
-		}
-		if len(p.head) == MaxHead {
-			return n, bad(431, "head over %d bytes", MaxHead)
-		}
-		if c != '\n' && bytes.HasSuffix(p.head, []byte("\r")) {
-			return n, bad(400, "bare carriage return in the head") // others may see a line's end there
-		}
-		if p.head = append(p.head, c); c == '\n' &&
-			(bytes.HasSuffix(p.head, []byte("\n\r\n")) || bytes.HasSuffix(p.head, []byte("\n\n"))) {
-			return n + 1, p.readHead()
+// advance consumes bytes that belong to one state.
+func (p *Parser) advance(b []byte) (n int, step Step, err error) {
+	switch p.state {
+	case stateHead:
+		n, err = p.feedHead(b)
+		if err == nil && p.Stream && p.state != stateHead {
+			step = Head
 		}
+		return n, step, err
+	case stateBody, stateChunk, stateUntilClose:
+		return p.feedBody(b)
+	case stateChunkSize, stateChunkEnd, stateTrailer:
+		n, err = p.feedLine(b)
+		return n, More, err
+	default:
+		p.reset()
+		return 0, Whole, nil
 	}
-	return len(b), nil
 }
 
-func (p *Parser) readHead() error {
-	for _, fold := range []string{"\n ", "\n\t"} { // a folded line hides a header from one side
-		if bytes.Contains(p.head, []byte(fold)) {
-			return bad(400, "folded line in the head")
-		}
-	}
-	r := textproto.NewReader(bufio.NewReader(bytes.NewReader(p.head)))
-	first, err := r.ReadLine()
-	if err != nil {
-		return bad(400, "no first line")
-	}
-	header, err := r.ReadMIMEHeader()
-	if err != nil {
-		return bad(400, "malformed header")
-	}
-	for name := range header {
-		if !Token(name) { // a length under a name with a blank behind it would be seen by one side alone
-			return bad(400, "malformed header")
-		}
+func (p *Parser) feedBody(b []byte) (n int, step Step, err error) {
+	n = len(b)
+	if p.state != stateUntilClose {
+		n = min(n, p.remaining)
+		p.remaining -= n
 	}
-	m := &Message{Header: header}
-	version := ""
-	if p.Answers {
-		rest := ""
-		version, rest, _ = strings.Cut(first, " ")
-		code, _, _ := strings.Cut(rest, " ")
-		if m.Status, err = strconv.Atoi(code); err != nil || len(code) != 3 || m.Status < 100 {
-			return bad(502, "malformed status line")
-		}
-	} else {
-		words := strings.Split(first, " ")
-		if len(words) != 3 || !Token(words[0]) || !strings.HasPrefix(words[1], "/") {
-			return bad(400, "malformed request line")
-		}
-		m.Method, m.Target, version = words[0], words[1], words[2]
+	if err := p.appendBody(b[:n]); err != nil {
+		return n, More, err
 	}
-	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return bad(505, "no HTTP/1.1")
-	}
-	keep := false
-	for _, line := range header["Connection"] {
-		for word := range strings.SplitSeq(line, ",") {
-			word = strings.ToLower(strings.TrimSpace(word))
-			m.Close, keep = m.Close || word == "close", keep || word == "keep-alive"
-		}
+	if p.remaining == 0 {
+		p.endBody()
 	}
-	m.Close = m.Close || version == "HTTP/1.0" && !keep
-	if version == "HTTP/1.0" && len(header["Transfer-Encoding"]) > 0 {
-		return bad(400, "chunks in HTTP/1.0") // others may not see them
+	if p.Stream && n > 0 {
+		step = Piece
 	}
-	return p.frame(m)
+	return n, step, nil
 }
 
-// Token tells whether a text may stand as one word in a head: no blank, no separator, nothing that ends a line.
-func Token(s string) bool {
-	for _, c := range s {
-		if !('A' <= c && c <= 'Z' || 'a' <= c && c <= 'z' || '0' <= c && c <= '9' ||
-			strings.ContainsRune("!#$%&'*+-.^_`|~", c)) {
-			return false
-		}
+// endBody moves on from the last byte of a body or chunk of known length.
+func (p *Parser) endBody() {
+	switch p.state {
+	case stateBody:
+		p.state = stateComplete
+	case stateChunk:
+		p.state = stateChunkEnd
 	}
-	return s != ""
 }
 
-// frame finds where the body ends. Two lengths, or a length beside chunks, are how requests are smuggled past a
-// peer that picks the other one: refused, even where they agree.
-func (p *Parser) frame(m *Message) error {
-	lengths, codings := m.Header["Content-Length"], m.Header["Transfer-Encoding"]
-	switch {
-	case len(lengths) > 1 || len(codings) > 1 || len(lengths) > 0 && len(codings) > 0:
-		return bad(400, "more than one length")
-	case p.Answers && m.Status < 200: // an interim answer: the real one follows
-		if p.interim++; p.interim > maxInterim {
-			return bad(502, "more than %d interim answers", maxInterim)
-		}
-		p.state, p.head = inHead, nil
+func (p *Parser) appendBody(b []byte) error {
+	if p.Stream {
+		p.Piece = b
 		return nil
-	case p.Answers && (m.Status == 204 || m.Status == 304):
-		p.state = whole
-	case len(codings) > 0:
-		if strings.ToLower(strings.TrimSpace(codings[0])) != "chunked" {
-			return bad(501, "unknown transfer coding")
-		}
-		p.state = inChunkSize
-	case len(lengths) > 0:
-		n, err := strconv.ParseUint(lengths[0], 10, 31)
-		if err != nil || strings.HasPrefix(lengths[0], "+") {
-			return bad(400, "malformed length")
-		}
-		if n > MaxBody && !p.Stream {
-			return bad(413, "body over %d bytes", MaxBody)
-		}
-		if p.left, p.state = int(n), inBody; n == 0 {
-			p.state = whole
-		}
-	case p.Answers:
-		p.state, m.Close = toEnd, true
-	default:
-		p.state = whole
 	}
-	p.Message, p.head, p.asked, p.interim = m, p.head[:0], false, 0
-	return nil
-}
-
-// feedLine reads the lines between chunks.
-func (p *Parser) feedLine(b []byte) (int, Step, error) {
-	end := bytes.IndexByte(b, '\n')
-	n := end + 1
-	if end < 0 {
-		n = len(b)
-	}
-	if p.head = append(p.head, b[:n]...); len(p.head) > maxLine && p.state != inTrailer || len(p.head) > maxTrail {
-		return n, More, bad(400, "line too long between chunks")
-	}
-	if end < 0 {
-		return n, More, nil
-	}
-	line := strings.TrimSuffix(strings.TrimSuffix(string(p.head), "\n"), "\r")
-	p.head = p.head[:0]
-	switch p.state {
-	case inChunkEnd:
-		if line != "" {
-			return n, More, bad(400, "chunk longer than its size")
-		}
-		p.state = inChunkSize
-	case inChunkSize:
-		digits, _, _ := strings.Cut(line, ";")
-		size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 31)
-		if err != nil {
-			return n, More, bad(400, "malformed chunk size")
-		}
-		if p.left, p.state = int(size), inChunk; size == 0 {
-			p.state = inTrailer
-		}
-	case inTrailer:
-		if line == "" {
-			p.state = whole
-		}
+	if len(p.Message.Body)+len(b) > MaxBody {
+		return badf(StatusContentTooLarge, "body over %d bytes", MaxBody)
 	}
-	return n, More, nil
-}
-
-// End says that the connection has ended, and tells whether the message became whole by that.
-func (p *Parser) End() bool {
-	if p.state != toEnd {
-		return false
+	if p.Message.Body == nil && p.state == stateBody {
+		// The whole length is known, but nothing is allocated for it before some of the body has come.
+		p.Message.Body = make([]byte, 0, len(b)+p.remaining)
 	}
-	p.state, p.head = inHead, nil
-	return true
+	p.Message.Body = append(p.Message.Body, b...)
+	return nil
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/parser_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// feed hands text over in pieces of a size and gives what was read, a line a step.
+// feed passes text to the parser in pieces of a size, and returns a line for each step.
 func feed(p *Parser, text string, size int) (lines []string) {
 	for b := []byte(text); len(b) > 0; {
 		piece := b[:min(size, len(b))]
@@ -40,7 +40,7 @@
 	}
 }
 
-// Requests come whole or a byte at a time, and a body may hold what looks like the end of one.
+// Requests are parsed alike whole and a byte at a time, also where a body holds what looks like the end of one.
 func Example_requests() {
 	text := "\r\nPOST /render/7f?x=1 HTTP/1.1\r\nHost: b\r\nContent-Length: 9\r\n\r\n0\r\n\r\nabcd" +
 		"GET /-/ready HTTP/1.1\r\nConnection: Keep-Alive, Close\r\n\r\n" +
@@ -56,8 +56,8 @@
 	// true
 }
 
-// Interim answers are passed over; one without a length lasts until its connection ends.
-func Example_answers() {
+// Interim responses are skipped; a response without a length lasts until its connection ends.
+func Example_responses() {
 	p := &Parser{Answers: true}
 	show(p, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"+
 		"HTTP/1.1 503\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno", 7)
@@ -77,7 +77,7 @@
 	// 200 "" close=false
 }
 
-// What others could read in another way is refused, and nothing may make us keep more than the limits.
+// What another parser could read differently is rejected, and no message makes the parser hold more than its limits.
 func Example_malformed() {
 	for _, text := range []string{
 		"POST /a HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
@@ -132,10 +132,11 @@
 	// 502: malformed status line
 }
 
-func Example_written() {
-	fmt.Printf("%q\n", Answer(503, nil, Field{"Retry-After", "0.5"}))
+// Messages are written with a Content-Length where one is due.
+func Example_write() {
+	fmt.Printf("%q\n", Answer(503, nil, Field{Name: "Retry-After", Value: "0.5"}))
 	fmt.Printf("%q\n", Answer(204, nil))
-	fmt.Printf("%q\n", Request("POST", "/a", "b", []byte("xy"), Field{"X-Call-Id", "9b"}))
+	fmt.Printf("%q\n", Request("POST", "/a", "b", []byte("xy"), Field{Name: "X-Call-Id", Value: "9b"}))
 	fmt.Printf("%q\n", Request("DELETE", "/jobs/9b", "b", nil))
 	// Output:
 	// "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n"
@@ -144,7 +145,7 @@
 	// "DELETE /jobs/9b HTTP/1.1\r\nHost: b\r\n\r\n"
 }
 
-// Whatever a peer sends and however it is cut up, the same is read, and bodies keep to their limit.
+// Whatever a peer sends is parsed alike however it is cut up, and bodies keep to their limit.
 func FuzzFeed(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET / HTTP/1.1\r\n\r\n", 3, false)
 	f.Add("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", 1, false)
@@ -161,8 +162,8 @@
 	})
 }
 
-// Every message cut in two at every byte is read as it is in one.
-func TestEverySplit(t *testing.T) {
+// Every message cut in two at any byte is parsed as in one.
+func TestEverySplitParsesAlike(t *testing.T) {
 	for _, v := range []struct {
 		text    string
 		answers bool
@@ -177,7 +178,7 @@
 		for cut := 1; cut < len(v.text); cut++ {
 			p := &Parser{Answers: v.answers}
 			parts := feed(p, v.text[:cut], cut)
-			if n := len(parts); n == 0 || !strings.Contains(parts[n-1], ": ") { // after an error nothing is fed any more
+			if n := len(parts); n == 0 || !strings.Contains(parts[n-1], ": ") { // after an error the parser is of no more use
 				parts = append(parts, feed(p, v.text[cut:], len(v.text))...)
 			}
 			if !slices.Equal(parts, whole) {
@@ -187,8 +188,9 @@
 	}
 }
 
-// Interim answers without end never come to the real one; a few are passed over, also before the next answer.
-func Example_interim() {
+// A few interim responses are skipped, also before the next response; more than that are rejected, as there might be
+// no end of them.
+func Example_interimResponses() {
 	feed := func(n int) {
 		p := Parser{Answers: true}
 		text := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", n) + "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
@@ -198,7 +200,8 @@
 				fmt.Println(n, err)
 				return
 			}
-			if rest = rest[used:]; step == Whole {
+			rest = rest[used:]
+			if step == Whole {
 				fmt.Println(n, p.Message.Status)
 			}
 		}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -1,45 +1,49 @@
 package http1
 
-import (
-	"strconv"
+import "strconv"
+
+// Typical lengths of heads, in bytes, for which buffers are allocated.
+const (
+	typicalResponseHead = 160
+	typicalRequestHead  = 240 // without the target
 )
 
-// Field is a header to write. Values come from heads that were read, or are our own: no line's end is in them.
+// Field is a header field to write. The value must not contain a line break: it comes from a head that was parsed,
+// or from this program.
 type Field struct {
 	Name  string `json:"Name"`
 	Value string `json:"Value"`
 }
 
-var reasons = map[int]string{200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found",
-	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
-
-// Answer writes an answer.
+// Answer returns a response as bytes. It has a Content-Length unless its status allows none.
 func Answer(status int, body []byte, fields ...Field) []byte {
-	b := append(make([]byte, 0, 160+len(body)), "HTTP/1.1 "...)
+	b := make([]byte, 0, typicalResponseHead+len(body))
+	b = append(b, version11...)
+	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(append(b, ' '), reasons[status]...)
+	b = append(b, ' ')
+	b = append(b, reasonPhrases[status]...)
 	b = append(b, "\r\n"...)
-	return finish(b, status != 204, body, fields)
+	return appendRest(b, fields, body, status != StatusNoContent)
 }
 
-// Request writes a request.
+// Request returns a request as bytes. It has a Content-Length if it has a body or is a POST.
 func Request(method, target, host string, body []byte, fields ...Field) []byte {
-	b := make([]byte, 0, 240+len(target)+len(body))
-	for _, part := range []string{method, " ", target, " HTTP/1.1\r\nHost: ", host, "\r\n"} {
+	b := make([]byte, 0, typicalRequestHead+len(target)+len(body))
+	for _, part := range []string{method, " ", target, " ", version11, "\r\nHost: ", host, "\r\n"} {
 		b = append(b, part...)
 	}
-	return finish(b, method == "POST" || len(body) > 0, body, fields)
+	return appendRest(b, fields, body, method == "POST" || len(body) > 0)
 }
 
-func finish(b []byte, length bool, body []byte, fields []Field) []byte {
+// appendRest appends what follows the start line and the fields of its own.
+func appendRest(b []byte, fields []Field, body []byte, withLength bool) []byte {
 	for _, f := range fields {
 		for _, part := range []string{f.Name, ": ", f.Value, "\r\n"} {
 			b = append(b, part...)
 		}
 	}
-	if length {
+	if withLength {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(body)), 10)
 		b = append(b, "\r\n"...)
