--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,66 +1,70 @@
-// Package ring holds the bytes of one direction of a connection.
+// Package ring provides a small ring buffer for the bytes of one direction of a connection.
 package ring
 
 import "sync"
 
-// Size is small, as a thousand connections may stand open in little memory; what is longer passes in turns.
+// Size is the capacity of a Buffer, in bytes. It is small, as thousands of connections may be open at once; longer
+// messages pass through it in turns.
 const Size = 4 << 10
 
+// pool holds stores that no Buffer uses, so that idle connections need none.
 var pool = sync.Pool{New: func() any { return new([Size]byte) }}
 
-// Buffer is a ring. The slices that Room and Bytes give never overlap, so that a goroutine may fill the one or
-// send the other while the owner works elsewhere in the ring; only the owner calls methods.
+// Buffer is a ring buffer, empty in its zero value. The slices that Room and Bytes return never overlap: one
+// goroutine may fill the one or send the other while the owner of the buffer works on the rest of it. Only the
+// owner calls methods.
 type Buffer struct {
-	store      *[Size]byte
-	from, size int
+	store  *[Size]byte // nil: none is needed yet, or it was given back
+	start  int         // index of the first byte held
+	length int         // bytes held
 }
 
-// Room is the next free run of bytes, empty when the ring is full.
+// Room returns the next contiguous run of free bytes, which is empty when the buffer is full.
 func (b *Buffer) Room() []byte {
 	if b.store == nil {
 		b.store = pool.Get().(*[Size]byte)
 	}
-	at := (b.from + b.size) % Size
-	return b.store[at : at+min(Size-at, Size-b.size)]
+	end := (b.start + b.length) % Size
+	return b.store[end : end+min(Size-end, Size-b.length)]
 }
 
-// Add takes in n bytes that were written to what Room gave.
-func (b *Buffer) Add(n int) { b.size += n }
+// Add appends the first n bytes of the slice that Room returned.
+func (b *Buffer) Add(n int) { b.length += n }
 
-// Bytes is the next run of bytes held, empty when there are none.
+// Bytes returns the next contiguous run of bytes held, which is empty when there are none.
 func (b *Buffer) Bytes() []byte {
 	if b.store == nil {
 		return nil
 	}
-	return b.store[b.from : b.from+min(Size-b.from, b.size)]
+	return b.store[b.start : b.start+min(Size-b.start, b.length)]
 }
 
-// Drop lets n bytes of what Bytes gave go.
+// Drop discards the first n bytes of the slice that Bytes returned.
 func (b *Buffer) Drop(n int) {
-	b.size -= n
-	b.from = (b.from + n) % Size
+	b.length -= n
+	b.start = (b.start + n) % Size
 }
 
-// Empty tells that the ring holds no store yet, or none any more.
+// Empty reports whether the buffer has no store; one that has may still hold no bytes.
 func (b *Buffer) Empty() bool { return b.store == nil }
 
-// Len counts the bytes held.
-func (b *Buffer) Len() int { return b.size }
+// Len returns the number of bytes held.
+func (b *Buffer) Len() int { return b.length }
 
-// Write copies in what there is room for and says how much that was.
+// Write copies as much of p as fits and returns how many bytes that is.
 func (b *Buffer) Write(p []byte) (n int) {
 	for n < len(p) {
-		c := copy(b.Room(), p[n:])
-		if c == 0 {
+		copied := copy(b.Room(), p[n:])
+		if copied == 0 {
 			break
 		}
-		b.Add(c)
-		n += c
+		b.Add(copied)
+		n += copied
 	}
 	return n
 }
 
-// Free gives the store back; no goroutine may still use a slice of it.
+// Free discards all bytes and gives the store back; no goroutine may still use a slice of it.
 func (b *Buffer) Free() {
 	if b.store != nil {
 		pool.Put(b.store)
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// The ring goes round: what is taken in at its end goes on at its beginning, in order.
-func Example_round() {
+// Bytes that are written past the end of the store go on at its beginning, in order.
+func Example_wrapsAround() {
 	var b Buffer
 	text := bytes.Repeat([]byte("0123456789"), Size/5)
 	fmt.Println("empty:", len(b.Bytes()), "of", len(text), "written:", b.Write(text), "room:", len(b.Room()))
@@ -26,8 +26,8 @@
 	// "345" "abcdef" after: 0
 }
 
-// A goroutine may fill Room while the owner reads Bytes: the two never share a byte.
-func Example_apart() {
+// A goroutine may fill Room while the owner reads Bytes: the two never overlap.
+func Example_disjoint() {
 	var b Buffer
 	b.Write([]byte("held"))
 	copy(b.Room(), "XXXX")
