--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -1,7 +1,7 @@
 package discovery
 
 // valueScanner collects one JSON object after the other from a byte stream that is cut anywhere. An object may
-// stand on one line or span many. The scanner finds its end only; whether it is valid is for the decoder.
+// be on one line or span many. The scanner finds its end only; whether it is valid is for the decoder.
 type valueScanner struct {
 	text     []byte // of the present value; the caller empties it after scanComplete
 	depth    int    // of nested objects and arrays
--- a/internal/discovery/starts.go
+++ b/internal/discovery/starts.go
@@ -6,7 +6,7 @@
 // wall clock. Less is drift, or a delay between reading the one and the other.
 const minClockStep = 200 * time.Millisecond
 
-// startTimes converts the start times of workers, which are told by the wall clock, to the loop's monotonic
+// startTimes converts the start times of workers, which are reported by the wall clock, to the loop's monotonic
 // clock. The wall clock may have been stepped since a start: forward, and a worker that warms up would look
 // warm; back, and a start would lie in the future or before an earlier one. So a start is converted once, when
 // it is first reported, and bounded by what the loop's clock knows: it is not in the future, and one that is new
@@ -36,7 +36,7 @@
 	}
 }
 
-// observeClocks notes whether the wall clock has been stepped since the last call, and returns the loop's time.
+// observeClocks records whether the wall clock has been stepped since the last call, and returns the loop's time.
 func (s *startTimes) observeClocks() (now time.Duration) {
 	now = s.clock()
 	epoch := s.wallClock().Round(0).Add(-now)
@@ -48,7 +48,7 @@
 	return now
 }
 
-// recordReceived notes that a watch has received a list or a keep-alive.
+// recordReceived records that a watch has received a list or a keep-alive.
 func (s *startTimes) recordReceived() { s.receivedAt = s.observeClocks() }
 
 // startedAt returns the start of a worker by the loop's clock.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,7 +14,7 @@
 	"stoatweir/dispatch"
 )
 
-// Values stand on one line or span many, cut anywhere; what is no object ends with its line.
+// Values are on one line or span many, cut anywhere; what is no object ends with its line.
 func Example_valueScanner() {
 	const text = "\n{\"a\":\"}{\\\"\\\\\",\"b\":[1,{}]}\n\n{\n  \"c\": [\n    {\"d\": 1}\n  ]\n}\r\n oh\n{}{}"
 	read := func(pieces ...string) string {
--- a/internal/gossip/encode.go
+++ b/internal/gossip/encode.go
@@ -5,7 +5,7 @@
 // version is the first byte of each datagram.
 const version = 1
 
-// Where the fields of a header stand, in bytes from the start of a datagram. Numbers are big-endian.
+// Offsets of the header fields, in bytes from the start of a datagram. Numbers are big-endian.
 const (
 	senderOffset   = 1                  // uint16, behind the version
 	epochOffset    = senderOffset + 2   // uint64
@@ -13,7 +13,7 @@
 	headerBytes    = sequenceOffset + 4 // the entries follow
 )
 
-// header says who sent a datagram, and where it stands among all that this sender has sent.
+// header says who sent a datagram, and its place among all that this sender has sent.
 type header struct {
 	sender   uint16 // number of the scheduler
 	epoch    uint64 // start of the sender by its wall clock, ns since 1970
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -13,17 +13,18 @@
 
 const (
 	// queuePerScheduler is how many datagrams may wait for each scheduler, each way. More are dropped, as late
-	// news of attempts is worth nothing. One to all schedulers, and one from each of them, always fit.
+	// reports of attempts are worthless. One to all schedulers, and one from each of them, always fit.
 	queuePerScheduler = 4
 	// minQueue is the least number of datagrams that may wait, each way.
 	minQueue = 256
 	// bindRetryInterval is the time between attempts to bind: after a restart another process may still hold the
 	// address. Until then nothing is sent or received, and nothing waits for it.
 	bindRetryInterval = time.Second
-	// Broadcast as the receiver of Send stands for all other schedulers.
-	Broadcast = -1
 )
 
+// Broadcast as the receiver of Send means all other schedulers.
+const Broadcast = -1
+
 // Transport is one scheduler's socket for messages to and from the others. Send and OnReceive belong to the
 // goroutine of the loop.
 type Transport struct {
@@ -50,7 +51,8 @@
 }
 
 // Open returns a transport that begins to listen at addrs[self], and retries while that address is in use; failed
-// is called once, in another goroutine, if the first attempt fails. started tells starts of this scheduler apart.
+// is called once, in another goroutine, if the first attempt fails. started is the time by the wall clock, by which
+// others recognise a restart.
 func Open(loop *conn.Loop, addrs []netip.AddrPort, self int, started time.Time, failed func(error)) *Transport {
 	t := newTransport(loop, addrs, self, uint64(started.UnixNano()))
 	go t.serve(failed)
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,6 +1,6 @@
 package http1
 
-// Status codes that are sent or told apart, as registered with IANA.
+// Status codes that are sent or distinguished, as registered with IANA.
 const (
 	StatusOK                   = 200
 	StatusNoContent            = 204
