--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -34,7 +34,7 @@
 func (w *Watcher) candidateFailed(cause error) {
 	w.candidateAttempts++
 	if w.candidateAttempts == 1 {
-		w.OnFailure("the new address: " + cause.Error())
+		w.OnFailure("new address: " + cause.Error())
 	}
 	backoff := min(candidateBackoffBase<<min(w.candidateAttempts, maxCandidateShift), candidateBackoffMax)
 	w.candidateTimer = w.loop.After(w.jitter(backoff/2, backoff), w.dialCandidate)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -21,9 +21,9 @@
 
 // Causes for which a watch fails, beside those of the connection, the parser and the decoder.
 var (
-	errTimedOut      = errors.New("it is silent")
-	errResponseEnded = errors.New("the answer has ended")
-	errListTooLong   = errors.New("a list is too long")
+	errTimedOut      = errors.New("timed out")
+	errResponseEnded = errors.New("response ended")
+	errListTooLong   = errors.New("list too long")
 )
 
 // watch is one request whose response stays open.
@@ -80,7 +80,7 @@
 // Disconnected fails the watch.
 func (w *watch) Disconnected(c *conn.Conn, reason conn.CloseReason) {
 	if c == w.conn {
-		w.watcher.watchFailed(w, fmt.Errorf("the connection has ended: %v", reason))
+		w.watcher.watchFailed(w, fmt.Errorf("connection ended: %v", reason))
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 	owner.startTimes.recordReceived() // after Parse, which bounds new starts by what was received before
 	if w != owner.candidate && update.Kind == dispatch.DeltaUpdate && owner.revision < before {
-		return fmt.Errorf("changes go back from version %d to %d", before, owner.revision)
+		return fmt.Errorf("revision went back from %d to %d", before, owner.revision)
 	}
 	owner.watchReceived(w, update)
 	return nil
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -101,7 +101,7 @@
 			loop.After(2*idleTimeout, loop.Stop)
 			w.Watch()
 			loop.Run(func() {})
-			if took := time.Since(began); why != "it is silent" || took > idleTimeout+connectTimeout {
+			if took := time.Since(began); why != "timed out" || took > idleTimeout+connectTimeout {
 				t.Error(why, "after", took)
 			}
 		})
@@ -151,9 +151,9 @@
 	fmt.Println("timed out twice, and the next has the full timeout:", !w.lastTimedOut, idleTimeout > reconnectTimeout)
 	// Output:
 	// update 2:
-	// failed: it is silent
+	// failed: timed out
 	// update 0:
-	// failed: it is silent
+	// failed: timed out
 	// update 0:
 	// update 2:
 	// in time: true
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -107,11 +107,11 @@
 	// GET /api/targets?stream=1&index=0 HTTP/1.1
 	// update 2:
 	// update 1:
-	// failed: the answer has ended
+	// failed: response ended
 	// update 0:
 	// GET /api/targets?stream=1&index=5 HTTP/1.1
 	// update 1:
-	// failed: the answer has ended
+	// failed: response ended
 	// update 0:
 	// GET /api/targets?stream=1&index=5 HTTP/1.1
 	// failed: invalid character 'o' looking for beginning of object key string
@@ -147,11 +147,11 @@
 	// Output:
 	// discovery receives: GET /api/targets?stream=1&index=0 HTTP/1.1
 	// update 2:
-	// failed: changes go back from version 9 to 4
+	// failed: revision went back from 9 to 4
 	// update 0:
 	// discovery receives: GET /api/targets?stream=1&index=0 HTTP/1.1
 	// update 2:
-	// failed: changes go back from version 9 to 4
+	// failed: revision went back from 9 to 4
 	// update 0:
 }
 
@@ -170,7 +170,7 @@
 	took := time.Since(began)
 	fmt.Println(took > firstListTimeout, took < firstListTimeout+connectTimeout, idleTimeout < 6*time.Second-2*connectTimeout)
 	// Output:
-	// failed: it is silent
+	// failed: timed out
 	// update 0:
 	// true true true
 }
@@ -250,13 +250,13 @@
 	// Output:
 	// first receives: GET /api/targets?stream=1&index=0 HTTP/1.1
 	// update 2: [s-1 127.0.0.1:1 zone 2 kind 1 cell 0 state 1 restarted false]
-	// failed: the new address: the connection has ended: refused
+	// failed: new address: connection ended: refused
 	// changing: false
-	// failed: the new address: the connection has ended: refused
+	// failed: new address: connection ended: refused
 	// changing: true updates: 1
 	// second receives: GET /api/targets?stream=1&index=0 HTTP/1.1
 	// update 2: [s-2 [::ffff:127.0.0.1%s-2]:1 zone 2 kind 1 cell 0 state 1 restarted false]
 	// changing: false revision: 7
-	// failed: the connection has ended: closed
+	// failed: connection ended: closed
 	// update 0:
 }
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -48,7 +48,7 @@
 func (p *Parser) skipInterim() error {
 	p.interim++
 	if p.interim > maxInterim {
-		return badf(StatusBadGateway, "more than %d interim answers", maxInterim)
+		return badf(StatusBadGateway, "more than %d interim responses", maxInterim)
 	}
 	p.reset()
 	return nil
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -211,5 +211,5 @@
 	// Output:
 	// 8 202
 	// 8 202
-	// 9 more than 8 interim answers
+	// 9 more than 8 interim responses
 }
