--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -210,6 +210,8 @@
 		}
 		w.Watch()
 		loop.Run(func() {})
+		mu.Lock()
+		defer mu.Unlock()
 		if receivedAt != responseTime || mostOpen > 2 || open != 0 || w.overdue != nil {
 			t.Errorf("the list came after %v, %d requests at once at most, %d in all, %d left", receivedAt, mostOpen, total, open)
 		}
