--- /dev/null
+++ b/internal/workers/callback_test.go
@@ -0,0 +1,163 @@
+package workers
+
+import (
+	"fmt"
+
+	"stoatweir/dispatch"
+)
+
+// A 202 frees the connection and ends nothing; a callback does, once, and only from the worker that
+// has the attempt.
+func Example_callbacks() {
+	f := newFixture(acceptedResponse, acceptedResponse)
+	f.Forward(f.newInvocation(1), 0, f.id)
+	f.runUntil(1, 1)
+	f.callBack("id1", "started")
+	f.HandleCallback(Callback{ID: "id1", From: workerUID, State: "running", Share: 0.4})
+	f.HandleCallback(Callback{ID: "id1", From: "s-2", State: "done", Result: new("another's")})
+	f.callBack("id9", "failed")
+	f.callBack("id1", "unheard")
+	f.HandleCallback(Callback{ID: "id1", From: workerUID, State: "done", Result: new("fine")})
+	f.HandleCallback(Callback{ID: "id1", From: workerUID, State: "done", Result: new("again")})
+	f.runUntil(3, 0)
+	f.Forward(f.newInvocation(2), 0, f.id)
+	f.runUntil(1, 1)
+	f.callBack("id2", "returned")
+	f.runUntil(1, 0)
+	fmt.Println("callbacks:", f.Counts.News, "strange:", f.Counts.Strange,
+		"dialled:", f.Counts.Dialled, "in flight:", f.InFlight())
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// inv 1 attempt 0: accepted=false started=true done=0
+	// inv 1 attempt 0: accepted=false started=false done=0.4
+	// to the client: 1 fine
+	// inv 1 attempt 0 ends: 0 closed=true load=false
+	// connection 1: POST /render/7f HTTP/1.1 id2 body
+	// inv 2 attempt 0: accepted=true started=false done=0
+	// inv 2 attempt 0 ends: 2 closed=false load=false
+	// callbacks: 8 strange: 4 dialled: 1 in flight: 0
+}
+
+// A callback may come before the 202, and one that ends the attempt ends it though the response is
+// still to come.
+func Example_callbackBeforeResponse() {
+	f := newFixture("", acceptedResponse)
+	f.Forward(f.newInvocation(1), 0, f.id)
+	f.runUntil(0, 1)
+	f.callBack("id1", "lost")
+	f.runUntil(1, 1) // the connection whose response does not come is closed
+	f.Forward(f.newInvocation(2), 0, f.id)
+	f.runUntil(1, 1)
+	f.callBack("id2", "done")
+	f.runUntil(1, 0)
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// connection 1 ends
+	// inv 1 attempt 0 ends: 5 closed=false load=false
+	// connection 2: POST /render/7f HTTP/1.1 id2 body
+	// inv 2 attempt 0: accepted=true started=false done=0
+	// inv 2 attempt 0 ends: 1 closed=false load=false
+}
+
+// A callback of an earlier attempt at the same worker is repeated while a connection for the next
+// attempt comes up. It ends nothing of which no byte has been written; a result counts all the
+// same, and then nothing is written.
+func Example_callbackOfEarlierAttempt() {
+	first := func(f *fixture, inv *Invocation) {
+		f.Forward(inv, 0, f.id)
+		f.runUntil(1, 1)
+		f.callBack(inv.ID, "returned")
+		f.worker().closeIdle()
+		f.runUntil(1, 1)
+		f.Forward(inv, 1, f.id)
+	}
+	f := newFixture(acceptedResponse, acceptedResponse)
+	first(f, f.newInvocation(1))
+	for _, state := range []string{"started", "returned", "failed", "lost"} {
+		f.callBack("id1", state)
+	}
+	f.runUntil(1, 1)
+	fmt.Println("in flight:", f.InFlight(), "strange:", f.Counts.Strange)
+	f = newFixture(acceptedResponse)
+	first(f, f.newInvocation(2))
+	f.HandleCallback(Callback{ID: "id2", From: workerUID, State: "done", Result: new("fine")})
+	f.runUntil(1, 0)
+	f.runUntilTrue("no connection", func() bool { return f.quota.Used() == 0 })
+	fmt.Println("in flight:", f.InFlight(), "idle:", len(f.worker().idle))
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// connection 1 ends
+	// inv 1 attempt 0 ends: 2 closed=false load=false
+	// connection 2: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 1: accepted=true started=false done=0
+	// in flight: 1 strange: 4
+	// connection 1: POST /render/7f HTTP/1.1 id2 body
+	// inv 2 attempt 0: accepted=true started=false done=0
+	// connection 1 ends
+	// inv 2 attempt 0 ends: 2 closed=false load=false
+	// to the client: 2 fine
+	// inv 2 attempt 1 ends: 0 closed=true load=false
+	// in flight: 0 idle: 0
+}
+
+// What its worker has started may have run, whatever the worker or the connection reports later.
+func Example_startedBeforeRejection() {
+	f := newFixture(acceptedResponse, "", "")
+	f.Forward(f.newInvocation(1), 0, f.id)
+	f.runUntil(1, 1)
+	f.callBack("id1", "started")
+	f.callBack("id1", "returned")
+	f.runUntil(2, 0)
+	f.Forward(f.newInvocation(2), 0, f.id) // the callback comes before the response
+	f.runUntil(0, 1)
+	f.HandleCallback(Callback{ID: "id2", From: workerUID, State: "running", Share: 0.1})
+	f.writeFromWorker(1, rejectedResponse)
+	f.runUntil(2, 0)
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// inv 1 attempt 0: accepted=false started=true done=0
+	// inv 1 attempt 0 ends: 5 closed=false load=false
+	// connection 1: POST /render/7f HTTP/1.1 id2 body
+	// inv 2 attempt 0: accepted=false started=false done=0.1
+	// inv 2 attempt 0 ends: 5 closed=false load=true
+}
+
+// A worker that has returned work, has received it again and reports once more that it returns it
+// may mean the first attempt. Non-idempotent work is not free to go on then, and deduplicated work
+// keeps its group and window.
+func Example_returnedTwice() {
+	for _, effect := range []dispatch.Effect{dispatch.Idempotent, dispatch.Deduplicated, dispatch.NonIdempotent} {
+		f := newFixture(acceptedResponse, acceptedResponse)
+		inv := f.newInvocation(1)
+		inv.Effect = effect
+		for number := range 2 {
+			f.Forward(inv, number, f.id)
+			f.runUntil(1, 1)
+			f.worker().idle[0].idleSince -= strayResponseWindow
+			f.callBack("id1", "returned")
+			f.runUntil(1, 0)
+		}
+	}
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// inv 1 attempt 0 ends: 2 closed=false load=false
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 1: accepted=true started=false done=0
+	// inv 1 attempt 1 ends: 2 closed=false load=false
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// inv 1 attempt 0 ends: 2 closed=false load=false
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 1: accepted=true started=false done=0
+	// inv 1 attempt 1 ends: 5 closed=false load=false
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// inv 1 attempt 0 ends: 2 closed=false load=false
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 1: accepted=true started=false done=0
+	// inv 1 attempt 1 ends: 5 closed=false load=false
+}
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -8,198 +8,238 @@
 	"stoatweir/internal/http1"
 )
 
-// connection is one to a worker; it is kept in the pool between its requests, and carries one at a time.
+// earlyResponseTimeout is how long a response waits for the notice that its request has been
+// written whole.
+const earlyResponseTimeout = 50 * time.Millisecond
+
+// connection is one to a worker. It carries one request at a time and rests in the worker's pool
+// between them. It implements conn.Handler.
 type connection struct {
-	fleet       *Transport
-	worker      *worker
-	endpoint    string // where it leads: a worker may move while it comes up
-	socket      *conn.Conn
-	parser      http1.Parser
-	exchange    *exchange      // nil: idle
-	earlyAnswer *http1.Message // its answer, which came before all of the request had gone out
-	expiry      *conn.Timer    // of an idle one, or of waiting for that
-	reused      bool           // it has carried an answer before
-	parked      time.Duration  // when it was last put by
-}
-
-// send is the one way by which requests go to workers. False: nothing was written, and done has been called.
-func (c *connection) send() bool {
+	transport     *Transport
+	worker        *worker
+	address       string // that was dialled: a worker may move while the connection comes up
+	socket        *conn.Conn
+	parser        http1.Parser
+	exchange      *exchange      // that it carries, or is dialled for; nil: idle
+	earlyResponse *http1.Message // that came before the whole request had been written
+	timer         *conn.Timer    // ends an idle connection, or the wait for the end of a write
+	reused        bool           // it has been in the pool
+	idleSince     time.Duration  // when it was last put into the pool, by the loop's clock
+}
+
+// attach gives the connection an exchange to carry.
+func (c *connection) attach(x *exchange) {
+	c.exchange = x
+	x.connection = c
+}
+
+// detach takes its exchange from the connection.
+func (c *connection) detach() *exchange {
+	x := c.exchange
+	c.exchange = nil
+	x.connection = nil
+	return x
+}
+
+// sendRequest writes the request of the connection's exchange; no request goes to a worker in
+// another way. False: nothing was written, and onDone has been called.
+func (c *connection) sendRequest() bool {
 	x := c.exchange
-	if c.endpoint != c.worker.endpoint { // who listens there now may be another
-		c.finish(nil, conn.WorkerUnavailable)
+	if c.address != c.worker.address { // another worker may listen there now
+		c.complete(nil, conn.WorkerUnavailable)
 		c.socket.Close()
 		return false
 	}
-	switch why := c.socket.Send(x.request()); why {
+	reason := c.socket.Send(x.buildRequest())
+	switch reason {
 	case conn.Open:
 	case conn.NotWritten:
-		return c.replace()
+		return c.retryOnAnother()
 	default:
-		c.finish(nil, why)
-		c.park()
+		c.complete(nil, reason)
+		c.putIdle()
 		return false
 	}
-	if x.onBegun != nil {
-		x.onBegun()
+	if x.onFirstByte != nil {
+		x.onFirstByte()
 	}
 	if c.socket.Unsent() == 0 {
-		x.written()
+		x.notifyWritten()
 	}
 	return true
 }
 
-// replace passes the exchange on to another connection, as this one has ended, or something unasked has come over it, since it was
-// put into the pool. One that has just come up is not replaced: the worker is at fault.
-func (c *connection) replace() bool {
-	x := c.exchange
+// retryOnAnother passes the exchange on to another connection, as this one has ended since it was
+// put into the pool, or has received something unasked. One that has just come up is not replaced:
+// the worker is at fault.
+func (c *connection) retryOnAnother() bool {
 	if !c.reused {
-		c.finish(nil, conn.NotWritten)
+		c.complete(nil, conn.NotWritten)
 		c.socket.Close()
 		return false
 	}
-	c.exchange, x.connection = nil, nil
+	x := c.detach()
 	c.socket.Close()
-	return c.fleet.send(c.worker, x)
+	return c.transport.startExchange(c.worker, x)
 }
 
-// finish ends the exchange, with its answer if there is one.
-func (c *connection) finish(m *http1.Message, e conn.CloseReason) {
-	x := c.exchange
-	c.exchange, x.connection = nil, nil
-	x.limit.Stop()
-	x.settle()
-	if m != nil || e.Written() {
-		x.written()
+// complete ends the exchange with its response, or with the reason why there is none.
+func (c *connection) complete(m *http1.Message, reason conn.CloseReason) {
+	x := c.detach()
+	x.timeout.Stop()
+	x.releaseDials()
+	if m != nil || reason.Written() {
+		x.notifyWritten()
 	}
-	x.done(m, e)
+	x.onDone(m, reason)
 }
 
-// abandon closes the connection; its exchange hears nothing more.
-func (c *connection) abandon() {
+// abort closes the connection; its exchange is notified of nothing more.
+func (c *connection) abort() {
 	if c.exchange != nil {
-		c.exchange.limit.Stop()
-		c.exchange.connection = nil
+		x := c.detach()
+		x.timeout.Stop()
 	}
-	c.exchange, c.earlyAnswer = nil, nil
-	c.expiry.Stop()
+	c.earlyResponse = nil
+	c.timer.Stop()
 	c.socket.Close()
 }
 
-// Up sends what the connection was opened for, unless another one has it by now.
+// Connected sends the request for which the connection was dialled, unless another one has carried
+// it by now.
 func (c *connection) Connected(*conn.Conn) {
 	x := c.exchange
 	switch {
 	case x != nil:
-		x.settle()
-		c.exchange, x.connection = x, c
-		c.send()
-	case c.endpoint != c.worker.endpoint || c.worker.entry.State == dispatch.Gone:
+		x.releaseDials() // this one too
+		c.attach(x)
+		c.sendRequest()
+	case c.address != c.worker.address || c.worker.endpoint.State == dispatch.Gone:
 		c.socket.Close()
 	default:
-		c.park()
+		c.putIdle()
 	}
 }
 
-// Sent lets an answer that came first take effect.
+// Flushed applies a response that came before the whole request had been written.
 func (c *connection) Flushed(*conn.Conn) {
-	c.exchange.written()
-	if c.earlyAnswer != nil {
-		c.park()
-		c.finishEarly()
+	c.exchange.notifyWritten()
+	if c.earlyResponse != nil {
+		c.putIdle()
+		c.completeEarly()
 	}
 }
 
-// finishEarly lets an answer take effect that came before its request had gone out.
-func (c *connection) finishEarly() {
-	m := c.earlyAnswer
-	c.earlyAnswer = nil
-	c.finish(m, conn.Open)
+// completeEarly ends the exchange with its early response.
+func (c *connection) completeEarly() {
+	m := c.earlyResponse
+	c.earlyResponse = nil
+	c.complete(m, conn.Open)
 }
 
-// stopWaiting ends the wait for the word that the request has gone out, however it ends: the alarm must not ring after it.
-func (c *connection) stopWaiting() {
-	c.expiry.Stop()
-	c.finishEarly()
+// completeEarlyAndClose ends the wait for the end of the write. The timer is stopped, as it must
+// not fire afterwards.
+func (c *connection) completeEarlyAndClose() {
+	c.timer.Stop()
+	c.completeEarly()
 	c.socket.Close()
 }
 
-// Read takes an answer in.
+// DataReceived parses the response.
 func (c *connection) DataReceived(nc *conn.Conn) {
 	for nc.In.Len() > 0 {
-		n, step, err := c.parser.Feed(nc.In.Bytes())
-		nc.In.Drop(n)
-		if c.earlyAnswer != nil {
-			c.stopWaiting()
+		used, step, err := c.parser.Feed(nc.In.Bytes())
+		nc.In.Drop(used)
+		if c.earlyResponse != nil {
+			c.completeEarlyAndClose()
 			return
 		}
 		if c.exchange == nil || err != nil {
-			// An answer to nothing, or one that can't be read: what comes next could be taken for the answer to
-			// something else.
-			c.close(conn.Malformed)
+			// A response to nothing, or one that can't be read: what follows could be taken for the
+			// response to another request.
+			c.closeWith(conn.Malformed)
 			return
 		}
-		if step != http1.Whole {
-			continue
-		}
-		switch m := c.parser.Message; {
-		case m.Close || nc.In.Len() > 0:
-			c.finish(m, conn.Open)
-			nc.Close()
-		case nc.Unsent() > 0 && c.exchange.needsProof:
-			// It proves nothing of a request that is still on its way, as its last byte may come behind it. That never goes out now.
-			nc.Break()
-		case nc.Unsent() > 0:
-			// The answer has overtaken the word that the request has gone out, which is waited for before the
-			// connection is used again; or the worker has answered without reading on.
-			c.earlyAnswer, c.expiry = m, c.fleet.loop.After(earlyMost, c.stopWaiting)
-		default:
-			c.park()
-			c.finish(m, conn.Open)
+		if step == http1.Whole {
+			c.handleResponse(nc, c.parser.Message)
+			return
 		}
-		return
 	}
 }
 
-// close ends the connection ourselves, for a reason that its exchange hears.
-func (c *connection) close(e conn.CloseReason) {
+// handleResponse ends the exchange with its response as far as its request has been written.
+func (c *connection) handleResponse(nc *conn.Conn, m *http1.Message) {
+	switch {
+	case m.Close || nc.In.Len() > 0:
+		c.complete(m, conn.Open)
+		nc.Close()
+	case nc.Unsent() > 0 && c.exchange.needsProofNotRun:
+		// It proves nothing of a request that is still being written, as the last byte may follow.
+		// Now that is never written.
+		nc.Break()
+	case nc.Unsent() > 0:
+		// The response has overtaken the notice that the request is written, which is awaited
+		// before the connection is used again; or the worker has answered without reading on.
+		c.earlyResponse = m
+		c.timer = c.transport.loop.After(earlyResponseTimeout, c.completeEarlyAndClose)
+	default:
+		c.putIdle()
+		c.complete(m, conn.Open)
+	}
+}
+
+// closeWith closes the connection for a reason of ours, which its exchange receives.
+func (c *connection) closeWith(reason conn.CloseReason) {
 	c.socket.Close()
-	c.ended(e)
-}
-
-// ended tells what the end of the connection means for its exchange, and for how long others are kept.
-func (c *connection) ended(e conn.CloseReason) {
-	f := c.fleet
-	if c.reused && !c.parser.Started() && (e == conn.Closed || c.exchange != nil && e == conn.Reset) {
-		// Whoever ends kept connections, the workers or the network, ends others too: those that stand as long go. A
-		// reset with nothing asked is a worker's death.
-		f.shortenIdleTime(f.loop.Now() - c.parked)
-		if c.exchange != nil {
-			e = conn.Stale
-		}
+	c.handleClose(reason)
+}
+
+// Disconnected ends the exchange. A response without a length ends with its connection.
+func (c *connection) Disconnected(_ *conn.Conn, reason conn.CloseReason) {
+	if c.earlyResponse != nil {
+		c.completeEarlyAndClose()
+		return
 	}
-	if e == conn.Closed && c.parser.Started() {
-		e = conn.Reset // an answer that breaks off: no word on the request
+	if c.exchange != nil && reason == conn.Closed && c.parser.End() {
+		c.complete(c.parser.Message, conn.Open)
+		return
 	}
+	c.handleClose(reason)
+}
+
+// handleClose ends the exchange of a connection that has ended, unless another connection is
+// dialled for it.
+func (c *connection) handleClose(reason conn.CloseReason) {
+	reason = c.learnFromClose(reason)
 	x := c.exchange
 	switch {
 	case x == nil:
-		c.worker.remove(c)
-	case x.connection == nil && f.anotherDial(c, e):
+		c.worker.removeIdle(c)
+	case x.connection == nil && c.transport.anotherDial(c, reason):
 		c.exchange = nil
 	default:
-		c.finish(nil, e)
+		c.complete(nil, reason)
 	}
 }
 
-// Down ends what was asked. An answer without a length ends with its connection.
-func (c *connection) Disconnected(_ *conn.Conn, e conn.CloseReason) {
-	if c.earlyAnswer != nil {
-		c.stopWaiting()
-		return
+// learnFromClose returns the reason as it concerns the exchange, and shortens the time for which
+// connections rest in the pool if this one was closed there.
+func (c *connection) learnFromClose(reason conn.CloseReason) conn.CloseReason {
+	if c.parser.Started() {
+		if reason == conn.Closed {
+			return conn.Reset // a truncated response says nothing about the request
+		}
+		return reason
 	}
-	if c.exchange != nil && e == conn.Closed && c.parser.End() {
-		c.finish(c.parser.Message, conn.Open)
-		return
+	// Whoever ends idle connections, the workers or the network, ends others too: those that have
+	// rested as long. A reset with no request sent is a worker's death.
+	closedInPool := reason == conn.Closed || reason == conn.Reset && c.exchange != nil
+	if !c.reused || !closedInPool {
+		return reason
+	}
+	c.transport.shortenIdleTimeout(c.transport.loop.Now() - c.idleSince)
+	if c.exchange != nil {
+		return conn.Stale
 	}
-	c.ended(e)
+	return reason
 }
--- /dev/null
+++ b/internal/workers/connection_test.go
@@ -0,0 +1,89 @@
+package workers
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"stoatweir/dispatch"
+	"stoatweir/internal/conn"
+	"stoatweir/internal/http1"
+)
+
+// A response overtakes the notice that its request is written, and the connection ends in one of
+// three ways: more bytes come, it breaks, or the notice never comes. The exchange ends once.
+func TestResponseBeforeRequestIsFlushed(t *testing.T) {
+	for name, then := range map[string]func(net.Conn){
+		"more bytes":     func(c net.Conn) { c.Write([]byte(rejectedResponse)) },
+		"it breaks":      func(c net.Conn) { c.Close() },
+		"nothing at all": func(net.Conn) {},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture()
+			near, far := net.Pipe() // takes nothing that is not read: the request can't go out
+			defer far.Close()
+			var ends []string
+			c := &connection{
+				transport: f.Transport,
+				worker:    f.worker(),
+				address:   f.worker().address,
+				parser:    http1.Parser{Answers: true},
+			}
+			c.exchange = &exchange{
+				buildRequest: unconditional([]byte("GET / HTTP/1.1\r\n\r\n")),
+				onDone: func(m *http1.Message, reason conn.CloseReason) {
+					ends = append(ends, fmt.Sprint(m.Status, " ", reason))
+				},
+			}
+			c.socket = f.quota.Adopt(near, c)
+			c.sendRequest()
+			go func() { far.Write([]byte(rejectedResponse)) }()
+			f.runUntilTrue("the early response", func() bool { return c.earlyResponse != nil })
+			go then(far)
+			f.runUntilTrue("the end", func() bool { return len(ends) > 0 })
+			over := false // a timer that was left would fire by then
+			f.loop.After(2*earlyResponseTimeout, func() { over = true })
+			f.runUntilTrue("any timer", func() bool { return over })
+			if got := strings.Join(ends, ", "); got != "503 open" || f.quota.Used() != 0 || len(c.worker.idle) > 0 {
+				t.Error(got, "sockets:", f.quota.Used(), "idle:", len(c.worker.idle))
+			}
+		})
+	}
+}
+
+// A response that is truncated in its head, body, a chunk or between chunks says nothing about the
+// request, which may have run; one that never ends is awaited until the client timeout, and its
+// connection ends.
+func Example_truncatedResponse() {
+	parts := []string{"HTTP/1.1 20-", "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n-",
+		"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\nhalf-",
+		"HTTP/1.1 400 Bad Request\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal-",
+		"HTTP/1.1 400 Bad Request\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n-"}
+	f := newFixture(append(parts, "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf")...)
+	for n := range parts {
+		f.Forward(f.newInvocation(dispatch.InvocationID(1+n)), 0, f.id)
+		f.runUntil(1, 1)
+	}
+	inv := f.newInvocation(9)
+	inv.Deadline = f.loop.Now() + 300*time.Millisecond
+	f.Forward(inv, 0, f.id)
+	f.runUntil(1, 2)
+	fmt.Println("sockets:", f.quota.Used())
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0 ends: 5 closed=false load=false
+	// connection 2: POST /render/7f HTTP/1.1 id2 body
+	// inv 2 attempt 0 ends: 5 closed=false load=false
+	// connection 3: POST /render/7f HTTP/1.1 id3 body
+	// inv 3 attempt 0 ends: 5 closed=false load=false
+	// connection 4: POST /render/7f HTTP/1.1 id4 body
+	// inv 4 attempt 0 ends: 5 closed=false load=false
+	// connection 5: POST /render/7f HTTP/1.1 id5 body
+	// inv 5 attempt 0 ends: 5 closed=false load=false
+	// connection 6: POST /render/7f HTTP/1.1 id9 body
+	// connection 6 ends
+	// inv 9 attempt 0 ends: 3 closed=false load=false
+	// sockets: 0
+}
--- /dev/null
+++ b/internal/workers/dial_test.go
@@ -0,0 +1,236 @@
+package workers
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"os"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"stoatweir/internal/conn"
+)
+
+// A connection that is slow to come up is not the only one dialled: the next one has the request,
+// once, and the late one goes to the pool.
+func Example_lateConnection() {
+	f := newFixture(acceptedResponse, acceptedResponse)
+	addr, drain := fullBacklog(f)
+	f.moveTo(addr.String())
+	f.deployment.ConnectTimeout = 2500 * time.Millisecond // the kernel tries again after a second
+	f.Forward(f.newInvocation(1), 0, f.id)
+	for !dialPending(addr) {
+		time.Sleep(time.Millisecond)
+	}
+	drain()
+	f.runUntil(1, 1)
+	fmt.Println("dialled:", f.Counts.Dialled)
+	f.runUntilTrue("the late one", func() bool { return len(f.worker().idle) == 2 })
+	fmt.Println("sockets:", f.quota.Used(), "received:", len(f.requests), "in flight:", f.InFlight())
+	// Cancelled while none is up: all of them end.
+	addr, _ = fullBacklog(f)
+	f.moveTo(addr.String())
+	f.Forward(f.newInvocation(2), 0, f.id)
+	f.runUntilTrue("more dials", func() bool { return f.Counts.Dialled == 2+maxDials })
+	f.Cancel(2, 0)
+	cancelledAt := f.loop.Now()
+	f.runUntilTrue("sockets", func() bool { return f.quota.Used() == 0 })
+	f.runUntil(1, 0)
+	fmt.Println("at once:", f.loop.Now()-cancelledAt < time.Second)
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// dialled: 2
+	// sockets: 2 received: 0 in flight: 1
+	// inv 2 attempt 0 ends: 6 closed=false load=false
+	// at once: true
+}
+
+// dialPending reports whether a connection to an address has been requested and is not up.
+func dialPending(to netip.AddrPort) bool {
+	table, err := os.ReadFile("/proc/net/tcp")
+	if err != nil {
+		panic(err)
+	}
+	return strings.Contains(string(table), fmt.Sprintf(" 0100007F:%04X 02 ", to.Port()))
+}
+
+// fullBacklog returns an address in front of the fixture's worker at which no connection comes up
+// until the backlog is drained.
+func fullBacklog(f *fixture) (addr netip.AddrPort, drain func()) {
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err == nil {
+		err = unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+	}
+	if err == nil {
+		err = unix.Listen(fd, 0)
+	}
+	if err != nil {
+		panic(err)
+	}
+	name, _ := unix.Getsockname(fd)
+	addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*unix.SockaddrInet4).Port))
+	workerAddr := f.id.String()
+	if _, err := net.Dial("tcp", addr.String()); err != nil { // it fills the backlog
+		panic(err)
+	}
+	return addr, func() {
+		go func() {
+			for first := true; ; first = false {
+				client, _, err := unix.Accept(fd)
+				if err != nil {
+					return
+				}
+				f := os.NewFile(uintptr(client), "accepted")
+				near, err := net.FileConn(f)
+				f.Close()
+				if err != nil {
+					panic(err)
+				}
+				if first {
+					near.Close()
+					continue
+				}
+				far, err := net.Dial("tcp", workerAddr)
+				if err != nil {
+					panic(err)
+				}
+				go func() { io.Copy(far, near); far.Close() }()
+				go func() { io.Copy(near, far); near.Close() }()
+			}
+		}()
+	}
+}
+
+// Several connections come up in one turn of the loop, or as their attempt is cancelled, or as the
+// worker moves: at most one of them carries the request.
+func TestConcurrentDials(t *testing.T) {
+	for name, v := range map[string]struct {
+		meanwhile func(*fixture)
+		requests  int64
+	}{
+		"in one turn": {meanwhile: func(*fixture) {}, requests: 1},
+		"cancelled":   {meanwhile: func(f *fixture) { f.Cancel(1, 0) }, requests: 0},
+		"moved":       {meanwhile: func(f *fixture) { f.moveTo("127.0.0.1:1") }, requests: 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(acceptedResponse, acceptedResponse)
+			var waiting, connected, arrived atomic.Int64
+			open := make(chan struct{})
+			f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) {
+				waiting.Add(1)
+				<-open
+				near, far := net.Pipe()
+				go func() {
+					text := make([]byte, 64)
+					for n, err := far.Read(text); err == nil; n, err = far.Read(text) {
+						if bytes.HasPrefix(text[:n], []byte("POST ")) {
+							arrived.Add(1)
+						}
+					}
+				}()
+				connected.Add(1)
+				return near, nil
+			}
+			f.Forward(f.newInvocation(1), 0, f.id)
+			f.runUntilTrue("all dials", func() bool { return waiting.Load() == maxDials })
+			f.loop.Post(taskFunc(func() { // all of them come up in one turn
+				close(open)
+				for connected.Load() < maxDials {
+					time.Sleep(time.Millisecond)
+				}
+				time.Sleep(10 * time.Millisecond)
+				v.meanwhile(f)
+			}))
+			done := false
+			f.runUntilTrue("the connections", func() bool { return connected.Load() == maxDials })
+			f.loop.After(50*time.Millisecond, func() { done = true })
+			f.runUntilTrue("a moment", func() bool { return done })
+			if got := arrived.Load(); got != v.requests {
+				t.Errorf("%d requests arrived, %d wanted", got, v.requests)
+			}
+		})
+	}
+}
+
+// Our own machine fails to connect for a moment: no port, no buffer, no descriptor. The attempt
+// waits for that within the connect timeout, and the worker is not at fault.
+func Example_transientLocalDialError() {
+	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.ENETUNREACH} {
+		f := newFixture(acceptedResponse)
+		var dials atomic.Int32
+		real := f.loop.DialContext
+		f.loop.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			if dials.Add(1) <= 3 {
+				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
+			}
+			return real(ctx, network, addr)
+		}
+		f.Forward(f.newInvocation(1), 0, f.id)
+		f.runUntil(1, 1)
+	}
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+}
+
+// Our own machine fails for longer than that: the attempt has not run, which says nothing about the
+// worker, and the next one is not affected. One whose client gives up meanwhile is not sent.
+func Example_persistentLocalDialError() {
+	f := newFixture(acceptedResponse)
+	real := f.loop.DialContext
+	var fails atomic.Bool
+	fails.Store(true)
+	f.loop.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if fails.Load() {
+			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}
+		}
+		return real(ctx, network, addr)
+	}
+	f.Forward(f.newInvocation(1), 0, f.id)
+	f.runUntil(1, 0)
+	f.Forward(f.newInvocation(2), 0, f.id)
+	f.Cancel(2, 0)
+	f.runUntil(1, 0)
+	fails.Store(false)
+	f.Forward(f.newInvocation(3), 0, f.id)
+	f.runUntil(1, 1)
+	fmt.Println(f.Counts.Ended[conn.ConnectTimeout.String()], "charged to the worker; sockets:", f.quota.Used())
+	// Output:
+	// inv 1 attempt 0 ends: 2 closed=false load=false
+	// inv 2 attempt 0 ends: 6 closed=false load=false
+	// connection 1: POST /render/7f HTTP/1.1 id3 body
+	// inv 3 attempt 0: accepted=true started=false done=0
+	// 0 charged to the worker; sockets: 1
+}
+
+// The descriptor that a failed dial gave back is taken by the time of the next one: the attempt has
+// not run, and no descriptor beyond the quota is taken.
+func Example_noDescriptorForRedial() {
+	f := newFixture(acceptedResponse)
+	f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) {
+		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ENOBUFS)}
+	}
+	f.Forward(f.newInvocation(1), 0, f.id)
+	f.runUntilTrue("the failed dial", func() bool { return f.quota.Used() == 0 })
+	f.quota.Resize(0)
+	f.runUntil(1, 0)
+	fmt.Println(f.Counts.Ended, "dialled:", f.Counts.Dialled)
+	// Output:
+	// inv 1 attempt 0 ends: 2 closed=false load=false
+	// map[no descriptor:1] dialled: 1
+}
--- a/internal/workers/exchange.go
+++ b/internal/workers/exchange.go
@@ -7,49 +7,57 @@
 	"stoatweir/internal/http1"
 )
 
-// exchange is one request to a worker and its answer.
+// exchange is one request to a worker and its response.
 type exchange struct {
-	request    func() conn.Outgoing // is built at the moment of sending
-	onBegun    func()               // some of it has been written; nil: nobody wants to know
-	done       func(m *http1.Message, e conn.CloseReason)
-	needsProof bool   // an answer taken for its own that is another's could have it run twice
-	onWritten  func() // its last byte has been written; nil: nobody wants to know
-	limit      *conn.Timer
-	connection *connection   // that it goes over
-	dialling   []*connection // that come up for it, while there is none
-	redial     *conn.Timer   // until one more is dialled
-	dialUntil  time.Duration // connections for it may come up
+	// buildRequest is called at the moment of sending.
+	buildRequest func() conn.Outgoing
+	// onFirstByte is called when some of the request has been written, onWritten when all of it
+	// has; both may be nil.
+	onFirstByte, onWritten func()
+	// onDone is called once, with the response or the reason why there is none.
+	onDone func(m *http1.Message, reason conn.CloseReason)
+	// needsProofNotRun: another request's response must not be taken for its own.
+	needsProofNotRun bool
+	timeout          *conn.Timer
+
+	connection   *connection   // that carries it; nil while it waits for one
+	dials        []*connection // that are being dialled for it
+	nextDial     *conn.Timer   // dials one more
+	dialDeadline time.Duration // when the time of all dials is up, by the loop's clock
 }
 
-// written is called where it shows that the last byte has been written, as often as it shows.
-func (x *exchange) written() {
+// notifyWritten calls onWritten, once, however often it shows that the last byte has been written.
+// A nil exchange does nothing.
+func (x *exchange) notifyWritten() {
 	if x != nil && x.onWritten != nil {
 		x.onWritten()
 		x.onWritten = nil
 	}
 }
 
-// settle ends the dialling: one of the connections that came up has the exchange, or it is over. The others carry nothing when they come up.
-func (x *exchange) settle() {
-	x.redial.Stop()
-	for _, c := range x.dialling {
+// releaseDials ends the dialling, as one connection has the exchange or it is over. The others go
+// to the pool when they come up.
+func (x *exchange) releaseDials() {
+	x.nextDial.Stop()
+	for _, c := range x.dials {
 		c.exchange = nil
 	}
-	x.dialling = nil
+	x.dials = nil
 }
 
-// abandon gives the exchange up with its connections; done is not called any more.
-func (x *exchange) abandon() {
-	x.limit.Stop()
-	for _, c := range x.dialling {
+// abort ends the exchange and closes its connections; onDone is not called any more.
+func (x *exchange) abort() {
+	x.timeout.Stop()
+	for _, c := range x.dials {
 		c.socket.Close()
 	}
-	if x.settle(); x.connection != nil {
-		x.connection.abandon()
+	x.releaseDials()
+	if x.connection != nil {
+		x.connection.abort()
 	}
 }
 
-// unbounded is a request that may go out whenever it can.
-func unbounded(request []byte) func() conn.Outgoing {
+// unconditional returns the buildRequest of a request that may be sent at any time.
+func unconditional(request []byte) func() conn.Outgoing {
 	return func() conn.Outgoing { return conn.Outgoing{Bytes: request} }
 }
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -4,143 +4,113 @@
 	"slices"
 	"time"
 
-	"stoatweir/dispatch"
 	"stoatweir/internal/conn"
-	"stoatweir/internal/http1"
 )
 
-// strayMost is how late a second answer may come to a request that has had one. On a connection that has rested for so long
-// the next answer belongs to the next request.
-const strayMost = 100 * time.Millisecond
-
 const (
-	// Some connections come up late, and the next one at once: a part of the time that one has is waited before another is
-	// dialled. Whichever comes up first has the request; the others are kept, as their price has been paid.
-	redialPart = 5
-	dialsMost  = 3
-	// localAgain is how long another dial waits after one that our own machine could not make.
-	localAgain = 20 * time.Millisecond
-	// redialRoom descriptors are left for those that have no connection on its way.
-	redialRoom = 8
+	// strayResponseWindow is how late a second response to a request may come. On a connection that
+	// has been idle for as long the next response belongs to the next request.
+	strayResponseWindow = 100 * time.Millisecond
+	// idleTimeoutFraction is the part of the workers' idle timeout for which connections rest in
+	// the pool: a request must not cross the worker's closing.
+	idleTimeoutFraction = 0.6
+	// minIdleTimeout is the idle timeout under which connections are not put into the pool at all.
+	minIdleTimeout = 20 * time.Millisecond
+	// idleTimeoutDoublingPeriod is the time without a break after which the idle timeout doubles.
+	idleTimeoutDoublingPeriod = 5 * time.Second
+	// maxIdleTimeoutDoublings, a count, keeps the doubled timeout from overflowing.
+	maxIdleTimeoutDoublings = 30
 )
 
-// send sends on the connection used last, as it is the least likely to have been closed by the worker, or opens one.
-// False: it has failed at once, and done has been called.
-func (f *Transport) send(w *worker, x *exchange) bool {
-	for n := len(w.idle) - 1; n >= 0; n-- {
-		c := w.idle[n]
-		rested := f.loop.Now() - c.parked
-		if x.needsProof && rested < strayMost {
-			continue
-		}
-		w.idle = slices.Delete(w.idle, n, n+1)
-		c.expiry.Stop()
-		if rested > f.idleTime() {
-			c.socket.Close()
-			continue
-		}
-		c.socket.SetState(conn.StateActive)
-		c.exchange, x.connection = x, c
-		return c.send()
+// startExchange sends a request over an idle connection, or dials one. False: it has failed at
+// once, and onDone has been called.
+func (t *Transport) startExchange(w *worker, x *exchange) bool {
+	if c := t.takeIdle(w, x.needsProofNotRun); c != nil {
+		c.attach(x)
+		return c.sendRequest()
 	}
-	if !f.share.EnsureFree(0) {
-		x.done(nil, conn.NoDescriptor)
+	if !t.quota.EnsureFree(0) {
+		x.onDone(nil, conn.NoDescriptor)
 		return false
 	}
-	x.dialUntil = f.loop.Now() + f.site.ConnectTimeout
-	f.dial(w, x)
+	x.dialDeadline = t.loop.Now() + t.deployment.ConnectTimeout
+	t.dial(w, x)
 	return true
 }
 
-// anotherDial tells whether another connection may come up for the exchange of one that has not.
-func (f *Transport) anotherDial(c *connection, e conn.CloseReason) bool {
-	x := c.exchange
-	x.dialling = slices.DeleteFunc(x.dialling, func(other *connection) bool { return other == c })
-	switch e {
-	case conn.ConnectTimeout:
-		return len(x.dialling) > 0
-	case conn.LocalError:
-		return len(x.dialling) > 0 || f.dialAgain(c.worker, x)
-	}
-	return false
-}
-
-// dialAgain dials once more after a while where our own machine could not, as that may be over soon. False: the time for it is up.
-func (f *Transport) dialAgain(w *worker, x *exchange) bool {
-	if f.loop.Now()+localAgain >= x.dialUntil {
-		return false
-	}
-	x.redial.Stop()
-	x.redial = f.loop.After(localAgain, func() {
-		if f.share.EnsureFree(0) {
-			f.dial(w, x)
-			return
+// takeIdle takes the connection used last out of the pool, as the worker is the least likely to
+// have closed that; nil: there is none. With skipRecent it takes none on which a stray response may
+// still come.
+func (t *Transport) takeIdle(w *worker, skipRecent bool) *connection {
+	for i := len(w.idle) - 1; i >= 0; i-- {
+		c := w.idle[i]
+		idleFor := t.loop.Now() - c.idleSince
+		if skipRecent && idleFor < strayResponseWindow {
+			continue
 		}
-		x.limit.Stop()
-		x.done(nil, conn.NoDescriptor)
-	})
-	return true
-}
-
-// dial opens one more connection for an exchange. All have the time of the first.
-func (f *Transport) dial(w *worker, x *exchange) {
-	f.Counts.Dialled++
-	c := &connection{fleet: f, worker: w, endpoint: w.endpoint, parser: http1.Parser{Answers: true}, exchange: x}
-	c.socket = f.share.Dial(w.endpoint, x.dialUntil-f.loop.Now(), c)
-	if x.dialling = append(x.dialling, c); len(x.dialling) < dialsMost {
-		x.redial = f.loop.After(f.site.ConnectTimeout/redialPart, func() {
-			if f.share.Available() > redialRoom && w.entry.State == dispatch.Ready && w.endpoint == c.endpoint {
-				f.dial(w, x)
-			}
-		})
+		w.idle = slices.Delete(w.idle, i, i+1)
+		c.timer.Stop()
+		if idleFor > t.idleTimeout() {
+			c.socket.Close()
+			continue
+		}
+		c.socket.SetState(conn.StateActive)
+		return c
 	}
+	return nil
 }
 
-// park puts a connection back into the pool.
-func (c *connection) park() {
-	c.expiry.Stop()
-	w, f := c.worker, c.fleet
-	if f.idleTime() < keepLeast {
+// putIdle puts the connection into the pool of its worker, or closes it where connections do not
+// last.
+func (c *connection) putIdle() {
+	c.timer.Stop()
+	w := c.worker
+	t := c.transport
+	if t.idleTimeout() < minIdleTimeout {
 		c.socket.Close()
 		return
 	}
 	w.idle = append(w.idle, c)
-	c.socket.SetState(conn.StateFinished) // whatever comes over it is no answer
-	c.reused, c.parked = true, f.loop.Now()
-	c.expiry = f.loop.After(f.idleTime(), func() {
-		w.remove(c)
+	c.socket.SetState(conn.StateFinished) // whatever it receives is no response
+	c.reused = true
+	c.idleSince = t.loop.Now()
+	c.timer = t.loop.After(t.idleTimeout(), func() {
+		w.removeIdle(c)
 		c.socket.Close()
 	})
 }
 
-// remove takes one out of the pool that has ended.
-func (w *worker) remove(c *connection) {
-	for i, other := range w.idle {
-		if other == c {
-			c.expiry.Stop()
-			w.idle = append(w.idle[:i], w.idle[i+1:]...)
-			return
-		}
+// removeIdle removes a connection that has ended from the pool.
+func (w *worker) removeIdle(c *connection) {
+	i := slices.Index(w.idle, c)
+	if i < 0 {
+		return
 	}
+	c.timer.Stop()
+	w.idle = slices.Delete(w.idle, i, i+1)
 }
 
-// shutIdle closes those of a worker that are in the pool.
-func (w *worker) shutIdle() {
+// closeIdle closes all connections in the pool of a worker.
+func (w *worker) closeIdle() {
 	for _, c := range w.idle {
-		c.expiry.Stop()
+		c.timer.Stop()
 		c.socket.Close()
 	}
 	w.idle = nil
 }
 
-// idleTime is how long connections are kept: a part of the time that the settings give, as a request must not cross the
-// worker's closing, and less while kept ones end before that.
-func (f *Transport) idleTime() time.Duration {
-	most := time.Duration(idlePart * float64(f.site.ConnectionIdle))
-	return min(most, f.lasted<<min(int((f.loop.Now()-f.brokeAt)/keepAgain), 30))
+// idleTimeout returns how long connections rest in the pool: a part of the time that the deployment
+// gives, and less while idle connections have been found to end before that.
+func (t *Transport) idleTimeout() time.Duration {
+	configured := time.Duration(idleTimeoutFraction * float64(t.deployment.ConnectionIdle))
+	quietPeriods := int((t.loop.Now() - t.idleLimitSetAt) / idleTimeoutDoublingPeriod)
+	doublings := min(quietPeriods, maxIdleTimeoutDoublings)
+	return min(configured, t.idleLimit<<doublings)
 }
 
-// shortenIdleTime keeps connections for less from now on, as one has ended after resting for so long.
-func (f *Transport) shortenIdleTime(lasted time.Duration) {
-	f.lasted, f.brokeAt = min(f.idleTime(), max(lasted/2, keepLeast/2)), f.loop.Now()
+// shortenIdleTimeout halves the idle timeout to what a connection lasted that has ended in the pool
+// after resting for so long.
+func (t *Transport) shortenIdleTimeout(lasted time.Duration) {
+	t.idleLimit = min(t.idleTimeout(), max(lasted/2, minIdleTimeout/2))
+	t.idleLimitSetAt = t.loop.Now()
 }
--- /dev/null
+++ b/internal/workers/pool_test.go
@@ -0,0 +1,111 @@
+package workers
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"stoatweir/dispatch"
+)
+
+// A reused connection that breaks at its next use says nothing about the worker. The idle timeout
+// is shortened from then on, in the end up to what the deployment allows again. A new one that is
+// closed says that the request is at fault.
+func Example_staleConnection() {
+	f := newFixture(acceptedResponse, "-", "-")
+	f.Forward(f.newInvocation(1), 0, f.id)
+	f.runUntil(1, 1)
+	for n := dispatch.InvocationID(2); n <= 3; n++ {
+		f.Forward(f.newInvocation(n), 0, f.id)
+		f.runUntil(1, 1)
+	}
+	fmt.Println("below the minimum:", f.idleTimeout() < minIdleTimeout)
+	f.idleLimitSetAt -= time.Minute
+	fmt.Println(f.idleTimeout())
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// connection 1: POST /render/7f HTTP/1.1 id2 body
+	// inv 2 attempt 0 ends: 9 closed=false load=false
+	// connection 2: POST /render/7f HTTP/1.1 id3 body
+	// inv 3 attempt 0 ends: 8 closed=false load=false
+	// below the minimum: true
+	// 3s
+}
+
+// A second response to one request, some milliseconds late, is none to the next one: work that it
+// would set free to be retried, or outside the group and the window of its first attempt, goes over
+// a connection that has been idle.
+func Example_strayResponse() {
+	for _, effect := range []dispatch.Effect{dispatch.Deduplicated, dispatch.NonIdempotent} {
+		f := newFixture(acceptedResponse, "", acceptedResponse)
+		f.Forward(f.newInvocation(1), 0, f.id)
+		f.runUntil(1, 1)
+		inv := f.newInvocation(2)
+		inv.Effect = effect
+		f.Forward(inv, 0, f.id)
+		f.runUntil(0, 1)
+		f.writeFromWorker(1, rejectedResponse)
+		f.runUntilTrue("the end of the connection with the stray response", func() bool { return len(f.worker().idle) == 0 })
+		f.runUntil(0, 1)
+		f.writeFromWorker(2, acceptedResponse)
+		f.runUntil(1, 0)
+		// Idle for long enough, it is used again.
+		f.worker().idle[0].idleSince -= strayResponseWindow
+		inv = f.newInvocation(3)
+		inv.Effect = effect
+		f.Forward(inv, 0, f.id)
+		f.runUntil(1, 1)
+	}
+	// Output:
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// connection 2: POST /render/7f HTTP/1.1 id2 body
+	// connection 1 ends
+	// inv 2 attempt 0: accepted=true started=false done=0
+	// connection 2: POST /render/7f HTTP/1.1 id3 body
+	// inv 3 attempt 0: accepted=true started=false done=0
+	// connection 1: POST /render/7f HTTP/1.1 id1 body
+	// inv 1 attempt 0: accepted=true started=false done=0
+	// connection 2: POST /render/7f HTTP/1.1 id2 body
+	// connection 1 ends
+	// inv 2 attempt 0: accepted=true started=false done=0
+	// connection 2: POST /render/7f HTTP/1.1 id3 body
+	// inv 3 attempt 0: accepted=true started=false done=0
+}
+
+// An idle connection that its worker has closed, or that has received half a line, is not used,
+// also where nobody has read that yet: the request would be lost, or take the rest of that line for
+// its response.
+func TestUnreadBytesOnReusedConnection(t *testing.T) {
+	for name, act := range map[string]func(*fixture){
+		"an end":      func(f *fixture) { f.closeFromWorker(1) },
+		"half a line": func(f *fixture) { f.writeFromWorker(1, "HTTP/1.1 20") },
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(acceptedResponse, acceptedResponse)
+			accepted := 0
+			f.OnEvent = func(e dispatch.Event) {
+				if progress, is := e.(dispatch.AttemptProgress); is && progress.Accepted {
+					accepted++
+				} else {
+					t.Errorf("%+v", e)
+				}
+			}
+			f.Forward(f.newInvocation(1), 0, f.id)
+			f.runUntilTrue("the first", func() bool { return accepted == 1 })
+			act(f) // while the loop does not run
+			reused := f.worker().idle[0].socket
+			for end := time.Now().Add(5 * time.Second); !reused.Readable(); {
+				if time.Now().After(end) {
+					t.Fatal("nothing comes")
+				}
+			}
+			f.Forward(f.newInvocation(2), 0, f.id)
+			f.runUntilTrue("the second", func() bool { return accepted == 2 })
+			if f.Counts.Dialled != 2 {
+				t.Error("dialled: ", f.Counts.Dialled)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/workers/sendcheck_test.go
@@ -0,0 +1,201 @@
+package workers
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"stoatweir/dispatch"
+)
+
+// The tests of this file hold a process or a connection at one point until what was decided may not
+// be carried out any more.
+const (
+	// holdTime is how long it is held.
+	holdTime = 800 * time.Millisecond
+	// boundTime is when the client timeout or the deduplication window ends meanwhile.
+	boundTime = 300 * time.Millisecond
+)
+
+// taskFunc is a task of its own in the loop.
+type taskFunc func()
+
+func (t taskFunc) Run() { t() }
+
+// sendBounds are what may pass before a request is written.
+var sendBounds = []struct {
+	name  string
+	until func(f *fixture, inv *Invocation) time.Duration
+	why   string
+}{
+	{
+		name:  "window",
+		until: func(f *fixture, _ *Invocation) time.Duration { return f.loop.Clock() + boundTime },
+		why:   stoppedWindow,
+	},
+	{
+		name: "client timeout",
+		until: func(f *fixture, inv *Invocation) time.Duration {
+			inv.Deadline = f.loop.Clock() + boundTime
+			return 0
+		},
+		why: stoppedTimeout,
+	},
+}
+
+// The process is paused between a decision and its first byte: nothing is written, which proves
+// that it has not run, and the connection serves the next attempt.
+func TestProcessPausedBeforeSend(t *testing.T) {
+	for _, b := range sendBounds {
+		t.Run(b.name, func(t *testing.T) {
+			f := newFixture(acceptedResponse, acceptedResponse)
+			f.Forward(f.newInvocation(1), 0, f.id)
+			f.runUntil(1, 1)
+			var outcomes []dispatch.Outcome
+			f.OnEvent = func(e dispatch.Event) {
+				if o, is := e.(dispatch.Outcome); is {
+					outcomes = append(outcomes, o)
+				}
+			}
+			f.loop.Post(taskFunc(func() {
+				inv := f.newInvocation(2)
+				until := b.until(f, inv)
+				time.Sleep(holdTime)
+				f.Transport.Forward(inv, 1, f.id, until)
+			}))
+			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
+			if outcomes[0].Result != dispatch.NotSent || f.Counts.Stopped[b.why] != 1 || len(f.requests) > 0 {
+				t.Errorf("%+v, stopped: %v, requests at the worker: %d", outcomes[0], f.Counts.Stopped, len(f.requests))
+			}
+			f.Forward(f.newInvocation(3), 0, f.id)
+			f.runUntilTrue("the next request", func() bool { return len(f.requests) > 0 })
+			if text := <-f.requests; !strings.HasPrefix(text, "connection 1:") {
+				t.Error(text)
+			}
+		})
+	}
+}
+
+// readAfter reads what has come after some time, and what follows within a second.
+func readAfter(c net.Conn, wait time.Duration) <-chan []byte {
+	arrived := make(chan []byte, 1)
+	go func() {
+		time.Sleep(wait)
+		c.SetReadDeadline(time.Now().Add(time.Second))
+		got, _ := io.ReadAll(c)
+		arrived <- got
+	}()
+	return arrived
+}
+
+// A writer is paused with the whole of a request: nothing of it is written when it goes on. The
+// connection is a pipe, which takes no byte until its other end reads.
+func TestWriterPausedBeforeFirstByte(t *testing.T) {
+	for _, b := range sendBounds {
+		t.Run(b.name, func(t *testing.T) {
+			f := newFixture()
+			near, far := net.Pipe()
+			f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) { return near, nil }
+			var outcomes []dispatch.Outcome
+			f.OnEvent = func(e dispatch.Event) { outcomes = append(outcomes, e.(dispatch.Outcome)) }
+			inv := f.newInvocation(1)
+			f.Transport.Forward(inv, 1, f.id, b.until(f, inv))
+			arrived := readAfter(far, holdTime)
+			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
+			got := <-arrived
+			if len(got) > 0 || f.quota.Used() > 0 {
+				t.Errorf("%d bytes arrived, ended with %+v, sockets: %d", len(got), outcomes, f.quota.Used())
+			}
+		})
+	}
+}
+
+// A worker takes a part of a request and reads on when the time is over: the last byte never comes,
+// so that it does not run.
+func TestWorkerReadsTooSlowly(t *testing.T) {
+	for _, b := range sendBounds {
+		t.Run(b.name, func(t *testing.T) {
+			f := newFixture()
+			small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+				return raw.Control(func(fd uintptr) {
+					syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2<<10)
+				})
+			}}
+			l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer l.Close()
+			f.loop.DialContext = func(ctx context.Context, network, _ string) (net.Conn, error) {
+				nc, err := new(net.Dialer).DialContext(ctx, network, l.Addr().String())
+				if err == nil {
+					err = nc.(*net.TCPConn).SetWriteBuffer(2 << 10)
+				}
+				return nc, err
+			}
+			var outcomes []dispatch.Outcome
+			f.OnEvent = func(e dispatch.Event) { outcomes = append(outcomes, e.(dispatch.Outcome)) }
+			inv := f.newInvocation(1)
+			inv.Body = bytes.Repeat([]byte("x"), 60<<10)
+			f.Transport.Forward(inv, 1, f.id, b.until(f, inv))
+			far, err := l.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer far.Close()
+			arrived := readAfter(far, holdTime)
+			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
+			got := <-arrived
+			if len(got) == 0 || len(got) >= len(inv.Body) {
+				t.Errorf("%d bytes of a body of %d arrived", len(got), len(inv.Body))
+			}
+			// At the client timeout two things come together: we stop waiting, and the connection
+			// is cut.
+			r := outcomes[0].Result
+			if r != dispatch.Unreachable && (b.why == stoppedWindow || r != dispatch.TimedOut) {
+				t.Errorf("%+v", outcomes[0])
+			}
+		})
+	}
+}
+
+// A reused connection receives something while the last check of a request is made: the request
+// goes over another one, and does not take it for its response.
+func TestStrayBytesDuringSendCheck(t *testing.T) {
+	for name, act := range map[string]func(*fixture){
+		"a rejection": func(f *fixture) { f.writeFromWorker(1, rejectedResponse) },
+		"an end":      func(f *fixture) { f.closeFromWorker(1) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(acceptedResponse, acceptedResponse)
+			f.Forward(f.newInvocation(1), 0, f.id)
+			f.runUntil(1, 1)
+			reused := f.worker().idle[0]
+			reused.idleSince -= strayResponseWindow
+			comes := true
+			f.ClientWaiting = func(dispatch.InvocationID) bool {
+				if comes {
+					comes = false
+					act(f)
+					for end := time.Now().Add(5 * time.Second); !reused.socket.Readable() && time.Now().Before(end); {
+					}
+				}
+				return true
+			}
+			var events []dispatch.Event
+			f.OnEvent = func(e dispatch.Event) { events = append(events, e) }
+			inv := f.newInvocation(2)
+			inv.Effect = dispatch.NonIdempotent
+			f.Forward(inv, 0, f.id)
+			f.runUntilTrue("the response", func() bool { return len(events) > 0 })
+			if progress, is := events[0].(dispatch.AttemptProgress); !is || !progress.Accepted || f.Counts.Dialled != 2 {
+				t.Errorf("%+v, dialled: %d", events[0], f.Counts.Dialled)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/workers/transport.go
@@ -0,0 +1,82 @@
+package workers
+
+import (
+	"time"
+
+	"stoatweir/dispatch"
+	"stoatweir/internal/conn"
+	"stoatweir/internal/invariant"
+	"stoatweir/internal/settings"
+)
+
+// Transport sends requests to the workers of the endpoint list and reports their results as events.
+type Transport struct {
+	// OnEvent receives the results of attempts and health checks.
+	OnEvent func(dispatch.Event)
+	// Deliver passes a result on to the client, unless that has left or has its answer.
+	Deliver func(inv dispatch.InvocationID, result string)
+	// AwaitsAnswer reports whether the client still waits for an answer, as far as the loop knows.
+	AwaitsAnswer func(dispatch.InvocationID) bool
+	// ClientWaiting reports the same at the moment of a send, with the kernel asked.
+	ClientWaiting func(dispatch.InvocationID) bool
+	// OnWritten is called when an attempt has been written whole.
+	OnWritten func()
+	// Invariants is asked before the first byte of each attempt.
+	Invariants *invariant.Checker
+	Counts     Counts
+
+	loop       *conn.Loop
+	deployment settings.Deployment
+	quota      *conn.Quota
+
+	idleLimit      time.Duration // how long an idle connection could be trusted when one last broke
+	idleLimitSetAt time.Duration // when that was, by the loop's clock
+
+	workersByID        map[dispatch.WorkerID]*worker
+	workersByUID       map[string]*worker
+	attempts           map[attemptKey]*attempt
+	attemptsByCallback map[callbackKey]*attempt
+}
+
+// Counts says what was sent and how it ended.
+type Counts struct {
+	Sent     int            `json:"Sent"`     // attempts
+	Probes   int            `json:"Probes"`   // health checks
+	Cancels  int            `json:"Cancels"`  // cancels of accepted attempts
+	News     int            `json:"News"`     // callbacks received
+	Strange  int            `json:"Strange"`  // callbacks of unknown attempts or states
+	Dialled  int            `json:"Dialled"`  // connections dialled
+	Ended    map[string]int `json:"Ended"`    // attempts, by how they ended
+	Answered map[string]int `json:"Answered"` // health checks, by how they ended
+	Changes  map[string]int `json:"Changes"`  // of workers in the endpoint list, such as "ready to draining"
+	Stopped  map[string]int `json:"Stopped"`  // attempts that the check before the first byte stopped, by reason
+}
+
+// NewTransport returns a transport that knows no workers yet. Its connections count against quota.
+func NewTransport(loop *conn.Loop, deployment settings.Deployment, quota *conn.Quota) *Transport {
+	t := &Transport{
+		Invariants: invariant.New(loop.Clock),
+		Counts: Counts{
+			Ended:    map[string]int{},
+			Answered: map[string]int{},
+			Changes:  map[string]int{},
+			Stopped:  map[string]int{},
+		},
+		loop:               loop,
+		deployment:         deployment,
+		quota:              quota,
+		idleLimit:          deployment.ConnectionIdle,
+		workersByID:        map[dispatch.WorkerID]*worker{},
+		workersByUID:       map[string]*worker{},
+		attempts:           map[attemptKey]*attempt{},
+		attemptsByCallback: map[callbackKey]*attempt{},
+	}
+	t.Invariants.ClientWaiting = func(inv dispatch.InvocationID) bool { return t.ClientWaiting(inv) }
+	return t
+}
+
+// Reconfigure applies newer settings to all that begins from now on.
+func (t *Transport) Reconfigure(deployment settings.Deployment) { t.deployment = deployment }
+
+// InFlight returns the number of attempts that have not ended.
+func (t *Transport) InFlight() int { return len(t.attempts) }
