--- a/internal/conn/capacity_test.go
+++ b/internal/conn/capacity_test.go
@@ -10,31 +10,33 @@
 	"time"
 )
 
-// The figures of docs/CAPACITY.md for connections: what one holds in memory, by what it is doing. The kernel's part is not in it.
+// The figures of docs/CAPACITY.md for connections: what one holds in memory, by what it is doing.
+// The kernel's part is not in it.
 
-// holder is an owner that leaves a connection as it is.
-type holder struct{ read int }
+// discardingHandler drops what is received and leaves a connection as it is.
+type discardingHandler struct{ read int }
 
-func (h *holder) Connected(*Conn)                 {}
-func (h *holder) DataReceived(c *Conn)            { h.read++; c.In.Drop(c.In.Len()) }
-func (h *holder) Flushed(*Conn)                   {}
-func (h *holder) Disconnected(*Conn, CloseReason) {}
+func (h *discardingHandler) Connected(*Conn)                 {}
+func (h *discardingHandler) DataReceived(c *Conn)            { h.read++; c.In.Drop(c.In.Len()) }
+func (h *discardingHandler) Flushed(*Conn)                   {}
+func (h *discardingHandler) Disconnected(*Conn, CloseReason) {}
 
-// BenchmarkConnections adopts so many: mute ones have said nothing, those in hand have brought a request and wait for its
-// answer, written ones have had one too.
+// BenchmarkConnections adopts so many: mute ones have sent nothing, those in hand have sent a request
+// and wait for its answer, written ones have received one too.
 func BenchmarkConnections(b *testing.B) {
 	for _, state := range []string{"mute", "in_hand", "written"} {
 		for _, n := range []int{375, 750, 1500, 3000, 6000} {
 			b.Run(fmt.Sprint(state, "/", n), func(b *testing.B) {
 				for b.Loop() {
-					b.ReportMetric(each(b, state, n), "bytes/conn")
+					b.ReportMetric(bytesPerConn(b, state, n), "bytes/conn")
 				}
 			})
 		}
 	}
 }
 
-func each(b *testing.B, state string, n int) float64 {
+// bytesPerConn returns the memory that each of n connections holds.
+func bytesPerConn(b *testing.B, state string, n int) float64 {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -52,28 +54,33 @@
 			b.Fatal(err)
 		}
 		far = append(far, c)
-		if c, err = l.Accept(); err != nil {
+		c, err = l.Accept()
+		if err != nil {
 			b.Fatal(err)
 		}
 		near = append(near, c)
 	}
-	loop, h, request, answer := NewLoop(time.Now()), &holder{}, strings.Repeat("x", 900), []byte(strings.Repeat("y", 300))
-	share, all := loop.NewQuota(n), make([]*Conn, 0, n)
-	before := held()
+	loop := NewLoop(time.Now())
+	h := &discardingHandler{}
+	request := strings.Repeat("x", 900)
+	answer := []byte(strings.Repeat("y", 300))
+	quota := loop.NewQuota(n)
+	all := make([]*Conn, 0, n)
+	before := liveMemory()
 	for _, c := range near {
-		all = append(all, share.Adopt(c, h))
+		all = append(all, quota.Adopt(c, h))
 	}
 	if state != "mute" {
 		for _, c := range far {
 			io.WriteString(c, request)
 		}
-		await(loop, "all requests", func() bool { return h.read >= n })
+		runUntil(loop, "all requests", func() bool { return h.read >= n })
 	}
 	if state == "written" {
 		for _, c := range all {
 			c.Write(answer)
 		}
-		await(loop, "all answers", func() bool {
+		runUntil(loop, "all answers", func() bool {
 			for _, c := range all {
 				if c.Unsent() > 0 {
 					return false
@@ -82,7 +89,7 @@
 			return true
 		})
 	}
-	took := float64(held()-before) / float64(n)
+	took := float64(liveMemory()-before) / float64(n)
 	for _, c := range all {
 		c.Close()
 	}
@@ -90,8 +97,8 @@
 	return took
 }
 
-// held is the memory of live objects and of goroutines.
-func held() int64 {
+// liveMemory returns the memory of live objects and of goroutines, in bytes.
+func liveMemory() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what a pool has kept over the first goes with the second
--- /dev/null
+++ b/internal/conn/closereason_test.go
@@ -0,0 +1,68 @@
+package conn
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"time"
+)
+
+// Only a reason that proves that nothing has run may let a non-idempotent invocation be sent
+// again.
+func ExampleCloseReason_Result() {
+	for e := Refused; e <= NotSent; e++ {
+		fmt.Println(e, e.Result())
+	}
+	// Output:
+	// refused 4
+	// connect timeout 4
+	// no descriptor 2
+	// worker unavailable 4
+	// not written 4
+	// closed 8
+	// reset 5
+	// stale 9
+	// stalled 3
+	// malformed 1
+	// rejected 2
+	// returned 2
+	// worker error 1
+	// bad request 8
+	// lost 5
+	// succeeded 0
+	// timed out 3
+	// cancelled 6
+	// local error 2
+	// not sent 7
+}
+
+// How a connection ends decides whether its request may have run: written whole or not.
+func Example_closeReasons() {
+	end := func(title, addr string, within time.Duration, size int) {
+		l := NewLoop(time.Now())
+		q := l.NewQuota(10)
+		h := &recordingHandler{onConnected: func(c *Conn) { c.Write(make([]byte, size)) }}
+		q.Dial(addr, within, h)
+		runUntil(l, title, func() bool {
+			return len(h.events) > 0 && h.events[len(h.events)-1] != "up"
+		})
+		fmt.Println(title+":", h.events, "in use:", q.Used())
+	}
+	addr, stop := listenPeer(func(c net.Conn) { io.CopyN(io.Discard, c, 100); c.Close() })
+	end("closed after the whole request", addr, time.Second, 100)
+	end("no time to come up", addr, time.Nanosecond, 100)
+	stop()
+	end("nobody listens", addr, time.Second, 100)
+	addr, stop = listenPeer(func(c net.Conn) {
+		c.(*net.TCPConn).SetLinger(0)
+		io.CopyN(io.Discard, c, 100)
+		c.Close()
+	})
+	end("reset with most of the request unread", addr, time.Second, 64<<20)
+	stop()
+	// Output:
+	// closed after the whole request: [up closed] in use: 0
+	// no time to come up: [connect timeout] in use: 0
+	// nobody listens: [refused] in use: 0
+	// reset with most of the request unread: [up not written] in use: 0
+}
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -11,251 +11,176 @@
 	"stoatweir/internal/ring"
 )
 
-const (
-	// lingers is how long a closed connection may still take in what its peer sends, as closing with unread bytes
-	// would reset it and could cost the peer the answer.
-	lingers = 2 * time.Second
-	// What is taken in then is thrown away by the goroutine, in large gulps with a rest after each: a peer that
-	// sends without end must cost neither turns of the loop nor the core. The first of it goes without: the peer may have
-	// gone behind what the system holds of it, and that is to be seen at once.
-	gulp, briskBytes, briskReads = 64 << 10, 32 << 20, 4 << 10
-	// arrives is how long a last answer may take to its peer, which ends the connection then: with bytes of its own unread
-	// here, the end of the program would reset it.
-	arrives = 100 * time.Millisecond
-	rest    = time.Millisecond
-)
-
-// Owner is told of a connection, in the loop. Down comes once and last, and not after Close.
+// Handler is notified of what happens to a connection, in the loop. Disconnected is called once, as
+// the last, and not after Close or CloseAfterFlush.
 type Handler interface {
-	Connected(c *Conn)                   // a dialled connection is up
-	DataReceived(c *Conn)                // In holds more bytes
-	Flushed(c *Conn)                     // all that was written has gone out
-	Disconnected(c *Conn, e CloseReason) // it has ended
+	// Connected is called when a dialled connection is up.
+	Connected(c *Conn)
+	// DataReceived is called when In holds more bytes.
+	DataReceived(c *Conn)
+	// Flushed is called when all that was queued has been written.
+	Flushed(c *Conn)
+	// Disconnected is called when the connection has ended.
+	Disconnected(c *Conn, reason CloseReason)
 }
 
-// Conn is a connection with one ring a direction. A goroutine each way moves bytes between socket and ring, and
-// owns just the run of bytes that it was handed; all else belongs to the loop.
+// Conn is a connection with one ring a direction. A goroutine each way moves bytes between socket and
+// ring, and owns just the run of bytes that it was given; all else belongs to the loop.
 type Conn struct {
+	// In holds the bytes that were received and not dropped yet.
 	In ring.Buffer
 
-	loop             *Loop
-	share            *Quota
-	owner            Handler
-	net              net.Conn
-	abort            context.CancelFunc
-	out              ring.Buffer
-	rest             []byte // waits for room in out
-	first            []byte // is being read into, as long as there is no ring
-	toRead           chan []byte
-	toWrite          chan outRun
-	writeUntil       time.Time // bounds what is queued; zero: nothing does
-	reading, writing bool      // a run of bytes is with the goroutine
-	arrived          arrivals
-	up, ended, quits bool
-	ignores          bool   // what still comes is thrown away
-	deaf             bool   // nothing more is read
-	detached         func() // is told once nothing moves any more; nil: all goes its way
-	ending           CloseReason
-	use              State
-	since            time.Duration // it has had that use
+	loop       *Loop
+	quota      *Quota
+	handler    Handler // nil: nobody is to be notified any more
+	netConn    net.Conn
+	cancelDial context.CancelFunc
+
+	out           ring.Buffer
+	overflow      []byte // queued behind out, which has no room for it yet
+	firstBuffer   []byte // is read into before In has a store
+	readRequests  chan []byte
+	writeRuns     chan writeRun
+	writeDeadline time.Time // bounds what is queued; zero: nothing does
+	reading       bool      // the reader has a request
+	writing       bool      // the writer has a run of bytes
+	unseen        unseenInput
+
+	connected  bool
+	closed     bool
+	closing    bool   // it ends once all is written
+	discarding bool   // what is still received is thrown away
+	readEnded  bool   // nothing more is read
+	onDetached func() // is called once nothing moves any more; nil: the connection is not detached
+
+	closeReason CloseReason
+	state       State
+	stateSince  time.Duration
 }
 
-type note struct {
-	*Conn
-	net  net.Conn
-	n    int
-	err  error
-	what what
-}
-
-type what uint8
+// ioKind is what a goroutine of a connection has done.
+type ioKind uint8
 
 const (
-	dialed what = iota
-	read
-	wrote
+	dialDone ioKind = iota
+	readDone
+	writeDone
 )
 
-func (c *Conn) begin() {
-	c.up = true
-	c.toRead = make(chan []byte, 1)
-	go func() {
-		for b := range c.toRead {
-			n, err := 0, error(nil)
-			if b == nil {
-				err = c.swallow()
-				c.arrived.mark()
-			} else {
-				n, err = c.receive(b)
-			}
-			c.loop.Post(note{Conn: c, n: n, err: err, what: read})
-		}
-	}()
-	c.Resume()
-}
-
-// Take reads what a goroutine has left.
-func (n note) Run() {
-	c := n.Conn
-	switch n.what {
-	case dialed:
-		c.dialed(n)
-		return
-	case read:
-		c.reading = false
-		c.arrived.met()
-		if c.detached != nil && errors.Is(n.err, os.ErrDeadlineExceeded) {
-			n.err = nil // that is what ended the read
-		}
-		first := c.first
-		if c.first = nil; n.n > 0 && !c.ended && !c.quits {
-			if first != nil {
-				c.In.Write(first[:n.n])
-			} else {
-				c.In.Add(n.n)
-			}
-			c.owner.DataReceived(c)
-		}
-	case wrote:
-		c.writing = false
-		c.out.Drop(n.n)
-		if !c.ended {
-			c.refill()
-		}
-	}
-	if n.err != nil && !c.ended {
-		if c.quits && n.what == read && c.Unsent() > 0 {
-			c.deaf = true // a peer that has said all may still wait for the answer
-		} else {
-			c.fail(n)
-		}
-	}
-	if c.ended {
-		c.settle()
-		return
-	}
-	c.Resume()
-	defer c.still()
-	if n.what == wrote && c.Unsent() == 0 {
-		if c.quits {
-			c.shut()
-		} else {
-			c.owner.Flushed(c)
-		}
-	}
+// ioEvent is the task by which a goroutine of a connection reports to the loop.
+type ioEvent struct {
+	conn    *Conn
+	netConn net.Conn // that was dialled
+	n       int      // bytes read or written
+	err     error
+	kind    ioKind
 }
 
-// fail takes note of a break. What is still with the writer decides whether the request had gone out, so that its
-// word is waited for.
-func (c *Conn) fail(n note) {
-	e := Reset
-	if errors.Is(n.err, io.EOF) {
-		e = Closed
-	} else if errors.Is(n.err, os.ErrDeadlineExceeded) {
-		e = Stalled
+// Run handles the event in the loop.
+func (e ioEvent) Run() {
+	switch e.kind {
+	case dialDone:
+		e.conn.handleDialed(e.netConn, e.err)
+	case readDone:
+		e.conn.handleRead(e.n, e.err)
+	case writeDone:
+		e.conn.handleWritten(e.n, e.err)
 	}
-	c.end(e)
 }
 
-func (c *Conn) end(e CloseReason) {
-	c.ended, c.ending = true, e
-	c.release()
-	c.net.Close()
-	close(c.toRead)
-	if c.toWrite != nil {
-		close(c.toWrite)
-	}
+// start begins to move bytes over a connection that is up.
+func (c *Conn) start() {
+	c.connected = true
+	c.startReader()
+	c.startIO()
 }
 
-// settle lets go of a connection that has ended once both goroutines have given their bytes back.
-func (c *Conn) settle() {
-	if c.reading || c.writing {
+// startIO gives the goroutines what there is to do. A full ring In stops the reading until the owner
+// has dropped some of it.
+func (c *Conn) startIO() {
+	if c.closed || !c.connected {
 		return
 	}
-	unsent := c.Unsent() > 0
-	c.In.Free()
-	c.out.Free()
-	if owner := c.owner; owner != nil {
-		c.owner = nil
-		if unsent {
-			c.ending = NotWritten
-		}
-		owner.Disconnected(c, c.ending)
+	if !c.reading && !c.readEnded && c.onDetached == nil {
+		c.startRead()
 	}
-}
-
-// Close ends the connection at once; the owner hears no more of it.
-func (c *Conn) Close() {
-	switch c.owner = nil; {
-	case c.ended:
-	case !c.up:
-		c.ended = true
-		c.abort()
-	default:
-		c.end(Closed)
-		c.settle()
+	if !c.writing {
+		c.startWrite()
 	}
 }
 
-// Break ends the connection at once. Unlike after Close its owner is told, once it is certain how much has been written.
-func (c *Conn) Break() {
-	if c.ended || !c.up {
-		return
+// handleRead takes what the reader has received, or the error that it met.
+func (c *Conn) handleRead(n int, err error) {
+	c.reading = false
+	c.unseen.clear()
+	if c.onDetached != nil && errors.Is(err, os.ErrDeadlineExceeded) {
+		err = nil // Detach has set that deadline
+	}
+	c.acceptInput(n)
+	if err != nil && !c.closed {
+		if c.closing && c.Unsent() > 0 {
+			c.readEnded = true // a peer that has sent all may still wait for the answer
+		} else {
+			c.handleError(err)
+		}
 	}
-	c.end(Closed)
-	c.settle()
-}
-
-// Sever ends the reading for all processes that have the socket: none may go on where another has given up.
-func (c *Conn) Sever() {
-	if tcp, is := c.net.(*net.TCPConn); is {
-		tcp.CloseRead()
+	if c.closed {
+		c.notifyClosed()
+		return
 	}
+	c.startIO()
+	c.checkDetached()
 }
 
-// Quit ends the connection once all is written, so that the peer gets it whole; the owner hears no more of it.
-func (c *Conn) CloseAfterFlush() {
-	if c.ended || c.quits {
+// acceptInput enters n bytes that the reader has received and notifies the handler.
+func (c *Conn) acceptInput(n int) {
+	first := c.firstBuffer
+	c.firstBuffer = nil
+	if n <= 0 || c.closed || c.closing {
 		return
 	}
-	c.quits, c.owner = true, nil
-	if c.detached != nil {
-		c.detached = nil
-		c.net.SetReadDeadline(time.Time{})
+	if first != nil {
+		c.In.Write(first[:n])
+	} else {
+		c.In.Add(n)
 	}
-	if c.Resume(); c.Unsent() == 0 {
-		c.shut()
-		return
-	}
-	c.share.flushing[c] = struct{}{}
+	c.handler.DataReceived(c)
 }
 
-func (c *Conn) shut() {
-	if tcp, is := c.net.(*net.TCPConn); is {
-		tcp.CloseWrite()
+// handleWritten drops what the writer has written, or takes the error that it met.
+func (c *Conn) handleWritten(n int, err error) {
+	c.writing = false
+	c.out.Drop(n)
+	if !c.closed {
+		c.fillOut()
 	}
-	c.SetState(StateFinished)
-	if c.deaf {
-		c.Close()
-		return
+	if err != nil && !c.closed {
+		c.handleError(err)
 	}
-	c.share.flushing[c] = struct{}{}
-	c.loop.After(arrives, func() { delete(c.share.flushing, c) })
-	c.loop.After(lingers, func() { c.Close() })
-}
-
-// Resume hands the goroutines what there is to do: a full ring In stops the reading until the owner has used some.
-func (c *Conn) Resume() {
-	if c.ended || !c.up {
+	if c.closed {
+		c.notifyClosed()
 		return
 	}
-	if !c.reading && !c.deaf && c.detached == nil {
-		c.read()
+	c.startIO()
+	defer c.checkDetached()
+	switch {
+	case c.Unsent() > 0:
+	case c.closing:
+		c.finishClosing()
+	default:
+		c.handler.Flushed(c)
 	}
-	if b := c.out.Bytes(); !c.writing && len(b) > 0 {
-		if c.writing = true; c.toWrite == nil {
-			c.writes()
-		}
-		c.toWrite <- outRun{b, c.writeUntil}
+}
+
+// handleError ends a connection that has failed. What is still with the writer decides whether the
+// request was written, so its report is awaited.
+func (c *Conn) handleError(err error) {
+	switch {
+	case errors.Is(err, io.EOF):
+		c.terminate(Closed)
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		c.terminate(Stalled)
+	default:
+		c.terminate(Reset)
 	}
 }
--- a/internal/conn/detach.go
+++ b/internal/conn/detach.go
@@ -5,43 +5,52 @@
 	"time"
 )
 
-// Detach stops the reading and tells once, when all that was read is in and all that was written has gone out: then the
-// socket can be another process's, or end with no request lost that has been read. It does not tell if the connection
-// ends before.
+// pastDeadline is a deadline that ends a read at once.
+var pastDeadline = time.Unix(1, 0)
+
+// Detach stops the reading and calls done, once, when all that was read is in and all that was queued
+// is written: then the socket can pass to another process, or be closed with no request lost that was
+// read. done is not called if the connection ends before.
 func (c *Conn) Detach(done func()) {
-	if c.ended || c.quits || !c.up || c.detached != nil {
+	if c.closed || c.closing || !c.connected || c.onDetached != nil {
 		return
 	}
-	c.unlist()
-	c.detached = done
-	c.net.SetReadDeadline(time.Unix(1, 0))
-	c.loop.After(0, c.still)
+	c.removeEvictable()
+	c.onDetached = done
+	c.netConn.SetReadDeadline(pastDeadline)
+	c.loop.After(0, c.checkDetached)
 }
 
-func (c *Conn) still() {
-	if c.detached == nil || c.ended || c.quits || c.reading || c.writing || c.Unsent() > 0 {
+// checkDetached calls onDetached if nothing moves any more.
+func (c *Conn) checkDetached() {
+	if c.onDetached == nil || c.closed || c.closing {
+		return
+	}
+	if c.reading || c.writing || c.Unsent() > 0 {
 		return
 	}
-	done := c.detached
-	c.detached = func() {} // it is told once
+	done := c.onDetached
+	c.onDetached = func() {} // it is called once
 	done()
 }
 
-// Attach goes on as before.
+// Attach undoes Detach.
 func (c *Conn) Attach() {
-	if c.detached = nil; c.ended {
+	c.onDetached = nil
+	if c.closed {
 		return
 	}
-	c.list()
-	c.net.SetReadDeadline(time.Time{})
-	c.Resume()
+	c.addEvictable()
+	c.netConn.SetReadDeadline(time.Time{})
+	c.startIO()
 }
 
-// Standing tells whether it has come up and not ended.
-func (c *Conn) Standing() bool { return c.up && !c.ended }
+// Standing reports whether the connection has come up and not ended.
+func (c *Conn) Standing() bool { return c.connected && !c.closed }
 
-// Socket is the connection's descriptor, for whoever is to have it.
+// Socket returns the connection's descriptor for the process that is to have it; false: there is
+// none.
 func (c *Conn) Socket() (syscall.Conn, bool) {
-	socket, is := c.net.(syscall.Conn)
-	return socket, is && !c.ended
+	socket, ok := c.netConn.(syscall.Conn)
+	return socket, ok && !c.closed
 }
--- /dev/null
+++ b/internal/conn/eviction_test.go
@@ -0,0 +1,65 @@
+package conn
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"time"
+)
+
+// Connections are evicted in this order: those on which nothing is to come, those that have sent
+// nothing for a while, those that have stopped in the midst of a request, idle ones, those that
+// have begun a request; never one that is active. A byte is progress.
+func Example_evictionOrder() {
+	defer func(grace, after time.Duration) {
+		newGrace = grace
+		stalledAfter = after
+	}(newGrace, stalledAfter)
+	newGrace = 20 * time.Millisecond
+	stalledAfter = 60 * time.Millisecond
+	l := NewLoop(time.Now())
+	q := l.NewQuota(8)
+	addr, stop := listenPeer(func(c net.Conn) { io.Copy(io.Discard, c) })
+	defer stop()
+	states := []State{StateIdle, StateActive, StateReading, StateFinished, StateNew, StateReading}
+	var handlers []*recordingHandler
+	var conns []*Conn
+	for _, state := range states {
+		h := &recordingHandler{}
+		c := q.Dial(addr, time.Second, h)
+		runUntil(l, "the connection", func() bool { return len(h.events) > 0 })
+		c.SetState(state)
+		handlers = append(handlers, h)
+		conns = append(conns, c)
+	}
+	later := false
+	l.After(80*time.Millisecond, func() { later = true })
+	runUntil(l, "some time", func() bool { return later })
+	conns[5].SetState(StateReading) // progress
+	newest := &recordingHandler{}
+	c := q.Dial(addr, time.Second, newest)
+	runUntil(l, "the last", func() bool { return len(newest.events) > 0 })
+	c.SetState(StateNew)
+	handlers = append(handlers, newest)
+	for reserve := range 8 {
+		// What is evicted goes once all that was read of it is in.
+		l.After(0, func() {})
+		runUntil(l, "the evictions", func() bool { q.EnsureFree(reserve); return len(q.evicting) == 0 })
+		fmt.Print(q.EnsureFree(reserve), " ", q.Used())
+		for i, h := range handlers {
+			if len(h.events) > 1 {
+				fmt.Print(" ", []string{"idle", "busy", "stopped", "done", "mute", "begun", "new"}[i])
+			}
+		}
+		fmt.Println()
+	}
+	// Output:
+	// true 7
+	// true 6 done
+	// true 5 done mute
+	// true 4 stopped done mute
+	// true 3 idle stopped done mute
+	// true 2 idle stopped done mute new
+	// true 1 idle stopped done mute begun new
+	// false 1 idle stopped done mute begun new
+}
--- a/internal/conn/receive_test.go
+++ b/internal/conn/reader_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bytes leave the system's hands only together with the mark that shows them: a reading goroutine that is held at any point
-// leaves them to be seen in one of the two.
-func TestBytesAreSeenWhileTheyAreRead(t *testing.T) {
+// Bytes leave the system only together with the mark that shows them: a reader that is held at any
+// point leaves them to be seen in one of the two.
+func TestReadableWhileBytesAreRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,12 +28,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Conn{net: near}
+	c := &Conn{netConn: near}
 	inSystem := func() (is bool) {
 		peek(near, func(_, _ int, err error) { is = !errors.Is(err, unix.EAGAIN) })
 		return is
 	}
-	c.arrived.mu.Lock() // the goroutine is held where it would read
+	c.unseen.mu.Lock() // the goroutine is held where it would read
 	type outcome struct {
 		n   int
 		err error
@@ -52,15 +52,15 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	if !inSystem() {
-		t.Error("taken out of the system's hands, and not marked")
+		t.Error("taken from the system, and not marked")
 	}
-	c.arrived.mu.Unlock()
+	c.unseen.mu.Unlock()
 	if got := <-ended; got.n != 8 || got.err != nil || !c.Readable() {
 		t.Errorf("%+v, readable: %v", got, c.Readable())
 	}
-	c.arrived.met()
+	c.unseen.clear()
 	if c.Readable() {
-		t.Error("readable, and all is met")
+		t.Error("readable, and all is seen")
 	}
 	go read()
 	far.Close()
@@ -73,3 +73,20 @@
 		t.Errorf("%+v", got)
 	}
 }
+
+// A peer that has sent much and closed is seen to have closed as fast as its bytes can be thrown
+// away.
+func TestPeerCloseSeenBehindMuchInput(t *testing.T) {
+	l := NewLoop(time.Now())
+	q := l.NewQuota(10)
+	q.discardPause = time.Hour
+	near, far := net.Pipe()
+	h := &recordingHandler{}
+	c := q.Adopt(near, h)
+	c.DiscardInput()
+	go func() {
+		far.Write(make([]byte, 8<<20)) // what the system may hold
+		far.Close()
+	}()
+	runUntil(l, "the end", func() bool { return len(h.events) > 0 })
+}
--- /dev/null
+++ b/internal/conn/writer_test.go
@@ -0,0 +1,46 @@
+package conn
+
+import (
+	"bytes"
+	"net"
+	"testing"
+	"time"
+)
+
+// A peer that takes a little now and then receives all of it, however long that lasts; the
+// connection of one that takes nothing ends, and the request on it has provably not been written.
+func TestSlowPeer(t *testing.T) {
+	defer func(before time.Duration) { writeTimeout = before }(writeTimeout)
+	writeTimeout = 10 * time.Millisecond
+	l := NewLoop(time.Now())
+	q := l.NewQuota(10)
+	near, far := net.Pipe()
+	want := bytes.Repeat([]byte("answer"), 1000)
+	q.Adopt(near, &recordingHandler{}).Write(want)
+	got := make(chan []byte, 1)
+	go func() {
+		var all []byte
+		for b := make([]byte, 100); len(all) < len(want); time.Sleep(time.Millisecond) {
+			n, err := far.Read(b)
+			all = append(all, b[:n]...)
+			if err != nil {
+				break
+			}
+		}
+		got <- all
+	}()
+	runUntil(l, "the answer", func() bool {
+		l.After(time.Millisecond, func() {})
+		return len(got) == 1
+	})
+	if all := <-got; !bytes.Equal(all, want) {
+		t.Errorf("%d bytes of %d came", len(all), len(want))
+	}
+	near, _ = net.Pipe()
+	h := &recordingHandler{}
+	q.Adopt(near, h).Write(want)
+	runUntil(l, "the end", func() bool { return len(h.events) > 0 })
+	if h.events[0] != NotWritten.String() {
+		t.Errorf("one that takes nothing: %v", h.events)
+	}
+}
