--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -106,6 +106,7 @@
 			if took := l.Now() - began; closes != (q.Used() == 0) || !closes && took < lastAnswerTimeout {
 				t.Errorf("after %v, %d in use", took, q.Used())
 			}
+			closeAndWait(l, c)
 		})
 	}
 }
--- a/internal/conn/dial_test.go
+++ b/internal/conn/dial_test.go
@@ -66,6 +66,7 @@
 			}
 		})
 	}
+	closeAndWait(loop, dialled)
 }
 
 // Only what the peer or the way to it reports says something about the worker. What our own
--- a/internal/conn/fixture_test.go
+++ b/internal/conn/fixture_test.go
@@ -49,6 +49,13 @@
 	limit.Stop()
 }
 
+// closeAndWait closes a connection and waits for its reader, which may not use the system calls of a
+// later test.
+func closeAndWait(l *Loop, c *Conn) {
+	c.Close()
+	runUntil(l, "the end of the reader", func() bool { return !c.reading })
+}
+
 // listenPeer listens on loopback and serves each connection.
 func listenPeer(serve func(net.Conn)) (addr string, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
