--- a/internal/conn/doc.go
+++ b/internal/conn/doc.go
@@ -7,5 +7,5 @@
 //
 // A Quota bounds the descriptors of one side of the service and decides which connection is evicted
 // where they run out. A CloseReason says how a connection or a request over it came to its end, and
-// which result the dispatcher is told for that.
+// maps to the dispatcher's result for that.
 package conn
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -15,7 +15,7 @@
 	maxWait = time.Hour
 )
 
-// Task is run by the loop once, in its turn.
+// Task is run by the loop once.
 type Task interface{ Run() }
 
 // Loop runs tasks and timers in one goroutine, one after the other.
--- a/internal/conn/quota.go
+++ b/internal/conn/quota.go
@@ -39,7 +39,7 @@
 
 // EnsureFree reports whether one more descriptor can be used with at least reserve left after it, and
 // evicts connections for that. Their handlers are notified as if the peer had closed them. What may
-// still hold a request is evicted only once all that was read of it is in: OnFree tells of that.
+// still hold a request is evicted only once all that was read of it is in: OnFree is called then.
 func (q *Quota) EnsureFree(reserve int) bool {
 	if !q.evictDownTo(q.limit - reserve - 1) {
 		return false
--- a/internal/conn/unseen.go
+++ b/internal/conn/unseen.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// unseenInput tells whether bytes, or an end, were received that the handler of a connection has
+// unseenInput records whether bytes, or an end, were received that the handler of a connection has
 // not seen. They are held by the system, or on their way through the reader and the loop's queue.
 // The lock is held over the system call that takes them out of the one and the mark that shows them
 // in the other: between the two they would be seen in neither.
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// buildAttempt returns the request of an attempt as it stands at the moment of sending.
+// buildAttempt returns the request of an attempt for sending it now.
 func (t *Transport) buildAttempt(a *attempt, check invariant.Attempt) conn.Outgoing {
 	inv := a.invocation
 	timeLeft := (inv.Deadline - t.loop.Clock()).Seconds()
--- a/internal/workers/dial_test.go
+++ b/internal/workers/dial_test.go
@@ -89,9 +89,9 @@
 				if err != nil {
 					return
 				}
-				f := os.NewFile(uintptr(client), "accepted")
-				near, err := net.FileConn(f)
-				f.Close()
+				file := os.NewFile(uintptr(client), "accepted")
+				near, err := net.FileConn(file)
+				file.Close()
 				if err != nil {
 					panic(err)
 				}
@@ -110,16 +110,16 @@
 	}
 }
 
-// Several connections come up in one turn of the loop, or as their attempt is cancelled, or as the
+// Several connections come up in one iteration of the loop, or as their attempt is cancelled, or as the
 // worker moves: at most one of them carries the request.
 func TestConcurrentDials(t *testing.T) {
 	for name, v := range map[string]struct {
 		meanwhile func(*fixture)
 		requests  int64
 	}{
-		"in one turn": {meanwhile: func(*fixture) {}, requests: 1},
-		"cancelled":   {meanwhile: func(f *fixture) { f.Cancel(1, 0) }, requests: 0},
-		"moved":       {meanwhile: func(f *fixture) { f.moveTo("127.0.0.1:1") }, requests: 0},
+		"in one iteration": {meanwhile: func(*fixture) {}, requests: 1},
+		"cancelled":        {meanwhile: func(f *fixture) { f.Cancel(1, 0) }, requests: 0},
+		"moved":            {meanwhile: func(f *fixture) { f.moveTo("127.0.0.1:1") }, requests: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(acceptedResponse, acceptedResponse)
@@ -142,7 +142,7 @@
 			}
 			f.Forward(f.newInvocation(1), 0, f.id)
 			f.runUntilTrue("all dials", func() bool { return waiting.Load() == maxDials })
-			f.loop.Post(taskFunc(func() { // all of them come up in one turn
+			f.loop.Post(taskFunc(func() { // all of them come up in one iteration
 				close(open)
 				for connected.Load() < maxDials {
 					time.Sleep(time.Millisecond)
--- a/internal/workers/healthcheck.go
+++ b/internal/workers/healthcheck.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// healthCheckPath returns the path whose answer tells most in this deployment.
+// healthCheckPath returns the path of load reports where the deployment has them.
 func (t *Transport) healthCheckPath() string {
 	if len(t.deployment.Report.Names) > 0 {
 		return "/-/load"
