--- /dev/null
+++ b/internal/clients/callback_test.go
@@ -0,0 +1,33 @@
+package clients
+
+import (
+	"testing"
+	"time"
+
+	"stoatweir/internal/accounting"
+	"stoatweir/internal/conn"
+)
+
+// The keys of a callback's body are read whatever their case, and keys that are not known are passed over.
+func TestParseCallbackKeys(t *testing.T) {
+	for name, body := range map[string]string{
+		"lower case": `{"id":"9b1f","from":"s-1","state":"running","share":0.4,"result":"made","load":{"x0":2}}`,
+		"title case": `{"ID":"9b1f","From":"s-1","State":"running","Share":0.4,"Result":"made","Load":{"x0":2}}`,
+		"mixed case": `{"iD":"9b1f","FROM":"s-1","sTATE":"running","SHARE":0.4,"resulT":"made","LOAD":{"x0":2},"other":[1]}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			loop := conn.NewLoop(time.Now())
+			s := New(loop, testDeployment(), loop.NewQuota(1), accounting.New())
+			got, err := s.ParseCallback([]byte(body))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got.ID != "9b1f" || got.From != "s-1" || got.State != "running" || got.Share != 0.4 {
+				t.Errorf("%+v", got)
+			}
+			if got.Result == nil || *got.Result != "made" || got.Load == nil {
+				t.Errorf("result %v, load %v", got.Result, got.Load)
+			}
+		})
+	}
+}
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -19,16 +19,21 @@
 	"stoatweir/internal/workers"
 )
 
-// open listens on loopback; what happens at the door is printed, and done is asked after each.
-func open(most int) (l *conn.Loop, d *Server, addr string, shut func()) {
+// testDeployment has two operations and two tenants.
+func testDeployment() settings.Deployment {
 	site, err := settings.ParseDeployment([]byte(`{"Operations": [{"Name": "render", "Effect": "read_like", "ClientTimeout": 5},
 		{"Name": "sale", "Effect": "idempotency_key"}], "Tenants": [{"Name": "kestrel"}, {"Name": "oak"}],
 		"FamilyInfo": {"ReportX0": "free slots"}, "Report": {"How": "answers", "Names": ["x0"]}}`))
 	if err != nil {
 		panic(err)
 	}
+	return site
+}
+
+// open listens on loopback; what happens at the door is printed, and done is asked after each.
+func newTestServer(most int) (l *conn.Loop, d *Server, addr string, shut func()) {
 	l = conn.NewLoop(time.Now())
-	d = New(l, site, l.NewQuota(40), accounting.New())
+	d = New(l, testDeployment(), l.NewQuota(40), accounting.New())
 	d.SetMaxInFlight(most)
 	d.RelayCallback = func(workers.Callback, []byte, func(bool)) bool { return false }
 	d.OwnedByPeer, d.OnOwnership = func(string) bool { return false }, func(string, bool) {}
@@ -48,8 +53,8 @@
 		return true
 	}
 	d.OnServed = func(time.Duration) {}
-	manner = lifecycle.Behavior{Ready: true, Accepts: true, Admits: true}
-	d.Behavior, d.Counters = func() lifecycle.Behavior { return manner }, func() []byte { return []byte("{}") }
+	behavior = lifecycle.Behavior{Ready: true, Accepts: true, Admits: true}
+	d.Behavior, d.Counters = func() lifecycle.Behavior { return behavior }, func() []byte { return []byte("{}") }
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -58,10 +63,10 @@
 	return l, d, listener.Addr().String(), func() { listener.Close() }
 }
 
-var manner lifecycle.Behavior // what the door is told of the life cycle
+var behavior lifecycle.Behavior // what the door is told of the life cycle
 
 // until runs the loop in which the door lives.
-func until(l *conn.Loop, what string, done func() bool) {
+func runUntil(l *conn.Loop, what string, done func() bool) {
 	late := l.After(10*time.Second, func() { panic("waited in vain for " + what) })
 	l.Run(func() {
 		if done() {
@@ -72,7 +77,7 @@
 }
 
 // ask sends a text on a new connection and prints what comes back until the connection ends.
-func ask(l *conn.Loop, addr, text string) {
+func roundTrip(l *conn.Loop, addr, text string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
@@ -85,7 +90,7 @@
 		answer <- string(b)
 	}()
 	got, over := "", false
-	until(l, "an answer", func() bool {
+	runUntil(l, "an answer", func() bool {
 		select {
 		case got = <-answer:
 			over = true
@@ -101,12 +106,12 @@
 	}
 }
 
-const job = "POST /render/7f3a?x=1 HTTP/1.1\r\nHost: backend\r\nX-Call-Id: 9b1f\r\nX-Call-Class: render\r\nX-Caller: oak\r\n" +
+const requestText = "POST /render/7f3a?x=1 HTTP/1.1\r\nHost: backend\r\nX-Call-Id: 9b1f\r\nX-Call-Class: render\r\nX-Caller: oak\r\n" +
 	"X-Budget: 2.500\r\nX-Call-Cost: 250000\r\nX-Call-Info: slots=2,x=1\r\nContent-Length: 4\r\n\r\nbody"
 
 // One final answer each, with the worker's result as it was given, or a refusal that says when to come back.
 func Example_answers() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	take := d.OnEvent
 	d.OnEvent = func(e dispatch.Event) {
@@ -123,11 +128,11 @@
 		}
 		fmt.Println("owed:", d.InFlight())
 	}
-	closing := strings.Replace(job, "X-Call-Id", "Connection: close\r\nX-Call-Id", 1)
-	ask(l, addr, closing)
-	ask(l, addr, strings.Replace(closing, "9b1f", "9b20", 1))
+	closing := strings.Replace(requestText, "X-Call-Id", "Connection: close\r\nX-Call-Id", 1)
+	roundTrip(l, addr, closing)
+	roundTrip(l, addr, strings.Replace(closing, "9b1f", "9b20", 1))
 	d.ReleaseID("9b1f", false)
-	ask(l, addr, strings.NewReplacer("250000", "lots", "slots=2", "slots=-2", "2.500", "900", "X-Caller: oak", "X-Odd: 1").Replace(closing))
+	roundTrip(l, addr, strings.NewReplacer("250000", "lots", "slots=2", "slots=-2", "2.500", "900", "X-Caller: oak", "X-Odd: 1").Replace(closing))
 	fmt.Printf("%+v %+v\n", d.Counts, d.Ledger.Totals(0, 0).Classes)
 	// Output:
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
@@ -147,9 +152,9 @@
 
 // What makes no sense gets a plain status, and nothing of it reaches the decisions.
 func Example_badInput() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
-	closing := strings.Replace(job, "X-Caller: oak", "Connection: close", 1)
+	closing := strings.Replace(requestText, "X-Caller: oak", "Connection: close", 1)
 	for _, change := range [][2]string{
 		{"/render/", "/unheard/"}, {"Class: render", "Class: unheard"}, {"Class: render", "Class: sale"},
 		{"X-Call-Id: 9b1f\r\n", ""}, {"9b1f", "9b/../1 f"}, {"X-Budget: 2.500\r\n", ""}, {"2.500", "soon"}, {"2.500", "-1"}, {"2.500", "NaN"},
@@ -163,9 +168,9 @@
 		{"/render/7f3a?x=1 HTTP/1.1\r\nHost: backend\r\nX-Call-Id: 9b1f\r\nX-Call-Class: render", "/sale/1 HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: sale"},
 	} {
 		fmt.Printf("%.40q ", change[1])
-		ask(l, addr, strings.Replace(closing, change[0], change[1], 1))
+		roundTrip(l, addr, strings.Replace(closing, change[0], change[1], 1))
 	}
-	ask(l, addr, strings.Replace(strings.Replace(closing, "render", "sale", 2), "Content-Length", "Idempotency-Key: a\tb\r\nContent-Length", 1))
+	roundTrip(l, addr, strings.Replace(strings.Replace(closing, "render", "sale", 2), "Content-Length", "Idempotency-Key: a\tb\r\nContent-Length", 1))
 	fmt.Println(len(d.Ledger.Totals(0, 0).Classes), d.Ledger.Totals(0, 0).Classes[0].Admitted, d.Counts.Malformed)
 	// Output:
 	// "/unheard/" "400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -202,11 +207,11 @@
 
 // News is answered whatever it is about, and read in whole.
 func Example_news() {
-	l, _, addr, shut := open(10)
+	l, _, addr, shut := newTestServer(10)
 	defer shut()
 	for _, body := range []string{`{"id":"9b1f","from":"s-1","state":"running","share":0.4}`,
 		`{"id":"unheard","from":"s-2","state":"failed","load":{"x0":2}}`, `{"id":`} {
-		ask(l, addr, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+		roundTrip(l, addr, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	}
 	// Output:
 	// news 9b1f s-1 running 0.4 false
@@ -219,7 +224,7 @@
 // A client that closes has gone away; an id in hand is not taken twice; more in hand than there are descriptors for
 // is refused; what the decisions forget is answered all the same, once its time is over.
 func Example_leftAndOverdue() {
-	l, d, addr, shut := open(2)
+	l, d, addr, shut := newTestServer(2)
 	defer shut()
 	send := func(text string) net.Conn {
 		c, err := net.Dial("tcp", addr)
@@ -229,20 +234,20 @@
 		c.Write([]byte(text))
 		return c
 	}
-	c := send(job)
-	until(l, "the job", func() bool { return d.InFlight() == 1 })
-	ask(l, addr, strings.Replace(job, "X-Caller: oak", "Connection: close", 1))
+	c := send(requestText)
+	runUntil(l, "the job", func() bool { return d.InFlight() == 1 })
+	roundTrip(l, addr, strings.Replace(requestText, "X-Caller: oak", "Connection: close", 1))
 	c.Close()
-	until(l, "its client to leave", func() bool { return d.InFlight() == 0 })
-	ask(l, addr, strings.Replace(job, "X-Caller: oak", "Connection: close", 1)) // a forward of it may still be out
+	runUntil(l, "its client to leave", func() bool { return d.InFlight() == 0 })
+	roundTrip(l, addr, strings.Replace(requestText, "X-Caller: oak", "Connection: close", 1)) // a forward of it may still be out
 	d.ReleaseID("9b1f", false)
-	c = send(job)
-	until(l, "the job again", func() bool { return d.InFlight() == 1 })
-	closing := strings.Replace(job, "X-Caller: oak", "Connection: close", 1)
-	ask(l, addr, strings.NewReplacer("9b1f", "9b20", "2.500", "0.010").Replace(closing))
-	send(strings.Replace(job, "9b1f", "9b21", 1))
-	until(l, "the second job", func() bool { return d.InFlight() == 2 })
-	ask(l, addr, strings.Replace(closing, "9b1f", "9b22", 1))
+	c = send(requestText)
+	runUntil(l, "the job again", func() bool { return d.InFlight() == 1 })
+	closing := strings.Replace(requestText, "X-Caller: oak", "Connection: close", 1)
+	roundTrip(l, addr, strings.NewReplacer("9b1f", "9b20", "2.500", "0.010").Replace(closing))
+	send(strings.Replace(requestText, "9b1f", "9b21", 1))
+	runUntil(l, "the second job", func() bool { return d.InFlight() == 2 })
+	roundTrip(l, addr, strings.Replace(closing, "9b1f", "9b22", 1))
 	c.Close()
 	fmt.Printf("%+v %+v\n", d.Counts, d.Ledger.Totals(0, 0).Classes)
 	// Output:
@@ -265,7 +270,7 @@
 
 // Half requests on more connections than there are descriptors for don't keep others out.
 func Example_crowd() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	for range 60 {
 		c, err := net.Dial("tcp", addr)
@@ -275,8 +280,8 @@
 		defer c.Close()
 		c.Write([]byte("POST /render HTTP/1.1\r\nX-Call-Id: "))
 	}
-	ask(l, addr, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
-	fmt.Println(d.Counts.Connections, d.share.Used() <= 40)
+	roundTrip(l, addr, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+	fmt.Println(d.Counts.Connections, d.quota.Used() <= 40)
 	// Output:
 	// "200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// 61 true
@@ -285,7 +290,7 @@
 // With nearly all descriptors taken by invocations in hand, what comes besides is refused at once, and news gets in:
 // both would otherwise wait unaccepted, until all that is in hand is overdue.
 func Example_short() {
-	l, d, addr, shut := open(36)
+	l, d, addr, shut := newTestServer(36)
 	defer shut()
 	d.OnRequest, d.OnEvent = func(*workers.Invocation, int) {}, func(dispatch.Event) {}
 	for n := range 36 {
@@ -294,14 +299,14 @@
 			panic(err)
 		}
 		defer c.Close()
-		c.Write([]byte(strings.Replace(job, "9b1f", fmt.Sprint("id", n), 1)))
+		c.Write([]byte(strings.Replace(requestText, "9b1f", fmt.Sprint("id", n), 1)))
 	}
-	until(l, "those in hand", func() bool { return d.InFlight() == 36 })
+	runUntil(l, "those in hand", func() bool { return d.InFlight() == 36 })
 	for range 3 {
-		ask(l, addr, job)
+		roundTrip(l, addr, requestText)
 	}
 	news := `{"id":"id1","from":"s-1","state":"started"}`
-	ask(l, addr, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(news), news))
+	roundTrip(l, addr, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(news), news))
 	fmt.Println(d.InFlight(), d.Counts.Crowded)
 	// Output:
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -315,7 +320,7 @@
 // Who connects and says nothing is closed on, who drips is told, within 3 s of connecting; whoever repeats what makes no
 // sense waits longer for each answer.
 func Example_idlers() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", addr)
@@ -348,7 +353,7 @@
 			}
 		}
 	}()
-	until(l, "both ends", func() bool { return len(ended) == 2 })
+	runUntil(l, "both ends", func() bool { return len(ended) == 2 })
 	lines := []string{<-ended, <-ended}
 	slices.Sort(lines)
 	fmt.Println(strings.Join(lines, "\n"))
@@ -363,36 +368,36 @@
 // While it leaves, the door is not ready and takes what still comes, also on connections that are there; once shut it
 // ends each connection with its answer, and idle ones at once.
 func Example_leave() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
-	ask(l, addr, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+	roundTrip(l, addr, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
 	idle, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
 	idle.Write([]byte("GET /-/counts HTTP/1.1\r\n\r\n"))
-	until(l, "the idle one", func() bool {
-		return d.Counts.Connections == 2 && len(d.connections) == 1 && !d.Busy() && d.share.Used() == 1
+	runUntil(l, "the idle one", func() bool {
+		return d.Counts.Connections == 2 && len(d.connections) == 1 && !d.Busy() && d.quota.Used() == 1
 	})
 	l.After(20*time.Millisecond, func() {
-		manner.Ready = false
+		behavior.Ready = false
 		idle.Write([]byte("GET /-/ready HTTP/1.1\r\n\r\n"))
 	})
-	l.After(100*time.Millisecond, func() { manner.ClosesIdle = true; d.ApplyBehavior() })
-	l.After(300*time.Millisecond, func() { manner.Admits = false })
-	until(l, "the idle one's end", func() bool { return manner.ClosesIdle && len(d.connections) == 0 })
+	l.After(100*time.Millisecond, func() { behavior.ClosesIdle = true; d.ApplyBehavior() })
+	l.After(300*time.Millisecond, func() { behavior.Admits = false })
+	runUntil(l, "the idle one's end", func() bool { return behavior.ClosesIdle && len(d.connections) == 0 })
 	b, _ := io.ReadAll(idle)
 	fmt.Printf("%q\n", b)
 	idle.Close()
-	ask(l, addr, "GET /-/ready HTTP/1.1\r\n\r\n")
+	roundTrip(l, addr, "GET /-/ready HTTP/1.1\r\n\r\n")
 	l.After(50*time.Millisecond, func() {
 		d.Fail(d.Unanswered()[0])
 		fmt.Println("in hand:", d.InFlight(), "but not out of the door:", d.Busy())
 	})
-	ask(l, addr, job)
+	roundTrip(l, addr, requestText)
 	l.After(300*time.Millisecond, l.Stop)
 	l.Run(func() {})
-	ask(l, addr, strings.Replace(job, "9b1f", "9b20", 1))
+	roundTrip(l, addr, strings.Replace(requestText, "9b1f", "9b20", 1))
 	// Output:
 	// "200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -406,7 +411,7 @@
 
 // In a drain clients' connections end, those with half a request last; one that brings workers' news stays throughout.
 func Example_drain() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	dial := func(text string) net.Conn {
 		c, err := net.Dial("tcp", addr)
@@ -420,29 +425,29 @@
 	worker := dial(fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(news), news))
 	defer worker.Close()
 	silent, half := dial(""), dial("POST /render HTTP/1.1\r\n")
-	until(l, "all three", func() bool {
+	runUntil(l, "all three", func() bool {
 		begun := 0
 		for v := range d.connections {
-			if v.brings || v.parser.Started() {
+			if v.carriesCallbacks || v.parser.Started() {
 				begun++
 			}
 		}
 		return len(d.connections) == 3 && begun == 2
 	})
-	manner = lifecycle.Behavior{Accepts: true, Admits: true, ClosesIdle: true, KeepsCallbacks: true}
+	behavior = lifecycle.Behavior{Accepts: true, Admits: true, ClosesIdle: true, KeepsCallbacks: true}
 	goes := func(left int) {
 		l.After(0, d.ApplyBehavior)
-		until(l, "those that go", func() bool {
+		runUntil(l, "those that go", func() bool {
 			l.After(time.Millisecond, d.ApplyBehavior)
 			return len(d.connections) == left
 		})
 		fmt.Println("left:", left)
 	}
 	goes(2)
-	manner.ClosesPartial = true
+	behavior.ClosesPartial = true
 	goes(1)
 	worker.Write([]byte("POST /_jobs/news HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"))
-	until(l, "more news", func() bool { return !d.Busy() && d.share.Used() == 1 })
+	runUntil(l, "more news", func() bool { return !d.Busy() && d.quota.Used() == 1 })
 	for _, c := range []net.Conn{silent, half} {
 		b, _ := io.ReadAll(c)
 		fmt.Printf("%q\n", b)
@@ -461,7 +466,7 @@
 // outstanding, and the ledger says of each what its client was told.
 func TestLedgerOverRandomHistories(t *testing.T) {
 	for seed := range int64(20) {
-		l, d, addr, shut := open(3)
+		l, d, addr, shut := newTestServer(3)
 		d.OnEvent, d.OnRequest = func(dispatch.Event) {}, func(*workers.Invocation, int) {}
 		rng, told := rand.New(rand.NewSource(seed)), make(chan int, 100)
 		asked, gone := 0, 0
@@ -498,12 +503,12 @@
 				if asked++; leaves {
 					gone++
 				}
-				go hand(addr, fmt.Sprint("id", asked), leaves, told)
+				go submit(addr, fmt.Sprint("id", asked), leaves, told)
 			}
 			return asked == 40 && answered == asked && d.InFlight() == 0 && !d.Busy()
 		}
 		l.After(0, func() {})
-		until(l, "all answers", func() bool { l.After(100*time.Microsecond, func() {}); return step() })
+		runUntil(l, "all answers", func() bool { l.After(100*time.Microsecond, func() {}); return step() })
 		ended := d.Ledger.Totals(0, 0).Classes[0].Completed
 		// Some of those that left had their answer on the way.
 		more, sound := ended[accounting.Abandoned], true
@@ -518,18 +523,18 @@
 	}
 }
 
-const left = -1 // in the place of a status
+const clientLeft = -1 // in the place of a status
 
 // hand hands in an invocation and tells the status of its answer, or that it has left without waiting for one.
-func hand(addr, id string, leaves bool, told chan<- int) {
+func submit(addr, id string, leaves bool, told chan<- int) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
 	defer c.Close()
-	io.WriteString(c, strings.Replace(strings.Replace(job, "9b1f", id, 1), "HTTP/1.1", "HTTP/1.1\r\nConnection: close", 1))
+	io.WriteString(c, strings.Replace(strings.Replace(requestText, "9b1f", id, 1), "HTTP/1.1", "HTTP/1.1\r\nConnection: close", 1))
 	if leaves {
-		told <- left
+		told <- clientLeft
 		return
 	}
 	b, _ := io.ReadAll(c)
@@ -540,10 +545,10 @@
 
 // Who connects and says nothing costs a goroutine and no ring, and is let go again whole.
 func TestSilentCrowdCostsLittle(t *testing.T) {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	const many = 200
-	d.share.Resize(many + 10)
+	d.quota.Resize(many + 10)
 	before := runtime.NumGoroutine()
 	var crowd []net.Conn
 	for range many {
@@ -553,20 +558,20 @@
 		}
 		crowd = append(crowd, c)
 	}
-	until(l, "the crowd", func() bool { return len(d.connections) == many })
+	runUntil(l, "the crowd", func() bool { return len(d.connections) == many })
 	if cost := runtime.NumGoroutine() - before; cost > many+10 {
 		t.Errorf("%d silent connections cost %d goroutines", many, cost)
 	}
 	for v := range d.connections {
-		if !v.c.In.Empty() {
+		if !v.conn.In.Empty() {
 			t.Fatal("a silent connection has a ring")
 		}
 	}
-	d.share.Resize(10)
+	d.quota.Resize(10)
 	for _, c := range crowd {
 		c.Close()
 	}
-	until(l, "the crowd's end", func() bool { return len(d.connections) == 0 && d.share.Used() == 0 })
+	runUntil(l, "the crowd's end", func() bool { return len(d.connections) == 0 && d.quota.Used() == 0 })
 	for began := time.Now(); runtime.NumGoroutine() > before+10; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 2*time.Second {
 			t.Fatal("goroutines left:", runtime.NumGoroutine()-before)
--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -26,25 +26,25 @@
 // moment: a stop, the wait for a first word, or want of descriptors.
 func TestReadWhenIdleConnectionsEnd(t *testing.T) {
 	for name, ends := range map[string]func(d *Server, v *connection){
-		"a stop":         func(d *Server, _ *connection) { manner.ClosesIdle = true; d.ApplyBehavior() },
-		"the first word": func(_ *Server, v *connection) { v.late() },
-		"descriptors":    func(d *Server, _ *connection) { d.share.Resize(0) },
+		"a stop":         func(d *Server, _ *connection) { behavior.ClosesIdle = true; d.ApplyBehavior() },
+		"the first word": func(_ *Server, v *connection) { v.readDeadlineExceeded() },
+		"descriptors":    func(d *Server, _ *connection) { d.quota.Resize(0) },
 		"a kept one": func(d *Server, v *connection) {
-			v.c.SetState(conn.StateIdle)
-			d.share.Resize(0)
+			v.conn.SetState(conn.StateIdle)
+			d.quota.Resize(0)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, d, _, shut := open(10)
+			l, d, _, shut := newTestServer(10)
 			defer shut()
 			near, far := net.Pipe()
 			defer far.Close()
-			accepted{d, near}.Run()
+			accepted{Server: d, net: near}.Run()
 			var v *connection
 			for v = range d.connections {
-				v.came -= firstIn
+				v.acceptedAt -= firstRequestGrace
 			}
-			far.Write([]byte(job)) // has been read when this returns, and the loop does not run
+			far.Write([]byte(requestText)) // has been read when this returns, and the loop does not run
 			ends(d, v)
 			answer := make(chan string, 1)
 			go func() {
@@ -54,7 +54,7 @@
 			}()
 			got := ""
 			l.After(0, func() {})
-			until(l, "an answer", func() bool {
+			runUntil(l, "an answer", func() bool {
 				for _, inv := range d.Unanswered() {
 					d.Deliver(inv, "result")
 				}
@@ -75,21 +75,21 @@
 // A client that sends more than a ring holds behind its request, and goes, is seen to have gone. Without end it costs no
 // turns of the loop either.
 func TestLeavesBehindManyBytes(t *testing.T) {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Write([]byte(job))
-	until(l, "the job", func() bool { return d.InFlight() == 1 })
+	c.Write([]byte(requestText))
+	runUntil(l, "the job", func() bool { return d.InFlight() == 1 })
 	began := l.Now()
 	go func() {
 		c.Write(make([]byte, 1<<20))
 		c.Close()
 	}()
 	turns := 0
-	until(l, "its client to leave", func() bool { turns++; return d.InFlight() == 0 })
+	runUntil(l, "its client to leave", func() bool { turns++; return d.InFlight() == 0 })
 	if took := l.Now() - began; d.Counts.Overdue > 0 || took > 300*time.Millisecond || turns > 20 {
 		t.Errorf("seen after %v in %d turns, %d overdue", took, turns, d.Counts.Overdue)
 	}
@@ -97,15 +97,15 @@
 
 // A client that has gone before its request was read is not taken in: it would be sent on at once, however long ago that was.
 func Example_leftUnread() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
-	c.Write([]byte(job))
+	c.Write([]byte(requestText))
 	c.Close() // the loop does not run yet
-	until(l, "the end of the connection", func() bool { return d.Counts.Connections == 1 && d.share.Used() == 0 })
+	runUntil(l, "the end of the connection", func() bool { return d.Counts.Connections == 1 && d.quota.Used() == 0 })
 	fmt.Println("taken:", d.Ledger.Totals(0, 0).Classes[0].Admitted)
 	// Output:
 	// taken: 0
@@ -121,7 +121,7 @@
 		"close behind its bytes": func(c *net.TCPConn) { c.Write(make([]byte, 10000)); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, d, addr, shut := open(36)
+			l, d, addr, shut := newTestServer(36)
 			defer shut()
 			withdrawn := 0
 			d.OnRequest, d.OnEvent = func(*workers.Invocation, int) {}, func(e dispatch.Event) {
@@ -136,10 +136,10 @@
 					t.Fatal(err)
 				}
 				defer c.Close()
-				c.Write([]byte(strings.Replace(job, "9b1f", fmt.Sprint("id", n), 1)))
+				c.Write([]byte(strings.Replace(requestText, "9b1f", fmt.Sprint("id", n), 1)))
 				all = append(all, c.(*net.TCPConn))
 			}
-			until(l, "those in hand", func() bool { return d.InFlight() == len(all) })
+			runUntil(l, "those in hand", func() bool { return d.InFlight() == len(all) })
 			for _, c := range all[1:] {
 				leave(c)
 			}
@@ -155,7 +155,7 @@
 			if stays != 1 || withdrawn != len(all)-1 || d.InFlight() != 1 {
 				t.Errorf("%d stay, %d withdrawn, %d in hand", stays, withdrawn, d.InFlight())
 			}
-			until(l, "the notes", func() bool { l.After(time.Millisecond, func() {}); return d.share.Used() == 1 })
+			runUntil(l, "the notes", func() bool { l.After(time.Millisecond, func() {}); return d.quota.Used() == 1 })
 			if withdrawn != len(all)-1 {
 				t.Errorf("%d withdrawn", withdrawn)
 			}
@@ -165,14 +165,14 @@
 
 // The same over a whole way: a connection to a worker is up, its client leaves, and the loop meets the connection first.
 func TestLeavesAsConnectionComesUp(t *testing.T) {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	worker, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	f := workers.NewTransport(l, d.site, l.NewQuota(4))
+	f := workers.NewTransport(l, d.deployment, l.NewQuota(4))
 	id := netip.MustParseAddrPort(worker.Addr().String())
 	stand := func(s dispatch.EndpointState) {
 		f.ApplyUpdate(discovery.Update{Kind: dispatch.DeltaUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: id.String(),
@@ -191,15 +191,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Write([]byte(job))
-	until(l, "the job", func() bool { return d.InFlight() == 1 })
+	c.Write([]byte(requestText))
+	runUntil(l, "the job", func() bool { return d.InFlight() == 1 })
 	f.Forward(j, 0, id, 0)
 	far, err := worker.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	until(l, "the end", func() bool { return len(ends) == 1 })
+	runUntil(l, "the end", func() bool { return len(ends) == 1 })
 	if o := ends[0].(dispatch.Outcome); o.Result != dispatch.NotSent || !o.Answered {
 		t.Errorf("%+v", o)
 	}
@@ -211,16 +211,16 @@
 
 // A client that has left behind bytes which nobody has read is not taken in.
 func Example_leftBehindUnread() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
-	pad := "X-Pad: " + strings.Repeat("x", 256-len(job)-len("X-Pad: \r\n")) // the first read ends with the request
-	c.Write([]byte(strings.Replace(job, "X-Budget", pad+"\r\nX-Budget", 1) + strings.Repeat("more", 1000)))
+	pad := "X-Pad: " + strings.Repeat("x", 256-len(requestText)-len("X-Pad: \r\n")) // the first read ends with the request
+	c.Write([]byte(strings.Replace(requestText, "X-Budget", pad+"\r\nX-Budget", 1) + strings.Repeat("more", 1000)))
 	c.Close() // the loop does not run yet
-	until(l, "the end of the connection", func() bool { return d.Counts.Connections == 1 && d.share.Used() == 0 })
+	runUntil(l, "the end of the connection", func() bool { return d.Counts.Connections == 1 && d.quota.Used() == 0 })
 	fmt.Println("taken:", d.Ledger.Totals(0, 0).Classes[0].Admitted)
 	// Output:
 	// taken: 0
@@ -228,23 +228,23 @@
 
 // A client closes with its request's body half in, or half its head: nothing is taken.
 func Example_leavesInRequest() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
-	for n, part := range []string{job[:len(job)-2], job[:50], strings.Replace(job, "Content-Length: 4\r\n\r\nbody",
+	for n, part := range []string{requestText[:len(requestText)-2], requestText[:50], strings.Replace(requestText, "Content-Length: 4\r\n\r\nbody",
 		"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", 1)} {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			panic(err)
 		}
 		c.Write([]byte(part))
-		until(l, "half a request", func() bool {
+		runUntil(l, "half a request", func() bool {
 			for v := range d.connections {
 				return v.parser.Started()
 			}
 			return false
 		})
 		c.Close()
-		until(l, "the end of the connection", func() bool { return d.Counts.Connections == n+1 && d.share.Used() == 0 })
+		runUntil(l, "the end of the connection", func() bool { return d.Counts.Connections == n+1 && d.quota.Used() == 0 })
 	}
 	fmt.Println("taken:", d.Ledger.Totals(0, 0).Classes[0].Admitted)
 	// Output:
@@ -255,26 +255,26 @@
 // over it would reset the connection.
 func TestUnreadWhenIdleConnectionsEnd(t *testing.T) {
 	for name, ends := range map[string]func(d *Server){
-		"a stop":      func(d *Server) { manner.ClosesIdle = true; d.ApplyBehavior() },
-		"descriptors": func(d *Server) { d.share.Resize(0) },
+		"a stop":      func(d *Server) { behavior.ClosesIdle = true; d.ApplyBehavior() },
+		"descriptors": func(d *Server) { d.quota.Resize(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, d, addr, shut := open(10)
+			l, d, addr, shut := newTestServer(10)
 			defer shut()
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			until(l, "the connection", func() bool { return len(d.connections) == 1 })
+			runUntil(l, "the connection", func() bool { return len(d.connections) == 1 })
 			var v *connection
 			for v = range d.connections {
-				v.came -= firstIn
-				v.c.SetState(conn.StateIdle)
+				v.acceptedAt -= firstRequestGrace
+				v.conn.SetState(conn.StateIdle)
 			}
 			ends(d) // the reading has been stopped, and the loop does not run
-			c.Write([]byte(job))
-			for end := time.Now().Add(5 * time.Second); !v.c.Readable() && time.Now().Before(end); {
+			c.Write([]byte(requestText))
+			for end := time.Now().Add(5 * time.Second); !v.conn.Readable() && time.Now().Before(end); {
 			}
 			answer := make(chan string, 1)
 			go func() {
@@ -284,7 +284,7 @@
 			}()
 			got := ""
 			l.After(0, func() {})
-			until(l, "an answer", func() bool {
+			runUntil(l, "an answer", func() bool {
 				for _, inv := range d.Unanswered() {
 					d.Deliver(inv, "result")
 				}
@@ -305,28 +305,28 @@
 // A connection that comes just before the end has its request served; who has come and says nothing goes with the others.
 // The door is closed only once nobody is on the way in.
 func Example_lastToCome() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
-	manner.ClosesIdle, manner.ExitsWhenIdle = true, true
+	behavior.ClosesIdle, behavior.ExitsWhenIdle = true, true
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
 	defer c.Close()
-	until(l, "the connection", func() bool { return len(d.connections) == 1 })
+	runUntil(l, "the connection", func() bool { return len(d.connections) == 1 })
 	d.ApplyBehavior()
 	fmt.Println("stays:", len(d.connections) == 1, "busy:", d.Busy())
-	c.Write([]byte(job))
-	until(l, "its request", func() bool { return d.InFlight() == 1 })
+	c.Write([]byte(requestText))
+	runUntil(l, "its request", func() bool { return d.InFlight() == 1 })
 	d.Throttle(1, 0)
 	d.ApplyBehavior()
 	l.After(0, func() {})
-	until(l, "its answer", func() bool { l.After(time.Millisecond, d.ApplyBehavior); return !d.Busy() })
+	runUntil(l, "its answer", func() bool { l.After(time.Millisecond, d.ApplyBehavior); return !d.Busy() })
 	fmt.Println("in hand:", d.InFlight(), "closed at once:", d.StopAccepting())
 	l.After(0, func() {})
-	until(l, "the listener", func() bool { l.After(time.Millisecond, d.ApplyBehavior); return d.StopAccepting() })
+	runUntil(l, "the listener", func() bool { l.After(time.Millisecond, d.ApplyBehavior); return d.StopAccepting() })
 	d.ApplyBehavior()
-	fmt.Println("nobody comes in:", !d.leave, len(d.connections))
+	fmt.Println("nobody comes in:", !d.accepting, len(d.connections))
 	// Output:
 	// stays: true busy: true
 	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
@@ -336,16 +336,16 @@
 }
 
 // pass has a connection with a job on its way to another process, which has the socket too.
-func pass(l *conn.Loop, d *Server, addr string) (c net.Conn, p *MigratingConnection, other net.Conn) {
+func startMigration(l *conn.Loop, d *Server, addr string) (c net.Conn, p *MigratingConnection, other net.Conn) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
-	c.Write([]byte(job))
-	until(l, "the job", func() bool { return d.InFlight() == 1 })
+	c.Write([]byte(requestText))
+	runUntil(l, "the job", func() bool { return d.InFlight() == 1 })
 	d.MigrateConnections(1, func(dispatch.InvocationID) bool { return true }, func(given *MigratingConnection) { p = given })
 	l.After(0, func() {})
-	until(l, "the parcel", func() bool { return p != nil })
+	runUntil(l, "the parcel", func() bool { return p != nil })
 	raw, err := p.Socket.SyscallConn()
 	if err != nil {
 		panic(err)
@@ -367,9 +367,9 @@
 // The other process hangs with a connection on its way, is given up, and goes on: there is one answer, and nothing is left of
 // the connection that it could serve.
 func Example_givenUpPass() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
-	c, p, other := pass(l, d, addr)
+	c, p, other := startMigration(l, d, addr)
 	answer := make(chan string, 1)
 	go func() {
 		b, err := io.ReadAll(c)
@@ -378,7 +378,7 @@
 	p.PeerFailed()
 	l.After(0, func() {})
 	got := ""
-	until(l, "the answer", func() bool {
+	runUntil(l, "the answer", func() bool {
 		l.After(time.Millisecond, func() {})
 		select {
 		case got = <-answer:
@@ -404,9 +404,9 @@
 
 // A client that leaves during a pass is gone wherever that ends: its invocation could be sent on before its end is read.
 func Example_leavesInPass() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
-	c, p, other := pass(l, d, addr)
+	c, p, other := startMigration(l, d, addr)
 	c.Close()
 	_, kept := d.AcceptMigrated(other, MigratingConnection{}, &workers.Invocation{ID: "9b1f", Deadline: time.Second}, 0, 0)
 	fmt.Println("the other one keeps it:", kept)
@@ -422,7 +422,7 @@
 
 // Names that are prefixes of others, or need escaping in a path: each is its own operation, by its whole name.
 func Example_names() {
-	l, d, addr, shut := open(10)
+	l, d, addr, shut := newTestServer(10)
 	defer shut()
 	site, err := settings.ParseDeployment([]byte(`{"Operations": [{"Name": "gate", "Effect": "read_like"}, {"Name": "gate 7", "Effect": "read_like"},
 		{"Name": "gate 7/é", "Effect": "read_like"}, {"Name": "gate%207", "Effect": "read_like"}]}`))
@@ -439,8 +439,8 @@
 	}
 	for n, names := range [][2]string{{"gate", "gate"}, {"gate 7", "gate%207"}, {"gate 7/é", "gate%207%2F%C3%A9"}, {"gate%207", "gate%25207"},
 		{"gate", "gate%207"}, {"gate 7", "gate"}, {"gate 7", "gate%20%00"}} {
-		ask(l, addr, strings.NewReplacer("Class: render", "Class: "+names[0], "/render/", "/"+names[1]+"/", "9b1f", fmt.Sprint("id", n),
-			"X-Caller: oak", "Connection: close").Replace(job))
+		roundTrip(l, addr, strings.NewReplacer("Class: render", "Class: "+names[0], "/render/", "/"+names[1]+"/", "9b1f", fmt.Sprint("id", n),
+			"X-Caller: oak", "Connection: close").Replace(requestText))
 	}
 	// Output:
 	// job id0 POST /gate/7f3a?x=1 [{X-Call-Id id0}] body
--- a/internal/clients/hosted.go
+++ b/internal/clients/hosted.go
@@ -10,16 +10,16 @@
 )
 
 // scopeMark stands between a tenant's handle and what it names itself. No handle has one.
-const scopeMark = "~"
+const handleSeparator = "~"
 
 // identify finds whose a request is. Of two credentials each reader could believe another.
-func (d *Server) identify(values []string) *tenants.Account {
+func (s *Server) authenticate(values []string) *tenants.Account {
 	if len(values) != 1 {
 		return nil
 	}
 	scheme, credential, _ := strings.Cut(values[0], " ")
 	id, secret, _ := strings.Cut(strings.TrimSpace(credential), ".")
-	seat := d.Admission.Identify(id, secret, time.Now())
+	seat := s.Admission.Identify(id, secret, time.Now())
 	if !strings.EqualFold(scheme, "Bearer") {
 		return nil
 	}
@@ -27,17 +27,19 @@
 }
 
 // unknown answers who shows no credential that is known, ever more slowly on one connection, as guesses cost us time.
-func (v *connection) unknown() { v.refuse(401, http1.Field{Name: "WWW-Authenticate", Value: "Bearer"}) }
+func (c *connection) rejectUnauthorized() {
+	c.reject(401, http1.Field{Name: "WWW-Authenticate", Value: "Bearer"})
+}
 
 // retries tells whether a client says that it has asked before.
-func retries(m *http1.Message) bool {
+func isRetry(m *http1.Message) bool {
 	n, err := strconv.Atoi(m.Header.Get("X-Attempt"))
 	return err == nil && n > 1
 }
 
 // throttled says which limit it was and when to come back.
-func (v *connection) throttled(verdict tenants.Decision) {
-	v.strays = 0
+func (c *connection) rejectLimited(verdict tenants.Decision) {
+	c.consecutiveRejections = 0
 	fields := []http1.Field{{Name: "X-Limit", Value: string(verdict.Kind)}}
 	if verdict.RetryAfter > 0 {
 		fields = append(fields, http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(verdict.RetryAfter.Seconds(), 'f', 3, 64)})
@@ -49,12 +51,12 @@
 	case tenants.Size:
 		status = 413
 	}
-	v.answer(status, nil, fields...)
+	c.answer(status, nil, fields...)
 }
 
 // Scope gives the tenant's handle in an id; empty where it has none.
 func Scope(id string) string {
-	handle, _, scoped := strings.Cut(id, scopeMark)
+	handle, _, scoped := strings.Cut(id, handleSeparator)
 	if !scoped {
 		return ""
 	}
@@ -62,10 +64,10 @@
 }
 
 // seated finds the tenant of an invocation that another process let in. False: nobody here knows it.
-func (d *Server) seated(id string) (*tenants.Account, bool) {
-	if d.Admission == nil {
+func (s *Server) accountOf(id string) (*tenants.Account, bool) {
+	if s.Admission == nil {
 		return nil, true
 	}
-	seat := d.Admission.ByHandle(Scope(id))
+	seat := s.Admission.ByHandle(Scope(id))
 	return seat, seat != nil
 }
--- a/internal/clients/pass.go
+++ b/internal/clients/pass.go
@@ -23,35 +23,35 @@
 	Invocation       dispatch.InvocationID // 0: it is idle
 
 	connection *connection
-	job        *inHand
+	job        *inFlightRequest
 	record     *invariant.MigratedRequest
 }
 
 // Offer stops connections that could go to another process, and gives each to pass once nothing moves on it any more; most may
 // be under way. may tells whether an invocation can go as it stands.
-func (d *Server) MigrateConnections(most int, may func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
+func (s *Server) MigrateConnections(most int, may func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
 	under := 0
-	for v := range d.connections {
+	for v := range s.connections {
 		if v.offered {
 			under++
 		}
 	}
-	for v := range d.connections {
+	for v := range s.connections {
 		if under >= most {
 			return
 		}
-		if v.passable() && !v.offered {
+		if v.migratable() && !v.offered {
 			v.offered = true
 			under++
-			v.c.Detach(func() { v.offer(may, pass) })
+			v.conn.Detach(func() { v.migrate(may, pass) })
 		}
 	}
 }
 
 // Passable tells whether there is still a connection that could go.
-func (d *Server) HasMigratable() bool {
-	for v := range d.connections {
-		if v.passable() {
+func (s *Server) HasMigratable() bool {
+	for v := range s.connections {
+		if v.migratable() {
 			return true
 		}
 	}
@@ -59,142 +59,142 @@
 }
 
 // passable: it is between two requests, or a whole one waits for its answer, and the other process has not refused it.
-func (v *connection) passable() bool {
-	return v.parcel == nil && !v.stays && !v.waits && !v.last && !v.parser.Started()
+func (c *connection) migratable() bool {
+	return c.parcel == nil && !c.stays && !c.answerDeferred && !c.closeAfterAnswer && !c.parser.Started()
 }
 
-func (v *connection) offer(may func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
-	d := v.door
-	if v.inv != 0 && !may(v.inv) || !v.passable() || v.c.Unsent() > 0 {
-		v.offered = false
-		v.c.Attach() // it will be asked again
+func (c *connection) migrate(may func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
+	d := c.server
+	if c.invocation != 0 && !may(c.invocation) || !c.migratable() || c.conn.Unsent() > 0 {
+		c.offered = false
+		c.conn.Attach() // it will be asked again
 		return
 	}
-	socket, stands := v.c.Socket()
+	socket, stands := c.conn.Socket()
 	if !stands {
 		return
 	}
-	p := &MigratingConnection{Socket: socket, CarriesCallbacks: v.brings, Unused: !v.useful, Invocation: v.inv, connection: v}
+	p := &MigratingConnection{Socket: socket, CarriesCallbacks: c.carriesCallbacks, Unused: !c.used, Invocation: c.invocation, connection: c}
 	if p.Unused {
-		p.SilentFor = d.loop.Now() - v.came
+		p.SilentFor = d.loop.Now() - c.acceptedAt
 	}
-	for part := v.c.In.Bytes(); len(part) > 0; part = v.c.In.Bytes() {
+	for part := c.conn.In.Bytes(); len(part) > 0; part = c.conn.In.Bytes() {
 		p.Buffered = append(p.Buffered, part...)
-		v.c.In.Drop(len(part))
+		c.conn.In.Drop(len(part))
 	}
-	if v.inv != 0 {
-		p.job, p.record = d.inHand[v.inv], d.Invariants.MigrateOut(v.inv)
-		d.forget(v.inv, accounting.Migrated)
+	if c.invocation != 0 {
+		p.job, p.record = d.inFlight[c.invocation], d.Invariants.MigrateOut(c.invocation)
+		d.complete(c.invocation, accounting.Migrated)
 	}
-	v.parcel = p
-	d.passing++
-	v.slow.Stop()
-	v.slow = nil
+	c.parcel = p
+	d.migrating++
+	c.slow.Stop()
+	c.slow = nil
 	pass(p)
 }
 
 // Kept: the other process has it.
-func (p *MigratingConnection) Accepted() {
-	v, d := p.connection, p.connection.door
-	d.passing--
+func (m *MigratingConnection) Accepted() {
+	v, d := m.connection, m.connection.server
+	d.migrating--
 	delete(d.connections, v)
-	d.ClosedConnections[endedHanded]++
-	v.c.Close()
-	if p.job != nil {
-		delete(d.ids, p.job.id)
-		d.OnOwnership(p.job.id, false)
+	d.ClosedConnections[closedMigrated]++
+	v.conn.Close()
+	if m.job != nil {
+		delete(d.ids, m.job.id)
+		d.OnOwnership(m.job.id, false)
 	}
 }
 
 // Back: the other process would not have it, and it goes on here.
-func (p *MigratingConnection) Returned() {
-	v, d := p.connection, p.connection.door
-	d.passing--
+func (m *MigratingConnection) Returned() {
+	v, d := m.connection, m.connection.server
+	d.migrating--
 	v.parcel, v.stays, v.offered = nil, true, false
-	if p.job != nil {
-		d.Ledger.MigrationReturned(p.job.class)
-		if p.job.seat != nil {
-			d.Admission.MigrationReturned(d.loop.Now(), p.job.seat, p.job.ask)
+	if m.job != nil {
+		d.Ledger.MigrationReturned(m.job.class)
+		if m.job.account != nil {
+			d.Admission.MigrationReturned(d.loop.Now(), m.job.account, m.job.admission)
 		}
-		d.Invariants.CancelMigration(p.Invocation, p.record)
-		d.inHand[p.Invocation] = p.job
-		d.watch(p.Invocation, p.job)
+		d.Invariants.CancelMigration(m.Invocation, m.record)
+		d.inFlight[m.Invocation] = m.job
+		d.startOverdueTimer(m.Invocation, m.job)
 	}
-	v.c.In.Write(p.Buffered)
-	if p.Unused {
-		v.limitSilence()
+	v.conn.In.Write(m.Buffered)
+	if m.Unused {
+		v.setFirstReadDeadline()
 	}
-	if v.c.PeerClosed() { // while it was on the way; what waits on it must not be sent on before that is read
-		v.c.Close()
-		v.Disconnected(v.c, conn.Closed)
+	if v.conn.PeerClosed() { // while it was on the way; what waits on it must not be sent on before that is read
+		v.conn.Close()
+		v.Disconnected(v.conn, conn.Closed)
 		return
 	}
-	v.c.Attach()
-	v.DataReceived(v.c)
+	v.conn.Attach()
+	v.DataReceived(v.conn)
 }
 
 // Lost: the other process has died with it on the way, and may have sent it on; or it hangs, and may still find the
 // connection. It ends here for both, so that nobody answers twice and nothing more is sent on.
-func (p *MigratingConnection) PeerFailed() {
-	v := p.connection
-	p.Returned()
-	if _, stays := v.door.connections[v]; !stays {
+func (m *MigratingConnection) PeerFailed() {
+	v := m.connection
+	m.Returned()
+	if _, stays := v.server.connections[v]; !stays {
 		return
 	}
-	if v.last = true; v.inv != 0 {
-		v.door.Fail(v.inv)
+	if v.closeAfterAnswer = true; v.invocation != 0 {
+		v.server.Fail(v.invocation)
 	} else {
-		v.quit()
+		v.closeAfterFlush()
 	}
-	v.c.Sever()
+	v.conn.Sever()
 }
 
 // Inherit takes a connection of another process in, with the invocation that waits on it, if any; inv is its name here. False:
 // there is no room for it.
-func (d *Server) AcceptMigrated(nc net.Conn, p MigratingConnection, j *workers.Invocation, operation int, age time.Duration) (inv dispatch.InvocationID,
+func (s *Server) AcceptMigrated(nc net.Conn, p MigratingConnection, j *workers.Invocation, operation int, age time.Duration) (inv dispatch.InvocationID,
 	kept bool) {
-	m := d.Behavior()
-	if !m.Admits || m.ClosesIdle && j == nil || j != nil && len(d.inHand) >= d.most || conn.PeerClosed(nc) || !d.share.EnsureFree(0) {
+	m := s.Behavior()
+	if !m.Admits || m.ClosesIdle && j == nil || j != nil && len(s.inFlight) >= s.maxInFlight || conn.PeerClosed(nc) || !s.quota.EnsureFree(0) {
 		return 0, false
 	}
 	var seat *tenants.Account
 	if j != nil {
 		known := false
-		if seat, known = d.seated(j.ID); !known {
+		if seat, known = s.accountOf(j.ID); !known {
 			return 0, false
 		}
 	}
-	v := &connection{door: d, useful: !p.Unused, brings: p.CarriesCallbacks, came: d.loop.Now() - p.SilentFor}
-	d.connections[v] = struct{}{}
-	v.c = d.share.Inherit(nc, p.Buffered, v)
+	v := &connection{server: s, used: !p.Unused, carriesCallbacks: p.CarriesCallbacks, acceptedAt: s.loop.Now() - p.SilentFor}
+	s.connections[v] = struct{}{}
+	v.conn = s.quota.Inherit(nc, p.Buffered, v)
 	if j == nil {
-		if v.c.SetState(conn.StateIdle); p.Unused {
-			v.c.SetState(conn.StateNew)
-			v.limitSilence()
+		if v.conn.SetState(conn.StateIdle); p.Unused {
+			v.conn.SetState(conn.StateNew)
+			v.setFirstReadDeadline()
 		}
-		v.DataReceived(v.c)
+		v.DataReceived(v.conn)
 		return 0, true
 	}
-	d.last++
-	v.inv, j.Number = d.last, d.last
-	d.Ledger.Admitted(d.classes[operation])
-	job := &inHand{id: j.ID, class: d.classes[operation], connection: v, came: d.loop.Now() - age, givenUp: j.Deadline,
-		seat: seat, ask: tenants.Request{Bytes: len(j.Body)}}
+	s.lastInvocation++
+	v.invocation, j.Number = s.lastInvocation, s.lastInvocation
+	s.Ledger.Admitted(s.classes[operation])
+	job := &inFlightRequest{id: j.ID, class: s.classes[operation], connection: v, admittedAt: s.loop.Now() - age, deadline: j.Deadline,
+		account: seat, admission: tenants.Request{Bytes: len(j.Body)}}
 	if seat != nil {
-		d.Admission.AdmitMigrated(d.loop.Now(), seat, job.ask)
+		s.Admission.AdmitMigrated(s.loop.Now(), seat, job.admission)
 	}
-	d.inHand[j.Number], d.ids[j.ID] = job, true
-	d.watch(j.Number, job)
-	d.OnOwnership(j.ID, true)
-	v.DataReceived(v.c)
+	s.inFlight[j.Number], s.ids[j.ID] = job, true
+	s.startOverdueTimer(j.Number, job)
+	s.OnOwnership(j.ID, true)
+	v.DataReceived(v.conn)
 	return j.Number, true
 }
 
 // watch answers an invocation that the decisions have let go overdue.
-func (d *Server) watch(inv dispatch.InvocationID, j *inHand) {
-	j.overdue = d.loop.After(j.givenUp+overdue-d.loop.Now(), func() {
-		d.Counts.Overdue++
-		d.Fail(inv)
-		d.OnEvent(dispatch.ClientDisconnected{Invocation: inv})
+func (s *Server) startOverdueTimer(inv dispatch.InvocationID, j *inFlightRequest) {
+	j.overdueTimer = s.loop.After(j.deadline+overdueGrace-s.loop.Now(), func() {
+		s.Counts.Overdue++
+		s.Fail(inv)
+		s.OnEvent(dispatch.ClientDisconnected{Invocation: inv})
 	})
 }
