--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -1,7 +1,8 @@
 package clients
 
 import (
-	"strings"
+	"errors"
+	"net/http"
 	"time"
 
 	"stoatweir/dispatch"
@@ -11,130 +12,91 @@
 	"stoatweir/internal/invariant"
 )
 
-// connection is one from a client, or from a worker with news.
+// Reasons in ClosedConnections for a close by the server; all others are names of conn.CloseReason.
+const (
+	closedAnswered = "with its answer"
+	closedIdle     = "idle"
+	closedMigrated = "handed over"
+)
+
+// continueResponse asks a client that expects it to go on with its body.
+const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+
+// connection is the server's side of one connection, from a client or from a worker with callbacks. It reads one request
+// at a time: the next one is parsed after the answer to the present one.
 type connection struct {
-	server                *Server
-	conn                  *conn.Conn
-	parser                http1.Parser
-	invocation            dispatch.InvocationID // 0: nothing in hand
-	closeAfterAnswer      bool                  // the connection ends with the present answer
-	slow                  *conn.Timer           // the next request has to be whole by then, or the answer to the present one waits
-	answerDeferred        bool                  // for that
-	consecutiveRejections int                   // requests in a row that made no sense
-	used                  bool                  // it has brought an invocation or news
-	carriesCallbacks      bool                  // the latter
-	acceptedAt            time.Duration         // the connection
-	closing               bool                  // it ends unless a request of it has been read
-	parcel                *MigratingConnection  // it is on its way to another process
-	offered               bool                  // or about to be
-	stays                 bool                  // that one would not have it
+	server *Server
+	conn   *conn.Conn
+	parser http1.Parser
+
+	// acceptedAt is when the connection was accepted; of a migrated one that was never used, at its first process.
+	acceptedAt time.Duration
+	// invocation is the one in flight here, or the last one during its migration; noInvocation otherwise.
+	invocation dispatch.InvocationID
+	// closeAfterAnswer: the present answer is the last. Never reset; nothing more is parsed.
+	closeAfterAnswer bool
+	// answerDeferred: a request has been handled whose answer is delayed, or awaits the peer that its callback was relayed
+	// to. Implies no invocation and no request that is partly read.
+	answerDeferred bool
+	// deferredTimer fires at the end of the delay; non-nil only while answerDeferred.
+	deferredTimer *conn.Timer
+	// readTimer fires when the next request must have arrived whole; nil while a request is being handled and between
+	// requests, apart from the wait for the first.
+	readTimer *conn.Timer
+	// consecutiveRejections counts rejected requests since the last one that was not.
+	consecutiveRejections int
+	// used: an invocation or a callback has arrived. Never reset.
+	used bool
+	// carriesCallbacks: a callback has arrived. Never reset; implies used.
+	carriesCallbacks bool
+	// closing: it is being detached, to be closed unless a request has arrived by then.
+	closing bool
+	// migration is how far it is on its way to the other process.
+	migration migrationState
 }
 
-// Up has nothing to do.
+// Connected implements conn.Handler: an accepted connection is connected from the start.
 func (c *connection) Connected(*conn.Conn) {}
 
-// Sent makes the connection one that may be closed for want of descriptors.
+// Flushed implements conn.Handler: with its answer sent, the connection may be closed for want of descriptors.
 func (c *connection) Flushed(transport *conn.Conn) {
-	if c.invocation != 0 || c.answerDeferred || c.parser.Started() {
+	if c.invocation != noInvocation || c.answerDeferred || c.parser.Started() {
 		return
 	}
-	if transport.SetState(conn.StateFinished); c.used {
+	transport.SetState(conn.StateFinished)
+	if c.used {
 		transport.SetState(conn.StateIdle)
 	}
 }
 
-// Down of a client with an invocation in hand: it has gone away.
-func (c *connection) Disconnected(_ *conn.Conn, e conn.CloseReason) {
-	d := c.server
-	delete(d.connections, c)
-	c.slow.Stop()
-	d.ClosedConnections[e.String()]++
-	if e == conn.NoDescriptor {
-		d.Invariants.CheckClose(c.invocation) // it was we who closed it
-	}
-	if c.invocation != 0 && d.AwaitsAnswer(c.invocation) {
-		d.Invariants.CheckAnswer(c.invocation, invariant.Abandoned, e.String())
-		d.complete(c.invocation, accounting.Abandoned)
-		d.OnEvent(dispatch.ClientDisconnected{Invocation: c.invocation})
+// Disconnected implements conn.Handler: the client of an invocation in flight abandons it.
+func (c *connection) Disconnected(_ *conn.Conn, reason conn.CloseReason) {
+	s := c.server
+	delete(s.connections, c)
+	c.stopTimers()
+	s.ClosedConnections[reason.String()]++
+	if reason == conn.NoDescriptor {
+		s.Invariants.CheckClose(c.invocation) // the server closed it, not the client
 	}
-}
-
-// idle: nothing of a request is there, and nothing of an answer is left.
-func (c *connection) isIdle() bool {
-	return c.invocation == 0 && !c.answerDeferred && !c.parser.Started() && c.conn.In.Len() == 0 && c.conn.Unsent() == 0
-}
-
-// young: it has just come, and its first request with it.
-func (c *connection) awaitsFirstRequest() bool {
-	return !c.used && c.server.loop.Now() < c.acceptedAt+firstRequestGrace
-}
-
-// part ends an idle connection. A request that has come by now is served first, also where nobody has read it yet: closing
-// over it would reset the connection. One that comes later has not been read, and its client sends it again.
-func (c *connection) closeIdle() {
-	c.closing = true
-	c.conn.Detach(func() {
-		if c.closing = false; !c.isIdle() || c.conn.Readable() {
-			c.conn.Attach()
-			return
-		}
-		c.slow.Stop()
-		c.server.Invariants.CheckClose(c.invocation)
-		c.server.ClosedConnections[closedIdle]++
-		delete(c.server.connections, c)
-		c.conn.Close()
-	})
-}
-
-func (c *connection) closeAfterFlush() {
-	c.server.Invariants.CheckClose(c.invocation)
-	c.server.ClosedConnections[closedAnswered]++
-	delete(c.server.connections, c)
-	c.slow.Stop()
-	c.conn.CloseAfterFlush()
-}
-
-// limitSilence has a connection end that has not brought a whole request in time since it came.
-func (c *connection) setFirstReadDeadline() {
-	c.slow.Stop()
-	c.slow = c.server.loop.After(c.acceptedAt+readTimeout-c.server.loop.Now(), c.readDeadlineExceeded)
-}
-
-// late ends a connection that has taken too long for a request. One that never said a word gets none either: an answer
-// could cross its request.
-func (c *connection) readDeadlineExceeded() {
-	if c.slow = nil; c.parser.Started() {
-		c.rejectMalformed(408)
+	if c.invocation == noInvocation || !s.AwaitsAnswer(c.invocation) {
 		return
 	}
-	c.server.Counts.Silent++
-	c.closeIdle()
+	s.Invariants.CheckAnswer(c.invocation, invariant.Abandoned, reason.String())
+	s.complete(c.invocation, accounting.Abandoned)
+	s.OnEvent(dispatch.ClientDisconnected{Invocation: c.invocation})
 }
 
-// Read takes a request in. One at a time: clients wait for answers, so what follows an invocation before its answer is
-// the rest of a body longer than its length says, or a request that is hidden in it. The connection ends with that answer.
+// DataReceived implements conn.Handler: it parses and handles requests. Clients wait for answers, so what follows an
+// invocation before its answer is the rest of a body that is longer than its declared length, or a request smuggled in it;
+// the connection closes with that answer.
 func (c *connection) DataReceived(transport *conn.Conn) {
-	for transport.In.Len() > 0 && c.invocation == 0 && !c.closeAfterAnswer && !c.answerDeferred {
-		n, step, err := c.parser.Feed(transport.In.Bytes())
-		transport.In.Drop(n)
-		if err != nil {
-			c.rejectMalformed(err.(*http1.Bad).Status)
+	for transport.In.Len() > 0 && c.invocation == noInvocation && !c.closeAfterAnswer && !c.answerDeferred {
+		if !c.parse(transport) {
 			return
 		}
-		if c.parser.Expects() {
-			transport.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-		}
-		if step == http1.Whole {
-			c.slow.Stop()
-			c.slow = nil
-			transport.SetState(conn.StateActive)
-			m := c.parser.Message
-			c.closeAfterAnswer = m.Close
-			c.route(m)
-		}
 	}
-	if c.invocation != 0 && transport.In.Len() > 0 {
-		// More than the ring holds would stop the reading, and its client's leaving would not be seen.
+	if c.invocation != noInvocation && transport.In.Len() > 0 {
+		// More than the ring holds would stop the reading, and the client's disconnect would not be seen.
 		c.closeAfterAnswer = true
 		transport.DiscardInput()
 	}
@@ -142,69 +104,80 @@
 		return
 	}
 	transport.SetState(conn.StateReading)
-	if c.slow == nil {
-		c.slow = c.server.loop.After(readTimeout, c.readDeadlineExceeded)
+	if c.readTimer == nil {
+		c.readTimer = c.server.loop.After(readTimeout, c.readDeadlineExceeded)
 	}
 }
 
-func (c *connection) rejectMalformed(status int) {
-	c.server.Counts.Malformed++
-	c.closeAfterAnswer = true
-	c.answer(status, nil)
-}
-
-func (c *connection) answer(status int, body []byte, fields ...http1.Field) {
-	if c.closeAfterAnswer = c.closeAfterAnswer || c.closesAfterAnswer(); c.closeAfterAnswer {
-		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
+// parse feeds the parser with what has been received, and handles the request once it is whole. It returns false if the
+// request was malformed, which ends the connection.
+func (c *connection) parse(transport *conn.Conn) bool {
+	n, step, err := c.parser.Feed(transport.In.Bytes())
+	transport.In.Drop(n)
+	if err != nil {
+		c.rejectMalformed(statusOf(err))
+		return false
+	}
+	if c.parser.Expects() {
+		transport.Write([]byte(continueResponse))
 	}
-	c.conn.Write(http1.Answer(status, body, fields...))
-	if c.closeAfterAnswer {
-		c.closeAfterFlush()
+	if step != http1.Whole {
+		return true
 	}
+	c.readTimer.Stop()
+	c.readTimer = nil
+	transport.SetState(conn.StateActive)
+	m := c.parser.Message
+	c.closeAfterAnswer = m.Close
+	c.route(m)
+	return true
 }
 
-// shuts tells whether the connection ends with the next answer.
-func (c *connection) closesAfterAnswer() bool {
-	m := c.server.Behavior()
-	return m.ClosesIdle && !(m.KeepsCallbacks && c.carriesCallbacks)
+// statusOf returns the status that answers a request which the parser rejected.
+func statusOf(err error) int {
+	var bad *http1.Bad
+	if errors.As(err, &bad) {
+		return bad.Status
+	}
+	return http.StatusBadRequest
 }
 
-func (c *connection) route(m *http1.Message) {
-	d := c.server
-	path, query, _ := strings.Cut(m.Target, "?")
-	switch {
-	case path == callbackPath:
-		c.handleCallback(m)
-	case path == readyPath && d.Behavior().Ready:
-		c.answer(200, nil)
-	case path == readyPath:
-		c.answer(503, nil)
-	case path == countsPath && d.Admission == nil: // where tenants are served these are other tenants' figures too
-		c.answer(200, d.Counters(), http1.Field{Name: "Content-Type", Value: "application/json"})
-	case path == historyPath && d.Admission == nil && d.History != nil:
-		c.answer(200, d.History(strings.TrimPrefix(query, "id=")), http1.Field{Name: "Content-Type", Value: "text/plain"})
-	case m.Method != "POST":
-		c.reject(405)
-	default:
-		c.handleInvocation(m, path)
-	}
+// isIdle tells whether nothing of a request has been read and nothing of an answer is left to write.
+func (c *connection) isIdle() bool {
+	return c.invocation == noInvocation && !c.answerDeferred && !c.parser.Started() && c.conn.In.Len() == 0 && c.conn.Unsent() == 0
 }
 
-// refuse answers a request that makes no sense.
-func (c *connection) reject(status int, fields ...http1.Field) {
-	d := c.server
-	d.Counts.Malformed++
-	if c.consecutiveRejections++; c.consecutiveRejections == 1 || c.closeAfterAnswer || c.closesAfterAnswer() {
-		c.answer(status, nil, fields...)
-		return
-	}
-	c.answerDeferred = true
-	c.conn.SetState(conn.StateFinished)
-	c.slow = d.loop.After(min(rejectionDelayMin<<min(c.consecutiveRejections, 16), rejectionDelayMax), func() {
-		c.answerDeferred, c.slow = false, nil
-		c.answer(status, nil, fields...)
-		if !c.closeAfterAnswer {
-			c.DataReceived(c.conn)
+// closeIdle closes an idle connection. A request that has arrived by now is served first, also where it has not been read
+// yet: closing over it would reset the connection. One that arrives later is never read, and its client sends it again.
+func (c *connection) closeIdle() {
+	c.closing = true
+	c.conn.Detach(func() {
+		c.closing = false
+		if !c.isIdle() || c.conn.Readable() {
+			c.conn.Attach()
+			return
 		}
+		c.remove(closedIdle)
+		c.conn.Close()
 	})
 }
+
+// closeAfterFlush closes the connection once its answer has been sent.
+func (c *connection) closeAfterFlush() {
+	c.remove(closedAnswered)
+	c.conn.CloseAfterFlush()
+}
+
+// remove takes a connection that the server closes, for the given reason, off its books.
+func (c *connection) remove(reason string) {
+	s := c.server
+	s.Invariants.CheckClose(c.invocation)
+	s.ClosedConnections[reason]++
+	delete(s.connections, c)
+	c.stopTimers()
+}
+
+func (c *connection) stopTimers() {
+	c.readTimer.Stop()
+	c.deferredTimer.Stop()
+}
--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -39,7 +39,7 @@
 			defer shut()
 			near, far := net.Pipe()
 			defer far.Close()
-			accepted{Server: d, net: near}.Run()
+			accepted{server: d, conn: near}.Run()
 			var v *connection
 			for v = range d.connections {
 				v.acceptedAt -= firstRequestGrace
--- /dev/null
+++ b/internal/clients/deadline.go
@@ -0,0 +1,39 @@
+package clients
+
+import (
+	"net/http"
+	"time"
+)
+
+const (
+	// readTimeout is how long a connection has for a whole request, the first one from its accept on: a client that sends
+	// nothing, or a byte now and then, must see the end within 3 s, and holds a descriptor until then.
+	readTimeout = 2500 * time.Millisecond
+	// firstRequestGrace is how long a connection stays open after its accept, also when idle connections close: its first
+	// request is on the way, and its client takes a close without an answer for a rejection.
+	firstRequestGrace = 200 * time.Millisecond
+)
+
+// setFirstReadDeadline closes the connection unless a whole request arrives within readTimeout of its accept.
+func (c *connection) setFirstReadDeadline() {
+	c.readTimer.Stop()
+	loop := c.server.loop
+	c.readTimer = loop.After(c.acceptedAt+readTimeout-loop.Now(), c.readDeadlineExceeded)
+}
+
+// readDeadlineExceeded ends a connection on which no whole request has arrived in time. Where nothing has arrived, nothing
+// is answered either: the answer could cross the client's first request.
+func (c *connection) readDeadlineExceeded() {
+	c.readTimer = nil
+	if c.parser.Started() {
+		c.rejectMalformed(http.StatusRequestTimeout)
+		return
+	}
+	c.server.Counts.Silent++
+	c.closeIdle()
+}
+
+// awaitsFirstRequest tells whether the connection was accepted just now, so that its first request is on the way.
+func (c *connection) awaitsFirstRequest() bool {
+	return !c.used && c.server.loop.Now() < c.acceptedAt+firstRequestGrace
+}
--- /dev/null
+++ b/internal/clients/migrate_in.go
@@ -0,0 +1,83 @@
+package clients
+
+import (
+	"net"
+	"time"
+
+	"stoatweir/dispatch"
+	"stoatweir/internal/conn"
+	"stoatweir/internal/tenants"
+	"stoatweir/internal/workers"
+)
+
+// AcceptMigrated takes a connection of another process over, with the invocation in flight on it, if any. It sets that
+// invocation's number and returns it. The operation is an index; age is the time since the invocation's admission at its first
+// process. It returns false, and leaves netConn to the caller, if there is no capacity for the connection, its client has
+// disconnected, or its tenant is not known here.
+func (s *Server) AcceptMigrated(netConn net.Conn, m MigratingConnection, invocation *workers.Invocation, operation int, age time.Duration) (
+	inv dispatch.InvocationID, ok bool) {
+	if !s.admitsMigrated(invocation) || conn.PeerClosed(netConn) || !s.quota.EnsureFree(0) {
+		return noInvocation, false
+	}
+	var account *tenants.Account
+	if invocation != nil {
+		known := false
+		account, known = s.accountOf(invocation.ID)
+		if !known {
+			return noInvocation, false
+		}
+	}
+	c := &connection{
+		server:           s,
+		used:             !m.Unused,
+		carriesCallbacks: m.CarriesCallbacks,
+		acceptedAt:       s.loop.Now() - m.SilentFor,
+	}
+	s.connections[c] = struct{}{}
+	c.conn = s.quota.Inherit(netConn, m.Buffered, c)
+	if invocation != nil {
+		invocation.Number = c.resume(invocation, operation, age, account)
+		inv = invocation.Number
+	} else {
+		c.resumeIdle()
+	}
+	c.DataReceived(c.conn)
+	return inv, true
+}
+
+// admitsMigrated tells whether a connection may come in with an invocation, or with none: nil.
+func (s *Server) admitsMigrated(invocation *workers.Invocation) bool {
+	b := s.Behavior()
+	if invocation == nil {
+		return b.Admits && !b.ClosesIdle
+	}
+	return b.Admits && len(s.inFlight) < s.maxInFlight
+}
+
+// resumeIdle goes on with a migrated connection that is between two requests, or awaits its first.
+func (c *connection) resumeIdle() {
+	c.conn.SetState(conn.StateIdle)
+	if !c.used {
+		c.conn.SetState(conn.StateNew)
+		c.setFirstReadDeadline()
+	}
+}
+
+// resume puts the invocation of a migrated connection in flight, under the number that it returns.
+func (c *connection) resume(invocation *workers.Invocation, operation int, age time.Duration, account *tenants.Account) dispatch.InvocationID {
+	s := c.server
+	now := s.loop.Now()
+	r := &inFlightRequest{
+		id:         invocation.ID,
+		class:      s.classes[operation],
+		connection: c,
+		admittedAt: now - age,
+		deadline:   invocation.Deadline,
+		account:    account,
+		admission:  tenants.Request{Bytes: len(invocation.Body)},
+	}
+	if account != nil {
+		s.Admission.AdmitMigrated(now, account, r.admission)
+	}
+	return s.register(r)
+}
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -1,11 +1,11 @@
 package clients
 
 import (
+	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
 	"time"
-	"unicode/utf8"
 
 	"stoatweir/dispatch"
 	"stoatweir/internal/accounting"
@@ -15,169 +15,219 @@
 	"stoatweir/internal/workers"
 )
 
-// once are the headers that may stand in a request only once: of two, each reader could believe another.
-var singletonHeaders = []string{"X-Call-Id", "X-Call-Class", "X-Budget", "Idempotency-Key", "Host", "X-Attempt"}
+// Headers of a request for an invocation.
+const (
+	headerCallID         = "X-Call-Id"
+	headerOperation      = "X-Call-Class"
+	headerBudget         = "X-Budget"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerAttempt        = "X-Attempt"
+	headerCost           = "X-Call-Cost"
+	headerInfo           = "X-Call-Info"
+	headerTenant         = "X-Caller"
+	headerAuthorization  = "Authorization"
+)
+
+const (
+	// budgetMargin is how long before its client stops waiting an invocation counts as given up: the request was on its way
+	// before it was read here, and the answer has a way to go too.
+	budgetMargin = 5 * time.Millisecond
+	// microsecondsPerSecond converts headerCost.
+	microsecondsPerSecond = 1e6
+	// maxNumber bounds numbers in headers; larger ones count as not given.
+	maxNumber = 1e12
+	// defaultSlots is what an invocation occupies at its worker if it does not say.
+	defaultSlots = 1
+)
+
+// invocationRequest is a request for an invocation, as parsed and before it is admitted.
+type invocationRequest struct {
+	message     *http1.Message
+	path        string           // of the target, without its query
+	name        string           // of the operation, by the header, or else by the path
+	pathName    string           // of the operation, by the path's first segment
+	id          string           // as its client gave it
+	account     *tenants.Account // nil: tenants are not served
+	prefix      string           // scopes identifier and idempotency key to the tenant; empty where tenants are not served
+	operation   int              // index; 0 unless known
+	known       bool             // there is such an operation, for this tenant
+	budget      time.Duration    // 0 unless budgetValid
+	budgetValid bool
+}
 
+// scopedID returns the identifier under which the invocation is in use here and goes to workers.
+func (r *invocationRequest) scopedID() string { return r.prefix + r.id }
+
+// handleInvocation validates a request for an invocation, and admits, rejects or sheds it.
 func (c *connection) handleInvocation(m *http1.Message, path string) {
-	d := c.server
-	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	if plain, err := url.PathUnescape(first); err == nil {
-		first = plain // a name may need escaping there
-	}
-	name := m.Header.Get("X-Call-Class")
-	if name == "" {
-		name = first
-	}
-	id, prefix, seat := m.Header.Get("X-Call-Id"), "", (*tenants.Account)(nil)
-	operation, known := 0, false
-	if d.Admission == nil {
-		operation, known = d.operations[name]
-	} else {
-		if seat = d.authenticate(m.Header["Authorization"]); seat == nil {
-			c.rejectUnauthorized()
-			return
-		}
-		// Whoever holds an id or a key of one tenant has none of another's: neither an answer nor a repeat can cross.
-		prefix = seat.Handle + handleSeparator
-		operation, known = d.operations[settings.TenantOperationName(seat.Handle, name)]
-	}
-	budget, sound := parseBudget(m.Header.Get("X-Budget"))
-	for _, name := range singletonHeaders {
-		sound = sound && len(m.Header[name]) < 2
+	s := c.server
+	r := s.parseInvocation(m, path)
+	if s.Admission != nil && r.account == nil {
+		c.rejectUnauthorized()
+		return
 	}
 	switch {
-	case !known:
-		c.reject(404)
-		return
-	case !sound, name != first, !http1.Token(id), len(id) > maxIDBytes, !validTarget(m.Target, path),
-		!validIdempotencyKey(m.Header["Idempotency-Key"], d.deployment.Dispatch.Operations[operation].Effect),
-		strings.Trim(string(c.conn.In.Bytes()), "\r\n") != "":
-		c.reject(400)
-		return
-	case d.ids[prefix+id], d.OwnedByPeer(prefix + id):
-		c.reject(409) // the one in hand has its own answer coming
-		return
+	case !r.known:
+		c.reject(http.StatusNotFound)
+	case !r.valid(s.deployment.Dispatch.Operations[r.operation].Effect) || c.hasTrailingBytes():
+		c.reject(http.StatusBadRequest)
+	case s.idInUse(r.scopedID()):
+		c.reject(http.StatusConflict) // the invocation in flight gets an answer of its own
 	case c.conn.PeerClosed():
-		// It waited to be read for longer than its client did. A half close counts as one, as the protocol has it.
-		delete(d.connections, c)
-		c.conn.Close()
-		return
-	case len(d.inFlight) >= d.maxInFlight, !d.Behavior().Admits:
-		d.Counts.Crowded++
-		d.Ledger.Admitted(d.classes[operation])
-		d.Ledger.Completed(d.classes[operation], accounting.Declined)
-		c.closeAfterAnswer = true // the descriptor is wanted: what waits to be accepted counts as taken, workers' news among it
-		c.answer(503, nil)
-		return
+		c.discard()
+	case len(s.inFlight) >= s.maxInFlight || !s.Behavior().Admits:
+		c.shed(r)
+	default:
+		c.admit(r)
 	}
-	arrival := d.parseArrival(m)
-	var ask tenants.Request
-	said := 0.0
-	if id = prefix + id; seat != nil {
-		arrival.Tenant, said = seat.Index, arrival.Hint
-		arrival.Hint = seat.EstimateCost(name, said)
-		ask = tenants.Request{Bytes: len(m.Body), Work: arrival.Hint, Retry: isRetry(m)}
-		if verdict := d.Admission.Admit(d.loop.Now(), seat, ask); verdict.Kind != tenants.None {
-			c.rejectLimited(verdict)
-			return
+}
+
+// parseInvocation parses the head of a request. Where tenants are served, the account is nil if the credentials are invalid,
+// and the operation is not looked up then.
+func (s *Server) parseInvocation(m *http1.Message, path string) *invocationRequest {
+	r := &invocationRequest{message: m, path: path, id: m.Header.Get(headerCallID)}
+	r.pathName, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	if unescaped, err := url.PathUnescape(r.pathName); err == nil {
+		r.pathName = unescaped
+	}
+	r.name = m.Header.Get(headerOperation)
+	if r.name == "" {
+		r.name = r.pathName
+	}
+	operation := r.name
+	if s.Admission != nil {
+		r.account = s.authenticate(m.Header[headerAuthorization])
+		if r.account == nil {
+			return r
 		}
+		// An identifier or key of one tenant is none of another's: neither an answer nor a repeat can cross.
+		r.prefix = r.account.Handle + handleSeparator
+		operation = settings.TenantOperationName(r.account.Handle, r.name)
 	}
-	if most := d.deployment.ClientTimeouts[operation]; most > 0 {
-		budget = min(budget, most) // a longer one would look as if all other clients had waited for long
-	}
-	c.consecutiveRejections, c.used = 0, true
-	d.LongestTimeout = max(d.LongestTimeout, budget)
-	now := d.loop.Now()
-	givenUp := now + budget - budgetMargin // a request's time counts from its last byte
-	d.lastInvocation++
-	d.Ledger.Admitted(d.classes[operation])
-	c.invocation = d.lastInvocation
-	inv, j := c.invocation, &inFlightRequest{id: id, class: d.classes[operation], connection: c, admittedAt: now, deadline: givenUp, account: seat, admission: ask}
-	d.startOverdueTimer(inv, j)
-	d.inFlight[inv], d.ids[id] = j, true
-	d.OnOwnership(id, true)
-	d.OnRequest(&workers.Invocation{Number: inv, ID: id, Method: m.Method, Target: m.Target, Fields: forwardedFields(m, prefix), Body: m.Body,
-		Deadline: givenUp, Hint: said}, operation)
-	arrival.Invocation, arrival.Operation, arrival.Budget = inv, operation, givenUp-now
-	d.OnEvent(arrival)
+	r.operation, r.known = s.deployment.OperationIndex[operation]
+	r.budget, r.budgetValid = parseBudget(m.Header.Get(headerBudget))
+	return r
 }
 
-// span reads a budget: seconds, with decimals, and nothing that only some readers take for a number.
-func parseBudget(text string) (time.Duration, bool) {
-	if strings.Trim(text, decimalDigits+".") != "" {
-		return 0, false
-	}
-	v, err := strconv.ParseFloat(text, 64)
-	return settings.Duration(v), err == nil && v > 0 && v < maxBudgetSeconds
+// hasTrailingBytes tells whether more than line ends follows the request that was read.
+func (c *connection) hasTrailingBytes() bool {
+	return strings.Trim(string(c.conn.In.Bytes()), "\r\n") != ""
 }
 
-// target tells whether a worker will read the same in it as we do.
-func validTarget(text, path string) bool {
-	plain, err := url.PathUnescape(path)
-	if err != nil || len(text) > maxTargetBytes || strings.ContainsAny(text, "#\\\"<>") || !utf8.ValidString(plain) {
-		return false
-	}
-	for _, c := range text {
-		if c <= ' ' || c >= 0x7f {
-			return false
-		}
-	}
-	for _, c := range plain {
-		if c < ' ' || c == 0x7f {
-			return false
-		}
-	}
-	for part := range strings.SplitSeq(plain[1:], "/") {
-		if part == "" || part == "." || part == ".." {
-			return false
-		}
-	}
-	return true
+// discard drops a request whose client disconnected before it was read. A half close counts as one, as the protocol has it.
+func (c *connection) discard() {
+	delete(c.server.connections, c)
+	c.conn.Close()
 }
 
-// key tells whether workers can know a repeat by its key, where the operation needs one.
-func validIdempotencyKey(values []string, effect dispatch.Effect) bool {
-	if len(values) == 0 {
-		return effect != dispatch.Deduplicated
-	}
-	for _, c := range values[0] {
-		if c <= ' ' || c >= 0x7f {
-			return false
+// shed declines an invocation at once, without asking the decision module. It closes the connection, as the descriptor is
+// wanted: connections that wait to be accepted, with workers' callbacks among them, would wait longer.
+func (c *connection) shed(r *invocationRequest) {
+	s := c.server
+	class := s.classes[r.operation]
+	s.Counts.Crowded++
+	s.Ledger.Admitted(class)
+	s.Ledger.Completed(class, accounting.Declined)
+	c.closeAfterAnswer = true
+	c.answer(http.StatusServiceUnavailable, nil)
+}
+
+// admit admits an invocation, unless its tenant's limits reject it, and passes it to the decision module. Its time counts
+// from the last byte of the request.
+func (c *connection) admit(r *invocationRequest) {
+	s := c.server
+	now := s.loop.Now()
+	arrival := s.parseArrival(r.message)
+	var admission tenants.Request
+	var clientHint float64 // in seconds; the arrival has the estimate that is made of it
+	if r.account != nil {
+		clientHint = arrival.Hint
+		arrival.Tenant = r.account.Index
+		arrival.Hint = r.account.EstimateCost(r.name, clientHint)
+		admission = tenants.Request{Bytes: len(r.message.Body), Work: arrival.Hint, Retry: isRetry(r.message)}
+		decision := s.Admission.Admit(now, r.account, admission)
+		if decision.Kind != tenants.None {
+			c.rejectLimited(decision)
+			return
 		}
 	}
-	return values[0] != "" && len(values[0]) <= maxKeyBytes
+	c.consecutiveRejections = 0
+	c.used = true
+	budget := s.limitBudget(r)
+	s.LongestTimeout = max(s.LongestTimeout, budget)
+	deadline := now + budget - budgetMargin
+	inv := s.register(&inFlightRequest{
+		id:         r.scopedID(),
+		class:      s.classes[r.operation],
+		connection: c,
+		admittedAt: now,
+		deadline:   deadline,
+		account:    r.account,
+		admission:  admission,
+	})
+	s.OnRequest(&workers.Invocation{
+		Number:   inv,
+		ID:       r.scopedID(),
+		Method:   r.message.Method,
+		Target:   r.message.Target,
+		Fields:   forwardedFields(r.message, r.prefix),
+		Body:     r.message.Body,
+		Deadline: deadline,
+		Hint:     clientHint,
+	}, r.operation)
+	arrival.Invocation = inv
+	arrival.Operation = r.operation
+	arrival.Budget = deadline - now
+	s.OnEvent(arrival)
 }
 
-// arrival reads what the request says of its work. A guess that can't be read is as good as none: it must not cost the
-// client its answer.
-func (s *Server) parseArrival(m *http1.Message) (a dispatch.Arrival) {
-	number := func(text string, otherwise float64) float64 {
-		v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-		if err != nil || !(v >= 0 && v < 1e12) {
-			return otherwise
+// limitBudget bounds a request's budget by the timeout that the settings give for clients of its operation: a longer one
+// would look as if all other clients had waited for long.
+func (s *Server) limitBudget(r *invocationRequest) time.Duration {
+	most := s.deployment.ClientTimeouts[r.operation]
+	if most <= 0 {
+		return r.budget
+	}
+	return min(r.budget, most)
+}
+
+// parseArrival reads what a request says of its work and, where there are no credentials, of its tenant. A hint that can't
+// be read counts as none: it must not cost the client its answer.
+func (s *Server) parseArrival(m *http1.Message) dispatch.Arrival {
+	arrival := dispatch.Arrival{
+		Hint:  parseNumber(m.Header.Get(headerCost), 0) / microsecondsPerSecond,
+		Slots: defaultSlots,
+	}
+	if tenant := m.Header.Get(headerTenant); tenant != "" && s.Admission == nil {
+		index, known := s.tenantIndex[tenant]
+		if !known {
+			index = len(s.tenantIndex) // all unknown tenants are one
 		}
-		return v
+		arrival.Tenant = index
 	}
-	a.Slots, a.Hint = 1, number(m.Header.Get("X-Call-Cost"), 0)/1e6
-	if tenant := m.Header.Get("X-Caller"); tenant != "" && s.Admission == nil { // there it is the credential that tells
-		known := false
-		if a.Tenant, known = s.tenantIndex[tenant]; !known {
-			a.Tenant = len(s.tenantIndex)
+	for pair := range strings.SplitSeq(m.Header.Get(headerInfo), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		if name == "slots" {
+			arrival.Slots = parseNumber(value, defaultSlots)
 		}
 	}
-	for pair := range strings.SplitSeq(m.Header.Get("X-Call-Info"), ",") {
-		switch name, value, _ := strings.Cut(strings.TrimSpace(pair), "="); name {
-		case "slots":
-			a.Slots = number(value, 1)
-		}
+	return arrival
+}
+
+// parseNumber reads a number that is not negative; otherwise it returns the default.
+func parseNumber(text string, byDefault float64) float64 {
+	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+	if err != nil || !(v >= 0 && v < maxNumber) { // as written, NaN is none either
+		return byDefault
 	}
-	return a
+	return v
 }
 
-// onward lists the headers that go on to a worker, which are those that it needs. Any other could mean something to it
-// that its sender has no right to say.
-func forwardedFields(m *http1.Message, prefix string) (fields []http1.Field) {
-	for _, name := range []string{"X-Call-Id", "Idempotency-Key"} {
+// forwardedFields returns the headers that go on to a worker, which are those that it needs. Any other could mean something
+// to it that its sender has no right to say.
+func forwardedFields(m *http1.Message, prefix string) []http1.Field {
+	var fields []http1.Field
+	for _, name := range []string{headerCallID, headerIdempotencyKey} {
 		if value := m.Header.Get(name); value != "" {
 			fields = append(fields, http1.Field{Name: name, Value: prefix + value})
 		}
--- /dev/null
+++ b/internal/clients/routes.go
@@ -0,0 +1,47 @@
+package clients
+
+import (
+	"net/http"
+	"strings"
+
+	"stoatweir/internal/http1"
+)
+
+// Paths that are not operations'.
+const (
+	callbackPath = "/_jobs/news"
+	readyPath    = "/-/ready"
+	countsPath   = "/-/counts"
+	historyPath  = "/-/history"
+)
+
+// historyQueryPrefix precedes the identifier in the query of historyPath.
+const historyQueryPrefix = "id="
+
+// route calls the handler for a request's path. Where tenants are served the pages for operators are not: they would show
+// one tenant's figures to another.
+func (c *connection) route(m *http1.Message) {
+	s := c.server
+	path, query, _ := strings.Cut(m.Target, "?")
+	switch {
+	case path == callbackPath:
+		c.handleCallback(m)
+	case path == readyPath && s.Behavior().Ready:
+		c.answer(http.StatusOK, nil)
+	case path == readyPath:
+		c.answer(http.StatusServiceUnavailable, nil)
+	case path == countsPath && s.Admission == nil:
+		c.answer(http.StatusOK, s.Counters(), contentType("application/json"))
+	case path == historyPath && s.Admission == nil && s.History != nil:
+		id := strings.TrimPrefix(query, historyQueryPrefix)
+		c.answer(http.StatusOK, s.History(id), contentType("text/plain"))
+	case m.Method != http.MethodPost:
+		c.reject(http.StatusMethodNotAllowed)
+	default:
+		c.handleInvocation(m, path)
+	}
+}
+
+func contentType(value string) http1.Field {
+	return http1.Field{Name: "Content-Type", Value: value}
+}
