--- a/internal/clients/callback_test.go
+++ b/internal/clients/callback_test.go
@@ -1,6 +1,7 @@
 package clients
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -8,6 +9,22 @@
 	"stoatweir/internal/conn"
 )
 
+// News is answered whatever it is about, and read in whole.
+func Example_callbacks() {
+	loop, _, addr, closeListener := newTestServer(10)
+	defer closeListener()
+	for _, body := range []string{`{"id":"9b1f","from":"s-1","state":"running","share":0.4}`,
+		`{"id":"unheard","from":"s-2","state":"failed","load":{"x0":2}}`, `{"id":`} {
+		roundTrip(loop, addr, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	}
+	// Output:
+	// news 9b1f s-1 running 0.4 false
+	// "204 No Content\r\nConnection: close\r\n\r\n"
+	// news unheard s-2 failed 0 true
+	// "204 No Content\r\nConnection: close\r\n\r\n"
+	// "400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+}
+
 // The keys of a callback's body are read whatever their case, and keys that are not known are passed over.
 func TestParseCallbackKeys(t *testing.T) {
 	for name, body := range map[string]string{
