--- a/internal/clients/answer_test.go
+++ b/internal/clients/answer_test.go
@@ -9,17 +9,17 @@
 
 	"stoatweir/dispatch"
 	"stoatweir/internal/accounting"
-	"stoatweir/internal/workers"
 )
 
-// One final answer each, with the worker's result as it was given, or a refusal that says when to come back.
+// Each invocation gets one final answer: its worker's result as it was given, a rejection that tells when to retry, or an error.
 func Example_oneFinalAnswer() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
-	take := server.OnEvent
+	printEvent := server.OnEvent
 	server.OnEvent = func(e dispatch.Event) {
-		take(e)
-		switch a := e.(dispatch.Arrival); a.Invocation {
+		printEvent(e)
+		a := e.(dispatch.Arrival)
+		switch a.Invocation {
 		case 1:
 			server.Deliver(a.Invocation, "result")
 			server.Deliver(a.Invocation, "again")
@@ -29,57 +29,60 @@
 		case 3:
 			server.Fail(a.Invocation)
 		}
-		fmt.Println("owed:", server.InFlight())
+		fmt.Println("unanswered:", server.InFlight())
 	}
 	closing := strings.Replace(requestText, "X-Call-Id", "Connection: close\r\nX-Call-Id", 1)
 	roundTrip(loop, addr, closing)
 	roundTrip(loop, addr, strings.Replace(closing, "9b1f", "9b20", 1))
 	server.ReleaseID("9b1f", false)
-	roundTrip(loop, addr, strings.NewReplacer("250000", "lots", "slots=2", "slots=-2", "2.500", "900", "X-Caller: oak", "X-Odd: 1").Replace(closing))
+	unreadable := strings.NewReplacer("250000", "lots", "slots=2", "slots=-2", "2.500", "900", "X-Caller: oak", "X-Odd: 1")
+	roundTrip(loop, addr, unreadable.Replace(closing))
 	fmt.Printf("%+v %+v\n", server.Counts, server.Ledger.Totals(0, 0).Classes)
 	// Output:
-	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
-	// inv 1: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
-	// owed: 0
+	// request 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
+	// invocation 1: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
+	// unanswered: 0
 	// "200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nresult"
-	// job 9b20 POST /render/7f3a?x=1 [{X-Call-Id 9b20}] body
-	// inv 2: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
-	// owed: 0
+	// request 9b20 POST /render/7f3a?x=1 [{X-Call-Id 9b20}] body
+	// invocation 2: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
+	// unanswered: 0
 	// "503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// job 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
-	// inv 3: operation 0 tenant 0 slots 1 hint 0 budget 5s
-	// owed: 0
+	// request 9b1f POST /render/7f3a?x=1 [{X-Call-Id 9b1f}] body
+	// invocation 3: operation 0 tenant 0 slots 1 hint 0 budget 5s
+	// unanswered: 0
 	// "500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// {Connections:3 Overdue:0 Malformed:0 Crowded:0 Silent:0} [{Name:render Admitted:3 Completed:[1 1 1 0 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
-// Whatever becomes of invocations, in any order: what was taken in has succeeded, been declined, aborted, abandoned, or is
-// outstanding, and the ledger says of each what its client was told.
+// Whatever becomes of invocations, in any order: each that was admitted has one disposition or is outstanding, and the ledger
+// has the disposition that its client was answered.
 func TestLedgerBalancesOverRandomHistories(t *testing.T) {
 	for seed := range int64(20) {
 		loop, server, addr, closeListener := newTestServer(3)
-		server.OnEvent, server.OnRequest = func(dispatch.Event) {}, func(*workers.Invocation, int) {}
-		rng, told := rand.New(rand.NewSource(seed)), make(chan int, 100)
-		asked, gone := 0, 0
-		heard := map[int]int{}
+		ignoreEvents(server)
+		rng := rand.New(rand.NewSource(seed))
+		statuses := make(chan int, 100)
+		sent := 0
+		disconnected := 0
+		answers := map[int]int{}
 		step := func() bool {
-			for len(told) > 0 {
-				heard[<-told]++
+			for len(statuses) > 0 {
+				answers[<-statuses]++
 			}
 			answered := 0
-			for _, n := range heard {
+			for _, n := range answers {
 				answered += n
 			}
-			f := server.Ledger.Totals(0, 0)
-			sum := f.Outstanding
-			for _, n := range f.Classes[0].Completed {
+			totals := server.Ledger.Totals(0, 0)
+			sum := totals.Outstanding
+			for _, n := range totals.Classes[0].Completed {
 				sum += n
 			}
-			if sum != f.Classes[0].Admitted || f.Outstanding != server.InFlight() {
-				t.Fatalf("seed %d: %+v with %d in hand", seed, f, server.InFlight())
+			if sum != totals.Classes[0].Admitted || totals.Outstanding != server.InFlight() {
+				t.Fatalf("seed %d: %+v with %d in flight", seed, totals, server.InFlight())
 			}
-			if rest := server.Unanswered(); len(rest) > 0 {
-				inv := rest[rng.Intn(len(rest))]
+			if waiting := server.Unanswered(); len(waiting) > 0 {
+				inv := waiting[rng.Intn(len(waiting))]
 				switch rng.Intn(6) {
 				case 0:
 					server.Deliver(inv, "made")
@@ -89,26 +92,35 @@
 					server.Fail(inv)
 				}
 			}
-			if asked < 40 && rng.Intn(2) == 0 {
-				leaves := rng.Intn(8) == 0
-				if asked++; leaves {
-					gone++
+			if sent < 40 && rng.Intn(2) == 0 {
+				disconnects := rng.Intn(8) == 0
+				sent++
+				if disconnects {
+					disconnected++
 				}
-				go submit(addr, fmt.Sprint("id", asked), leaves, told)
+				go submit(addr, fmt.Sprint("id", sent), disconnects, statuses)
 			}
-			return asked == 40 && answered == asked && server.InFlight() == 0 && !server.Busy()
+			return sent == 40 && answered == sent && server.InFlight() == 0 && !server.Busy()
 		}
 		loop.After(0, func() {})
-		runUntil(loop, "all answers", func() bool { loop.After(100*time.Microsecond, func() {}); return step() })
-		ended := server.Ledger.Totals(0, 0).Classes[0].Completed
-		// Some of those that left had their answer on the way.
-		more, sound := ended[accounting.Abandoned], true
-		for status, how := range map[int]accounting.Disposition{200: accounting.Succeeded, 503: accounting.Declined, 500: accounting.Aborted} {
-			more += ended[how] - heard[status]
-			sound = sound && ended[how] >= heard[status]
+		runUntil(loop, "all answers", func() bool {
+			loop.After(100*time.Microsecond, func() {})
+			return step()
+		})
+		completed := server.Ledger.Totals(0, 0).Classes[0].Completed
+		// Some clients disconnected with their answer on the way.
+		unanswered := completed[accounting.Abandoned]
+		sound := true
+		for status, disposition := range map[int]accounting.Disposition{
+			200: accounting.Succeeded,
+			503: accounting.Declined,
+			500: accounting.Aborted,
+		} {
+			unanswered += completed[disposition] - answers[status]
+			sound = sound && completed[disposition] >= answers[status]
 		}
-		if !sound || more > gone {
-			t.Errorf("seed %d: %v, clients heard %v and %d left", seed, ended, heard, gone)
+		if !sound || unanswered > disconnected {
+			t.Errorf("seed %d: %v, clients got %v and %d disconnected", seed, completed, answers, disconnected)
 		}
 		closeListener()
 	}
--- a/internal/clients/callback_test.go
+++ b/internal/clients/callback_test.go
@@ -1,7 +1,6 @@
 package clients
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -9,18 +8,21 @@
 	"stoatweir/internal/conn"
 )
 
-// News is answered whatever it is about, and read in whole.
+// A callback is acknowledged whatever it is about, unless it can't be parsed.
 func Example_callbacks() {
 	loop, _, addr, closeListener := newTestServer(10)
 	defer closeListener()
-	for _, body := range []string{`{"id":"9b1f","from":"s-1","state":"running","share":0.4}`,
-		`{"id":"unheard","from":"s-2","state":"failed","load":{"x0":2}}`, `{"id":`} {
-		roundTrip(loop, addr, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	for _, body := range []string{
+		`{"id":"9b1f","from":"s-1","state":"running","share":0.4}`,
+		`{"id":"unknown","from":"s-2","state":"failed","load":{"x0":2}}`,
+		`{"id":`,
+	} {
+		roundTrip(loop, addr, callbackText(body, "Connection: close"))
 	}
 	// Output:
-	// news 9b1f s-1 running 0.4 false
+	// callback 9b1f s-1 running 0.4 false
 	// "204 No Content\r\nConnection: close\r\n\r\n"
-	// news unheard s-2 failed 0 true
+	// callback unknown s-2 failed 0 true
 	// "204 No Content\r\nConnection: close\r\n\r\n"
 	// "400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
--- a/internal/clients/deadline_test.go
+++ b/internal/clients/deadline_test.go
@@ -9,29 +9,25 @@
 	"time"
 )
 
-// Who connects and says nothing is closed on, who drips is told, within 3 s of connecting; whoever repeats what makes no
-// sense waits longer for each answer.
+// Within 3 s of its accept a connection without a request is closed, and one with a partial request gets an answer; a client that
+// repeats a rejected request waits longer for each answer.
 func Example_readDeadlines() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
-	dial := func() net.Conn {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			panic(err)
-		}
-		return c
-	}
-	began, ended := time.Now(), make(chan string, 2)
-	silent, drips, again := dial(), dial(), dial()
+	began := time.Now()
+	ended := make(chan string, 2)
+	silent := dial(addr)
+	dripping := dial(addr)
+	repeating := dial(addr)
 	read := func(name string, c net.Conn) {
 		b, _ := io.ReadAll(c)
 		ended <- fmt.Sprintf("%s %q in time: %v", name, b, time.Since(began) < 3*time.Second)
 	}
 	go read("silent", silent)
-	go read("drips", drips)
+	go read("dripping", dripping)
 	go func() {
 		for {
-			if _, err := drips.Write([]byte("P")); err != nil {
+			if _, err := dripping.Write([]byte("P")); err != nil {
 				return
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -39,20 +35,20 @@
 	}()
 	go func() {
 		for {
-			again.Write([]byte("GET /render HTTP/1.1\r\n\r\n"))
-			if _, err := again.Read(make([]byte, 100)); err != nil {
+			repeating.Write([]byte("GET /render HTTP/1.1\r\n\r\n"))
+			if _, err := repeating.Read(make([]byte, 100)); err != nil {
 				return
 			}
 		}
 	}()
-	runUntil(loop, "both ends", func() bool { return len(ended) == 2 })
+	runUntil(loop, "both closes", func() bool { return len(ended) == 2 })
 	lines := []string{<-ended, <-ended}
 	slices.Sort(lines)
 	fmt.Println(strings.Join(lines, "\n"))
-	fmt.Println("repeats answered:", server.Counts.Malformed > 10, server.Counts.Malformed < 40, "silent:", server.Counts.Silent)
-	again.Close()
+	fmt.Println("rejections in bounds:", server.Counts.Malformed > 10, server.Counts.Malformed < 40, "silent:", server.Counts.Silent)
+	repeating.Close()
 	// Output:
-	// drips "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n" in time: true
+	// dripping "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n" in time: true
 	// silent "" in time: true
-	// repeats answered: true true silent: 1
+	// rejections in bounds: true true silent: 1
 }
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -17,40 +17,42 @@
 
 // testDeployment has two operations and two tenants.
 func testDeployment() settings.Deployment {
-	site, err := settings.ParseDeployment([]byte(`{"Operations": [{"Name": "render", "Effect": "read_like", "ClientTimeout": 5},
+	deployment, err := settings.ParseDeployment([]byte(`{"Operations": [{"Name": "render", "Effect": "read_like", "ClientTimeout": 5},
 		{"Name": "sale", "Effect": "idempotency_key"}], "Tenants": [{"Name": "kestrel"}, {"Name": "oak"}],
 		"FamilyInfo": {"ReportX0": "free slots"}, "Report": {"How": "answers", "Names": ["x0"]}}`))
 	if err != nil {
 		panic(err)
 	}
-	return site
+	return deployment
 }
 
-// open listens on loopback; what happens at the door is printed, and done is asked after each.
+// newTestServer returns a server that listens on loopback, with a quota of 40 descriptors, and prints its callbacks.
 func newTestServer(maxInFlight int) (loop *conn.Loop, server *Server, addr string, closeListener func()) {
 	loop = conn.NewLoop(time.Now())
 	server = New(loop, testDeployment(), loop.NewQuota(40), accounting.New())
 	server.SetMaxInFlight(maxInFlight)
 	server.RelayCallback = func(workers.Callback, []byte, func(bool)) bool { return false }
-	server.OwnedByPeer, server.OnOwnership = func(string) bool { return false }, func(string, bool) {}
+	server.OwnedByPeer = func(string) bool { return false }
+	server.OnOwnership = func(string, bool) {}
 	server.OnEvent = func(e dispatch.Event) {
 		if a, is := e.(dispatch.Arrival); is {
-			fmt.Printf("inv %d: operation %d tenant %d slots %v hint %v budget %v\n", a.Invocation, a.Operation, a.Tenant,
+			fmt.Printf("invocation %d: operation %d tenant %d slots %v hint %v budget %v\n", a.Invocation, a.Operation, a.Tenant,
 				a.Slots, a.Hint, a.Budget.Round(100*time.Millisecond))
 			return
 		}
 		fmt.Printf("%T%+v\n", e, e)
 	}
-	server.OnRequest = func(j *workers.Invocation, _ int) {
-		fmt.Println("job", j.ID, j.Method, j.Target, j.Fields, string(j.Body))
+	server.OnRequest = func(invocation *workers.Invocation, _ int) {
+		fmt.Println("request", invocation.ID, invocation.Method, invocation.Target, invocation.Fields, string(invocation.Body))
 	}
-	server.OnCallback = func(n workers.Callback) bool {
-		fmt.Println("news", n.ID, n.From, n.State, n.Share, n.Load != nil)
+	server.OnCallback = func(callback workers.Callback) bool {
+		fmt.Println("callback", callback.ID, callback.From, callback.State, callback.Share, callback.Load != nil)
 		return true
 	}
 	server.OnServed = func(time.Duration) {}
 	behavior = lifecycle.Behavior{Ready: true, Accepts: true, Admits: true}
-	server.Behavior, server.Counters = func() lifecycle.Behavior { return behavior }, func() []byte { return []byte("{}") }
+	server.Behavior = func() lifecycle.Behavior { return behavior }
+	server.Counters = func() []byte { return []byte("{}") }
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -59,41 +61,80 @@
 	return loop, server, listener.Addr().String(), func() { listener.Close() }
 }
 
-var behavior lifecycle.Behavior // what the door is told of the life cycle
+// behavior is what the server of newTestServer is told of the lifecycle.
+var behavior lifecycle.Behavior
 
-// until runs the loop in which the door lives.
+// runUntil runs the event loop until done, which is asked after each iteration; it panics after 10 s.
 func runUntil(loop *conn.Loop, what string, done func() bool) {
-	late := loop.After(10*time.Second, func() { panic("waited in vain for " + what) })
+	timeout := loop.After(10*time.Second, func() { panic("timed out waiting for " + what) })
 	loop.Run(func() {
 		if done() {
 			loop.Stop()
 		}
 	})
-	late.Stop()
+	timeout.Stop()
 }
 
-// ask sends a text on a new connection and prints what comes back until the connection ends.
-func roundTrip(loop *conn.Loop, addr, text string) {
-	c, err := net.Dial("tcp", addr)
+// dial connects a client.
+func dial(addr string) net.Conn {
+	client, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
+	return client
+}
+
+// awaitAnswer runs the event loop until a client has sent its answer, or error, to the channel; each is called in every iteration.
+func awaitAnswer(loop *conn.Loop, answer <-chan string, each func()) string {
+	got := ""
+	loop.After(0, func() {})
+	runUntil(loop, "an answer", func() bool {
+		each()
+		loop.After(time.Millisecond, func() {})
+		select {
+		case got = <-answer:
+		default:
+		}
+		return got != ""
+	})
+	return got
+}
+
+// ignoreEvents keeps a server from printing what it admits.
+func ignoreEvents(server *Server) {
+	server.OnRequest = func(*workers.Invocation, int) {}
+	server.OnEvent = func(dispatch.Event) {}
+}
+
+// callbackText is a request with a worker's callback.
+func callbackText(body string, fields ...string) string {
+	head := "POST /_jobs/news HTTP/1.1\r\n"
+	for _, field := range fields {
+		head += field + "\r\n"
+	}
+	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
+}
+
+// roundTrip sends a text on a new connection and prints the answers until the connection is closed.
+func roundTrip(loop *conn.Loop, addr, text string) {
+	client := dial(addr)
 	answer := make(chan string, 1)
 	go func() {
-		c.Write([]byte(text))
-		b, _ := io.ReadAll(c)
-		c.Close()
+		client.Write([]byte(text))
+		b, _ := io.ReadAll(client)
+		client.Close()
 		answer <- string(b)
 	}()
-	got, over := "", false
+	got := ""
+	received := false
 	runUntil(loop, "an answer", func() bool {
 		select {
 		case got = <-answer:
-			over = true
+			received = true
 		default:
 			loop.After(time.Millisecond, func() {})
 		}
-		return over
+		return received
 	})
 	for line := range strings.SplitSeq(got, "HTTP/1.1 ") {
 		if line != "" {
@@ -102,25 +143,24 @@
 	}
 }
 
+// requestText is a well-formed request for an invocation.
 const requestText = "POST /render/7f3a?x=1 HTTP/1.1\r\nHost: backend\r\nX-Call-Id: 9b1f\r\nX-Call-Class: render\r\nX-Caller: oak\r\n" +
 	"X-Budget: 2.500\r\nX-Call-Cost: 250000\r\nX-Call-Info: slots=2,x=1\r\nContent-Length: 4\r\n\r\nbody"
 
-// hand hands in an invocation and tells the status of its answer, or that it has left without waiting for one.
-func submit(addr, id string, leaves bool, told chan<- int) {
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		panic(err)
-	}
-	defer c.Close()
-	io.WriteString(c, strings.Replace(strings.Replace(requestText, "9b1f", id, 1), "HTTP/1.1", "HTTP/1.1\r\nConnection: close", 1))
-	if leaves {
-		told <- clientLeft
+// submit sends a request for an invocation and reports the status of its answer, or statusDisconnected.
+func submit(addr, id string, disconnects bool, statuses chan<- int) {
+	client := dial(addr)
+	defer client.Close()
+	io.WriteString(client, strings.Replace(strings.Replace(requestText, "9b1f", id, 1), "HTTP/1.1", "HTTP/1.1\r\nConnection: close", 1))
+	if disconnects {
+		statuses <- statusDisconnected
 		return
 	}
-	b, _ := io.ReadAll(c)
+	response, _ := io.ReadAll(client)
 	status := 0
-	fmt.Sscanf(string(b), "HTTP/1.1 %d", &status)
-	told <- status
+	fmt.Sscanf(string(response), "HTTP/1.1 %d", &status)
+	statuses <- status
 }
 
-const clientLeft = -1 // in the place of a status
+// statusDisconnected is reported by a client that has disconnected without waiting for its answer.
+const statusDisconnected = -1
--- a/internal/clients/migrate_in.go
+++ b/internal/clients/migrate_in.go
@@ -64,7 +64,9 @@
 }
 
 // resume puts the invocation of a migrated connection in flight, under the number that it returns.
-func (c *connection) resume(invocation *workers.Invocation, operation int, age time.Duration, account *tenants.Account) dispatch.InvocationID {
+func (c *connection) resume(
+	invocation *workers.Invocation, operation int, age time.Duration, account *tenants.Account,
+) dispatch.InvocationID {
 	s := c.server
 	now := s.loop.Now()
 	r := &inFlightRequest{
