--- a/internal/clients/answer_test.go
+++ b/internal/clients/answer_test.go
@@ -9,6 +9,8 @@
 
 	"stoatweir/dispatch"
 	"stoatweir/internal/accounting"
+	"stoatweir/internal/invariant"
+	"stoatweir/internal/workers"
 )
 
 // Each invocation gets one final answer: its worker's result as it was given, a rejection that tells when to retry, or an error.
@@ -125,3 +127,36 @@
 		closeListener()
 	}
 }
+
+// A rejection of what may have run becomes a failure, which promises nothing.
+func Example_rejectionOfWhatMayHaveRun() {
+	loop, server, addr, closeListener := newTestServer(10)
+	defer closeListener()
+	server.Invariants = invariant.New(loop.Clock)
+	server.Invariants.OnViolation = func(invariant.Violation) { fmt.Println("violation") }
+	server.Reason = func(inv dispatch.InvocationID) string { return fmt.Sprint("reason ", inv) }
+	server.OnRequest = func(invocation *workers.Invocation, _ int) {
+		limits := invariant.RequestLimits{ID: invocation.ID, Effect: dispatch.NonIdempotent, Deadline: invocation.Deadline}
+		server.Invariants.RequestAdmitted(invocation.Number, limits)
+	}
+	server.OnEvent = func(e dispatch.Event) {
+		inv := e.(dispatch.Arrival).Invocation
+		if inv == 2 {
+			server.Invariants.AttemptStarted(invariant.Attempt{Request: inv})
+		}
+		server.Throttle(inv, 500*time.Millisecond)
+		server.Throttle(inv, 500*time.Millisecond)
+	}
+	closing := strings.Replace(requestText, "X-Call-Id", "Connection: close\r\nX-Call-Id", 1)
+	roundTrip(loop, addr, closing)
+	roundTrip(loop, addr, strings.Replace(closing, "9b1f", "9b20", 1))
+	fmt.Println(server.Ledger.Totals(0, 0).Classes[0].Completed)
+	history := server.Invariants.HistoryByID("9b20")
+	fmt.Println(strings.HasSuffix(history[len(history)-1].Event, ": reason 2"))
+	// Output:
+	// "503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	// violation
+	// "500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	// [0 1 1 0 0]
+	// true
+}
--- a/internal/clients/callback_test.go
+++ b/internal/clients/callback_test.go
@@ -1,11 +1,15 @@
 package clients
 
 import (
+	"io"
+	"net"
+	"strings"
 	"testing"
 	"time"
 
 	"stoatweir/internal/accounting"
 	"stoatweir/internal/conn"
+	"stoatweir/internal/workers"
 )
 
 // A callback is acknowledged whatever it is about, unless it can't be parsed.
@@ -50,3 +54,52 @@
 		})
 	}
 }
+
+// A callback that is relayed is acknowledged once the other process has handled it, and what follows it on its connection is handled
+// after that. One that was not handled the worker has to retry.
+func TestRelayedCallback(t *testing.T) {
+	for name, test := range map[string]struct {
+		handled bool
+		want    string
+	}{
+		"handled":     {true, "HTTP/1.1 204 No Content\r\n\r\n"},
+		"not handled": {false, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			loop, server, addr, closeListener := newTestServer(10)
+			defer closeListener()
+			server.OnCallback = func(workers.Callback) bool { return false }
+			var done []func(bool)
+			server.RelayCallback = func(_ workers.Callback, _ []byte, d func(bool)) bool {
+				done = append(done, d)
+				return true
+			}
+			client := dial(addr)
+			defer client.Close()
+			client.Write([]byte(callbackText("{}") + callbackText("{}", "Connection: close")))
+			runUntil(loop, "the callback", func() bool {
+				loop.After(time.Millisecond, func() {})
+				return len(done) == 1
+			})
+			if !server.Busy() {
+				t.Error("a connection whose answer is deferred is not busy")
+			}
+			done[0](test.handled)
+			if len(done) != 2 {
+				t.Fatalf("%d relayed", len(done))
+			}
+			client.(*net.TCPConn).CloseWrite()
+			done[1](test.handled)
+			done[1](test.handled) // the connection is gone
+			answer := make(chan string, 1)
+			go func() {
+				b, _ := io.ReadAll(client)
+				answer <- string(b)
+			}()
+			want := test.want + strings.Replace(test.want, "\r\n", "\r\nConnection: close\r\n", 1)
+			if got := awaitAnswer(loop, answer, func() {}); got != want {
+				t.Errorf("%q, want %q", got, want)
+			}
+		})
+	}
+}
--- a/internal/clients/connection_test.go
+++ b/internal/clients/connection_test.go
@@ -2,9 +2,12 @@
 
 import (
 	"fmt"
+	"io"
 	"strings"
 	"testing"
 	"time"
+
+	"stoatweir/dispatch"
 )
 
 // A client that sends more than a ring buffer holds behind its request, and disconnects, is seen to have done so, and its bytes
@@ -82,3 +85,26 @@
 	// Output:
 	// admitted: 0
 }
+
+// A client that expects it is asked to go on with its body.
+func TestContinue(t *testing.T) {
+	loop, server, addr, closeListener := newTestServer(10)
+	defer closeListener()
+	server.OnEvent = func(e dispatch.Event) { server.Throttle(e.(dispatch.Arrival).Invocation, 0) }
+	client := dial(addr)
+	defer client.Close()
+	answer := make(chan string, 1)
+	go func() {
+		head, body, _ := strings.Cut(requestText, "\r\n\r\n")
+		client.Write([]byte(head + "\r\nConnection: close\r\nExpect: 100-continue\r\n\r\n"))
+		interim := make([]byte, len("HTTP/1.1 100 Continue\r\n\r\n"))
+		io.ReadFull(client, interim)
+		client.Write([]byte(body))
+		final, _ := io.ReadAll(client)
+		answer <- string(interim) + string(final)
+	}()
+	want := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	if got := awaitAnswer(loop, answer, func() {}); got != want {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
--- a/internal/clients/migration_test.go
+++ b/internal/clients/migration_test.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"stoatweir/dispatch"
+	"stoatweir/internal/accounting"
 	"stoatweir/internal/conn"
 	"stoatweir/internal/lifecycle"
 	"stoatweir/internal/workers"
@@ -154,3 +155,105 @@
 		t.Errorf("closed %v after its accept", took)
 	}
 }
+
+// A connection that the other process takes over is gone here, with its identifier; what was received on it and not parsed goes with
+// it. One whose invocation may not migrate goes on, and is tried again.
+func TestMigrationAccepted(t *testing.T) {
+	loop, server, addr, closeListener := newTestServer(10)
+	defer closeListener()
+	var owned []string
+	server.OnOwnership = func(id string, inUse bool) { owned = append(owned, fmt.Sprint(id, " ", inUse)) }
+	client := dial(addr)
+	defer client.Close()
+	client.Write([]byte(requestText))
+	runUntil(loop, "the request", func() bool { return server.InFlight() == 1 })
+	asked := 0
+	allowed := func(dispatch.InvocationID) bool {
+		asked++
+		return asked > 1
+	}
+	var migrating []*MigratingConnection
+	pass := func(m *MigratingConnection) { migrating = append(migrating, m) }
+	server.MigrateConnections(0, allowed, pass)
+	if asked > 0 || !server.HasMigratable() {
+		t.Fatalf("%d asked, %v migratable", asked, server.HasMigratable())
+	}
+	loop.After(0, func() {})
+	runUntil(loop, "the migration", func() bool {
+		server.MigrateConnections(1, allowed, pass)
+		loop.After(time.Millisecond, func() {})
+		return len(migrating) > 0
+	})
+	m := migrating[0]
+	if asked != 2 || m.Invocation != 1 || m.Unused || m.CarriesCallbacks || len(m.Buffered) > 0 {
+		t.Errorf("%d asked: %+v", asked, m)
+	}
+	if server.HasMigratable() || !server.Busy() || server.AwaitsAnswer(1) {
+		t.Errorf("in transit: %v migratable, %v busy, %v awaits", server.HasMigratable(), server.Busy(), server.AwaitsAnswer(1))
+	}
+	server.MigrateConnections(2, allowed, pass)
+	m.Accepted()
+	ids := server.IDs()
+	if len(server.connections) > 0 || server.Busy() || len(ids) > 0 || server.ClosedConnections["handed over"] != 1 {
+		t.Errorf("%d connections, %v busy, %v, %v", len(server.connections), server.Busy(), ids, server.ClosedConnections)
+	}
+	if got := fmt.Sprint(owned); got != "[9b1f true 9b1f false]" {
+		t.Errorf("ownership %v", got)
+	}
+	completed := server.Ledger.Totals(0, 0).Classes[0].Completed
+	if completed[accounting.Migrated] != 1 || len(migrating) != 1 {
+		t.Errorf("%v completed, %d migrating", completed, len(migrating))
+	}
+}
+
+// An idle connection that is in transit when the other process fails is closed; nothing is answered on it.
+func TestMigrationPeerFailedIdle(t *testing.T) {
+	loop, server, addr, closeListener := newTestServer(10)
+	defer closeListener()
+	client := dial(addr)
+	defer client.Close()
+	client.Write([]byte(callbackText("{}")))
+	runUntil(loop, "the callback", func() bool {
+		loop.After(time.Millisecond, func() {})
+		for c := range server.connections {
+			return c.carriesCallbacks && !server.Busy()
+		}
+		return false
+	})
+	var m *MigratingConnection
+	server.MigrateConnections(1, nil, func(given *MigratingConnection) { m = given })
+	loop.After(0, func() {})
+	runUntil(loop, "the migration", func() bool { return m != nil })
+	if m.Invocation != 0 || m.Unused || !m.CarriesCallbacks {
+		t.Errorf("%+v", m)
+	}
+	m.PeerFailed()
+	answer := make(chan string, 1)
+	go func() {
+		b, err := io.ReadAll(client)
+		answer <- fmt.Sprintf("%q %v", b, err)
+	}()
+	want := `"HTTP/1.1 204 No Content\r\n\r\n" <nil>`
+	if got := awaitAnswer(loop, answer, func() {}); got != want || len(server.connections) > 0 {
+		t.Errorf("%v, %d connections", got, len(server.connections))
+	}
+}
+
+// What a migrated connection brings along is parsed at once; a second invocation on it waits for the answer to the first.
+func TestMigratedBuffer(t *testing.T) {
+	_, server, _, closeListener := newTestServer(1)
+	defer closeListener()
+	ignoreEvents(server)
+	near, far := tcpPipe(t)
+	defer near.Close()
+	inv, ok := server.AcceptMigrated(far, MigratingConnection{Buffered: []byte(requestText)}, nil, 0, 0)
+	if inv != 0 || !ok || server.InFlight() != 1 {
+		t.Errorf("invocation %d, accepted %v, %d in flight", inv, ok, server.InFlight())
+	}
+	_, second := tcpPipe(t)
+	defer second.Close()
+	inv, ok = server.AcceptMigrated(second, MigratingConnection{}, &workers.Invocation{ID: "9b20", Deadline: time.Minute}, 0, 0)
+	if inv != 0 || ok {
+		t.Errorf("beyond capacity: invocation %d, accepted %v", inv, ok)
+	}
+}
