--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -12,8 +12,8 @@
 	"stoatweir/internal/invariant"
 )
 
-// A client whose requests are rejected and that repeats them on one connection waits ever longer for the answers:
-// thousands of such requests a second would take the core from all others.
+// A client whose requests are rejected and that repeats them on one connection waits ever longer
+// for the answers: thousands of such requests a second would starve all other clients.
 const (
 	// rejectionDelayMin is the base of the delay, which doubles with each rejection in a row.
 	rejectionDelayMin = 2 * time.Millisecond
@@ -31,7 +31,8 @@
 	retryAfterMilliseconds = 3
 )
 
-// Deliver answers an invocation with its worker's result. It does nothing if the invocation is not in flight.
+// Deliver answers an invocation with its worker's result. It does nothing if the invocation is not
+// in flight.
 func (s *Server) Deliver(inv dispatch.InvocationID, result string) {
 	r := s.inFlight[inv]
 	if r == nil {
@@ -41,8 +42,8 @@
 	s.answer(inv, accounting.Succeeded, http.StatusOK, []byte(result))
 }
 
-// Throttle declines an invocation that was never run, so that a retry is harmless; after, if positive, tells the client when.
-// It does nothing if the invocation is not in flight.
+// Throttle declines an invocation that a retry can't harm; after, if positive, is sent as the time
+// to wait before the retry. It does nothing if the invocation is not in flight.
 func (s *Server) Throttle(inv dispatch.InvocationID, after time.Duration) {
 	if s.inFlight[inv] == nil {
 		return
@@ -54,16 +55,16 @@
 	s.answer(inv, accounting.Declined, http.StatusServiceUnavailable, nil, fields...)
 }
 
-// Fail answers an invocation with an error that promises nothing: it may have run. It does nothing if the invocation is not
-// in flight.
+// Fail answers an invocation with an error that promises nothing: it may have run. It does nothing
+// if the invocation is not in flight.
 func (s *Server) Fail(inv dispatch.InvocationID) {
 	if s.inFlight[inv] != nil {
 		s.answer(inv, accounting.Aborted, http.StatusInternalServerError, nil)
 	}
 }
 
-// answer completes an invocation in flight and writes its final answer. Where the invariants forbid that answer, the client
-// gets the only one that promises nothing.
+// answer completes an invocation in flight and writes its final answer. Where the invariants forbid
+// that answer, the client gets the only one that promises nothing.
 func (s *Server) answer(inv dispatch.InvocationID, disposition accounting.Disposition, status int, body []byte, fields ...http1.Field) {
 	c := s.inFlight[inv].connection
 	kind := answerKinds[disposition]
@@ -105,7 +106,8 @@
 	}
 }
 
-// closesAfterAnswer tells whether the connection closes with the next answer, by its client's wish or during a shutdown.
+// closesAfterAnswer reports whether the connection closes with the next answer, by its client's
+// wish or during a shutdown.
 func (c *connection) closesAfterAnswer() bool {
 	if c.closeAfterAnswer {
 		return true
@@ -121,7 +123,8 @@
 	c.answer(status, nil)
 }
 
-// reject answers a request that can't be served as it is, with a delay that grows with each one in a row.
+// reject answers a request that can't be served as it is, with a delay that grows with each one in
+// a row.
 func (c *connection) reject(status int, fields ...http1.Field) {
 	c.server.Counts.Malformed++
 	c.consecutiveRejections++
@@ -135,7 +138,7 @@
 	c.deferredTimer = c.server.loop.After(delay, func() { c.answerNow(status, fields...) })
 }
 
-// answerNow writes an answer that was deferred, and goes on with what has been received meanwhile.
+// answerNow writes an answer that was deferred, and handles what has been received meanwhile.
 func (c *connection) answerNow(status int, fields ...http1.Field) {
 	c.answerDeferred = false
 	c.deferredTimer = nil
@@ -145,7 +148,8 @@
 	}
 }
 
-// retryAfter tells a client when to come back, in seconds with so many decimals.
+// retryAfter returns the header that asks a client to wait before its retry, in seconds with so
+// many decimals.
 func retryAfter(wait time.Duration, decimals int) http1.Field {
 	return http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(wait.Seconds(), 'f', decimals, 64)}
 }
--- a/internal/clients/answer_test.go
+++ b/internal/clients/answer_test.go
@@ -13,7 +13,8 @@
 	"stoatweir/internal/workers"
 )
 
-// Each invocation gets one final answer: its worker's result as it was given, a rejection that tells when to retry, or an error.
+// Each invocation gets one final answer: its worker's result as it was given, a rejection that says
+// when to retry, or an error.
 func Example_oneFinalAnswer() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -56,8 +57,8 @@
 	// {Connections:3 Overdue:0 Malformed:0 Crowded:0 Silent:0} [{Name:render Admitted:3 Completed:[1 1 1 0 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
-// Whatever becomes of invocations, in any order: each that was admitted has one disposition or is outstanding, and the ledger
-// has the disposition that its client was answered.
+// Whatever becomes of invocations, in any order: each that was admitted has one disposition or is
+// outstanding, and the ledger has the disposition that its client was answered.
 func TestLedgerBalancesOverRandomHistories(t *testing.T) {
 	for seed := range int64(20) {
 		loop, server, addr, closeListener := newTestServer(3)
@@ -110,7 +111,7 @@
 			return step()
 		})
 		completed := server.Ledger.Totals(0, 0).Classes[0].Completed
-		// Some clients disconnected with their answer on the way.
+		// Some clients disconnected with their answer in transit.
 		unanswered := completed[accounting.Abandoned]
 		sound := true
 		for status, disposition := range map[int]accounting.Disposition{
--- a/internal/clients/callback.go
+++ b/internal/clients/callback.go
@@ -37,8 +37,9 @@
 	return callback, nil
 }
 
-// handleCallback handles a worker's callback, or relays it to the other process. It is acknowledged whatever it is about, as
-// the worker retries until then; a relayed one only once the other process has handled it.
+// handleCallback handles a worker's callback, or relays it to the other process. It is acknowledged
+// whatever it is about, as the worker retries until then; a relayed one only once the other process
+// has handled it.
 func (c *connection) handleCallback(m *http1.Message) {
 	s := c.server
 	callback, err := s.ParseCallback(m.Body)
@@ -55,7 +56,8 @@
 	c.answer(http.StatusNoContent, nil)
 }
 
-// answerRelayed answers a callback that was relayed; one that was not handled the worker has to retry.
+// answerRelayed answers a callback that was relayed; one that was not handled the worker has to
+// retry.
 func (c *connection) answerRelayed(handled bool) {
 	if _, open := c.server.connections[c]; !open {
 		return
--- a/internal/clients/callback_test.go
+++ b/internal/clients/callback_test.go
@@ -31,7 +31,8 @@
 	// "400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
 
-// The keys of a callback's body are read whatever their case, and keys that are not known are passed over.
+// The keys of a callback's body are read whatever their case, and keys that are not known are
+// passed over.
 func TestParseCallbackKeys(t *testing.T) {
 	for name, body := range map[string]string{
 		"lower case": `{"id":"9b1f","from":"s-1","state":"running","share":0.4,"result":"made","load":{"x0":2}}`,
@@ -55,8 +56,9 @@
 	}
 }
 
-// A callback that is relayed is acknowledged once the other process has handled it, and what follows it on its connection is handled
-// after that. One that was not handled the worker has to retry.
+// A callback that is relayed is acknowledged once the other process has handled it, and what
+// follows it on its connection is handled after that. One that was not handled the worker has to
+// retry.
 func TestRelayedCallback(t *testing.T) {
 	for name, test := range map[string]struct {
 		handled bool
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -19,29 +19,31 @@
 	closedMigrated = "handed over"
 )
 
-// continueResponse asks a client that expects it to go on with its body.
+// continueResponse asks a client that expects it to send its body.
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// connection is the server's side of one connection, from a client or from a worker with callbacks. It reads one request
-// at a time: the next one is parsed after the answer to the present one.
+// connection is the server's side of one connection, from a client or from a worker with callbacks.
+// It reads one request at a time: the next one is parsed after the answer to the present one.
 type connection struct {
 	server *Server
 	conn   *conn.Conn
 	parser http1.Parser
 
-	// acceptedAt is when the connection was accepted; of a migrated one that was never used, at its first process.
+	// acceptedAt is when the connection was accepted; of a migrated one that was never used, at its
+	// first process.
 	acceptedAt time.Duration
-	// invocation is the one in flight here, or the last one during its migration; noInvocation otherwise.
+	// invocation is the one in flight here, or the last one during its migration; noInvocation
+	// otherwise.
 	invocation dispatch.InvocationID
 	// closeAfterAnswer: the present answer is the last. Never reset; nothing more is parsed.
 	closeAfterAnswer bool
-	// answerDeferred: a request has been handled whose answer is delayed, or awaits the peer that its callback was relayed
-	// to. Implies no invocation and no request that is partly read.
+	// answerDeferred: a request has been handled whose answer is delayed, or awaits the peer that
+	// its callback was relayed to. Implies no invocation and no request that is partly read.
 	answerDeferred bool
 	// deferredTimer fires at the end of the delay; non-nil only while answerDeferred.
 	deferredTimer *conn.Timer
-	// readTimer fires when the next request must have arrived whole; nil while a request is being handled and between
-	// requests, apart from the wait for the first.
+	// readTimer fires when the next request must have arrived whole; nil while a request is being
+	// handled and between requests, apart from the wait for the first.
 	readTimer *conn.Timer
 	// consecutiveRejections counts rejected requests since the last one that was not.
 	consecutiveRejections int
@@ -51,14 +53,15 @@
 	carriesCallbacks bool
 	// closing: it is being detached, to be closed unless a request has arrived by then.
 	closing bool
-	// migration is how far it is on its way to the other process.
+	// migration is its state of migration to the other process.
 	migration migrationState
 }
 
 // Connected implements conn.Handler: an accepted connection is connected from the start.
 func (c *connection) Connected(*conn.Conn) {}
 
-// Flushed implements conn.Handler: with its answer sent, the connection may be closed for want of descriptors.
+// Flushed implements conn.Handler: with its answer sent, the connection may be closed for want of
+// descriptors.
 func (c *connection) Flushed(transport *conn.Conn) {
 	if c.invocation != noInvocation || c.answerDeferred || c.parser.Started() {
 		return
@@ -86,9 +89,9 @@
 	s.OnEvent(dispatch.ClientDisconnected{Invocation: c.invocation})
 }
 
-// DataReceived implements conn.Handler: it parses and handles requests. Clients wait for answers, so what follows an
-// invocation before its answer is the rest of a body that is longer than its declared length, or a request smuggled in it;
-// the connection closes with that answer.
+// DataReceived implements conn.Handler: it parses and handles requests. Clients wait for answers,
+// so what follows an invocation before its answer is the rest of a body that is longer than its
+// declared length, or a request smuggled in it; the connection closes with that answer.
 func (c *connection) DataReceived(transport *conn.Conn) {
 	for transport.In.Len() > 0 && c.invocation == noInvocation && !c.closeAfterAnswer && !c.answerDeferred {
 		if !c.parse(transport) {
@@ -96,7 +99,8 @@
 		}
 	}
 	if c.invocation != noInvocation && transport.In.Len() > 0 {
-		// More than the ring holds would stop the reading, and the client's disconnect would not be seen.
+		// More than the ring holds would stop the reading, and the client's disconnect would not be
+		// seen.
 		c.closeAfterAnswer = true
 		transport.DiscardInput()
 	}
@@ -109,8 +113,8 @@
 	}
 }
 
-// parse feeds the parser with what has been received, and handles the request once it is whole. It returns false if the
-// request was malformed, which ends the connection.
+// parse feeds the parser with what has been received, and handles the request once it is whole. It
+// returns false if the request was malformed, which ends the connection.
 func (c *connection) parse(transport *conn.Conn) bool {
 	n, step, err := c.parser.Feed(transport.In.Bytes())
 	transport.In.Drop(n)
@@ -142,13 +146,15 @@
 	return http.StatusBadRequest
 }
 
-// isIdle tells whether nothing of a request has been read and nothing of an answer is left to write.
+// isIdle reports whether nothing of a request has been read and nothing of an answer is left to
+// write.
 func (c *connection) isIdle() bool {
 	return c.invocation == noInvocation && !c.answerDeferred && !c.parser.Started() && c.conn.In.Len() == 0 && c.conn.Unsent() == 0
 }
 
-// closeIdle closes an idle connection. A request that has arrived by now is served first, also where it has not been read
-// yet: closing over it would reset the connection. One that arrives later is never read, and its client sends it again.
+// closeIdle closes an idle connection. A request that has arrived by now is served first, also
+// where it has not been read yet: closing over it would reset the connection. One that arrives
+// later is never read, and its client sends it again.
 func (c *connection) closeIdle() {
 	c.closing = true
 	c.conn.Detach(func() {
@@ -168,7 +174,7 @@
 	c.conn.CloseAfterFlush()
 }
 
-// remove takes a connection that the server closes, for the given reason, off its books.
+// remove unregisters a connection that the server closes, and counts the reason.
 func (c *connection) remove(reason string) {
 	s := c.server
 	s.Invariants.CheckClose(c.invocation)
--- a/internal/clients/connection_test.go
+++ b/internal/clients/connection_test.go
@@ -10,8 +10,8 @@
 	"stoatweir/dispatch"
 )
 
-// A client that sends more than a ring buffer holds behind its request, and disconnects, is seen to have done so, and its bytes
-// cost few iterations of the event loop.
+// A client that sends more than a ring buffer holds behind its request, and disconnects, is seen to
+// have done so, and its bytes cost few iterations of the event loop.
 func TestDisconnectBehindManyBytes(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -33,8 +33,8 @@
 	}
 }
 
-// The request of a client that disconnected before it was read is not admitted: it would be forwarded at once, however long ago
-// that was.
+// The request of a client that disconnected before it was read is not admitted: it would be
+// forwarded at once, however long ago that was.
 func Example_disconnectBeforeRead() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -86,7 +86,7 @@
 	// admitted: 0
 }
 
-// A client that expects it is asked to go on with its body.
+// A client that expects it is asked to send its body.
 func TestContinue(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/deadline.go
+++ b/internal/clients/deadline.go
@@ -6,23 +6,27 @@
 )
 
 const (
-	// readTimeout is how long a connection has for a whole request, the first one from its accept on: a client that sends
-	// nothing, or a byte now and then, must see the end within 3 s, and holds a descriptor until then.
+	// readTimeout is how long a connection has for a whole request, the first one from its accept
+	// on: a client that sends nothing, or a byte now and then, must see the end within 3 s, and
+	// holds a descriptor until then.
 	readTimeout = 2500 * time.Millisecond
-	// firstRequestGrace is how long a connection stays open after its accept, also when idle connections close: its first
-	// request is on the way, and its client takes a close without an answer for a rejection.
+	// firstRequestGrace is how long a connection stays open after its accept, also when idle
+	// connections close: its first request may be in transit, and its client counts a close without
+	// an answer as a rejection.
 	firstRequestGrace = 200 * time.Millisecond
 )
 
-// setFirstReadDeadline closes the connection unless a whole request arrives within readTimeout of its accept.
+// setFirstReadDeadline closes the connection unless a whole request arrives within readTimeout of
+// its accept.
 func (c *connection) setFirstReadDeadline() {
 	c.readTimer.Stop()
 	loop := c.server.loop
 	c.readTimer = loop.After(c.acceptedAt+readTimeout-loop.Now(), c.readDeadlineExceeded)
 }
 
-// readDeadlineExceeded ends a connection on which no whole request has arrived in time. Where nothing has arrived, nothing
-// is answered either: the answer could cross the client's first request.
+// readDeadlineExceeded ends a connection on which no whole request has arrived in time. Where
+// nothing has arrived, nothing is answered either: the answer could cross the client's first
+// request.
 func (c *connection) readDeadlineExceeded() {
 	c.readTimer = nil
 	if c.parser.Started() {
@@ -33,7 +37,8 @@
 	c.closeIdle()
 }
 
-// awaitsFirstRequest tells whether the connection was accepted just now, so that its first request is on the way.
+// awaitsFirstRequest reports whether the connection was accepted just now, so that its first
+// request may be in transit.
 func (c *connection) awaitsFirstRequest() bool {
 	return !c.used && c.server.loop.Now() < c.acceptedAt+firstRequestGrace
 }
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -26,7 +26,8 @@
 	return deployment
 }
 
-// newTestServer returns a server that listens on loopback, with a quota of 40 descriptors, and prints its callbacks.
+// newTestServer returns a server that listens on loopback, with a quota of 40 descriptors, and
+// prints its callbacks.
 func newTestServer(maxInFlight int) (loop *conn.Loop, server *Server, addr string, closeListener func()) {
 	loop = conn.NewLoop(time.Now())
 	server = New(loop, testDeployment(), loop.NewQuota(40), accounting.New())
@@ -61,10 +62,11 @@
 	return loop, server, listener.Addr().String(), func() { listener.Close() }
 }
 
-// behavior is what the server of newTestServer is told of the lifecycle.
+// behavior is what the lifecycle permits the server of newTestServer.
 var behavior lifecycle.Behavior
 
-// runUntil runs the event loop until done, which is asked after each iteration; it panics after 10 s.
+// runUntil runs the event loop until done, which is called after each iteration; it panics after 10
+// s.
 func runUntil(loop *conn.Loop, what string, done func() bool) {
 	timeout := loop.After(10*time.Second, func() { panic("timed out waiting for " + what) })
 	loop.Run(func() {
@@ -84,7 +86,8 @@
 	return client
 }
 
-// awaitAnswer runs the event loop until a client has sent its answer, or error, to the channel; each is called in every iteration.
+// awaitAnswer runs the event loop until a client has sent its answer, or error, to the channel;
+// each is called in every iteration.
 func awaitAnswer(loop *conn.Loop, answer <-chan string, each func()) string {
 	got := ""
 	loop.After(0, func() {})
@@ -147,7 +150,8 @@
 const requestText = "POST /render/7f3a?x=1 HTTP/1.1\r\nHost: backend\r\nX-Call-Id: 9b1f\r\nX-Call-Class: render\r\nX-Caller: oak\r\n" +
 	"X-Budget: 2.500\r\nX-Call-Cost: 250000\r\nX-Call-Info: slots=2,x=1\r\nContent-Length: 4\r\n\r\nbody"
 
-// submit sends a request for an invocation and reports the status of its answer, or statusDisconnected.
+// submit sends a request for an invocation and reports the status of its answer, or
+// statusDisconnected.
 func submit(addr, id string, disconnects bool, statuses chan<- int) {
 	client := dial(addr)
 	defer client.Close()
--- a/internal/clients/identifiers_test.go
+++ b/internal/clients/identifiers_test.go
@@ -8,7 +8,8 @@
 	"stoatweir/internal/workers"
 )
 
-// An identifier that was sent to a worker stays in use for some time after its release, as callbacks for it may still arrive.
+// An identifier that was sent to a worker stays in use for some time after its release, as
+// callbacks for it may still arrive.
 func TestReleaseID(t *testing.T) {
 	loop, server, _, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/inflight.go
+++ b/internal/clients/inflight.go
@@ -11,11 +11,11 @@
 	"stoatweir/internal/tenants"
 )
 
-// noInvocation stands for none: numbers of invocations begin at 1.
+// noInvocation means none: numbers of invocations begin at 1.
 const noInvocation dispatch.InvocationID = 0
 
-// overdueGrace is how long after an invocation's deadline the server fails it by itself, should the decision module not have
-// answered it.
+// overdueGrace is how long after an invocation's deadline the server fails it by itself, should the
+// decision module not have answered it.
 const overdueGrace = 25 * time.Millisecond
 
 // inFlightRequest is an admitted invocation whose client awaits the answer.
@@ -43,7 +43,8 @@
 	return inv
 }
 
-// startOverdueTimer has the server fail an invocation that the decision module has not answered by its deadline.
+// startOverdueTimer has the server fail an invocation that the decision module has not answered by
+// its deadline.
 func (s *Server) startOverdueTimer(inv dispatch.InvocationID, r *inFlightRequest) {
 	r.overdueTimer = s.loop.After(r.deadline+overdueGrace-s.loop.Now(), func() {
 		s.Counts.Overdue++
@@ -52,7 +53,8 @@
 	})
 }
 
-// complete removes an invocation from the table, with its disposition. Every invocation in flight ends here, once.
+// complete removes an invocation from the table, with its disposition. Every invocation in flight
+// ends here, once.
 func (s *Server) complete(inv dispatch.InvocationID, disposition accounting.Disposition) {
 	r := s.inFlight[inv]
 	s.Ledger.Completed(r.class, disposition)
@@ -79,11 +81,13 @@
 // Unanswered lists the invocations whose clients await an answer, oldest first.
 func (s *Server) Unanswered() []dispatch.InvocationID { return slices.Sorted(maps.Keys(s.inFlight)) }
 
-// AwaitsAnswer tells whether the invocation's client awaits its answer, as far as the event loop knows.
+// AwaitsAnswer reports whether the invocation's client awaits its answer, as far as the event loop
+// knows.
 func (s *Server) AwaitsAnswer(inv dispatch.InvocationID) bool { return s.inFlight[inv] != nil }
 
-// ClientWaiting tells whether the invocation's client awaits its answer at this moment. It asks the kernel, as a disconnect
-// may be queued behind all else that the event loop has to do; one that it finds is handled at once.
+// ClientWaiting reports whether the invocation's client awaits its answer at this moment. It asks
+// the kernel, as a disconnect may be queued behind all else that the event loop has to do; one that
+// it finds is handled at once.
 func (s *Server) ClientWaiting(inv dispatch.InvocationID) bool {
 	r := s.inFlight[inv]
 	if r != nil && r.connection.conn.PeerClosed() {
--- a/internal/clients/inflight_test.go
+++ b/internal/clients/inflight_test.go
@@ -15,8 +15,9 @@
 	"stoatweir/internal/workers"
 )
 
-// A client that closes abandons its invocation; an identifier in use is rejected; more invocations than may be in flight are
-// shed; one that the decision module does not answer is failed once its deadline is over.
+// A client that closes abandons its invocation; an identifier in use is rejected; more invocations
+// than may be in flight are shed; one that the decision module does not answer is failed once its
+// deadline is over.
 func Example_disconnectedAndOverdue() {
 	loop, server, addr, closeListener := newTestServer(2)
 	defer closeListener()
@@ -59,8 +60,8 @@
 	// {Connections:7 Overdue:1 Malformed:2 Crowded:1 Silent:0} [{Name:render Admitted:5 Completed:[0 1 1 1 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
-// Many clients disconnect while the event loop is busy. None of their invocations may be forwarded, whatever is queued for the loop:
-// ClientWaiting asks the kernel.
+// Many clients disconnect while the event loop is busy. None of their invocations may be forwarded,
+// whatever is queued for the loop: ClientWaiting asks the kernel.
 func TestClientWaitingAsksKernel(t *testing.T) {
 	for name, disconnect := range map[string]func(client *net.TCPConn){
 		"close":                  func(client *net.TCPConn) { client.Close() },
@@ -112,8 +113,8 @@
 	}
 }
 
-// A connection to a worker is established and the client disconnects, and the event loop handles the former first: nothing is
-// forwarded.
+// A connection to a worker is established and the client disconnects, and the event loop handles
+// the former first: nothing is forwarded.
 func TestClientDisconnectsAsWorkerConnects(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// acceptRetryInterval is the time between two searches for a free descriptor: connections with half a request become
-	// old enough to be closed for one without any event that says so.
+	// acceptRetryInterval is the time between two searches for a free descriptor: connections with
+	// half a request become old enough to be closed for one without any event that says so.
 	acceptRetryInterval = 50 * time.Millisecond
 	// acceptErrorDelay is the pause after an accept that failed, as the error may last.
 	acceptErrorDelay = time.Millisecond
@@ -20,14 +20,15 @@
 	SetDeadline(time.Time) error
 }
 
-// accepted is the task that brings an accepted connection, or the failure to accept one, to the event loop.
+// accepted is the task that brings an accepted connection, or the failure to accept one, to the
+// event loop.
 type accepted struct {
 	server *Server
 	conn   net.Conn // nil: the accept failed
 }
 
-// Listen begins to accept connections. The accept goroutine needs a permit for each, so that it never takes the last
-// descriptor.
+// Listen begins to accept connections. The accept goroutine needs a permit for each, so that it
+// never exhausts the descriptors.
 func (s *Server) Listen(l net.Listener) {
 	s.listener = l
 	s.listening = true
@@ -99,8 +100,9 @@
 	}
 }
 
-// StopAccepting accepts no more connections. It reports whether the accept goroutine has come to rest: a connection that it
-// has accepted and that has not reached the event loop would be closed without an answer.
+// StopAccepting accepts no more connections. It reports whether the accept goroutine is blocked for
+// good: a connection that it has accepted and that has not reached the event loop would be closed
+// without an answer.
 func (s *Server) StopAccepting() bool {
 	s.stopped = true
 	s.setListening(false)
--- a/internal/clients/listener_test.go
+++ b/internal/clients/listener_test.go
@@ -25,8 +25,9 @@
 	// 61 true
 }
 
-// With nearly all descriptors taken by invocations in flight, further ones are shed at once, and callbacks are handled: both
-// would otherwise wait to be accepted until all that is in flight is overdue.
+// With nearly all descriptors taken by invocations in flight, further ones are shed at once, and
+// callbacks are handled: both would otherwise wait to be accepted until all that is in flight is
+// overdue.
 func Example_shedAtCapacity() {
 	loop, server, addr, closeListener := newTestServer(36)
 	defer closeListener()
--- a/internal/clients/migrate_in.go
+++ b/internal/clients/migrate_in.go
@@ -10,10 +10,11 @@
 	"stoatweir/internal/workers"
 )
 
-// AcceptMigrated takes a connection of another process over, with the invocation in flight on it, if any. It sets that
-// invocation's number and returns it. The operation is an index; age is the time since the invocation's admission at its first
-// process. It returns false, and leaves netConn to the caller, if there is no capacity for the connection, its client has
-// disconnected, or its tenant is not known here.
+// AcceptMigrated adopts a connection of another process, with the invocation in flight on it, if
+// any. It sets that invocation's number and returns it. The operation is an index; age is the time
+// since the invocation's admission at its first process. It returns false, and leaves netConn to
+// the caller, if there is no capacity for the connection, its client has disconnected, or its
+// tenant is not known here.
 func (s *Server) AcceptMigrated(netConn net.Conn, m MigratingConnection, invocation *workers.Invocation, operation int, age time.Duration) (
 	inv dispatch.InvocationID, ok bool) {
 	if !s.admitsMigrated(invocation) || conn.PeerClosed(netConn) || !s.quota.EnsureFree(0) {
@@ -45,7 +46,7 @@
 	return inv, true
 }
 
-// admitsMigrated tells whether a connection may come in with an invocation, or with none: nil.
+// admitsMigrated reports whether a connection may be adopted with its invocation; nil: it is idle.
 func (s *Server) admitsMigrated(invocation *workers.Invocation) bool {
 	b := s.Behavior()
 	if invocation == nil {
@@ -54,7 +55,7 @@
 	return b.Admits && len(s.inFlight) < s.maxInFlight
 }
 
-// resumeIdle goes on with a migrated connection that is between two requests, or awaits its first.
+// resumeIdle resumes a migrated connection that is between two requests, or awaits its first.
 func (c *connection) resumeIdle() {
 	c.conn.SetState(conn.StateIdle)
 	if !c.used {
--- a/internal/clients/migrate_out.go
+++ b/internal/clients/migrate_out.go
@@ -10,18 +10,19 @@
 	"stoatweir/internal/invariant"
 )
 
-// migrationState is how far a connection is on its way to the other process that serves the same address.
+// migrationState is the state of a connection's migration to the other process that serves the same
+// address.
 type migrationState uint8
 
 const (
-	migrationNone      migrationState = iota // it was not tried yet
-	migrationDetaching                       // it migrates once nothing moves on it, if it still can then
-	migrationInTransit                       // the other process has its socket; one of three outcomes follows
-	migrationRejected                        // the other process did not take it; it is not tried again
+	migrationNone      migrationState = iota // not attempted yet
+	migrationDetaching                       // reading has been stopped; it migrates once all is flushed, if it still can then
+	migrationInTransit                       // the other process is offered its socket; one of three outcomes follows
+	migrationRejected                        // the other process did not accept it; it is not attempted again
 )
 
-// MigratingConnection is a connection on its way to the other process, with the invocation in flight on it. Exactly one of
-// Accepted, Returned and PeerFailed ends the migration.
+// MigratingConnection is a connection in transit to the other process, with the invocation in
+// flight on it. Exactly one of Accepted, Returned and PeerFailed ends the migration.
 type MigratingConnection struct {
 	Socket           syscall.Conn
 	Buffered         []byte                // received and not parsed yet
@@ -35,8 +36,9 @@
 	record     *invariant.MigratedRequest
 }
 
-// MigrateConnections detaches connections that can migrate, and calls pass with each once nothing moves on it any more. At
-// most so many are being migrated at once. allowed tells whether an invocation can migrate as it stands.
+// MigrateConnections detaches connections that can migrate, and calls pass with each once reading
+// has stopped and all is flushed. At most so many migrate at once. allowed reports whether an
+// invocation can migrate at present.
 func (s *Server) MigrateConnections(most int, allowed func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
 	underWay := 0
 	for c := range s.connections {
@@ -56,7 +58,7 @@
 	}
 }
 
-// HasMigratable tells whether a connection is left that can migrate, or is about to.
+// HasMigratable reports whether a connection is left that can migrate, or is about to.
 func (s *Server) HasMigratable() bool {
 	for c := range s.connections {
 		if c.migratable() {
@@ -66,8 +68,8 @@
 	return false
 }
 
-// migratable tells whether the connection is between two requests, or a whole one awaits its answer, and whether the other
-// process neither has it nor has rejected it.
+// migratable reports whether the connection is between two requests, or a whole one awaits its
+// answer, and whether the other process neither has it nor has rejected it.
 func (c *connection) migratable() bool {
 	if c.migration == migrationInTransit || c.migration == migrationRejected {
 		return false
@@ -75,7 +77,8 @@
 	return !c.answerDeferred && !c.closeAfterAnswer && !c.parser.Started()
 }
 
-// migrate passes a detached connection on; one that can't migrate as it stands goes on here, and is tried again.
+// migrate passes a detached connection to the other process; one that can't migrate at present is
+// attached again, and attempted later.
 func (c *connection) migrate(allowed func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
 	s := c.server
 	forbidden := c.invocation != noInvocation && !allowed(c.invocation)
@@ -121,7 +124,7 @@
 	return buffered
 }
 
-// Accepted ends the migration: the other process has taken the connection over.
+// Accepted ends the migration: the connection is the other process's now.
 func (m *MigratingConnection) Accepted() {
 	c := m.connection
 	s := c.server
@@ -135,7 +138,8 @@
 	}
 }
 
-// Returned ends the migration: the other process has not taken the connection, and it goes on here.
+// Returned ends the migration: the other process has not accepted the connection, and it is resumed
+// here.
 func (m *MigratingConnection) Returned() {
 	c := m.connection
 	s := c.server
@@ -168,8 +172,9 @@
 	s.startOverdueTimer(m.Invocation, m.request)
 }
 
-// PeerFailed ends the migration: the other process has died and may have forwarded the invocation, or it hangs and may still
-// find the connection. The connection ends for both processes, so that nobody answers twice and nothing more is forwarded.
+// PeerFailed ends the migration: the other process has died and may have forwarded the invocation,
+// or it hangs and may still find the connection. The connection ends for both processes, so that
+// nobody answers twice and nothing more is forwarded.
 func (m *MigratingConnection) PeerFailed() {
 	c := m.connection
 	m.Returned()
--- a/internal/clients/migration_test.go
+++ b/internal/clients/migration_test.go
@@ -19,7 +19,8 @@
 	"stoatweir/internal/workers"
 )
 
-// startMigration sends a request and returns its connection in migration, with the peer's duplicate of the socket.
+// startMigration sends a request and returns its connection in migration, with the peer's duplicate
+// of the socket.
 func startMigration(loop *conn.Loop, server *Server, addr string) (client net.Conn, m *MigratingConnection, peer net.Conn) {
 	client = dial(addr)
 	client.Write([]byte(requestText))
@@ -62,11 +63,12 @@
 	return near, far
 }
 
-// maxSilence is within what time a connection without a request must be closed, less what it takes to see that.
+// maxSilence is within what time a connection without a request must be closed, less what it takes
+// to see that.
 const maxSilence = 3*time.Second - 200*time.Millisecond
 
-// The other process hangs during a migration, is given up, and goes on: the client gets one answer, and nothing is left of the
-// connection that the other process could serve.
+// The other process hangs during a migration, is given up, and recovers: the client gets one
+// answer, and nothing is left of the connection that the other process could serve.
 func Example_migrationPeerFailed() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -93,7 +95,8 @@
 	// peer accepts: false 0
 }
 
-// A disconnect during a migration is seen whatever the outcome: the invocation could be forwarded before the disconnect is read.
+// A disconnect during a migration is seen whatever the outcome: the invocation could be forwarded
+// before the disconnect is read.
 func Example_disconnectDuringMigration() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -111,7 +114,7 @@
 	// in flight: 0 0
 }
 
-// The read deadline of a connection goes on at the process that it migrates to.
+// The read deadline of a connection holds at the process that it migrates to.
 func TestReadDeadlineOfMigratedConnection(t *testing.T) {
 	loop, server, _, closeListener := newTestServer(10)
 	defer closeListener()
@@ -130,7 +133,7 @@
 	near.Close()
 }
 
-// The read deadline of a connection goes on when the other process does not take it.
+// The read deadline of a connection holds when the other process does not accept it.
 func TestReadDeadlineOfReturnedConnection(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -156,8 +159,8 @@
 	}
 }
 
-// A connection that the other process takes over is gone here, with its identifier; what was received on it and not parsed goes with
-// it. One whose invocation may not migrate goes on, and is tried again.
+// A connection that the other process accepts is gone here, with its identifier. One whose
+// invocation may not migrate yet stays and is attempted again.
 func TestMigrationAccepted(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -167,16 +170,16 @@
 	defer client.Close()
 	client.Write([]byte(requestText))
 	runUntil(loop, "the request", func() bool { return server.InFlight() == 1 })
-	asked := 0
+	attempts := 0
 	allowed := func(dispatch.InvocationID) bool {
-		asked++
-		return asked > 1
+		attempts++
+		return attempts > 1
 	}
 	var migrating []*MigratingConnection
 	pass := func(m *MigratingConnection) { migrating = append(migrating, m) }
 	server.MigrateConnections(0, allowed, pass)
-	if asked > 0 || !server.HasMigratable() {
-		t.Fatalf("%d asked, %v migratable", asked, server.HasMigratable())
+	if attempts > 0 || !server.HasMigratable() {
+		t.Fatalf("%d attempts, %v migratable", attempts, server.HasMigratable())
 	}
 	loop.After(0, func() {})
 	runUntil(loop, "the migration", func() bool {
@@ -185,8 +188,8 @@
 		return len(migrating) > 0
 	})
 	m := migrating[0]
-	if asked != 2 || m.Invocation != 1 || m.Unused || m.CarriesCallbacks || len(m.Buffered) > 0 {
-		t.Errorf("%d asked: %+v", asked, m)
+	if attempts != 2 || m.Invocation != 1 || m.Unused || m.CarriesCallbacks || len(m.Buffered) > 0 {
+		t.Errorf("%d attempts: %+v", attempts, m)
 	}
 	if server.HasMigratable() || !server.Busy() || server.AwaitsAnswer(1) {
 		t.Errorf("in transit: %v migratable, %v busy, %v awaits", server.HasMigratable(), server.Busy(), server.AwaitsAnswer(1))
@@ -206,7 +209,8 @@
 	}
 }
 
-// An idle connection that is in transit when the other process fails is closed; nothing is answered on it.
+// An idle connection that is in transit when the other process fails is closed; nothing is answered
+// on it.
 func TestMigrationPeerFailedIdle(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -239,7 +243,8 @@
 	}
 }
 
-// What a migrated connection brings along is parsed at once; a second invocation on it waits for the answer to the first.
+// What a migrated connection brings along is parsed at once; a second invocation on it waits for
+// the answer to the first.
 func TestMigratedBuffer(t *testing.T) {
 	_, server, _, closeListener := newTestServer(1)
 	defer closeListener()
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	// budgetMargin is how long before its client stops waiting an invocation counts as given up: the request was on its way
-	// before it was read here, and the answer has a way to go too.
+	// budgetMargin is how long before its client stops waiting an invocation counts as given up:
+	// the request was in transit before it was read here, and the answer will be too.
 	budgetMargin = 5 * time.Millisecond
 	// microsecondsPerSecond converts headerCost.
 	microsecondsPerSecond = 1e6
@@ -55,7 +55,7 @@
 	budgetValid bool
 }
 
-// scopedID returns the identifier under which the invocation is in use here and goes to workers.
+// scopedID returns the identifier under which the invocation is in use here and is sent to workers.
 func (r *invocationRequest) scopedID() string { return r.prefix + r.id }
 
 // handleInvocation validates a request for an invocation, and admits, rejects or sheds it.
@@ -82,8 +82,8 @@
 	}
 }
 
-// parseInvocation parses the head of a request. Where tenants are served, the account is nil if the credentials are invalid,
-// and the operation is not looked up then.
+// parseInvocation parses the head of a request. Where tenants are served, the account is nil if the
+// credentials are invalid, and the operation is not looked up then.
 func (s *Server) parseInvocation(m *http1.Message, path string) *invocationRequest {
 	r := &invocationRequest{message: m, path: path, id: m.Header.Get(headerCallID)}
 	r.pathName, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -100,7 +100,8 @@
 		if r.account == nil {
 			return r
 		}
-		// An identifier or key of one tenant is none of another's: neither an answer nor a repeat can cross.
+		// An identifier or key of one tenant is none of another's: neither an answer nor a repeat
+		// can cross.
 		r.prefix = r.account.Handle + handleSeparator
 		operation = settings.TenantOperationName(r.account.Handle, r.name)
 	}
@@ -109,19 +110,21 @@
 	return r
 }
 
-// hasTrailingBytes tells whether more than line ends follows the request that was read.
+// hasTrailingBytes reports whether more than line ends follows the request that was read.
 func (c *connection) hasTrailingBytes() bool {
 	return strings.Trim(string(c.conn.In.Bytes()), "\r\n") != ""
 }
 
-// discard drops a request whose client disconnected before it was read. A half close counts as one, as the protocol has it.
+// discard drops a request whose client disconnected before it was read. A half close counts as one,
+// as the protocol has it.
 func (c *connection) discard() {
 	delete(c.server.connections, c)
 	c.conn.Close()
 }
 
-// shed declines an invocation at once, without asking the decision module. It closes the connection, as the descriptor is
-// wanted: connections that wait to be accepted, with workers' callbacks among them, would wait longer.
+// shed declines an invocation at once, without asking the decision module. It closes the
+// connection, as the descriptor is wanted: connections that wait to be accepted, with workers'
+// callbacks among them, would wait longer.
 func (c *connection) shed(r *invocationRequest) {
 	s := c.server
 	class := s.classes[r.operation]
@@ -132,8 +135,8 @@
 	c.answer(http.StatusServiceUnavailable, nil)
 }
 
-// admit admits an invocation, unless its tenant's limits reject it, and passes it to the decision module. Its time counts
-// from the last byte of the request.
+// admit admits an invocation, unless its tenant's limits reject it, and passes it to the decision
+// module. Its time counts from the last byte of the request.
 func (c *connection) admit(r *invocationRequest) {
 	s := c.server
 	now := s.loop.Now()
@@ -165,7 +168,18 @@
 		account:    r.account,
 		admission:  admission,
 	})
-	s.OnRequest(&workers.Invocation{
+	invocation := r.invocation(inv, deadline)
+	invocation.Hint = clientHint
+	s.OnRequest(invocation, r.operation)
+	arrival.Invocation = inv
+	arrival.Operation = r.operation
+	arrival.Budget = deadline - now
+	s.OnEvent(arrival)
+}
+
+// invocation returns the invocation as it is forwarded to workers, without its hint.
+func (r *invocationRequest) invocation(inv dispatch.InvocationID, deadline time.Duration) *workers.Invocation {
+	return &workers.Invocation{
 		Number:   inv,
 		ID:       r.scopedID(),
 		Method:   r.message.Method,
@@ -173,16 +187,11 @@
 		Fields:   forwardedFields(r.message, r.prefix),
 		Body:     r.message.Body,
 		Deadline: deadline,
-		Hint:     clientHint,
-	}, r.operation)
-	arrival.Invocation = inv
-	arrival.Operation = r.operation
-	arrival.Budget = deadline - now
-	s.OnEvent(arrival)
+	}
 }
 
-// limitBudget bounds a request's budget by the timeout that the settings give for clients of its operation: a longer one
-// would look as if all other clients had waited for long.
+// limitBudget bounds a request's budget by the timeout that the settings give for clients of its
+// operation: a longer one would look as if all other clients had waited for long.
 func (s *Server) limitBudget(r *invocationRequest) time.Duration {
 	most := s.deployment.ClientTimeouts[r.operation]
 	if most <= 0 {
@@ -191,8 +200,8 @@
 	return min(r.budget, most)
 }
 
-// parseArrival reads what a request says of its work and, where there are no credentials, of its tenant. A hint that can't
-// be read counts as none: it must not cost the client its answer.
+// parseArrival reads what a request says of its work and, where there are no credentials, of its
+// tenant. A hint that can't be read counts as none: it must not cost the client its answer.
 func (s *Server) parseArrival(m *http1.Message) dispatch.Arrival {
 	arrival := dispatch.Arrival{
 		Hint:  parseNumber(m.Header.Get(headerCost), 0) / microsecondsPerSecond,
@@ -223,8 +232,8 @@
 	return v
 }
 
-// forwardedFields returns the headers that go on to a worker, which are those that it needs. Any other could mean something
-// to it that its sender has no right to say.
+// forwardedFields returns the headers that go on to a worker, which are those that it needs. Any
+// other could mean something to it that its sender has no right to say.
 func forwardedFields(m *http1.Message, prefix string) []http1.Field {
 	var fields []http1.Field
 	for _, name := range []string{headerCallID, headerIdempotencyKey} {
--- a/internal/clients/routes.go
+++ b/internal/clients/routes.go
@@ -18,8 +18,8 @@
 // historyQueryPrefix precedes the identifier in the query of historyPath.
 const historyQueryPrefix = "id="
 
-// route calls the handler for a request's path. Where tenants are served the pages for operators are not: they would show
-// one tenant's figures to another.
+// route calls the handler for a request's path. Where tenants are served the pages for operators
+// are not: they would show one tenant's figures to another.
 func (c *connection) route(m *http1.Message) {
 	s := c.server
 	path, query, _ := strings.Cut(m.Target, "?")
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -14,7 +14,8 @@
 	"stoatweir/internal/workers"
 )
 
-// noClass is the accounting class of an operation that is configured no longer: nothing is admitted under it.
+// noClass is the accounting class of an operation that is configured no longer: nothing is admitted
+// under it.
 const noClass = -1
 
 // Counts holds counters of the server that the accounting of invocations does not cover.
@@ -26,32 +27,37 @@
 	Silent      int `json:"Silent"`      // connections closed because no request arrived on them in time
 }
 
-// Server accepts connections from clients and workers, and answers each request on them. Its exported function fields are
-// called on the event loop unless they say otherwise, and are set before Listen.
+// Server accepts connections from clients and workers, and answers each request on them. Its
+// exported function fields are called on the event loop unless they say otherwise, and are set
+// before Listen.
 type Server struct {
-	// OnEvent receives the events for the decision module: arrivals of invocations and disconnects of their clients.
+	// OnEvent receives the events for the decision module: arrivals of invocations and disconnects
+	// of their clients.
 	OnEvent func(dispatch.Event)
-	// OnRequest is called for each admitted invocation, before OnEvent gets its arrival. The operation is an index.
+	// OnRequest is called for each admitted invocation, before OnEvent gets its arrival. The
+	// operation is an index.
 	OnRequest func(invocation *workers.Invocation, operation int)
 	// OnCallback handles a worker's callback; false if it is about no attempt that is known here.
 	OnCallback func(workers.Callback) bool
 	// OnServed observes how long a client waited for its worker's result.
 	OnServed func(time.Duration)
-	// Behavior tells what the lifecycle of the process allows at present.
+	// Behavior returns what the lifecycle of the process permits at present.
 	Behavior func() lifecycle.Behavior
-	// Accept returns the listener's next connection. It is called from a goroutine of its own; the default is
-	// net.Listener.Accept.
+	// Accept returns the listener's next connection. It is called from a goroutine of its own; the
+	// default is net.Listener.Accept.
 	Accept func(net.Listener) (net.Conn, error)
 	// Counters returns the JSON body of the counters page.
 	Counters func() []byte
-	// History returns the text of the history page for a request's identifier; nil: there is no such page.
+	// History returns the text of the history page for a request's identifier; nil: there is no
+	// such page.
 	History func(id string) []byte
 
-	// RelayCallback passes a callback that is unknown here on to the other process that serves the same address, and
-	// calls done once with whether it was handled there. It returns false, and does not call done, if there is no
-	// such process.
+	// RelayCallback passes a callback that is unknown here on to the other process that serves the
+	// same address, and calls done once with whether it was handled there. It returns false, and
+	// does not call done, if there is no such process.
 	RelayCallback func(callback workers.Callback, body []byte, done func(handled bool)) bool
-	// OwnedByPeer tells whether an identifier is in use at the other process that serves the same address.
+	// OwnedByPeer reports whether an identifier is in use at the other process that serves the same
+	// address.
 	OwnedByPeer func(id string) bool
 	// OnOwnership is called when an identifier begins or ceases to be in use here.
 	OnOwnership func(id string, inUse bool)
@@ -60,7 +66,7 @@
 	Counts Counts
 	// ClosedConnections counts closed connections by reason.
 	ClosedConnections map[string]int
-	// LongestTimeout is the longest timeout that a client has asked for so far.
+	// LongestTimeout is the longest timeout that a client has requested so far.
 	LongestTimeout time.Duration
 	// Ledger accounts for every invocation, from its admission to its disposition.
 	Ledger *accounting.Ledger
@@ -68,14 +74,16 @@
 	Admission *tenants.Controller
 	// Invariants checks each final answer and each close of a connection; nil: nothing is checked.
 	Invariants *invariant.Checker
-	// Reason tells why the answer that is being written is given, for the history of the request; nil: no reason is kept.
+	// Reason returns why the answer that is being written is given, for the history of the request;
+	// nil: none is recorded.
 	Reason func(dispatch.InvocationID) string
 
 	loop       *conn.Loop
 	quota      *conn.Quota // of descriptors
 	deployment settings.Deployment
 	classes    []int // accounting class by operation index, or noClass
-	// tenantIndex holds the indices of tenants by name, for requests that name their tenant without credentials.
+	// tenantIndex holds the indices of tenants by name, for requests that name their tenant without
+	// credentials.
 	tenantIndex map[string]int
 
 	// The listener and its accept goroutine; see listener.go.
@@ -95,7 +103,8 @@
 	migrating      int // connections in state migrationInTransit
 }
 
-// New returns a server that does not listen yet, and that sheds every invocation until SetMaxInFlight.
+// New returns a server that does not listen yet, and that sheds every invocation until
+// SetMaxInFlight.
 func New(loop *conn.Loop, deployment settings.Deployment, quota *conn.Quota, ledger *accounting.Ledger) *Server {
 	s := &Server{
 		Accept:            net.Listener.Accept,
@@ -113,7 +122,8 @@
 	return s
 }
 
-// Reconfigure applies new settings. Invocations in flight keep the accounting class under which they were admitted.
+// Reconfigure applies new settings. Invocations in flight keep the accounting class under which
+// they were admitted.
 func (s *Server) Reconfigure(deployment settings.Deployment) {
 	s.deployment = deployment
 	s.classes = nil
@@ -136,6 +146,6 @@
 	}
 }
 
-// SetMaxInFlight sets how many invocations may be in flight at once. It should be less than the quota of descriptors, so
-// that one is always left for callbacks, and for the next connection.
+// SetMaxInFlight sets how many invocations may be in flight at once. It should be less than the
+// quota of descriptors, so that one is always left for callbacks, and for the next connection.
 func (s *Server) SetMaxInFlight(most int) { s.maxInFlight = most }
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -2,10 +2,11 @@
 
 import "net/http"
 
-// ApplyBehavior follows a change of the process's lifecycle: it accepts or stops accepting, and closes the connections that
-// may not stay open. Until it says so connections stay open, as their clients may have no other server yet. The deadlines
-// of invocations stay as the clients gave them, also near the end: a shorter one would look like that of a client that has
-// waited for long, and would be rejected at once.
+// ApplyBehavior follows a change of the process's lifecycle: it accepts or stops accepting, and
+// closes the connections that may not stay open. Until it says so connections stay open, as their
+// clients may have no other server yet. The deadlines of invocations stay as the clients gave them,
+// also near the end: a shorter one would look like that of a client that has waited for long, and
+// would be rejected at once.
 func (s *Server) ApplyBehavior() {
 	b := s.Behavior()
 	s.stopped = s.stopped && b.ExitsWhenIdle
@@ -22,13 +23,14 @@
 	}
 }
 
-// busy tells whether an answer is due on the connection, or whether it is on its way to the other process.
+// busy reports whether an answer is due on the connection, or whether it is in transit to the other
+// process.
 func (c *connection) busy() bool {
 	return c.invocation != noInvocation || c.answerDeferred || c.migration == migrationInTransit
 }
 
-// Busy tells whether requests are being read, answers being written, or connections being migrated: an exit now would cost
-// a client its answer.
+// Busy reports whether requests are being read, answers being written, or connections being
+// migrated: an exit now would cost a client its answer.
 func (s *Server) Busy() bool {
 	if s.migrating > 0 {
 		return true
--- a/internal/clients/shutdown_test.go
+++ b/internal/clients/shutdown_test.go
@@ -12,8 +12,8 @@
 	"stoatweir/internal/lifecycle"
 )
 
-// During a shutdown the server is not ready and still serves requests, also on open connections; once idle connections close, each
-// answer closes its connection.
+// During a shutdown the server is not ready and still serves requests, also on open connections;
+// once idle connections close, each answer closes its connection.
 func Example_gracefulShutdown() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -53,7 +53,8 @@
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
 
-// While draining, idle connections of clients close first, then those with a partial request; one that carries callbacks stays.
+// While draining, idle connections of clients close first, then those with a partial request; one
+// that carries callbacks stays.
 func Example_draining() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -104,8 +105,8 @@
 	// "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
 
-// A request that has been read, and is queued for the event loop, is served, whatever closes idle connections at that moment: a
-// shutdown, the read deadline, or want of descriptors.
+// A request that has been read, and is queued for the event loop, is served, whatever closes idle
+// connections at that moment: a shutdown, the read deadline, or want of descriptors.
 func TestReadRequestServedAtIdleClose(t *testing.T) {
 	for name, closeIdle := range map[string]func(server *Server, c *connection){
 		"shutdown":      func(server *Server, _ *connection) { behavior.ClosesIdle = true; server.ApplyBehavior() },
@@ -146,8 +147,8 @@
 	}
 }
 
-// A request that arrives between the last read of an idle connection and its close is served, though it has not been read: closing
-// over it would reset the connection.
+// A request that arrives between the last read of an idle connection and its close is served,
+// though it has not been read: closing over it would reset the connection.
 func TestUnreadRequestServedAtIdleClose(t *testing.T) {
 	for name, closeIdle := range map[string]func(server *Server){
 		"shutdown":      func(server *Server) { behavior.ClosesIdle = true; server.ApplyBehavior() },
@@ -186,8 +187,8 @@
 	}
 }
 
-// A connection that is accepted just before the exit has its request served. The server stops accepting only once the accept
-// goroutine has come to rest.
+// A connection that is accepted just before the exit has its request served. The server stops
+// accepting only once the accept goroutine is blocked for good.
 func Example_lastConnection() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/tenancy.go
+++ b/internal/clients/tenancy.go
@@ -13,9 +13,9 @@
 // bearerScheme is the only scheme of credentials.
 const bearerScheme = "Bearer"
 
-// authenticate returns the account that a request's credentials belong to; nil: they are of no account. Of two credentials
-// each reader could believe another, so there must be exactly one. The scheme is looked at last, as a rejection must take as
-// long as a success.
+// authenticate returns the account that a request's credentials belong to; nil: they are of no
+// account. Of two credentials each reader could believe another, so there must be exactly one. The
+// scheme is checked last, so that a rejection costs as much time as a success.
 func (s *Server) authenticate(authorization []string) *tenants.Account {
 	if len(authorization) != 1 {
 		return nil
@@ -29,8 +29,9 @@
 	return account
 }
 
-// accountOf returns the account of an invocation that another process admitted, by the handle in its identifier. The
-// account is nil where tenants are not served; known is false if the tenant does not exist here.
+// accountOf returns the account of an invocation that another process admitted, by the handle in
+// its identifier. The account is nil where tenants are not served; known is false if the tenant
+// does not exist here.
 func (s *Server) accountOf(id string) (account *tenants.Account, known bool) {
 	if s.Admission == nil {
 		return nil, true
@@ -39,13 +40,14 @@
 	return account, account != nil
 }
 
-// rejectUnauthorized answers a request without valid credentials, ever more slowly on one connection, as guesses cost
-// processor time.
+// rejectUnauthorized answers a request without valid credentials, ever more slowly on one
+// connection, as guesses cost processor time.
 func (c *connection) rejectUnauthorized() {
 	c.reject(http.StatusUnauthorized, http1.Field{Name: "WWW-Authenticate", Value: bearerScheme})
 }
 
-// rejectLimited answers a request that its tenant's limits reject: which limit it was, and when to come back.
+// rejectLimited answers a request that its tenant's limits reject: which limit it was, and when to
+// retry.
 func (c *connection) rejectLimited(decision tenants.Decision) {
 	c.consecutiveRejections = 0
 	fields := []http1.Field{{Name: "X-Limit", Value: string(decision.Kind)}}
@@ -62,7 +64,7 @@
 	c.answer(status, nil, fields...)
 }
 
-// isRetry tells whether a client says that it has sent the request before.
+// isRetry reports whether a client says that it has sent the request before.
 func isRetry(m *http1.Message) bool {
 	attempt, err := strconv.Atoi(m.Header.Get(headerAttempt))
 	return err == nil && attempt > 1
--- a/internal/clients/tenancy_test.go
+++ b/internal/clients/tenancy_test.go
@@ -15,8 +15,9 @@
 // testSecret is the secret of each test tenant's credential.
 const testSecret = "secret"
 
-// newTenantServer returns a server for the tenants a, b (suspended) and c, which may send one request and 100 bytes. Tenant x has
-// the handle h-x and the credential k-x. Each invocation is throttled at once.
+// newTenantServer returns a server for the tenants a, b (suspended) and c, which may send one
+// request and 100 bytes. Tenant x has the handle h-x and the credential k-x. Each invocation is
+// throttled at once.
 func newTenantServer() (run func(text string), server *Server, closeListener func()) {
 	loop, server, addr, closeListener := newTestServer(10)
 	one := 1.0
@@ -54,13 +55,15 @@
 	}
 }
 
-// authorized returns requestText with the header lines given, and closes the connection with its answer.
+// authorized returns requestText with the header lines given, and closes the connection with its
+// answer.
 func authorized(lines ...string) string {
 	lines = append(lines, "Connection: close")
 	return strings.Replace(requestText, "X-Caller: oak", strings.Join(lines, "\r\n"), 1)
 }
 
-// Only exactly one valid credential is accepted; identifier and key go to workers within the tenant's scope.
+// Only exactly one valid credential is accepted; identifier and key go to workers within the
+// tenant's scope.
 func Example_credentials() {
 	run, _, closeListener := newTenantServer()
 	defer closeListener()
@@ -89,7 +92,8 @@
 	// "404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
 
-// A tenant's limits reject a request with the name of the limit and, where that is of use, the time to come back.
+// A tenant's limits reject a request with the name of the limit and, where that is of use, the time
+// to retry.
 func Example_tenantLimits() {
 	run, server, closeListener := newTenantServer()
 	defer closeListener()
@@ -133,7 +137,8 @@
 	// "200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 7\r\n\r\nhistory"
 }
 
-// The invocation of a tenant that is not known here does not migrate in; one that does is accounted to its tenant.
+// The invocation of a tenant that is not known here does not migrate in; one that does is accounted
+// to its tenant.
 func TestMigratedInvocationOfTenant(t *testing.T) {
 	for _, test := range []struct {
 		id string
--- a/internal/clients/validate.go
+++ b/internal/clients/validate.go
@@ -30,7 +30,7 @@
 // singletonHeaders may stand in a request only once: of two, each reader could believe another.
 var singletonHeaders = []string{headerCallID, headerOperation, headerBudget, headerIdempotencyKey, "Host", headerAttempt}
 
-// valid tells whether a request for a known operation with the given effect is well formed.
+// valid reports whether a request for a known operation with the given effect is well formed.
 func (r *invocationRequest) valid(effect dispatch.Effect) bool {
 	for _, name := range singletonHeaders {
 		if len(r.message.Header[name]) > 1 {
@@ -41,7 +41,8 @@
 		validIdempotencyKey(r.message.Header[headerIdempotencyKey], effect)
 }
 
-// parseBudget reads a budget: seconds, with decimals, and in no form that only some readers take for a number.
+// parseBudget reads a budget: seconds, with decimals, and in no form that only some readers parse
+// as a number.
 func parseBudget(text string) (budget time.Duration, valid bool) {
 	if strings.Trim(text, decimalDigits+".") != "" {
 		return 0, false
@@ -52,7 +53,8 @@
 
 func validID(id string) bool { return http1.Token(id) && len(id) <= maxIDBytes }
 
-// validTarget tells whether a worker reads the same in a target, whose path is given too, as this process does.
+// validTarget reports whether a worker reads the same in a target, whose path is given too, as this
+// process does.
 func validTarget(target, path string) bool {
 	unescaped, err := url.PathUnescape(path)
 	if err != nil || len(target) > maxTargetBytes || strings.ContainsAny(target, "#\\\"<>") || !utf8.ValidString(unescaped) {
@@ -69,7 +71,8 @@
 	return true
 }
 
-// validIdempotencyKey tells whether workers can recognize a repeat by its key, where the operation's effect needs one.
+// validIdempotencyKey reports whether workers can recognize a repeat by its key, where the
+// operation's effect needs one.
 func validIdempotencyKey(values []string, effect dispatch.Effect) bool {
 	if len(values) == 0 {
 		return effect != dispatch.Deduplicated
@@ -78,7 +81,8 @@
 	return key != "" && len(key) <= maxKeyBytes && printableASCII(key)
 }
 
-// printableASCII tells whether a text consists of printable ASCII characters other than the space.
+// printableASCII reports whether a text consists of printable ASCII characters other than the
+// space.
 func printableASCII(text string) bool {
 	for _, c := range text {
 		if c <= ' ' || c >= asciiDelete {
--- a/internal/clients/validate_test.go
+++ b/internal/clients/validate_test.go
@@ -85,7 +85,8 @@
 	// 2 0 29
 }
 
-// Names that are prefixes of others, or need escaping in a path: each is an operation of its own, by its whole name.
+// Names that are prefixes of others, or need escaping in a path: each is an operation of its own,
+// by its whole name.
 func Example_operationNames() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
