--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -51,7 +51,7 @@
 	prefix      string           // scopes identifier and idempotency key to the tenant; empty where tenants are not served
 	operation   int              // index; 0 unless known
 	known       bool             // there is such an operation, for this tenant
-	budget      time.Duration    // 0 unless budgetValid
+	budget      time.Duration    // of use only if budgetValid
 	budgetValid bool
 }
 
