--- /dev/null
+++ b/internal/tenants/controller_test.go
@@ -0,0 +1,63 @@
+package tenants
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Nothing more is admitted of a tenant that is removed, and its index is free when its last
+// invocation has completed; a new tenant of its name inherits nothing. The dispatcher is notified
+// that the index is reassigned.
+func ExampleController_Remove() {
+	f := newFixture(100, 1)
+	f.put("t", 1, Limits{})
+	f.Quotas(f.now)
+	removed := f.tenants["t"]
+	f.admit("t", 2, Request{})
+	f.Remove(f.now, "t")
+	fmt.Println(f.admit("t", 1, Request{}), f.Accounts())
+	f.put("t", 1, Limits{})
+	created := f.tenants["t"]
+	fmt.Println("beside it:", created.Index, f.Usage(created).Admitted)
+	f.Completed(f.now, removed, Request{}, 0, Succeeded)
+	f.Completed(f.now, removed, Request{}, 0, Aborted)
+	f.put("u", 1, Limits{})
+	fmt.Println("at its index:", f.tenants["u"].Index, f.InFlight(), f.Quotas(f.now))
+	// Output:
+	// 1 suspended 1
+	// beside it: 1 0
+	// at its index: 0 0 [{1 +Inf true} {0 +Inf true}]
+}
+
+// With one active tenant of a thousand, the cost of an event must not grow with the others. Cost
+// is counted as looks at accounts.
+func TestIdleTenantsCostNothing(t *testing.T) {
+	countLooks := func(tenants int) int {
+		f := newFixture(100, 1)
+		for n := range tenants {
+			f.put(fmt.Sprint("t", n), 1, Limits{RatePerS: ptr(1e6)})
+		}
+		for n := range tenants { // all have been active once
+			f.admit(fmt.Sprint("t", n), 1, Request{})
+			f.complete(fmt.Sprint("t", n), 1, Request{})
+		}
+		f.now += 2 * idleAfter
+		f.admit("t0", 1, Request{}) // idle ones are deactivated at the next allocation, once
+		f.complete("t0", 1, Request{})
+		f.Looks = 0
+		for n := range 1000 {
+			f.now += 10 * ms
+			f.admit("t0", 1, Request{})
+			f.complete("t0", 1, Request{})
+			if n%25 == 0 {
+				f.Quotas(f.now)
+			}
+		}
+		return f.Looks
+	}
+	alone := countLooks(1)
+	beside := countLooks(1000)
+	if beside != alone {
+		t.Errorf("%d looks beside a thousand, %d alone", beside, alone)
+	}
+}
--- /dev/null
+++ b/internal/tenants/directory_test.go
@@ -0,0 +1,109 @@
+package tenants
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+// A tenant is created, changed, put again without effect, raced for, suspended, removed, and
+// created anew as another.
+func ExampleDirectory() {
+	d := NewDirectory()
+	apply := func(step string, c Change, unchanged bool, err error) {
+		if err == nil && !unchanged {
+			err = d.Apply(c)
+		}
+		tenant, _ := d.Get("acme")
+		fmt.Println(step+":", d.Revision, tenant.Handle, tenant.State, unchanged, err)
+	}
+	put := func(step string, s Spec, m Match) {
+		c, unchanged, err := d.Put("ops", "acme", s, m, noon, "")
+		apply(step, c, unchanged, err)
+	}
+	put("created", validSpec(), Match{Absent: true})
+	put("the same", validSpec(), Match{})
+	put("created again", validSpec(), Match{Absent: true})
+	heavier := validSpec()
+	heavier.Weight = 2
+	first := uint64(1)
+	put("changed", heavier, Match{Revision: &first})
+	put("raced for", validSpec(), Match{Revision: &first})
+	c, unchanged, err := d.SetState("ops", "acme", Suspended, Match{}, noon)
+	apply("suspended", c, unchanged, err)
+	c, unchanged, err = d.SetState("ops", "acme", Suspended, Match{}, noon)
+	apply("suspended again", c, unchanged, err)
+	c, err = d.Remove("ops", "acme", Match{}, noon)
+	apply("removed", c, false, err)
+	c, err = d.Remove("ops", "acme", Match{}, noon)
+	apply("removed again", c, false, err)
+	put("created anew", validSpec(), Match{})
+	for _, c := range d.Audit(3) {
+		fmt.Println(c.Revision, c.By, c.What, c.Name)
+	}
+	// Output:
+	// created: 1 t1 active false <nil>
+	// the same: 1 t1 active true <nil>
+	// created again: 1 t1 active false there is a tenant of that name
+	// changed: 2 t1 active false <nil>
+	// raced for: 2 t1 active false it has been changed since
+	// suspended: 3 t1 suspended false <nil>
+	// suspended again: 3 t1 suspended true <nil>
+	// removed: 4   false <nil>
+	// removed again: 4   false there is no such tenant
+	// created anew: 5 t5 active false <nil>
+	// 4 ops removed acme
+	// 5 ops created acme
+}
+
+func TestGrantRequiresATenantAndAFutureExpiry(t *testing.T) {
+	d := NewDirectory()
+	if _, err := d.Grant("ops", "a", Credential{ID: "k"}, noon); !errors.Is(err, ErrUnknown) {
+		t.Error(err)
+	}
+	c, _, _ := d.Put("ops", "a", validSpec(), Match{}, noon, "")
+	if err := d.Apply(c); err != nil {
+		t.Fatal(err)
+	}
+	_, err := d.Grant("ops", "a", Credential{ID: "k", Expires: noon}, noon)
+	if err == nil || err.Error() != "/expires: is past" {
+		t.Error(err)
+	}
+}
+
+func TestApplyRejectsAGapBetweenRevisions(t *testing.T) {
+	d := NewDirectory()
+	c, _, _ := d.Put("ops", "a", validSpec(), Match{}, noon, "")
+	if err := d.Apply(c); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.Apply(Change{Revision: 7}); err == nil {
+		t.Error("a gap between revisions is applied")
+	}
+}
+
+func TestNumberOfOperationsIsBounded(t *testing.T) {
+	d := NewDirectory()
+	largest := validSpec()
+	for n := range maxOperationsPerTenant - 1 {
+		operation := largest.Operations[0]
+		operation.Name = fmt.Sprint("o", n)
+		largest.Operations = append(largest.Operations, operation)
+	}
+	created := 0
+	for ; ; created++ {
+		c, _, err := d.Put("ops", fmt.Sprint("t", created), largest, Match{}, noon, "")
+		if err != nil {
+			if !errors.Is(err, ErrFull) {
+				t.Error(err)
+			}
+			break
+		}
+		if err := d.Apply(c); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if created != OperationsMost/maxOperationsPerTenant {
+		t.Error(created)
+	}
+}
