--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -14,144 +14,175 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// respell spells the keys of a JSON value otherwise; none of them is a map's.
-func respell(v any, spell func(string) string) any {
-	switch v := v.(type) {
+// respell returns a JSON value with its keys spelt differently.
+func respell(value any, spell func(string) string) any {
+	switch value := value.(type) {
 	case map[string]any:
-		all := map[string]any{}
-		for key, inner := range v {
-			all[spell(key)] = respell(inner, spell)
+		respelt := map[string]any{}
+		for key, member := range value {
+			respelt[spell(key)] = respell(member, spell)
 		}
-		return all
+		return respelt
 	case []any:
-		for i := range v {
-			v[i] = respell(v[i], spell)
+		for i := range value {
+			value[i] = respell(value[i], spell)
 		}
 	}
-	return v
+	return value
 }
 
-// spellings are a text as it is, and with its keys in lower and in upper case.
-func spellings(t *testing.T, text []byte) (all [][]byte) {
+// spellings returns a text as it is, and with its keys in lower and in upper case.
+func spellings(t *testing.T, text []byte) [][]byte {
 	t.Helper()
-	all = append(all, text)
+	all := [][]byte{text}
 	for _, spell := range []func(string) string{strings.ToLower, strings.ToUpper} {
-		var v any
-		if err := json.Unmarshal(text, &v); err != nil {
+		var value any
+		if err := json.Unmarshal(text, &value); err != nil {
 			t.Fatal(err)
 		}
-		other, err := json.Marshal(respell(v, spell))
+		respelt, err := json.Marshal(respell(value, spell))
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, other)
+		all = append(all, respelt)
 	}
 	return all
 }
 
 func goldenKeys[T any](t *testing.T, name string) {
 	t.Helper()
-	wanted := filled[T]()
-	text, err := json.MarshalIndent(wanted, "", "  ")
+	want := filled[T]()
+	text, err := json.MarshalIndent(want, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, spelt := range spellings(t, golden(t, name, text)) {
+	for _, spelling := range spellings(t, golden(t, name, text)) {
 		var got T
-		if err := decode(spelt, &got); err != nil {
+		if err := decode(spelling, &got); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(wanted, got); diff != "" {
+		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
 	}
 }
 
-// Each key of the settings and of the tenants' part is read, in any case, into the place that it is read into now.
+// Each key of the settings and of the tenants' part is decoded, in any case, into its recorded
+// place.
 func TestGoldenKeys(t *testing.T) {
-	goldenKeys[site](t, "site.json")
-	goldenKeys[tenancy](t, "tenancy.json")
+	goldenKeys[deploymentFile](t, "site.json")
+	goldenKeys[tenancyFile](t, "tenancy.json")
 }
 
-// Each key of a scheduler's configuration is read, in any case, into the place that it is read into now.
-func TestGoldenNode(t *testing.T) {
+// Each key of a scheduler's configuration is parsed, in any case, into its recorded place.
+func TestGoldenProcess(t *testing.T) {
 	text, err := os.ReadFile("testdata/node.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, spelt := range spellings(t, text) {
-		n, err := ParseProcess(spelt, none)
+	for _, spelling := range spellings(t, text) {
+		got, err := ParseProcess(spelling, emptyEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var known bytes.Buffer
-		if err := json.Compact(&known, n.CachedEndpoints); err != nil {
+		var endpoints bytes.Buffer
+		if err := json.Compact(&endpoints, got.CachedEndpoints); err != nil {
 			t.Fatal(err)
 		}
-		hash := strings.Repeat("5a", 32)
-		wanted := Process{Name: "n1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Admin: "127.0.0.1:9100", Seed: 0x1c1f30d27a5be964,
-			MemoryMB: 300, Sockets: 4000, CachedEndpoints: known.Bytes(),
-			Peers:   []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7001"), netip.MustParseAddrPort("127.0.0.1:7002")},
-			Tenants: Tenancy{Dir: "/var/tenants", API: "127.0.0.1:9200", MaxInFlight: 700, ExcessValue: 0.25, Administrators: []Administrator{{"ops", true, hash}}}}
-		n.CachedEndpoints, wanted.Text, wanted.Deployment = known.Bytes(), spelt, n.Deployment
-		if diff := cmp.Diff(wanted, n, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }), cmp.AllowUnexported(Deployment{})); diff != "" {
+		got.CachedEndpoints = endpoints.Bytes()
+		want := Process{
+			Name:            "n1",
+			Listen:          "127.0.0.1:9000",
+			Discovery:       "127.0.0.1:8500",
+			Admin:           "127.0.0.1:9100",
+			Seed:            0x1c1f30d27a5be964,
+			MemoryMB:        300,
+			Sockets:         4000,
+			CachedEndpoints: endpoints.Bytes(),
+			Peers: []netip.AddrPort{
+				netip.MustParseAddrPort("127.0.0.1:7001"),
+				netip.MustParseAddrPort("127.0.0.1:7002"),
+			},
+			Deployment: got.Deployment,
+			Tenants: Tenancy{
+				Dir:         "/var/tenants",
+				API:         "127.0.0.1:9200",
+				MaxInFlight: 700,
+				ExcessValue: 0.25,
+				Administrators: []Administrator{
+					{Name: "ops", Operate: true, Hash: strings.Repeat("5a", 32)},
+				},
+			},
+			Text: spelling,
+		}
+		equalAddresses := cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
+		if diff := cmp.Diff(want, got, equalAddresses, cmp.AllowUnexported(Deployment{})); diff != "" {
 			t.Error(diff)
 		}
-		if strings.ToLower(known.String()) != `[{"endpoint":"127.0.0.1:1"}]` || n.Deployment.Operations[0] != "render" {
-			t.Error(known.String(), n.Deployment.Operations)
+		isKnown := strings.ToLower(endpoints.String()) == `[{"endpoint":"127.0.0.1:1"}]`
+		if !isKnown || got.Deployment.Operations[0] != "render" {
+			t.Error(endpoints.String(), got.Deployment.Operations)
 		}
 	}
 }
 
-// wrongly calls with the path of each value, having put one of another form in its place.
-func wrongly(v any, path string, look func(path string)) {
-	for i, entry := range asList(v) {
-		wrongly(entry, fmt.Sprintf("%s[%d]", path, i), look)
+// visitWrongForms calls a function with the path of each value, while a value of another form is in
+// its place.
+func visitWrongForms(value any, path string, visit func(path string)) {
+	list, _ := value.([]any)
+	for i, entry := range list {
+		visitWrongForms(entry, fmt.Sprintf("%s[%d]", path, i), visit)
 	}
-	object, _ := v.(map[string]any)
+	object, _ := value.(map[string]any)
 	for _, key := range slices.Sorted(maps.Keys(object)) {
-		at, before := path+"/"+key, object[key]
-		wrongly(before, at, look)
-		if object[key] = any(map[string]any{}); isObject(before) {
+		memberPath := path + "/" + key
+		member := object[key]
+		visitWrongForms(member, memberPath, visit)
+		if _, isObject := member.(map[string]any); isObject {
 			object[key] = 3
+		} else {
+			object[key] = map[string]any{}
 		}
-		look(at)
-		object[key] = before
+		visit(memberPath)
+		object[key] = member
 	}
 }
 
-func asList(v any) []any { list, _ := v.([]any); return list }
-
-func isObject(v any) bool { _, is := v.(map[string]any); return is }
-
-// A value of the wrong form is told by the key and the form that it has now.
-func TestGoldenWrong(t *testing.T) {
+// The error of a value of the wrong form names the key and the wanted form, as recorded.
+func TestGoldenWrongForms(t *testing.T) {
+	parseProcess := func(text []byte) error {
+		_, err := ParseProcess(text, emptyEnv)
+		return err
+	}
+	parseDeployment := func(text []byte) error {
+		_, err := ParseDeployment(text)
+		return err
+	}
 	var lines strings.Builder
-	for _, file := range []string{"node.json", "site.json"} {
-		text, err := os.ReadFile("testdata/" + file)
+	for _, c := range []struct {
+		file  string
+		parse func([]byte) error
+	}{
+		{file: "node.json", parse: parseProcess},
+		{file: "site.json", parse: parseDeployment},
+	} {
+		text, err := os.ReadFile("testdata/" + c.file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var v any
-		if err := json.Unmarshal(text, &v); err != nil {
+		var value any
+		if err := json.Unmarshal(text, &value); err != nil {
 			t.Fatal(err)
 		}
-		wrongly(v, "", func(path string) {
-			changed, err := json.Marshal(v)
+		visitWrongForms(value, "", func(path string) {
+			changed, err := json.Marshal(value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if file == "node.json" {
-				_, err = ParseProcess(changed, none)
-			} else {
-				_, err = ParseDeployment(changed)
-			}
-			fmt.Fprintf(&lines, "%s %s: %v\n", file, path, err)
+			fmt.Fprintf(&lines, "%s %s: %v\n", c.file, path, c.parse(changed))
 		})
 	}
-	_, err := ParseProcess([]byte("3"), none)
-	fmt.Fprintln(&lines, err)
-	_, err = ParseDeployment([]byte("3"))
-	fmt.Fprintln(&lines, err)
+	fmt.Fprintln(&lines, parseProcess([]byte("3")))
+	fmt.Fprintln(&lines, parseDeployment([]byte("3")))
 	golden(t, "wrong.txt", []byte(lines.String()))
 }
--- a/internal/settings/tenancy.go
+++ b/internal/settings/tenancy.go
@@ -1,138 +1,150 @@
 package settings
 
 import (
+	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
-	"maps"
 	"net/netip"
 	"slices"
-	"strings"
 
-	"stoatweir/dispatch"
 	"stoatweir/internal/tenants"
 )
 
-// Tenancy is how an installation serves many tenants. Its zero value is off.
+const (
+	// descriptorsPerInvocation is how many descriptors there must be for each invocation that
+	// tenants may have in flight.
+	descriptorsPerInvocation = 4
+	// defaultExcessValue is what the work of a tenant that uses more than its share counts while
+	// not everything can be served: so little that it is queued behind all other, whatever its
+	// size.
+	defaultExcessValue = 0.001
+)
+
+// Roles of administrators, as the file has them.
+const (
+	roleRead    = "read"
+	roleOperate = "operate"
+)
+
+// Tenancy configures the service of many tenants. Its zero value is off.
 type Tenancy struct {
-	Dir            string // where their state is kept
-	API            string // the administrators' address; empty: changes are made elsewhere
-	MaxInFlight    int    // invocations in hand, here
-	ExcessValue    float64
+	Dir            string  // where the tenants are stored
+	API            string  // address for administrators; empty: changes are made elsewhere
+	MaxInFlight    int     // invocations in flight at this scheduler
+	ExcessValue    float64 // value of work beyond a tenant's share, as a part of the usual
 	Administrators []Administrator
 }
 
-// Administrator may call the administrators' door.
+// Administrator may call the administrators' API.
 type Administrator struct {
 	Name    string
-	Operate bool
+	Operate bool   // may make changes
 	Hash    string // SHA-256 of the token, in hexadecimal digits
 }
 
-// On tells whether tenants are served.
+// Enabled reports whether tenants are served.
 func (t Tenancy) Enabled() bool { return t.Dir != "" }
 
-func (t Tenancy) same(o Tenancy) bool {
-	return t.Dir == o.Dir && t.API == o.API && t.MaxInFlight == o.MaxInFlight && t.ExcessValue == o.ExcessValue &&
-		slices.Equal(t.Administrators, o.Administrators)
+func (t Tenancy) equal(other Tenancy) bool {
+	return t.Dir == other.Dir &&
+		t.API == other.API &&
+		t.MaxInFlight == other.MaxInFlight &&
+		t.ExcessValue == other.ExcessValue &&
+		slices.Equal(t.Administrators, other.Administrators)
 }
 
-// tenancy is its text.
-type tenancy struct {
-	Dir            string   `json:"dir"`
-	API            string   `json:"api"`
-	Room           *int     `json:"room"`
-	ExcessValue    *float64 `json:"excess_value"`
-	Administrators []struct {
-		Name   string `json:"name"`
-		Role   string `json:"role"`
-		SHA256 string `json:"sha256"`
-	} `json:"administrators"`
+// tenancyFile is the text of a Tenancy.
+type tenancyFile struct {
+	Dir            string                 `json:"dir"`
+	API            string                 `json:"api"`
+	MaxInFlight    *int                   `json:"room"`
+	ExcessValue    *float64               `json:"excess_value"`
+	Administrators []administratorSection `json:"administrators"`
 }
 
-// excessUsual is what the work of a tenant that has more than its share counts while not all can be served: so little that it
-// goes behind all other, whatever its size.
-const excessUsual = 0.001
+type administratorSection struct {
+	Name   string `json:"name"`
+	Role   string `json:"role"`
+	SHA256 string `json:"sha256"`
+}
 
-func (in *tenancy) check(n Process) (t Tenancy, err error) {
-	if in == nil {
-		return t, nil
+// parse validates the text against the rest of a process's configuration; nil gives the zero
+// Tenancy.
+func (f *tenancyFile) parse(p Process) (Tenancy, error) {
+	if f == nil {
+		return Tenancy{}, nil
 	}
-	t = Tenancy{Dir: in.Dir, API: in.API, MaxInFlight: n.Sockets / 4, ExcessValue: excessUsual}
-	switch {
-	case in.Dir == "":
-		return t, fmt.Errorf("tenants.dir: is not set")
-	case n.Deployment.Features.Tenants > 0:
-		return t, fmt.Errorf("tenants: settings.Tenants names them too; only one of the two can hold")
+	mostInFlight := p.Sockets / descriptorsPerInvocation
+	t := Tenancy{Dir: f.Dir, API: f.API, MaxInFlight: mostInFlight, ExcessValue: defaultExcessValue}
+	if f.Dir == "" {
+		return Tenancy{}, fmt.Errorf("tenants.dir: is not set")
 	}
-	if in.Room != nil {
-		// Whoever comes back to its share has it at once, beside those who still have the room.
-		if t.MaxInFlight = *in.Room; t.MaxInFlight < 1 || t.MaxInFlight > n.Sockets/4 {
-			return t, fmt.Errorf("tenants.room: %d is not from 1 to a quarter of limits.sockets, %d", t.MaxInFlight, n.Sockets/4)
-		}
+	if p.Deployment.Features.Tenants > 0 {
+		return Tenancy{}, fmt.Errorf("tenants: settings.Tenants names them too; only one of the two can hold")
 	}
-	if in.ExcessValue != nil {
-		if t.ExcessValue = *in.ExcessValue; !(t.ExcessValue >= 0 && t.ExcessValue <= 1) {
-			return t, fmt.Errorf("tenants.excess_value: %v is not between 0 and 1", t.ExcessValue)
+	if f.MaxInFlight != nil {
+		// Whoever gets its share back has it at once, beside those who still use the capacity.
+		t.MaxInFlight = *f.MaxInFlight
+		if t.MaxInFlight < 1 || t.MaxInFlight > mostInFlight {
+			return Tenancy{}, fmt.Errorf("tenants.room: %d is not from 1 to a quarter of limits.sockets, %d",
+				t.MaxInFlight, mostInFlight)
 		}
 	}
-	if t.API != "" {
-		if _, err := netip.ParseAddrPort(t.API); err != nil {
-			return t, fmt.Errorf("tenants.api: %q is no address with a port", t.API)
-		}
-		if len(in.Administrators) == 0 {
-			return t, fmt.Errorf("tenants.administrators: there are none, and tenants.api is set")
+	if f.ExcessValue != nil {
+		t.ExcessValue = *f.ExcessValue
+		isPart := t.ExcessValue >= 0 && t.ExcessValue <= 1
+		if !isPart {
+			return Tenancy{}, fmt.Errorf("tenants.excess_value: %v is not between 0 and 1", t.ExcessValue)
 		}
 	}
-	seen := map[string]bool{}
-	for i, a := range in.Administrators {
-		at := fmt.Sprintf("tenants.administrators[%d].", i)
-		if faults := tenants.Name(at+"name", a.Name); len(faults) > 0 {
-			return t, faults
-		}
-		hash, err := hex.DecodeString(a.SHA256)
-		switch {
-		case seen[a.Name]:
-			return t, fmt.Errorf("%sname: %q is there twice", at, a.Name)
-		case a.Role != "read" && a.Role != "operate":
-			return t, fmt.Errorf("%srole: %q is neither read nor operate", at, a.Role)
-		case err != nil || len(hash) != 32:
-			return t, fmt.Errorf("%ssha256: is not 64 hexadecimal digits", at)
-		}
-		seen[a.Name] = true
-		t.Administrators = append(t.Administrators, Administrator{a.Name, a.Role == "operate", hex.EncodeToString(hash)})
+	if err := f.validateAPI(); err != nil {
+		return Tenancy{}, err
 	}
+	administrators, err := parseAdministrators(f.Administrators)
+	if err != nil {
+		return Tenancy{}, err
+	}
+	t.Administrators = administrators
 	return t, nil
 }
 
-var hostedEffects = map[string]dispatch.Effect{tenants.Idempotent: dispatch.Idempotent, tenants.Deduplicated: dispatch.Deduplicated,
-	tenants.NonIdempotent: dispatch.NonIdempotent}
-
-// HostedName is an operation of a tenant among all.
-func TenantOperationName(handle, operation string) string { return handle + "/" + operation }
-
-// Hosted tells whether an operation is a tenant's: no path that clients ask for has its mark in one part.
-func IsTenantOperation(name string) bool { return strings.Contains(name, "/") }
+func (f *tenancyFile) validateAPI() error {
+	if f.API == "" {
+		return nil
+	}
+	if _, err := netip.ParseAddrPort(f.API); err != nil {
+		return fmt.Errorf("tenants.api: %q is no address with a port", f.API)
+	}
+	if len(f.Administrators) == 0 {
+		return fmt.Errorf("tenants.administrators: there are none, and tenants.api is set")
+	}
+	return nil
+}
 
-// Hosting adds tenants' operations to those of a site, which stays as it is.
-func (s Deployment) WithTenants(all []tenants.Tenant, excess float64) Deployment {
-	d := &s.Dispatch
-	d.Operations, s.Operations, s.ClientTimeouts = slices.Clone(d.Operations), slices.Clone(s.Operations), slices.Clone(s.ClientTimeouts)
-	s.OperationIndex, d.ExcessValue = maps.Clone(s.OperationIndex), excess
-	for _, t := range all {
-		// A tenant's values order its own work. Between tenants the shares decide, not who names the highest figures.
-		most := 0.0
-		for _, o := range t.Spec.Operations {
-			most = max(most, o.BilledValue)
+func parseAdministrators(sections []administratorSection) ([]Administrator, error) {
+	var administrators []Administrator
+	seen := map[string]bool{}
+	for i, section := range sections {
+		prefix := fmt.Sprintf("tenants.administrators[%d].", i)
+		if invalid := tenants.Name(prefix+"name", section.Name); len(invalid) > 0 {
+			return nil, invalid
+		}
+		if seen[section.Name] {
+			return nil, fmt.Errorf("%sname: %q is there twice", prefix, section.Name)
+		}
+		seen[section.Name] = true
+		if section.Role != roleRead && section.Role != roleOperate {
+			return nil, fmt.Errorf("%srole: %q is neither read nor operate", prefix, section.Role)
 		}
-		for _, o := range t.Spec.Operations {
-			name, timeout := TenantOperationName(t.Handle, o.Name), Duration(o.ClientTimeoutS)
-			s.OperationIndex[name] = len(s.Operations)
-			s.Operations, s.ClientTimeouts = append(s.Operations, name), append(s.ClientTimeouts, timeout)
-			s.LongestTimeout = max(s.LongestTimeout, timeout)
-			d.Operations = append(d.Operations, dispatch.Operation{PriorityWeight: o.BilledValue / most, LateWeight: o.LateBilledValue,
-				LatencyObjective: Duration(o.LatencyObjectiveS), Stretch: o.Stretch, Effect: hostedEffects[o.Effect], DedupScope: scopes[o.DedupScope],
-				DedupWindow: max(0, Duration(o.DedupWindowS)-s.ConnectTimeout), WorkerKind: -1}) // as of the site's own
+		hash, err := hex.DecodeString(section.SHA256)
+		if err != nil || len(hash) != sha256.Size {
+			return nil, fmt.Errorf("%ssha256: is not 64 hexadecimal digits", prefix)
 		}
+		administrators = append(administrators, Administrator{
+			Name:    section.Name,
+			Operate: section.Role == roleOperate,
+			Hash:    hex.EncodeToString(hash), // in lower case
+		})
 	}
-	return s
+	return administrators, nil
 }
