--- a/internal/settings/reconfigure.go
+++ b/internal/settings/reconfigure.go
@@ -27,9 +27,11 @@
 	}
 	merged = newer
 	merged.OperationIndex = merge.indexByName
-	merged.Operations = nil
-	merged.ClientTimeouts = nil
-	merged.Dispatch.Operations = nil
+	count := len(merge.slots)
+	merged.Operations = slices.Grow([]string(nil), count)
+	merged.ClientTimeouts = slices.Grow([]time.Duration(nil), count)
+	merged.Dispatch.Operations = slices.Grow([]dispatch.Operation(nil), count)
+	from = slices.Grow(from, count)
 	for _, slot := range merge.slots {
 		merged.Operations = append(merged.Operations, slot.name)
 		merged.ClientTimeouts = append(merged.ClientTimeouts, slot.clientTimeout)
