--- /dev/null
+++ b/internal/tenants/api/audit.go
@@ -0,0 +1,95 @@
+package api
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"stoatweir/internal/tenants"
+)
+
+// revisionView is the state of the directory at this scheduler.
+type revisionView struct {
+	Revision   uint64 `json:"revision"`
+	Writes     bool   `json:"writes"`       // changes can be made here
+	Why        string `json:"why,omitzero"` // they can't
+	Schedulers int    `json:"schedulers"`   // that share each limit
+}
+
+func (a *API) getRevision(r *request) (response, error) {
+	if err := r.allowQuery(); err != nil {
+		return response{}, err
+	}
+	isWriter, err := a.registry.Writes()
+	view := revisionView{Writes: isWriter && err == nil, Schedulers: a.schedulers}
+	if err != nil {
+		view.Why = err.Error()
+	}
+	a.registry.read(func(d *tenants.Directory) { view.Revision = d.Revision })
+	return response{status: http.StatusOK, body: view}, nil
+}
+
+// changeView is one change of the audit.
+type changeView struct {
+	Revision uint64      `json:"revision"`
+	At       time.Time   `json:"at"`
+	By       string      `json:"by"`
+	What     string      `json:"what"`
+	Name     string      `json:"name"`
+	Tenant   *TenantView `json:"tenant,omitzero"` // as it was from then on
+}
+
+func newChangeView(change tenants.Change) changeView {
+	view := changeView{
+		Revision: change.Revision,
+		At:       change.At,
+		By:       change.By,
+		What:     change.What,
+		Name:     change.Name,
+	}
+	if change.Tenant != nil {
+		tenant := newTenantView(*change.Tenant)
+		view.Tenant = &tenant
+	}
+	return view
+}
+
+// changeList is one page of the audit.
+type changeList struct {
+	Changes []changeView `json:"changes"`
+}
+
+func (a *API) listAudit(r *request) (response, error) {
+	if err := r.allowQuery("after", "limit"); err != nil {
+		return response{}, err
+	}
+	size, err := r.pageSize()
+	if err != nil {
+		return response{}, err
+	}
+	after, err := r.afterRevision()
+	if err != nil {
+		return response{}, err
+	}
+	list := changeList{Changes: []changeView{}}
+	a.registry.read(func(d *tenants.Directory) {
+		changes := d.Audit(after)
+		for _, change := range changes[:min(size, len(changes))] {
+			list.Changes = append(list.Changes, newChangeView(change))
+		}
+	})
+	return response{status: http.StatusOK, body: list}, nil
+}
+
+// afterRevision returns the query parameter after; 0 if there is none. The error is a Problem.
+func (r *request) afterRevision() (uint64, error) {
+	text := r.query.Get("after")
+	if text == "" {
+		return 0, nil
+	}
+	revision, err := strconv.ParseUint(text, revisionBase, revisionBits)
+	if err != nil {
+		return 0, parameterProblem("after", "is no revision")
+	}
+	return revision, nil
+}
--- /dev/null
+++ b/internal/tenants/api/auth.go
@@ -0,0 +1,58 @@
+package api
+
+import (
+	"crypto/subtle"
+	"fmt"
+	"net/http"
+	"strings"
+
+	"stoatweir/internal/tenants"
+)
+
+// Role is what an administrator may do.
+type Role string
+
+// The roles of administrators.
+const (
+	Read    Role = "read"
+	Operate Role = "operate" // and read
+)
+
+// Administrator is one who may use the API. The configuration has the token's hash alone.
+type Administrator struct {
+	Name string
+	Role Role
+	Hash string // SHA-256 of the token, in hexadecimal digits
+}
+
+// authorize returns the administrator who has sent a request, if the role permits it. The error is
+// a Problem.
+func (a *API) authorize(w http.ResponseWriter, r *http.Request, role Role) (Administrator, error) {
+	administrator, known := a.authenticate(r.Header.Values("Authorization"))
+	if !known {
+		w.Header().Set("WWW-Authenticate", `Bearer realm="stoatweir administration"`)
+		return Administrator{}, newProblem(http.StatusUnauthorized, "a known token is wanted in Authorization: Bearer")
+	}
+	if role == Operate && administrator.Role != Operate {
+		return Administrator{}, newProblem(http.StatusForbidden, fmt.Sprintf("%s may only read", administrator.Name))
+	}
+	return administrator, nil
+}
+
+// authenticate returns the administrator of the token in the Authorization headers. It compares the
+// token with all, so that the time it takes reveals nothing.
+func (a *API) authenticate(headers []string) (administrator Administrator, known bool) {
+	if len(headers) != 1 {
+		return Administrator{}, false
+	}
+	scheme, token, _ := strings.Cut(headers[0], " ")
+	hash := tenants.HashOf(token)
+	for _, candidate := range a.administrators {
+		if subtle.ConstantTimeCompare([]byte(candidate.Hash), []byte(hash)) == 1 {
+			administrator = candidate
+			known = true
+		}
+	}
+	isBearer := strings.EqualFold(scheme, "Bearer")
+	return administrator, known && isBearer && token != ""
+}
--- /dev/null
+++ b/internal/tenants/api/credentials.go
@@ -0,0 +1,69 @@
+package api
+
+import (
+	"crypto/rand"
+	"encoding/base64"
+	"time"
+
+	"stoatweir/internal/tenants"
+)
+
+// secretBytes is the length of a secret: 256 bits, which nobody guesses.
+const secretBytes = 32
+
+func newSecret() string {
+	var secret [secretBytes]byte
+	rand.Read(secret[:])
+	return base64.RawURLEncoding.EncodeToString(secret[:])
+}
+
+// CredentialView is a credential without anything that authenticates.
+type CredentialView struct {
+	ID      string    `json:"id"`
+	Expires time.Time `json:"expires,omitzero"`
+}
+
+func newCredentialView(credential tenants.Credential) CredentialView {
+	return CredentialView{ID: credential.ID, Expires: credential.Expires}
+}
+
+// grantedCredential is a credential with its secret, which is shown this once.
+type grantedCredential struct {
+	CredentialView
+	Credential string `json:"credential"` // what clients authenticate with: id and secret
+}
+
+func (a *API) grantCredential(r *request) (response, error) {
+	if err := r.allowQuery("dry_run"); err != nil {
+		return response{}, err
+	}
+	// Problems print this type, so it has no name.
+	var body struct {
+		Expires time.Time `json:"expires,omitzero"`
+	}
+	if err := r.decodeBody(&body); err != nil {
+		return response{}, err
+	}
+	secret := newSecret()
+	credential := tenants.Credential{ID: randomID(), Hash: tenants.HashOf(secret), Expires: body.Expires}
+	answer, err := a.change(r, func(d *tenants.Directory, now time.Time) (tenants.Change, error) {
+		return d.Grant(r.administrator, r.PathValue("name"), credential, now)
+	})
+	if err != nil || r.isDryRun {
+		return answer, err
+	}
+	answer.body = grantedCredential{
+		CredentialView: newCredentialView(credential),
+		Credential:     credential.ID + "." + secret,
+	}
+	return answer, nil
+}
+
+func (a *API) revokeCredential(r *request) (response, error) {
+	if err := r.allowQuery("dry_run"); err != nil {
+		return response{}, err
+	}
+	return a.change(r, func(d *tenants.Directory, now time.Time) (tenants.Change, error) {
+		return d.Revoke(r.administrator, r.PathValue("name"), r.PathValue("id"), now)
+	})
+}
--- a/internal/tenants/api/fill_test.go
+++ b/internal/tenants/api/fill_test.go
@@ -36,7 +36,8 @@
 	case reflect.Slice:
 		fillSlice(v, count)
 	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		key := reflect.New(v.Type().Key()).Elem()
+		value := reflect.New(v.Type().Elem()).Elem()
 		fill(key, count)
 		fill(value, count)
 		v.Set(reflect.MakeMap(v.Type()))
--- a/internal/tenants/api/registry.go
+++ b/internal/tenants/api/registry.go
@@ -1,11 +1,7 @@
-// Package api is the administrators' door: tenants as versioned resources, on a listener of its own.
 package api
 
 import (
-	"crypto/rand"
-	"encoding/base64"
 	"errors"
-	"strings"
 	"sync"
 	"time"
 
@@ -13,77 +9,79 @@
 	"stoatweir/internal/tenants/store"
 )
 
-// Registry owns the store and its book. Administrators' calls take turns; the schedulers' loop is told what holds from now on.
+// Registry owns the store of tenants and its directory. It is safe for concurrent use.
 type Registry struct {
-	mu        sync.Mutex
-	store     *store.Store
-	now       func() time.Time
-	published func([]tenants.Tenant, uint64)
+	mu      sync.Mutex
+	store   *store.Store
+	now     func() time.Time
+	publish func([]tenants.Tenant, uint64)
 }
 
-// NewRegistry publishes what the store has, and each change from then on, in order.
-func NewRegistry(s *store.Store, now func() time.Time, published func(all []tenants.Tenant, revision uint64)) *Registry {
-	r := &Registry{store: s, now: now, published: published}
-	published(s.Book.All(), s.Book.Revision)
+// NewRegistry returns a registry and publishes what the store has. Each change from then on is
+// published in order, with the registry locked.
+func NewRegistry(s *store.Store, now func() time.Time, publish func(all []tenants.Tenant, revision uint64)) *Registry {
+	r := &Registry{store: s, now: now, publish: publish}
+	r.publishDirectory()
 	return r
 }
 
-// Follow takes over what another process has written, and tells why it could not.
+func (r *Registry) publishDirectory() {
+	directory := r.store.Book
+	r.publish(directory.All(), directory.Revision)
+}
+
+// Follow publishes what another process has written. The error is that of store.Store.Follow.
 func (r *Registry) Follow() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news, err := r.store.Follow()
-	if news {
-		r.published(r.store.Book.All(), r.store.Book.Revision)
+	changed, err := r.store.Follow()
+	if changed {
+		r.publishDirectory()
 	}
 	return err
 }
 
-// Close lets the store go.
+// Close closes the store.
 func (r *Registry) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.store.Close()
 }
 
-// Writes tells whether changes are made here, and why they can't be just now.
-func (r *Registry) Writes() (writes bool, why error) {
+// Writes reports whether this process is the one that makes changes. The error is why it can't make
+// any at present.
+func (r *Registry) Writes() (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Writes(), r.store.Failed
 }
 
-// read looks at the book.
-func (r *Registry) read(look func(*tenants.Directory)) {
+// read calls a function with the directory, which must not be used afterwards.
+func (r *Registry) read(view func(*tenants.Directory)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	look(r.store.Book)
+	view(r.store.Book)
 }
 
-// errNone: there is nothing to change.
-var errNone = errors.New("it is so already")
+// errUnchanged is returned by a changeFunc where there is nothing to change; the Change has the
+// tenant as it is.
+var errUnchanged = errors.New("it is so already")
+
+// changeFunc computes a change of the directory.
+type changeFunc func(*tenants.Directory, time.Time) (tenants.Change, error)
 
-// change makes a change last before anybody hears of it. dry: it is only worked out.
-func (r *Registry) change(dry bool, work func(*tenants.Directory, time.Time) (tenants.Change, error)) (c tenants.Change, err error) {
+// change computes a change, makes it durable and publishes it; a dry run only computes it. The
+// error is that of the changeFunc or of store.Store.Append.
+func (r *Registry) change(isDryRun bool, compute changeFunc) (tenants.Change, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c, err = work(r.store.Book, r.now()); err != nil || dry {
-		return c, err
+	change, err := compute(r.store.Book, r.now())
+	if err != nil || isDryRun {
+		return change, err
 	}
-	if err := r.store.Append(c); err != nil {
-		return c, err
+	if err := r.store.Append(change); err != nil {
+		return change, err
 	}
-	r.published(r.store.Book.All(), r.store.Book.Revision)
-	return c, nil
+	r.publishDirectory()
+	return change, nil
 }
-
-// secret makes one: 256 bits, which nobody guesses.
-func secret() string {
-	var b [32]byte
-	rand.Read(b[:])
-	return base64.RawURLEncoding.EncodeToString(b[:])
-}
-
-// keyID names a credential. Among all tenants two are never the same. It has letters and digits alone: one that began with a dash
-// was taken for a flag by the command line.
-func keyID() string { return strings.ToLower(rand.Text()[:16]) }
--- /dev/null
+++ b/internal/tenants/api/usage.go
@@ -0,0 +1,55 @@
+package api
+
+import (
+	"net/http"
+
+	"stoatweir/internal/tenants"
+)
+
+// usageView is what a tenant uses at this scheduler.
+type usageView struct {
+	Admitted      int                           `json:"taken"`
+	Retries       int                           `json:"retries"`
+	Succeeded     int                           `json:"succeeded"`
+	Declined      int                           `json:"declined"`
+	Aborted       int                           `json:"aborted"`
+	Abandoned     int                           `json:"abandoned"`
+	Migrated      int                           `json:"handed_over"`
+	Throttled     map[tenants.RejectionKind]int `json:"throttled"`
+	InFlight      int                           `json:"in_hand"`
+	HeldWorkS     float64                       `json:"held_work_s"`
+	Bytes         int64                         `json:"bytes"`
+	ShareInFlight float64                       `json:"share_in_hand"`
+	Rate          float64                       `json:"work_per_s"`
+	Share         float64                       `json:"share_per_s"`
+	OverShare     bool                          `json:"beyond_share"`
+	Schedulers    int                           `json:"schedulers"` // that share each limit
+}
+
+func (a *API) getUsage(r *request) (response, error) {
+	if err := r.allowQuery(); err != nil {
+		return response{}, err
+	}
+	usage, known := a.usage(r.PathValue("name"))
+	if !known {
+		return response{}, tenants.ErrUnknown
+	}
+	return response{status: http.StatusOK, body: usageView{
+		Admitted:      usage.Admitted,
+		Retries:       usage.Retries,
+		Succeeded:     usage.Completed[tenants.Succeeded],
+		Declined:      usage.Completed[tenants.Declined],
+		Aborted:       usage.Completed[tenants.Aborted],
+		Abandoned:     usage.Completed[tenants.Abandoned],
+		Migrated:      usage.Completed[tenants.Migrated],
+		Throttled:     usage.Throttled,
+		InFlight:      usage.InFlight,
+		HeldWorkS:     usage.HeldWorkS,
+		Bytes:         usage.Bytes,
+		ShareInFlight: usage.ShareInFlight,
+		Rate:          usage.Rate,
+		Share:         usage.Share,
+		OverShare:     usage.OverShare,
+		Schedulers:    a.schedulers,
+	}}, nil
+}
--- a/internal/tenants/change.go
+++ b/internal/tenants/change.go
@@ -18,15 +18,15 @@
 	ErrFull    = errors.New("there is no room for more")
 )
 
-// What a Change did, as the audit has it.
+// Values of Change.What, as the audit has them.
 const (
-	changeCreated           = "created"
-	changeUpdated           = "changed"
-	changeSuspended         = "suspended"
-	changeResumed           = "resumed"
-	changeRemoved           = "removed"
-	changeCredentialGranted = "credential granted"
-	changeCredentialRevoked = "credential revoked"
+	ChangeCreated           = "created"
+	ChangeUpdated           = "changed"
+	ChangeSuspended         = "suspended"
+	ChangeResumed           = "resumed"
+	ChangeRemoved           = "removed"
+	ChangeCredentialGranted = "credential granted"
+	ChangeCredentialRevoked = "credential revoked"
 )
 
 // handleBase is the radix of the revision in a tenant's handle.
@@ -95,9 +95,9 @@
 	if d.operationsBeside(name)+len(s.Operations) > OperationsMost {
 		return Change{}, false, ErrFull
 	}
-	what := changeUpdated
+	what := ChangeUpdated
 	if !known {
-		what = changeCreated
+		what = ChangeCreated
 		tenant = Tenant{
 			Name: name,
 			// The revision identifies this tenant: a later one of the same name inherits nothing.
@@ -127,9 +127,9 @@
 	var what string
 	switch state {
 	case Active:
-		what = changeResumed
+		what = ChangeResumed
 	case Suspended:
-		what = changeSuspended
+		what = ChangeSuspended
 	default:
 		reason := fmt.Sprintf("%q is neither %s nor %s", state, Active, Suspended)
 		return Change{}, false, FieldErrors{{Field: "/state", Reason: reason}}
@@ -156,7 +156,7 @@
 	if err := d.checkMatch(name, m); err != nil {
 		return Change{}, err
 	}
-	return d.newChange(by, changeRemoved, name, now, nil), nil
+	return d.newChange(by, ChangeRemoved, name, now, nil), nil
 }
 
 // Grant returns the change that adds a credential to a tenant. The error is ErrUnknown or of type
@@ -177,7 +177,7 @@
 		return Change{}, FieldErrors{{Field: "/id", Reason: "is not set, or has a dot"}}
 	}
 	tenant.Credentials = append(slices.Clone(tenant.Credentials), credential)
-	return d.newChange(by, changeCredentialGranted, name, now, &tenant), nil
+	return d.newChange(by, ChangeCredentialGranted, name, now, &tenant), nil
 }
 
 // Revoke returns the change that removes a credential from a tenant. The error is ErrUnknown if
@@ -190,5 +190,5 @@
 		return Change{}, ErrUnknown
 	}
 	tenant.Credentials = slices.Delete(slices.Clone(tenant.Credentials), i, i+1)
-	return d.newChange(by, changeCredentialRevoked, name, now, &tenant), nil
+	return d.newChange(by, ChangeCredentialRevoked, name, now, &tenant), nil
 }
