--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden holds a text against the recorded one, and gives the recorded one to be read back.
+// golden compares a text with the recorded one, and returns the recorded one.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	file := filepath.Join("testdata", name)
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -118,7 +118,7 @@
 	return values, true
 }
 
-// Unknown returns the report that stands in until a worker has sent one: all values that it would
+// Unknown returns the report that is used until a worker has sent one: all values that it would
 // have are zero.
 func (r Report) Unknown() dispatch.LoadReport {
 	load := dispatch.UnknownLoad
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -53,8 +53,8 @@
 	Settings        json.RawMessage `json:"Settings"`
 }
 
-// ReadProcess reads the file that PROXY_CONFIG names; other variables of the environment stand in
-// for what the file leaves out.
+// ReadProcess reads the file that PROXY_CONFIG names; other variables of the environment are
+// defaults for what the file leaves out.
 func ReadProcess(env func(string) string) (Process, error) {
 	path := env("PROXY_CONFIG")
 	if path == "" {
--- a/internal/settings/tenancy.go
+++ b/internal/settings/tenancy.go
@@ -83,7 +83,8 @@
 		return Tenancy{}, fmt.Errorf("tenants: settings.Tenants names them too; only one of the two can hold")
 	}
 	if f.MaxInFlight != nil {
-		// Whoever gets its share back has it at once, beside those who still use the capacity.
+		// A tenant that reclaims its share has it at once, beside those that still use the
+		// capacity; hence the factor.
 		t.MaxInFlight = *f.MaxInFlight
 		if t.MaxInFlight < 1 || t.MaxInFlight > mostInFlight {
 			return Tenancy{}, fmt.Errorf("tenants.room: %d is not from 1 to a quarter of limits.sockets, %d",
--- a/internal/settings/tenantoperations.go
+++ b/internal/settings/tenantoperations.go
@@ -9,7 +9,7 @@
 	"stoatweir/internal/tenants"
 )
 
-// handleSeparator stands between a tenant's handle and the name of its operation. It can't be in
+// handleSeparator is between a tenant's handle and the name of its operation. It can't be in
 // one part of a path that clients request.
 const handleSeparator = "/"
 
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -67,7 +67,7 @@
 }
 
 // figures are all numbers that are bounded, in the order in which they are reported. A number of
-// schedulers and an index below 0 stand for none.
+// schedulers and an index below 0 mean none.
 func (f *deploymentFile) figures() []figure {
 	figures := []figure{
 		{key: "PeersTotal", value: max(0, float64(f.Schedulers)), maximum: maxSchedulers},
--- a/internal/tenants/account.go
+++ b/internal/tenants/account.go
@@ -54,7 +54,7 @@
 
 // EstimateCost turns the hinted cost of an operation into what the latest invocations with such
 // hints have taken, in the unit of the hint; 0 if there is no estimate, and the operation's mean
-// stands in. The dispatcher learns the speed of workers from the work and hints of all tenants:
+// is to be used. The dispatcher learns the speed of workers from the work and hints of all tenants:
 // one that hints too little would make all others' work look hopeless.
 func (a *Account) EstimateCost(operation string, hint float64) float64 {
 	ratios := a.costRatios[operation]
--- a/internal/tenants/admission.go
+++ b/internal/tenants/admission.go
@@ -65,7 +65,7 @@
 
 // Admit decides whether an invocation is admitted. One that is must be passed to Completed.
 func (c *Controller) Admit(now time.Duration, a *Account, r Request) Decision {
-	c.Looks++
+	c.accountVisits++
 	decision := c.evaluate(now, a, r)
 	if decision.Kind != None {
 		a.usage.Throttled[decision.Kind]++
@@ -152,7 +152,7 @@
 
 // Completed ends an admitted invocation that took some time since its admission.
 func (c *Controller) Completed(now time.Duration, a *Account, r Request, took time.Duration, disposition Disposition) {
-	c.Looks++
+	c.accountVisits++
 	c.inFlight--
 	a.inFlight--
 	a.lastActiveAt = now
--- a/internal/tenants/api/fill_test.go
+++ b/internal/tenants/api/fill_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// filled is a value whose every exported field is set, to a value of its own where the type allows that.
+// filled returns a value whose every exported field is set, to a distinct value where the type allows
+// that.
 func filled[T any]() (value T) {
 	count := 0
 	fill(reflect.ValueOf(&value).Elem(), &count)
--- a/internal/tenants/api/response.go
+++ b/internal/tenants/api/response.go
@@ -73,7 +73,7 @@
 		return newProblem(http.StatusPreconditionFailed, err.Error())
 	case errors.Is(err, tenants.ErrFull):
 		return newProblem(http.StatusConflict, fmt.Sprintf("%v: %d tenants and %d operations of all of them are the most",
-			err, tenants.TenantsMost, tenants.OperationsMost))
+			err, tenants.MaxTenants, tenants.MaxOperations))
 	case errors.Is(err, store.ErrFollows):
 		return newProblem(http.StatusServiceUnavailable,
 			"this scheduler only follows; changes are made at the one that has the store")
--- a/internal/tenants/change.go
+++ b/internal/tenants/change.go
@@ -78,7 +78,7 @@
 // mark is random text that nobody outside can guess and becomes part of a new tenant's handle:
 // whoever knew the ids of another tenant's invocations could report on them as a worker does.
 func (d *Directory) Put(by, name string, s Spec, m Match, now time.Time, mark string) (c Change, unchanged bool, err error) {
-	invalid := append(Name("/name", name), s.Check()...)
+	invalid := append(Name("/name", name), s.Validate()...)
 	if len(invalid) > 0 {
 		return Change{}, false, invalid
 	}
@@ -89,10 +89,10 @@
 	if known && reflect.DeepEqual(tenant.Spec, s) {
 		return Change{}, true, nil
 	}
-	if !known && len(d.tenants) >= TenantsMost {
+	if !known && len(d.tenants) >= MaxTenants {
 		return Change{}, false, ErrFull
 	}
-	if d.operationsBeside(name)+len(s.Operations) > OperationsMost {
+	if d.operationsBeside(name)+len(s.Operations) > MaxOperations {
 		return Change{}, false, ErrFull
 	}
 	what := ChangeUpdated
--- a/internal/tenants/controller.go
+++ b/internal/tenants/controller.go
@@ -12,9 +12,9 @@
 // active tenants, and most events look at one alone. It is not safe for concurrent use; times are
 // on the caller's monotonic clock.
 type Controller struct {
-	Looks         int  // at accounts; tests bound the cost of events by it
 	SharesChanged bool // a tenant has become active since the last Quotas, which changes all shares
 
+	accountVisits int     // by events so far; tests bound the cost of events by it
 	capacity      float64 // invocations in flight at this scheduler
 	schedulers    float64 // that the limits are divided among
 	random        *rand.Rand
--- a/internal/tenants/controller_test.go
+++ b/internal/tenants/controller_test.go
@@ -30,9 +30,9 @@
 }
 
 // With one active tenant of a thousand, the cost of an event must not grow with the others. Cost
-// is counted as looks at accounts.
+// is counted as visits of accounts.
 func TestIdleTenantsCostNothing(t *testing.T) {
-	countLooks := func(tenants int) int {
+	countVisits := func(tenants int) int {
 		f := newFixture(100, 1)
 		for n := range tenants {
 			f.put(fmt.Sprint("t", n), 1, Limits{RatePerS: ptr(1e6)})
@@ -44,7 +44,7 @@
 		f.now += 2 * idleAfter
 		f.admit("t0", 1, Request{}) // idle ones are deactivated at the next allocation, once
 		f.complete("t0", 1, Request{})
-		f.Looks = 0
+		f.accountVisits = 0
 		for n := range 1000 {
 			f.now += 10 * ms
 			f.admit("t0", 1, Request{})
@@ -53,11 +53,11 @@
 				f.Quotas(f.now)
 			}
 		}
-		return f.Looks
+		return f.accountVisits
 	}
-	alone := countLooks(1)
-	beside := countLooks(1000)
+	alone := countVisits(1)
+	beside := countVisits(1000)
 	if beside != alone {
-		t.Errorf("%d looks beside a thousand, %d alone", beside, alone)
+		t.Errorf("%d visits beside a thousand, %d alone", beside, alone)
 	}
 }
--- a/internal/tenants/directory_test.go
+++ b/internal/tenants/directory_test.go
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 	}
-	if created != OperationsMost/maxOperationsPerTenant {
+	if created != MaxOperations/maxOperationsPerTenant {
 		t.Error(created)
 	}
 }
--- a/internal/tenants/fairshare.go
+++ b/internal/tenants/fairshare.go
@@ -69,7 +69,7 @@
 func (c *Controller) allocate(now time.Duration) {
 	c.allocatedAt = now
 	for _, a := range slices.Clone(c.active) {
-		c.Looks++
+		c.accountVisits++
 		if a.inFlight == 0 && now >= a.lastActiveAt+idleAfter {
 			c.deactivate(a)
 		}
@@ -107,7 +107,7 @@
 	c.SharesChanged = false
 	totalRate := 0.0
 	for _, a := range c.active {
-		c.Looks++
+		c.accountVisits++
 		a.workRate = a.measureWorkRate(now)
 		totalRate += a.workRate
 	}
--- a/internal/tenants/store/compaction.go
+++ b/internal/tenants/store/compaction.go
@@ -3,7 +3,7 @@
 // compactAfter is how many changes since the last snapshot make Append compact the log.
 const compactAfter = 4096
 
-// Compact replaces the log by one with a single snapshot. At any moment the log's name stands for a
+// Compact replaces the log by one with a single snapshot. At any moment the log's name refers to a
 // whole log. After an error the old log goes on, unless Failed says that nothing can be written.
 func (s *Store) Compact() error {
 	encoded, err := encode(snapshotRecord(s.Book))
@@ -17,7 +17,7 @@
 	s.log.file.Close()
 	s.log = logState{file: file}
 	s.log.advance(encoded)
-	// After a loss of power the name may stand for the old log: until it can't, nothing more is
+	// After a loss of power the name may refer to the old log: until it can't, nothing more is
 	// reported as done.
 	s.namesUnsynced = true
 	err = s.syncNames()
--- a/internal/tenants/store/files.go
+++ b/internal/tenants/store/files.go
@@ -34,7 +34,7 @@
 	Close() error
 }
 
-// sameFiler is implemented by files that can tell whether another one is the same, whatever the
+// sameFiler is implemented by files that can report whether another one is the same, whatever the
 // names of both.
 type sameFiler interface {
 	Same(other File) bool
--- a/internal/tenants/store/follower.go
+++ b/internal/tenants/store/follower.go
@@ -8,7 +8,7 @@
 
 // Follow applies what the writer has published since, and reports whether the directory has
 // changed. A log that was compacted is read from its beginning, and so is one whose last record, as
-// it was read, no longer stands there: its writer could not make it durable, and has rejected the
+// it was read, is no longer there: its writer could not make it durable, and has rejected the
 // change. After an error the last good directory stays. Once the writer has ended, this process
 // takes over. For the writer itself there is nothing to do.
 func (s *Store) Follow() (changed bool, err error) {
--- a/internal/tenants/store/log.go
+++ b/internal/tenants/store/log.go
@@ -31,7 +31,7 @@
 	checksum uint32
 }
 
-// isIntact reports whether the bytes still stand in the log unchanged.
+// isIntact reports whether the bytes are still in the log unchanged.
 func (e extent) isIntact(log File) bool {
 	b := make([]byte, e.to-e.from)
 	n, err := log.ReadAt(b, e.from)
@@ -131,7 +131,7 @@
 		return err
 	}
 	if err := writeSynced(s.log.file, encoded); err != nil {
-		// What may stand there now was never reported as done. Were it left, the next record
+		// What may be there now was never reported as done. Were it left, the next record
 		// would follow a torn one.
 		s.endUnsynced = true
 		s.cutEnd() // tried again by recoverWrites
@@ -148,7 +148,7 @@
 	return file.Sync()
 }
 
-// cutEnd cuts off what stands behind the last whole record, durably: a change that was rejected
+// cutEnd cuts off what is behind the last whole record, durably: a change that was rejected
 // stays so, also after a loss of power.
 func (s *Store) cutEnd() error {
 	if err := s.log.file.Truncate(s.log.end); err != nil {
--- a/internal/tenants/validation.go
+++ b/internal/tenants/validation.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// OperationsMost is how many operations all tenants have together: the dispatcher keeps
+	// MaxOperations is how many operations all tenants have together: the dispatcher keeps
 	// estimates for each.
-	OperationsMost = 4096
-	// TenantsMost is how many tenants there can be.
-	TenantsMost = 4096
+	MaxOperations = 4096
+	// MaxTenants is how many tenants there can be.
+	MaxTenants = 4096
 
 	maxNameLength          = 40      // bytes
 	maxOperationsPerTenant = 32      // operations in one Spec
@@ -71,8 +71,8 @@
 	return FieldErrors{{Field: field, Reason: reason}}
 }
 
-// Check returns everything that is invalid about a spec; nil if it is valid.
-func (s Spec) Check() FieldErrors {
+// Validate returns everything that is invalid about a spec; nil if it is valid.
+func (s Spec) Validate() FieldErrors {
 	var v validator
 	v.positive("/weight", s.Weight, maxWeight)
 	v.limits(s.Limits)
--- a/internal/tenants/validation_test.go
+++ b/internal/tenants/validation_test.go
@@ -6,7 +6,7 @@
 )
 
 // Everything that is invalid about a tenant is returned at once, by field.
-func ExampleSpec_Check() {
+func ExampleSpec_Validate() {
 	zero, negative := 0.0, -2
 	s := validSpec()
 	s.Weight = 0
@@ -21,7 +21,7 @@
 			ClientTimeoutS:    1,
 			BilledValue:       1,
 		})
-	for _, fieldError := range s.Check() {
+	for _, fieldError := range s.Validate() {
 		fmt.Println(fieldError)
 	}
 	tooLong := strings.Repeat("a", 41)
