--- a/dispatch/retune_test.go
+++ b/dispatch/reconfigure_test.go
@@ -2,9 +2,34 @@
 
 import (
 	"fmt"
-	"time"
 )
 
+// Settings taken over later allow messages, or forbid them: keepers are found then, and nothing more is sent.
+func Example_messagesRetuned() {
+	dep := pooled(3, 1)
+	silent := dep
+	silent.Limits.Gossip = false
+	p := start(silent, ready('a', 0), ready('c', 0))
+	p.at(20*ms, free('a', 2), job(1, 0, 0.1))
+	p.at(50*ms, p.end(1, 0, Succeeded), Reconfigured{dep, []int{0, 1, 2}})
+	fmt.Println("keepers:", p.d.records[0].owner, p.d.records[1].owner, "ours:", p.d.owned)
+	drains := ready('a', 0)
+	drains.State = Draining // else it would come first, as we keep it
+	p.at(55*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{drains}})
+	p.at(60*ms, free('c', 4), job(2, 0, 0.1))
+	p.until(90 * ms)
+	p.at(100*ms, p.end(2, 0, Succeeded), Reconfigured{silent, []int{0, 1, 2}})
+	p.at(110*ms, free('c', 4), job(3, 0, 0.1), GossipReceived{0, []GossipEntry{{Kind: GossipCapacityQuery, Tag: p.d.workerAt(0).tag}}})
+	// Output:
+	// 20ms 1 to c
+	// keepers: 1 0 ours: [0]
+	// 60ms tells 0: asks for c
+	// 80ms 2 to c
+	// 80ms tells 0: sent 2 to c
+	// 100ms tells 0: ended 2
+	// 110ms 3 to c
+}
+
 // An operation becomes stricter while an invocation of it is out: that one may still go elsewhere as it came, a new one may
 // not. What was learned of it goes on with the new one.
 func Example_retunedEffect() {
@@ -60,46 +85,6 @@
 	// 2 false 7 0
 }
 
-// The worker that is avoided is counted while it is, and while it is listed.
-func Example_avoided() {
-	p := start(shop(), ready('a', 0), ready('b', 0))
-	p.quiet = true
-	p.at(10*ms, job(1, 0, 0.1))
-	p.at(20*ms, p.end(1, 0, Failed))
-	fmt.Println(p.d.Ejected(), p.lines)
-	gone := ready('b', 0)
-	gone.State = Gone
-	p.at(30*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{gone}})
-	fmt.Println(p.d.Ejected())
-	p.at(time.Second, TimerFired{})
-	// Output:
-	// 1 [1 to b worker ejected worker=b reason="fails attempts" 1 to a]
-	// 0
-}
-
-// Where workers say that they have taken a forward, one without that word counts as stuck: its connection may have fallen
-// silent, though other work there goes on. What may run only once is waited for. One that was taken waits in a queue.
-func Example_notTaken() {
-	dep := shop()
-	dep.NotifiesAccepted, dep.NotifiesStart = true, true
-	p := start(dep, ready('a', 0), ready('b', 0))
-	p.quiet = true
-	p.at(10*ms, free('a', 8), free('b', 8))
-	p.at(20*ms, job(1, 0, 1), job(2, 2, 1), job(3, 0, 1))
-	p.tell("sent")
-	p.at(30*ms, AttemptProgress{Invocation: 3, Worker: p.went[3][0], Accepted: true})
-	for n := range 40 {
-		p.at(40*ms+time.Duration(n)*tickInterval, TimerFired{}, AttemptProgress{Invocation: 3, Worker: p.went[3][0], Started: true})
-	}
-	p.tell("0.8 s later")
-	p.at(900*ms, p.end(1, 1, Succeeded), p.end(2, 0, Succeeded))
-	p.tell("answers")
-	// Output:
-	// sent: 2 to b; 1 to a; 3 to a
-	// 0.8 s later: 1 to b
-	// answers: 1 cancels forward 0
-}
-
 // New settings come while a tenant's invocations are held: its traffic goes on being known, a new one's starts at nought.
 func Example_retunedTenants() {
 	dep := shop()
--- a/dispatch/world_test.go
+++ b/dispatch/simulation_test.go
@@ -65,11 +65,15 @@
 type pending []pended
 
 func (p pending) Len() int { return len(p) }
+
 func (p pending) Less(a, b int) bool {
 	return p[a].at < p[b].at || p[a].at == p[b].at && p[a].serial < p[b].serial
 }
+
 func (p pending) Swap(a, b int) { p[a], p[b] = p[b], p[a] }
-func (p *pending) Push(x any)   { *p = append(*p, x.(pended)) }
+
+func (p *pending) Push(x any) { *p = append(*p, x.(pended)) }
+
 func (p *pending) Pop() any {
 	last := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
--- a/dispatch/cold_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -60,11 +60,15 @@
 type coldQueue []coldEvent
 
 func (q coldQueue) Len() int { return len(q) }
+
 func (q coldQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
+
 func (q coldQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *coldQueue) Push(e any)   { *q = append(*q, e.(coldEvent)) }
+
+func (q *coldQueue) Push(e any) { *q = append(*q, e.(coldEvent)) }
+
 func (q *coldQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
@@ -463,88 +467,3 @@
 		t.Error("no cold worker got anything")
 	}
 }
-
-// What all schedulers together may send one cold worker in a span, were there always one more small invocation, stays
-// within N + 2 root N + 2 requests of mean work, whatever the number of schedulers is told to be: as long as their own
-// numbers are told.
-func TestColdParts(t *testing.T) {
-	t.Logf("%10s %6s %8s %8s %8s %8s %6s", "schedulers", "told", "N", "worst", "bound", "of it", "over")
-	for _, schedulers := range []int{1, 6, 7, 20, 30, 300} {
-		for _, told := range []float64{0.1, 0.5, 1, 2, 10} {
-			for _, calls := range []float64{2, 10, 30, 100, 300} {
-				worst, bound, over := 0.0, calls+2*math.Sqrt(calls)+2, 0
-				for start := range uint64(20) {
-					sum := coldParts(schedulers, max(1, int(math.Round(told*float64(schedulers)))), calls, start)
-					if worst = max(worst, sum); sum > bound {
-						over++
-					}
-				}
-				t.Logf("%10d %6v %8v %8.1f %8.1f %8.2f %6d", schedulers, told, calls, worst, bound, worst/bound, over)
-				if over > 0 {
-					t.Errorf("%d schedulers, told %v of it, N %v: %.1f may come, %.1f is borne", schedulers, told, calls, worst, bound)
-				}
-			}
-		}
-	}
-}
-
-// coldParts sums what each may send, in requests of mean work, by hundredths of one.
-func coldParts(schedulers, told int, calls float64, start uint64) (sum float64) {
-	const run = 0.2
-	dep := shop()
-	dep.Schedulers = told
-	for dep.Index = range schedulers {
-		d := New(dep, 1)
-		sum += mostSent(&d.scheduler, d.lotteryRank(start), calls, run)
-	}
-	return sum
-}
-
-// mostSent is what a scheduler may send a cold worker in a span, were there always one more small invocation, in requests of mean work.
-func mostSent(k *scheduler, lot int, calls, run float64) float64 {
-	c := &workerView{pace: 1, warmUpWeight: 1, lotteryRank: lot}
-	c.maxFree = calls * run / k.overloadBudget
-	c.pace = max(1, 1/c.maxFree) // a worker of less than one slot is a slower one
-	k.fleet.runTime, k.now, k.admitted = run, 20*time.Second, 20*calls
-	for cost := run / 100; k.withinSlowStartBudget(cost, c) && c.budgetUsed < 3*calls*run; {
-		c.budgetUsed += cost
-	}
-	return c.budgetUsed / run
-}
-
-// The number of schedulers changes with new settings while a worker is cold: those that ran before draw their lots among all anew.
-func TestColdPartsAfterReload(t *testing.T) {
-	for _, schedulers := range [][2]int{{7, 30}, {30, 300}, {100, 10}, {6, 20}} {
-		for _, calls := range []float64{2, 10, 30, 100} {
-			worst, bound := 0.0, calls+2*math.Sqrt(calls)+2
-			for start := range uint64(20) {
-				worst = max(worst, coldPartsAfterReload(schedulers[0], schedulers[1], calls, start))
-			}
-			if worst > bound {
-				t.Errorf("%d schedulers, then %d, N %v: %.1f may come, %.1f is borne", schedulers[0], schedulers[1], calls, worst, bound)
-			}
-		}
-	}
-}
-
-// coldPartsAfterReload sums what each may send once their number has changed, in requests of mean work.
-func coldPartsAfterReload(before, after int, calls float64, start uint64) (sum float64) {
-	const run = 0.2
-	id := netip.MustParseAddrPort("10.0.0.1:1")
-	list := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Worker: id, State: Ready, StartKnown: true, Incarnation: start}}}
-	for me := range after {
-		dep := shop()
-		dep.Index, dep.Schedulers = me, after
-		if me < before {
-			dep.Schedulers = before
-		}
-		d := New(dep, 1)
-		d.Handle(time.Millisecond, []Event{list})
-		if me < before {
-			dep.Schedulers = after
-			d.Handle(2*time.Millisecond, []Event{Reconfigured{Config: dep, PreviousOperations: []int{0}}})
-		}
-		sum += mostSent(&d.scheduler, d.records[0].lotteryRank, calls, run)
-	}
-	return sum
-}
--- a/dispatch/board_test.go
+++ b/dispatch/view_test.go
@@ -5,24 +5,6 @@
 	"time"
 )
 
-// What a scheduler does beside its invocations does not grow with the workers that have its work: 950 with 1,800 invocations
-// in hand read no more notes than 60 with 130.
-func TestNotesDoNotGrowWithFleet(t *testing.T) {
-	reads := func(workers int) (n int) {
-		w := cost(workers)
-		for at := range w.d.records {
-			in := &w.d.workerAt(at).mailbox
-			read := in.handle
-			in.handle = func(message workerMessage) { n++; read(message) }
-		}
-		w.play(w.now + 10*time.Second)
-		return n
-	}
-	if few, many := reads(60), reads(950); many > few*5/4 {
-		t.Errorf("workers read %d notes at 60, %d at 950", few, many)
-	}
-}
-
 // A card that is brought up to the last round when it is read is the one that its worker would show then, whatever has
 // come in between; and what nextDue passes over would have had no result.
 func TestCardsAreCurrent(t *testing.T) {
