--- a/dispatch/gossip_test.go
+++ b/dispatch/gossip_test.go
@@ -9,25 +9,25 @@
 )
 
 // pooled is a deployment whose schedulers may tell one another.
-func pooled(peers, me int) Config {
-	dep := shop()
-	dep.Schedulers, dep.Index, dep.Limits.Gossip = peers, me, true
-	return dep
+func gossipConfig(schedulers, index int) Config {
+	config := testConfig()
+	config.Schedulers, config.Index, config.Limits.Gossip = schedulers, index, true
+	return config
 }
 
 // Bytes that are garbled, cut short, of another version or too long are no message; nothing of them is taken.
-func Example_memos() {
-	notes := []GossipEntry{{Kind: GossipRestarted}, {GossipAttemptStarted, 7, 0x51234}, {Kind: GossipAttemptEnded, Serial: 7}, {Kind: GossipCapacityQuery, Tag: 0x7ffff},
+func Example_gossipCodec() {
+	entries := []GossipEntry{{Kind: GossipRestarted}, {GossipAttemptStarted, 7, 0x51234}, {Kind: GossipAttemptEnded, Serial: 7}, {Kind: GossipCapacityQuery, Tag: 0x7ffff},
 		{GossipCapacityReply, 0xfe, 1}}
-	memo := EncodeGossip(notes)[0]
-	read, ok := DecodeGossip(memo)
-	fmt.Printf("%x %v %v\n", memo, ok, slices.Equal(read, notes))
-	for cut := range memo {
-		read, ok := DecodeGossip(memo[:cut])
+	message := EncodeGossip(entries)[0]
+	read, ok := DecodeGossip(message)
+	fmt.Printf("%x %v %v\n", message, ok, slices.Equal(read, entries))
+	for cut := range message {
+		read, ok := DecodeGossip(message[:cut])
 		fmt.Print(" ", cut, ":", len(read), ok)
 	}
 	fmt.Println()
-	for _, wrong := range [][]byte{nil, {0x80}, {0x78}, {0, 1, 2}, append(slices.Clone(memo), 0xff), make([]byte, MaxGossipBytes+1)} {
+	for _, wrong := range [][]byte{nil, {0x80}, {0x78}, {0, 1, 2}, append(slices.Clone(message), 0xff), make([]byte, MaxGossipBytes+1)} {
 		_, ok := DecodeGossip(wrong)
 		fmt.Print(" ", ok)
 	}
@@ -37,9 +37,9 @@
 		many[n] = GossipEntry{GossipAttemptStarted, uint8(n), 3}
 	}
 	var back []GossipEntry
-	for _, memo := range EncodeGossip(many) {
-		part, ok := DecodeGossip(memo)
-		fmt.Print(len(memo), " ", ok, ", ")
+	for _, message := range EncodeGossip(many) {
+		part, ok := DecodeGossip(message)
+		fmt.Print(len(message), " ", ok, ", ")
 		back = append(back, part...)
 	}
 	fmt.Println(slices.Equal(back, many))
@@ -52,26 +52,26 @@
 
 // Others tell a worker's keeper of their forwards and ask it; what is held there, by whomever, is not free. An end that
 // is never told counts for 8 s at most, or a run after its sender has started anew.
-func Example_keeper() {
-	p := start(pooled(3, 1), ready('a', 0), ready('c', 0))
-	fmt.Println("keepers:", p.d.records[0].owner, p.d.records[1].owner)
-	tag := p.d.workerAt(0).tag
-	hear := func(from int, notes ...GossipEntry) { p.at(p.now+50*ms, GossipReceived{from, notes}) }
-	ask := GossipEntry{Kind: GossipCapacityQuery, Tag: tag}
-	hear(0, ask)
-	p.at(60*ms, free('a', 3))
-	hear(0, ask)
-	hear(0, GossipEntry{GossipAttemptStarted, 1, tag}, GossipEntry{GossipAttemptStarted, 1, tag}, GossipEntry{GossipAttemptStarted, 2, tag})
-	hear(2, ask)
-	hear(0, GossipEntry{Kind: GossipAttemptEnded, Serial: 1})
-	hear(2, ask)
-	hear(0, GossipEntry{Kind: GossipAttemptEnded, Serial: 9}, GossipEntry{Kind: GossipRestarted})
-	p.until(p.now + 1200*ms)
-	hear(2, ask)
-	hear(7, GossipEntry{GossipAttemptStarted, 3, tag}, GossipEntry{GossipAttemptStarted, 4, tag})
-	hear(-1, GossipEntry{GossipAttemptStarted, 3, tag})
-	hear(2, GossipEntry{GossipAttemptStarted, 3, tag + 1})
-	hear(2, ask)
+func Example_ownerReplies() {
+	h := newHarness(gossipConfig(3, 1), readyEndpoint('a', 0), readyEndpoint('c', 0))
+	fmt.Println("keepers:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
+	tag := h.dispatcher.workerAt(0).tag
+	receive := func(from int, notes ...GossipEntry) { h.handleAt(h.now+50*ms, GossipReceived{from, notes}) }
+	query := GossipEntry{Kind: GossipCapacityQuery, Tag: tag}
+	receive(0, query)
+	h.handleAt(60*ms, freeSlotsResult('a', 3))
+	receive(0, query)
+	receive(0, GossipEntry{GossipAttemptStarted, 1, tag}, GossipEntry{GossipAttemptStarted, 1, tag}, GossipEntry{GossipAttemptStarted, 2, tag})
+	receive(2, query)
+	receive(0, GossipEntry{Kind: GossipAttemptEnded, Serial: 1})
+	receive(2, query)
+	receive(0, GossipEntry{Kind: GossipAttemptEnded, Serial: 9}, GossipEntry{Kind: GossipRestarted})
+	h.runUntil(h.now + 1200*ms)
+	receive(2, query)
+	receive(7, GossipEntry{GossipAttemptStarted, 3, tag}, GossipEntry{GossipAttemptStarted, 4, tag})
+	receive(-1, GossipEntry{GossipAttemptStarted, 3, tag})
+	receive(2, GossipEntry{GossipAttemptStarted, 3, tag + 1})
+	receive(2, query)
 	// Output:
 	// 0s tells -1: anew
 	// keepers: 1 0
@@ -83,19 +83,19 @@
 }
 
 // What one scheduler can't see, as another's forward fills the worker that its own report shows free, its keeper tells.
-func Example_asking() {
-	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
-	fmt.Println("keepers:", p.d.records[0].owner, p.d.records[1].owner)
-	p.at(20*ms, job(1, 0, 0.1))
-	answer := func(name byte, slots int) GossipReceived {
-		w := p.d.workerAt(p.d.recordIndex[id(name)])
+func Example_capacityQueries() {
+	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
+	fmt.Println("keepers:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
+	h.handleAt(20*ms, arrival(1, 0, 0.1))
+	reply := func(name byte, slots int) GossipReceived {
+		w := h.dispatcher.workerAt(h.dispatcher.recordIndex[workerID(name)])
 		return GossipReceived{w.owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
 	}
-	p.at(30*ms, answer('c', 2), answer('a', -1))
-	p.until(90 * ms)
-	p.at(200*ms, p.end(1, 0, Succeeded))
-	p.at(400*ms, job(2, 0, 0.1))
-	p.at(410*ms, answer('c', 0), answer('a', 1))
+	h.handleAt(30*ms, reply('c', 2), reply('a', -1))
+	h.runUntil(90 * ms)
+	h.handleAt(200*ms, h.outcome(1, 0, Succeeded))
+	h.handleAt(400*ms, arrival(2, 0, 0.1))
+	h.handleAt(410*ms, reply('c', 0), reply('a', 1))
 	// Output:
 	// 0s tells -1: anew
 	// keepers: 1 0
@@ -112,44 +112,44 @@
 
 // Messages of any kind, order and number cost quality and never a rule: each invocation gets one answer in time, what
 // may run only once is sent once, and a worker that drains gets nothing.
-func TestNoisyMessages(t *testing.T) {
-	chance := rand.New(rand.NewSource(3))
-	d := New(pooled(4, 2), 9)
-	d.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: fleet(12)}})
-	answers, sends, out := map[InvocationID]int{}, map[InvocationID]int{}, map[InvocationID]Forward{}
-	drained := id(5)
+func TestRulesHoldUnderNoisyGossip(t *testing.T) {
+	rng := rand.New(rand.NewSource(3))
+	dispatcher := New(gossipConfig(4, 2), 9)
+	dispatcher.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: readyEndpoints(12)}})
+	answers, sends, inFlight := map[InvocationID]int{}, map[InvocationID]int{}, map[InvocationID]Forward{}
+	drainedWorker := workerID(5)
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * ms {
 		events := []Event{TimerFired{}}
-		if n := InvocationID(now/(10*ms)) + 1; now < 10*time.Second {
-			events = append(events, job(n, int(n)%3, 0.1))
+		if id := InvocationID(now/(10*ms)) + 1; now < 10*time.Second {
+			events = append(events, arrival(id, int(id)%3, 0.1))
 		}
 		if now == 5*time.Second {
-			gone := ready(5, 0)
-			gone.State = Draining
-			events = append(events, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{gone}})
+			draining := readyEndpoint(5, 0)
+			draining.State = Draining
+			events = append(events, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{draining}})
 		}
-		for n := chance.Intn(4); n > 0; n-- {
-			garbage := make([]byte, 1+chance.Intn(20))
-			chance.Read(garbage)
+		for id := rng.Intn(4); id > 0; id-- {
+			garbage := make([]byte, 1+rng.Intn(20))
+			rng.Read(garbage)
 			garbage[0] = garbage[0]&0x3f | gossipVersion<<versionShift
-			notes, _ := DecodeGossip(garbage)
-			notes = append(notes, GossipEntry{GossipKind(chance.Intn(5)), uint8(chance.Intn(256)), workerTag(id(byte(1 + chance.Intn(14))))})
-			events = append(events, GossipReceived{chance.Intn(6) - 1, append(notes, notes...)})
+			entries, _ := DecodeGossip(garbage)
+			entries = append(entries, GossipEntry{GossipKind(rng.Intn(5)), uint8(rng.Intn(256)), workerTag(workerID(byte(1 + rng.Intn(14))))})
+			events = append(events, GossipReceived{rng.Intn(6) - 1, append(entries, entries...)})
 		}
-		for n := InvocationID(1); n <= 1000; n++ {
-			if f, is := out[n]; is && chance.Intn(10) == 0 {
-				events = append(events, Outcome{Invocation: n, Worker: f.Worker, Attempt: sends[n] - 1, Result: Succeeded, Answered: true})
-				answers[n]++
-				delete(out, n)
+		for id := InvocationID(1); id <= 1000; id++ {
+			if forward, isInFlight := inFlight[id]; isInFlight && rng.Intn(10) == 0 {
+				events = append(events, Outcome{Invocation: id, Worker: forward.Worker, Attempt: sends[id] - 1, Result: Succeeded, Answered: true})
+				answers[id]++
+				delete(inFlight, id)
 			}
 		}
-		for _, action := range d.Handle(now, events) {
+		for _, action := range dispatcher.Handle(now, events) {
 			switch a := action.(type) {
 			case Forward:
-				if sends[a.Invocation]++; a.Invocation%3 == 2 && sends[a.Invocation] > 1 || now >= 5*time.Second && a.Worker == drained || answers[a.Invocation] > 0 {
+				if sends[a.Invocation]++; a.Invocation%3 == 2 && sends[a.Invocation] > 1 || now >= 5*time.Second && a.Worker == drainedWorker || answers[a.Invocation] > 0 {
 					t.Fatal(now, a)
 				}
-				out[a.Invocation] = a
+				inFlight[a.Invocation] = a
 			case Throttle:
 				answers[a.Invocation]++
 			case Fail:
@@ -157,36 +157,36 @@
 			}
 		}
 	}
-	for n := InvocationID(1); n <= 1000; n++ {
-		if answers[n] != 1 {
-			t.Fatal(n, answers[n])
+	for id := InvocationID(1); id <= 1000; id++ {
+		if answers[id] != 1 {
+			t.Fatal(id, answers[id])
 		}
 	}
-	if books := len(d.records); books != 12 {
-		t.Fatal(books)
+	if records := len(dispatcher.records); records != 12 {
+		t.Fatal(records)
 	}
 }
 
 // While keepers answer, a worker that none of them has told of lately gets nothing, however free it looked once; a second
 // round of questions goes out for who is held. When nobody answers any more, old figures count again.
-func Example_onlyFresh() {
-	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
-	w := func(name byte) *worker { return p.d.workerAt(p.d.recordIndex[id(name)]) }
-	answer := func(name byte, slots int) GossipReceived {
+func Example_onlyCurrentReplies() {
+	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
+	w := func(name byte) *worker { return h.dispatcher.workerAt(h.dispatcher.recordIndex[workerID(name)]) }
+	reply := func(name byte, slots int) GossipReceived {
 		return GossipReceived{w(name).owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w(name).tag}}}
 	}
-	p.d.scheduler.runTimes = samples{0.2, 0.2}
-	p.at(20*ms, answer('a', 4), answer('c', 4))
-	p.quiet = true
-	p.until(700 * ms)
-	p.lines, p.quiet = nil, false
-	p.at(800*ms, answer('c', -2))
-	p.at(810*ms, job(1, 0, 0.2))
-	p.at(830*ms, answer('c', -2))
-	p.until(900 * ms)
-	p.at(910*ms, answer('a', 1))
-	p.at(1500*ms, job(2, 0, 0.2))
-	p.until(1600 * ms)
+	h.dispatcher.scheduler.runTimes = samples{0.2, 0.2}
+	h.handleAt(20*ms, reply('a', 4), reply('c', 4))
+	h.collects = true
+	h.runUntil(700 * ms)
+	h.lines, h.collects = nil, false
+	h.handleAt(800*ms, reply('c', -2))
+	h.handleAt(810*ms, arrival(1, 0, 0.2))
+	h.handleAt(830*ms, reply('c', -2))
+	h.runUntil(900 * ms)
+	h.handleAt(910*ms, reply('a', 1))
+	h.handleAt(1500*ms, arrival(2, 0, 0.2))
+	h.runUntil(1600 * ms)
 	// Output:
 	// 0s tells -1: anew
 	// 810ms tells 1: asks for a
@@ -209,25 +209,25 @@
 
 // A keeper that leaves questions unanswered, as one that has gone or is cut off, is done without: its workers are asked
 // themselves, and go by what they answer. Its next word ends that.
-func Example_silentKeeper() {
-	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
-	a, c := p.d.workerAt(0), p.d.workerAt(1)
-	p.probes, p.waits = true, true
-	answers := func(slots int) GossipReceived {
+func Example_silentOwner() {
+	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
+	a, c := h.dispatcher.workerAt(0), h.dispatcher.workerAt(1)
+	h.printHealthChecks, h.deferHealthChecks = true, true
+	reply := func(slots int) GossipReceived {
 		return GossipReceived{c.owner, []GossipEntry{{GossipCapacityReply, uint8(slots), c.tag}}}
 	}
 	for n := range InvocationID(6) {
-		p.quiet = n < 4
+		h.collects = n < 4
 		at := time.Duration(n+1) * 400 * ms
-		p.at(at, job(n+1, 0, 0.2))
-		p.at(at+10*ms, answers(0))
+		h.handleAt(at, arrival(n+1, 0, 0.2))
+		h.handleAt(at+10*ms, reply(0))
 		if n > 3 {
-			p.at(at+15*ms, free('a', 3+float64(n)/10))
+			h.handleAt(at+15*ms, freeSlotsResult('a', 3+float64(n)/10))
 		}
-		p.until(at + 100*ms)
+		h.runUntil(at + 100*ms)
 	}
 	fmt.Println(a.ownerSilent, c.ownerSilent)
-	p.at(p.now+tickInterval, GossipReceived{a.owner, []GossipEntry{{GossipCapacityReply, 0, a.tag}}})
+	h.handleAt(h.now+tickInterval, GossipReceived{a.owner, []GossipEntry{{GossipCapacityReply, 0, a.tag}}})
 	fmt.Println(a.ownerSilent, c.ownerSilent)
 	// Output:
 	// 0s tells -1: anew
@@ -250,20 +250,20 @@
 
 // The slot that a forward of ours leaves is ours at once, before its keeper hears of it: what is held takes it, and the
 // keeper is told of both together.
-func Example_ownSlot() {
-	p := start(pooled(3, 2), ready('a', 0), ready('c', 0))
-	answer := func(name byte, slots int) GossipReceived {
-		w := p.d.workerAt(p.d.recordIndex[id(name)])
+func Example_ownFreedSlot() {
+	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
+	reply := func(name byte, slots int) GossipReceived {
+		w := h.dispatcher.workerAt(h.dispatcher.recordIndex[workerID(name)])
 		return GossipReceived{w.owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
 	}
-	p.at(20*ms, job(1, 0, 0.1))
-	p.at(30*ms, answer('a', 1), answer('c', 0))
-	p.until(70 * ms)
-	p.quiet = true
-	p.at(400*ms, answer('a', 0), answer('c', 0), job(2, 0, 0.1))
-	p.until(480 * ms)
-	p.lines, p.quiet = nil, false
-	p.at(490*ms, p.end(1, 0, Succeeded))
+	h.handleAt(20*ms, arrival(1, 0, 0.1))
+	h.handleAt(30*ms, reply('a', 1), reply('c', 0))
+	h.runUntil(70 * ms)
+	h.collects = true
+	h.handleAt(400*ms, reply('a', 0), reply('c', 0), arrival(2, 0, 0.1))
+	h.runUntil(480 * ms)
+	h.lines, h.collects = nil, false
+	h.handleAt(490*ms, h.outcome(1, 0, Succeeded))
 	// Output:
 	// 0s tells -1: anew
 	// 20ms tells 1: asks for a
@@ -276,16 +276,16 @@
 
 // Of a worker that we keep we know what is free: with room it comes first, whatever others tell of theirs, and nobody is
 // asked. Once it has none, keepers are.
-func Example_keptFirst() {
-	p := start(pooled(3, 0), ready('a', 0), ready('c', 0))
-	p.frequent('a', 'c')
-	theirs := p.d.workerAt(0)
-	fmt.Println("keepers:", p.d.records[0].owner, p.d.records[1].owner)
-	p.at(p.now+5*ms, free('c', 2), GossipReceived{1, []GossipEntry{{GossipCapacityReply, 4, theirs.tag}}})
+func Example_ownedWorkersFirst() {
+	h := newHarness(gossipConfig(3, 0), readyEndpoint('a', 0), readyEndpoint('c', 0))
+	h.reportOften('a', 'c')
+	notOwned := h.dispatcher.workerAt(0)
+	fmt.Println("keepers:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
+	h.handleAt(h.now+5*ms, freeSlotsResult('c', 2), GossipReceived{1, []GossipEntry{{GossipCapacityReply, 4, notOwned.tag}}})
 	for n := range InvocationID(3) {
-		p.at(p.now+5*ms, job(n+1, 0, 0.1))
-		p.until(p.now + 2*tickInterval)
-		p.at(p.now, GossipReceived{1, []GossipEntry{{GossipCapacityReply, 3, theirs.tag}}})
+		h.handleAt(h.now+5*ms, arrival(n+1, 0, 0.1))
+		h.runUntil(h.now + 2*tickInterval)
+		h.handleAt(h.now, GossipReceived{1, []GossipEntry{{GossipCapacityReply, 3, notOwned.tag}}})
 	}
 	// Output:
 	// 0s tells -1: anew
--- a/dispatch/hedge_test.go
+++ b/dispatch/hedge_test.go
@@ -1,32 +1,32 @@
 package dispatch
 
 // Clones take room that is left, while their figure holds still, under a fifth of invocations; the loser is cancelled.
-func Example_clones() {
-	p := start(shop(), ready('a', 0), ready('b', 0), ready('c', 0))
-	p.quiet = true
+func Example_hedgedRequests() {
+	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
+	h.collects = true
 	for n := InvocationID(1); n <= 10; n++ {
-		p.at(p.now+10*ms, job(n, 2, 1))
-		p.at(p.now+300*ms, p.end(n, 0, Succeeded))
+		h.handleAt(h.now+10*ms, arrival(n, 2, 1))
+		h.handleAt(h.now+300*ms, h.outcome(n, 0, Succeeded))
 	}
-	p.lines = nil
-	p.at(p.now+10*ms, job(11, 0, 0.2))
-	p.tell("no figure yet")
-	p.at(p.now+10*ms, p.end(11, 0, Succeeded))
-	p.lines, p.waits = nil, true
-	p.frequent('a', 'b', 'c')
-	asked := func(a, b, c float64, title string, jobs ...Event) {
-		p.at(p.now+tickInterval, jobs...)
-		p.at(p.now+5*ms, free('a', a), free('b', b), free('c', c))
-		p.tell(title)
+	h.lines = nil
+	h.handleAt(h.now+10*ms, arrival(11, 0, 0.2))
+	h.printCollected("no figure yet")
+	h.handleAt(h.now+10*ms, h.outcome(11, 0, Succeeded))
+	h.lines, h.deferHealthChecks = nil, true
+	h.reportOften('a', 'b', 'c')
+	answerThen := func(a, b, c float64, title string, jobs ...Event) {
+		h.handleAt(h.now+tickInterval, jobs...)
+		h.handleAt(h.now+5*ms, freeSlotsResult('a', a), freeSlotsResult('b', b), freeSlotsResult('c', c))
+		h.printCollected(title)
 	}
-	asked(1, 2, 3, "room, but not idempotent", job(12, 1, 0.2))
-	asked(1.1, 2.1, 3.1, "room and idempotent", job(13, 0, 0.2))
-	p.at(p.now+10*ms, p.end(13, 1, Succeeded))
-	p.tell("the first answer")
-	asked(0, 0, 2, "room at a third of the workers", job(14, 0, 0.2))
-	asked(4, 4, 4, "the second of fifteen", job(15, 0, 0.2))
-	asked(4, 4, 4.1, "a third would be under a fifth", job(16, 0, 0.2))
-	asked(4, 4, 4.2, "a fourth would not; and only the running set", job(17, 0, 0.2), job(18, 0, 0.2))
+	answerThen(1, 2, 3, "room, but not idempotent", arrival(12, 1, 0.2))
+	answerThen(1.1, 2.1, 3.1, "room and idempotent", arrival(13, 0, 0.2))
+	h.handleAt(h.now+10*ms, h.outcome(13, 1, Succeeded))
+	h.printCollected("the first answer")
+	answerThen(0, 0, 2, "room at a third of the workers", arrival(14, 0, 0.2))
+	answerThen(4, 4, 4, "the second of fifteen", arrival(15, 0, 0.2))
+	answerThen(4, 4, 4.1, "a third would be under a fifth", arrival(16, 0, 0.2))
+	answerThen(4, 4, 4.2, "a fourth would not; and only the running set", arrival(17, 0, 0.2), arrival(18, 0, 0.2))
 	// Output:
 	// no figure yet: 11 to b
 	// room, but not idempotent: 12 to b
@@ -39,13 +39,13 @@
 }
 
 // A streamed answer that has begun belongs to the client: the other copy is cancelled and nothing more is sent.
-func Example_streaming() {
-	p := start(shop(), ready('a', 0), ready('b', 1))
-	p.at(10*ms, free('a', 2), free('b', 2), job(1, 0, 0.3))
-	p.at(200*ms, HealthCheckResult{Worker: id('a'), Result: TimedOut, Latency: 160 * ms})
-	p.at(220*ms, ResponseStarted{Invocation: 1, Attempt: 1})
-	p.at(300*ms, p.end(1, 0, Cancelled))
-	p.at(400*ms, Outcome{Invocation: 1, Attempt: 1, Worker: id('b'), Result: ConnectionBroken, Answered: true})
+func Example_streamedResponse() {
+	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
+	h.handleAt(10*ms, freeSlotsResult('a', 2), freeSlotsResult('b', 2), arrival(1, 0, 0.3))
+	h.handleAt(200*ms, HealthCheckResult{Worker: workerID('a'), Result: TimedOut, Latency: 160 * ms})
+	h.handleAt(220*ms, ResponseStarted{Invocation: 1, Attempt: 1})
+	h.handleAt(300*ms, h.outcome(1, 0, Cancelled))
+	h.handleAt(400*ms, Outcome{Invocation: 1, Attempt: 1, Worker: workerID('b'), Result: ConnectionBroken, Answered: true})
 	// Output:
 	// 10ms 1 to a
 	// 200ms worker ejected worker=a reason="health checks unanswered"
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -6,15 +6,15 @@
 )
 
 // A worker that fails what it gets is set aside, comes back after answered probes, and gets one at a time at first.
-func Example_setAside() {
-	p := start(shop(), ready('a', 0))
-	p.at(10*ms, free('a', 4), job(1, 2, 0.2))
-	p.at(20*ms, p.end(1, 0, Failed))
-	p.at(300*ms, free('a', 4), job(2, 2, 0.3), job(3, 1, 0.3), job(4, 0, 0.3))
-	p.at(400*ms, free('a', 4))
-	p.at(530*ms, free('a', 4))
-	p.at(550*ms, p.end(3, 0, Succeeded))
-	p.at(570*ms, p.end(4, 0, Failed))
+func Example_ejectionAndProbation() {
+	h := newHarness(testConfig(), readyEndpoint('a', 0))
+	h.handleAt(10*ms, freeSlotsResult('a', 4), arrival(1, 2, 0.2))
+	h.handleAt(20*ms, h.outcome(1, 0, Failed))
+	h.handleAt(300*ms, freeSlotsResult('a', 4), arrival(2, 2, 0.3), arrival(3, 1, 0.3), arrival(4, 0, 0.3))
+	h.handleAt(400*ms, freeSlotsResult('a', 4))
+	h.handleAt(530*ms, freeSlotsResult('a', 4))
+	h.handleAt(550*ms, h.outcome(3, 0, Succeeded))
+	h.handleAt(570*ms, h.outcome(4, 0, Failed))
 	// Output:
 	// 10ms 1 to a
 	// 20ms worker ejected worker=a reason="fails attempts"
@@ -27,17 +27,17 @@
 
 // A hung worker that still answers probes: suspicion asks, then silence beyond what waiting explains decides. What sits
 // there goes elsewhere, and when it comes back after probes, new work is to show how it does.
-func Example_hang() {
-	dep := shop()
-	dep.ProgressInterval = 500 * ms
-	p := start(dep, ready('a', 0), ready('b', 1))
-	p.at(10*ms, free('a', 2), free('b', 2), job(1, 0, 0.5), job(2, 2, 0.5))
+func Example_hungWorker() {
+	config := testConfig()
+	config.ProgressInterval = 500 * ms
+	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 1))
+	h.handleAt(10*ms, freeSlotsResult('a', 2), freeSlotsResult('b', 2), arrival(1, 0, 0.5), arrival(2, 2, 0.5))
 	for range 10 {
-		p.until(p.now + 480*ms)
-		p.at(p.now+20*ms, AttemptProgress{Invocation: 2, Worker: id('a'), Done: 0.1}, free('b', 2))
+		h.runUntil(h.now + 480*ms)
+		h.handleAt(h.now+20*ms, AttemptProgress{Invocation: 2, Worker: workerID('a'), Done: 0.1}, freeSlotsResult('b', 2))
 	}
-	p.at(p.now+10*ms, free('a', 0), job(3, 1, 0.2), job(4, 1, 0.2))
-	p.until(p.now + 14*tickInterval)
+	h.handleAt(h.now+10*ms, freeSlotsResult('a', 0), arrival(3, 1, 0.2), arrival(4, 1, 0.2))
+	h.runUntil(h.now + 14*tickInterval)
 	// Output:
 	// 10ms 2 to a
 	// 10ms 1 to b
@@ -48,11 +48,11 @@
 }
 
 // Probes that go unanswered from a worker without another sign of life.
-func Example_vanished() {
-	p := start(shop(), ready('a', 0), ready('b', 1))
-	p.at(10*ms, free('a', 2), free('b', 2), job(1, 0, 0.3), job(2, 2, 0.3))
-	p.at(200*ms, HealthCheckResult{Worker: id('a'), Result: TimedOut, Latency: 150 * ms})
-	p.at(210*ms, p.end(1, 0, Succeeded))
+func Example_unansweredHealthChecks() {
+	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
+	h.handleAt(10*ms, freeSlotsResult('a', 2), freeSlotsResult('b', 2), arrival(1, 0, 0.3), arrival(2, 2, 0.3))
+	h.handleAt(200*ms, HealthCheckResult{Worker: workerID('a'), Result: TimedOut, Latency: 150 * ms})
+	h.handleAt(210*ms, h.outcome(1, 0, Succeeded))
 	// Output:
 	// 10ms 2 to a
 	// 10ms 1 to b
@@ -61,20 +61,20 @@
 
 // Broken connections and probes that fail at once may be the network's doing: the worker is asked again at once, and set
 // aside when that fails too, or when all that it gets breaks. What could not connect is not tried there again at once.
-func Example_brokenNetwork() {
-	p := start(shop(), ready('a', 0), ready('b', 1))
-	p.probes = true
-	refused := HealthCheckResult{Worker: id('a'), Result: Unreachable}
-	p.at(10*ms, free('a', 9), free('b', 2), job(1, 0, 0.3), job(2, 0, 0.3))
-	p.probes = false
-	p.at(40*ms, p.end(1, 0, ReusedConnectionBroken), HealthCheckResult{Worker: id('a'), Result: ReusedConnectionBroken})
-	p.at(50*ms, p.end(2, 0, ConnectionBroken))
-	p.at(60*ms, refused)
-	p.at(70*ms, free('a', 9))
-	p.at(80*ms, job(3, 2, 0.3))
-	p.at(90*ms, p.end(3, 0, Unreachable))
-	p.at(100*ms, refused)
-	p.at(120*ms, refused)
+func Example_brokenConnections() {
+	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
+	h.printHealthChecks = true
+	unreachable := HealthCheckResult{Worker: workerID('a'), Result: Unreachable}
+	h.handleAt(10*ms, freeSlotsResult('a', 9), freeSlotsResult('b', 2), arrival(1, 0, 0.3), arrival(2, 0, 0.3))
+	h.printHealthChecks = false
+	h.handleAt(40*ms, h.outcome(1, 0, ReusedConnectionBroken), HealthCheckResult{Worker: workerID('a'), Result: ReusedConnectionBroken})
+	h.handleAt(50*ms, h.outcome(2, 0, ConnectionBroken))
+	h.handleAt(60*ms, unreachable)
+	h.handleAt(70*ms, freeSlotsResult('a', 9))
+	h.handleAt(80*ms, arrival(3, 2, 0.3))
+	h.handleAt(90*ms, h.outcome(3, 0, Unreachable))
+	h.handleAt(100*ms, unreachable)
+	h.handleAt(120*ms, unreachable)
 	// Output:
 	// 10ms probes a
 	// 10ms probes b
@@ -88,17 +88,17 @@
 }
 
 // The worker that is avoided is counted while it is, and while it is listed.
-func Example_avoided() {
-	p := start(shop(), ready('a', 0), ready('b', 0))
-	p.quiet = true
-	p.at(10*ms, job(1, 0, 0.1))
-	p.at(20*ms, p.end(1, 0, Failed))
-	fmt.Println(p.d.Ejected(), p.lines)
-	gone := ready('b', 0)
+func Example_ejectedCount() {
+	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
+	h.collects = true
+	h.handleAt(10*ms, arrival(1, 0, 0.1))
+	h.handleAt(20*ms, h.outcome(1, 0, Failed))
+	fmt.Println(h.dispatcher.Ejected(), h.lines)
+	gone := readyEndpoint('b', 0)
 	gone.State = Gone
-	p.at(30*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{gone}})
-	fmt.Println(p.d.Ejected())
-	p.at(time.Second, TimerFired{})
+	h.handleAt(30*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{gone}})
+	fmt.Println(h.dispatcher.Ejected())
+	h.handleAt(time.Second, TimerFired{})
 	// Output:
 	// 1 [1 to b worker ejected worker=b reason="fails attempts" 1 to a]
 	// 0
--- a/dispatch/pool_test.go
+++ b/dispatch/pool_test.go
@@ -8,41 +8,41 @@
 )
 
 // fleet is a list of more workers than a pool starts with, in two zones.
-func fleet(n int) (list []Endpoint) {
-	for i := range n {
-		list = append(list, ready(byte(i+1), i%2))
+func readyEndpoints(count int) (endpoints []Endpoint) {
+	for i := range count {
+		endpoints = append(endpoints, readyEndpoint(byte(i+1), i%2))
 	}
-	return list
+	return endpoints
 }
 
 // A pool starts with few workers of many and is renewed by turns; one more joins when all are busy, within what the
 // probes can go round in. What drains leaves it at once.
-func Example_pool() {
-	p := start(shop(), fleet(200)...)
-	p.quiet = true
-	size := func(title string) { fmt.Printf("%s: %d of 200\n", title, len(p.d.scheduler.pool)) }
+func Example_poolRenewal() {
+	h := newHarness(testConfig(), readyEndpoints(200)...)
+	h.collects = true
+	size := func(title string) { fmt.Printf("%s: %d of 200\n", title, len(h.dispatcher.scheduler.pool)) }
 	answer := func(slots float64) {
-		for _, at := range slices.Clone(p.d.scheduler.pool) {
-			p.at(p.now+ms, free(byte(at+1), slots))
+		for _, at := range slices.Clone(h.dispatcher.scheduler.pool) {
+			h.handleAt(h.now+ms, freeSlotsResult(byte(at+1), slots))
 		}
 	}
 	size("at the start")
-	before := slices.Clone(p.d.scheduler.pool)
-	p.until(20 * time.Second)
+	before := slices.Clone(h.dispatcher.scheduler.pool)
+	h.runUntil(20 * time.Second)
 	slices.Sort(before)
-	after := slices.Sorted(slices.Values(p.d.scheduler.pool))
+	after := slices.Sorted(slices.Values(h.dispatcher.scheduler.pool))
 	size("after 20 s without invocations")
 	fmt.Println("the same workers:", slices.Equal(before, after))
 	answer(0)
 	for n := range InvocationID(5) {
-		p.at(p.now+100*ms, job(n+1, 2, 0.2))
+		h.handleAt(h.now+100*ms, arrival(n+1, 2, 0.2))
 		answer(0)
-		p.until(p.now + 2*tickInterval)
+		h.runUntil(h.now + 2*tickInterval)
 	}
 	size("five invocations while all are busy")
-	drains := p.d.records[p.d.scheduler.pool[0]].Endpoint
-	drains.State = Draining
-	p.at(p.now+ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{drains}})
+	draining := h.dispatcher.records[h.dispatcher.scheduler.pool[0]].Endpoint
+	draining.State = Draining
+	h.handleAt(h.now+ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{draining}})
 	size("one drains")
 	// Output:
 	// at the start: 16 of 200
@@ -53,23 +53,23 @@
 }
 
 // What an event costs must not grow with the fleet: the workers met and those that get notes are the same few.
-func Example_largeFleet() {
-	for _, n := range []int{50, 250} {
-		p := start(shop(), fleet(n)...)
-		p.quiet = true
-		reads := 0
-		for at := range p.d.records {
-			w := p.d.workerAt(at)
-			read := w.mailbox.handle
-			w.mailbox.handle = func(message workerMessage) { reads++; read(message) }
+func Example_eventCostOfLargeFleet() {
+	for _, workers := range []int{50, 250} {
+		h := newHarness(testConfig(), readyEndpoints(workers)...)
+		h.collects = true
+		messages := 0
+		for index := range h.dispatcher.records {
+			w := h.dispatcher.workerAt(index)
+			handle := w.mailbox.handle
+			w.mailbox.handle = func(message workerMessage) { messages++; handle(message) }
 		}
-		p.d.deliverMessages()
-		reads = 0
+		h.dispatcher.deliverMessages()
+		messages = 0
 		for i := range InvocationID(20) {
-			p.at(p.now+200*ms, job(i+1, 2, 0.1))
-			p.until(p.now + 2*tickInterval)
+			h.handleAt(h.now+200*ms, arrival(i+1, 2, 0.1))
+			h.runUntil(h.now + 2*tickInterval)
 		}
-		fmt.Println(n, "workers, notes that they read for an invocation:", reads/20)
+		fmt.Println(workers, "workers, notes that they read for an invocation:", messages/20)
 	}
 	// Output:
 	// 50 workers, notes that they read for an invocation: 36
@@ -78,34 +78,34 @@
 
 // Many workers start at once beside a small pool: those that the lot names to us are kept in it, and asked again every
 // 2 s and not whenever another one joins.
-func Example_enlargement() {
-	p := start(pooled(3, 0), fleet(20)...)
-	var cold []Endpoint
+func Example_manyRestartsBesideSmallPool() {
+	h := newHarness(gossipConfig(3, 0), readyEndpoints(20)...)
+	var starting []Endpoint
 	for n := range 60 {
-		e := ready(byte(100+n), 0)
+		e := readyEndpoint(byte(100+n), 0)
 		e.StartKnown, e.StartedAt, e.Incarnation = true, time.Second, uint64(n)
-		cold = append(cold, e)
+		starting = append(starting, e)
 	}
-	probes := 0
+	checks := 0
 	handle := func(now time.Duration, events ...Event) {
 		for pending := events; len(pending) > 0; {
 			next := []Event(nil)
-			for _, action := range p.d.Handle(now, pending) {
-				if probe, is := action.(HealthCheck); is {
-					probes++
-					a := free('a', 4)
-					a.Worker = probe.Worker
+			for _, action := range h.dispatcher.Handle(now, pending) {
+				if check, isCheck := action.(HealthCheck); isCheck {
+					checks++
+					a := freeSlotsResult('a', 4)
+					a.Worker = check.Worker
 					next = append(next, a)
 				}
 			}
 			pending, now = next, now+time.Microsecond
 		}
 	}
-	handle(time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: cold})
+	handle(time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: starting})
 	for now := time.Second; now < 5*time.Second; now += tickInterval {
-		handle(now, job(InvocationID(now), 0, 0.1))
+		handle(now, arrival(InvocationID(now), 0, 0.1))
 	}
-	fmt.Println("60 started, probes in 4 s under 300:", probes < 300)
+	fmt.Println("60 started, probes in 4 s under 300:", checks < 300)
 	// Output:
 	// 0s tells -1: anew
 	// 60 started, probes in 4 s under 300: true
@@ -113,16 +113,16 @@
 
 // What a scheduler does beside its invocations does not grow with the workers that have its work: 950 with 1,800 invocations
 // in hand read no more notes than 60 with 130.
-func TestNotesDoNotGrowWithFleet(t *testing.T) {
-	reads := func(workers int) (n int) {
-		w := cost(workers)
-		for at := range w.d.records {
-			in := &w.d.workerAt(at).mailbox
-			read := in.handle
-			in.handle = func(message workerMessage) { n++; read(message) }
+func TestMessagesDoNotGrowWithWorkers(t *testing.T) {
+	reads := func(workers int) (count int) {
+		s := newLoadedSimulation(workers)
+		for index := range s.dispatcher.records {
+			box := &s.dispatcher.workerAt(index).mailbox
+			handle := box.handle
+			box.handle = func(message workerMessage) { count++; handle(message) }
 		}
-		w.play(w.now + 10*time.Second)
-		return n
+		s.run(s.now + 10*time.Second)
+		return count
 	}
 	if few, many := reads(60), reads(950); many > few*5/4 {
 		t.Errorf("workers read %d notes at 60, %d at 950", few, many)
--- a/dispatch/random_history_test.go
+++ b/dispatch/random_history_test.go
@@ -8,207 +8,207 @@
 
 // history plays one instance on chance: what it decides is held against the effect classes and limits, which are kept here
 // once more in the plainest way.
-type history struct {
+type randomHistory struct {
 	*testing.T
-	rng    *rand.Rand
-	d      *Dispatcher
-	dep    Config
-	now    time.Duration
-	zones  map[WorkerID]int // as listed; the cell is the same
-	stands map[WorkerID]EndpointState
-	asked  []WorkerID // probes that are out
-	invs   map[InvocationID]*past
-	alive  []InvocationID // in order
-	counts map[string]int
+	rng           *rand.Rand
+	dispatcher    *Dispatcher
+	config        Config
+	now           time.Duration
+	zones         map[WorkerID]int // as listed; the cell is the same
+	states        map[WorkerID]EndpointState
+	pendingChecks []WorkerID // probes that are out
+	invocations   map[InvocationID]*historyInvocation
+	open          []InvocationID // in order
+	counts        map[string]int
 }
 
 // past is what has become of an invocation.
-type past struct {
-	op      int
-	over    bool // answered, or its client has left
-	givenUp time.Duration
-	tries   []pastTry
+type historyInvocation struct {
+	operation       int
+	closed          bool // answered, or its client has left
+	clientTimeoutAt time.Duration
+	attempts        []historyAttempt
 }
 
-type pastTry struct {
-	worker   WorkerID
-	zone     int
-	sent     time.Duration
-	out, ran bool
+type historyAttempt struct {
+	worker               WorkerID
+	zone                 int
+	sentAt               time.Duration
+	inFlight, mayHaveRun bool
 }
 
 // first is the first forward that may have run.
-func (p *past) first() *pastTry {
-	for n := range p.tries {
-		if t := &p.tries[n]; t.out || t.ran {
-			return t
+func (v *historyInvocation) firstThatMayHaveRun() *historyAttempt {
+	for n := range v.attempts {
+		if attempt := &v.attempts[n]; attempt.inFlight || attempt.mayHaveRun {
+			return attempt
 		}
 	}
 	return nil
 }
 
 // handle takes the actions of one moment.
-func (h *history) handle(events ...Event) {
-	for _, action := range h.d.Handle(h.now, events) {
+func (h *randomHistory) handle(events ...Event) {
+	for _, action := range h.dispatcher.Handle(h.now, events) {
 		switch a := action.(type) {
 		case HealthCheck:
-			h.asked = append(h.asked, a.Worker)
+			h.pendingChecks = append(h.pendingChecks, a.Worker)
 		case Forward:
 			h.forward(a)
 		case Throttle:
-			p := h.answered(a.Invocation)
-			o := h.dep.Operations[p.op]
-			if p.first() != nil && o.Effect != Idempotent && !(o.Effect == Deduplicated && o.DedupScope == ScopeAll) {
+			inv := h.answered(a.Invocation)
+			operation := h.config.Operations[inv.operation]
+			if inv.firstThatMayHaveRun() != nil && operation.Effect != Idempotent && !(operation.Effect == Deduplicated && operation.DedupScope == ScopeAll) {
 				h.Fatal(h.now, a, "throttled, and may have run")
 			}
 		case Fail:
 			h.answered(a.Invocation)
 		case Cancel:
-			if t := &h.invs[a.Invocation].tries[a.Attempt]; t.out {
-				h.handle(h.end(a.Invocation, a.Attempt, Cancelled))
+			if attempt := &h.invocations[a.Invocation].attempts[a.Attempt]; attempt.inFlight {
+				h.handle(h.outcome(a.Invocation, a.Attempt, Cancelled))
 			}
 		}
 	}
 }
 
-func (h *history) answered(id InvocationID) *past {
-	p := h.invs[id]
-	if p.over {
+func (h *randomHistory) answered(id InvocationID) *historyInvocation {
+	inv := h.invocations[id]
+	if inv.closed {
 		h.Fatal(h.now, id, "is answered a second time, or after its client has left")
 	}
-	p.over = true
+	inv.closed = true
 	h.counts["answered"]++
-	return p
+	return inv
 }
 
-func (h *history) forward(a Forward) {
-	p := h.invs[a.Invocation]
-	o, first, out := h.dep.Operations[p.op], p.first(), 0
-	for _, t := range p.tries {
-		if t.out {
-			out++
+func (h *randomHistory) forward(forward Forward) {
+	inv := h.invocations[forward.Invocation]
+	operation, first, inFlight := h.config.Operations[inv.operation], inv.firstThatMayHaveRun(), 0
+	for _, attempt := range inv.attempts {
+		if attempt.inFlight {
+			inFlight++
 		}
-		if t.worker == a.Worker && (t.out || t.ran) {
-			h.Fatal(h.now, a, "to the worker that has it or had it")
+		if attempt.worker == forward.Worker && (attempt.inFlight || attempt.mayHaveRun) {
+			h.Fatal(h.now, forward, "to the worker that has it or had it")
 		}
 	}
 	switch {
-	case p.over:
-		h.Fatal(h.now, a, "its client has its answer, or has left")
-	case h.now >= p.givenUp:
-		h.Fatal(h.now, a, "after the client timeout")
-	case h.stands[a.Worker] != Ready:
-		h.Fatal(h.now, a, "to a worker that is to get nothing")
-	case out >= h.dep.Limits.MaxInFlight || len(p.tries) >= h.dep.Limits.MaxAttempts:
-		h.Fatal(h.now, a, "beyond the limits")
-	case first == nil || o.Effect == Idempotent:
-		if a.NotAfter != 0 {
-			h.Fatal(h.now, a, "nothing bounds it")
-		}
-	case o.Effect == NonIdempotent:
-		h.Fatal(h.now, a, "may have run")
-	case h.now >= first.sent+o.DedupWindow || a.NotAfter != first.sent+o.DedupWindow:
-		h.Fatal(h.now, a, "past its window, or until another time:", first.sent, o.DedupWindow)
-	case o.DedupScope != ScopeAll && h.zones[a.Worker] != first.zone:
-		h.Fatal(h.now, a, "outside its group")
+	case inv.closed:
+		h.Fatal(h.now, forward, "its client has its answer, or has left")
+	case h.now >= inv.clientTimeoutAt:
+		h.Fatal(h.now, forward, "after the client timeout")
+	case h.states[forward.Worker] != Ready:
+		h.Fatal(h.now, forward, "to a worker that is to get nothing")
+	case inFlight >= h.config.Limits.MaxInFlight || len(inv.attempts) >= h.config.Limits.MaxAttempts:
+		h.Fatal(h.now, forward, "beyond the limits")
+	case first == nil || operation.Effect == Idempotent:
+		if forward.NotAfter != 0 {
+			h.Fatal(h.now, forward, "nothing bounds it")
+		}
+	case operation.Effect == NonIdempotent:
+		h.Fatal(h.now, forward, "may have run")
+	case h.now >= first.sentAt+operation.DedupWindow || forward.NotAfter != first.sentAt+operation.DedupWindow:
+		h.Fatal(h.now, forward, "past its window, or until another time:", first.sentAt, operation.DedupWindow)
+	case operation.DedupScope != ScopeAll && h.zones[forward.Worker] != first.zone:
+		h.Fatal(h.now, forward, "outside its group")
 	default:
 		h.counts["repeats"]++
 	}
-	p.tries = append(p.tries, pastTry{worker: a.Worker, zone: h.zones[a.Worker], sent: h.now, out: true})
+	inv.attempts = append(inv.attempts, historyAttempt{worker: forward.Worker, zone: h.zones[forward.Worker], sentAt: h.now, inFlight: true})
 	h.counts["forwards"]++
 }
 
-func (h *history) end(id InvocationID, fwd int, r Result) Outcome {
-	p := h.invs[id]
-	t := &p.tries[fwd]
-	t.out, t.ran = false, r != Rejected && r != Unreachable && r != NotSent
-	closed := p.over
-	if r == Succeeded {
-		p.over = true
+func (h *randomHistory) outcome(id InvocationID, number int, result Result) Outcome {
+	inv := h.invocations[id]
+	attempt := &inv.attempts[number]
+	attempt.inFlight, attempt.mayHaveRun = false, result != Rejected && result != Unreachable && result != NotSent
+	closed := inv.closed
+	if result == Succeeded {
+		inv.closed = true
 	}
-	return Outcome{Invocation: id, Worker: t.worker, Attempt: fwd, Result: r, Answered: closed || r == Succeeded}
+	return Outcome{Invocation: id, Worker: attempt.worker, Attempt: number, Result: result, Answered: closed || result == Succeeded}
 }
 
 // any is one of those that are held here or out; 0: there is none.
-func (h *history) any() InvocationID {
-	if len(h.alive) == 0 {
+func (h *randomHistory) randomOpen() InvocationID {
+	if len(h.open) == 0 {
 		return 0
 	}
-	n := h.rng.Intn(len(h.alive))
-	id := h.alive[n]
-	p := h.invs[id]
-	if p.over && p.first() == nil || p.over && h.now > p.givenUp {
-		h.alive = append(h.alive[:n], h.alive[n+1:]...)
+	n := h.rng.Intn(len(h.open))
+	id := h.open[n]
+	inv := h.invocations[id]
+	if inv.closed && inv.firstThatMayHaveRun() == nil || inv.closed && h.now > inv.clientTimeoutAt {
+		h.open = append(h.open[:n], h.open[n+1:]...)
 	}
 	return id
 }
 
-func (h *history) step(next *InvocationID) {
+func (h *randomHistory) step(next *InvocationID) {
 	h.now += time.Duration(h.rng.Intn(30)) * ms
 	names := []byte("abcdef")
-	worker := id(names[h.rng.Intn(len(names))])
+	worker := workerID(names[h.rng.Intn(len(names))])
 	switch h.rng.Intn(12) {
 	case 0, 1, 2:
 		*next++
-		a := job(*next, h.rng.Intn(len(h.dep.Operations)), 0.05+h.rng.Float64()/2)
+		a := arrival(*next, h.rng.Intn(len(h.config.Operations)), 0.05+h.rng.Float64()/2)
 		a.Budget = time.Duration(300+h.rng.Intn(4000)) * ms
-		h.invs[*next], h.alive = &past{op: a.Operation, givenUp: h.now + a.Budget}, append(h.alive, *next)
+		h.invocations[*next], h.open = &historyInvocation{operation: a.Operation, clientTimeoutAt: h.now + a.Budget}, append(h.open, *next)
 		h.handle(a)
 	case 3, 4:
-		if n := len(h.asked); n > 0 {
+		if n := len(h.pendingChecks); n > 0 {
 			load := UnknownLoad
 			load.FreeSlots = float64(h.rng.Intn(3)) + h.rng.Float64()/100
-			a := HealthCheckResult{Worker: h.asked[0], Result: []Result{Succeeded, Succeeded, Succeeded, ReusedConnectionBroken, TimedOut}[h.rng.Intn(5)], Latency: 20 * ms}
-			if h.asked = h.asked[1:]; a.Result == Succeeded {
+			a := HealthCheckResult{Worker: h.pendingChecks[0], Result: []Result{Succeeded, Succeeded, Succeeded, ReusedConnectionBroken, TimedOut}[h.rng.Intn(5)], Latency: 20 * ms}
+			if h.pendingChecks = h.pendingChecks[1:]; a.Result == Succeeded {
 				a.Load = &load
 			}
 			h.handle(a)
 		}
 	case 5, 6, 7:
-		if inv := h.any(); inv > 0 {
-			for fwd, t := range h.invs[inv].tries {
-				if t.out && h.rng.Intn(2) == 0 {
-					h.handle(h.end(inv, fwd, Result(h.rng.Intn(int(ReusedConnectionBroken)+1))))
+		if id := h.randomOpen(); id > 0 {
+			for number, attempt := range h.invocations[id].attempts {
+				if attempt.inFlight && h.rng.Intn(2) == 0 {
+					h.handle(h.outcome(id, number, Result(h.rng.Intn(int(ReusedConnectionBroken)+1))))
 					break
 				}
 			}
 		}
 	case 8:
-		if inv := h.any(); inv > 0 && !h.invs[inv].over && h.rng.Intn(3) == 0 {
-			h.invs[inv].over = true
+		if id := h.randomOpen(); id > 0 && !h.invocations[id].closed && h.rng.Intn(3) == 0 {
+			h.invocations[id].closed = true
 			h.counts["left"]++
-			h.handle(ClientDisconnected{Invocation: inv})
+			h.handle(ClientDisconnected{Invocation: id})
 		}
 	case 9:
-		h.stands[worker] = []EndpointState{Gone, Ready, Ready, Draining}[h.rng.Intn(4)]
-		if h.stands[worker] == Ready && h.rng.Intn(4) == 0 {
+		h.states[worker] = []EndpointState{Gone, Ready, Ready, Draining}[h.rng.Intn(4)]
+		if h.states[worker] == Ready && h.rng.Intn(4) == 0 {
 			h.zones[worker] = h.rng.Intn(2)
 		}
 		h.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{Worker: worker, Zone: h.zones[worker], Cell: h.zones[worker], Kind: -1,
-			State: h.stands[worker]}}})
+			State: h.states[worker]}}})
 	case 10:
 		if h.rng.Intn(5) == 0 {
-			h.dep.Limits.MaxAttempts, h.dep.Limits.MaxInFlight = 1+h.rng.Intn(4), 1+h.rng.Intn(2)
-			h.dep.Limits.Cancel = h.rng.Intn(2) == 0
-			from := []int{0, 1, 2, 3, 4}
-			h.handle(Reconfigured{Config: h.dep, PreviousOperations: from})
+			h.config.Limits.MaxAttempts, h.config.Limits.MaxInFlight = 1+h.rng.Intn(4), 1+h.rng.Intn(2)
+			h.config.Limits.Cancel = h.rng.Intn(2) == 0
+			previous := []int{0, 1, 2, 3, 4}
+			h.handle(Reconfigured{Config: h.config, PreviousOperations: previous})
 		}
 	case 11:
-		if inv := h.any(); inv > 0 {
+		if id := h.randomOpen(); id > 0 {
 			h.handle(TimerFired{}) // ages count back from the last moment
-			if r, held := h.d.MigrationRecord(inv); held {
+			if record, isOpen := h.dispatcher.MigrationRecord(id); isOpen {
 				h.counts["passed"]++
-				h.handle(MigratedOut{Invocation: inv})
-				way := time.Duration(h.rng.Intn(400)) * ms
-				h.now += way
-				h.handle(r.Aged(way))
+				h.handle(MigratedOut{Invocation: id})
+				age := time.Duration(h.rng.Intn(400)) * ms
+				h.now += age
+				h.handle(record.Aged(age))
 			}
 		}
 	}
-	for _, id := range h.alive { // client timeouts
-		for fwd, t := range h.invs[id].tries {
-			if t.out && h.now >= h.invs[id].givenUp {
-				h.handle(h.end(id, fwd, TimedOut))
+	for _, openID := range h.open { // client timeouts
+		for number, attempt := range h.invocations[openID].attempts {
+			if attempt.inFlight && h.now >= h.invocations[openID].clientTimeoutAt {
+				h.handle(h.outcome(openID, number, TimedOut))
 			}
 		}
 	}
@@ -218,29 +218,29 @@
 // Over random histories (outcomes of all kinds, silent workers, drains, moves, limits that change, clients that leave,
 // hand-overs) nothing is sent for a client that has left or has its answer, nor against an effect class, a window, a group,
 // a limit or the list.
-func TestNothingUnboundOverRandomHistories(t *testing.T) {
+func TestRulesHoldOverRandomHistories(t *testing.T) {
 	counts := map[string]int{}
 	for seed := range int64(60) {
-		dep := shop()
-		dep.NotifiesAccepted, dep.NotifiesStart = seed%2 == 0, seed%3 == 0
+		config := testConfig()
+		config.NotifiesAccepted, config.NotifiesStart = seed%2 == 0, seed%3 == 0
 		for _, scope := range []DedupScope{ScopeAll, ScopeCell} {
-			o := dep.Operations[1]
-			o.DedupScope = scope
-			dep.Operations = append(dep.Operations, o)
+			operation := config.Operations[1]
+			operation.DedupScope = scope
+			config.Operations = append(config.Operations, operation)
 		}
-		for n := range dep.Operations {
-			dep.Operations[n].DedupWindow, dep.Operations[n].LateWeight = time.Duration(seed%5)*400*ms, 0.5
+		for n := range config.Operations {
+			config.Operations[n].DedupWindow, config.Operations[n].LateWeight = time.Duration(seed%5)*400*ms, 0.5
 		}
-		h := &history{T: t, rng: rand.New(rand.NewSource(seed)), d: New(dep, seed), dep: dep, zones: map[WorkerID]int{},
-			stands: map[WorkerID]EndpointState{}, invs: map[InvocationID]*past{}, counts: counts}
-		var list []Endpoint
+		h := &randomHistory{T: t, rng: rand.New(rand.NewSource(seed)), dispatcher: New(config, seed), config: config, zones: map[WorkerID]int{},
+			states: map[WorkerID]EndpointState{}, invocations: map[InvocationID]*historyInvocation{}, counts: counts}
+		var endpoints []Endpoint
 		for n, name := range []byte("abcdef") {
-			e := ready(name, n%2)
-			e.Kind = -1
-			h.zones[e.Worker], h.stands[e.Worker] = e.Zone, Ready
-			list = append(list, e)
+			endpoint := readyEndpoint(name, n%2)
+			endpoint.Kind = -1
+			h.zones[endpoint.Worker], h.states[endpoint.Worker] = endpoint.Zone, Ready
+			endpoints = append(endpoints, endpoint)
 		}
-		h.handle(EndpointUpdate{Kind: FullUpdate, Endpoints: list})
+		h.handle(EndpointUpdate{Kind: FullUpdate, Endpoints: endpoints})
 		next := InvocationID(0)
 		for range 1500 {
 			h.step(&next)
--- a/dispatch/reconfigure_benchmark_test.go
+++ b/dispatch/reconfigure_benchmark_test.go
@@ -9,20 +9,20 @@
 )
 
 // BenchmarkRetuned has the decisions follow newer settings of so many operations.
-func BenchmarkRetuned(b *testing.B) {
+func BenchmarkReconfigured(b *testing.B) {
 	for _, n := range []int{71, 284, 1136, 2272, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d := dispatch.Config{Schedulers: 15, Operations: make([]dispatch.Operation, n)}
-			var from []int
-			for o := range n {
-				from = append(from, o)
+			deployment := dispatch.Config{Schedulers: 15, Operations: make([]dispatch.Operation, n)}
+			var previous []int
+			for operation := range n {
+				previous = append(previous, operation)
 			}
-			core := dispatch.New(d, 1)
-			core.Handle(1, []dispatch.Event{fleetOf(3800)})
+			dispatcher := dispatch.New(deployment, 1)
+			dispatcher.Handle(1, []dispatch.Event{fullUpdateOf(3800)})
 			now := time.Duration(2)
 			for b.Loop() {
 				now += time.Millisecond
-				core.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: d, PreviousOperations: from}})
+				dispatcher.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: deployment, PreviousOperations: previous}})
 			}
 		})
 	}
--- a/dispatch/recorded_history_test.go
+++ b/dispatch/recorded_history_test.go
@@ -14,11 +14,11 @@
 )
 
 var (
-	record  = flag.Bool("record", false, "write the recorded histories anew")
-	written = flag.String("written", "", "a history, as \"seed workers\", whose actions are written to standard output")
+	rewriteRecorded = flag.Bool("record", false, "write the recorded histories anew")
+	printHistory    = flag.String("written", "", "a history, as \"seed workers\", whose actions are written to standard output")
 )
 
-const recorded = "testdata/histories.txt"
+const recordedFile = "testdata/histories.txt"
 
 // recordedText is an action as the recorded histories have it.
 func recordedText(action Action) string {
@@ -74,65 +74,65 @@
 }
 
 // told plays one history and tells how many actions it had and what they hash to, with all that was learned at the end.
-func told(seed int64, workers int, span time.Duration, to *bufio.Writer) (actions int, sum uint64) {
-	w := newWorld(seed, workers, varied(seed))
-	w.rate = []float64{3, 15, 60}[seed%3] * float64(workers) / 12
+func playHistory(seed int64, workers int, span time.Duration, trace *bufio.Writer) (actions int, sum uint64) {
+	s := newSimulation(seed, workers, randomConfig(seed))
+	s.arrivalRate = []float64{3, 15, 60}[seed%3] * float64(workers) / 12
 	if workers > 100 {
-		w.rate = min(w.rate, 150)
+		s.arrivalRate = min(s.arrivalRate, 150)
 	}
-	w.share = []float64{0.2, 0.45, 0.05}[seed/3%3]
-	h := fnv.New64a()
-	w.seen = func(now time.Duration, a Action) {
+	s.otherLoad = []float64{0.2, 0.45, 0.05}[seed/3%3]
+	hash := fnv.New64a()
+	s.onAction = func(now time.Duration, a Action) {
 		actions++
 		text := recordedText(a)
-		fmt.Fprintf(h, "%d %s\n", now, text)
-		if to != nil {
-			fmt.Fprintf(to, "%v %s\n", now, text)
+		fmt.Fprintf(hash, "%d %s\n", now, text)
+		if trace != nil {
+			fmt.Fprintf(trace, "%v %s\n", now, text)
 		}
 	}
-	w.begin()
-	w.play(span)
-	l := w.d.Snapshot()
-	slices.SortFunc(l.Workers, func(a, b WorkerSnapshot) int {
+	s.start()
+	s.run(span)
+	snapshot := s.dispatcher.Snapshot()
+	slices.SortFunc(snapshot.Workers, func(a, b WorkerSnapshot) int {
 		return cmp.Or(a.Worker.Addr().Compare(b.Worker.Addr()), cmp.Compare(a.Worker.Port(), b.Worker.Port()))
 	})
-	fmt.Fprintf(h, "%v %d", l, w.d.Ejected())
-	if to != nil {
-		fmt.Fprintf(to, "%+v\n", l)
-		to.Flush()
+	fmt.Fprintf(hash, "%v %d", snapshot, s.dispatcher.Ejected())
+	if trace != nil {
+		fmt.Fprintf(trace, "%+v\n", snapshot)
+		trace.Flush()
 	}
-	return actions, h.Sum64()
+	return actions, hash.Sum64()
 }
 
 // The module does what the one before did, action for action, in histories that a seed draws: arrivals, outcomes, signs,
 // reports, lists with restarts, drains and departures, other schedulers' notes, new settings, successors, at small and
 // middling sizes. Where a change is meant to decide otherwise they are recorded anew (-record), and the commit says why.
-func TestHistories(t *testing.T) {
-	if *written != "" {
+func TestRecordedHistories(t *testing.T) {
+	if *printHistory != "" {
 		var seed int64
 		var workers int
-		fmt.Sscan(*written, &seed, &workers)
-		told(seed, workers, 12*time.Second, bufio.NewWriter(os.Stdout))
+		fmt.Sscan(*printHistory, &seed, &workers)
+		playHistory(seed, workers, 12*time.Second, bufio.NewWriter(os.Stdout))
 		return
 	}
 	var lines []string
 	for _, size := range []struct{ workers, seeds int }{{3, 12}, {12, 40}, {60, 10}, {240, 6}} {
 		for seed := range int64(size.seeds) {
 			seed += int64(1000 * size.workers)
-			n, sum := told(seed, size.workers, 12*time.Second, nil)
+			n, sum := playHistory(seed, size.workers, 12*time.Second, nil)
 			lines = append(lines, fmt.Sprintf("%d %d: %d actions %016x", seed, size.workers, n, sum))
 		}
 	}
-	if *record {
-		if err := os.WriteFile(recorded, []byte(strings.Join(lines, "\n")+"\n"), 0o666); err != nil {
+	if *rewriteRecorded {
+		if err := os.WriteFile(recordedFile, []byte(strings.Join(lines, "\n")+"\n"), 0o666); err != nil {
 			t.Fatal(err)
 		}
 	}
-	before, err := os.ReadFile(recorded)
+	recorded, err := os.ReadFile(recordedFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n, line := range strings.Split(strings.TrimSpace(string(before)), "\n") {
+	for n, line := range strings.Split(strings.TrimSpace(string(recorded)), "\n") {
 		if n >= len(lines) || lines[n] != line {
 			t.Errorf("recorded: %s, now: %s", line, lines[min(n, len(lines)-1)])
 		}
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -9,50 +9,50 @@
 
 // world plays one scheduler against workers, clients and other schedulers that a seed draws: whatever the interface can
 // bring comes in it. It uses the interface alone, so that any inner form of the module can be played.
-type world struct {
-	rng     *rand.Rand
-	dep     Config
-	seed    int64
-	d       *Dispatcher
-	now     time.Duration
-	queue   pending
-	serial  int
-	workers []*actor
-	at      map[WorkerID]*actor
-	invs    map[InvocationID]*client
-	last    InvocationID
-	due     time.Duration
-	seen    func(now time.Duration, a Action)
-	handled func(events int, took func())
-	rate    float64 // arrivals a second
-	hint    float64 // their mean
-	trouble float64 // 1: everything that may happen does
-	share   float64 // of the workers' slots that others have
-	names   int
+type simulation struct {
+	rng            *rand.Rand
+	config         Config
+	seed           int64
+	dispatcher     *Dispatcher
+	now            time.Duration
+	queue          pending
+	sequence       int
+	workers        []*simulatedWorker
+	workersByID    map[WorkerID]*simulatedWorker
+	clients        map[InvocationID]*simulatedClient
+	lastInvocation InvocationID
+	timerAt        time.Duration
+	onAction       func(now time.Duration, a Action)
+	aroundHandle   func(events int, took func())
+	arrivalRate    float64 // arrivals a second
+	meanHint       float64 // their mean
+	faults         float64 // 1: everything that may happen does
+	otherLoad      float64 // of the workers' slots that others have
+	workersAdded   int
 }
 
-type actor struct {
+type simulatedWorker struct {
 	Endpoint
-	slots, others  float64
-	speed          float64
-	inHand         int
-	hangs, frozen  bool
-	load           LoadReport
-	listed, silent bool
+	slots, otherSlots      float64
+	pace                   float64
+	inFlight               int
+	hangs, reportsFrozen   bool
+	lastReport             LoadReport
+	listed, reportsNothing bool
 }
 
-type client struct {
-	job   Arrival
-	came  time.Duration
-	tries []*attempt
-	done  bool
+type simulatedClient struct {
+	arrival  Arrival
+	came     time.Duration
+	attempts []*simulatedAttempt
+	answered bool
 }
 
-type attempt struct {
-	w       *actor
-	out     bool
-	work    float64
-	entered bool
+type simulatedAttempt struct {
+	worker       *simulatedWorker
+	inFlight     bool
+	work         float64
+	occupiesSlot bool
 }
 
 type pended struct {
@@ -80,300 +80,300 @@
 	return last
 }
 
-func (w *world) in(span time.Duration, e Event) {
-	w.serial++
-	heap.Push(&w.queue, pended{w.now + span, w.serial, e, nil})
+func (s *simulation) in(span time.Duration, e Event) {
+	s.sequence++
+	heap.Push(&s.queue, pended{s.now + span, s.sequence, e, nil})
 }
 
-func (w *world) then(span time.Duration, do func()) {
-	w.serial++
-	heap.Push(&w.queue, pended{w.now + span, w.serial, nil, do})
+func (s *simulation) after(span time.Duration, do func()) {
+	s.sequence++
+	heap.Push(&s.queue, pended{s.now + span, s.sequence, nil, do})
 }
 
-func (w *world) some(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rng.Int63n(int64(most-least)+1))
+func (s *simulation) randomSpan(least, most time.Duration) time.Duration {
+	return least + time.Duration(s.rng.Int63n(int64(most-least)+1))
 }
 
-func (w *world) chance(part float64) bool { return w.rng.Float64() < part }
+func (s *simulation) chance(part float64) bool { return s.rng.Float64() < part }
 
-func (w *world) join() *actor {
-	w.names++
-	a := &actor{slots: float64(1 + w.rng.Intn(8)), speed: 0.6 + w.rng.Float64()}
-	a.Endpoint = Endpoint{Worker: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(w.names >> 8), byte(w.names)}), 9), Zone: w.names % 3,
-		Kind: w.names % 2, Cell: w.names % 5, State: Ready, Incarnation: w.rng.Uint64()}
-	w.workers, w.at[a.Worker] = append(w.workers, a), a
+func (s *simulation) addWorker() *simulatedWorker {
+	s.workersAdded++
+	a := &simulatedWorker{slots: float64(1 + s.rng.Intn(8)), pace: 0.6 + s.rng.Float64()}
+	a.Endpoint = Endpoint{Worker: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(s.workersAdded >> 8), byte(s.workersAdded)}), 9), Zone: s.workersAdded % 3,
+		Kind: s.workersAdded % 2, Cell: s.workersAdded % 5, State: Ready, Incarnation: s.rng.Uint64()}
+	s.workers, s.workersByID[a.Worker] = append(s.workers, a), a
 	return a
 }
 
-func newWorld(seed int64, workers int, dep Config) *world {
-	w := &world{rng: rand.New(rand.NewSource(seed)), dep: dep, seed: seed, at: map[WorkerID]*actor{}, invs: map[InvocationID]*client{}, hint: 0.2,
-		trouble: 1, share: 0.3, seen: func(time.Duration, Action) {}, handled: func(_ int, do func()) { do() }}
-	w.d = New(dep, seed)
+func newSimulation(seed int64, workers int, config Config) *simulation {
+	s := &simulation{rng: rand.New(rand.NewSource(seed)), config: config, seed: seed, workersByID: map[WorkerID]*simulatedWorker{}, clients: map[InvocationID]*simulatedClient{}, meanHint: 0.2,
+		faults: 1, otherLoad: 0.3, onAction: func(time.Duration, Action) {}, aroundHandle: func(_ int, do func()) { do() }}
+	s.dispatcher = New(config, seed)
 	for range workers {
-		w.join().listed = true
+		s.addWorker().listed = true
 	}
-	return w
+	return s
 }
 
-func (w *world) whole() EndpointUpdate {
-	l := EndpointUpdate{Kind: FullUpdate}
-	for _, a := range w.workers {
+func (s *simulation) fullUpdate() EndpointUpdate {
+	update := EndpointUpdate{Kind: FullUpdate}
+	for _, a := range s.workers {
 		if a.State != Gone {
-			l.Endpoints = append(l.Endpoints, a.Endpoint)
+			update.Endpoints = append(update.Endpoints, a.Endpoint)
 		}
 	}
-	return l
+	return update
 }
 
 // handle hands events over and plays out what is asked for.
-func (w *world) handle(events ...Event) {
+func (s *simulation) handle(events ...Event) {
 	var actions []Action
-	w.handled(len(events), func() { actions = w.d.Handle(w.now, events) })
+	s.aroundHandle(len(events), func() { actions = s.dispatcher.Handle(s.now, events) })
 	for _, a := range actions {
-		w.seen(w.now, a)
+		s.onAction(s.now, a)
 		switch a := a.(type) {
 		case Forward:
-			w.forward(a)
+			s.forward(a)
 		case HealthCheck:
-			w.probe(w.at[a.Worker])
+			s.healthCheck(s.workersByID[a.Worker])
 		case Throttle:
-			w.invs[a.Invocation].done = true
+			s.clients[a.Invocation].answered = true
 		case Fail:
-			w.invs[a.Invocation].done = true
+			s.clients[a.Invocation].answered = true
 		case Cancel:
-			if t := w.invs[a.Invocation].tries[a.Attempt]; t.out {
-				w.end1(a.Invocation, a.Attempt, 2*ms, Cancelled)
+			if attempt := s.clients[a.Invocation].attempts[a.Attempt]; attempt.inFlight {
+				s.endAttempt(a.Invocation, a.Attempt, 2*ms, Cancelled)
 			}
 		case SetTimer:
-			w.due = a.At
-			w.then(max(0, a.At-w.now), func() {
-				if w.due <= w.now {
-					w.due = 1 << 62
-					w.handle(TimerFired{})
+			s.timerAt = a.At
+			s.after(max(0, a.At-s.now), func() {
+				if s.timerAt <= s.now {
+					s.timerAt = 1 << 62
+					s.handle(TimerFired{})
 				}
 			})
 		case WatchEndpoints:
-			if w.chance(0.3 * w.trouble) {
-				w.in(w.some(5*ms, 300*ms), EndpointUpdate{Kind: WatchFailed})
+			if s.chance(0.3 * s.faults) {
+				s.in(s.randomSpan(5*ms, 300*ms), EndpointUpdate{Kind: WatchFailed})
 			} else {
-				w.then(w.some(5*ms, 50*ms), func() { w.handle(w.whole()) })
+				s.after(s.randomSpan(5*ms, 50*ms), func() { s.handle(s.fullUpdate()) })
 			}
 		}
 	}
 }
 
-func (a *actor) report() *LoadReport {
-	if a.silent {
+func (w *simulatedWorker) loadReport() *LoadReport {
+	if w.reportsNothing {
 		return nil
 	}
-	if !a.frozen {
-		free := a.slots - a.others - float64(a.inHand)
-		a.load = LoadReport{FreeSlots: max(0, free), Queued: max(0, -free), InFlight: float64(a.inHand), Busy: a.others, ServiceTime: 0.1 * a.speed}
+	if !w.reportsFrozen {
+		free := w.slots - w.otherSlots - float64(w.inFlight)
+		w.lastReport = LoadReport{FreeSlots: max(0, free), Queued: max(0, -free), InFlight: float64(w.inFlight), Busy: w.otherSlots, ServiceTime: 0.1 * w.pace}
 	}
-	load := a.load
+	load := w.lastReport
 	return &load
 }
 
-func (w *world) probe(a *actor) {
+func (s *simulation) healthCheck(a *simulatedWorker) {
 	switch {
 	case a.hangs || a.State == Gone:
-		w.in(150*ms, HealthCheckResult{Worker: a.Worker, Result: TimedOut, Latency: 150 * ms})
-	case w.chance(0.02 * w.trouble):
-		w.in(w.some(0, 5*ms), HealthCheckResult{Worker: a.Worker, Result: []Result{Rejected, ReusedConnectionBroken, Unreachable}[w.rng.Intn(3)], Latency: 3 * ms})
+		s.in(150*ms, HealthCheckResult{Worker: a.Worker, Result: TimedOut, Latency: 150 * ms})
+	case s.chance(0.02 * s.faults):
+		s.in(s.randomSpan(0, 5*ms), HealthCheckResult{Worker: a.Worker, Result: []Result{Rejected, ReusedConnectionBroken, Unreachable}[s.rng.Intn(3)], Latency: 3 * ms})
 	default:
-		took := w.some(ms/2, 6*ms)
-		w.then(took, func() {
-			w.handle(HealthCheckResult{Worker: a.Worker, Result: Succeeded, Latency: took, Load: a.report()})
+		took := s.randomSpan(ms/2, 6*ms)
+		s.after(took, func() {
+			s.handle(HealthCheckResult{Worker: a.Worker, Result: Succeeded, Latency: took, Load: a.loadReport()})
 		})
 	}
 }
 
 // end1 ends a forward some time from now, if nothing else has by then.
-func (w *world) end1(id InvocationID, fwd int, span time.Duration, r Result) {
-	c := w.invs[id]
-	t := c.tries[fwd]
-	w.then(span, func() {
-		if !t.out {
+func (s *simulation) endAttempt(id InvocationID, number int, span time.Duration, result Result) {
+	c := s.clients[id]
+	attempt := c.attempts[number]
+	s.after(span, func() {
+		if !attempt.inFlight {
 			return
 		}
-		if t.out = false; t.entered {
-			t.w.inHand--
+		if attempt.inFlight = false; attempt.occupiesSlot {
+			attempt.worker.inFlight--
 		}
-		o := Outcome{Invocation: id, Worker: t.w.Worker, Attempt: fwd, Result: r}
-		if r == Succeeded {
-			o.Answered, c.done = !c.done, true
-			o.Load = t.w.report()
-		} else if r == Rejected {
-			o.Load = t.w.report()
+		outcome := Outcome{Invocation: id, Worker: attempt.worker.Worker, Attempt: number, Result: result}
+		if result == Succeeded {
+			outcome.Answered, c.answered = !c.answered, true
+			outcome.Load = attempt.worker.loadReport()
+		} else if result == Rejected {
+			outcome.Load = attempt.worker.loadReport()
 		}
-		w.handle(o)
+		s.handle(outcome)
 	})
 }
 
-func (w *world) forward(f Forward) {
-	c, a := w.invs[f.Invocation], w.at[f.Worker]
-	t := &attempt{w: a, out: true, work: c.job.Hint * a.speed * (0.5 + w.rng.Float64())}
-	n := len(c.tries)
-	c.tries = append(c.tries, t)
-	trouble := func(part float64) bool { return w.chance(part * w.trouble) }
+func (s *simulation) forward(forward Forward) {
+	c, a := s.clients[forward.Invocation], s.workersByID[forward.Worker]
+	attempt := &simulatedAttempt{worker: a, inFlight: true, work: c.arrival.Hint * a.pace * (0.5 + s.rng.Float64())}
+	number := len(c.attempts)
+	c.attempts = append(c.attempts, attempt)
+	fault := func(part float64) bool { return s.chance(part * s.faults) }
 	switch {
-	case a.State == Gone && w.chance(0.7), trouble(0.01):
-		w.end1(f.Invocation, n, w.some(ms, 400*ms), Unreachable)
-	case trouble(0.005):
-		w.end1(f.Invocation, n, ms, NotSent)
-	case trouble(0.005):
-		w.end1(f.Invocation, n, 3*ms, BadRequest)
-	case trouble(0.02), float64(a.inHand) > 2*a.slots:
-		w.end1(f.Invocation, n, 3*ms, Rejected)
-	case trouble(0.01):
-		w.end1(f.Invocation, n, 20*ms, Failed)
-	case trouble(0.01):
-		w.end1(f.Invocation, n, w.some(ms, 200*ms), ConnectionBroken)
-	case trouble(0.005):
-		w.end1(f.Invocation, n, 1500*ms, TimedOut)
-	case trouble(0.01), a.hangs:
+	case a.State == Gone && s.chance(0.7), fault(0.01):
+		s.endAttempt(forward.Invocation, number, s.randomSpan(ms, 400*ms), Unreachable)
+	case fault(0.005):
+		s.endAttempt(forward.Invocation, number, ms, NotSent)
+	case fault(0.005):
+		s.endAttempt(forward.Invocation, number, 3*ms, BadRequest)
+	case fault(0.02), float64(a.inFlight) > 2*a.slots:
+		s.endAttempt(forward.Invocation, number, 3*ms, Rejected)
+	case fault(0.01):
+		s.endAttempt(forward.Invocation, number, 20*ms, Failed)
+	case fault(0.01):
+		s.endAttempt(forward.Invocation, number, s.randomSpan(ms, 200*ms), ConnectionBroken)
+	case fault(0.005):
+		s.endAttempt(forward.Invocation, number, 1500*ms, TimedOut)
+	case fault(0.01), a.hangs:
 		return // nothing is heard of it
 	default:
-		wait := w.some(ms, 10*ms)
-		if free := a.slots - a.others - float64(a.inHand); free <= 0 {
-			wait += w.some(20*ms, 400*ms)
+		wait := s.randomSpan(ms, 10*ms)
+		if free := a.slots - a.otherSlots - float64(a.inFlight); free <= 0 {
+			wait += s.randomSpan(20*ms, 400*ms)
 		}
-		t.entered = true
-		a.inHand++
-		say := func(span time.Duration, sign AttemptProgress) {
-			sign.Invocation, sign.Worker, sign.Attempt = f.Invocation, f.Worker, n
-			w.then(span, func() {
-				if t.out && !a.hangs {
-					w.handle(sign)
+		attempt.occupiesSlot = true
+		a.inFlight++
+		report := func(span time.Duration, progress AttemptProgress) {
+			progress.Invocation, progress.Worker, progress.Attempt = forward.Invocation, forward.Worker, number
+			s.after(span, func() {
+				if attempt.inFlight && !a.hangs {
+					s.handle(progress)
 				}
 			})
 		}
-		if w.dep.NotifiesAccepted {
-			say(ms, AttemptProgress{Accepted: true})
+		if s.config.NotifiesAccepted {
+			report(ms, AttemptProgress{Accepted: true})
 		}
-		if w.dep.NotifiesStart {
-			say(wait, AttemptProgress{Started: true})
+		if s.config.NotifiesStart {
+			report(wait, AttemptProgress{Started: true})
 		}
-		run := seconds(t.work)
-		for at := w.dep.ProgressInterval; at > 0 && at < run; at += w.dep.ProgressInterval {
-			say(wait+at, AttemptProgress{Done: at.Seconds() / t.work})
+		run := seconds(attempt.work)
+		for at := s.config.ProgressInterval; at > 0 && at < run; at += s.config.ProgressInterval {
+			report(wait+at, AttemptProgress{Done: at.Seconds() / attempt.work})
 		}
-		if w.chance(0.02) {
-			w.then(wait+run/2, func() {
-				if t.out && !c.done {
-					c.done = true
-					w.handle(ResponseStarted{Invocation: f.Invocation, Attempt: n})
+		if s.chance(0.02) {
+			s.after(wait+run/2, func() {
+				if attempt.inFlight && !c.answered {
+					c.answered = true
+					s.handle(ResponseStarted{Invocation: forward.Invocation, Attempt: number})
 				}
 			})
 		}
-		w.end1(f.Invocation, n, wait+run, Succeeded)
+		s.endAttempt(forward.Invocation, number, wait+run, Succeeded)
 	}
 }
 
-func (w *world) arrive() {
-	w.last++
-	c := &client{came: w.now, job: Arrival{Invocation: w.last, Operation: w.rng.Intn(len(w.dep.Operations)), Tenant: w.rng.Intn(3),
-		Budget: w.some(seconds(4*w.hint), seconds(20*w.hint+1)), Hint: w.hint * w.rng.ExpFloat64(), Slots: 1}}
-	if w.trouble > 0 {
-		c.job.Slots = float64(1 + w.rng.Intn(10)/9)
+func (s *simulation) newArrival() {
+	s.lastInvocation++
+	c := &simulatedClient{came: s.now, arrival: Arrival{Invocation: s.lastInvocation, Operation: s.rng.Intn(len(s.config.Operations)), Tenant: s.rng.Intn(3),
+		Budget: s.randomSpan(seconds(4*s.meanHint), seconds(20*s.meanHint+1)), Hint: s.meanHint * s.rng.ExpFloat64(), Slots: 1}}
+	if s.faults > 0 {
+		c.arrival.Slots = float64(1 + s.rng.Intn(10)/9)
 	}
-	if w.chance(0.05 * w.trouble) {
-		c.job.Hint = 0
+	if s.chance(0.05 * s.faults) {
+		c.arrival.Hint = 0
 	}
-	id := w.last
-	w.invs[id] = c
-	w.then(c.job.Budget, func() {
-		if !c.done {
-			c.done = true
-			w.handle(ClientDisconnected{id})
+	id := s.lastInvocation
+	s.clients[id] = c
+	s.after(c.arrival.Budget, func() {
+		if !c.answered {
+			c.answered = true
+			s.handle(ClientDisconnected{id})
 		}
 	})
-	events := []Event{c.job}
-	for w.chance(0.1) { // more at the same moment
-		w.last++
-		more := &client{came: w.now, job: c.job}
-		more.job.Invocation, more.job.Hint = w.last, w.hint*w.rng.ExpFloat64()
-		w.invs[w.last] = more
-		events = append(events, more.job)
+	events := []Event{c.arrival}
+	for s.chance(0.1) { // more at the same moment
+		s.lastInvocation++
+		another := &simulatedClient{came: s.now, arrival: c.arrival}
+		another.arrival.Invocation, another.arrival.Hint = s.lastInvocation, s.meanHint*s.rng.ExpFloat64()
+		s.clients[s.lastInvocation] = another
+		events = append(events, another.arrival)
 	}
-	w.handle(events...)
+	s.handle(events...)
 }
 
 // change has a list change come.
-func (w *world) change() {
+func (s *simulation) changeEndpoints() {
 	var delta []Endpoint
-	for range 1 + w.rng.Intn(3) {
-		a := w.workers[w.rng.Intn(len(w.workers))]
-		switch w.rng.Intn(8) {
+	for range 1 + s.rng.Intn(3) {
+		a := s.workers[s.rng.Intn(len(s.workers))]
+		switch s.rng.Intn(8) {
 		case 0:
 			a.State = Draining
 		case 1:
 			a.State = Gone
 		case 2, 3, 4: // it restarts, perhaps some time ago
-			a.State, a.StartKnown, a.StartedAt, a.Incarnation, a.inHand = Ready, true, max(0, w.now-w.some(0, time.Second)), w.rng.Uint64(), 0
+			a.State, a.StartKnown, a.StartedAt, a.Incarnation, a.inFlight = Ready, true, max(0, s.now-s.randomSpan(0, time.Second)), s.rng.Uint64(), 0
 		case 5:
-			a = w.join()
-			a.StartKnown, a.StartedAt = true, w.now
+			a = s.addWorker()
+			a.StartKnown, a.StartedAt = true, s.now
 		case 6:
 			a.hangs = !a.hangs
 		case 7:
-			a.frozen = !a.frozen
+			a.reportsFrozen = !a.reportsFrozen
 		}
 		delta = append(delta, a.Endpoint)
 	}
-	if w.chance(0.2) {
-		w.handle(w.whole())
+	if s.chance(0.2) {
+		s.handle(s.fullUpdate())
 	} else {
-		w.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
+		s.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
 	}
 }
 
 // others has another scheduler tell something.
-func (w *world) others() {
-	n := GossipReceived{From: w.rng.Intn(w.dep.Schedulers + 1)}
-	for range 1 + w.rng.Intn(4) {
-		a := w.workers[w.rng.Intn(len(w.workers))]
-		n.Entries = append(n.Entries, GossipEntry{Kind: []GossipKind{GossipAttemptStarted, GossipAttemptEnded, GossipCapacityQuery, GossipCapacityReply, GossipCapacityReply, GossipAttemptStarted, GossipCapacityQuery, GossipAttemptEnded,
-			GossipRestarted}[w.rng.Intn(9-min(1, w.rng.Intn(10)))], Serial: uint8(w.rng.Intn(12)), Tag: workerTag(a.Worker)})
+func (s *simulation) receiveGossip() {
+	received := GossipReceived{From: s.rng.Intn(s.config.Schedulers + 1)}
+	for range 1 + s.rng.Intn(4) {
+		a := s.workers[s.rng.Intn(len(s.workers))]
+		received.Entries = append(received.Entries, GossipEntry{Kind: []GossipKind{GossipAttemptStarted, GossipAttemptEnded, GossipCapacityQuery, GossipCapacityReply, GossipCapacityReply, GossipAttemptStarted, GossipCapacityQuery, GossipAttemptEnded,
+			GossipRestarted}[s.rng.Intn(9-min(1, s.rng.Intn(10)))], Serial: uint8(s.rng.Intn(12)), Tag: workerTag(a.Worker)})
 	}
-	w.handle(n)
+	s.handle(received)
 }
 
-func (w *world) retune() {
-	dep := w.dep
-	dep.Operations = append([]Operation(nil), w.dep.Operations...)
-	from := make([]int, len(dep.Operations))
-	for i := range from {
-		from[i] = i
+func (s *simulation) reconfigure() {
+	config := s.config
+	config.Operations = append([]Operation(nil), s.config.Operations...)
+	previous := make([]int, len(config.Operations))
+	for i := range previous {
+		previous[i] = i
 	}
-	changed := dep.Operations[w.rng.Intn(len(dep.Operations))]
-	changed.PriorityWeight, changed.LatencyObjective = 1+w.rng.Float64(), w.some(100*ms, time.Second)
-	dep.Operations, from = append(dep.Operations, changed), append(from, w.rng.Intn(len(dep.Operations)+1)-1)
-	dep.Limits.MaxAttempts, dep.Limits.MaxInFlight = 2+w.rng.Intn(4), 1+w.rng.Intn(2)
-	w.dep = dep
-	w.handle(Reconfigured{Config: dep, PreviousOperations: from})
+	changed := config.Operations[s.rng.Intn(len(config.Operations))]
+	changed.PriorityWeight, changed.LatencyObjective = 1+s.rng.Float64(), s.randomSpan(100*ms, time.Second)
+	config.Operations, previous = append(config.Operations, changed), append(previous, s.rng.Intn(len(config.Operations)+1)-1)
+	config.Limits.MaxAttempts, config.Limits.MaxInFlight = 2+s.rng.Intn(4), 1+s.rng.Intn(2)
+	s.config = config
+	s.handle(Reconfigured{Config: config, PreviousOperations: previous})
 }
 
 // replace hands all that is known and held to a new instance.
-func (w *world) replace() {
-	lesson, old := w.d.Snapshot(), w.d
-	w.d = New(w.dep, w.seed+1000)
-	w.handle(w.whole())
-	events := []Event{SnapshotLoaded{lesson}}
-	for id := InvocationID(1); id <= w.last; id++ {
-		if r, held := old.MigrationRecord(id); held {
-			events = append(events, r)
+func (s *simulation) replaceDispatcher() {
+	snapshot, predecessor := s.dispatcher.Snapshot(), s.dispatcher
+	s.dispatcher = New(s.config, s.seed+1000)
+	s.handle(s.fullUpdate())
+	events := []Event{SnapshotLoaded{snapshot}}
+	for id := InvocationID(1); id <= s.lastInvocation; id++ {
+		if record, isOpen := predecessor.MigrationRecord(id); isOpen {
+			events = append(events, record)
 		}
 	}
-	w.handle(events...)
-	w.then(w.some(ms, 50*ms), func() { // and one goes on to yet another
-		for id := w.last; id > 0; id-- {
-			if _, held := w.d.MigrationRecord(id); held {
-				w.invs[id].done = true
-				for _, t := range w.invs[id].tries {
-					t.out = false
+	s.handle(events...)
+	s.after(s.randomSpan(ms, 50*ms), func() { // and one goes on to yet another
+		for id := s.lastInvocation; id > 0; id-- {
+			if _, isOpen := s.dispatcher.MigrationRecord(id); isOpen {
+				s.clients[id].answered = true
+				for _, t := range s.clients[id].attempts {
+					t.inFlight = false
 				}
-				w.handle(MigratedOut{id})
+				s.handle(MigratedOut{id})
 				return
 			}
 		}
@@ -381,83 +381,83 @@
 }
 
 // every has something happen again and again, at times that chance draws around a span.
-func (w *world) every(span time.Duration, do func()) {
-	var again func()
-	again = func() {
+func (s *simulation) repeat(span time.Duration, do func()) {
+	var next func()
+	next = func() {
 		do()
-		w.then(w.some(span/4, span*7/4), again)
+		s.after(s.randomSpan(span/4, span*7/4), next)
 	}
-	w.then(w.some(0, span), again)
+	s.after(s.randomSpan(0, span), next)
 }
 
-func (w *world) play(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		next := heap.Pop(&w.queue).(pended)
-		w.now = max(w.now, next.at)
+func (s *simulation) run(end time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		next := heap.Pop(&s.queue).(pended)
+		s.now = max(s.now, next.at)
 		if next.do != nil {
 			next.do()
 		} else {
-			w.handle(next.event)
+			s.handle(next.event)
 		}
 	}
-	w.now = until
+	s.now = end
 }
 
 // begin has all that may happen to a scheduler happen to it.
-func (w *world) begin() {
-	w.handle(w.whole())
-	w.then(0, func() { w.handle(TimerFired{}) })
-	if w.rate > 0 {
-		w.every(seconds(1/w.rate), w.arrive)
+func (s *simulation) start() {
+	s.handle(s.fullUpdate())
+	s.after(0, func() { s.handle(TimerFired{}) })
+	if s.arrivalRate > 0 {
+		s.repeat(seconds(1/s.arrivalRate), s.newArrival)
 	}
-	w.every(300*ms, func() {
-		for _, a := range w.workers {
-			a.others = float64(int(a.slots * w.share * 2 * w.rng.Float64()))
+	s.repeat(300*ms, func() {
+		for _, a := range s.workers {
+			a.otherSlots = float64(int(a.slots * s.otherLoad * 2 * s.rng.Float64()))
 		}
 	})
-	if w.trouble == 0 {
+	if s.faults == 0 {
 		return
 	}
-	w.every(400*ms, w.change)
-	if w.dep.Limits.Gossip {
-		w.every(15*ms, w.others)
+	s.repeat(400*ms, s.changeEndpoints)
+	if s.config.Limits.Gossip {
+		s.repeat(15*ms, s.receiveGossip)
 	}
-	w.every(3*time.Second, w.retune)
-	w.every(time.Second, func() {
-		w.handle(QuotaUpdate{Quotas: []Quota{{Tenant: w.rng.Intn(4), QuotaPerSecond: 5 * w.rng.Float64(), Reassigned: w.chance(0.3)}}})
+	s.repeat(3*time.Second, s.reconfigure)
+	s.repeat(time.Second, func() {
+		s.handle(QuotaUpdate{Quotas: []Quota{{Tenant: s.rng.Intn(4), QuotaPerSecond: 5 * s.rng.Float64(), Reassigned: s.chance(0.3)}}})
 	})
-	w.every(5*time.Second, w.replace)
-	w.every(4*time.Second, func() { // a zone restarts, or stops to report
-		zone, ceases := w.rng.Intn(3), w.chance(0.3)
+	s.repeat(5*time.Second, s.replaceDispatcher)
+	s.repeat(4*time.Second, func() { // a zone restarts, or stops to report
+		zone, reportsCease := s.rng.Intn(3), s.chance(0.3)
 		var delta []Endpoint
-		for _, a := range w.workers {
-			if a.silent = ceases && a.Zone == zone; a.Zone == zone && !ceases {
-				a.State, a.StartKnown, a.StartedAt, a.Incarnation, a.inHand = Ready, true, w.now, w.rng.Uint64(), 0
+		for _, a := range s.workers {
+			if a.reportsNothing = reportsCease && a.Zone == zone; a.Zone == zone && !reportsCease {
+				a.State, a.StartKnown, a.StartedAt, a.Incarnation, a.inFlight = Ready, true, s.now, s.rng.Uint64(), 0
 				delta = append(delta, a.Endpoint)
 			}
 		}
-		w.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
+		s.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
 	})
 }
 
 // varied is a deployment drawn from a seed.
-func varied(seed int64) Config {
-	rng, dep := rand.New(rand.NewSource(seed)), shop()
-	dep.Schedulers = []int{1, 2, 6, 20, 80}[rng.Intn(5)]
-	dep.Index = rng.Intn(dep.Schedulers)
-	dep.Zone, dep.EndpointsPushed = rng.Intn(3), rng.Intn(2) == 0
-	dep.NotifiesStart, dep.NotifiesAccepted = rng.Intn(2) == 0, rng.Intn(3) == 0
-	dep.ProgressInterval = []time.Duration{0, 200 * ms, 500 * ms}[rng.Intn(3)]
-	dep.Limits.Gossip = rng.Intn(2) == 0
-	dep.Limits.HealthChecks = rng.Intn(5) > 0
-	dep.Limits.Cancel = rng.Intn(4) > 0
-	dep.HealthCheckCost, dep.GossipCost = 0.003*rng.Float64(), 0.02*rng.Float64()
-	dep.Tenants, dep.ExcessValue = []Tenant{{QuotaPerSecond: 10}, {}, {QuotaPerSecond: 2}}, 0.3
-	dep.WorstOperationWeight = 0.5 * rng.Float64()
-	cell := dep.Operations[1]
+func randomConfig(seed int64) Config {
+	rng, config := rand.New(rand.NewSource(seed)), testConfig()
+	config.Schedulers = []int{1, 2, 6, 20, 80}[rng.Intn(5)]
+	config.Index = rng.Intn(config.Schedulers)
+	config.Zone, config.EndpointsPushed = rng.Intn(3), rng.Intn(2) == 0
+	config.NotifiesStart, config.NotifiesAccepted = rng.Intn(2) == 0, rng.Intn(3) == 0
+	config.ProgressInterval = []time.Duration{0, 200 * ms, 500 * ms}[rng.Intn(3)]
+	config.Limits.Gossip = rng.Intn(2) == 0
+	config.Limits.HealthChecks = rng.Intn(5) > 0
+	config.Limits.Cancel = rng.Intn(4) > 0
+	config.HealthCheckCost, config.GossipCost = 0.003*rng.Float64(), 0.02*rng.Float64()
+	config.Tenants, config.ExcessValue = []Tenant{{QuotaPerSecond: 10}, {}, {QuotaPerSecond: 2}}, 0.3
+	config.WorstOperationWeight = 0.5 * rng.Float64()
+	cell := config.Operations[1]
 	cell.DedupScope, cell.DedupWindow, cell.LateWeight = ScopeCell, 500*ms, 0.3
-	kind := dep.Operations[0]
+	kind := config.Operations[0]
 	kind.WorkerKind = 1
-	dep.Operations = append(dep.Operations, cell, kind)
-	return dep
+	config.Operations = append(config.Operations, cell, kind)
+	return config
 }
--- a/dispatch/slowstart_simulation_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -19,431 +19,435 @@
 // span of the settings' length, from all of them, is held against what it bears: N + 2 root N + 2 requests of mean work.
 
 var (
-	coldSeeds = flag.Int("cold.seeds", 1, "seeds of each row of TestColdFleet")
-	coldFirst = flag.Int("cold.first", 0, "seeds that it passes over")
-	coldRows  = flag.String("cold.rows", "", "only rows with this in their name and number of schedulers")
+	slowStartSeeds     = flag.Int("cold.seeds", 1, "seeds of each row of TestColdFleet")
+	slowStartFirstSeed = flag.Int("cold.first", 0, "seeds that it passes over")
+	slowStartFilter    = flag.String("cold.rows", "", "only rows with this in their name and number of schedulers")
 )
 
 // coldRow is one trouble. told is the number of schedulers that each is told, as a part of the true one.
-type coldRow struct {
-	name         string
-	schedulers   int
-	told         float64
-	fresh        bool    // half of the schedulers start anew as the workers do
-	rough        bool    // hints are off by up to ten, either way, each on its own
-	bias         float64 // all hints are off by this
-	slow         float64 // the cold workers' pace; the settings don't know it
-	lost         bool    // three probes in ten are lost, the rest come late, with reports 0.5 s old
-	unnumbered   bool    // schedulers aren't told their own number
-	tells, mixed bool    // they may tell one another; only every other one is told wrongly
-	wide         bool    // small requests, large workers: N is large
+type slowStartScenario struct {
+	name                  string
+	schedulers            int
+	toldFactor            float64
+	halfRestart           bool    // half of the schedulers start anew as the workers do
+	roughHints            bool    // hints are off by up to ten, either way, each on its own
+	hintFactor            float64 // all hints are off by this
+	startingPace          float64 // the cold workers' pace; the settings don't know it
+	checksLost            bool    // three probes in ten are lost, the rest come late, with reports 0.5 s old
+	unnumbered            bool    // schedulers aren't told their own number
+	gossip, halfToldRight bool    // they may tell one another; only every other one is told wrongly
+	largeWorkers          bool    // small requests, large workers: N is large
 }
 
 // frozen is how long reports that show all free are shown, in seconds.
-const frozen = 1000
+const frozenReportAge = 1000
 
 // rate is how many requests a second come at most before the burst, and how many to a scheduler.
-const rate, each = 200, 4
+const burstRate, ratePerScheduler = 200, 4
 
 // hard are the sites of the first seeds: N is about 1, 5, 10 and 20; all is frozen and most is cold. The rest is drawn.
-var hard = []struct {
+var hardCases = []struct {
 	cores int
 	mean  float64
 }{{2, 0.6}, {4, 0.25}, {8, 0.25}, {16, 0.25}}
 
-type coldEvent struct {
-	at  time.Duration
-	seq int
-	do  func()
+type scheduledCall struct {
+	at       time.Duration
+	sequence int
+	do       func()
 }
 
-type coldQueue []coldEvent
+type callQueue []scheduledCall
 
-func (q coldQueue) Len() int { return len(q) }
+func (q callQueue) Len() int { return len(q) }
 
-func (q coldQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (q callQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
-func (q coldQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *coldQueue) Push(e any) { *q = append(*q, e.(coldEvent)) }
+func (q *callQueue) Push(e any) { *q = append(*q, e.(scheduledCall)) }
 
-func (q *coldQueue) Pop() any {
+func (q *callQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return e
 }
 
-type coldSend struct {
+type slowStartSend struct {
 	at   time.Duration
 	work float64
 }
 
-type coldWorker struct {
-	entry         Endpoint
-	slow          float64 // times the usual running time
-	running       int
-	waiting       []func()
-	sends         []coldSend
-	shown         LoadReport
-	shownAt       time.Duration
-	served, spent float64
+type slowStartWorker struct {
+	endpoint        Endpoint
+	pace            float64 // times the usual running time
+	running         int
+	queued          []func()
+	sends           []slowStartSend
+	lastReport      LoadReport
+	reportedAt      time.Duration
+	served, runTime float64
 }
 
-type coldScheduler struct {
-	d     *Dispatcher
-	start time.Duration
-	wake  time.Duration
-	life  int
-	jobs  map[InvocationID]float64
+type slowStartScheduler struct {
+	dispatcher  *Dispatcher
+	startedAt   time.Duration
+	timerAt     time.Duration
+	incarnation int
+	work        map[InvocationID]float64
 }
 
 // coldFleet is the whole world of one play.
-type coldFleet struct {
-	coldRow
-	rng        *rand.Rand
-	now        time.Duration
-	queue      coldQueue
-	seq        int
-	dep        Config
-	cores      int
-	mean, load float64
-	burst      float64       // of the load that all would bear warm
-	late       time.Duration // how old reports are; those of frozen ones show all free for ever
-	list       []*coldWorker
-	at         map[WorkerID]*coldWorker
-	schedulers []*coldScheduler
-	inv        InvocationID
-	cold       int // workers that start cold
+type slowStartSimulation struct {
+	slowStartScenario
+	rng             *rand.Rand
+	now             time.Duration
+	queue           callQueue
+	sequence        int
+	config          Config
+	cores           int
+	meanWork, load  float64
+	burst           float64       // of the load that all would bear warm
+	reportAge       time.Duration // how old reports are; those of frozen ones show all free for ever
+	workers         []*slowStartWorker
+	workersByID     map[WorkerID]*slowStartWorker
+	schedulers      []*slowStartScheduler
+	lastInvocation  InvocationID
+	startingWorkers int // workers that start cold
 }
 
-func (f *coldFleet) after(wait time.Duration, do func()) {
-	f.seq++
-	heap.Push(&f.queue, coldEvent{f.now + wait, f.seq, do})
+func (s *slowStartSimulation) after(wait time.Duration, do func()) {
+	s.sequence++
+	heap.Push(&s.queue, scheduledCall{s.now + wait, s.sequence, do})
 }
 
 // warmth is a worker's part of its capacity: it starts at the least that the settings name.
-func (f *coldFleet) warmth(w *coldWorker, at time.Duration) float64 {
-	age := at - w.entry.StartedAt
-	if !w.entry.StartKnown || age >= f.dep.Rules.SlowStartDuration {
+func (s *slowStartSimulation) warmUpWeight(w *slowStartWorker, at time.Duration) float64 {
+	age := at - w.endpoint.StartedAt
+	if !w.endpoint.StartKnown || age >= s.config.Rules.SlowStartDuration {
 		return 1
 	}
-	from := f.dep.Rules.SlowStartFrom
-	return from + (1-from)*max(0, age.Seconds()/f.dep.Rules.SlowStartDuration.Seconds())
+	from := s.config.Rules.SlowStartFrom
+	return from + (1-from)*max(0, age.Seconds()/s.config.Rules.SlowStartDuration.Seconds())
 }
 
-func newColdFleet(row coldRow, seed int64) *coldFleet {
-	f := &coldFleet{coldRow: row, rng: rand.New(rand.NewSource(seed)), at: map[WorkerID]*coldWorker{}}
-	pick := func(from ...float64) float64 { return from[f.rng.Intn(len(from))] }
-	f.cores, f.mean, f.load = int(pick(2, 4, 8, 16)), pick(0.1, 0.25, 0.6), pick(0.5, 0.65, 0.8)
-	f.burst, f.late = pick(1, 1.5, 2), seconds(pick(0, 0.5, frozen))
-	if f.dep = shop(); f.lost {
-		f.late = 500 * ms
+func newSlowStartSimulation(scenario slowStartScenario, seed int64) *slowStartSimulation {
+	s := &slowStartSimulation{slowStartScenario: scenario, rng: rand.New(rand.NewSource(seed)), workersByID: map[WorkerID]*slowStartWorker{}}
+	choose := func(from ...float64) float64 { return from[s.rng.Intn(len(from))] }
+	s.cores, s.meanWork, s.load = int(choose(2, 4, 8, 16)), choose(0.1, 0.25, 0.6), choose(0.5, 0.65, 0.8)
+	s.burst, s.reportAge = choose(1, 1.5, 2), seconds(choose(0, 0.5, frozenReportAge))
+	if s.config = testConfig(); s.checksLost {
+		s.reportAge = 500 * ms
 	}
-	if f.wide {
-		f.cores, f.mean = int(pick(16, 32)), pick(0.1, 0.15)
+	if s.largeWorkers {
+		s.cores, s.meanWork = int(choose(16, 32)), choose(0.1, 0.15)
 	}
-	f.dep.Rules.SlowStartFrom, f.dep.Rules.OverloadWindow = pick(0.13, 0.3), seconds(pick(1, 1.5, 3))
-	f.dep.Rules.OverloadFactor, f.dep.Rules.SlowStartDuration = pick(2.5, 4), seconds(pick(9, 23))
-	f.dep.Operations = f.dep.Operations[:1]
-	f.dep.Operations[0].LatencyObjective, f.dep.Operations[0].LateWeight = time.Second, 0.3
-	f.dep.Schedulers, f.dep.Limits.Gossip = max(1, int(math.Round(f.told*float64(f.coldRow.schedulers)))), f.tells
-	part := pick(0, 0.15, 0.35, 0.6)
-	if h := hard[(seed-1)%int64(len(hard))]; seed <= 2*int64(len(hard)) {
-		if f.burst, f.load, part, f.late = 1.2, 0.8, 0.6, seconds(frozen); !f.wide {
-			f.cores, f.mean = h.cores, h.mean
+	s.config.Rules.SlowStartFrom, s.config.Rules.OverloadWindow = choose(0.13, 0.3), seconds(choose(1, 1.5, 3))
+	s.config.Rules.OverloadFactor, s.config.Rules.SlowStartDuration = choose(2.5, 4), seconds(choose(9, 23))
+	s.config.Operations = s.config.Operations[:1]
+	s.config.Operations[0].LatencyObjective, s.config.Operations[0].LateWeight = time.Second, 0.3
+	s.config.Schedulers, s.config.Limits.Gossip = max(1, int(math.Round(s.toldFactor*float64(s.slowStartScenario.schedulers)))), s.gossip
+	startingPart := choose(0, 0.15, 0.35, 0.6)
+	if hardCase := hardCases[(seed-1)%int64(len(hardCases))]; seed <= 2*int64(len(hardCases)) {
+		if s.burst, s.load, startingPart, s.reportAge = 1.2, 0.8, 0.6, seconds(frozenReportAge); !s.largeWorkers {
+			s.cores, s.meanWork = hardCase.cores, hardCase.mean
 		}
-		f.dep.Rules.SlowStartFrom, f.dep.Rules.OverloadFactor, f.dep.Rules.OverloadWindow = 0.13, 2.5, time.Second
+		s.config.Rules.SlowStartFrom, s.config.Rules.OverloadFactor, s.config.Rules.OverloadWindow = 0.13, 2.5, time.Second
 	}
-	workers := max(9, min(150, int(max(rate, each*float64(row.schedulers))*f.mean/f.load)/f.cores))
+	workers := max(9, min(150, int(max(burstRate, ratePerScheduler*float64(scenario.schedulers))*s.meanWork/s.load)/s.cores))
 	for n := range workers {
-		f.add(n, false)
+		s.addWorker(n, false)
 	}
-	f.cold = max(1, int(part*float64(workers)))
-	for range row.schedulers {
-		f.schedulers = append(f.schedulers, &coldScheduler{})
+	s.startingWorkers = max(1, int(startingPart*float64(workers)))
+	for range scenario.schedulers {
+		s.schedulers = append(s.schedulers, &slowStartScheduler{})
 	}
-	return f
+	return s
 }
 
-func (f *coldFleet) add(n int, cold bool) {
-	id := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 1)
-	w := &coldWorker{slow: 1, entry: Endpoint{Worker: id, Zone: n % 3, Cell: n % 3, State: Ready}}
-	if cold {
-		w.entry.StartKnown, w.entry.StartedAt, w.entry.Incarnation = true, f.now, f.rng.Uint64()
-		w.slow = cmp.Or(f.slow, 1)
+func (s *slowStartSimulation) addWorker(number int, starting bool) {
+	worker := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1)
+	w := &slowStartWorker{pace: 1, endpoint: Endpoint{Worker: worker, Zone: number % 3, Cell: number % 3, State: Ready}}
+	if starting {
+		w.endpoint.StartKnown, w.endpoint.StartedAt, w.endpoint.Incarnation = true, s.now, s.rng.Uint64()
+		w.pace = cmp.Or(s.startingPace, 1)
 	}
-	f.list, f.at[id] = append(f.list, w), w
+	s.workers, s.workersByID[worker] = append(s.workers, w), w
 }
 
 // begin starts a scheduler, or starts it anew: what it had in hand is forgotten.
-func (f *coldFleet) begin(n int) {
-	s, dep := f.schedulers[n], f.dep
-	if dep.Index, dep.Zone = n, n%3; f.unnumbered {
-		dep.Index = -1
+func (s *slowStartSimulation) startScheduler(number int) {
+	scheduler, config := s.schedulers[number], s.config
+	if config.Index, config.Zone = number, number%3; s.unnumbered {
+		config.Index = -1
 	}
-	if f.mixed && n%2 == 0 {
-		dep.Schedulers = len(f.schedulers)
+	if s.halfToldRight && number%2 == 0 {
+		config.Schedulers = len(s.schedulers)
 	}
-	*s = coldScheduler{d: New(dep, f.rng.Int63()), start: f.now, life: s.life + 1, jobs: map[InvocationID]float64{}}
-	f.hand(n, f.whole(s))
+	*scheduler = slowStartScheduler{dispatcher: New(config, s.rng.Int63()), startedAt: s.now, incarnation: scheduler.incarnation + 1, work: map[InvocationID]float64{}}
+	s.handle(number, s.fullUpdate(scheduler))
 }
 
 // whole is the list with its times told as since that scheduler's start.
-func (f *coldFleet) whole(s *coldScheduler) EndpointUpdate {
-	l := EndpointUpdate{Kind: FullUpdate}
-	for _, w := range f.list {
-		e := w.entry
-		e.StartedAt -= s.start
-		l.Endpoints = append(l.Endpoints, e)
+func (s *slowStartSimulation) fullUpdate(scheduler *slowStartScheduler) EndpointUpdate {
+	update := EndpointUpdate{Kind: FullUpdate}
+	for _, w := range s.workers {
+		e := w.endpoint
+		e.StartedAt -= scheduler.startedAt
+		update.Endpoints = append(update.Endpoints, e)
 	}
-	return l
+	return update
 }
 
 // tell hands an event to the same life of a scheduler later; a message goes by its number alone.
-func (f *coldFleet) tell(n int, wait time.Duration, e Event) {
-	life := f.schedulers[n].life
-	f.after(wait, func() {
-		if _, message := e.(GossipReceived); message || f.schedulers[n].life == life {
-			f.hand(n, e)
+func (s *slowStartSimulation) deliver(number int, wait time.Duration, event Event) {
+	incarnation := s.schedulers[number].incarnation
+	s.after(wait, func() {
+		if _, isGossip := event.(GossipReceived); isGossip || s.schedulers[number].incarnation == incarnation {
+			s.handle(number, event)
 		}
 	})
 }
 
-func (f *coldFleet) hand(n int, e Event) {
-	s := f.schedulers[n]
-	wire := time.Duration(200+f.rng.Intn(800)) * time.Microsecond
-	for _, action := range s.d.Handle(f.now-s.start, []Event{e}) {
+func (s *slowStartSimulation) handle(number int, event Event) {
+	scheduler := s.schedulers[number]
+	latency := time.Duration(200+s.rng.Intn(800)) * time.Microsecond
+	for _, action := range scheduler.dispatcher.Handle(s.now-scheduler.startedAt, []Event{event}) {
 		switch a := action.(type) {
 		case Forward:
-			f.forward(n, a, wire)
+			s.forward(number, a, latency)
 		case HealthCheck:
-			w, wait := f.at[a.Worker], 2*wire
-			if f.lost {
-				wait += time.Duration(f.rng.Intn(300)) * ms
+			w, wait := s.workersByID[a.Worker], 2*latency
+			if s.checksLost {
+				wait += time.Duration(s.rng.Intn(300)) * ms
 			}
-			if f.lost && f.rng.Float64() < 0.3 {
-				f.tell(n, 300*ms, HealthCheckResult{Worker: a.Worker, Result: TimedOut, Latency: 300 * ms})
+			if s.checksLost && s.rng.Float64() < 0.3 {
+				s.deliver(number, 300*ms, HealthCheckResult{Worker: a.Worker, Result: TimedOut, Latency: 300 * ms})
 			} else {
-				f.tell(n, wait, HealthCheckResult{Worker: a.Worker, Result: Succeeded, Latency: wait, Load: f.report(w)})
+				s.deliver(number, wait, HealthCheckResult{Worker: a.Worker, Result: Succeeded, Latency: wait, Load: s.loadReport(w)})
 			}
 		case SetTimer:
-			if s.wake = a.At; true {
+			if scheduler.timerAt = a.At; true {
 				at := a.At
-				f.after(a.At-(f.now-s.start), func() {
-					if f.schedulers[n].wake == at {
-						f.hand(n, TimerFired{})
+				s.after(a.At-(s.now-scheduler.startedAt), func() {
+					if s.schedulers[number].timerAt == at {
+						s.handle(number, TimerFired{})
 					}
 				})
 			}
 		case SendGossip:
-			for to := range f.schedulers {
-				if to == a.To || a.To < 0 && to != n {
-					f.tell(to, wire, GossipReceived{From: n, Entries: a.Entries})
+			for to := range s.schedulers {
+				if to == a.To || a.To < 0 && to != number {
+					s.deliver(to, latency, GossipReceived{From: number, Entries: a.Entries})
 				}
 			}
 		case Throttle:
-			delete(s.jobs, a.Invocation)
+			delete(scheduler.work, a.Invocation)
 		case Fail:
-			delete(s.jobs, a.Invocation)
+			delete(scheduler.work, a.Invocation)
 		}
 	}
 }
 
-func (f *coldFleet) report(w *coldWorker) *LoadReport {
-	if w.shownAt > 0 && f.now < w.shownAt+f.late {
-		shown := w.shown
+func (s *slowStartSimulation) loadReport(w *slowStartWorker) *LoadReport {
+	if w.reportedAt > 0 && s.now < w.reportedAt+s.reportAge {
+		shown := w.lastReport
 		return &shown
 	}
 	load := UnknownLoad
-	load.FreeSlots, load.Queued = float64(f.cores-w.running), float64(len(w.waiting))
+	load.FreeSlots, load.Queued = float64(s.cores-w.running), float64(len(w.queued))
 	load.InFlight, load.Busy = load.Queued+float64(w.running), float64(w.running)
 	if w.served > 0 {
-		load.ServiceTime = w.spent / w.served
+		load.ServiceTime = w.runTime / w.served
 	}
-	w.shown, w.shownAt = load, f.now
+	w.lastReport, w.reportedAt = load, s.now
 	return &load
 }
 
-func (f *coldFleet) forward(n int, a Forward, wire time.Duration) {
-	w, s := f.at[a.Worker], f.schedulers[n]
-	work, known := s.jobs[a.Invocation]
+func (s *slowStartSimulation) forward(number int, forward Forward, latency time.Duration) {
+	w, scheduler := s.workersByID[forward.Worker], s.schedulers[number]
+	work, known := scheduler.work[forward.Invocation]
 	if !known {
-		panic(fmt.Sprintf("%d was sent after its end", a.Invocation))
+		panic(fmt.Sprintf("%d was sent after its end", forward.Invocation))
 	}
-	w.sends = append(w.sends, coldSend{f.now, work})
-	out := Outcome{Invocation: a.Invocation, Worker: a.Worker, Attempt: a.Forward(s), Result: Rejected}
-	if len(w.waiting) >= 2*f.cores {
-		out.Load = f.report(w)
-		f.tell(n, 2*wire, out)
+	w.sends = append(w.sends, slowStartSend{s.now, work})
+	outcome := Outcome{Invocation: forward.Invocation, Worker: forward.Worker, Attempt: forward.Forward(scheduler), Result: Rejected}
+	if len(w.queued) >= 2*s.cores {
+		outcome.Load = s.loadReport(w)
+		s.deliver(number, 2*latency, outcome)
 		return
 	}
 	run := func() {
-		took := seconds(work * w.slow / f.warmth(w, f.now))
+		elapsed := seconds(work * w.pace / s.warmUpWeight(w, s.now))
 		w.running++
-		f.after(took, func() {
+		s.after(elapsed, func() {
 			w.running--
-			w.served, w.spent = w.served+1, w.spent+took.Seconds()
-			if len(w.waiting) > 0 {
-				next := w.waiting[0]
-				w.waiting = w.waiting[1:]
+			w.served, w.runTime = w.served+1, w.runTime+elapsed.Seconds()
+			if len(w.queued) > 0 {
+				next := w.queued[0]
+				w.queued = w.queued[1:]
 				next()
 			}
-			out.Result, out.Answered, out.Load = Succeeded, true, f.report(w)
-			f.tell(n, wire, out)
+			outcome.Result, outcome.Answered, outcome.Load = Succeeded, true, s.loadReport(w)
+			s.deliver(number, latency, outcome)
 		})
 	}
-	if w.running < f.cores {
+	if w.running < s.cores {
 		run()
 	} else {
-		w.waiting = append(w.waiting, run)
+		w.queued = append(w.queued, run)
 	}
 }
 
 // Forward's number among those of its invocation.
-func (a Forward) Forward(s *coldScheduler) int {
-	return len(s.d.scheduler.invocations[s.d.invocationIndex[a.Invocation]].attempts) - 1
+func (a Forward) Forward(s *slowStartScheduler) int {
+	return len(s.dispatcher.scheduler.invocations[s.dispatcher.invocationIndex[a.Invocation]].attempts) - 1
 }
 
 // arrive has one request come to some scheduler, and the next one after it.
-func (f *coldFleet) arrive(burst, until time.Duration) {
-	rate := f.load * float64(f.cores*len(f.list)) / f.mean
-	if f.now >= burst {
-		rate *= float64(len(f.list)-f.cold) / float64(len(f.list)) * f.burst
+func (s *slowStartSimulation) burstArrival(burstAt, end time.Duration) {
+	arrivalRate := s.load * float64(s.cores*len(s.workers)) / s.meanWork
+	if s.now >= burstAt {
+		arrivalRate *= float64(len(s.workers)-s.startingWorkers) / float64(len(s.workers)) * s.burst
 	}
-	if f.after(seconds(f.rng.ExpFloat64()/rate), func() { f.arrive(burst, until) }); f.now > until {
-		f.queue = f.queue[:0]
+	if s.after(seconds(s.rng.ExpFloat64()/arrivalRate), func() { s.burstArrival(burstAt, end) }); s.now > end {
+		s.queue = s.queue[:0]
 		return
 	}
 	const spread = 0.8 // lognormal: the deviation is about the mean
-	work := f.mean * math.Exp(spread*f.rng.NormFloat64()-spread*spread/2)
-	hint := work * cmp.Or(f.bias, 1)
-	if f.rough { // off by 4.7 times for one in twenty, by ten for one in a hundred
-		hint *= math.Exp(max(-math.Log(10), min(math.Log(10), 0.85*f.rng.NormFloat64())))
+	work := s.meanWork * math.Exp(spread*s.rng.NormFloat64()-spread*spread/2)
+	hint := work * cmp.Or(s.hintFactor, 1)
+	if s.roughHints { // off by 4.7 times for one in twenty, by ten for one in a hundred
+		hint *= math.Exp(max(-math.Log(10), min(math.Log(10), 0.85*s.rng.NormFloat64())))
 	}
-	n := f.rng.Intn(len(f.schedulers))
-	f.inv++
-	f.schedulers[n].jobs[f.inv] = work
-	f.hand(n, Arrival{Invocation: f.inv, Hint: hint, Slots: 1, Budget: 2 * time.Second})
+	number := s.rng.Intn(len(s.schedulers))
+	s.lastInvocation++
+	s.schedulers[number].work[s.lastInvocation] = work
+	s.handle(number, Arrival{Invocation: s.lastInvocation, Hint: hint, Slots: 1, Budget: 2 * time.Second})
 }
 
 // play gives the largest sum that one cold worker got in a span, in requests of mean work, with the bound at that moment
 // and N; and what all cold ones did, as a part of what they could do by the end.
-func (f *coldFleet) play() (worst, bound, n, used float64) {
-	for i := range f.schedulers {
-		f.begin(i)
+func (s *slowStartSimulation) run() (worst, bound, n, used float64) {
+	for i := range s.schedulers {
+		s.startScheduler(i)
 	}
 	const start = 4 * time.Second
 	until := start + 3*time.Second
-	f.after(0, func() { f.arrive(start, until) })
-	f.after(start, func() {
-		warm := len(f.list)
-		for i := range f.cold {
-			f.add(warm+i, true)
-			f.list[i].entry.State = Draining // the new one takes its place
+	s.after(0, func() { s.burstArrival(start, until) })
+	s.after(start, func() {
+		warm := len(s.workers)
+		for i := range s.startingWorkers {
+			s.addWorker(warm+i, true)
+			s.workers[i].endpoint.State = Draining // the new one takes its place
 		}
-		for i, s := range f.schedulers {
-			if f.fresh && i%2 == 1 {
-				f.begin(i)
+		for i, scheduler := range s.schedulers {
+			if s.halfRestart && i%2 == 1 {
+				s.startScheduler(i)
 			} else {
-				f.tell(i, time.Duration(f.rng.Intn(500))*ms, f.whole(s))
+				s.deliver(i, time.Duration(s.rng.Intn(500))*ms, s.fullUpdate(scheduler))
 			}
 		}
 	})
-	for len(f.queue) > 0 {
-		e := heap.Pop(&f.queue).(coldEvent)
-		f.now = e.at
+	for len(s.queue) > 0 {
+		e := heap.Pop(&s.queue).(scheduledCall)
+		s.now = e.at
 		e.do()
 	}
 	done, could := 0.0, 0.0
-	for _, w := range f.list {
-		if !w.entry.StartKnown {
+	for _, w := range s.workers {
+		if !w.endpoint.StartKnown {
 			continue
 		}
 		sum, from := 0.0, 0
-		for _, s := range w.sends {
-			sum += s.work / f.mean
-			done += s.work * w.slow
-			for ; w.sends[from].at <= s.at-f.dep.Rules.OverloadWindow; from++ {
-				sum -= w.sends[from].work / f.mean
+		for _, scheduler := range w.sends {
+			sum += scheduler.work / s.meanWork
+			done += scheduler.work * w.pace
+			for ; w.sends[from].at <= scheduler.at-s.config.Rules.OverloadWindow; from++ {
+				sum -= w.sends[from].work / s.meanWork
 			}
-			able := float64(f.cores) * f.warmth(w, s.at) / w.slow
-			calls := f.dep.Rules.OverloadFactor * f.dep.Rules.OverloadWindow.Seconds() * able / f.mean
+			able := float64(s.cores) * s.warmUpWeight(w, scheduler.at) / w.pace
+			calls := s.config.Rules.OverloadFactor * s.config.Rules.OverloadWindow.Seconds() * able / s.meanWork
 			if most := calls + 2*math.Sqrt(calls) + 2; bound == 0 || sum/most > worst/bound {
 				worst, bound, n = sum, most, calls
 			}
 		}
 		for at := start; at < until; at += 100 * ms {
-			could += float64(f.cores) * f.warmth(w, at) * 0.1
+			could += float64(s.cores) * s.warmUpWeight(w, at) * 0.1
 		}
 	}
 	return worst, cmp.Or(bound, 1), n, done / could
 }
 
 // blind is the row in which nothing that a scheduler has seen by then shows how far all hints are off.
-const blind = "hints a tenth, half new"
+const biasUnseen = "hints a tenth, half new"
 
-func TestColdFleet(t *testing.T) { playCold(t, func(r coldRow) bool { return r.name != blind }) }
+func TestSlowStartBudget(t *testing.T) {
+	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name != biasUnseen })
+}
 
-func TestColdFleetBlind(t *testing.T) { playCold(t, func(r coldRow) bool { return r.name == blind }) }
+func TestSlowStartBudgetWithUnseenHintBias(t *testing.T) {
+	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name == biasUnseen })
+}
 
 // playCold plays the rows of one test. A row's seeds go by its place among all.
-func playCold(t *testing.T, plays func(coldRow) bool) {
-	var rows []coldRow
-	for _, m := range []int{1, 6, 7, 20, 30, 300} {
-		rows = append(rows, coldRow{name: "plain", schedulers: m, told: 1},
-			coldRow{name: "rough hints, half new", schedulers: m, told: 1, rough: true, fresh: true})
+func runSlowStartScenarios(t *testing.T, selects func(slowStartScenario) bool) {
+	var scenarios []slowStartScenario
+	for _, schedulers := range []int{1, 6, 7, 20, 30, 300} {
+		scenarios = append(scenarios, slowStartScenario{name: "plain", schedulers: schedulers, toldFactor: 1},
+			slowStartScenario{name: "rough hints, half new", schedulers: schedulers, toldFactor: 1, roughHints: true, halfRestart: true})
 	}
-	for _, m := range []int{7, 30, 300} {
-		rows = append(rows, coldRow{name: "rough hints", schedulers: m, told: 1, rough: true},
-			coldRow{name: "half new", schedulers: m, told: 1, fresh: true},
-			coldRow{name: "large N", schedulers: m, told: 1, wide: true, rough: true},
-			coldRow{name: "probes lost", schedulers: m, told: 1, lost: true, rough: true},
-			coldRow{name: "slow for their kind", schedulers: m, told: 1, slow: 2},
-			coldRow{name: "the same, half new", schedulers: m, told: 1, slow: 2, fresh: true},
-			coldRow{name: "hints a tenth", schedulers: m, told: 1, bias: 0.1},
-			coldRow{name: "hints tenfold", schedulers: m, told: 1, bias: 10},
-			coldRow{name: blind, schedulers: m, told: 1, bias: 0.1, fresh: true},
-			coldRow{name: "no own number", schedulers: m, told: 1, unnumbered: true})
+	for _, schedulers := range []int{7, 30, 300} {
+		scenarios = append(scenarios, slowStartScenario{name: "rough hints", schedulers: schedulers, toldFactor: 1, roughHints: true},
+			slowStartScenario{name: "half new", schedulers: schedulers, toldFactor: 1, halfRestart: true},
+			slowStartScenario{name: "large N", schedulers: schedulers, toldFactor: 1, largeWorkers: true, roughHints: true},
+			slowStartScenario{name: "probes lost", schedulers: schedulers, toldFactor: 1, checksLost: true, roughHints: true},
+			slowStartScenario{name: "slow for their kind", schedulers: schedulers, toldFactor: 1, startingPace: 2},
+			slowStartScenario{name: "the same, half new", schedulers: schedulers, toldFactor: 1, startingPace: 2, halfRestart: true},
+			slowStartScenario{name: "hints a tenth", schedulers: schedulers, toldFactor: 1, hintFactor: 0.1},
+			slowStartScenario{name: "hints tenfold", schedulers: schedulers, toldFactor: 1, hintFactor: 10},
+			slowStartScenario{name: biasUnseen, schedulers: schedulers, toldFactor: 1, hintFactor: 0.1, halfRestart: true},
+			slowStartScenario{name: "no own number", schedulers: schedulers, toldFactor: 1, unnumbered: true})
 	}
-	for _, m := range []int{20, 30, 300} {
+	for _, schedulers := range []int{20, 30, 300} {
 		for _, told := range []float64{0.1, 0.5, 2, 10} {
-			rows = append(rows, coldRow{name: fmt.Sprintf("told %v", told), schedulers: m, told: told})
+			scenarios = append(scenarios, slowStartScenario{name: fmt.Sprintf("told %v", told), schedulers: schedulers, toldFactor: told})
 		}
-		rows = append(rows, coldRow{name: "told 0.1, half new", schedulers: m, told: 0.1, rough: true, fresh: true},
-			coldRow{name: "told 0.1, every other", schedulers: m, told: 0.1, mixed: true},
-			coldRow{name: "told 0.1, tells", schedulers: m, told: 0.1, tells: true})
+		scenarios = append(scenarios, slowStartScenario{name: "told 0.1, half new", schedulers: schedulers, toldFactor: 0.1, roughHints: true, halfRestart: true},
+			slowStartScenario{name: "told 0.1, every other", schedulers: schedulers, toldFactor: 0.1, halfToldRight: true},
+			slowStartScenario{name: "told 0.1, tells", schedulers: schedulers, toldFactor: 0.1, gossip: true})
 	}
-	passed := func(r coldRow) bool {
-		return !plays(r) || !strings.Contains(fmt.Sprintf("%s, %d schedulers", r.name, r.schedulers), *coldRows)
+	skips := func(r slowStartScenario) bool {
+		return !selects(r) || !strings.Contains(fmt.Sprintf("%s, %d schedulers", r.name, r.schedulers), *slowStartFilter)
 	}
 	type result struct {
 		worst, bound, n, share, used, mean float64
 		seed                               int64
 		over                               int
 	}
-	results := make([]result, len(rows))
+	results := make([]result, len(scenarios))
 	var wait sync.WaitGroup
-	room := make(chan struct{}, 4)
-	for i, row := range rows {
-		if passed(row) {
+	limiter := make(chan struct{}, 4)
+	for i, scenario := range scenarios {
+		if skips(scenario) {
 			continue
 		}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			room <- struct{}{}
-			defer func() { <-room }()
+			limiter <- struct{}{}
+			defer func() { <-limiter }()
 			r := &results[i]
-			for n := range int64(*coldSeeds) {
-				seed := n + int64(*coldFirst) + int64(i)%max(1, int64(len(hard)-*coldSeeds+1)) // short runs differ by row
-				worst, bound, n, used := newColdFleet(row, seed+1).play()
-				if r.used += used / float64(*coldSeeds); worst/bound > r.share {
+			for n := range int64(*slowStartSeeds) {
+				seed := n + int64(*slowStartFirstSeed) + int64(i)%max(1, int64(len(hardCases)-*slowStartSeeds+1)) // short runs differ by row
+				worst, bound, n, used := newSlowStartSimulation(scenario, seed+1).run()
+				if r.used += used / float64(*slowStartSeeds); worst/bound > r.share {
 					r.worst, r.bound, r.n, r.share, r.seed = worst, bound, n, worst/bound, seed+1
 				}
-				if r.mean += worst / bound / float64(*coldSeeds); worst > bound {
+				if r.mean += worst / bound / float64(*slowStartSeeds); worst > bound {
 					r.over++
 				}
 			}
@@ -451,16 +455,16 @@
 	}
 	wait.Wait()
 	t.Logf("%-26s %10s %8s %8s %8s %8s %5s %6s %5s", "row", "schedulers", "worst", "bound", "N", "of it", "over", "mean", "used")
-	for i, row := range rows {
+	for i, scenario := range scenarios {
 		r := results[i]
-		if passed(row) {
+		if skips(scenario) {
 			continue
 		}
-		t.Logf("%-26s %10d %8.1f %8.1f %8.1f %8.2f %5d %6.2f %5.2f", row.name, row.schedulers, r.worst, r.bound, r.n,
+		t.Logf("%-26s %10d %8.1f %8.1f %8.1f %8.2f %5d %6.2f %5.2f", scenario.name, scenario.schedulers, r.worst, r.bound, r.n,
 			r.share, r.over, r.mean, r.used)
 		if r.share > 1 {
-			t.Errorf("%s, %d schedulers, seed %d: a cold worker got %.1f requests of mean work, and bears %.1f", row.name,
-				row.schedulers, r.seed, r.worst, r.bound)
+			t.Errorf("%s, %d schedulers, seed %d: a cold worker got %.1f requests of mean work, and bears %.1f", scenario.name,
+				scenario.schedulers, r.seed, r.worst, r.bound)
 		}
 	}
 	if slices.IndexFunc(results, func(r result) bool { return r.used > 0 }) < 0 {
--- a/dispatch/snapshot_benchmark_test.go
+++ b/dispatch/snapshot_benchmark_test.go
@@ -11,39 +11,39 @@
 
 // The figures of docs/CAPACITY.md for what one scheduler teaches the next, and for newer settings in the decisions.
 
-func fleetOf(n int) (list dispatch.EndpointUpdate) {
-	list.Kind = dispatch.FullUpdate
-	for at := range n {
-		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(at >> 16), byte(at >> 8), byte(at)}), 7000)
-		list.Endpoints = append(list.Endpoints, dispatch.Endpoint{Worker: addr, Zone: at % 15, Kind: at % 4, Cell: at / 40, State: dispatch.Ready})
+func fullUpdateOf(workers int) (update dispatch.EndpointUpdate) {
+	update.Kind = dispatch.FullUpdate
+	for index := range workers {
+		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(index >> 16), byte(index >> 8), byte(index)}), 7000)
+		update.Endpoints = append(update.Endpoints, dispatch.Endpoint{Worker: addr, Zone: index % 15, Kind: index % 4, Cell: index / 40, State: dispatch.Ready})
 	}
-	return list
+	return update
 }
 
-func learned(n int) dispatch.Snapshot {
-	l := dispatch.Snapshot{Version: dispatch.SnapshotVersion, Operations: map[int]dispatch.OperationSnapshot{}}
-	for o := range 71 {
-		l.Operations[o] = dispatch.OperationSnapshot{CostRatios: make([]float64, 16), RunTimes: make([]float64, 16), HintErrors: make([]float64, 16)}
+func snapshotOf(workers int) dispatch.Snapshot {
+	snapshot := dispatch.Snapshot{Version: dispatch.SnapshotVersion, Operations: map[int]dispatch.OperationSnapshot{}}
+	for operation := range 71 {
+		snapshot.Operations[operation] = dispatch.OperationSnapshot{CostRatios: make([]float64, 16), RunTimes: make([]float64, 16), HintErrors: make([]float64, 16)}
 	}
-	figures := []float64{3, 3.25, 2.5, 4, 1, 2, 3.125, 0.5}
-	for _, e := range fleetOf(n).Endpoints {
-		l.Workers = append(l.Workers, dispatch.WorkerSnapshot{Worker: e.Worker, Incarnation: e.Incarnation,
-			Paces: append(append([]float64(nil), figures...), figures...), ServiceTime: 122.125, FreeSlots: figures, LastFreeSlots: 3, MaxFreeSlots: 24,
+	samples := []float64{3, 3.25, 2.5, 4, 1, 2, 3.125, 0.5}
+	for _, e := range fullUpdateOf(workers).Endpoints {
+		snapshot.Workers = append(snapshot.Workers, dispatch.WorkerSnapshot{Worker: e.Worker, Incarnation: e.Incarnation,
+			Paces: append(append([]float64(nil), samples...), samples...), ServiceTime: 122.125, FreeSlots: samples, LastFreeSlots: 3, MaxFreeSlots: 24,
 			FreeSlotsAge: 1234567891, ReportAge: 987654321, LastProgressAge: 1234567})
 	}
-	return l
+	return snapshot
 }
 
 // BenchmarkLesson writes the lesson of so many workers in parts of 16, as the hand-over does, and has another instance heed it.
-func BenchmarkLesson(b *testing.B) {
-	for _, n := range []int{240, 950, 1900, 3800} {
-		d := dispatch.Config{Schedulers: 15, Operations: make([]dispatch.Operation, 71)}
-		b.Run(fmt.Sprint("write/", n), func(b *testing.B) {
-			l, size := learned(n), 0
+func BenchmarkSnapshot(b *testing.B) {
+	for _, workers := range []int{240, 950, 1900, 3800} {
+		deployment := dispatch.Config{Schedulers: 15, Operations: make([]dispatch.Operation, 71)}
+		b.Run(fmt.Sprint("write/", workers), func(b *testing.B) {
+			snapshot, size := snapshotOf(workers), 0
 			for b.Loop() {
 				size = 0
-				for from := 0; from < n; from += 16 {
-					part := dispatch.Snapshot{Version: l.Version, Workers: l.Workers[from:min(n, from+16)]}
+				for from := 0; from < workers; from += 16 {
+					part := dispatch.Snapshot{Version: snapshot.Version, Workers: snapshot.Workers[from:min(workers, from+16)]}
 					text, err := json.Marshal(part)
 					if err != nil {
 						b.Fatal(err)
@@ -51,15 +51,15 @@
 					size += len(text)
 				}
 			}
-			b.ReportMetric(float64(size)/float64(n), "bytes/worker")
-			b.ReportMetric(float64((n+15)/16), "messages")
+			b.ReportMetric(float64(size)/float64(workers), "bytes/worker")
+			b.ReportMetric(float64((workers+15)/16), "messages")
 		})
-		b.Run(fmt.Sprint("heed/", n), func(b *testing.B) {
-			l := learned(n)
+		b.Run(fmt.Sprint("heed/", workers), func(b *testing.B) {
+			snapshot := snapshotOf(workers)
 			for b.Loop() {
-				core := dispatch.New(d, 1)
-				core.Handle(1, []dispatch.Event{fleetOf(n)})
-				core.Handle(2, []dispatch.Event{dispatch.SnapshotLoaded{Snapshot: l}})
+				dispatcher := dispatch.New(deployment, 1)
+				dispatcher.Handle(1, []dispatch.Event{fullUpdateOf(workers)})
+				dispatcher.Handle(2, []dispatch.Event{dispatch.SnapshotLoaded{Snapshot: snapshot}})
 			}
 		})
 	}
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -9,72 +9,72 @@
 // An instance takes another one's place: what was measured, who is set aside, what a cold worker was sent, and invocations
 // with their forwards go on as they were. What breaks is sent again where it may be, once.
 func Example_successor() {
-	dep := shop()
-	dep.Schedulers, dep.EndpointsPushed = 1, true
-	cold := ready('c', 0)
-	cold.StartKnown, cold.StartedAt, cold.Incarnation = true, 8*time.Second, 7
-	old := start(dep, ready('a', 0), ready('b', 0))
-	old.quiet = true
+	config := testConfig()
+	config.Schedulers, config.EndpointsPushed = 1, true
+	starting := readyEndpoint('c', 0)
+	starting.StartKnown, starting.StartedAt, starting.Incarnation = true, 8*time.Second, 7
+	predecessor := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
+	predecessor.collects = true
 	for n := InvocationID(1); n <= 5; n++ {
-		old.at(old.now+10*ms, job(n, 0, 0.1), free('a', 1), free('b', 1))
-		old.at(old.now+200*ms, old.end(n, 0, Succeeded))
+		predecessor.handleAt(predecessor.now+10*ms, arrival(n, 0, 0.1), freeSlotsResult('a', 1), freeSlotsResult('b', 1))
+		predecessor.handleAt(predecessor.now+200*ms, predecessor.outcome(n, 0, Succeeded))
 	}
-	old.at(9*time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{cold}})
-	asked := func(when time.Duration, a float64, events ...Event) {
-		old.at(when, free('a', a), free('b', 3), free('c', 3))
-		old.at(when+10*ms, events...)
-		old.until(when + 90*ms)
+	predecessor.handleAt(9*time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{starting}})
+	answerThen := func(when time.Duration, a float64, events ...Event) {
+		predecessor.handleAt(when, freeSlotsResult('a', a), freeSlotsResult('b', 3), freeSlotsResult('c', 3))
+		predecessor.handleAt(when+10*ms, events...)
+		predecessor.runUntil(when + 90*ms)
 	}
-	asked(9200*ms, 3, job(22, 2, 0.1))
-	asked(9300*ms, 3, job(23, 2, 0.1), job(21, 0, 0.1))
-	asked(9400*ms, 4, job(25, 0, 0.01), old.end(21, 0, Failed))
-	old.at(9500*ms, old.end(25, 0, Succeeded))
-	old.tell("the old one")
+	answerThen(9200*ms, 3, arrival(22, 2, 0.1))
+	answerThen(9300*ms, 3, arrival(23, 2, 0.1), arrival(21, 0, 0.1))
+	answerThen(9400*ms, 4, arrival(25, 0, 0.01), predecessor.outcome(21, 0, Failed))
+	predecessor.handleAt(9500*ms, predecessor.outcome(25, 0, Succeeded))
+	predecessor.printCollected("the old one")
 
 	// What goes to the other process goes as text; its clock began later.
 	const later = 9 * time.Second
-	next := start(dep, ready('a', 0), ready('b', 0))
-	entry := cold
-	entry.StartedAt -= later
-	next.quiet = true
-	next.at(200*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{entry}})
-	text, err := json.Marshal(old.d.Snapshot())
-	var lesson Snapshot
+	successor := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
+	endpoint := starting
+	endpoint.StartedAt -= later
+	successor.collects = true
+	successor.handleAt(200*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{endpoint}})
+	text, err := json.Marshal(predecessor.dispatcher.Snapshot())
+	var snapshot Snapshot
 	if err == nil {
-		err = json.Unmarshal(text, &lesson)
+		err = json.Unmarshal(text, &snapshot)
 	}
-	next.at(350*ms, SnapshotLoaded{lesson})
-	fmt.Println(err, next.d.Ejected(), old.d.Ejected(), next.d.scheduler.kindPace, next.d.scheduler.operations[0].runTimes.mean() == old.d.scheduler.operations[0].runTimes.mean())
-	spent := func(p *play) float64 {
-		p.d.records[2].worker.publishView()
-		return p.d.records[2].worker.budgetUsed
+	successor.handleAt(350*ms, SnapshotLoaded{snapshot})
+	fmt.Println(err, successor.dispatcher.Ejected(), predecessor.dispatcher.Ejected(), successor.dispatcher.scheduler.kindPace, successor.dispatcher.scheduler.operations[0].runTimes.mean() == predecessor.dispatcher.scheduler.operations[0].runTimes.mean())
+	budgetUsed := func(h *harness) float64 {
+		h.dispatcher.records[2].worker.publishView()
+		return h.dispatcher.records[2].worker.budgetUsed
 	}
-	fmt.Println("spent on the cold one:", spent(old) > 0, spent(next) == spent(old))
+	fmt.Println("spent on the cold one:", budgetUsed(predecessor) > 0, budgetUsed(successor) == budgetUsed(predecessor))
 	for n := InvocationID(21); n <= 23; n++ {
-		r, held := old.d.MigrationRecord(n)
-		if !held {
+		record, isOpen := predecessor.dispatcher.MigrationRecord(n)
+		if !isOpen {
 			fmt.Println(n, "has ended")
 			continue
 		}
-		r.Invocation += 100
-		next.went[r.Invocation] = nil
-		for _, t := range r.Attempts {
-			next.went[r.Invocation] = append(next.went[r.Invocation], t.Worker)
+		record.Invocation += 100
+		successor.attemptWorkers[record.Invocation] = nil
+		for _, attempt := range record.Attempts {
+			successor.attemptWorkers[record.Invocation] = append(successor.attemptWorkers[record.Invocation], attempt.Worker)
 		}
-		fmt.Println(n, r.Age, len(r.Attempts), r.Budget)
-		old.at(old.now, MigratedOut{n})
-		next.at(400*ms, r)
+		fmt.Println(n, record.Age, len(record.Attempts), record.Budget)
+		predecessor.handleAt(predecessor.now, MigratedOut{n})
+		successor.handleAt(400*ms, record)
 	}
-	old.tell("the old one after that")
-	next.tell("the new one")
-	next.at(500*ms, next.end(121, len(next.went[121])-1, ConnectionBroken), next.end(122, 0, ConnectionBroken), next.end(123, 0, Succeeded))
-	next.tell("two break, one succeeds")
-	old.at(20*time.Second, TimerFired{})
-	old.tell("the old one, much later")
-	lesson.Version++
-	fresh := start(dep, ready('a', 0))
-	fresh.at(10*ms, SnapshotLoaded{lesson})
-	fmt.Println("of another version:", len(fresh.d.scheduler.runTimes))
+	predecessor.printCollected("the old one after that")
+	successor.printCollected("the new one")
+	successor.handleAt(500*ms, successor.outcome(121, len(successor.attemptWorkers[121])-1, ConnectionBroken), successor.outcome(122, 0, ConnectionBroken), successor.outcome(123, 0, Succeeded))
+	successor.printCollected("two break, one succeeds")
+	predecessor.handleAt(20*time.Second, TimerFired{})
+	predecessor.printCollected("the old one, much later")
+	snapshot.Version++
+	other := newHarness(config, readyEndpoint('a', 0))
+	other.handleAt(10*ms, SnapshotLoaded{snapshot})
+	fmt.Println("of another version:", len(other.dispatcher.scheduler.runTimes))
 	// Output:
 	// the old one: 1 to b; 2 to a; 3 to b; 4 to b; 5 to b; 22 to b; 23 to a; 21 to b; worker ejected worker=b reason="fails attempts"; 21 to a; 25 to c
 	// <nil> 1 1 map[0:2] true
