--- a/dispatch/gossip_test.go
+++ b/dispatch/gossip_test.go
@@ -8,17 +8,37 @@
 	"time"
 )
 
-// pooled is a deployment whose schedulers may tell one another.
+// gossipConfig is a deployment whose schedulers may gossip.
 func gossipConfig(schedulers, index int) Config {
 	config := testConfig()
-	config.Schedulers, config.Index, config.Limits.Gossip = schedulers, index, true
+	config.Schedulers = schedulers
+	config.Index = index
+	config.Limits.Gossip = true
 	return config
 }
 
-// Bytes that are garbled, cut short, of another version or too long are no message; nothing of them is taken.
+// capacityReply is what a worker's owner replies to a capacity query.
+func (h *harness) capacityReply(name byte, slots int) GossipReceived {
+	w := h.dispatcher.workerAt(h.dispatcher.recordIndex[workerID(name)])
+	return GossipReceived{
+		From: w.owner,
+		Entries: []GossipEntry{{
+			Kind:   GossipCapacityReply,
+			Serial: uint8(int8(slots)),
+			Tag:    w.tag,
+		}},
+	}
+}
+
+// Bytes that are garbled, cut short, of another version or too long are no message, and nothing of them is used.
 func Example_gossipCodec() {
-	entries := []GossipEntry{{Kind: GossipRestarted}, {GossipAttemptStarted, 7, 0x51234}, {Kind: GossipAttemptEnded, Serial: 7}, {Kind: GossipCapacityQuery, Tag: 0x7ffff},
-		{GossipCapacityReply, 0xfe, 1}}
+	entries := []GossipEntry{
+		{Kind: GossipRestarted},
+		{Kind: GossipAttemptStarted, Serial: 7, Tag: 0x51234},
+		{Kind: GossipAttemptEnded, Serial: 7},
+		{Kind: GossipCapacityQuery, Tag: 0x7ffff},
+		{Kind: GossipCapacityReply, Serial: 0xfe, Tag: 1},
+	}
 	message := EncodeGossip(entries)[0]
 	read, ok := DecodeGossip(message)
 	fmt.Printf("%x %v %v\n", message, ok, slices.Equal(read, entries))
@@ -27,14 +47,22 @@
 		fmt.Print(" ", cut, ":", len(read), ok)
 	}
 	fmt.Println()
-	for _, wrong := range [][]byte{nil, {0x80}, {0x78}, {0, 1, 2}, append(slices.Clone(message), 0xff), make([]byte, MaxGossipBytes+1)} {
+	malformed := [][]byte{
+		nil,
+		{0x80},
+		{0x78},
+		{0, 1, 2},
+		append(slices.Clone(message), 0xff),
+		make([]byte, MaxGossipBytes+1),
+	}
+	for _, wrong := range malformed {
 		_, ok := DecodeGossip(wrong)
 		fmt.Print(" ", ok)
 	}
-	fmt.Println("")
+	fmt.Println()
 	many := make([]GossipEntry, 200)
 	for n := range many {
-		many[n] = GossipEntry{GossipAttemptStarted, uint8(n), 3}
+		many[n] = GossipEntry{Kind: GossipAttemptStarted, Serial: uint8(n), Tag: 3}
 	}
 	var back []GossipEntry
 	for _, message := range EncodeGossip(many) {
@@ -50,73 +78,76 @@
 	// 256 true, 256 true, 256 true, 32 true, true
 }
 
-// Others tell a worker's keeper of their forwards and ask it; what is held there, by whomever, is not free. An end that
-// is never told counts for 8 s at most, or a run after its sender has started anew.
+// Other schedulers notify a worker's owner of their attempts and query it; what is in flight there, by whichever scheduler,
+// is not free. An attempt whose end is never reported counts for 8 s at most, or for a run time after its sender has restarted.
 func Example_ownerReplies() {
 	h := newHarness(gossipConfig(3, 1), readyEndpoint('a', 0), readyEndpoint('c', 0))
-	fmt.Println("keepers:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
+	fmt.Println("owners:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
 	tag := h.dispatcher.workerAt(0).tag
-	receive := func(from int, notes ...GossipEntry) { h.handleAt(h.now+50*ms, GossipReceived{from, notes}) }
+	receive := func(from int, entries ...GossipEntry) {
+		h.handleAt(h.now+50*ms, GossipReceived{From: from, Entries: entries})
+	}
+	started := func(serial uint8, tag uint32) GossipEntry {
+		return GossipEntry{Kind: GossipAttemptStarted, Serial: serial, Tag: tag}
+	}
 	query := GossipEntry{Kind: GossipCapacityQuery, Tag: tag}
 	receive(0, query)
 	h.handleAt(60*ms, freeSlotsResult('a', 3))
 	receive(0, query)
-	receive(0, GossipEntry{GossipAttemptStarted, 1, tag}, GossipEntry{GossipAttemptStarted, 1, tag}, GossipEntry{GossipAttemptStarted, 2, tag})
+	receive(0, started(1, tag), started(1, tag), started(2, tag))
 	receive(2, query)
 	receive(0, GossipEntry{Kind: GossipAttemptEnded, Serial: 1})
 	receive(2, query)
 	receive(0, GossipEntry{Kind: GossipAttemptEnded, Serial: 9}, GossipEntry{Kind: GossipRestarted})
 	h.runUntil(h.now + 1200*ms)
 	receive(2, query)
-	receive(7, GossipEntry{GossipAttemptStarted, 3, tag}, GossipEntry{GossipAttemptStarted, 4, tag})
-	receive(-1, GossipEntry{GossipAttemptStarted, 3, tag})
-	receive(2, GossipEntry{GossipAttemptStarted, 3, tag + 1})
+	receive(7, started(3, tag), started(4, tag))
+	receive(-1, started(3, tag))
+	receive(2, started(3, tag+1))
 	receive(2, query)
 	// Output:
-	// 0s tells -1: anew
-	// keepers: 1 0
-	// 110ms tells 0: 3 free at a
-	// 210ms tells 2: 1 free at a
-	// 310ms tells 2: 2 free at a
-	// 1.61s tells 2: 3 free at a
-	// 1.81s tells 2: 3 free at a
+	// 0s gossips to -1: restarted
+	// owners: 1 0
+	// 110ms gossips to 0: 3 free at a
+	// 210ms gossips to 2: 1 free at a
+	// 310ms gossips to 2: 2 free at a
+	// 1.61s gossips to 2: 3 free at a
+	// 1.81s gossips to 2: 3 free at a
 }
 
-// What one scheduler can't see, as another's forward fills the worker that its own report shows free, its keeper tells.
+// What a scheduler can't see, as another one's attempt fills the worker that its own report shows free, the owner replies.
 func Example_capacityQueries() {
 	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
-	fmt.Println("keepers:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
+	fmt.Println("owners:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
 	h.handleAt(20*ms, arrival(1, 0, 0.1))
-	reply := func(name byte, slots int) GossipReceived {
-		w := h.dispatcher.workerAt(h.dispatcher.recordIndex[workerID(name)])
-		return GossipReceived{w.owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
-	}
-	h.handleAt(30*ms, reply('c', 2), reply('a', -1))
+	h.handleAt(30*ms, h.capacityReply('c', 2), h.capacityReply('a', -1))
 	h.runUntil(90 * ms)
 	h.handleAt(200*ms, h.outcome(1, 0, Succeeded))
 	h.handleAt(400*ms, arrival(2, 0, 0.1))
-	h.handleAt(410*ms, reply('c', 0), reply('a', 1))
+	h.handleAt(410*ms, h.capacityReply('c', 0), h.capacityReply('a', 1))
 	// Output:
-	// 0s tells -1: anew
-	// keepers: 1 0
-	// 20ms tells 1: asks for a
-	// 20ms tells 0: asks for c
+	// 0s gossips to -1: restarted
+	// owners: 1 0
+	// 20ms gossips to 1: queries a
+	// 20ms gossips to 0: queries c
 	// 30ms 1 to c
-	// 30ms tells 0: sent 1 to c
-	// 200ms tells 0: ended 1
-	// 400ms tells 1: asks for a
-	// 400ms tells 0: asks for c
+	// 30ms gossips to 0: sent 1 to c
+	// 200ms gossips to 0: ended 1
+	// 400ms gossips to 1: queries a
+	// 400ms gossips to 0: queries c
 	// 410ms 2 to a
-	// 410ms tells 1: sent 2 to a
+	// 410ms gossips to 1: sent 2 to a
 }
 
-// Messages of any kind, order and number cost quality and never a rule: each invocation gets one answer in time, what
-// may run only once is sent once, and a worker that drains gets nothing.
+// Gossip of any kind, order and number costs quality and breaks no rule: each invocation gets one answer in time, what
+// may run only once is sent once, and a draining worker gets nothing.
 func TestRulesHoldUnderNoisyGossip(t *testing.T) {
 	rng := rand.New(rand.NewSource(3))
 	dispatcher := New(gossipConfig(4, 2), 9)
 	dispatcher.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: readyEndpoints(12)}})
-	answers, sends, inFlight := map[InvocationID]int{}, map[InvocationID]int{}, map[InvocationID]Forward{}
+	answers := map[InvocationID]int{}
+	sends := map[InvocationID]int{}
+	inFlight := map[InvocationID]Forward{}
 	drainedWorker := workerID(5)
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * ms {
 		events := []Event{TimerFired{}}
@@ -128,17 +159,30 @@
 			draining.State = Draining
 			events = append(events, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{draining}})
 		}
-		for id := rng.Intn(4); id > 0; id-- {
+		for range rng.Intn(4) {
 			garbage := make([]byte, 1+rng.Intn(20))
 			rng.Read(garbage)
 			garbage[0] = garbage[0]&0x3f | gossipVersion<<versionShift
 			entries, _ := DecodeGossip(garbage)
-			entries = append(entries, GossipEntry{GossipKind(rng.Intn(5)), uint8(rng.Intn(256)), workerTag(workerID(byte(1 + rng.Intn(14))))})
-			events = append(events, GossipReceived{rng.Intn(6) - 1, append(entries, entries...)})
+			entries = append(entries, GossipEntry{
+				Kind:   GossipKind(rng.Intn(5)),
+				Serial: uint8(rng.Intn(256)),
+				Tag:    workerTag(workerID(byte(1 + rng.Intn(14)))),
+			})
+			events = append(events, GossipReceived{
+				From:    rng.Intn(6) - 1,
+				Entries: append(entries, entries...),
+			})
 		}
 		for id := InvocationID(1); id <= 1000; id++ {
 			if forward, isInFlight := inFlight[id]; isInFlight && rng.Intn(10) == 0 {
-				events = append(events, Outcome{Invocation: id, Worker: forward.Worker, Attempt: sends[id] - 1, Result: Succeeded, Answered: true})
+				events = append(events, Outcome{
+					Invocation: id,
+					Worker:     forward.Worker,
+					Attempt:    sends[id] - 1,
+					Result:     Succeeded,
+					Answered:   true,
+				})
 				answers[id]++
 				delete(inFlight, id)
 			}
@@ -146,7 +190,10 @@
 		for _, action := range dispatcher.Handle(now, events) {
 			switch a := action.(type) {
 			case Forward:
-				if sends[a.Invocation]++; a.Invocation%3 == 2 && sends[a.Invocation] > 1 || now >= 5*time.Second && a.Worker == drainedWorker || answers[a.Invocation] > 0 {
+				sends[a.Invocation]++
+				repeated := a.Invocation%3 == 2 && sends[a.Invocation] > 1
+				drained := now >= 5*time.Second && a.Worker == drainedWorker
+				if repeated || drained || answers[a.Invocation] > 0 {
 					t.Fatal(now, a)
 				}
 				inFlight[a.Invocation] = a
@@ -167,132 +214,124 @@
 	}
 }
 
-// While keepers answer, a worker that none of them has told of lately gets nothing, however free it looked once; a second
-// round of questions goes out for who is held. When nobody answers any more, old figures count again.
+// While owners reply, a worker that none of them has reported on lately gets nothing, however free it looked once; a second
+// round of queries goes out for what is queued. When nobody replies any more, old samples count again.
 func Example_onlyCurrentReplies() {
 	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
-	w := func(name byte) *worker { return h.dispatcher.workerAt(h.dispatcher.recordIndex[workerID(name)]) }
-	reply := func(name byte, slots int) GossipReceived {
-		return GossipReceived{w(name).owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w(name).tag}}}
-	}
 	h.dispatcher.scheduler.runTimes = samples{0.2, 0.2}
-	h.handleAt(20*ms, reply('a', 4), reply('c', 4))
+	h.handleAt(20*ms, h.capacityReply('a', 4), h.capacityReply('c', 4))
 	h.collects = true
 	h.runUntil(700 * ms)
-	h.lines, h.collects = nil, false
-	h.handleAt(800*ms, reply('c', -2))
+	h.lines = nil
+	h.collects = false
+	h.handleAt(800*ms, h.capacityReply('c', -2))
 	h.handleAt(810*ms, arrival(1, 0, 0.2))
-	h.handleAt(830*ms, reply('c', -2))
+	h.handleAt(830*ms, h.capacityReply('c', -2))
 	h.runUntil(900 * ms)
-	h.handleAt(910*ms, reply('a', 1))
+	h.handleAt(910*ms, h.capacityReply('a', 1))
 	h.handleAt(1500*ms, arrival(2, 0, 0.2))
 	h.runUntil(1600 * ms)
 	// Output:
-	// 0s tells -1: anew
-	// 810ms tells 1: asks for a
-	// 810ms tells 0: asks for c
-	// 810ms tells 1: asks for a
-	// 810ms tells 0: asks for c
-	// 850ms tells 1: asks for a
-	// 850ms tells 0: asks for c
+	// 0s gossips to -1: restarted
+	// 810ms gossips to 1: queries a
+	// 810ms gossips to 0: queries c
+	// 810ms gossips to 1: queries a
+	// 810ms gossips to 0: queries c
+	// 850ms gossips to 1: queries a
+	// 850ms gossips to 0: queries c
 	// 910ms 1 to a
-	// 910ms tells 1: sent 1 to a
-	// 1.5s tells 1: asks for a
-	// 1.5s tells 0: asks for c
-	// 1.5s tells 1: asks for a
-	// 1.5s tells 0: asks for c
-	// 1.54s tells 1: asks for a
-	// 1.54s tells 0: asks for c
+	// 910ms gossips to 1: sent 1 to a
+	// 1.5s gossips to 1: queries a
+	// 1.5s gossips to 0: queries c
+	// 1.5s gossips to 1: queries a
+	// 1.5s gossips to 0: queries c
+	// 1.54s gossips to 1: queries a
+	// 1.54s gossips to 0: queries c
 	// 1.56s 2 to c
-	// 1.56s tells 0: sent 2 to c
+	// 1.56s gossips to 0: sent 2 to c
 }
 
-// A keeper that leaves questions unanswered, as one that has gone or is cut off, is done without: its workers are asked
-// themselves, and go by what they answer. Its next word ends that.
+// An owner that leaves queries unanswered, as one that is gone or partitioned, is done without: its workers are health
+// checked, and count by their own reports. Its next message ends that.
 func Example_silentOwner() {
 	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
-	a, c := h.dispatcher.workerAt(0), h.dispatcher.workerAt(1)
-	h.printHealthChecks, h.deferHealthChecks = true, true
-	reply := func(slots int) GossipReceived {
-		return GossipReceived{c.owner, []GossipEntry{{GossipCapacityReply, uint8(slots), c.tag}}}
-	}
+	a := h.dispatcher.workerAt(0)
+	c := h.dispatcher.workerAt(1)
+	h.printHealthChecks = true
+	h.deferHealthChecks = true
 	for n := range InvocationID(6) {
 		h.collects = n < 4
 		at := time.Duration(n+1) * 400 * ms
 		h.handleAt(at, arrival(n+1, 0, 0.2))
-		h.handleAt(at+10*ms, reply(0))
+		h.handleAt(at+10*ms, h.capacityReply('c', 0))
 		if n > 3 {
 			h.handleAt(at+15*ms, freeSlotsResult('a', 3+float64(n)/10))
 		}
 		h.runUntil(at + 100*ms)
 	}
 	fmt.Println(a.ownerSilent, c.ownerSilent)
-	h.handleAt(h.now+tickInterval, GossipReceived{a.owner, []GossipEntry{{GossipCapacityReply, 0, a.tag}}})
+	h.handleAt(h.now+tickInterval, h.capacityReply('a', 0))
 	fmt.Println(a.ownerSilent, c.ownerSilent)
 	// Output:
-	// 0s tells -1: anew
-	// 2s probes a
-	// 2s probes c
-	// 2s tells 1: asks for a
-	// 2s tells 0: asks for c
+	// 0s gossips to -1: restarted
+	// 2s health checks a
+	// 2s health checks c
+	// 2s gossips to 1: queries a
+	// 2s gossips to 0: queries c
 	// 2.015s 4 to a
 	// 2.015s 5 to a
-	// 2.015s tells 1: sent 1 to a sent 2 to a
-	// 2.4s probes a
-	// 2.4s tells 1: asks for a
-	// 2.4s tells 0: asks for c
+	// 2.015s gossips to 1: sent 1 to a sent 2 to a
+	// 2.4s health checks a
+	// 2.4s gossips to 1: queries a
+	// 2.4s gossips to 0: queries c
 	// 2.415s 6 to a
-	// 2.415s tells 1: sent 3 to a
-	// 2.435s probes a
+	// 2.415s gossips to 1: sent 3 to a
+	// 2.435s health checks a
 	// true false
 	// false false
 }
 
-// The slot that a forward of ours leaves is ours at once, before its keeper hears of it: what is held takes it, and the
-// keeper is told of both together.
+// The slot that an attempt of ours leaves is free to us at once, before its owner is notified: a queued invocation takes
+// it, and the owner gets both in one message.
 func Example_ownFreedSlot() {
 	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
-	reply := func(name byte, slots int) GossipReceived {
-		w := h.dispatcher.workerAt(h.dispatcher.recordIndex[workerID(name)])
-		return GossipReceived{w.owner, []GossipEntry{{GossipCapacityReply, uint8(int8(slots)), w.tag}}}
-	}
 	h.handleAt(20*ms, arrival(1, 0, 0.1))
-	h.handleAt(30*ms, reply('a', 1), reply('c', 0))
+	h.handleAt(30*ms, h.capacityReply('a', 1), h.capacityReply('c', 0))
 	h.runUntil(70 * ms)
 	h.collects = true
-	h.handleAt(400*ms, reply('a', 0), reply('c', 0), arrival(2, 0, 0.1))
+	h.handleAt(400*ms, h.capacityReply('a', 0), h.capacityReply('c', 0), arrival(2, 0, 0.1))
 	h.runUntil(480 * ms)
-	h.lines, h.collects = nil, false
+	h.lines = nil
+	h.collects = false
 	h.handleAt(490*ms, h.outcome(1, 0, Succeeded))
 	// Output:
-	// 0s tells -1: anew
-	// 20ms tells 1: asks for a
-	// 20ms tells 0: asks for c
+	// 0s gossips to -1: restarted
+	// 20ms gossips to 1: queries a
+	// 20ms gossips to 0: queries c
 	// 30ms 1 to a
-	// 30ms tells 1: sent 1 to a
+	// 30ms gossips to 1: sent 1 to a
 	// 490ms 2 to a
-	// 490ms tells 1: ended 1 sent 2 to a
+	// 490ms gossips to 1: ended 1 sent 2 to a
 }
 
-// Of a worker that we keep we know what is free: with room it comes first, whatever others tell of theirs, and nobody is
-// asked. Once it has none, keepers are.
+// What is free at a worker that we own is known: with capacity it comes first, whatever other owners replied, and nobody is
+// queried. Once it has none, owners are.
 func Example_ownedWorkersFirst() {
 	h := newHarness(gossipConfig(3, 0), readyEndpoint('a', 0), readyEndpoint('c', 0))
 	h.reportOften('a', 'c')
-	notOwned := h.dispatcher.workerAt(0)
-	fmt.Println("keepers:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
-	h.handleAt(h.now+5*ms, freeSlotsResult('c', 2), GossipReceived{1, []GossipEntry{{GossipCapacityReply, 4, notOwned.tag}}})
+	fmt.Println("owners:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
+	h.handleAt(h.now+5*ms, freeSlotsResult('c', 2), h.capacityReply('a', 4))
 	for n := range InvocationID(3) {
 		h.handleAt(h.now+5*ms, arrival(n+1, 0, 0.1))
 		h.runUntil(h.now + 2*tickInterval)
-		h.handleAt(h.now, GossipReceived{1, []GossipEntry{{GossipCapacityReply, 3, notOwned.tag}}})
+		h.handleAt(h.now, h.capacityReply('a', 3))
 	}
 	// Output:
-	// 0s tells -1: anew
-	// keepers: 1 0
+	// 0s gossips to -1: restarted
+	// owners: 1 0
 	// 74ms 1 to c
 	// 119ms 2 to c
-	// 164ms tells 1: asks for a
+	// 164ms gossips to 1: queries a
 	// 184ms 3 to a
-	// 184ms tells 1: sent 3 to a
+	// 184ms gossips to 1: sent 3 to a
 }
--- a/dispatch/hedge_test.go
+++ b/dispatch/hedge_test.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Clones take room that is left, while their figure holds still, under a fifth of invocations; the loser is cancelled.
+// Hedged requests use spare capacity where samples are steady, under a fifth of invocations; the loser is cancelled.
 func Example_hedgedRequests() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
 	h.collects = true
@@ -10,35 +10,36 @@
 	}
 	h.lines = nil
 	h.handleAt(h.now+10*ms, arrival(11, 0, 0.2))
-	h.printCollected("no figure yet")
+	h.printCollected("no sample yet")
 	h.handleAt(h.now+10*ms, h.outcome(11, 0, Succeeded))
-	h.lines, h.deferHealthChecks = nil, true
+	h.lines = nil
+	h.deferHealthChecks = true
 	h.reportOften('a', 'b', 'c')
-	answerThen := func(a, b, c float64, title string, jobs ...Event) {
-		h.handleAt(h.now+tickInterval, jobs...)
+	answerThen := func(a, b, c float64, title string, arrivals ...Event) {
+		h.handleAt(h.now+tickInterval, arrivals...)
 		h.handleAt(h.now+5*ms, freeSlotsResult('a', a), freeSlotsResult('b', b), freeSlotsResult('c', c))
 		h.printCollected(title)
 	}
-	answerThen(1, 2, 3, "room, but not idempotent", arrival(12, 1, 0.2))
-	answerThen(1.1, 2.1, 3.1, "room and idempotent", arrival(13, 0, 0.2))
+	answerThen(1, 2, 3, "capacity, but not idempotent", arrival(12, 1, 0.2))
+	answerThen(1.1, 2.1, 3.1, "capacity and idempotent", arrival(13, 0, 0.2))
 	h.handleAt(h.now+10*ms, h.outcome(13, 1, Succeeded))
 	h.printCollected("the first answer")
-	answerThen(0, 0, 2, "room at a third of the workers", arrival(14, 0, 0.2))
+	answerThen(0, 0, 2, "capacity at a third of the workers", arrival(14, 0, 0.2))
 	answerThen(4, 4, 4, "the second of fifteen", arrival(15, 0, 0.2))
 	answerThen(4, 4, 4.1, "a third would be under a fifth", arrival(16, 0, 0.2))
 	answerThen(4, 4, 4.2, "a fourth would not; and only the running set", arrival(17, 0, 0.2), arrival(18, 0, 0.2))
 	// Output:
-	// no figure yet: 11 to b
-	// room, but not idempotent: 12 to b
-	// room and idempotent: 13 to c; 13 to a
-	// the first answer: 13 cancels forward 0
-	// room at a third of the workers: 14 to c
+	// no sample yet: 11 to b
+	// capacity, but not idempotent: 12 to b
+	// capacity and idempotent: 13 to c; 13 to a
+	// the first answer: 13 cancels attempt 0
+	// capacity at a third of the workers: 14 to c
 	// the second of fifteen: 15 to a; 15 to b
 	// a third would be under a fifth: 16 to a; 16 to b
 	// a fourth would not; and only the running set: 17 to c; 18 to a
 }
 
-// A streamed answer that has begun belongs to the client: the other copy is cancelled and nothing more is sent.
+// A streamed response that has started belongs to the client: the other attempt is cancelled and nothing more is sent.
 func Example_streamedResponse() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 2), freeSlotsResult('b', 2), arrival(1, 0, 0.3))
@@ -50,5 +51,5 @@
 	// 10ms 1 to a
 	// 200ms worker ejected worker=a reason="health checks unanswered"
 	// 200ms 1 to b
-	// 220ms 1 cancels forward 0
+	// 220ms 1 cancels attempt 0
 }
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A worker that fails what it gets is set aside, comes back after answered probes, and gets one at a time at first.
+// A worker that fails attempts is ejected, reinstated after answered health checks, and gets one attempt at a time at first.
 func Example_ejectionAndProbation() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 4), arrival(1, 2, 0.2))
@@ -18,15 +18,15 @@
 	// Output:
 	// 10ms 1 to a
 	// 20ms worker ejected worker=a reason="fails attempts"
-	// 20ms 1 errored
+	// 20ms 1 failed
 	// 530ms worker reinstated on probation worker=a
 	// 530ms 3 to a
 	// 550ms 4 to a
 	// 570ms worker ejected worker=a reason="fails attempts"
 }
 
-// A hung worker that still answers probes: suspicion asks, then silence beyond what waiting explains decides. What sits
-// there goes elsewhere, and when it comes back after probes, new work is to show how it does.
+// A hung worker still answers health checks: overdue progress has it checked, and silence beyond what queueing explains
+// ejects it. Its attempts are retried elsewhere, and once it is reinstated new work is to show how it does.
 func Example_hungWorker() {
 	config := testConfig()
 	config.ProgressInterval = 500 * ms
@@ -47,7 +47,7 @@
 	// 5.02s 4 to a
 }
 
-// Probes that go unanswered from a worker without another sign of life.
+// Health checks go unanswered at a worker that reports no progress either.
 func Example_unansweredHealthChecks() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 2), freeSlotsResult('b', 2), arrival(1, 0, 0.3), arrival(2, 2, 0.3))
@@ -59,8 +59,8 @@
 	// 200ms worker ejected worker=a reason="health checks unanswered"
 }
 
-// Broken connections and probes that fail at once may be the network's doing: the worker is asked again at once, and set
-// aside when that fails too, or when all that it gets breaks. What could not connect is not tried there again at once.
+// Broken connections and health checks that fail at once may be the network's fault: the worker is checked again at once, and
+// ejected when that fails too, or when all of its attempts break. What could not connect is not retried there at once.
 func Example_brokenConnections() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.printHealthChecks = true
@@ -76,8 +76,8 @@
 	h.handleAt(100*ms, unreachable)
 	h.handleAt(120*ms, unreachable)
 	// Output:
-	// 10ms probes a
-	// 10ms probes b
+	// 10ms health checks a
+	// 10ms health checks b
 	// 10ms 1 to a
 	// 10ms 2 to a
 	// 40ms 1 to b
@@ -87,7 +87,7 @@
 	// 120ms worker ejected worker=a reason="health checks unanswered"
 }
 
-// The worker that is avoided is counted while it is, and while it is listed.
+// An ejected worker is counted for as long as it is ejected and listed.
 func Example_ejectedCount() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.collects = true
--- a/dispatch/pool_test.go
+++ b/dispatch/pool_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// fleet is a list of more workers than a pool starts with, in two zones.
+// readyEndpoints are more workers than letters name, in two zones.
 func readyEndpoints(count int) (endpoints []Endpoint) {
 	for i := range count {
 		endpoints = append(endpoints, readyEndpoint(byte(i+1), i%2))
@@ -15,15 +15,15 @@
 	return endpoints
 }
 
-// A pool starts with few workers of many and is renewed by turns; one more joins when all are busy, within what the
-// probes can go round in. What drains leaves it at once.
+// A pool starts with few workers of many and is renewed in turns; one more joins when all are busy, within what health
+// checks can keep up with. A draining worker leaves it at once.
 func Example_poolRenewal() {
 	h := newHarness(testConfig(), readyEndpoints(200)...)
 	h.collects = true
 	size := func(title string) { fmt.Printf("%s: %d of 200\n", title, len(h.dispatcher.scheduler.pool)) }
 	answer := func(slots float64) {
-		for _, at := range slices.Clone(h.dispatcher.scheduler.pool) {
-			h.handleAt(h.now+ms, freeSlotsResult(byte(at+1), slots))
+		for _, index := range slices.Clone(h.dispatcher.scheduler.pool) {
+			h.handleAt(h.now+ms, freeSlotsResult(byte(index+1), slots))
 		}
 	}
 	size("at the start")
@@ -52,7 +52,7 @@
 	// one drains: 29 of 200
 }
 
-// What an event costs must not grow with the fleet: the workers met and those that get notes are the same few.
+// What an event costs must not grow with the number of workers: those that get messages for it are the same few.
 func Example_eventCostOfLargeFleet() {
 	for _, workers := range []int{50, 250} {
 		h := newHarness(testConfig(), readyEndpoints(workers)...)
@@ -61,7 +61,10 @@
 		for index := range h.dispatcher.records {
 			w := h.dispatcher.workerAt(index)
 			handle := w.mailbox.handle
-			w.mailbox.handle = func(message workerMessage) { messages++; handle(message) }
+			w.mailbox.handle = func(message workerMessage) {
+				messages++
+				handle(message)
+			}
 		}
 		h.dispatcher.deliverMessages()
 		messages = 0
@@ -69,27 +72,29 @@
 			h.handleAt(h.now+200*ms, arrival(i+1, 2, 0.1))
 			h.runUntil(h.now + 2*tickInterval)
 		}
-		fmt.Println(workers, "workers, notes that they read for an invocation:", messages/20)
+		fmt.Println(workers, "workers, messages that they handle for an invocation:", messages/20)
 	}
 	// Output:
-	// 50 workers, notes that they read for an invocation: 36
-	// 250 workers, notes that they read for an invocation: 35
+	// 50 workers, messages that they handle for an invocation: 36
+	// 250 workers, messages that they handle for an invocation: 35
 }
 
-// Many workers start at once beside a small pool: those that the lot names to us are kept in it, and asked again every
+// Many workers start at once beside a small pool: those that the lottery gives us stay in it, and are health checked every
 // 2 s and not whenever another one joins.
 func Example_manyRestartsBesideSmallPool() {
 	h := newHarness(gossipConfig(3, 0), readyEndpoints(20)...)
 	var starting []Endpoint
 	for n := range 60 {
 		e := readyEndpoint(byte(100+n), 0)
-		e.StartKnown, e.StartedAt, e.Incarnation = true, time.Second, uint64(n)
+		e.StartKnown = true
+		e.StartedAt = time.Second
+		e.Incarnation = uint64(n)
 		starting = append(starting, e)
 	}
 	checks := 0
 	handle := func(now time.Duration, events ...Event) {
 		for pending := events; len(pending) > 0; {
-			next := []Event(nil)
+			var next []Event
 			for _, action := range h.dispatcher.Handle(now, pending) {
 				if check, isCheck := action.(HealthCheck); isCheck {
 					checks++
@@ -98,33 +103,37 @@
 					next = append(next, a)
 				}
 			}
-			pending, now = next, now+time.Microsecond
+			pending = next
+			now += time.Microsecond
 		}
 	}
 	handle(time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: starting})
 	for now := time.Second; now < 5*time.Second; now += tickInterval {
 		handle(now, arrival(InvocationID(now), 0, 0.1))
 	}
-	fmt.Println("60 started, probes in 4 s under 300:", checks < 300)
+	fmt.Println("60 started, health checks in 4 s under 300:", checks < 300)
 	// Output:
-	// 0s tells -1: anew
-	// 60 started, probes in 4 s under 300: true
+	// 0s gossips to -1: restarted
+	// 60 started, health checks in 4 s under 300: true
 }
 
 // What a scheduler does beside its invocations does not grow with the workers that have its work: 950 with 1,800 invocations
-// in hand read no more notes than 60 with 130.
+// in flight handle no more messages than 60 with 130.
 func TestMessagesDoNotGrowWithWorkers(t *testing.T) {
-	reads := func(workers int) (count int) {
+	messages := func(workers int) (count int) {
 		s := newLoadedSimulation(workers)
 		for index := range s.dispatcher.records {
 			box := &s.dispatcher.workerAt(index).mailbox
 			handle := box.handle
-			box.handle = func(message workerMessage) { count++; handle(message) }
+			box.handle = func(message workerMessage) {
+				count++
+				handle(message)
+			}
 		}
 		s.run(s.now + 10*time.Second)
 		return count
 	}
-	if few, many := reads(60), reads(950); many > few*5/4 {
-		t.Errorf("workers read %d notes at 60, %d at 950", few, many)
+	if few, many := messages(60), messages(950); many > few*5/4 {
+		t.Errorf("workers handle %d messages at 60, %d at 950", few, many)
 	}
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// One slot is free: the rest is held and leaves by weight over effective size, whatever came first.
+// One slot is free: the rest is queued and released by weight over effective size, whatever came first.
 func Example_releaseOrder() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1))
@@ -38,8 +38,8 @@
 	// weight 1, hint 0.1, wide (11) against weight 4, hint 0.6 (12): 12 to a
 }
 
-// A client's later try has less budget left, or a client waits for less than others from the first: that can't be told, so it
-// goes behind and has what is left over. What can't be done in what is left is given up at once.
+// A client's own retry has less budget left, or a client's timeout is shorter from the first: nothing tells these apart, so
+// it goes last and gets what capacity is left. What can't meet its deadline any more is rejected at once.
 func Example_smallerBudget() {
 	for _, slots := range []float64{2, 4} {
 		fmt.Println("slots:", slots)
@@ -55,28 +55,31 @@
 	}
 	// Output:
 	// slots: 2
-	// 20ms 3 throttled, back after 750ms to 1.25s
+	// 20ms 3 throttled, retry after 750ms to 1.25s
 	// 40ms 1 to a
 	// 40ms 4 to a
-	// 420ms 2 throttled, back after 750ms to 1.25s
+	// 420ms 2 throttled, retry after 750ms to 1.25s
 	// slots: 4
-	// 20ms 3 throttled, back after 750ms to 1.25s
+	// 20ms 3 throttled, retry after 750ms to 1.25s
 	// 40ms 1 to a
 	// 40ms 4 to a
 	// 40ms 2 to a
 }
 
-// The order of the held follows what an answer still brings: what is late gives way, work beyond a tenant's share counts
-// for less, and while work is given up the operation served worst counts again.
+// The queue's order follows what an answer is still worth: what is late gives way, work beyond a tenant's quota counts for
+// less, and while work is shed the operation that is served worst counts again.
 func Example_rankByValue() {
 	config := testConfig()
-	config.Operations[0].LateWeight, config.Operations[1].PriorityWeight = 0.5, 1
-	config.Tenants, config.ExcessValue, config.WorstOperationWeight = []Tenant{{QuotaPerSecond: 5}, {QuotaPerSecond: 100}}, 0.05, 1
-	order := func(title string, jobs ...Arrival) *harness {
+	config.Operations[0].LateWeight = 0.5
+	config.Operations[1].PriorityWeight = 1
+	config.Tenants = []Tenant{{QuotaPerSecond: 5}, {QuotaPerSecond: 100}}
+	config.ExcessValue = 0.05
+	config.WorstOperationWeight = 1
+	order := func(title string, arrivals ...Arrival) *harness {
 		h := newHarness(config, readyEndpoint('a', 0))
 		h.handleAt(10*ms, freeSlotsResult('a', 0))
-		for _, j := range jobs {
-			h.handleAt(h.now+20*ms, j)
+		for _, a := range arrivals {
+			h.handleAt(h.now+20*ms, a)
 		}
 		h.collects = true
 		h.handleAt(h.now+400*ms, freeSlotsResult('a', 0))
@@ -88,14 +91,17 @@
 		fmt.Println()
 		return h
 	}
-	fromTenant := func(a Arrival, tenant int) Arrival { a.Tenant = tenant; return a }
+	fromTenant := func(a Arrival, tenant int) Arrival {
+		a.Tenant = tenant
+		return a
+	}
 	order("smaller first", arrival(1, 0, 3), arrival(2, 0, 2))
 	retried := arrival(3, 0, 1)
 	retried.Budget -= 3 * time.Second
 	order("a late one last", arrival(1, 0, 3), retried, arrival(2, 0, 2))
 	h := newHarness(config, readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1))
-	h.dispatcher.scheduler.operations[0].longestBudget = retried.Budget + 3*time.Second // as it has seen first tries
+	h.dispatcher.scheduler.operations[0].longestBudget = retried.Budget + 3*time.Second // as if it had seen first attempts
 	h.handleAt(20*ms, retried)
 	h.runUntil(200 * ms)
 	h.handleAt(300*ms, freeSlotsResult('a', 4))
@@ -106,11 +112,11 @@
 	}
 	order("a flood behind", flood...)
 	config.Tenants[0].QuotaPerSecond = 0
-	order("no quota told", flood...)
+	order("no quota configured", flood...)
 	// Output:
 	// smaller first: 2 1
 	// a late one last: 2 1 3
 	// 300ms 3 to a
 	// a flood behind: 1 2 3 4 5
-	// no quota told: 2 3 4 5 1
+	// no quota configured: 2 3 4 5 1
 }
--- a/dispatch/random_history_test.go
+++ b/dispatch/random_history_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// history plays one instance on chance: what it decides is held against the effect classes and limits, which are kept here
-// once more in the plainest way.
+// randomHistory drives one dispatcher with random events. Its actions are compared with the effect classes and limits, which
+// are kept here once more in the plainest way.
 type randomHistory struct {
 	*testing.T
 	rng           *rand.Rand
@@ -16,13 +16,13 @@
 	now           time.Duration
 	zones         map[WorkerID]int // as listed; the cell is the same
 	states        map[WorkerID]EndpointState
-	pendingChecks []WorkerID // probes that are out
+	pendingChecks []WorkerID // health checks that are in flight
 	invocations   map[InvocationID]*historyInvocation
 	open          []InvocationID // in order
 	counts        map[string]int
 }
 
-// past is what has become of an invocation.
+// historyInvocation is what has become of an invocation.
 type historyInvocation struct {
 	operation       int
 	closed          bool // answered, or its client has left
@@ -31,13 +31,14 @@
 }
 
 type historyAttempt struct {
-	worker               WorkerID
-	zone                 int
-	sentAt               time.Duration
-	inFlight, mayHaveRun bool
+	worker     WorkerID
+	zone       int
+	sentAt     time.Duration
+	inFlight   bool
+	mayHaveRun bool // it has ended
 }
 
-// first is the first forward that may have run.
+// firstThatMayHaveRun is nil where nothing can have run.
 func (v *historyInvocation) firstThatMayHaveRun() *historyAttempt {
 	for n := range v.attempts {
 		if attempt := &v.attempts[n]; attempt.inFlight || attempt.mayHaveRun {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// handle takes the actions of one moment.
+// handle hands over the events of one moment, and checks the actions.
 func (h *randomHistory) handle(events ...Event) {
 	for _, action := range h.dispatcher.Handle(h.now, events) {
 		switch a := action.(type) {
@@ -58,7 +59,8 @@
 		case Throttle:
 			inv := h.answered(a.Invocation)
 			operation := h.config.Operations[inv.operation]
-			if inv.firstThatMayHaveRun() != nil && operation.Effect != Idempotent && !(operation.Effect == Deduplicated && operation.DedupScope == ScopeAll) {
+			repeatable := operation.Effect == Idempotent || operation.Effect == Deduplicated && operation.DedupScope == ScopeAll
+			if inv.firstThatMayHaveRun() != nil && !repeatable {
 				h.Fatal(h.now, a, "throttled, and may have run")
 			}
 		case Fail:
@@ -83,13 +85,15 @@
 
 func (h *randomHistory) forward(forward Forward) {
 	inv := h.invocations[forward.Invocation]
-	operation, first, inFlight := h.config.Operations[inv.operation], inv.firstThatMayHaveRun(), 0
+	operation := h.config.Operations[inv.operation]
+	first := inv.firstThatMayHaveRun()
+	inFlight := 0
 	for _, attempt := range inv.attempts {
 		if attempt.inFlight {
 			inFlight++
 		}
 		if attempt.worker == forward.Worker && (attempt.inFlight || attempt.mayHaveRun) {
-			h.Fatal(h.now, forward, "to the worker that has it or had it")
+			h.Fatal(h.now, forward, "to a worker that it has been sent to")
 		}
 	}
 	switch {
@@ -110,18 +114,24 @@
 	case h.now >= first.sentAt+operation.DedupWindow || forward.NotAfter != first.sentAt+operation.DedupWindow:
 		h.Fatal(h.now, forward, "past its window, or until another time:", first.sentAt, operation.DedupWindow)
 	case operation.DedupScope != ScopeAll && h.zones[forward.Worker] != first.zone:
-		h.Fatal(h.now, forward, "outside its group")
+		h.Fatal(h.now, forward, "outside its scope")
 	default:
 		h.counts["repeats"]++
 	}
-	inv.attempts = append(inv.attempts, historyAttempt{worker: forward.Worker, zone: h.zones[forward.Worker], sentAt: h.now, inFlight: true})
+	inv.attempts = append(inv.attempts, historyAttempt{
+		worker:   forward.Worker,
+		zone:     h.zones[forward.Worker],
+		sentAt:   h.now,
+		inFlight: true,
+	})
 	h.counts["forwards"]++
 }
 
 func (h *randomHistory) outcome(id InvocationID, number int, result Result) Outcome {
 	inv := h.invocations[id]
 	attempt := &inv.attempts[number]
-	attempt.inFlight, attempt.mayHaveRun = false, result != Rejected && result != Unreachable && result != NotSent
+	attempt.inFlight = false
+	attempt.mayHaveRun = result != Rejected && result != Unreachable && result != NotSent
 	closed := inv.closed
 	if result == Succeeded {
 		inv.closed = true
@@ -129,7 +139,7 @@
 	return Outcome{Invocation: id, Worker: attempt.worker, Attempt: number, Result: result, Answered: closed || result == Succeeded}
 }
 
-// any is one of those that are held here or out; 0: there is none.
+// randomOpen is one of the open invocations; 0: there is none.
 func (h *randomHistory) randomOpen() InvocationID {
 	if len(h.open) == 0 {
 		return 0
@@ -143,6 +153,7 @@
 	return id
 }
 
+// step has one random thing happen, and all client timeouts that are due.
 func (h *randomHistory) step(next *InvocationID) {
 	h.now += time.Duration(h.rng.Intn(30)) * ms
 	names := []byte("abcdef")
@@ -152,17 +163,27 @@
 		*next++
 		a := arrival(*next, h.rng.Intn(len(h.config.Operations)), 0.05+h.rng.Float64()/2)
 		a.Budget = time.Duration(300+h.rng.Intn(4000)) * ms
-		h.invocations[*next], h.open = &historyInvocation{operation: a.Operation, clientTimeoutAt: h.now + a.Budget}, append(h.open, *next)
+		h.invocations[*next] = &historyInvocation{
+			operation:       a.Operation,
+			clientTimeoutAt: h.now + a.Budget,
+		}
+		h.open = append(h.open, *next)
 		h.handle(a)
 	case 3, 4:
 		if n := len(h.pendingChecks); n > 0 {
 			load := UnknownLoad
 			load.FreeSlots = float64(h.rng.Intn(3)) + h.rng.Float64()/100
-			a := HealthCheckResult{Worker: h.pendingChecks[0], Result: []Result{Succeeded, Succeeded, Succeeded, ReusedConnectionBroken, TimedOut}[h.rng.Intn(5)], Latency: 20 * ms}
-			if h.pendingChecks = h.pendingChecks[1:]; a.Result == Succeeded {
-				a.Load = &load
+			results := []Result{Succeeded, Succeeded, Succeeded, ReusedConnectionBroken, TimedOut}
+			check := HealthCheckResult{
+				Worker:  h.pendingChecks[0],
+				Result:  results[h.rng.Intn(len(results))],
+				Latency: 20 * ms,
+			}
+			h.pendingChecks = h.pendingChecks[1:]
+			if check.Result == Succeeded {
+				check.Load = &load
 			}
-			h.handle(a)
+			h.handle(check)
 		}
 	case 5, 6, 7:
 		if id := h.randomOpen(); id > 0 {
@@ -184,11 +205,17 @@
 		if h.states[worker] == Ready && h.rng.Intn(4) == 0 {
 			h.zones[worker] = h.rng.Intn(2)
 		}
-		h.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{Worker: worker, Zone: h.zones[worker], Cell: h.zones[worker], Kind: -1,
-			State: h.states[worker]}}})
+		h.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{{
+			Worker: worker,
+			Zone:   h.zones[worker],
+			Cell:   h.zones[worker],
+			Kind:   AnyKind,
+			State:  h.states[worker],
+		}}})
 	case 10:
 		if h.rng.Intn(5) == 0 {
-			h.config.Limits.MaxAttempts, h.config.Limits.MaxInFlight = 1+h.rng.Intn(4), 1+h.rng.Intn(2)
+			h.config.Limits.MaxAttempts = 1 + h.rng.Intn(4)
+			h.config.Limits.MaxInFlight = 1 + h.rng.Intn(2)
 			h.config.Limits.Cancel = h.rng.Intn(2) == 0
 			previous := []int{0, 1, 2, 3, 4}
 			h.handle(Reconfigured{Config: h.config, PreviousOperations: previous})
@@ -197,7 +224,7 @@
 		if id := h.randomOpen(); id > 0 {
 			h.handle(TimerFired{}) // ages count back from the last moment
 			if record, isOpen := h.dispatcher.MigrationRecord(id); isOpen {
-				h.counts["passed"]++
+				h.counts["migrated"]++
 				h.handle(MigratedOut{Invocation: id})
 				age := time.Duration(h.rng.Intn(400)) * ms
 				h.now += age
@@ -215,29 +242,40 @@
 	h.handle(TimerFired{})
 }
 
-// Over random histories (outcomes of all kinds, silent workers, drains, moves, limits that change, clients that leave,
-// hand-overs) nothing is sent for a client that has left or has its answer, nor against an effect class, a window, a group,
-// a limit or the list.
+// Over random histories (outcomes of all kinds, silent workers, draining, changes of zone, limits that change, clients that
+// disconnect, migration) nothing is sent for a client that has disconnected or has its answer, nor against an effect class, a
+// deduplication window or scope, a limit or the endpoint list.
 func TestRulesHoldOverRandomHistories(t *testing.T) {
 	counts := map[string]int{}
 	for seed := range int64(60) {
 		config := testConfig()
-		config.NotifiesAccepted, config.NotifiesStart = seed%2 == 0, seed%3 == 0
+		config.NotifiesAccepted = seed%2 == 0
+		config.NotifiesStart = seed%3 == 0
 		for _, scope := range []DedupScope{ScopeAll, ScopeCell} {
 			operation := config.Operations[1]
 			operation.DedupScope = scope
 			config.Operations = append(config.Operations, operation)
 		}
 		for n := range config.Operations {
-			config.Operations[n].DedupWindow, config.Operations[n].LateWeight = time.Duration(seed%5)*400*ms, 0.5
+			config.Operations[n].DedupWindow = time.Duration(seed%5) * 400 * ms
+			config.Operations[n].LateWeight = 0.5
+		}
+		h := &randomHistory{
+			T:           t,
+			rng:         rand.New(rand.NewSource(seed)),
+			dispatcher:  New(config, seed),
+			config:      config,
+			zones:       map[WorkerID]int{},
+			states:      map[WorkerID]EndpointState{},
+			invocations: map[InvocationID]*historyInvocation{},
+			counts:      counts,
 		}
-		h := &randomHistory{T: t, rng: rand.New(rand.NewSource(seed)), dispatcher: New(config, seed), config: config, zones: map[WorkerID]int{},
-			states: map[WorkerID]EndpointState{}, invocations: map[InvocationID]*historyInvocation{}, counts: counts}
 		var endpoints []Endpoint
 		for n, name := range []byte("abcdef") {
 			endpoint := readyEndpoint(name, n%2)
-			endpoint.Kind = -1
-			h.zones[endpoint.Worker], h.states[endpoint.Worker] = endpoint.Zone, Ready
+			endpoint.Kind = AnyKind
+			h.zones[endpoint.Worker] = endpoint.Zone
+			h.states[endpoint.Worker] = Ready
 			endpoints = append(endpoints, endpoint)
 		}
 		h.handle(EndpointUpdate{Kind: FullUpdate, Endpoints: endpoints})
@@ -247,7 +285,7 @@
 		}
 	}
 	t.Log(counts)
-	if counts["repeats"] < 100 || counts["left"] < 500 || counts["passed"] < 500 {
+	if counts["repeats"] < 100 || counts["left"] < 500 || counts["migrated"] < 500 {
 		t.Error("too little has happened: ", counts)
 	}
 }
--- a/dispatch/reconfigure_benchmark_test.go
+++ b/dispatch/reconfigure_benchmark_test.go
@@ -8,21 +8,21 @@
 	"stoatweir/dispatch"
 )
 
-// BenchmarkRetuned has the decisions follow newer settings of so many operations.
+// BenchmarkReconfigured has a dispatcher take a newer configuration of so many operations.
 func BenchmarkReconfigured(b *testing.B) {
 	for _, n := range []int{71, 284, 1136, 2272, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			deployment := dispatch.Config{Schedulers: 15, Operations: make([]dispatch.Operation, n)}
+			config := dispatch.Config{Schedulers: 15, Operations: make([]dispatch.Operation, n)}
 			var previous []int
 			for operation := range n {
 				previous = append(previous, operation)
 			}
-			dispatcher := dispatch.New(deployment, 1)
+			dispatcher := dispatch.New(config, 1)
 			dispatcher.Handle(1, []dispatch.Event{fullUpdateOf(3800)})
 			now := time.Duration(2)
 			for b.Loop() {
 				now += time.Millisecond
-				dispatcher.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: deployment, PreviousOperations: previous}})
+				dispatcher.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: config, PreviousOperations: previous}})
 			}
 		})
 	}
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -1,37 +1,36 @@
 package dispatch
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// Settings taken over later allow messages, or forbid them: keepers are found then, and nothing more is sent.
+// A reconfiguration allows gossip, and another one forbids it: owners are found, and then nothing more is sent.
 func Example_reconfiguredGossip() {
 	config := gossipConfig(3, 1)
 	withoutGossip := config
 	withoutGossip.Limits.Gossip = false
 	h := newHarness(withoutGossip, readyEndpoint('a', 0), readyEndpoint('c', 0))
 	h.handleAt(20*ms, freeSlotsResult('a', 2), arrival(1, 0, 0.1))
-	h.handleAt(50*ms, h.outcome(1, 0, Succeeded), Reconfigured{config, []int{0, 1, 2}})
-	fmt.Println("keepers:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner, "ours:", h.dispatcher.owned)
+	h.handleAt(50*ms, h.outcome(1, 0, Succeeded), Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}})
+	fmt.Println("owners:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner, "owned here:", h.dispatcher.owned)
 	draining := readyEndpoint('a', 0)
-	draining.State = Draining // else it would come first, as we keep it
+	draining.State = Draining // else it would come first, as we own it
 	h.handleAt(55*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{draining}})
 	h.handleAt(60*ms, freeSlotsResult('c', 4), arrival(2, 0, 0.1))
 	h.runUntil(90 * ms)
-	h.handleAt(100*ms, h.outcome(2, 0, Succeeded), Reconfigured{withoutGossip, []int{0, 1, 2}})
-	h.handleAt(110*ms, freeSlotsResult('c', 4), arrival(3, 0, 0.1), GossipReceived{0, []GossipEntry{{Kind: GossipCapacityQuery, Tag: h.dispatcher.workerAt(0).tag}}})
+	h.handleAt(100*ms, h.outcome(2, 0, Succeeded), Reconfigured{Config: withoutGossip, PreviousOperations: []int{0, 1, 2}})
+	query := GossipEntry{Kind: GossipCapacityQuery, Tag: h.dispatcher.workerAt(0).tag}
+	h.handleAt(110*ms, freeSlotsResult('c', 4), arrival(3, 0, 0.1), GossipReceived{From: 0, Entries: []GossipEntry{query}})
 	// Output:
 	// 20ms 1 to c
-	// keepers: 1 0 ours: [0]
-	// 60ms tells 0: asks for c
+	// owners: 1 0 owned here: [0]
+	// 60ms gossips to 0: queries c
 	// 80ms 2 to c
-	// 80ms tells 0: sent 2 to c
-	// 100ms tells 0: ended 2
+	// 80ms gossips to 0: sent 2 to c
+	// 100ms gossips to 0: ended 2
 	// 110ms 3 to c
 }
 
-// An operation becomes stricter while an invocation of it is out: that one may still go elsewhere as it came, a new one may
-// not. What was learned of it goes on with the new one.
+// An operation becomes stricter while an invocation of it is in flight: that one may still be retried as when it arrived, a
+// new one may not. What was measured of it goes on with the new one.
 func Example_reconfiguredEffect() {
 	config := testConfig()
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
@@ -50,19 +49,19 @@
 	h.printCollected("after")
 	h.handleAt(h.now+10*ms, h.outcome(11, 0, ConnectionBroken), h.outcome(12, 0, ConnectionBroken))
 	h.printCollected("both break")
-	ops := h.dispatcher.scheduler.operations
-	fmt.Println(len(ops[3].costRatios) >= 5, len(ops[1].costRatios))
-	ops[3].costRatios.add(99)
-	fmt.Println(ops[0].costRatios.sum() < 99)
+	operations := h.dispatcher.scheduler.operations
+	fmt.Println(len(operations[3].costRatios) >= 5, len(operations[1].costRatios))
+	operations[3].costRatios.add(99)
+	fmt.Println(operations[0].costRatios.sum() < 99)
 	// Output:
 	// before: 11 to a
 	// after: 12 to b
-	// both break: 12 errored; 11 to b
+	// both break: 12 failed; 11 to b
 	// true 0
 	// true
 }
 
-// Fewer forwards are allowed: what has had as many gets no more, whenever it came. Copies and cancels follow as well.
+// Fewer attempts are allowed: what has had as many gets no more, whenever it arrived. Cancelling follows as well.
 func Example_reconfiguredLimits() {
 	config := testConfig()
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
@@ -70,37 +69,42 @@
 	h.handleAt(10*ms, arrival(1, 0, 0.1))
 	h.handleAt(20*ms, h.outcome(1, 0, Rejected))
 	h.printCollected("before")
-	config.Limits.MaxAttempts, config.Limits.MaxRetryAfter = 2, 0
+	config.Limits.MaxAttempts = 2
+	config.Limits.MaxRetryAfter = 0
 	h.handleAt(30*ms, Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}})
 	h.handleAt(40*ms, h.outcome(1, 1, Rejected))
 	h.printCollected("after")
-	fmt.Println(h.dispatcher.scheduler.maxAttempts, h.dispatcher.scheduler.cancels, h.dispatcher.scheduler.schedulers, h.dispatcher.self)
-	config.Limits.Cancel, config.Schedulers, config.Index = false, 7, -1
+	s := &h.dispatcher.scheduler
+	fmt.Println(s.maxAttempts, s.cancels, s.schedulers, h.dispatcher.self)
+	config.Limits.Cancel = false
+	config.Schedulers = 7
+	config.Index = UnknownIndex
 	h.handleAt(50*ms, Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}})
-	fmt.Println(h.dispatcher.scheduler.maxAttempts, h.dispatcher.scheduler.cancels, h.dispatcher.scheduler.schedulers, h.dispatcher.self)
+	fmt.Println(s.maxAttempts, s.cancels, s.schedulers, h.dispatcher.self)
 	// Output:
 	// before: 1 to c; 1 to a
-	// after: 1 throttled, back at once
+	// after: 1 throttled, retry at once
 	// 2 true 1 0
 	// 2 false 7 0
 }
 
-// New settings come while a tenant's invocations are held: its traffic goes on being known, a new one's starts at nought.
+// A reconfiguration comes while a tenant's invocations are queued: its arrivals stay counted, those of a new one start at 0.
 func Example_reconfiguredTenants() {
 	config := testConfig()
-	config.Tenants, config.ExcessValue = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 1000}}, 0.1
+	config.Tenants = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 1000}}
+	config.ExcessValue = 0.1
 	h := newHarness(config, readyEndpoint('a', 0))
 	h.collects = true
 	h.handleAt(h.now+10*ms, freeSlotsResult('a', 0))
 	fromTenant := func(n InvocationID, tenant int) Arrival {
-		arrival := arrival(n, 2, 1)
-		arrival.Tenant = tenant
-		return arrival
+		a := arrival(n, 2, 1)
+		a.Tenant = tenant
+		return a
 	}
 	for n := InvocationID(1); n <= 10; n++ {
 		h.handleAt(h.now+10*ms, fromTenant(n, 0))
 	}
-	h.handleAt(h.now+10*ms, fromTenant(13, 2)) // of nobody known yet
+	h.handleAt(h.now+10*ms, fromTenant(13, 2)) // of a tenant that is not known yet
 	config.Tenants = append(config.Tenants, Tenant{QuotaPerSecond: 5})
 	h.handleAt(h.now+10*ms, Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}}, fromTenant(11, 2))
 	h.runUntil(h.now + 200*ms)
--- a/dispatch/recorded_history_test.go
+++ b/dispatch/recorded_history_test.go
@@ -18,8 +18,12 @@
 	printHistory    = flag.String("written", "", "a history, as \"seed workers\", whose actions are written to standard output")
 )
 
+// recordedFile has a line for each history: seed, workers, number of actions, hash.
 const recordedFile = "testdata/histories.txt"
 
+// recordedSpan is how long each history runs.
+const recordedSpan = 12 * time.Second
+
 // recordedText is an action as the recorded histories have it.
 func recordedText(action Action) string {
 	if line, isLog := action.(Log); isLog {
@@ -73,8 +77,8 @@
 	return fmt.Sprintf("%T", action)
 }
 
-// told plays one history and tells how many actions it had and what they hash to, with all that was learned at the end.
-func playHistory(seed int64, workers int, span time.Duration, trace *bufio.Writer) (actions int, sum uint64) {
+// playHistory runs one history, and gives the number of its actions and their hash, with the snapshot at the end.
+func playHistory(seed int64, workers int, trace *bufio.Writer) (actions int, sum uint64) {
 	s := newSimulation(seed, workers, randomConfig(seed))
 	s.arrivalRate = []float64{3, 15, 60}[seed%3] * float64(workers) / 12
 	if workers > 100 {
@@ -91,7 +95,7 @@
 		}
 	}
 	s.start()
-	s.run(span)
+	s.run(recordedSpan)
 	snapshot := s.dispatcher.Snapshot()
 	slices.SortFunc(snapshot.Workers, func(a, b WorkerSnapshot) int {
 		return cmp.Or(a.Worker.Addr().Compare(b.Worker.Addr()), cmp.Compare(a.Worker.Port(), b.Worker.Port()))
@@ -104,22 +108,28 @@
 	return actions, hash.Sum64()
 }
 
-// The module does what the one before did, action for action, in histories that a seed draws: arrivals, outcomes, signs,
-// reports, lists with restarts, drains and departures, other schedulers' notes, new settings, successors, at small and
+// The module does what the one before did, action for action, in histories that a seed draws: arrivals, outcomes, progress,
+// load reports, endpoint updates with restarts, draining and departures, gossip, reconfiguration, successors, at small and
 // middling sizes. Where a change is meant to decide otherwise they are recorded anew (-record), and the commit says why.
 func TestRecordedHistories(t *testing.T) {
 	if *printHistory != "" {
 		var seed int64
 		var workers int
 		fmt.Sscan(*printHistory, &seed, &workers)
-		playHistory(seed, workers, 12*time.Second, bufio.NewWriter(os.Stdout))
+		playHistory(seed, workers, bufio.NewWriter(os.Stdout))
 		return
 	}
 	var lines []string
-	for _, size := range []struct{ workers, seeds int }{{3, 12}, {12, 40}, {60, 10}, {240, 6}} {
+	sizes := []struct{ workers, seeds int }{
+		{workers: 3, seeds: 12},
+		{workers: 12, seeds: 40},
+		{workers: 60, seeds: 10},
+		{workers: 240, seeds: 6},
+	}
+	for _, size := range sizes {
 		for seed := range int64(size.seeds) {
 			seed += int64(1000 * size.workers)
-			n, sum := playHistory(seed, size.workers, 12*time.Second, nil)
+			n, sum := playHistory(seed, size.workers, nil)
 			lines = append(lines, fmt.Sprintf("%d %d: %d actions %016x", seed, size.workers, n, sum))
 		}
 	}
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// What may have run goes out again only as its effect class allows; what has not run always may.
+// What may have run is retried only as its effect class allows; what has not run always may be.
 func Example_effectClasses() {
 	for operation, name := range []string{"idempotent", "deduplicated by zone", "non-idempotent"} {
-		for result, what := range []string{"", "failed", "full", "timed out", "unreachable", "broken off", "cancelled"} {
+		for result, what := range []string{"", "failed", "rejected", "timed out", "unreachable", "connection broken", "cancelled"} {
 			if result == 0 {
 				continue
 			}
@@ -22,26 +22,26 @@
 	}
 	// Output:
 	// idempotent, failed: 1 to a; worker ejected worker=a reason="fails attempts"; 1 to b
-	// idempotent, full: 1 to a; 1 to b
+	// idempotent, rejected: 1 to a; 1 to b
 	// idempotent, timed out: 1 to a; 1 to b
 	// idempotent, unreachable: 1 to a; 1 to b
-	// idempotent, broken off: 1 to a; 1 to b
+	// idempotent, connection broken: 1 to a; 1 to b
 	// idempotent, cancelled: 1 to a; 1 to b
 	// deduplicated by zone, failed: 1 to a; worker ejected worker=a reason="fails attempts"; 1 to c
-	// deduplicated by zone, full: 1 to a; 1 to b
+	// deduplicated by zone, rejected: 1 to a; 1 to b
 	// deduplicated by zone, timed out: 1 to a; 1 to c
 	// deduplicated by zone, unreachable: 1 to a; 1 to b
-	// deduplicated by zone, broken off: 1 to a; 1 to c
+	// deduplicated by zone, connection broken: 1 to a; 1 to c
 	// deduplicated by zone, cancelled: 1 to a; 1 to c
-	// non-idempotent, failed: 1 to a; worker ejected worker=a reason="fails attempts"; 1 errored
-	// non-idempotent, full: 1 to a; 1 to b
-	// non-idempotent, timed out: 1 to a; 1 errored
+	// non-idempotent, failed: 1 to a; worker ejected worker=a reason="fails attempts"; 1 failed
+	// non-idempotent, rejected: 1 to a; 1 to b
+	// non-idempotent, timed out: 1 to a; 1 failed
 	// non-idempotent, unreachable: 1 to a; 1 to b
-	// non-idempotent, broken off: 1 to a; 1 errored
-	// non-idempotent, cancelled: 1 to a; 1 errored
+	// non-idempotent, connection broken: 1 to a; 1 failed
+	// non-idempotent, cancelled: 1 to a; 1 failed
 }
 
-// Many schedulers turn clients away at one moment; each tells its own time to come back, up to what is allowed.
+// Many schedulers throttle clients at one moment; each advises a time of its own, up to the longest that is allowed.
 func Example_retryAfterJitter() {
 	advised := map[time.Duration]bool{}
 	for seed := range int64(80) {
@@ -53,13 +53,13 @@
 			}
 		}
 	}
-	fmt.Println("80 schedulers tell more than 30 times, 0.75 to 1.25 s:", len(advised) > 30)
+	fmt.Println("80 schedulers advise more than 30 times, 0.75 to 1.25 s:", len(advised) > 30)
 	// Output:
-	// 80 schedulers tell more than 30 times, 0.75 to 1.25 s: true
+	// 80 schedulers advise more than 30 times, 0.75 to 1.25 s: true
 }
 
-// What can't be in time any more is answered at once, what is out is waited for till the client timeout, and a client
-// that left is let go.
+// What can't meet its deadline any more is answered at once, what is in flight is waited for until the client timeout, and
+// an invocation whose client has disconnected is dropped.
 func Example_finalAnswers() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1), arrival(1, 2, 5))
@@ -73,14 +73,14 @@
 	h.handleAt(15*time.Second, h.outcome(5, 0, TimedOut), ClientDisconnected{Invocation: 5}, Outcome{Invocation: 99, Worker: workerID('z')})
 	// Output:
 	// 10ms 1 to a
-	// 420ms 2 throttled, back after 750ms to 1.25s
-	// 1.21s 1 cancels forward 0
-	// 1.22s 3 throttled, back after 750ms to 1.25s
+	// 420ms 2 throttled, retry after 750ms to 1.25s
+	// 1.21s 1 cancels attempt 0
+	// 1.22s 3 throttled, retry after 750ms to 1.25s
 	// 9s 5 to a
-	// 14s 5 errored
+	// 14s 5 failed
 }
 
-// What a worker would not have goes to one more: if that takes it the first worker is at fault, if not the invocation.
+// What a worker calls a bad request goes to one more: if that accepts it the first worker is at fault, if not the request.
 func Example_badRequest() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 3), freeSlotsResult('b', 2), freeSlotsResult('c', 1))
@@ -95,21 +95,24 @@
 	// Output:
 	// 20ms 1 to a
 	// 30ms 1 to b
-	// 40ms 1 errored
+	// 40ms 1 failed
 	// 50ms 2 to a
 	// 60ms 2 to c
 	// 70ms worker ejected worker=a reason="rejects what others accept"
 	// 80ms 3 to c
-	// 90ms 3 errored
+	// 90ms 3 failed
 }
 
-// One that has begun and of which nothing is heard, while its worker tells of others, is lost there: it goes elsewhere.
+// An attempt that has started and shows no progress, while its worker reports that of others, is lost: it is retried.
 func Example_lostAttempt() {
 	config := testConfig()
-	config.NotifiesStart, config.ProgressInterval = true, time.Second
+	config.NotifiesStart = true
+	config.ProgressInterval = time.Second
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 3), freeSlotsResult('b', 1), arrival(1, 0, 2), arrival(2, 0, 2))
-	h.handleAt(20*ms, AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true}, AttemptProgress{Invocation: 2, Worker: workerID('a'), Started: true})
+	h.handleAt(20*ms,
+		AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true},
+		AttemptProgress{Invocation: 2, Worker: workerID('a'), Started: true})
 	h.handleAt(1020*ms, AttemptProgress{Invocation: 2, Worker: workerID('a'), Done: 0.4})
 	h.runUntil(2000 * ms)
 	h.handleAt(2020*ms, AttemptProgress{Invocation: 2, Worker: workerID('a'), Done: 0.8})
@@ -120,13 +123,17 @@
 	// 2.02s 1 to b
 }
 
-// What is lost at a worker holds no slot there any more: its report says that two of three are free, and two are sent.
+// A lost attempt holds no slot any more: the worker reports that two of three are free, and two are sent.
 func Example_lostAttemptFreesItsSlot() {
 	config := testConfig()
-	config.NotifiesStart, config.ProgressInterval, config.Limits.MaxInFlight = true, time.Second, 1
+	config.NotifiesStart = true
+	config.ProgressInterval = time.Second
+	config.Limits.MaxInFlight = 1
 	h := newHarness(config, readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 3), arrival(1, 2, 2), arrival(2, 0, 2))
-	h.handleAt(20*ms, AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true}, AttemptProgress{Invocation: 2, Worker: workerID('a'), Started: true})
+	h.handleAt(20*ms,
+		AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true},
+		AttemptProgress{Invocation: 2, Worker: workerID('a'), Started: true})
 	h.handleAt(1020*ms, AttemptProgress{Invocation: 2, Worker: workerID('a'), Done: 0.4})
 	h.runUntil(2000 * ms)
 	h.handleAt(2020*ms, AttemptProgress{Invocation: 2, Worker: workerID('a'), Done: 0.8})
@@ -140,11 +147,12 @@
 	// 2.11s 4 to a
 }
 
-// Where workers say that they have taken a forward, one without that word counts as stuck: its connection may have fallen
-// silent, though other work there goes on. What may run only once is waited for. One that was taken waits in a queue.
+// Where workers report that they have accepted an attempt, one that was not accepted counts as stalled: its connection may be
+// dead, though other work there goes on. What may run only once is waited for. An accepted one waits in the worker's queue.
 func Example_attemptNotAccepted() {
 	config := testConfig()
-	config.NotifiesAccepted, config.NotifiesStart = true, true
+	config.NotifiesAccepted = true
+	config.NotifiesStart = true
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.collects = true
 	h.handleAt(10*ms, freeSlotsResult('a', 8), freeSlotsResult('b', 8))
@@ -152,7 +160,8 @@
 	h.printCollected("sent")
 	h.handleAt(30*ms, AttemptProgress{Invocation: 3, Worker: h.attemptWorkers[3][0], Accepted: true})
 	for n := range 40 {
-		h.handleAt(40*ms+time.Duration(n)*tickInterval, TimerFired{}, AttemptProgress{Invocation: 3, Worker: h.attemptWorkers[3][0], Started: true})
+		started := AttemptProgress{Invocation: 3, Worker: h.attemptWorkers[3][0], Started: true}
+		h.handleAt(40*ms+time.Duration(n)*tickInterval, TimerFired{}, started)
 	}
 	h.printCollected("0.8 s later")
 	h.handleAt(900*ms, h.outcome(1, 1, Succeeded), h.outcome(2, 0, Succeeded))
@@ -160,5 +169,5 @@
 	// Output:
 	// sent: 2 to b; 1 to a; 3 to a
 	// 0.8 s later: 1 to b
-	// answers: 1 cancels forward 0
+	// answers: 1 cancels attempt 0
 }
--- a/dispatch/scheduling_benchmark_test.go
+++ b/dispatch/scheduling_benchmark_test.go
@@ -7,23 +7,31 @@
 	"time"
 )
 
-// cost plays one of fifteen schedulers of a fleet: 48 starts a second whatever its size, running times that grow with it
-// (so that each worker always has some 23 slots taken by all), reports of what is free, no trouble.
+// newLoadedSimulation runs one of fifteen schedulers: 48 arrivals a second whatever the number of workers, running times that
+// grow with it (so that each worker always has some 23 slots taken by all), load reports, no faults.
 func newLoadedSimulation(workers int) *simulation { return newLoadedSimulationWithShare(workers, 0.4) }
 
-// costOf has others take a part of all slots on average.
+// newLoadedSimulationWithShare has other schedulers take a part of all slots on average.
 func newLoadedSimulationWithShare(workers int, share float64) *simulation {
 	config := testConfig()
-	config.Schedulers, config.Index, config.NotifiesStart, config.ProgressInterval = 15, 3, true, 0
+	config.Schedulers = 15
+	config.Index = 3
+	config.NotifiesStart = true
+	config.ProgressInterval = 0
 	config.Operations = config.Operations[:1]
-	config.Operations[0].LatencyObjective, config.Operations[0].Stretch = 4*time.Second, 3
+	config.Operations[0].LatencyObjective = 4 * time.Second
+	config.Operations[0].Stretch = 3
 	s := newSimulation(1, workers, config)
-	s.faults, s.arrivalRate, s.meanHint, s.otherLoad = 0, 48, 5900.0/48*float64(workers)/3800, share
-	for _, a := range s.workers {
-		a.slots, a.pace = 8, 1 // of twenty-four; the others' part comes and goes
+	s.faults = 0
+	s.arrivalRate = 48
+	s.meanHint = 5900.0 / 48 * float64(workers) / 3800
+	s.otherLoad = share
+	for _, worker := range s.workers {
+		worker.slots = 8 // of twenty-four; the others' part comes and goes
+		worker.pace = 1
 	}
 	s.start()
-	// In hand from the start what a long time of such arrivals would leave, then the first meetings are not counted.
+	// Fill up with what a long time of such arrivals would leave in flight, and let the first samples come in, before measuring.
 	filling := time.Duration(0)
 	if extraRate := 5900 * float64(workers) / 3800 / 20; extraRate > s.arrivalRate {
 		s.repeat(seconds(1/extraRate), func() {
@@ -37,14 +45,15 @@
 	return s
 }
 
-// measure gives the processor time, allocations and worst turn of the module alone over a span.
+// measurement is the processor time, longest call of Handle and allocations of the module alone over a span.
 type measurement struct {
-	handleTime, longestHandle time.Duration
-	forwards                  int
-	handles                   int
-	longHandles               int // turns over 2 ms
-	allocations               uint64
-	heap                      uint64
+	handleTime    time.Duration
+	longestHandle time.Duration
+	forwards      int
+	handles       int
+	longHandles   int // over 2 ms
+	allocations   uint64
+	heap          uint64 // bytes
 }
 
 func (s *simulation) measure(span time.Duration) (m measurement) {
@@ -54,14 +63,13 @@
 		}
 	}
 	var before, after runtime.MemStats
-	s.aroundHandle = func(_ int, do func()) {
+	s.aroundHandle = func(do func()) {
 		startedAt := time.Now()
 		do()
 		elapsed := time.Since(startedAt)
 		m.handles++
-		if m.handleTime += elapsed; elapsed > m.longestHandle {
-			m.longestHandle = elapsed
-		}
+		m.handleTime += elapsed
+		m.longestHandle = max(m.longestHandle, elapsed)
 		if elapsed > 2*ms {
 			m.longHandles++
 		}
@@ -70,7 +78,7 @@
 	s.run(s.now + span)
 	runtime.ReadMemStats(&after)
 	m.allocations = after.Mallocs - before.Mallocs
-	// The module's heap is what is freed when only it is let go.
+	// The module's heap is what is freed when only it is dropped.
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	s.dispatcher = nil
@@ -81,11 +89,12 @@
 }
 
 func reportMeasurement(b *testing.B, s *simulation) {
-	const span = 100
-	m, inFlight := s.measure(span*time.Second), 0
+	const span = 100 // seconds
+	m := s.measure(span * time.Second)
+	inFlight := 0
 	for _, c := range s.clients {
-		for _, t := range c.attempts {
-			if t.inFlight {
+		for _, attempt := range c.attempts {
+			if attempt.inFlight {
 				inFlight++
 			}
 		}
@@ -101,23 +110,23 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkStart tells what a start costs as the fleet grows: go test ./dispatch -run - -bench Start -benchtime 1x. The
-// allocations are those of the module and of the world around it, which has the same at each size.
+// BenchmarkStart measures what a forward costs as the number of workers grows: go test ./dispatch -run - -bench Start
+// -benchtime 1x. The allocations are those of the module and of the simulation around it, which has the same at each size.
 func BenchmarkStart(b *testing.B) {
 	for _, workers := range []int{60, 240, 950, 3800} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { reportMeasurement(b, newLoadedSimulation(workers)) })
 	}
 }
 
-// BenchmarkFull is the same where work is held again and again, as there is room at few workers.
+// BenchmarkFull is the same where work is queued again and again, as few workers have capacity.
 func BenchmarkFull(b *testing.B) {
 	for _, workers := range []int{60, 240, 950, 3800} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { reportMeasurement(b, newLoadedSimulationWithShare(workers, 0.9)) })
 	}
 }
 
-// BenchmarkStorm has 3,800 workers with, at once or each alone: 20 replacements a second, a whole list each second, 250
-// that return cold, reports that are frozen.
+// BenchmarkStorm has 3,800 workers with, at once or each alone: 20 replacements a second, a full update each second, 250
+// that restart, reports that are frozen.
 func BenchmarkStorm(b *testing.B) {
 	replacements := func(s *simulation) {
 		s.repeat(50*ms, func() {
@@ -126,18 +135,24 @@
 				replaced = s.workers[s.rng.Intn(len(s.workers))]
 			}
 			replaced.State = Gone
-			a := s.addWorker()
-			a.slots, a.pace, a.StartKnown, a.StartedAt = 8, 1, true, s.now
-			s.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{replaced.Endpoint, a.Endpoint}})
+			added := s.addWorker()
+			added.slots = 8
+			added.pace = 1
+			added.StartKnown = true
+			added.StartedAt = s.now
+			s.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{replaced.Endpoint, added.Endpoint}})
 		})
 	}
 	fullUpdates := func(s *simulation) { s.repeat(time.Second, func() { s.handle(s.fullUpdate()) }) }
 	restarts := func(s *simulation) {
 		s.after(time.Second, func() {
 			var delta []Endpoint
-			for _, a := range s.workers[:250] {
-				a.StartKnown, a.StartedAt, a.Incarnation, a.inFlight = true, s.now, s.rng.Uint64(), 0
-				delta = append(delta, a.Endpoint)
+			for _, worker := range s.workers[:250] {
+				worker.StartKnown = true
+				worker.StartedAt = s.now
+				worker.Incarnation = s.rng.Uint64()
+				worker.inFlight = 0
+				delta = append(delta, worker.Endpoint)
 			}
 			s.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
 		})
@@ -147,15 +162,22 @@
 			a.reportsFrozen = true
 		}
 	}
-	for _, c := range []struct {
-		name string
-		do   []func(*simulation)
-	}{{"replaced", []func(*simulation){replacements}}, {"whole", []func(*simulation){fullUpdates}}, {"cold", []func(*simulation){restarts}},
-		{"frozen", []func(*simulation){freezeReports}}, {"all", []func(*simulation){replacements, fullUpdates, restarts, freezeReports}}} {
+	type load func(*simulation)
+	cases := []struct {
+		name  string
+		loads []load
+	}{
+		{name: "replaced", loads: []load{replacements}},
+		{name: "full", loads: []load{fullUpdates}},
+		{name: "restarted", loads: []load{restarts}},
+		{name: "frozen", loads: []load{freezeReports}},
+		{name: "all", loads: []load{replacements, fullUpdates, restarts, freezeReports}},
+	}
+	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
 			s := newLoadedSimulation(3800)
-			for _, do := range c.do {
-				do(s)
+			for _, begin := range c.loads {
+				begin(s)
 			}
 			reportMeasurement(b, s)
 		})
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The pick: most free slots less our sends, own zone among equals; one new to the pool counts at the mean.
+// Most free slots less what we have sent come first, the own zone among equals; one new to the pool counts at the mean.
 func Example_workerSelection() {
 	h := newHarness(testConfig(), readyEndpoint('a', 1), readyEndpoint('b', 0), readyEndpoint('c', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 3), freeSlotsResult('b', 2), freeSlotsResult('c', 1))
@@ -23,7 +23,7 @@
 	// 50ms 6 to d
 }
 
-// Without any figure of free slots: where we have least, up to the mean, and not where the last answer was full.
+// Without any report of free slots: where we have least in flight, up to the mean, and not where the last one was rejected.
 func Example_noLoadReports() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.handleAt(10*ms, arrival(1, 2, 0.2), arrival(2, 2, 0.2), arrival(3, 2, 0.2), arrival(4, 2, 0.2))
@@ -38,12 +38,13 @@
 	// 40ms 1 to a
 }
 
-// A single young figure can't outweigh the last few once it has aged; a start that does not come ends all doubt.
+// A single recent report can't outweigh the last few once it has aged; an attempt that does not start tells more.
 func Example_agedLoadReports() {
 	config := testConfig()
 	config.NotifiesStart = true
 	h := newHarness(config, readyEndpoint('a', 1), readyEndpoint('b', 0))
-	h.collects, h.deferHealthChecks = true, true
+	h.collects = true
+	h.deferHealthChecks = true
 	h.reportOften('a', 'b')
 	for range 7 {
 		h.handleAt(h.now+200*ms, freeSlotsResult('a', 1), freeSlotsResult('b', 2))
@@ -54,41 +55,42 @@
 	h.handleAt(1510*ms, AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true}, h.outcome(1, 0, Succeeded))
 	h.handleAt(2800*ms, arrival(2, 2, 0.1))
 	h.runUntil(2820 * ms)
-	h.printCollected("the same figure 1.3 s later")
+	h.printCollected("the same report 1.3 s later")
 	h.runUntil(2880 * ms)
 	h.handleAt(2890*ms, arrival(3, 2, 0.1))
 	h.handleAt(2895*ms, freeSlotsResult('a', 0), freeSlotsResult('b', 2.2))
 	h.runUntil(2920 * ms)
-	h.printCollected("b had room, but 2 has not started there")
+	h.printCollected("b had capacity, but 2 has not started there")
 	// Output:
 	// a has 3 free now, 1 as a rule, b 2: 1 to a
-	// the same figure 1.3 s later: 2 to b
-	// b had room, but 2 has not started there: 3 to b
+	// the same report 1.3 s later: 2 to b
+	// b had capacity, but 2 has not started there: 3 to b
 }
 
-// In thin traffic a worker is asked when an invocation comes, and its answer is waited for, for a beat at most: what is
-// known without it is as old as the pool's last round.
+// In thin traffic workers are health checked when an invocation arrives, and it waits for the result for a tick at most: what
+// is known without it is as old as the last round of health checks.
 func Example_waitForHealthCheck() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
-	h.printHealthChecks, h.deferHealthChecks = true, true
+	h.printHealthChecks = true
+	h.deferHealthChecks = true
 	h.handleAt(10*ms, freeSlotsResult('a', 4), freeSlotsResult('b', 2))
 	h.handleAt(3*time.Second, arrival(1, 2, 0.2))
 	h.handleAt(3*time.Second+2*ms, freeSlotsResult('a', 0), freeSlotsResult('b', 1))
 	h.handleAt(6*time.Second, arrival(2, 2, 0.2))
 	h.runUntil(6*time.Second + 2*tickInterval)
 	// Output:
-	// 3s probes a
-	// 3s probes b
+	// 3s health checks a
+	// 3s health checks b
 	// 3.002s 1 to b
-	// 6s probes b
-	// 6s probes a
-	// 6.02s probes b
-	// 6.02s probes a
+	// 6s health checks b
+	// 6s health checks a
+	// 6.02s health checks b
+	// 6.02s health checks a
 	// 6.02s 2 to a
 }
 
-// All were full, and the few reports that have come since show room: the old figure of one that was not asked again
-// tells no more than that all were full then. Held against it, it would go without work until its turn.
+// All were full, and the few reports that have come since show capacity: the old report of one that was not checked again
+// says no more than that all were full then. Counted in full, it would leave that worker without work until its turn.
 func Example_afterOverload() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0), readyEndpoint('d', 0))
 	h.collects = true
@@ -96,9 +98,9 @@
 	for n := range 6 {
 		var full []Event
 		for _, name := range []byte("abcd") {
-			answer := freeSlotsResult(name, 0)
-			answer.Load.Queued = 6 + float64(n%2)
-			full = append(full, answer)
+			result := freeSlotsResult(name, 0)
+			result.Load.Queued = 6 + float64(n%2)
+			full = append(full, result)
 		}
 		h.handleAt(time.Duration(n+1)*time.Second, full...)
 	}
@@ -108,14 +110,15 @@
 	}
 	h.handleAt(15*time.Second, arrival(1, 2, 0.2))
 	for _, name := range []byte("ad") {
-		fmt.Printf("%c counts as having %.0f free\n", name, h.dispatcher.records[h.dispatcher.recordIndex[workerID(name)]].worker.free)
+		index := h.dispatcher.recordIndex[workerID(name)]
+		fmt.Printf("%c counts as having %.0f free\n", name, h.dispatcher.records[index].worker.free)
 	}
 	// Output:
 	// a counts as having 4 free
 	// d counts as having 2 free
 }
 
-// One that turns a tenant's operation away while its probes show room keeps its place for all else.
+// A worker that rejects a tenant's operation while its health checks show capacity stays eligible for all else.
 func Example_rejectedTenant() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 4), freeSlotsResult('b', 4), arrival(1, 0, 0.2))
@@ -133,7 +136,7 @@
 	// 100ms 4 to a
 }
 
-// Two slots, a required kind, and a tenant's own operation are minded.
+// The slots of an invocation and the kind of worker that its operation requires are observed.
 func Example_requirements() {
 	config := testConfig()
 	config.Operations[0].WorkerKind = 1
@@ -151,8 +154,8 @@
 	// 30ms 2 to b
 }
 
-// Where no worker reports, our own counts tell where room is, also when a forward has not started at once; and so they do
-// where reports cease: what was free once tells nothing.
+// Where no worker reports, our own counts tell where capacity is, also when an attempt has not started at once; and so they
+// do where reports cease: what was free once tells nothing.
 func Example_ownCountsWithoutReports() {
 	config := testConfig()
 	config.NotifiesStart = true
@@ -163,7 +166,7 @@
 	h.runUntil(200 * ms)
 	h = newHarness(config, readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1), arrival(1, 0, 2))
-	h.handleAt(20*ms, AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true}, arrival(2, 2, 2)) // held: nothing is free
+	h.handleAt(20*ms, AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true}, arrival(2, 2, 2)) // queued: nothing is free
 	h.handleAt(1000*ms, HealthCheckResult{Worker: workerID('a'), Result: Succeeded})                          // it is early yet
 	h.handleAt(1400*ms, HealthCheckResult{Worker: workerID('a'), Result: Succeeded})
 	// Output:
@@ -175,14 +178,15 @@
 	// 1.4s 2 to a
 }
 
-// Among workers with room, those that end an invocation in time even half as slow again as usual come before those with
-// more room. Where none does, or work has time, most room decides as ever.
+// Among workers with capacity, those that would complete an invocation in time even half as slow again as usual come before
+// those with more. Where none would, or the deadline is far, most capacity decides.
 func Example_paceMargin() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1), freeSlotsResult('b', 1))
 	for index, pace := range []float64{3, 0.8} {
 		w := h.dispatcher.workerAt(index)
-		w.paces, w.pace = samples{pace}, pace
+		w.paces = samples{pace}
+		w.pace = pace
 	}
 	h.reportOften('a', 'b')
 	h.handleAt(h.now+100*ms, freeSlotsResult('a', 4), freeSlotsResult('b', 2))
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -1,116 +1,114 @@
 package dispatch
 
 import (
-	"container/heap"
 	"math/rand"
 	"net/netip"
 	"time"
 )
 
-// world plays one scheduler against workers, clients and other schedulers that a seed draws: whatever the interface can
-// bring comes in it. It uses the interface alone, so that any inner form of the module can be played.
+// simulation runs one dispatcher against workers, clients and other schedulers that a seed draws: whatever the interface
+// can bring comes in it. It uses the interface alone, so that any implementation of the module can run in it.
 type simulation struct {
+	virtualTime
 	rng            *rand.Rand
 	config         Config
 	seed           int64
 	dispatcher     *Dispatcher
-	now            time.Duration
-	queue          pending
-	sequence       int
 	workers        []*simulatedWorker
 	workersByID    map[WorkerID]*simulatedWorker
 	clients        map[InvocationID]*simulatedClient
 	lastInvocation InvocationID
 	timerAt        time.Duration
 	onAction       func(now time.Duration, a Action)
-	aroundHandle   func(events int, took func())
-	arrivalRate    float64 // arrivals a second
-	meanHint       float64 // their mean
-	faults         float64 // 1: everything that may happen does
-	otherLoad      float64 // of the workers' slots that others have
+	aroundHandle   func(do func()) // makes each call of Handle
+	arrivalRate    float64         // arrivals a second
+	meanHint       float64         // seconds
+	faults         float64         // multiplies the probability of each fault; 0: nothing goes wrong or changes
+	otherLoad      float64         // part of the workers' slots that other schedulers take, on average
 	workersAdded   int
 }
 
+const (
+	// simulatedZones is the number of zones of a simulation.
+	simulatedZones = 3
+	// simulatedPort is the port of all its workers.
+	simulatedPort = 9
+)
+
 type simulatedWorker struct {
 	Endpoint
-	slots, otherSlots      float64
-	pace                   float64
-	inFlight               int
-	hangs, reportsFrozen   bool
-	lastReport             LoadReport
-	listed, reportsNothing bool
+	slots          float64
+	otherSlots     float64 // taken by other schedulers
+	pace           float64 // running time over hinted cost
+	inFlight       int
+	hangs          bool
+	reportsFrozen  bool // it repeats its last report
+	reportsNothing bool
+	lastReport     LoadReport
 }
 
 type simulatedClient struct {
 	arrival  Arrival
-	came     time.Duration
 	attempts []*simulatedAttempt
-	answered bool
+	answered bool // or the client has left
 }
 
 type simulatedAttempt struct {
 	worker       *simulatedWorker
 	inFlight     bool
-	work         float64
+	work         float64 // seconds
 	occupiesSlot bool
 }
 
-type pended struct {
-	at     time.Duration
-	serial int
-	event  Event
-	do     func()
-}
-
-type pending []pended
-
-func (p pending) Len() int { return len(p) }
-
-func (p pending) Less(a, b int) bool {
-	return p[a].at < p[b].at || p[a].at == p[b].at && p[a].serial < p[b].serial
-}
-
-func (p pending) Swap(a, b int) { p[a], p[b] = p[b], p[a] }
-
-func (p *pending) Push(x any) { *p = append(*p, x.(pended)) }
-
-func (p *pending) Pop() any {
-	last := (*p)[len(*p)-1]
-	*p = (*p)[:len(*p)-1]
-	return last
-}
-
-func (s *simulation) in(span time.Duration, e Event) {
-	s.sequence++
-	heap.Push(&s.queue, pended{s.now + span, s.sequence, e, nil})
-}
-
-func (s *simulation) after(span time.Duration, do func()) {
-	s.sequence++
-	heap.Push(&s.queue, pended{s.now + span, s.sequence, nil, do})
+// handleAfter hands an event over later.
+func (s *simulation) handleAfter(span time.Duration, event Event) {
+	s.after(span, func() { s.handle(event) })
 }
 
 func (s *simulation) randomSpan(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.rng.Int63n(int64(most-least)+1))
 }
 
+// chance is true with the given probability.
 func (s *simulation) chance(part float64) bool { return s.rng.Float64() < part }
 
 func (s *simulation) addWorker() *simulatedWorker {
 	s.workersAdded++
-	a := &simulatedWorker{slots: float64(1 + s.rng.Intn(8)), pace: 0.6 + s.rng.Float64()}
-	a.Endpoint = Endpoint{Worker: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(s.workersAdded >> 8), byte(s.workersAdded)}), 9), Zone: s.workersAdded % 3,
-		Kind: s.workersAdded % 2, Cell: s.workersAdded % 5, State: Ready, Incarnation: s.rng.Uint64()}
-	s.workers, s.workersByID[a.Worker] = append(s.workers, a), a
-	return a
+	worker := &simulatedWorker{
+		slots: float64(1 + s.rng.Intn(8)),
+		pace:  0.6 + s.rng.Float64(),
+	}
+	address := netip.AddrFrom4([4]byte{10, 1, byte(s.workersAdded >> 8), byte(s.workersAdded)})
+	worker.Endpoint = Endpoint{
+		Worker:      netip.AddrPortFrom(address, simulatedPort),
+		Zone:        s.workersAdded % simulatedZones,
+		Kind:        s.workersAdded % 2,
+		Cell:        s.workersAdded % 5,
+		State:       Ready,
+		Incarnation: s.rng.Uint64(),
+	}
+	s.workers = append(s.workers, worker)
+	s.workersByID[worker.Worker] = worker
+	return worker
 }
 
+// newSimulation has workers and no arrivals; start begins it.
 func newSimulation(seed int64, workers int, config Config) *simulation {
-	s := &simulation{rng: rand.New(rand.NewSource(seed)), config: config, seed: seed, workersByID: map[WorkerID]*simulatedWorker{}, clients: map[InvocationID]*simulatedClient{}, meanHint: 0.2,
-		faults: 1, otherLoad: 0.3, onAction: func(time.Duration, Action) {}, aroundHandle: func(_ int, do func()) { do() }}
-	s.dispatcher = New(config, seed)
+	s := &simulation{
+		rng:          rand.New(rand.NewSource(seed)),
+		config:       config,
+		seed:         seed,
+		dispatcher:   New(config, seed),
+		workersByID:  map[WorkerID]*simulatedWorker{},
+		clients:      map[InvocationID]*simulatedClient{},
+		onAction:     func(time.Duration, Action) {},
+		aroundHandle: func(do func()) { do() },
+		meanHint:     0.2,
+		faults:       1,
+		otherLoad:    0.3,
+	}
 	for range workers {
-		s.addWorker().listed = true
+		s.addWorker()
 	}
 	return s
 }
@@ -125,10 +123,10 @@
 	return update
 }
 
-// handle hands events over and plays out what is asked for.
+// handle hands events over and carries the actions out.
 func (s *simulation) handle(events ...Event) {
 	var actions []Action
-	s.aroundHandle(len(events), func() { actions = s.dispatcher.Handle(s.now, events) })
+	s.aroundHandle(func() { actions = s.dispatcher.Handle(s.now, events) })
 	for _, a := range actions {
 		s.onAction(s.now, a)
 		switch a := a.(type) {
@@ -145,16 +143,10 @@
 				s.endAttempt(a.Invocation, a.Attempt, 2*ms, Cancelled)
 			}
 		case SetTimer:
-			s.timerAt = a.At
-			s.after(max(0, a.At-s.now), func() {
-				if s.timerAt <= s.now {
-					s.timerAt = 1 << 62
-					s.handle(TimerFired{})
-				}
-			})
+			s.setTimer(a.At)
 		case WatchEndpoints:
 			if s.chance(0.3 * s.faults) {
-				s.in(s.randomSpan(5*ms, 300*ms), EndpointUpdate{Kind: WatchFailed})
+				s.handleAfter(s.randomSpan(5*ms, 300*ms), EndpointUpdate{Kind: WatchFailed})
 			} else {
 				s.after(s.randomSpan(5*ms, 50*ms), func() { s.handle(s.fullUpdate()) })
 			}
@@ -162,33 +154,66 @@
 	}
 }
 
+func (s *simulation) setTimer(at time.Duration) {
+	s.timerAt = at
+	s.after(max(0, at-s.now), func() {
+		if s.timerAt <= s.now {
+			s.timerAt = unbounded
+			s.handle(TimerFired{})
+		}
+	})
+}
+
+// loadReport is nil where the worker doesn't report.
 func (w *simulatedWorker) loadReport() *LoadReport {
 	if w.reportsNothing {
 		return nil
 	}
 	if !w.reportsFrozen {
 		free := w.slots - w.otherSlots - float64(w.inFlight)
-		w.lastReport = LoadReport{FreeSlots: max(0, free), Queued: max(0, -free), InFlight: float64(w.inFlight), Busy: w.otherSlots, ServiceTime: 0.1 * w.pace}
+		w.lastReport = LoadReport{
+			FreeSlots:   max(0, free),
+			Queued:      max(0, -free),
+			InFlight:    float64(w.inFlight),
+			Busy:        w.otherSlots,
+			ServiceTime: 0.1 * w.pace,
+		}
 	}
 	load := w.lastReport
 	return &load
 }
 
-func (s *simulation) healthCheck(a *simulatedWorker) {
+func (s *simulation) healthCheck(worker *simulatedWorker) {
+	const timeout = 150 * ms
 	switch {
-	case a.hangs || a.State == Gone:
-		s.in(150*ms, HealthCheckResult{Worker: a.Worker, Result: TimedOut, Latency: 150 * ms})
+	case worker.hangs || worker.State == Gone:
+		s.handleAfter(timeout, HealthCheckResult{
+			Worker:  worker.Worker,
+			Result:  TimedOut,
+			Latency: timeout,
+		})
 	case s.chance(0.02 * s.faults):
-		s.in(s.randomSpan(0, 5*ms), HealthCheckResult{Worker: a.Worker, Result: []Result{Rejected, ReusedConnectionBroken, Unreachable}[s.rng.Intn(3)], Latency: 3 * ms})
+		failures := []Result{Rejected, ReusedConnectionBroken, Unreachable}
+		span := s.randomSpan(0, 5*ms)
+		s.handleAfter(span, HealthCheckResult{
+			Worker:  worker.Worker,
+			Result:  failures[s.rng.Intn(len(failures))],
+			Latency: 3 * ms,
+		})
 	default:
-		took := s.randomSpan(ms/2, 6*ms)
-		s.after(took, func() {
-			s.handle(HealthCheckResult{Worker: a.Worker, Result: Succeeded, Latency: took, Load: a.loadReport()})
+		latency := s.randomSpan(ms/2, 6*ms)
+		s.after(latency, func() {
+			s.handle(HealthCheckResult{
+				Worker:  worker.Worker,
+				Result:  Succeeded,
+				Latency: latency,
+				Load:    worker.loadReport(),
+			})
 		})
 	}
 }
 
-// end1 ends a forward some time from now, if nothing else has by then.
+// endAttempt ends an attempt after a span, if nothing else has by then.
 func (s *simulation) endAttempt(id InvocationID, number int, span time.Duration, result Result) {
 	c := s.clients[id]
 	attempt := c.attempts[number]
@@ -196,14 +221,22 @@
 		if !attempt.inFlight {
 			return
 		}
-		if attempt.inFlight = false; attempt.occupiesSlot {
+		attempt.inFlight = false
+		if attempt.occupiesSlot {
 			attempt.worker.inFlight--
 		}
-		outcome := Outcome{Invocation: id, Worker: attempt.worker.Worker, Attempt: number, Result: result}
-		if result == Succeeded {
-			outcome.Answered, c.answered = !c.answered, true
+		outcome := Outcome{
+			Invocation: id,
+			Worker:     attempt.worker.Worker,
+			Attempt:    number,
+			Result:     result,
+		}
+		switch result {
+		case Succeeded:
+			outcome.Answered = !c.answered
+			c.answered = true
 			outcome.Load = attempt.worker.loadReport()
-		} else if result == Rejected {
+		case Rejected:
 			outcome.Load = attempt.worker.loadReport()
 		}
 		s.handle(outcome)
@@ -211,8 +244,13 @@
 }
 
 func (s *simulation) forward(forward Forward) {
-	c, a := s.clients[forward.Invocation], s.workersByID[forward.Worker]
-	attempt := &simulatedAttempt{worker: a, inFlight: true, work: c.arrival.Hint * a.pace * (0.5 + s.rng.Float64())}
+	c := s.clients[forward.Invocation]
+	a := s.workersByID[forward.Worker]
+	attempt := &simulatedAttempt{
+		worker:   a,
+		inFlight: true,
+		work:     c.arrival.Hint * a.pace * (0.5 + s.rng.Float64()),
+	}
 	number := len(c.attempts)
 	c.attempts = append(c.attempts, attempt)
 	fault := func(part float64) bool { return s.chance(part * s.faults) }
@@ -232,48 +270,68 @@
 	case fault(0.005):
 		s.endAttempt(forward.Invocation, number, 1500*ms, TimedOut)
 	case fault(0.01), a.hangs:
-		return // nothing is heard of it
+		return // it never ends
 	default:
-		wait := s.randomSpan(ms, 10*ms)
-		if free := a.slots - a.otherSlots - float64(a.inFlight); free <= 0 {
-			wait += s.randomSpan(20*ms, 400*ms)
-		}
-		attempt.occupiesSlot = true
-		a.inFlight++
-		report := func(span time.Duration, progress AttemptProgress) {
-			progress.Invocation, progress.Worker, progress.Attempt = forward.Invocation, forward.Worker, number
-			s.after(span, func() {
-				if attempt.inFlight && !a.hangs {
-					s.handle(progress)
-				}
-			})
-		}
-		if s.config.NotifiesAccepted {
-			report(ms, AttemptProgress{Accepted: true})
-		}
-		if s.config.NotifiesStart {
-			report(wait, AttemptProgress{Started: true})
-		}
-		run := seconds(attempt.work)
-		for at := s.config.ProgressInterval; at > 0 && at < run; at += s.config.ProgressInterval {
-			report(wait+at, AttemptProgress{Done: at.Seconds() / attempt.work})
-		}
-		if s.chance(0.02) {
-			s.after(wait+run/2, func() {
-				if attempt.inFlight && !c.answered {
-					c.answered = true
-					s.handle(ResponseStarted{Invocation: forward.Invocation, Attempt: number})
-				}
-			})
-		}
-		s.endAttempt(forward.Invocation, number, wait+run, Succeeded)
+		s.runAttempt(forward, number)
+	}
+}
+
+// runAttempt has an attempt wait and run at its worker, with what it reports of it.
+func (s *simulation) runAttempt(forward Forward, number int) {
+	c := s.clients[forward.Invocation]
+	attempt := c.attempts[number]
+	worker := attempt.worker
+	wait := s.randomSpan(ms, 10*ms)
+	if free := worker.slots - worker.otherSlots - float64(worker.inFlight); free <= 0 {
+		wait += s.randomSpan(20*ms, 400*ms)
+	}
+	attempt.occupiesSlot = true
+	worker.inFlight++
+	report := func(span time.Duration, progress AttemptProgress) {
+		progress.Invocation = forward.Invocation
+		progress.Worker = forward.Worker
+		progress.Attempt = number
+		s.after(span, func() {
+			if attempt.inFlight && !worker.hangs {
+				s.handle(progress)
+			}
+		})
+	}
+	if s.config.NotifiesAccepted {
+		report(ms, AttemptProgress{Accepted: true})
+	}
+	if s.config.NotifiesStart {
+		report(wait, AttemptProgress{Started: true})
+	}
+	runTime := seconds(attempt.work)
+	for at := s.config.ProgressInterval; at > 0 && at < runTime; at += s.config.ProgressInterval {
+		report(wait+at, AttemptProgress{Done: at.Seconds() / attempt.work})
+	}
+	if s.chance(0.02) {
+		s.after(wait+runTime/2, func() {
+			if attempt.inFlight && !c.answered {
+				c.answered = true
+				s.handle(ResponseStarted{
+					Invocation: forward.Invocation,
+					Attempt:    number,
+				})
+			}
+		})
 	}
+	s.endAttempt(forward.Invocation, number, wait+runTime, Succeeded)
 }
 
+// newArrival brings an invocation, and perhaps more at the same moment.
 func (s *simulation) newArrival() {
 	s.lastInvocation++
-	c := &simulatedClient{came: s.now, arrival: Arrival{Invocation: s.lastInvocation, Operation: s.rng.Intn(len(s.config.Operations)), Tenant: s.rng.Intn(3),
-		Budget: s.randomSpan(seconds(4*s.meanHint), seconds(20*s.meanHint+1)), Hint: s.meanHint * s.rng.ExpFloat64(), Slots: 1}}
+	c := &simulatedClient{arrival: Arrival{
+		Invocation: s.lastInvocation,
+		Operation:  s.rng.Intn(len(s.config.Operations)),
+		Tenant:     s.rng.Intn(3),
+		Budget:     s.randomSpan(seconds(4*s.meanHint), seconds(20*s.meanHint+1)),
+		Hint:       s.meanHint * s.rng.ExpFloat64(),
+		Slots:      1,
+	}}
 	if s.faults > 0 {
 		c.arrival.Slots = float64(1 + s.rng.Intn(10)/9)
 	}
@@ -285,41 +343,43 @@
 	s.after(c.arrival.Budget, func() {
 		if !c.answered {
 			c.answered = true
-			s.handle(ClientDisconnected{id})
+			s.handle(ClientDisconnected{Invocation: id})
 		}
 	})
 	events := []Event{c.arrival}
-	for s.chance(0.1) { // more at the same moment
+	for s.chance(0.1) {
 		s.lastInvocation++
-		another := &simulatedClient{came: s.now, arrival: c.arrival}
-		another.arrival.Invocation, another.arrival.Hint = s.lastInvocation, s.meanHint*s.rng.ExpFloat64()
+		another := &simulatedClient{arrival: c.arrival}
+		another.arrival.Invocation = s.lastInvocation
+		another.arrival.Hint = s.meanHint * s.rng.ExpFloat64()
 		s.clients[s.lastInvocation] = another
 		events = append(events, another.arrival)
 	}
 	s.handle(events...)
 }
 
-// change has a list change come.
+// changeEndpoints changes a few workers, and hands over an endpoint update.
 func (s *simulation) changeEndpoints() {
 	var delta []Endpoint
 	for range 1 + s.rng.Intn(3) {
-		a := s.workers[s.rng.Intn(len(s.workers))]
+		worker := s.workers[s.rng.Intn(len(s.workers))]
 		switch s.rng.Intn(8) {
 		case 0:
-			a.State = Draining
+			worker.State = Draining
 		case 1:
-			a.State = Gone
-		case 2, 3, 4: // it restarts, perhaps some time ago
-			a.State, a.StartKnown, a.StartedAt, a.Incarnation, a.inFlight = Ready, true, max(0, s.now-s.randomSpan(0, time.Second)), s.rng.Uint64(), 0
+			worker.State = Gone
+		case 2, 3, 4: // it has restarted, perhaps some time ago
+			s.restart(worker, max(0, s.now-s.randomSpan(0, time.Second)))
 		case 5:
-			a = s.addWorker()
-			a.StartKnown, a.StartedAt = true, s.now
+			worker = s.addWorker()
+			worker.StartKnown = true
+			worker.StartedAt = s.now
 		case 6:
-			a.hangs = !a.hangs
+			worker.hangs = !worker.hangs
 		case 7:
-			a.reportsFrozen = !a.reportsFrozen
+			worker.reportsFrozen = !worker.reportsFrozen
 		}
-		delta = append(delta, a.Endpoint)
+		delta = append(delta, worker.Endpoint)
 	}
 	if s.chance(0.2) {
 		s.handle(s.fullUpdate())
@@ -328,17 +388,38 @@
 	}
 }
 
-// others has another scheduler tell something.
+// restart has a worker begin anew: what it had is lost.
+func (s *simulation) restart(worker *simulatedWorker, at time.Duration) {
+	worker.State = Ready
+	worker.StartKnown = true
+	worker.StartedAt = at
+	worker.Incarnation = s.rng.Uint64()
+	worker.inFlight = 0
+}
+
+// simulatedGossip holds the kinds of gossip, as often as they are to come; the last one is rare.
+var simulatedGossip = []GossipKind{
+	GossipAttemptStarted, GossipAttemptEnded, GossipCapacityQuery, GossipCapacityReply,
+	GossipCapacityReply, GossipAttemptStarted, GossipCapacityQuery, GossipAttemptEnded,
+	GossipRestarted,
+}
+
+// receiveGossip has a message come from another scheduler.
 func (s *simulation) receiveGossip() {
 	received := GossipReceived{From: s.rng.Intn(s.config.Schedulers + 1)}
 	for range 1 + s.rng.Intn(4) {
-		a := s.workers[s.rng.Intn(len(s.workers))]
-		received.Entries = append(received.Entries, GossipEntry{Kind: []GossipKind{GossipAttemptStarted, GossipAttemptEnded, GossipCapacityQuery, GossipCapacityReply, GossipCapacityReply, GossipAttemptStarted, GossipCapacityQuery, GossipAttemptEnded,
-			GossipRestarted}[s.rng.Intn(9-min(1, s.rng.Intn(10)))], Serial: uint8(s.rng.Intn(12)), Tag: workerTag(a.Worker)})
+		worker := s.workers[s.rng.Intn(len(s.workers))]
+		kinds := len(simulatedGossip) - min(1, s.rng.Intn(10))
+		received.Entries = append(received.Entries, GossipEntry{
+			Kind:   simulatedGossip[s.rng.Intn(kinds)],
+			Serial: uint8(s.rng.Intn(12)),
+			Tag:    workerTag(worker.Worker),
+		})
 	}
 	s.handle(received)
 }
 
+// reconfigure brings a configuration with one more operation and other limits.
 func (s *simulation) reconfigure() {
 	config := s.config
 	config.Operations = append([]Operation(nil), s.config.Operations...)
@@ -347,40 +428,44 @@
 		previous[i] = i
 	}
 	changed := config.Operations[s.rng.Intn(len(config.Operations))]
-	changed.PriorityWeight, changed.LatencyObjective = 1+s.rng.Float64(), s.randomSpan(100*ms, time.Second)
-	config.Operations, previous = append(config.Operations, changed), append(previous, s.rng.Intn(len(config.Operations)+1)-1)
-	config.Limits.MaxAttempts, config.Limits.MaxInFlight = 2+s.rng.Intn(4), 1+s.rng.Intn(2)
+	changed.PriorityWeight = 1 + s.rng.Float64()
+	changed.LatencyObjective = s.randomSpan(100*ms, time.Second)
+	previous = append(previous, s.rng.Intn(len(config.Operations)+1)-1)
+	config.Operations = append(config.Operations, changed)
+	config.Limits.MaxAttempts = 2 + s.rng.Intn(4)
+	config.Limits.MaxInFlight = 1 + s.rng.Intn(2)
 	s.config = config
 	s.handle(Reconfigured{Config: config, PreviousOperations: previous})
 }
 
-// replace hands all that is known and held to a new instance.
+// replaceDispatcher has a successor load the snapshot and take all open invocations over.
 func (s *simulation) replaceDispatcher() {
-	snapshot, predecessor := s.dispatcher.Snapshot(), s.dispatcher
+	predecessor := s.dispatcher
+	snapshot := predecessor.Snapshot()
 	s.dispatcher = New(s.config, s.seed+1000)
 	s.handle(s.fullUpdate())
-	events := []Event{SnapshotLoaded{snapshot}}
+	events := []Event{SnapshotLoaded{Snapshot: snapshot}}
 	for id := InvocationID(1); id <= s.lastInvocation; id++ {
 		if record, isOpen := predecessor.MigrationRecord(id); isOpen {
 			events = append(events, record)
 		}
 	}
 	s.handle(events...)
-	s.after(s.randomSpan(ms, 50*ms), func() { // and one goes on to yet another
+	s.after(s.randomSpan(ms, 50*ms), func() { // and one migrates out again
 		for id := s.lastInvocation; id > 0; id-- {
 			if _, isOpen := s.dispatcher.MigrationRecord(id); isOpen {
 				s.clients[id].answered = true
 				for _, t := range s.clients[id].attempts {
 					t.inFlight = false
 				}
-				s.handle(MigratedOut{id})
+				s.handle(MigratedOut{Invocation: id})
 				return
 			}
 		}
 	})
 }
 
-// every has something happen again and again, at times that chance draws around a span.
+// repeat makes a call again and again, at random intervals around a span.
 func (s *simulation) repeat(span time.Duration, do func()) {
 	var next func()
 	next = func() {
@@ -391,19 +476,11 @@
 }
 
 func (s *simulation) run(end time.Duration) {
-	for len(s.queue) > 0 && s.queue[0].at <= end {
-		next := heap.Pop(&s.queue).(pended)
-		s.now = max(s.now, next.at)
-		if next.do != nil {
-			next.do()
-		} else {
-			s.handle(next.event)
-		}
-	}
+	s.callUntil(end)
 	s.now = end
 }
 
-// begin has all that may happen to a scheduler happen to it.
+// start hands over the endpoint list, and schedules all else that may happen to a scheduler.
 func (s *simulation) start() {
 	s.handle(s.fullUpdate())
 	s.after(0, func() { s.handle(TimerFired{}) })
@@ -424,38 +501,55 @@
 	}
 	s.repeat(3*time.Second, s.reconfigure)
 	s.repeat(time.Second, func() {
-		s.handle(QuotaUpdate{Quotas: []Quota{{Tenant: s.rng.Intn(4), QuotaPerSecond: 5 * s.rng.Float64(), Reassigned: s.chance(0.3)}}})
+		s.handle(QuotaUpdate{Quotas: []Quota{{
+			Tenant:         s.rng.Intn(4),
+			QuotaPerSecond: 5 * s.rng.Float64(),
+			Reassigned:     s.chance(0.3),
+		}}})
 	})
 	s.repeat(5*time.Second, s.replaceDispatcher)
-	s.repeat(4*time.Second, func() { // a zone restarts, or stops to report
-		zone, reportsCease := s.rng.Intn(3), s.chance(0.3)
-		var delta []Endpoint
-		for _, a := range s.workers {
-			if a.reportsNothing = reportsCease && a.Zone == zone; a.Zone == zone && !reportsCease {
-				a.State, a.StartKnown, a.StartedAt, a.Incarnation, a.inFlight = Ready, true, s.now, s.rng.Uint64(), 0
-				delta = append(delta, a.Endpoint)
-			}
+	s.repeat(4*time.Second, s.changeZone)
+}
+
+// changeZone has a zone restart, or cease to report.
+func (s *simulation) changeZone() {
+	zone := s.rng.Intn(simulatedZones)
+	reportsCease := s.chance(0.3)
+	var delta []Endpoint
+	for _, worker := range s.workers {
+		inZone := worker.Zone == zone
+		worker.reportsNothing = reportsCease && inZone
+		if inZone && !reportsCease {
+			s.restart(worker, s.now)
+			delta = append(delta, worker.Endpoint)
 		}
-		s.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
-	})
+	}
+	s.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
 }
 
-// varied is a deployment drawn from a seed.
+// randomConfig is a deployment drawn from a seed.
 func randomConfig(seed int64) Config {
-	rng, config := rand.New(rand.NewSource(seed)), testConfig()
+	rng := rand.New(rand.NewSource(seed))
+	config := testConfig()
 	config.Schedulers = []int{1, 2, 6, 20, 80}[rng.Intn(5)]
 	config.Index = rng.Intn(config.Schedulers)
-	config.Zone, config.EndpointsPushed = rng.Intn(3), rng.Intn(2) == 0
-	config.NotifiesStart, config.NotifiesAccepted = rng.Intn(2) == 0, rng.Intn(3) == 0
+	config.Zone = rng.Intn(simulatedZones)
+	config.EndpointsPushed = rng.Intn(2) == 0
+	config.NotifiesStart = rng.Intn(2) == 0
+	config.NotifiesAccepted = rng.Intn(3) == 0
 	config.ProgressInterval = []time.Duration{0, 200 * ms, 500 * ms}[rng.Intn(3)]
 	config.Limits.Gossip = rng.Intn(2) == 0
 	config.Limits.HealthChecks = rng.Intn(5) > 0
 	config.Limits.Cancel = rng.Intn(4) > 0
-	config.HealthCheckCost, config.GossipCost = 0.003*rng.Float64(), 0.02*rng.Float64()
-	config.Tenants, config.ExcessValue = []Tenant{{QuotaPerSecond: 10}, {}, {QuotaPerSecond: 2}}, 0.3
+	config.HealthCheckCost = 0.003 * rng.Float64()
+	config.GossipCost = 0.02 * rng.Float64()
+	config.Tenants = []Tenant{{QuotaPerSecond: 10}, {}, {QuotaPerSecond: 2}}
+	config.ExcessValue = 0.3
 	config.WorstOperationWeight = 0.5 * rng.Float64()
 	cell := config.Operations[1]
-	cell.DedupScope, cell.DedupWindow, cell.LateWeight = ScopeCell, 500*ms, 0.3
+	cell.DedupScope = ScopeCell
+	cell.DedupWindow = 500 * ms
+	cell.LateWeight = 0.3
 	kind := config.Operations[0]
 	kind.WorkerKind = 1
 	config.Operations = append(config.Operations, cell, kind)
--- a/dispatch/slowstart_simulation_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"container/heap"
 	"flag"
 	"fmt"
 	"math"
@@ -15,65 +14,52 @@
 	"time"
 )
 
-// Many schedulers share one list in virtual time while workers start cold under a burst. What a cold worker gets in any
-// span of the settings' length, from all of them, is held against what it bears: N + 2 root N + 2 requests of mean work.
+// Many schedulers share one endpoint list in virtual time while workers start under a burst. What a worker in slow start
+// gets in any overload window, from all schedulers, is compared with its budget: N + 2 root N + 2 requests of mean work.
 
 var (
-	slowStartSeeds     = flag.Int("cold.seeds", 1, "seeds of each row of TestColdFleet")
-	slowStartFirstSeed = flag.Int("cold.first", 0, "seeds that it passes over")
-	slowStartFilter    = flag.String("cold.rows", "", "only rows with this in their name and number of schedulers")
+	slowStartSeeds     = flag.Int("cold.seeds", 1, "seeds of each scenario of TestSlowStartBudget")
+	slowStartFirstSeed = flag.Int("cold.first", 0, "seeds that it skips")
+	slowStartFilter    = flag.String("cold.rows", "", "only scenarios with this in their name and number of schedulers")
 )
 
-// coldRow is one trouble. told is the number of schedulers that each is told, as a part of the true one.
+// slowStartScenario is one kind of fault or deployment.
 type slowStartScenario struct {
-	name                  string
-	schedulers            int
-	toldFactor            float64
-	halfRestart           bool    // half of the schedulers start anew as the workers do
-	roughHints            bool    // hints are off by up to ten, either way, each on its own
-	hintFactor            float64 // all hints are off by this
-	startingPace          float64 // the cold workers' pace; the settings don't know it
-	checksLost            bool    // three probes in ten are lost, the rest come late, with reports 0.5 s old
-	unnumbered            bool    // schedulers aren't told their own number
-	gossip, halfToldRight bool    // they may tell one another; only every other one is told wrongly
-	largeWorkers          bool    // small requests, large workers: N is large
+	name         string
+	schedulers   int
+	countFactor  float64 // configured number of schedulers, as a multiple of the true one
+	halfRestart  bool    // half of the schedulers restart as the workers do
+	roughHints   bool    // hints are off by up to ten, either way, each on its own
+	hintFactor   float64 // all hints are off by this
+	startingPace float64 // running time over hinted cost of the workers in slow start; no configuration says it
+	checksLost   bool    // three health checks in ten are lost, the rest come late, with reports 0.5 s old
+	unnumbered   bool    // no scheduler knows its own number
+	gossip       bool    // they may gossip
+	halfRight    bool    // every other one has the true number configured
+	largeWorkers bool    // small requests, large workers: N is large
 }
 
-// frozen is how long reports that show all free are shown, in seconds.
-const frozenReportAge = 1000
-
-// rate is how many requests a second come at most before the burst, and how many to a scheduler.
-const burstRate, ratePerScheduler = 200, 4
+const (
+	// frozenReportAge is for how many seconds a worker repeats a report where its reports are frozen.
+	frozenReportAge = 1000
+	// leastArrivalRate is how many requests a second the workers are meant for at least.
+	leastArrivalRate = 200
+	// arrivalsPerScheduler is how many requests a second they are meant for, for each scheduler.
+	arrivalsPerScheduler = 4
+	// concurrentScenarios is how many scenarios run at once.
+	concurrentScenarios = 4
+)
 
-// hard are the sites of the first seeds: N is about 1, 5, 10 and 20; all is frozen and most is cold. The rest is drawn.
+// hardCases are the deployments of the first seeds: N is about 1, 5, 10 and 20; all reports are frozen and most workers
+// are in slow start. The rest is drawn.
 var hardCases = []struct {
 	cores int
-	mean  float64
-}{{2, 0.6}, {4, 0.25}, {8, 0.25}, {16, 0.25}}
-
-type scheduledCall struct {
-	at       time.Duration
-	sequence int
-	do       func()
-}
-
-type callQueue []scheduledCall
-
-func (q callQueue) Len() int { return len(q) }
-
-func (q callQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
-}
-
-func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-
-func (q *callQueue) Push(e any) { *q = append(*q, e.(scheduledCall)) }
-
-func (q *callQueue) Pop() any {
-	old := *q
-	e := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return e
+	mean  float64 // seconds of work of a request
+}{
+	{cores: 2, mean: 0.6},
+	{cores: 4, mean: 0.25},
+	{cores: 8, mean: 0.25},
+	{cores: 16, mean: 0.25},
 }
 
 type slowStartSend struct {
@@ -82,14 +68,15 @@
 }
 
 type slowStartWorker struct {
-	endpoint        Endpoint
-	pace            float64 // times the usual running time
-	running         int
-	queued          []func()
-	sends           []slowStartSend
-	lastReport      LoadReport
-	reportedAt      time.Duration
-	served, runTime float64
+	endpoint   Endpoint
+	pace       float64 // times the usual running time
+	running    int
+	queued     []func()
+	sends      []slowStartSend
+	lastReport LoadReport
+	reportedAt time.Duration
+	served     float64 // attempts
+	runTime    float64 // of them all, in seconds
 }
 
 type slowStartScheduler struct {
@@ -100,31 +87,25 @@
 	work        map[InvocationID]float64
 }
 
-// coldFleet is the whole world of one play.
+// slowStartSimulation runs all schedulers and workers of one scenario.
 type slowStartSimulation struct {
 	slowStartScenario
+	virtualTime
 	rng             *rand.Rand
-	now             time.Duration
-	queue           callQueue
-	sequence        int
 	config          Config
 	cores           int
-	meanWork, load  float64
-	burst           float64       // of the load that all would bear warm
-	reportAge       time.Duration // how old reports are; those of frozen ones show all free for ever
+	meanWork        float64       // seconds of a request
+	load            float64       // part of all cores before the burst
+	burst           float64       // multiple of load that begins as the workers start
+	reportAge       time.Duration // for which a worker repeats a report
 	workers         []*slowStartWorker
 	workersByID     map[WorkerID]*slowStartWorker
 	schedulers      []*slowStartScheduler
 	lastInvocation  InvocationID
-	startingWorkers int // workers that start cold
+	startingWorkers int // workers that restart
 }
 
-func (s *slowStartSimulation) after(wait time.Duration, do func()) {
-	s.sequence++
-	heap.Push(&s.queue, scheduledCall{s.now + wait, s.sequence, do})
-}
-
-// warmth is a worker's part of its capacity: it starts at the least that the settings name.
+// warmUpWeight is the part of its capacity that a worker has: it starts at the least that the configuration names.
 func (s *slowStartSimulation) warmUpWeight(w *slowStartWorker, at time.Duration) float64 {
 	age := at - w.endpoint.StartedAt
 	if !w.endpoint.StartKnown || age >= s.config.Rules.SlowStartDuration {
@@ -135,29 +116,28 @@
 }
 
 func newSlowStartSimulation(scenario slowStartScenario, seed int64) *slowStartSimulation {
-	s := &slowStartSimulation{slowStartScenario: scenario, rng: rand.New(rand.NewSource(seed)), workersByID: map[WorkerID]*slowStartWorker{}}
-	choose := func(from ...float64) float64 { return from[s.rng.Intn(len(from))] }
-	s.cores, s.meanWork, s.load = int(choose(2, 4, 8, 16)), choose(0.1, 0.25, 0.6), choose(0.5, 0.65, 0.8)
-	s.burst, s.reportAge = choose(1, 1.5, 2), seconds(choose(0, 0.5, frozenReportAge))
-	if s.config = testConfig(); s.checksLost {
-		s.reportAge = 500 * ms
-	}
-	if s.largeWorkers {
-		s.cores, s.meanWork = int(choose(16, 32)), choose(0.1, 0.15)
+	s := &slowStartSimulation{
+		slowStartScenario: scenario,
+		rng:               rand.New(rand.NewSource(seed)),
+		config:            testConfig(),
+		workersByID:       map[WorkerID]*slowStartWorker{},
 	}
-	s.config.Rules.SlowStartFrom, s.config.Rules.OverloadWindow = choose(0.13, 0.3), seconds(choose(1, 1.5, 3))
-	s.config.Rules.OverloadFactor, s.config.Rules.SlowStartDuration = choose(2.5, 4), seconds(choose(9, 23))
-	s.config.Operations = s.config.Operations[:1]
-	s.config.Operations[0].LatencyObjective, s.config.Operations[0].LateWeight = time.Second, 0.3
-	s.config.Schedulers, s.config.Limits.Gossip = max(1, int(math.Round(s.toldFactor*float64(s.slowStartScenario.schedulers)))), s.gossip
-	startingPart := choose(0, 0.15, 0.35, 0.6)
-	if hardCase := hardCases[(seed-1)%int64(len(hardCases))]; seed <= 2*int64(len(hardCases)) {
-		if s.burst, s.load, startingPart, s.reportAge = 1.2, 0.8, 0.6, seconds(frozenReportAge); !s.largeWorkers {
-			s.cores, s.meanWork = hardCase.cores, hardCase.mean
+	startingPart := s.chooseDeployment()
+	if seed <= 2*int64(len(hardCases)) {
+		hardCase := hardCases[(seed-1)%int64(len(hardCases))]
+		startingPart = 0.6
+		s.burst = 1.2
+		s.load = 0.8
+		s.reportAge = seconds(frozenReportAge)
+		if !s.largeWorkers {
+			s.cores = hardCase.cores
+			s.meanWork = hardCase.mean
 		}
-		s.config.Rules.SlowStartFrom, s.config.Rules.OverloadFactor, s.config.Rules.OverloadWindow = 0.13, 2.5, time.Second
+		s.config.Rules.SlowStartFrom = 0.13
+		s.config.Rules.OverloadFactor = 2.5
+		s.config.Rules.OverloadWindow = time.Second
 	}
-	workers := max(9, min(150, int(max(burstRate, ratePerScheduler*float64(scenario.schedulers))*s.meanWork/s.load)/s.cores))
+	workers := max(9, min(150, int(max(leastArrivalRate, arrivalsPerScheduler*float64(scenario.schedulers))*s.meanWork/s.load)/s.cores))
 	for n := range workers {
 		s.addWorker(n, false)
 	}
@@ -168,30 +148,78 @@
 	return s
 }
 
+// chooseDeployment draws what the scenario leaves open, and the part of the workers that restart.
+func (s *slowStartSimulation) chooseDeployment() (startingPart float64) {
+	choose := func(from ...float64) float64 { return from[s.rng.Intn(len(from))] }
+	s.cores = int(choose(2, 4, 8, 16))
+	s.meanWork = choose(0.1, 0.25, 0.6)
+	s.load = choose(0.5, 0.65, 0.8)
+	s.burst = choose(1, 1.5, 2)
+	s.reportAge = seconds(choose(0, 0.5, frozenReportAge))
+	if s.checksLost {
+		s.reportAge = 500 * ms
+	}
+	if s.largeWorkers {
+		s.cores = int(choose(16, 32))
+		s.meanWork = choose(0.1, 0.15)
+	}
+	rules := &s.config.Rules
+	rules.SlowStartFrom = choose(0.13, 0.3)
+	rules.OverloadWindow = seconds(choose(1, 1.5, 3))
+	rules.OverloadFactor = choose(2.5, 4)
+	rules.SlowStartDuration = seconds(choose(9, 23))
+	s.config.Operations = s.config.Operations[:1]
+	s.config.Operations[0].LatencyObjective = time.Second
+	s.config.Operations[0].LateWeight = 0.3
+	configured := math.Round(s.countFactor * float64(s.slowStartScenario.schedulers))
+	s.config.Schedulers = max(1, int(configured))
+	s.config.Limits.Gossip = s.gossip
+	return choose(0, 0.15, 0.35, 0.6)
+}
+
 func (s *slowStartSimulation) addWorker(number int, starting bool) {
 	worker := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1)
-	w := &slowStartWorker{pace: 1, endpoint: Endpoint{Worker: worker, Zone: number % 3, Cell: number % 3, State: Ready}}
+	w := &slowStartWorker{
+		pace: 1,
+		endpoint: Endpoint{
+			Worker: worker,
+			Zone:   number % 3,
+			Cell:   number % 3,
+			State:  Ready,
+		},
+	}
 	if starting {
-		w.endpoint.StartKnown, w.endpoint.StartedAt, w.endpoint.Incarnation = true, s.now, s.rng.Uint64()
+		w.endpoint.StartKnown = true
+		w.endpoint.StartedAt = s.now
+		w.endpoint.Incarnation = s.rng.Uint64()
 		w.pace = cmp.Or(s.startingPace, 1)
 	}
-	s.workers, s.workersByID[worker] = append(s.workers, w), w
+	s.workers = append(s.workers, w)
+	s.workersByID[worker] = w
 }
 
-// begin starts a scheduler, or starts it anew: what it had in hand is forgotten.
+// startScheduler starts or restarts a scheduler: what it had in flight is forgotten.
 func (s *slowStartSimulation) startScheduler(number int) {
-	scheduler, config := s.schedulers[number], s.config
-	if config.Index, config.Zone = number, number%3; s.unnumbered {
-		config.Index = -1
+	scheduler := s.schedulers[number]
+	config := s.config
+	config.Index = number
+	config.Zone = number % 3
+	if s.unnumbered {
+		config.Index = UnknownIndex
 	}
-	if s.halfToldRight && number%2 == 0 {
+	if s.halfRight && number%2 == 0 {
 		config.Schedulers = len(s.schedulers)
 	}
-	*scheduler = slowStartScheduler{dispatcher: New(config, s.rng.Int63()), startedAt: s.now, incarnation: scheduler.incarnation + 1, work: map[InvocationID]float64{}}
+	*scheduler = slowStartScheduler{
+		dispatcher:  New(config, s.rng.Int63()),
+		startedAt:   s.now,
+		incarnation: scheduler.incarnation + 1,
+		work:        map[InvocationID]float64{},
+	}
 	s.handle(number, s.fullUpdate(scheduler))
 }
 
-// whole is the list with its times told as since that scheduler's start.
+// fullUpdate is the endpoint list with its times as spans since that scheduler's start.
 func (s *slowStartSimulation) fullUpdate(scheduler *slowStartScheduler) EndpointUpdate {
 	update := EndpointUpdate{Kind: FullUpdate}
 	for _, w := range s.workers {
@@ -202,7 +230,7 @@
 	return update
 }
 
-// tell hands an event to the same life of a scheduler later; a message goes by its number alone.
+// deliver hands an event to the same incarnation of a scheduler later; gossip reaches whichever runs then.
 func (s *slowStartSimulation) deliver(number int, wait time.Duration, event Event) {
 	incarnation := s.schedulers[number].incarnation
 	s.after(wait, func() {
@@ -220,24 +248,14 @@
 		case Forward:
 			s.forward(number, a, latency)
 		case HealthCheck:
-			w, wait := s.workersByID[a.Worker], 2*latency
-			if s.checksLost {
-				wait += time.Duration(s.rng.Intn(300)) * ms
-			}
-			if s.checksLost && s.rng.Float64() < 0.3 {
-				s.deliver(number, 300*ms, HealthCheckResult{Worker: a.Worker, Result: TimedOut, Latency: 300 * ms})
-			} else {
-				s.deliver(number, wait, HealthCheckResult{Worker: a.Worker, Result: Succeeded, Latency: wait, Load: s.loadReport(w)})
-			}
+			s.healthCheck(number, a.Worker, 2*latency)
 		case SetTimer:
-			if scheduler.timerAt = a.At; true {
-				at := a.At
-				s.after(a.At-(s.now-scheduler.startedAt), func() {
-					if s.schedulers[number].timerAt == at {
-						s.handle(number, TimerFired{})
-					}
-				})
-			}
+			scheduler.timerAt = a.At
+			s.after(a.At-(s.now-scheduler.startedAt), func() {
+				if s.schedulers[number].timerAt == a.At {
+					s.handle(number, TimerFired{})
+				}
+			})
 		case SendGossip:
 			for to := range s.schedulers {
 				if to == a.To || a.To < 0 && to != number {
@@ -252,29 +270,60 @@
 	}
 }
 
+func (s *slowStartSimulation) healthCheck(number int, worker WorkerID, latency time.Duration) {
+	const timeout = 300 * ms
+	if s.checksLost {
+		latency += time.Duration(s.rng.Intn(300)) * ms
+	}
+	if s.checksLost && s.rng.Float64() < 0.3 {
+		s.deliver(number, timeout, HealthCheckResult{
+			Worker:  worker,
+			Result:  TimedOut,
+			Latency: timeout,
+		})
+		return
+	}
+	s.deliver(number, latency, HealthCheckResult{
+		Worker:  worker,
+		Result:  Succeeded,
+		Latency: latency,
+		Load:    s.loadReport(s.workersByID[worker]),
+	})
+}
+
+// loadReport is a worker's report, or its last one again while that is young enough.
 func (s *slowStartSimulation) loadReport(w *slowStartWorker) *LoadReport {
 	if w.reportedAt > 0 && s.now < w.reportedAt+s.reportAge {
-		shown := w.lastReport
-		return &shown
+		load := w.lastReport
+		return &load
 	}
 	load := UnknownLoad
-	load.FreeSlots, load.Queued = float64(s.cores-w.running), float64(len(w.queued))
-	load.InFlight, load.Busy = load.Queued+float64(w.running), float64(w.running)
+	load.FreeSlots = float64(s.cores - w.running)
+	load.Queued = float64(len(w.queued))
+	load.InFlight = load.Queued + float64(w.running)
+	load.Busy = float64(w.running)
 	if w.served > 0 {
 		load.ServiceTime = w.runTime / w.served
 	}
-	w.lastReport, w.reportedAt = load, s.now
+	w.lastReport = load
+	w.reportedAt = s.now
 	return &load
 }
 
 func (s *slowStartSimulation) forward(number int, forward Forward, latency time.Duration) {
-	w, scheduler := s.workersByID[forward.Worker], s.schedulers[number]
+	w := s.workersByID[forward.Worker]
+	scheduler := s.schedulers[number]
 	work, known := scheduler.work[forward.Invocation]
 	if !known {
 		panic(fmt.Sprintf("%d was sent after its end", forward.Invocation))
 	}
-	w.sends = append(w.sends, slowStartSend{s.now, work})
-	outcome := Outcome{Invocation: forward.Invocation, Worker: forward.Worker, Attempt: forward.Forward(scheduler), Result: Rejected}
+	w.sends = append(w.sends, slowStartSend{at: s.now, work: work})
+	outcome := Outcome{
+		Invocation: forward.Invocation,
+		Worker:     forward.Worker,
+		Attempt:    scheduler.lastAttempt(forward.Invocation),
+		Result:     Rejected,
+	}
 	if len(w.queued) >= 2*s.cores {
 		outcome.Load = s.loadReport(w)
 		s.deliver(number, 2*latency, outcome)
@@ -285,13 +334,16 @@
 		w.running++
 		s.after(elapsed, func() {
 			w.running--
-			w.served, w.runTime = w.served+1, w.runTime+elapsed.Seconds()
+			w.served++
+			w.runTime += elapsed.Seconds()
 			if len(w.queued) > 0 {
 				next := w.queued[0]
 				w.queued = w.queued[1:]
 				next()
 			}
-			outcome.Result, outcome.Answered, outcome.Load = Succeeded, true, s.loadReport(w)
+			outcome.Result = Succeeded
+			outcome.Answered = true
+			outcome.Load = s.loadReport(w)
 			s.deliver(number, latency, outcome)
 		})
 	}
@@ -302,19 +354,21 @@
 	}
 }
 
-// Forward's number among those of its invocation.
-func (a Forward) Forward(s *slowStartScheduler) int {
-	return len(s.dispatcher.scheduler.invocations[s.dispatcher.invocationIndex[a.Invocation]].attempts) - 1
+// lastAttempt is the number of an invocation's last attempt.
+func (s *slowStartScheduler) lastAttempt(id InvocationID) int {
+	index := s.dispatcher.invocationIndex[id]
+	return len(s.dispatcher.scheduler.invocations[index].attempts) - 1
 }
 
-// arrive has one request come to some scheduler, and the next one after it.
+// burstArrival brings an invocation to some scheduler, and schedules the next one.
 func (s *slowStartSimulation) burstArrival(burstAt, end time.Duration) {
 	arrivalRate := s.load * float64(s.cores*len(s.workers)) / s.meanWork
 	if s.now >= burstAt {
 		arrivalRate *= float64(len(s.workers)-s.startingWorkers) / float64(len(s.workers)) * s.burst
 	}
-	if s.after(seconds(s.rng.ExpFloat64()/arrivalRate), func() { s.burstArrival(burstAt, end) }); s.now > end {
-		s.queue = s.queue[:0]
+	s.after(seconds(s.rng.ExpFloat64()/arrivalRate), func() { s.burstArrival(burstAt, end) })
+	if s.now > end {
+		s.calls = nil
 		return
 	}
 	const spread = 0.8 // lognormal: the deviation is about the mean
@@ -326,23 +380,75 @@
 	number := s.rng.Intn(len(s.schedulers))
 	s.lastInvocation++
 	s.schedulers[number].work[s.lastInvocation] = work
-	s.handle(number, Arrival{Invocation: s.lastInvocation, Hint: hint, Slots: 1, Budget: 2 * time.Second})
+	s.handle(number, Arrival{
+		Invocation: s.lastInvocation,
+		Hint:       hint,
+		Slots:      1,
+		Budget:     2 * time.Second,
+	})
 }
 
-// play gives the largest sum that one cold worker got in a span, in requests of mean work, with the bound at that moment
-// and N; and what all cold ones did, as a part of what they could do by the end.
-func (s *slowStartSimulation) run() (worst, bound, n, used float64) {
+// slowStartUse is what workers in slow start got in one run.
+type slowStartUse struct {
+	worst float64 // the most that one got in an overload window, by its budget then; requests of mean work
+	bound float64 // the budget then
+	calls float64 // N then
+	used  float64 // what all of them did by the end, as a part of what they could
+}
+
+// run plays the scenario, and sums up what the workers that restarted in it got.
+func (s *slowStartSimulation) run() slowStartUse {
+	const restartAt = 4 * time.Second
+	const end = restartAt + 3*time.Second
+	s.simulate(restartAt, end)
+	var use slowStartUse
+	done := 0.0
+	could := 0.0
+	for _, w := range s.workers {
+		if !w.endpoint.StartKnown {
+			continue
+		}
+		sum := 0.0
+		from := 0
+		for _, send := range w.sends {
+			sum += send.work / s.meanWork
+			done += send.work * w.pace
+			for w.sends[from].at <= send.at-s.config.Rules.OverloadWindow {
+				sum -= w.sends[from].work / s.meanWork
+				from++
+			}
+			cores := float64(s.cores) * s.warmUpWeight(w, send.at) / w.pace
+			calls := s.config.Rules.OverloadFactor * s.config.Rules.OverloadWindow.Seconds() * cores / s.meanWork
+			bound := slowStartBound(calls)
+			if use.bound == 0 || sum/bound > use.worst/use.bound {
+				use.worst = sum
+				use.bound = bound
+				use.calls = calls
+			}
+		}
+		for at := restartAt; at < end; at += 100 * ms {
+			could += float64(s.cores) * s.warmUpWeight(w, at) * 0.1
+		}
+	}
+	use.bound = cmp.Or(use.bound, 1)
+	use.used = done / could
+	return use
+}
+
+// slowStartBound is how many requests of mean work a worker may get in an overload window in which it is meant for so many.
+func slowStartBound(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
+
+// simulate has a part of the workers restart as the burst begins.
+func (s *slowStartSimulation) simulate(restartAt, end time.Duration) {
 	for i := range s.schedulers {
 		s.startScheduler(i)
 	}
-	const start = 4 * time.Second
-	until := start + 3*time.Second
-	s.after(0, func() { s.burstArrival(start, until) })
-	s.after(start, func() {
+	s.after(0, func() { s.burstArrival(restartAt, end) })
+	s.after(restartAt, func() {
 		warm := len(s.workers)
 		for i := range s.startingWorkers {
 			s.addWorker(warm+i, true)
-			s.workers[i].endpoint.State = Draining // the new one takes its place
+			s.workers[i].endpoint.State = Draining // the starting one takes its place
 		}
 		for i, scheduler := range s.schedulers {
 			if s.halfRestart && i%2 == 1 {
@@ -352,38 +458,11 @@
 			}
 		}
 	})
-	for len(s.queue) > 0 {
-		e := heap.Pop(&s.queue).(scheduledCall)
-		s.now = e.at
-		e.do()
-	}
-	done, could := 0.0, 0.0
-	for _, w := range s.workers {
-		if !w.endpoint.StartKnown {
-			continue
-		}
-		sum, from := 0.0, 0
-		for _, scheduler := range w.sends {
-			sum += scheduler.work / s.meanWork
-			done += scheduler.work * w.pace
-			for ; w.sends[from].at <= scheduler.at-s.config.Rules.OverloadWindow; from++ {
-				sum -= w.sends[from].work / s.meanWork
-			}
-			able := float64(s.cores) * s.warmUpWeight(w, scheduler.at) / w.pace
-			calls := s.config.Rules.OverloadFactor * s.config.Rules.OverloadWindow.Seconds() * able / s.meanWork
-			if most := calls + 2*math.Sqrt(calls) + 2; bound == 0 || sum/most > worst/bound {
-				worst, bound, n = sum, most, calls
-			}
-		}
-		for at := start; at < until; at += 100 * ms {
-			could += float64(s.cores) * s.warmUpWeight(w, at) * 0.1
-		}
-	}
-	return worst, cmp.Or(bound, 1), n, done / could
+	s.callUntil(unbounded)
 }
 
-// blind is the row in which nothing that a scheduler has seen by then shows how far all hints are off.
-const biasUnseen = "hints a tenth, half new"
+// biasUnseen is the scenario in which nothing that a scheduler has seen by then shows how far all hints are off.
+const biasUnseen = "hints a tenth, half restarted"
 
 func TestSlowStartBudget(t *testing.T) {
 	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name != biasUnseen })
@@ -393,44 +472,81 @@
 	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name == biasUnseen })
 }
 
-// playCold plays the rows of one test. A row's seeds go by its place among all.
-func runSlowStartScenarios(t *testing.T, selects func(slowStartScenario) bool) {
-	var scenarios []slowStartScenario
+// slowStartResult sums up the runs of one scenario.
+type slowStartResult struct {
+	slowStartUse         // of the run with the largest share; used is the mean of all
+	share        float64 // worst as a part of its bound
+	mean         float64 // of that share in all runs
+	seed         int64   // of the run with the largest share
+	over         int     // runs over the bound
+}
+
+func (r *slowStartResult) add(seed int64, use slowStartUse) {
+	share := use.worst / use.bound
+	r.used += use.used / float64(*slowStartSeeds)
+	if share > r.share {
+		use.used = r.used
+		r.slowStartUse = use
+		r.share = share
+		r.seed = seed
+	}
+	r.mean += share / float64(*slowStartSeeds)
+	if use.worst > use.bound {
+		r.over++
+	}
+}
+
+// slowStartScenarios are all scenarios of both tests. New ones go to the end, as the seeds follow from their order.
+func slowStartScenarios() (scenarios []slowStartScenario) {
+	add := func(schedulers int, countFactor float64, list ...slowStartScenario) {
+		for _, scenario := range list {
+			scenario.schedulers = schedulers
+			scenario.countFactor = countFactor
+			scenarios = append(scenarios, scenario)
+		}
+	}
 	for _, schedulers := range []int{1, 6, 7, 20, 30, 300} {
-		scenarios = append(scenarios, slowStartScenario{name: "plain", schedulers: schedulers, toldFactor: 1},
-			slowStartScenario{name: "rough hints, half new", schedulers: schedulers, toldFactor: 1, roughHints: true, halfRestart: true})
+		add(schedulers, 1,
+			slowStartScenario{name: "plain"},
+			slowStartScenario{name: "rough hints, half restarted", roughHints: true, halfRestart: true},
+		)
 	}
 	for _, schedulers := range []int{7, 30, 300} {
-		scenarios = append(scenarios, slowStartScenario{name: "rough hints", schedulers: schedulers, toldFactor: 1, roughHints: true},
-			slowStartScenario{name: "half new", schedulers: schedulers, toldFactor: 1, halfRestart: true},
-			slowStartScenario{name: "large N", schedulers: schedulers, toldFactor: 1, largeWorkers: true, roughHints: true},
-			slowStartScenario{name: "probes lost", schedulers: schedulers, toldFactor: 1, checksLost: true, roughHints: true},
-			slowStartScenario{name: "slow for their kind", schedulers: schedulers, toldFactor: 1, startingPace: 2},
-			slowStartScenario{name: "the same, half new", schedulers: schedulers, toldFactor: 1, startingPace: 2, halfRestart: true},
-			slowStartScenario{name: "hints a tenth", schedulers: schedulers, toldFactor: 1, hintFactor: 0.1},
-			slowStartScenario{name: "hints tenfold", schedulers: schedulers, toldFactor: 1, hintFactor: 10},
-			slowStartScenario{name: biasUnseen, schedulers: schedulers, toldFactor: 1, hintFactor: 0.1, halfRestart: true},
-			slowStartScenario{name: "no own number", schedulers: schedulers, toldFactor: 1, unnumbered: true})
+		add(schedulers, 1,
+			slowStartScenario{name: "rough hints", roughHints: true},
+			slowStartScenario{name: "half restarted", halfRestart: true},
+			slowStartScenario{name: "large N", largeWorkers: true, roughHints: true},
+			slowStartScenario{name: "health checks lost", checksLost: true, roughHints: true},
+			slowStartScenario{name: "slow for their kind", startingPace: 2},
+			slowStartScenario{name: "the same, half restarted", startingPace: 2, halfRestart: true},
+			slowStartScenario{name: "hints a tenth", hintFactor: 0.1},
+			slowStartScenario{name: "hints tenfold", hintFactor: 10},
+			slowStartScenario{name: biasUnseen, hintFactor: 0.1, halfRestart: true},
+			slowStartScenario{name: "no own number", unnumbered: true},
+		)
 	}
 	for _, schedulers := range []int{20, 30, 300} {
-		for _, told := range []float64{0.1, 0.5, 2, 10} {
-			scenarios = append(scenarios, slowStartScenario{name: fmt.Sprintf("told %v", told), schedulers: schedulers, toldFactor: told})
+		for _, factor := range []float64{0.1, 0.5, 2, 10} {
+			add(schedulers, factor, slowStartScenario{name: fmt.Sprintf("configured %v", factor)})
 		}
-		scenarios = append(scenarios, slowStartScenario{name: "told 0.1, half new", schedulers: schedulers, toldFactor: 0.1, roughHints: true, halfRestart: true},
-			slowStartScenario{name: "told 0.1, every other", schedulers: schedulers, toldFactor: 0.1, halfToldRight: true},
-			slowStartScenario{name: "told 0.1, tells", schedulers: schedulers, toldFactor: 0.1, gossip: true})
+		add(schedulers, 0.1,
+			slowStartScenario{name: "configured 0.1, half restarted", roughHints: true, halfRestart: true},
+			slowStartScenario{name: "configured 0.1, every other", halfRight: true},
+			slowStartScenario{name: "configured 0.1, gossip", gossip: true},
+		)
 	}
+	return scenarios
+}
+
+// runSlowStartScenarios runs the scenarios of one test. The seeds of a scenario follow from its place among all.
+func runSlowStartScenarios(t *testing.T, selects func(slowStartScenario) bool) {
+	scenarios := slowStartScenarios()
 	skips := func(r slowStartScenario) bool {
 		return !selects(r) || !strings.Contains(fmt.Sprintf("%s, %d schedulers", r.name, r.schedulers), *slowStartFilter)
 	}
-	type result struct {
-		worst, bound, n, share, used, mean float64
-		seed                               int64
-		over                               int
-	}
-	results := make([]result, len(scenarios))
+	results := make([]slowStartResult, len(scenarios))
 	var wait sync.WaitGroup
-	limiter := make(chan struct{}, 4)
+	limiter := make(chan struct{}, concurrentScenarios)
 	for i, scenario := range scenarios {
 		if skips(scenario) {
 			continue
@@ -440,34 +556,27 @@
 			defer wait.Done()
 			limiter <- struct{}{}
 			defer func() { <-limiter }()
-			r := &results[i]
 			for n := range int64(*slowStartSeeds) {
-				seed := n + int64(*slowStartFirstSeed) + int64(i)%max(1, int64(len(hardCases)-*slowStartSeeds+1)) // short runs differ by row
-				worst, bound, n, used := newSlowStartSimulation(scenario, seed+1).run()
-				if r.used += used / float64(*slowStartSeeds); worst/bound > r.share {
-					r.worst, r.bound, r.n, r.share, r.seed = worst, bound, n, worst/bound, seed+1
-				}
-				if r.mean += worst / bound / float64(*slowStartSeeds); worst > bound {
-					r.over++
-				}
+				seed := n + int64(*slowStartFirstSeed) + int64(i)%max(1, int64(len(hardCases)-*slowStartSeeds+1)) // short runs differ
+				results[i].add(seed+1, newSlowStartSimulation(scenario, seed+1).run())
 			}
 		}()
 	}
 	wait.Wait()
-	t.Logf("%-26s %10s %8s %8s %8s %8s %5s %6s %5s", "row", "schedulers", "worst", "bound", "N", "of it", "over", "mean", "used")
+	t.Logf("%-26s %10s %8s %8s %8s %8s %5s %6s %5s", "scenario", "schedulers", "worst", "bound", "N", "of it", "over", "mean", "used")
 	for i, scenario := range scenarios {
 		r := results[i]
 		if skips(scenario) {
 			continue
 		}
-		t.Logf("%-26s %10d %8.1f %8.1f %8.1f %8.2f %5d %6.2f %5.2f", scenario.name, scenario.schedulers, r.worst, r.bound, r.n,
+		t.Logf("%-26s %10d %8.1f %8.1f %8.1f %8.2f %5d %6.2f %5.2f", scenario.name, scenario.schedulers, r.worst, r.bound, r.calls,
 			r.share, r.over, r.mean, r.used)
 		if r.share > 1 {
-			t.Errorf("%s, %d schedulers, seed %d: a cold worker got %.1f requests of mean work, and bears %.1f", scenario.name,
+			t.Errorf("%s, %d schedulers, seed %d: a worker in slow start got %.1f requests of mean work, its budget is %.1f", scenario.name,
 				scenario.schedulers, r.seed, r.worst, r.bound)
 		}
 	}
-	if slices.IndexFunc(results, func(r result) bool { return r.used > 0 }) < 0 {
-		t.Error("no cold worker got anything")
+	if !slices.ContainsFunc(results, func(r slowStartResult) bool { return r.used > 0 }) {
+		t.Error("no worker in slow start got anything")
 	}
 }
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A worker that has just started gets our part of what it can do now, and one heavy invocation can be too much.
+// A worker in slow start gets our share of what it can do now, and one heavy invocation can be too much.
 func Example_slowStart() {
 	config := testConfig()
 	config.Schedulers = 2
@@ -18,7 +18,8 @@
 	h.handleAt(10*ms, freeSlotsResult('a', 4), arrival(1, 2, 0.4))
 	h.handleAt(410*ms, h.outcome(1, 0, Succeeded))
 	starting := readyEndpoint('a', 0)
-	starting.StartKnown, starting.StartedAt = true, 400*ms
+	starting.StartKnown = true
+	starting.StartedAt = 400 * ms
 	h.handleAt(500*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{starting}})
 	h.handleAt(510*ms, freeSlotsResult('a', 4), arrival(2, 2, 0.5), arrival(3, 2, 0.07), arrival(4, 2, 0.3))
 	h.handleAt(700*ms, h.outcome(3, 0, Succeeded))
@@ -26,18 +27,20 @@
 	// Output:
 	// 10ms 1 to a
 	// 510ms 3 to a
-	// 16s 4 throttled, back after 750ms to 1.25s
-	// 16s 2 throttled, back after 750ms to 1.25s
+	// 16s 4 throttled, retry after 750ms to 1.25s
+	// 16s 2 throttled, retry after 750ms to 1.25s
 	// 16s 5 to a
 }
 
-// Schedulers that were killed have forgotten which cold workers they share: those that the lot names for one of the
-// known list ask it at once, or nobody uses it until chance brings it into their pools.
+// Schedulers that were killed have forgotten which workers in slow start they share: those that the lottery names for one
+// of the known endpoints health check it at once, or nobody uses it until chance brings it into their pools.
 func Example_slowStartKnownAtStart() {
 	config := testConfig()
 	config.Schedulers = 80
 	starting := readyEndpoint('a', 0)
-	starting.StartKnown, starting.StartedAt, starting.Incarnation = true, -2*time.Second, 17
+	starting.StartKnown = true
+	starting.StartedAt = -2 * time.Second
+	starting.Incarnation = 17
 	known := append(readyEndpoints(60), starting)
 	for _, warmedUp := range []bool{false, true} {
 		if warmedUp {
@@ -46,19 +49,20 @@
 		checked := 0
 		for config.Index = range config.Schedulers {
 			d := New(config, int64(config.Index))
-			if slices.Contains(d.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: known}}), Action(HealthCheck{starting.Worker})) {
+			actions := d.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: known}})
+			if slices.Contains(actions, Action(HealthCheck{Worker: starting.Worker})) {
 				checked++
 			}
 		}
-		fmt.Printf("warm %v: asked by %d of 80 as they start\n", warmedUp, checked)
+		fmt.Printf("warm %v: checked by %d of 80 as they start\n", warmedUp, checked)
 	}
 	// Output:
-	// warm false: asked by 25 of 80 as they start
-	// warm true: asked by 19 of 80 as they start
+	// warm false: checked by 25 of 80 as they start
+	// warm true: checked by 19 of 80 as they start
 }
 
-// The number of schedulers is told ten times too small: whose own number lies beyond it knows that, and leaves cold
-// workers to the others. Named for one are five of a thousand all the same; without that, fifty would be.
+// The configured number of schedulers is ten times too small: whose own number lies beyond it knows that, and leaves
+// workers in slow start to the others. Named for one are five of a thousand all the same; without that, fifty would be.
 func Example_understatedSchedulerCount() {
 	config := testConfig()
 	for _, config.Schedulers = range []int{1000, 100, 10000} {
@@ -68,27 +72,32 @@
 				named++
 			}
 		}
-		fmt.Printf("told %d: %d of 1000 are among the first five\n", config.Schedulers, named)
+		fmt.Printf("configured %d: %d of 1000 are among the first five\n", config.Schedulers, named)
 	}
 	// Output:
-	// told 1000: 5 of 1000 are among the first five
-	// told 100: 5 of 1000 are among the first five
-	// told 10000: 0 of 1000 are among the first five
+	// configured 1000: 5 of 1000 are among the first five
+	// configured 100: 5 of 1000 are among the first five
+	// configured 10000: 0 of 1000 are among the first five
 }
 
-// With so many schedulers that an even part of a cold worker's budget is less than one invocation, a lot that all draw
-// alike names the few that share it; how many, and how much they send, grows as it warms. The budget of a span is what
-// the rule allows: twice what four slots do by then.
+// With so many schedulers that an even share of a slow-start budget is less than one invocation, a lottery that all draw
+// alike names the few that share it; how many, and how much they send, grows as the worker warms up. The budget of an
+// overload window is what the rule allows: twice what four slots do by then.
 func Example_slowStartLottery() {
 	config := testConfig()
 	config.Schedulers = 1000
 	for _, age := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second, 19 * time.Second} {
-		senders, most, work := 0, 0, 0.0
+		senders := 0
+		most := 0
+		work := 0.0
 		for index := range config.Schedulers {
 			config.Index = index
-			h := &harness{dispatcher: New(config, int64(index)), attemptWorkers: map[InvocationID][]WorkerID{}, collects: true}
+			h := newIdleHarness(config, int64(index))
+			h.collects = true
 			starting := readyEndpoint('a', 0)
-			starting.StartKnown, starting.StartedAt, starting.Incarnation = true, 20*time.Second, 17
+			starting.StartKnown = true
+			starting.StartedAt = 20 * time.Second
+			starting.Incarnation = 17
 			h.handleAt(0, EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{readyEndpoint('b', 0)}})
 			n := InvocationID(0)
 			for n < 40 { // one every half second before, each done as hinted
@@ -105,7 +114,8 @@
 			}
 			sentHere := strings.Count(strings.Join(h.lines, "\n"), "to a")
 			work += 0.2 * float64(sentHere)
-			if most = max(most, sentHere); sentHere > 0 {
+			most = max(most, sentHere)
+			if sentHere > 0 {
 				senders++
 			}
 		}
@@ -119,14 +129,16 @@
 	// 19s after its start: 12 of 1000 send, at most 4 each, 3.6 of a budget of 7.6
 }
 
-// Three schedulers share a cold worker's budget evenly, whatever the usual run is: the parts of all stay under a quarter of what
-// it bears by hints, as those are far off for some, and each has little of it.
+// Three schedulers share a slow-start budget evenly, whatever the usual run time is: the shares of all stay under a quarter
+// of what the worker bears by hints, as those are far off for some, and each has little of it.
 func Example_slowStartFewSchedulers() {
 	for _, runTime := range []float64{0.01, 0.2, 3} {
 		config := testConfig()
-		config.Schedulers, config.Index = 3, 0
+		config.Schedulers = 3
+		config.Index = 0
 		starting := readyEndpoint('a', 0)
-		starting.StartKnown, starting.Incarnation = true, 5
+		starting.StartKnown = true
+		starting.Incarnation = 5
 		h := newHarness(config, starting)
 		h.collects = true
 		h.dispatcher.scheduler.runTimes = samples{runTime, runTime}
@@ -147,35 +159,38 @@
 	// usual run 3: at most a twelfth of the budget each: true, some: true
 }
 
-// What all schedulers together may send one cold worker in a span, were there always one more small invocation, stays
-// within N + 2 root N + 2 requests of mean work, whatever the number of schedulers is told to be: as long as their own
-// numbers are told.
+// What all schedulers together may send a worker in slow start in an overload window, were there always one more small
+// invocation, stays within N + 2 root N + 2 requests of mean work, whatever number of schedulers is configured, as long as
+// each knows its own number.
 func TestSlowStartShares(t *testing.T) {
-	t.Logf("%10s %6s %8s %8s %8s %8s %6s", "schedulers", "told", "N", "worst", "bound", "of it", "over")
+	t.Logf("%10s %10s %8s %8s %8s %8s %6s", "schedulers", "configured", "N", "worst", "bound", "of it", "over")
 	for _, schedulers := range []int{1, 6, 7, 20, 30, 300} {
-		for _, told := range []float64{0.1, 0.5, 1, 2, 10} {
+		for _, factor := range []float64{0.1, 0.5, 1, 2, 10} {
 			for _, calls := range []float64{2, 10, 30, 100, 300} {
-				worst, bound, over := 0.0, calls+2*math.Sqrt(calls)+2, 0
+				bound := slowStartBound(calls)
+				worst := 0.0
+				over := 0
 				for start := range uint64(20) {
-					sum := slowStartShares(schedulers, max(1, int(math.Round(told*float64(schedulers)))), calls, start)
-					if worst = max(worst, sum); sum > bound {
+					sum := slowStartShares(schedulers, max(1, int(math.Round(factor*float64(schedulers)))), calls, start)
+					worst = max(worst, sum)
+					if sum > bound {
 						over++
 					}
 				}
-				t.Logf("%10d %6v %8v %8.1f %8.1f %8.2f %6d", schedulers, told, calls, worst, bound, worst/bound, over)
+				t.Logf("%10d %10v %8v %8.1f %8.1f %8.2f %6d", schedulers, factor, calls, worst, bound, worst/bound, over)
 				if over > 0 {
-					t.Errorf("%d schedulers, told %v of it, N %v: %.1f may come, %.1f is borne", schedulers, told, calls, worst, bound)
+					t.Errorf("%d schedulers, %v of them configured, N %v: %.1f may be sent, the budget is %.1f", schedulers, factor, calls, worst, bound)
 				}
 			}
 		}
 	}
 }
 
-// coldParts sums what each may send, in requests of mean work, by hundredths of one.
-func slowStartShares(schedulers, told int, calls float64, start uint64) (sum float64) {
-	const run = 0.2
+// slowStartShares sums what each may send, in requests of mean work, by hundredths of one.
+func slowStartShares(schedulers, configured int, calls float64, start uint64) (sum float64) {
+	const run = 0.2 // seconds
 	config := testConfig()
-	config.Schedulers = told
+	config.Schedulers = configured
 	for config.Index = range schedulers {
 		dispatcher := New(config, 1)
 		sum += mostSentInSlowStart(&dispatcher.scheduler, dispatcher.lotteryRank(start), calls, run)
@@ -183,41 +198,57 @@
 	return sum
 }
 
-// mostSent is what a scheduler may send a cold worker in a span, were there always one more small invocation, in requests of mean work.
+// mostSentInSlowStart is what one scheduler may send in an overload window, were there always one more small invocation, in
+// requests of mean work.
 func mostSentInSlowStart(s *scheduler, lotteryRank int, calls, run float64) float64 {
 	view := &workerView{pace: 1, warmUpWeight: 1, lotteryRank: lotteryRank}
 	view.maxFree = calls * run / s.overloadBudget
 	view.pace = max(1, 1/view.maxFree) // a worker of less than one slot is a slower one
-	s.fleet.runTime, s.now, s.admitted = run, 20*time.Second, 20*calls
+	s.fleet.runTime = run
+	s.now = 20 * time.Second
+	s.admitted = 20 * calls
 	for cost := run / 100; s.withinSlowStartBudget(cost, view) && view.budgetUsed < 3*calls*run; {
 		view.budgetUsed += cost
 	}
 	return view.budgetUsed / run
 }
 
-// The number of schedulers changes with new settings while a worker is cold: those that ran before draw their lots among all anew.
+// The number of schedulers changes by reconfiguration during a slow start: those that ran before draw among all anew.
 func TestSlowStartSharesAfterReconfiguration(t *testing.T) {
-	for _, schedulers := range [][2]int{{7, 30}, {30, 300}, {100, 10}, {6, 20}} {
+	changes := []struct{ before, after int }{
+		{before: 7, after: 30},
+		{before: 30, after: 300},
+		{before: 100, after: 10},
+		{before: 6, after: 20},
+	}
+	for _, change := range changes {
 		for _, calls := range []float64{2, 10, 30, 100} {
-			worst, bound := 0.0, calls+2*math.Sqrt(calls)+2
+			bound := slowStartBound(calls)
+			worst := 0.0
 			for start := range uint64(20) {
-				worst = max(worst, slowStartSharesAfterReconfiguration(schedulers[0], schedulers[1], calls, start))
+				worst = max(worst, slowStartSharesAfterReconfiguration(change.before, change.after, calls, start))
 			}
 			if worst > bound {
-				t.Errorf("%d schedulers, then %d, N %v: %.1f may come, %.1f is borne", schedulers[0], schedulers[1], calls, worst, bound)
+				t.Errorf("%d schedulers, then %d, N %v: %.1f may be sent, the budget is %.1f", change.before, change.after, calls, worst, bound)
 			}
 		}
 	}
 }
 
-// coldPartsAfterReload sums what each may send once their number has changed, in requests of mean work.
+// slowStartSharesAfterReconfiguration sums what each may send once their number has changed, in requests of mean work.
 func slowStartSharesAfterReconfiguration(before, after int, calls float64, start uint64) (sum float64) {
-	const run = 0.2
+	const run = 0.2 // seconds
 	worker := netip.MustParseAddrPort("10.0.0.1:1")
-	update := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Worker: worker, State: Ready, StartKnown: true, Incarnation: start}}}
+	update := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{
+		Worker:      worker,
+		State:       Ready,
+		StartKnown:  true,
+		Incarnation: start,
+	}}}
 	for index := range after {
 		config := testConfig()
-		config.Index, config.Schedulers = index, after
+		config.Index = index
+		config.Schedulers = after
 		if index < before {
 			config.Schedulers = before
 		}
--- a/dispatch/snapshot_benchmark_test.go
+++ b/dispatch/snapshot_benchmark_test.go
@@ -9,41 +9,70 @@
 	"stoatweir/dispatch"
 )
 
-// The figures of docs/CAPACITY.md for what one scheduler teaches the next, and for newer settings in the decisions.
+// The benchmarks of this package give the figures of docs/CAPACITY.md for snapshots and reconfiguration.
 
+// fullUpdateOf lists so many workers in 15 zones.
 func fullUpdateOf(workers int) (update dispatch.EndpointUpdate) {
 	update.Kind = dispatch.FullUpdate
 	for index := range workers {
-		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(index >> 16), byte(index >> 8), byte(index)}), 7000)
-		update.Endpoints = append(update.Endpoints, dispatch.Endpoint{Worker: addr, Zone: index % 15, Kind: index % 4, Cell: index / 40, State: dispatch.Ready})
+		address := netip.AddrFrom4([4]byte{10, byte(index >> 16), byte(index >> 8), byte(index)})
+		update.Endpoints = append(update.Endpoints, dispatch.Endpoint{
+			Worker: netip.AddrPortFrom(address, 7000),
+			Zone:   index % 15,
+			Kind:   index % 4,
+			Cell:   index / 40,
+			State:  dispatch.Ready,
+		})
 	}
 	return update
 }
 
+// snapshotOf is a snapshot of 71 operations and so many workers, with all samples taken.
 func snapshotOf(workers int) dispatch.Snapshot {
-	snapshot := dispatch.Snapshot{Version: dispatch.SnapshotVersion, Operations: map[int]dispatch.OperationSnapshot{}}
+	snapshot := dispatch.Snapshot{
+		Version:    dispatch.SnapshotVersion,
+		Operations: map[int]dispatch.OperationSnapshot{},
+	}
 	for operation := range 71 {
-		snapshot.Operations[operation] = dispatch.OperationSnapshot{CostRatios: make([]float64, 16), RunTimes: make([]float64, 16), HintErrors: make([]float64, 16)}
+		snapshot.Operations[operation] = dispatch.OperationSnapshot{
+			CostRatios: make([]float64, 16),
+			RunTimes:   make([]float64, 16),
+			HintErrors: make([]float64, 16),
+		}
 	}
 	samples := []float64{3, 3.25, 2.5, 4, 1, 2, 3.125, 0.5}
 	for _, e := range fullUpdateOf(workers).Endpoints {
-		snapshot.Workers = append(snapshot.Workers, dispatch.WorkerSnapshot{Worker: e.Worker, Incarnation: e.Incarnation,
-			Paces: append(append([]float64(nil), samples...), samples...), ServiceTime: 122.125, FreeSlots: samples, LastFreeSlots: 3, MaxFreeSlots: 24,
-			FreeSlotsAge: 1234567891, ReportAge: 987654321, LastProgressAge: 1234567})
+		snapshot.Workers = append(snapshot.Workers, dispatch.WorkerSnapshot{
+			Worker:          e.Worker,
+			Incarnation:     e.Incarnation,
+			Paces:           append(append([]float64(nil), samples...), samples...),
+			ServiceTime:     122.125,
+			FreeSlots:       samples,
+			LastFreeSlots:   3,
+			MaxFreeSlots:    24,
+			FreeSlotsAge:    1234567891,
+			ReportAge:       987654321,
+			LastProgressAge: 1234567,
+		})
 	}
 	return snapshot
 }
 
-// BenchmarkLesson writes the lesson of so many workers in parts of 16, as the hand-over does, and has another instance heed it.
+// BenchmarkSnapshot writes the snapshot of so many workers in parts of 16, as the hand-over does, and has a successor load it.
 func BenchmarkSnapshot(b *testing.B) {
+	const partSize = 16 // workers
 	for _, workers := range []int{240, 950, 1900, 3800} {
-		deployment := dispatch.Config{Schedulers: 15, Operations: make([]dispatch.Operation, 71)}
+		config := dispatch.Config{Schedulers: 15, Operations: make([]dispatch.Operation, 71)}
 		b.Run(fmt.Sprint("write/", workers), func(b *testing.B) {
-			snapshot, size := snapshotOf(workers), 0
+			snapshot := snapshotOf(workers)
+			size := 0
 			for b.Loop() {
 				size = 0
-				for from := 0; from < workers; from += 16 {
-					part := dispatch.Snapshot{Version: snapshot.Version, Workers: snapshot.Workers[from:min(workers, from+16)]}
+				for from := 0; from < workers; from += partSize {
+					part := dispatch.Snapshot{
+						Version: snapshot.Version,
+						Workers: snapshot.Workers[from:min(workers, from+partSize)],
+					}
 					text, err := json.Marshal(part)
 					if err != nil {
 						b.Fatal(err)
@@ -52,12 +81,12 @@
 				}
 			}
 			b.ReportMetric(float64(size)/float64(workers), "bytes/worker")
-			b.ReportMetric(float64((workers+15)/16), "messages")
+			b.ReportMetric(float64((workers+partSize-1)/partSize), "messages")
 		})
-		b.Run(fmt.Sprint("heed/", workers), func(b *testing.B) {
+		b.Run(fmt.Sprint("load/", workers), func(b *testing.B) {
 			snapshot := snapshotOf(workers)
 			for b.Loop() {
-				dispatcher := dispatch.New(deployment, 1)
+				dispatcher := dispatch.New(config, 1)
 				dispatcher.Handle(1, []dispatch.Event{fullUpdateOf(workers)})
 				dispatcher.Handle(2, []dispatch.Event{dispatch.SnapshotLoaded{Snapshot: snapshot}})
 			}
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -6,13 +6,16 @@
 	"time"
 )
 
-// An instance takes another one's place: what was measured, who is set aside, what a cold worker was sent, and invocations
-// with their forwards go on as they were. What breaks is sent again where it may be, once.
+// A successor replaces a scheduler: what was measured, who is ejected, what a worker in slow start was sent, and invocations
+// with their attempts go on as they were. What breaks is retried where it may be, once.
 func Example_successor() {
 	config := testConfig()
-	config.Schedulers, config.EndpointsPushed = 1, true
+	config.Schedulers = 1
+	config.EndpointsPushed = true
 	starting := readyEndpoint('c', 0)
-	starting.StartKnown, starting.StartedAt, starting.Incarnation = true, 8*time.Second, 7
+	starting.StartKnown = true
+	starting.StartedAt = 8 * time.Second
+	starting.Incarnation = 7
 	predecessor := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	predecessor.collects = true
 	for n := InvocationID(1); n <= 5; n++ {
@@ -20,18 +23,18 @@
 		predecessor.handleAt(predecessor.now+200*ms, predecessor.outcome(n, 0, Succeeded))
 	}
 	predecessor.handleAt(9*time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{starting}})
-	answerThen := func(when time.Duration, a float64, events ...Event) {
-		predecessor.handleAt(when, freeSlotsResult('a', a), freeSlotsResult('b', 3), freeSlotsResult('c', 3))
-		predecessor.handleAt(when+10*ms, events...)
-		predecessor.runUntil(when + 90*ms)
+	answerThen := func(at time.Duration, freeAtA float64, events ...Event) {
+		predecessor.handleAt(at, freeSlotsResult('a', freeAtA), freeSlotsResult('b', 3), freeSlotsResult('c', 3))
+		predecessor.handleAt(at+10*ms, events...)
+		predecessor.runUntil(at + 90*ms)
 	}
 	answerThen(9200*ms, 3, arrival(22, 2, 0.1))
 	answerThen(9300*ms, 3, arrival(23, 2, 0.1), arrival(21, 0, 0.1))
 	answerThen(9400*ms, 4, arrival(25, 0, 0.01), predecessor.outcome(21, 0, Failed))
 	predecessor.handleAt(9500*ms, predecessor.outcome(25, 0, Succeeded))
-	predecessor.printCollected("the old one")
+	predecessor.printCollected("the predecessor")
 
-	// What goes to the other process goes as text; its clock began later.
+	// The snapshot goes to the other process as text; its clock began later.
 	const later = 9 * time.Second
 	successor := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	endpoint := starting
@@ -43,13 +46,15 @@
 	if err == nil {
 		err = json.Unmarshal(text, &snapshot)
 	}
-	successor.handleAt(350*ms, SnapshotLoaded{snapshot})
-	fmt.Println(err, successor.dispatcher.Ejected(), predecessor.dispatcher.Ejected(), successor.dispatcher.scheduler.kindPace, successor.dispatcher.scheduler.operations[0].runTimes.mean() == predecessor.dispatcher.scheduler.operations[0].runTimes.mean())
+	successor.handleAt(350*ms, SnapshotLoaded{Snapshot: snapshot})
+	meanRunTime := func(h *harness) float64 { return h.dispatcher.scheduler.operations[0].runTimes.mean() }
+	fmt.Println(err, successor.dispatcher.Ejected(), predecessor.dispatcher.Ejected(), successor.dispatcher.scheduler.kindPace,
+		meanRunTime(successor) == meanRunTime(predecessor))
 	budgetUsed := func(h *harness) float64 {
 		h.dispatcher.records[2].worker.publishView()
 		return h.dispatcher.records[2].worker.budgetUsed
 	}
-	fmt.Println("spent on the cold one:", budgetUsed(predecessor) > 0, budgetUsed(successor) == budgetUsed(predecessor))
+	fmt.Println("budget used of the starting worker:", budgetUsed(predecessor) > 0, budgetUsed(successor) == budgetUsed(predecessor))
 	for n := InvocationID(21); n <= 23; n++ {
 		record, isOpen := predecessor.dispatcher.MigrationRecord(n)
 		if !isOpen {
@@ -62,29 +67,33 @@
 			successor.attemptWorkers[record.Invocation] = append(successor.attemptWorkers[record.Invocation], attempt.Worker)
 		}
 		fmt.Println(n, record.Age, len(record.Attempts), record.Budget)
-		predecessor.handleAt(predecessor.now, MigratedOut{n})
+		predecessor.handleAt(predecessor.now, MigratedOut{Invocation: n})
 		successor.handleAt(400*ms, record)
 	}
-	predecessor.printCollected("the old one after that")
-	successor.printCollected("the new one")
-	successor.handleAt(500*ms, successor.outcome(121, len(successor.attemptWorkers[121])-1, ConnectionBroken), successor.outcome(122, 0, ConnectionBroken), successor.outcome(123, 0, Succeeded))
+	predecessor.printCollected("the predecessor after that")
+	successor.printCollected("the successor")
+	last := len(successor.attemptWorkers[121]) - 1
+	successor.handleAt(500*ms,
+		successor.outcome(121, last, ConnectionBroken),
+		successor.outcome(122, 0, ConnectionBroken),
+		successor.outcome(123, 0, Succeeded))
 	successor.printCollected("two break, one succeeds")
 	predecessor.handleAt(20*time.Second, TimerFired{})
-	predecessor.printCollected("the old one, much later")
+	predecessor.printCollected("the predecessor, much later")
 	snapshot.Version++
 	other := newHarness(config, readyEndpoint('a', 0))
-	other.handleAt(10*ms, SnapshotLoaded{snapshot})
+	other.handleAt(10*ms, SnapshotLoaded{Snapshot: snapshot})
 	fmt.Println("of another version:", len(other.dispatcher.scheduler.runTimes))
 	// Output:
-	// the old one: 1 to b; 2 to a; 3 to b; 4 to b; 5 to b; 22 to b; 23 to a; 21 to b; worker ejected worker=b reason="fails attempts"; 21 to a; 25 to c
+	// the predecessor: 1 to b; 2 to a; 3 to b; 4 to b; 5 to b; 22 to b; 23 to a; 21 to b; worker ejected worker=b reason="fails attempts"; 21 to a; 25 to c
 	// <nil> 1 1 map[0:2] true
-	// spent on the cold one: true true
+	// budget used of the starting worker: true true
 	// 21 190ms 2 4.81s
 	// 22 290ms 1 4.71s
 	// 23 190ms 1 4.81s
-	// the old one after that: nothing
-	// the new one: nothing
-	// two break, one succeeds: 122 errored; 121 to c
-	// the old one, much later: nothing
+	// the predecessor after that: nothing
+	// the successor: nothing
+	// two break, one succeeds: 122 failed; 121 to c
+	// the predecessor, much later: nothing
 	// of another version: 0
 }
--- a/dispatch/view_test.go
+++ b/dispatch/view_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A card that is brought up to the last round when it is read is the one that its worker would show then, whatever has
-// come in between; and what nextDue passes over would have had no result.
+// A view that is brought up to the last refresh epoch when it is read is the one that its worker would have published then,
+// whatever has come in between; and a check that is skipped before dueAt would have had no result.
 func TestViewsAreCurrent(t *testing.T) {
 	for seed := range int64(6) {
 		config := randomConfig(seed)
 		s := newSimulation(seed, 30, config)
 		s.arrivalRate = 20
-		s.aroundHandle = func(_ int, do func()) {
+		s.aroundHandle = func(do func()) {
 			do()
 			scheduler := &s.dispatcher.scheduler
 			for index, entry := range scheduler.views {
@@ -20,17 +20,18 @@
 					continue
 				}
 				if scheduler.now >= entry.dueAt && entry.dueAt < scheduler.epoch.at {
-					t.Fatalf("seed %d, %v: something was due at %v and was not looked at", seed, s.now, entry.dueAt)
+					t.Fatalf("seed %d, %v: something was due at %v and was not checked", seed, s.now, entry.dueAt)
 				}
 				worker := s.dispatcher.records[index].worker
 				savedView, savedFleet := worker.workerView, worker.fleet
 				worker.fleet = scheduler.epoch.fleetStats
 				worker.estimate(scheduler.epoch.at)
 				want := worker.workerView
-				worker.workerView, worker.fleet = savedView, savedFleet
+				worker.workerView = savedView
+				worker.fleet = savedFleet
 				want.estimatePace(scheduler.epoch.kindPace, scheduler.epoch.fleetStats)
 				if got := *scheduler.currentView(index); got != want {
-					t.Fatalf("seed %d, %v: card %+v, want %+v", seed, s.now, got, want)
+					t.Fatalf("seed %d, %v: view %+v, want %+v", seed, s.now, got, want)
 				}
 			}
 		}
--- a/dispatch/window_test.go
+++ b/dispatch/window_test.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-// bounded is a deployment where a repeat of operation 1 is dropped for a second, and late answers have a value.
+// dedupConfig is a deployment where workers drop repeats of operation 1 for a second, and late answers have a value.
 func dedupConfig(scope DedupScope) Config {
 	config := testConfig()
 	operation := &config.Operations[1]
-	operation.DedupScope, operation.DedupWindow, operation.LateWeight = scope, time.Second, 0.5
+	operation.DedupScope = scope
+	operation.DedupWindow = time.Second
+	operation.LateWeight = 0.5
 	return config
 }
 
-// held has invocation 1 sent to a at 20 ms and broken off, and its repeat held, as b has no room.
+// harnessWithQueuedRetry has invocation 1 sent to a at 20 ms, its connection broken, and its retry queued, as b is full.
 func harnessWithQueuedRetry(config Config) *harness {
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 1))
-	h.collects, h.deferHealthChecks = true, true
+	h.collects = true
+	h.deferHealthChecks = true
 	h.handleAt(10*ms, freeSlotsResult('a', 1), freeSlotsResult('b', 0), freeSlotsResult('c', 0))
 	h.handleAt(20*ms, arrival(1, 1, 0.2))
 	h.runUntil(60 * ms)
@@ -24,42 +27,59 @@
 	return h
 }
 
-// full lets time pass with no room anywhere.
-func (p *harness) runWithoutCapacity(end time.Duration) {
-	for p.now+tickInterval <= end {
-		p.handleAt(p.now+tickInterval, freeSlotsResult('a', 0), freeSlotsResult('b', 0), freeSlotsResult('c', 0))
+// runWithoutCapacity lets time pass with no worker free.
+func (h *harness) runWithoutCapacity(end time.Duration) {
+	for h.now+tickInterval <= end {
+		h.handleAt(h.now+tickInterval, freeSlotsResult('a', 0), freeSlotsResult('b', 0), freeSlotsResult('c', 0))
 	}
 }
 
-// A repeat waits for room. Once its window has passed it must not leave, whatever room there is: its client is answered at
-// once.
+// migratedAfterOneAttempt is invocation 1, of operation 1, that was sent to a in zone 0 as it arrived, an age ago.
+func migratedAfterOneAttempt(age time.Duration) MigratedIn {
+	return MigratedIn{
+		Arrival: arrival(1, 1, 0.2),
+		Waited:  age,
+		Age:     age,
+		Attempts: []Attempt{{
+			Worker:          workerID('a'),
+			Zone:            0,
+			Age:             age,
+			StartedAge:      notYet,
+			LastProgressAge: notYet,
+			MayHaveRun:      true,
+		}},
+	}
+}
+
+// A retry waits for capacity. Once its deduplication window has ended it must not leave, whatever capacity there is: its
+// client is answered at once.
 func Example_queuedPastItsWindow() {
 	for _, scope := range []DedupScope{ScopeAll, ScopeZone, ScopeCell} {
 		for _, freeAt := range []time.Duration{900 * ms, 1100 * ms} {
 			h := harnessWithQueuedRetry(dedupConfig(scope))
 			h.runWithoutCapacity(freeAt)
-			h.printCollected(fmt.Sprint("held until ", freeAt))
+			h.printCollected(fmt.Sprint("queued until ", freeAt))
 			h.handleAt(h.now+10*ms, freeSlotsResult('b', 9.1))
 			h.runUntil(h.now + 300*ms)
-			h.printCollected("room")
+			h.printCollected("capacity")
 		}
 	}
 	// Output:
-	// held until 900ms: 1 to a
-	// room: 1 to b
-	// held until 1.1s: 1 to a; 1 throttled, back after 750ms to 1.25s
-	// room: nothing
-	// held until 900ms: 1 to a
-	// room: 1 to b
-	// held until 1.1s: 1 to a; 1 errored
-	// room: nothing
-	// held until 900ms: 1 to a
-	// room: 1 to b
-	// held until 1.1s: 1 to a; 1 errored
-	// room: nothing
+	// queued until 900ms: 1 to a
+	// capacity: 1 to b
+	// queued until 1.1s: 1 to a; 1 throttled, retry after 750ms to 1.25s
+	// capacity: nothing
+	// queued until 900ms: 1 to a
+	// capacity: 1 to b
+	// queued until 1.1s: 1 to a; 1 failed
+	// capacity: nothing
+	// queued until 900ms: 1 to a
+	// capacity: 1 to b
+	// queued until 1.1s: 1 to a; 1 failed
+	// capacity: nothing
 }
 
-// What a list says of a worker later does not move what may have run there: the repeats are dropped where it ran.
+// A later update that moves a worker does not move what may have run there: repeats are dropped where it ran.
 func Example_queuedWhileItsWorkerChangesZone() {
 	for _, scope := range []DedupScope{ScopeZone, ScopeCell} {
 		h := harnessWithQueuedRetry(dedupConfig(scope))
@@ -68,23 +88,23 @@
 		h.handleAt(h.now+10*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{moved}})
 		h.handleAt(h.now+10*ms, freeSlotsResult('c', 9.1))
 		h.runUntil(h.now + 100*ms)
-		h.printCollected("room where the list has it now")
+		h.printCollected("capacity where the list has it now")
 		h.handleAt(h.now+10*ms, freeSlotsResult('b', 9.1))
 		h.runUntil(h.now + 100*ms)
-		h.printCollected("room where it ran")
+		h.printCollected("capacity where it ran")
 	}
 	// Output:
-	// room where the list has it now: 1 to a
-	// room where it ran: 1 to b
-	// room where the list has it now: 1 to a
-	// room where it ran: 1 to b
+	// capacity where the list has it now: 1 to a
+	// capacity where it ran: 1 to b
+	// capacity where the list has it now: 1 to a
+	// capacity where it ran: 1 to b
 }
 
-// New settings allow fewer forwards, or fewer at once, while a repeat is held.
+// A reconfiguration allows fewer attempts, or fewer at once, while a retry is queued.
 func Example_queuedWhileLimitsChange() {
-	for _, change := range []func(a *Limits){
-		func(a *Limits) {},
-		func(a *Limits) { a.MaxAttempts = 1 },
+	for _, change := range []func(*Limits){
+		func(*Limits) {},
+		func(l *Limits) { l.MaxAttempts = 1 },
 	} {
 		config := dedupConfig(ScopeAll)
 		h := harnessWithQueuedRetry(config)
@@ -93,57 +113,61 @@
 		h.handleAt(h.now+10*ms, Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}})
 		h.handleAt(h.now+10*ms, freeSlotsResult('b', 9.1))
 		h.runUntil(h.now + 100*ms)
-		h.printCollected("room")
+		h.printCollected("capacity")
 	}
 	// Output:
-	// room: 1 to a; 1 to b
-	// room: 1 to a; 1 throttled, back after 750ms to 1.25s
+	// capacity: 1 to a; 1 to b
+	// capacity: 1 to a; 1 throttled, retry after 750ms to 1.25s
 }
 
-// The instance before has sent it 0.9 s ago, in a zone whose worker this one has not met: the window goes on, and the group
-// stays.
+// The predecessor has sent it some time ago, to a worker that this scheduler has sent nothing yet: the window goes on, and
+// the zone stays.
 func Example_migratedInItsWindow() {
 	for _, age := range []time.Duration{500 * ms, 900 * ms} {
 		h := newHarness(dedupConfig(ScopeZone), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 1))
-		h.collects, h.deferHealthChecks = true, true
+		h.collects = true
+		h.deferHealthChecks = true
 		h.handleAt(10*ms, freeSlotsResult('b', 0), freeSlotsResult('c', 9))
-		h.handleAt(20*ms, MigratedIn{Arrival: arrival(1, 1, 0.2), Waited: age, Age: age,
-			Attempts: []Attempt{{Worker: workerID('a'), Age: age, StartedAge: -1, LastProgressAge: -1, MayHaveRun: true}}})
+		h.handleAt(20*ms, migratedAfterOneAttempt(age))
 		h.runWithoutCapacity(200 * ms)
-		h.printCollected("resumed")
+		h.printCollected("migrated in")
 		h.handleAt(h.now+10*ms, freeSlotsResult('b', 9.1))
 		h.runUntil(h.now + 200*ms)
-		h.printCollected("room")
+		h.printCollected("capacity")
 	}
 	// Output:
-	// resumed: nothing
-	// room: 1 to b
-	// resumed: 1 errored
-	// room: nothing
+	// migrated in: nothing
+	// capacity: 1 to b
+	// migrated in: 1 failed
+	// capacity: nothing
 }
 
-// An invocation is taken over when the worker of its first attempt has moved to another zone: what drops its repeats has not.
+// An invocation migrates in after the worker of its first attempt has changed zones: where repeats are dropped has not changed.
 func Example_migratedAfterItsWorkerChangedZone() {
 	h := newHarness(dedupConfig(ScopeZone), readyEndpoint('a', 1), readyEndpoint('b', 0), readyEndpoint('c', 1))
-	h.collects, h.deferHealthChecks = true, true
+	h.collects = true
+	h.deferHealthChecks = true
 	h.handleAt(10*ms, freeSlotsResult('b', 9), freeSlotsResult('c', 9))
-	h.handleAt(20*ms, MigratedIn{Arrival: arrival(1, 1, 0.2), Waited: 100 * ms, Age: 100 * ms,
-		Attempts: []Attempt{{Worker: workerID('a'), Zone: 0, Age: 100 * ms, StartedAge: -1, LastProgressAge: -1, MayHaveRun: true}}})
+	h.handleAt(20*ms, migratedAfterOneAttempt(100*ms))
 	h.runUntil(200 * ms)
-	h.printCollected("resumed")
+	h.printCollected("migrated in")
 	// Output:
-	// resumed: 1 to b
+	// migrated in: 1 to b
 }
 
-// A repeat carries the time by which it has to leave; what nothing bounds carries none.
+// A retry carries the time by which it has to leave; what no window bounds carries none.
 func Example_notAfter() {
 	h := newHarness(dedupConfig(ScopeAll), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
-	h.collects, h.printNotAfter = true, true
+	h.collects = true
+	h.printNotAfter = true
 	h.handleAt(10*ms, freeSlotsResult('a', 9), freeSlotsResult('b', 9), freeSlotsResult('c', 9))
 	h.handleAt(20*ms, arrival(1, 1, 0.2), arrival(2, 0, 0.2), arrival(3, 2, 0.2))
 	h.runUntil(60 * ms)
 	h.printCollected("first")
-	h.handleAt(120*ms, h.outcome(1, 0, ReusedConnectionBroken), h.outcome(2, 0, ReusedConnectionBroken), h.outcome(3, 0, Rejected))
+	h.handleAt(120*ms,
+		h.outcome(1, 0, ReusedConnectionBroken),
+		h.outcome(2, 0, ReusedConnectionBroken),
+		h.outcome(3, 0, Rejected))
 	h.runUntil(200 * ms)
 	h.printCollected("again")
 	// Output:
@@ -151,7 +175,7 @@
 	// again: 3 to a; 1 to c until 1.02s; 2 to a
 }
 
-// What is passed to another instance ages on its way, and in one that has it back: its window is not counted anew.
+// A migrating invocation ages on its way, also when it returns: its window does not begin anew.
 func Example_agedOnItsWay() {
 	for _, transit := range []time.Duration{0, 800 * ms} {
 		h := harnessWithQueuedRetry(dedupConfig(ScopeAll))
@@ -163,12 +187,14 @@
 		h.handleAt(h.now, migrated)
 		h.handleAt(h.now+10*ms, freeSlotsResult('b', 9.1))
 		h.runUntil(h.now + 100*ms)
-		h.printCollected("room")
-		fmt.Println(record.Budget-migrated.Budget, migrated.Waited-record.Waited, migrated.Attempts[0].Age-record.Attempts[0].Age, migrated.Attempts[0].StartedAge)
+		h.printCollected("capacity")
+		before := record.Attempts[0]
+		after := migrated.Attempts[0]
+		fmt.Println(record.Budget-migrated.Budget, migrated.Waited-record.Waited, after.Age-before.Age, after.StartedAge)
 	}
 	// Output:
-	// room: 1 to a; 1 to b
+	// capacity: 1 to a; 1 to b
 	// 100ms 100ms 100ms -1ns
-	// room: 1 to a; 1 throttled, back after 750ms to 1.25s
+	// capacity: 1 to a; 1 throttled, retry after 750ms to 1.25s
 	// 900ms 900ms 900ms -1ns
 }
