--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// ms keeps the times of examples short.
 const ms = time.Millisecond
 
 // harness drives one dispatcher and prints its actions, for traces that people can read. Workers are named by letters.
--- a/dispatch/random_history_test.go
+++ b/dispatch/random_history_test.go
@@ -30,6 +30,7 @@
 	attempts        []historyAttempt
 }
 
+// historyAttempt is what has become of an attempt.
 type historyAttempt struct {
 	worker     WorkerID
 	zone       int
@@ -73,6 +74,7 @@
 	}
 }
 
+// answered closes an invocation, which may happen once.
 func (h *randomHistory) answered(id InvocationID) *historyInvocation {
 	inv := h.invocations[id]
 	if inv.closed {
@@ -83,6 +85,7 @@
 	return inv
 }
 
+// forward checks an attempt against all rules before it counts as in flight.
 func (h *randomHistory) forward(forward Forward) {
 	inv := h.invocations[forward.Invocation]
 	operation := h.config.Operations[inv.operation]
@@ -127,6 +130,7 @@
 	h.counts["forwards"]++
 }
 
+// outcome ends an attempt.
 func (h *randomHistory) outcome(id InvocationID, number int, result Result) Outcome {
 	inv := h.invocations[id]
 	attempt := &inv.attempts[number]
--- a/dispatch/scheduling_benchmark_test.go
+++ b/dispatch/scheduling_benchmark_test.go
@@ -56,6 +56,7 @@
 	heap          uint64 // bytes
 }
 
+// measure runs on for a span. The simulation cannot go on afterwards.
 func (s *simulation) measure(span time.Duration) (m measurement) {
 	s.onAction = func(_ time.Duration, a Action) {
 		if _, isForward := a.(Forward); isForward {
@@ -88,6 +89,7 @@
 	return m
 }
 
+// reportMeasurement measures and reports 100 s of a simulation.
 func reportMeasurement(b *testing.B, s *simulation) {
 	const span = 100 // seconds
 	m := s.measure(span * time.Second)
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -35,6 +35,7 @@
 	simulatedPort = 9
 )
 
+// simulatedWorker is a worker as it is, whatever the dispatcher knows of it.
 type simulatedWorker struct {
 	Endpoint
 	slots          float64
@@ -47,12 +48,14 @@
 	lastReport     LoadReport
 }
 
+// simulatedClient is a client with its one invocation.
 type simulatedClient struct {
 	arrival  Arrival
 	attempts []*simulatedAttempt
 	answered bool // or the client has left
 }
 
+// simulatedAttempt is an attempt as it is at its worker, reported or not.
 type simulatedAttempt struct {
 	worker       *simulatedWorker
 	inFlight     bool
@@ -65,6 +68,7 @@
 	s.after(span, func() { s.handle(event) })
 }
 
+// randomSpan draws a span from both bounds and all between.
 func (s *simulation) randomSpan(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.rng.Int63n(int64(most-least)+1))
 }
@@ -72,6 +76,7 @@
 // chance is true with the given probability.
 func (s *simulation) chance(part float64) bool { return s.rng.Float64() < part }
 
+// addWorker adds a ready worker that the next update lists.
 func (s *simulation) addWorker() *simulatedWorker {
 	s.workersAdded++
 	worker := &simulatedWorker{
@@ -113,11 +118,12 @@
 	return s
 }
 
+// fullUpdate lists all workers that are not gone.
 func (s *simulation) fullUpdate() EndpointUpdate {
 	update := EndpointUpdate{Kind: FullUpdate}
-	for _, a := range s.workers {
-		if a.State != Gone {
-			update.Endpoints = append(update.Endpoints, a.Endpoint)
+	for _, worker := range s.workers {
+		if worker.State != Gone {
+			update.Endpoints = append(update.Endpoints, worker.Endpoint)
 		}
 	}
 	return update
@@ -154,6 +160,7 @@
 	}
 }
 
+// setTimer replaces the timer.
 func (s *simulation) setTimer(at time.Duration) {
 	s.timerAt = at
 	s.after(max(0, at-s.now), func() {
@@ -183,6 +190,7 @@
 	return &load
 }
 
+// healthCheck times out at workers that hang or are gone.
 func (s *simulation) healthCheck(worker *simulatedWorker) {
 	const timeout = 150 * ms
 	switch {
@@ -243,25 +251,26 @@
 	})
 }
 
+// forward has an attempt fail in one of many ways, or run.
 func (s *simulation) forward(forward Forward) {
 	c := s.clients[forward.Invocation]
-	a := s.workersByID[forward.Worker]
+	worker := s.workersByID[forward.Worker]
 	attempt := &simulatedAttempt{
-		worker:   a,
+		worker:   worker,
 		inFlight: true,
-		work:     c.arrival.Hint * a.pace * (0.5 + s.rng.Float64()),
+		work:     c.arrival.Hint * worker.pace * (0.5 + s.rng.Float64()),
 	}
 	number := len(c.attempts)
 	c.attempts = append(c.attempts, attempt)
 	fault := func(part float64) bool { return s.chance(part * s.faults) }
 	switch {
-	case a.State == Gone && s.chance(0.7), fault(0.01):
+	case worker.State == Gone && s.chance(0.7), fault(0.01):
 		s.endAttempt(forward.Invocation, number, s.randomSpan(ms, 400*ms), Unreachable)
 	case fault(0.005):
 		s.endAttempt(forward.Invocation, number, ms, NotSent)
 	case fault(0.005):
 		s.endAttempt(forward.Invocation, number, 3*ms, BadRequest)
-	case fault(0.02), float64(a.inFlight) > 2*a.slots:
+	case fault(0.02), float64(worker.inFlight) > 2*worker.slots:
 		s.endAttempt(forward.Invocation, number, 3*ms, Rejected)
 	case fault(0.01):
 		s.endAttempt(forward.Invocation, number, 20*ms, Failed)
@@ -269,7 +278,7 @@
 		s.endAttempt(forward.Invocation, number, s.randomSpan(ms, 200*ms), ConnectionBroken)
 	case fault(0.005):
 		s.endAttempt(forward.Invocation, number, 1500*ms, TimedOut)
-	case fault(0.01), a.hangs:
+	case fault(0.01), worker.hangs:
 		return // it never ends
 	default:
 		s.runAttempt(forward, number)
@@ -455,8 +464,8 @@
 		for id := s.lastInvocation; id > 0; id-- {
 			if _, isOpen := s.dispatcher.MigrationRecord(id); isOpen {
 				s.clients[id].answered = true
-				for _, t := range s.clients[id].attempts {
-					t.inFlight = false
+				for _, attempt := range s.clients[id].attempts {
+					attempt.inFlight = false
 				}
 				s.handle(MigratedOut{Invocation: id})
 				return
@@ -475,6 +484,7 @@
 	s.after(s.randomSpan(0, span), next)
 }
 
+// run plays what is scheduled up to an end.
 func (s *simulation) run(end time.Duration) {
 	s.callUntil(end)
 	s.now = end
@@ -488,8 +498,8 @@
 		s.repeat(seconds(1/s.arrivalRate), s.newArrival)
 	}
 	s.repeat(300*ms, func() {
-		for _, a := range s.workers {
-			a.otherSlots = float64(int(a.slots * s.otherLoad * 2 * s.rng.Float64()))
+		for _, worker := range s.workers {
+			worker.otherSlots = float64(int(worker.slots * s.otherLoad * 2 * s.rng.Float64()))
 		}
 	})
 	if s.faults == 0 {
--- a/dispatch/slowstart_simulation_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -62,11 +62,13 @@
 	{cores: 16, mean: 0.25},
 }
 
+// slowStartSend is an attempt that a worker was sent, whatever became of it.
 type slowStartSend struct {
 	at   time.Duration
 	work float64
 }
 
+// slowStartWorker is a worker as it is, whatever the schedulers know of it.
 type slowStartWorker struct {
 	endpoint   Endpoint
 	pace       float64 // times the usual running time
@@ -79,12 +81,13 @@
 	runTime    float64 // of them all, in seconds
 }
 
+// slowStartScheduler is one incarnation of a scheduler.
 type slowStartScheduler struct {
 	dispatcher  *Dispatcher
 	startedAt   time.Duration
 	timerAt     time.Duration
-	incarnation int
-	work        map[InvocationID]float64
+	incarnation int                      // counts its starts
+	work        map[InvocationID]float64 // seconds, of invocations that have no final answer yet
 }
 
 // slowStartSimulation runs all schedulers and workers of one scenario.
@@ -115,6 +118,7 @@
 	return from + (1-from)*max(0, age.Seconds()/s.config.Rules.SlowStartDuration.Seconds())
 }
 
+// newSlowStartSimulation has workers that are all warm, and schedulers that have not started.
 func newSlowStartSimulation(scenario slowStartScenario, seed int64) *slowStartSimulation {
 	s := &slowStartSimulation{
 		slowStartScenario: scenario,
@@ -177,6 +181,7 @@
 	return choose(0, 0.15, 0.35, 0.6)
 }
 
+// addWorker adds a worker that is warm, or starts now.
 func (s *slowStartSimulation) addWorker(number int, starting bool) {
 	worker := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1)
 	w := &slowStartWorker{
@@ -240,6 +245,7 @@
 	})
 }
 
+// handle hands an event to a scheduler and carries its actions out.
 func (s *slowStartSimulation) handle(number int, event Event) {
 	scheduler := s.schedulers[number]
 	latency := time.Duration(200+s.rng.Intn(800)) * time.Microsecond
@@ -270,6 +276,7 @@
 	}
 }
 
+// healthCheck succeeds, unless the scenario loses it.
 func (s *slowStartSimulation) healthCheck(number int, worker WorkerID, latency time.Duration) {
 	const timeout = 300 * ms
 	if s.checksLost {
@@ -310,6 +317,7 @@
 	return &load
 }
 
+// forward has an attempt rejected, queued or run.
 func (s *slowStartSimulation) forward(number int, forward Forward, latency time.Duration) {
 	w := s.workersByID[forward.Worker]
 	scheduler := s.schedulers[number]
@@ -464,10 +472,12 @@
 // biasUnseen is the scenario in which nothing that a scheduler has seen by then shows how far all hints are off.
 const biasUnseen = "hints a tenth, half restarted"
 
+// What all schedulers together send a worker in slow start stays within its budget.
 func TestSlowStartBudget(t *testing.T) {
 	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name != biasUnseen })
 }
 
+// So it does where hints are far off and half of the schedulers cannot have seen it.
 func TestSlowStartBudgetWithUnseenHintBias(t *testing.T) {
 	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name == biasUnseen })
 }
@@ -481,6 +491,7 @@
 	over         int     // runs over the bound
 }
 
+// add counts one run in.
 func (r *slowStartResult) add(seed int64, use slowStartUse) {
 	share := use.worst / use.bound
 	r.used += use.used / float64(*slowStartSeeds)
--- a/dispatch/view_test.go
+++ b/dispatch/view_test.go
@@ -23,7 +23,8 @@
 					t.Fatalf("seed %d, %v: something was due at %v and was not checked", seed, s.now, entry.dueAt)
 				}
 				worker := s.dispatcher.records[index].worker
-				savedView, savedFleet := worker.workerView, worker.fleet
+				savedView := worker.workerView
+				savedFleet := worker.fleet
 				worker.fleet = scheduler.epoch.fleetStats
 				worker.estimate(scheduler.epoch.at)
 				want := worker.workerView
--- a/dispatch/virtual_time_test.go
+++ b/dispatch/virtual_time_test.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// scheduledCall is a call that is still to be made.
 type scheduledCall struct {
 	at       time.Duration
 	sequence int
