--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -15,7 +15,7 @@
 	NonIdempotent
 )
 
-// DedupScope tells which workers drop a repeat of a deduplicated invocation.
+// DedupScope returns which workers drop a repeat of a deduplicated invocation.
 type DedupScope uint8
 
 // The scopes of deduplication.
@@ -29,7 +29,7 @@
 )
 
 const (
-	// UnknownIndex stands for the number of a scheduler that was not told it.
+	// UnknownIndex stands for the number of a scheduler that was not given it.
 	UnknownIndex = -1
 	// AnyKind stands for operations that run on workers of any kind.
 	AnyKind = -1
@@ -68,7 +68,7 @@
 
 // Tenant is one customer's part of the service.
 type Tenant struct {
-	QuotaPerSecond float64 // invocations, at all schedulers together; 0: not told
+	QuotaPerSecond float64 // invocations, at all schedulers together; 0: not configured
 	Share          float64 // of all work
 }
 
@@ -85,7 +85,7 @@
 // Rules are the figures of the rules that every scheduler keeps.
 type Rules struct {
 	PollWithin        time.Duration // the endpoint list has to be asked for within this time
-	DrainGrace        time.Duration // for which a draining or gone worker may still be sent to; 0: not told
+	DrainGrace        time.Duration // for which a draining or gone worker may still be sent to; 0: not configured
 	SlowStartFrom     float64       // part of its capacity that a worker has at its start
 	SlowStartDuration time.Duration // from a worker's start until it has its full capacity
 	OverloadFactor    float64       // multiple of its capacity at which a worker in slow start is overloaded
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -11,7 +11,7 @@
 	mailbox[registryMessage]
 	scheduler scheduler
 
-	schedulers      float64 // in all, as told
+	schedulers      float64 // in all, as configured
 	invocationIndex map[InvocationID]int
 
 	// The endpoint list.
@@ -46,7 +46,7 @@
 	self    int         // this scheduler's number
 	epochs  int         // begun so far
 
-	gossips     bool             // schedulers tell one another
+	gossips     bool             // schedulers gossip
 	gossipQueue []outgoingGossip // to be sent at the end of this moment
 	serial      uint8            // of our last attempt, for gossip
 
@@ -87,7 +87,7 @@
 	d.scheduler = newScheduler(d)
 	d.scheduler.handle = func(message schedulerMessage) { message.deliverToScheduler(&d.scheduler) }
 	d.applyConfig(Reconfigured{Config: config})
-	if d.self < 0 { // not told: one of our own serves as well, others by chance
+	if d.self < 0 { // not configured: one of our own serves as well, others by chance
 		d.self = d.rng.Intn(max(1, config.Schedulers))
 	}
 	d.sendGossip(allSchedulers, GossipEntry{Kind: GossipRestarted})
@@ -136,7 +136,7 @@
 	d.deliverMessages()
 }
 
-// opensInvocation tells whether an event brings an invocation.
+// opensInvocation reports whether an event brings an invocation.
 func opensInvocation(event Event) bool {
 	switch event.(type) {
 	case Arrival, MigratedIn:
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -39,7 +39,7 @@
 //	retry.go         what may be attempted again, deadlines, final answers and their reasons
 //	pool.go          the workers that are considered, and what was learned of them all
 //	view.go          the cached view of each worker, brought up to date when it is read
-//	gossip.go        what schedulers tell one another        gossip_codec.go  its bytes
+//	gossip.go        what schedulers gossip to one another        gossip_codec.go  its bytes
 //	snapshot.go      what a successor learns                 migration.go     invocations that change schedulers
 //	stats.go         the last few samples of a measurement
 package dispatch
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -60,7 +60,7 @@
 	Attempt    int
 }
 
-// AttemptProgress is a worker's word on an attempt that is still in flight.
+// AttemptProgress is a worker's report on an attempt that is still in flight.
 type AttemptProgress struct {
 	Invocation InvocationID
 	Worker     WorkerID
@@ -93,11 +93,11 @@
 	NotSent
 	// BadRequest: the worker would not have it, whatever its load.
 	BadRequest
-	// ReusedConnectionBroken: an idle connection broke at its next use, as they do; no word on the worker.
+	// ReusedConnectionBroken: an idle connection broke at its next use, as they do; which says nothing of the worker.
 	ReusedConnectionBroken
 )
 
-// provesNotRun tells whether a result proves that nothing of the attempt has run.
+// provesNotRun reports whether a result proves that nothing of the attempt has run.
 func (r Result) provesNotRun() bool {
 	return r == Rejected || r == Unreachable || r == NotSent
 }
@@ -125,7 +125,7 @@
 
 // LoadReport is a worker's report on itself.
 type LoadReport struct {
-	FreeSlots   float64 `json:"FreeSlots"`   // below 0: not told
+	FreeSlots   float64 `json:"FreeSlots"`   // below 0: not configured
 	Queued      float64 `json:"Waiting"`     // invocations that wait there
 	InFlight    float64 `json:"InHand"`      // invocations that it has
 	Busy        float64 `json:"Busy"`        // share of its time, 0 to 1
@@ -133,7 +133,7 @@
 	ErrorRate   float64 `json:"Errors"`      // a second
 }
 
-// UnknownLoad is a report without any value: no word of free slots.
+// UnknownLoad is a report without any value: free slots unknown.
 var UnknownLoad = LoadReport{FreeSlots: -1}
 
 // TimerFired answers a SetTimer.
--- a/dispatch/gossip.go
+++ b/dispatch/gossip.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Schedulers tell one another what they send where. Each worker has one owner among them, which is told of all attempts
+// Schedulers gossip what they send where. Each worker has one owner among them, which is notified of all attempts
 // at it and asked for its free slots. An entry that is lost, late, foreign or broken leaves its reader with less
 // knowledge, and no more.
 const (
@@ -14,16 +14,16 @@
 	queryBudgetPoints = 0.006
 	// maxQueries bounds the queries for one invocation.
 	maxQueries = 5
-	// querySpan: those who were told of the same free slot within this time may take it.
+	// querySpan: those who were notified of the same free slot within this time may take it.
 	querySpan = 2 * tickInterval
-	// maxToldSlots bounds the free slots that a reply can tell.
-	maxToldSlots = 99
+	// maxToldSlots bounds the free slots that a reply can report.
+	maxReplySlots = 99
 )
 
 // allSchedulers addresses gossip to all others.
 const allSchedulers = -1
 
-// GossipEntry is one thing told.
+// GossipEntry is one piece of gossip.
 type GossipEntry struct {
 	Kind   GossipKind
 	Serial uint8  // names an attempt among its sender's; of a GossipCapacityReply: the free slots, as int8
@@ -43,7 +43,7 @@
 	GossipAttemptEnded
 	// GossipCapacityQuery asks how much is free at a worker.
 	GossipCapacityQuery
-	// GossipCapacityReply tells it.
+	// GossipCapacityReply answers that.
 	GossipCapacityReply
 	// gossipPacked marks an entry that has been packed already.
 	gossipPacked = 255
@@ -76,14 +76,14 @@
 	serial    uint8
 }
 
-// sendGossip tells one scheduler, or allSchedulers.
+// sendGossip queues an entry for one scheduler, or allSchedulers.
 func (s *sharedState) sendGossip(to int, entry GossipEntry) {
 	if s.gossips && to != s.self {
 		s.gossipQueue = append(s.gossipQueue, outgoingGossip{to: to, GossipEntry: entry})
 	}
 }
 
-// flushGossip sends what was told at this moment, all for one scheduler together.
+// flushGossip sends what was queued at this moment, all for one scheduler together.
 func (s *sharedState) flushGossip() {
 	for i, first := range s.gossipQueue {
 		if first.Kind != gossipPacked {
@@ -121,7 +121,7 @@
 	return owner
 }
 
-// receiveGossip passes what another scheduler tells on to the workers that it is about. Where gossip is not allowed, or
+// receiveGossip passes what another scheduler reports on to the workers that it is about. Where gossip is not allowed, or
 // there is no such scheduler, it may be anything and is dropped.
 func (d *Dispatcher) receiveGossip(received GossipReceived) {
 	from := received.From
@@ -158,11 +158,11 @@
 	}
 }
 
-// receiveGossip enters what another scheduler tells of the worker.
+// receiveGossip enters what another scheduler reports of the worker.
 func (w *worker) receiveGossip(message gossipMessage) {
 	switch message.Kind {
 	case GossipAttemptStarted:
-		w.remoteAttemptEnded(message) // its end may never be told, and its start may be told twice
+		w.remoteAttemptEnded(message) // its end may never be reported, and its start may be reported twice
 		w.remoteAttemptStarted(message)
 	case GossipAttemptEnded:
 		w.remoteAttemptEnded(message)
@@ -171,7 +171,7 @@
 	case GossipCapacityQuery:
 		w.replyCapacity(message.from)
 	case GossipCapacityReply:
-		w.capacityTold(message)
+		w.receiveCapacityReply(message)
 	}
 }
 
@@ -199,7 +199,7 @@
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
 		if attempt.invocation == remoteInvocation(message.from) {
-			attempt.endedAt = min(attempt.endedAt, w.now+seconds(w.fleet.runTime))
+			attempt.endedAt = min(attempt.endedAt, w.now+seconds(w.stats.runTime))
 		}
 	}
 }
@@ -214,7 +214,7 @@
 	w.sendGossip(w.owner, GossipEntry{Kind: GossipCapacityQuery, Tag: w.tag})
 }
 
-// replyCapacity tells another scheduler how many slots are free. Others who were told of the same slot just before may
+// replyCapacity reports to another scheduler how many slots are free. Others who were notified of the same slot just before may
 // take it.
 func (w *worker) replyCapacity(to int) {
 	w.recentQueries.add(w.now.Seconds())
@@ -224,18 +224,18 @@
 	free := math.Round(w.free - float64(len(w.recentQueries))/maxQueries)
 	switch {
 	case w.measured && w.eligible:
-		w.tellFree(to, max(-maxToldSlots, min(maxToldSlots, free)))
+		w.sendCapacityReply(to, max(-maxReplySlots, min(maxReplySlots, free)))
 	case w.ejected:
-		w.tellFree(to, -min(maxToldSlots, w.maxFree))
+		w.sendCapacityReply(to, -min(maxReplySlots, w.maxFree))
 	}
 }
 
-func (w *worker) tellFree(to int, free float64) {
+func (w *worker) sendCapacityReply(to int, free float64) {
 	w.sendGossip(to, GossipEntry{Kind: GossipCapacityReply, Serial: uint8(int8(free)), Tag: w.tag})
 }
 
-// capacityTold enters what the worker's owner tells of its free slots.
-func (w *worker) capacityTold(message gossipMessage) {
+// receiveCapacityReply enters what the worker's owner reports of its free slots.
+func (w *worker) receiveCapacityReply(message gossipMessage) {
 	w.checkPending = false
 	w.unansweredSince = 0
 	if w.ownedHere {
@@ -246,7 +246,7 @@
 	w.recordFreeSlots(w.queriedAt-tickInterval, free)
 }
 
-// gossipEnded tells the worker's owner of an attempt's end. What a silent worker has may hold its slots for long, however
+// gossipEnded notifies the worker's owner of an attempt's end. What a silent worker has may hold its slots for long, however
 // long we wait for it.
 func (w *worker) gossipEnded(serial uint8, result Result) {
 	if !w.ejected || result != TimedOut && result != Cancelled {
--- a/dispatch/gossip_codec.go
+++ b/dispatch/gossip_codec.go
@@ -6,7 +6,7 @@
 	gossipVersion = 1
 	// MaxGossipBytes is the most that a message may have.
 	MaxGossipBytes = 256
-	// tagBits of a worker's id name it: two of two hundred workers share a tag once in twenty-five fleets.
+	// tagBits of a worker's id name it: two of two hundred workers share a tag in one of twenty-five deployments.
 	tagBits = 19
 )
 
@@ -87,7 +87,7 @@
 	return entries, true
 }
 
-// decodeEntry reads the first entry of a message, and tells its size; 0: it can't be read.
+// decodeEntry reads the first entry of a message and returns its size; 0: it can't be read.
 func decodeEntry(message []byte) (entry GossipEntry, size int) {
 	entry.Kind = GossipKind(message[0] >> kindShift & kindMask)
 	layout, known := gossipLayouts[entry.Kind]
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -31,5 +31,5 @@
 	}
 }
 
-// mayHedge tells whether the limit on hedged requests allows one more.
+// mayHedge reports whether the limit on hedged requests allows one more.
 func (s *scheduler) mayHedge() bool { return s.hedges+1 < maxHedgeShare*s.admitted }
--- a/dispatch/mailbox.go
+++ b/dispatch/mailbox.go
@@ -55,7 +55,7 @@
 
 func (scheduleNow) deliverToScheduler(s *scheduler) { s.schedule() }
 
-// eventMessage is an event about an invocation. What a worker has told goes to the worker first, and from there to the
+// eventMessage is an event about an invocation. What a worker has reported goes to the worker first, and from there to the
 // scheduler, with how long the invocation ran.
 type eventMessage struct {
 	invocation int
@@ -109,7 +109,7 @@
 	}
 }
 
-// invocationReleased says that nothing more will be heard of an invocation.
+// invocationReleased says that nothing more will be reported of an invocation.
 type invocationReleased struct{ id InvocationID }
 
 func (m invocationReleased) deliverToRegistry(d *Dispatcher) { delete(d.invocationIndex, m.id) }
@@ -122,7 +122,7 @@
 // poolRequest asks for one more worker in the pool that meets requirements.
 type poolRequest struct {
 	requirements
-	fleetStats
+	workerStats
 	viaGossip bool // its owner is to be asked, not the worker
 	nextEpoch bool // at its turn as an epoch begins, not at once
 }
@@ -131,7 +131,7 @@
 
 // joinPool has a worker join the pool and be asked for its load, itself or by its owner.
 type joinPool struct {
-	fleetStats
+	workerStats
 	viaGossip bool
 }
 
@@ -154,7 +154,7 @@
 func (refresh) deliverToScheduler(s *scheduler)   { s.beginEpoch() }
 func (refresh) deliverToWorker(w *worker)         { w.checkOverdue() }
 
-// recordChanged tells a worker what the registry has on it.
+// recordChanged notifies a worker of what the registry has on it.
 type recordChanged struct {
 	Endpoint
 	lotteryRank int
@@ -163,12 +163,12 @@
 
 func (m recordChanged) deliverToWorker(w *worker) { w.applyRecord(m) }
 
-// attemptSent tells a worker of an attempt that it gets.
+// attemptSent notifies a worker of an attempt that it gets.
 type attemptSent struct{ workerAttempt }
 
 func (m attemptSent) deliverToWorker(w *worker) { w.addAttempt(m.workerAttempt) }
 
-// gossipMessage is what another scheduler tells of a worker.
+// gossipMessage is what another scheduler reports of a worker.
 type gossipMessage struct {
 	from int
 	GossipEntry
@@ -176,12 +176,12 @@
 
 func (m gossipMessage) deliverToWorker(w *worker) { w.receiveGossip(m) }
 
-// refusedGoodRequest tells a worker that another one ran what it would not have.
-type refusedGoodRequest struct{}
+// rejectedValidRequest notifies a worker that another one ran what it would not have.
+type rejectedValidRequest struct{}
 
-func (refusedGoodRequest) deliverToWorker(w *worker) { w.eject(ejectRejects, false) }
+func (rejectedValidRequest) deliverToWorker(w *worker) { w.eject(ejectRejects, false) }
 
-// attemptStalled tells the scheduler that no answer is to be expected of an attempt in time.
+// attemptStalled notifies the scheduler that no answer is to be expected of an attempt in time.
 type attemptStalled struct {
 	invocation int
 	number     int
@@ -189,12 +189,12 @@
 
 func (m attemptStalled) deliverToScheduler(s *scheduler) { s.attemptStalled(m) }
 
-// startObserved tells the scheduler whether an attempt has started at once: 1, or 0.
+// startObserved reports to the scheduler whether an attempt has started at once: 1, or 0.
 type startObserved struct{ immediate float64 }
 
 func (m startObserved) deliverToScheduler(s *scheduler) { s.immediateStarts.add(m.immediate) }
 
-// reportPair tells the scheduler of two answers of a worker in a row.
+// reportPair reports to the scheduler two answers of a worker in a row.
 type reportPair struct {
 	gap     float64 // seconds between them
 	changed float64 // 1: the second one had a new report; else 0
--- a/dispatch/migration.go
+++ b/dispatch/migration.go
@@ -56,7 +56,7 @@
 			Hint:       v.work,
 			Slots:      v.slots,
 		},
-		Waited: d.now - v.firstTriedAt,
+		Waited: d.now - v.firstRequestAt,
 		Age:    d.now - v.arrivedAt,
 	}
 	for number := range v.attempts {
@@ -117,7 +117,7 @@
 	}
 }
 
-// attemptMigrated tells a worker that an attempt of ours is another instance's.
+// attemptMigrated notifies a worker that an attempt of ours is another instance's.
 type attemptMigrated struct {
 	invocation int
 	number     int
@@ -151,7 +151,7 @@
 	s.admit(index, migrated.Arrival)
 	s.dequeue(index)
 	v := &s.invocations[index]
-	v.firstTriedAt = s.now - migrated.Waited
+	v.firstRequestAt = s.now - migrated.Waited
 	v.arrivedAt = s.now - migrated.Age
 	for number, attempt := range migrated.Attempts {
 		worker, known := s.dispatcher.recordIndex[attempt.Worker]
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -27,11 +27,11 @@
 
 	// overdueRuns is how many usual running times of silence eject a worker.
 	overdueRuns = 3
-	// overdueWork is how often its own work an attempt may take where nothing tells of its progress.
+	// overdueWork is how often its own work an attempt may take where nothing reports its progress.
 	overdueWork = 4
 )
 
-// ejectReason tells operators why a worker was ejected.
+// ejectReason says to operators why a worker was ejected.
 type ejectReason string
 
 const (
@@ -131,25 +131,25 @@
 	}
 }
 
-// loseAttempt tells the scheduler, once: after a reinstatement new work is to show how the worker does.
+// loseAttempt notifies the scheduler, once: after a reinstatement new work is to show how the worker does.
 func (w *worker) loseAttempt(attempt *workerAttempt) {
 	attempt.lost = true
 	w.scheduler.send(attemptStalled{invocation: attempt.invocation, number: attempt.number})
 }
 
-// acceptanceOverdue: the connection may have gone silent under the request, whatever else is heard of the worker.
+// acceptanceOverdue: the connection may have gone silent under the request, whatever else the worker reports.
 func (w *worker) acceptanceOverdue(attempt *workerAttempt) bool {
 	return w.notifiesAccepted && !attempt.accepted && w.now >= attempt.sentAt+progressTimeout
 }
 
-// progressOvertaken: the worker has told of others since this attempt's progress was due: it has lost this one, or its
+// progressOvertaken: the worker has reported on others since this attempt's progress was due: it has lost this one, or its
 // answer.
 func (w *worker) progressOvertaken(attempt *workerAttempt) bool {
 	return w.progressInterval > 0 && attempt.startedAt > 0 &&
 		w.lastProgress > attempt.progressAt+w.progressInterval+progressTimeout
 }
 
-// waitsToStart: the worker will tell when the attempt starts, and has not.
+// waitsToStart: the worker will report when the attempt starts, and has not.
 func (w *worker) waitsToStart(attempt *workerAttempt) bool {
 	return w.notifiesStart && attempt.startedAt == 0
 }
@@ -195,7 +195,7 @@
 			continue
 		}
 		if w.waitsToStart(attempt) {
-			w.noteLateStart(attempt)
+			w.recordLateStart(attempt)
 		}
 		silence := w.now - max(w.progressDue(attempt), w.lastProgress) - progressTimeout
 		longest = max(longest, silence)
@@ -208,7 +208,7 @@
 
 // toleratedSilence is in seconds.
 func (w *worker) toleratedSilence() float64 {
-	tolerated := overdueRuns * w.fleet.runTime * max(1, w.pace)
+	tolerated := overdueRuns * w.stats.runTime * max(1, w.pace)
 	if w.lastReport.FreeSlots <= 0 {
 		// In thin traffic nothing else of ours shows that a full worker works: its queue explains silence.
 		tolerated *= 2 + w.lastReport.Queued/max(1, w.maxFree)
@@ -217,7 +217,7 @@
 }
 
 // noteLateStart notes, once, that an attempt has not started at once.
-func (w *worker) noteLateStart(attempt *workerAttempt) {
+func (w *worker) recordLateStart(attempt *workerAttempt) {
 	expected := attempt.sentAt + immediateStartSpan
 	if w.now < expected || w.now >= expected+tickInterval {
 		return
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -17,7 +17,7 @@
 	// checkBudgetPoints is how many points of the result health checks may cost, for those beyond that rate.
 	checkBudgetPoints = 0.002
 	// learnInterval is how often what was measured of all workers is brought together, and the queue ranked anew.
-	learnInterval = 5 * tickInterval
+	statsInterval = 5 * tickInterval
 	// immediateStartShare: where so many of our attempts start at once, there is free capacity somewhere.
 	immediateStartShare = 0.15
 	// lagFactor is how many times the measured lag a load report may be old.
@@ -37,7 +37,7 @@
 	cancels              bool
 	maxAttempts          int
 	maxInFlight          int
-	retryAfter           time.Duration // the longest that a throttled client is told
+	retryAfter           time.Duration // the longest wait that a throttled client is asked for
 	overloadBudget       float64       // seconds of a worker's capacity that all schedulers may send it in slow start
 	excessWeight         float64
 	worstOperationWeight float64
@@ -76,8 +76,8 @@
 	refreshedAt   time.Duration
 
 	// What was learned of all workers.
-	fleet           fleetStats
-	learnedAt       time.Duration
+	stats           workerStats
+	statsUpdatedAt  time.Duration
 	runTimes        samples // seconds
 	reportGaps      samples // seconds between two answers of a worker
 	reportChanges   samples // whether the second one had a new report
@@ -87,8 +87,8 @@
 	kindPaces       map[int]samples // of workers past their slow start
 }
 
-// fleetStats is what was learned of all workers.
-type fleetStats struct {
+// workerStats is what was learned of all workers.
+type workerStats struct {
 	lag         time.Duration // how old a load report is when it comes
 	runTime     float64       // the usual running time, in seconds
 	usualFree   float64       // slots
@@ -136,8 +136,8 @@
 		return
 	}
 	s.refreshedAt = s.now
-	if s.now >= s.learnedAt+learnInterval {
-		s.learnFleet()
+	if s.now >= s.statsUpdatedAt+statsInterval {
+		s.updateStats()
 		s.rerankQueue()
 	}
 	s.dispatcher.send(refresh{})
@@ -153,16 +153,16 @@
 func (s *scheduler) spendCheckCredit(epochDue bool) {
 	s.arrivedSinceTick = false
 	for ; s.checkCredit >= 1; s.checkCredit-- {
-		s.dispatcher.send(poolRequest{requirements: anyWorker, fleetStats: s.fleet, nextEpoch: epochDue})
+		s.dispatcher.send(poolRequest{requirements: anyWorker, workerStats: s.stats, nextEpoch: epochDue})
 	}
-	if s.fleet.unmeasured {
+	if s.stats.unmeasured {
 		s.forwardedAt = s.now
 	}
 }
 
 // learnFleet brings together what was measured of all workers: of the middle, as the queue of one that hangs would drag
 // a mean along.
-func (s *scheduler) learnFleet() {
+func (s *scheduler) updateStats() {
 	var service samples
 	for _, worker := range s.pool {
 		view := s.views[worker]
@@ -176,8 +176,8 @@
 	if s.immediateStarts.mean() > immediateStartShare && fewReports {
 		usualFree = max(1, usualFree)
 	}
-	s.learnedAt = s.now
-	s.fleet = fleetStats{
+	s.statsUpdatedAt = s.now
+	s.stats = workerStats{
 		runTime:     cmp.Or(s.runTimes.mean(), 1),
 		unmeasured:  len(s.reportGaps) < sampleCount/2,
 		usualFree:   usualFree,
@@ -204,7 +204,7 @@
 	s.kindPace[kind] = pace
 }
 
-// growPool adds a worker when those of the pool are all busy, ever more rarely, as the whole fleet may be.
+// growPool adds a worker when those of the pool are all busy, ever more rarely, as all workers may be.
 func (s *scheduler) growPool(v *invocation) {
 	if s.now < v.growAt {
 		return
@@ -214,7 +214,7 @@
 	for range max(1, s.queriesPerInvocation/2) {
 		s.dispatcher.send(poolRequest{
 			requirements: s.requirementsOf(v),
-			fleetStats:   s.fleet,
+			workerStats:  s.stats,
 			viaGossip:    s.gossips,
 		})
 	}
@@ -230,7 +230,7 @@
 		s.summary.add(view)
 		warm := view.warmUpWeight == 1
 		if ownersAnswer && !view.ownerSilent && view.confidence < minConfidence && warm {
-			continue // while owners answer, a worker that none of them has told of lately counts for nothing
+			continue // while owners answer, a worker of which none of them has reported lately counts for nothing
 		}
 		mayHaveFree := !view.measured || view.free+(1-view.confidence)*view.maxFree*s.staleQueueShare >= 1
 		if mayHaveFree && (warm || s.withinSlowStartBudget(0, view)) {
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -27,7 +27,7 @@
 // noOperation stands for none.
 const noOperation = -1
 
-// invocation is an invocation while anything may still be heard of it.
+// invocation is an invocation while anything may still be reported of it.
 type invocation struct {
 	id        InvocationID
 	operation int
@@ -35,10 +35,10 @@
 	slots     float64
 	work      float64 // its hinted cost, in seconds on a standard core
 
-	firstTriedAt time.Duration // when its client's first request arrived, as far as can be told
-	arrivedAt    time.Duration
-	deadline     time.Duration // its client timeout
-	growAt       time.Duration // when the pool may grow again for its sake
+	firstRequestAt time.Duration // when its client's first request arrived, as far as is known
+	arrivedAt      time.Duration
+	deadline       time.Duration // its client timeout
+	growAt         time.Duration // when the pool may grow again for its sake
 
 	budgetCost    float64 // what it uses of a slow-start budget
 	effectiveSize float64 // work, and deviationWeight deviations of it
@@ -93,7 +93,7 @@
 	// What is left of a client's retry tells how long the client has waited. One that waits for less than others from
 	// the first looks the same: neither is refused for that, both go behind.
 	operation.longestBudget = max(operation.longestBudget, arrival.Budget)
-	v.firstTriedAt = s.now - (operation.longestBudget - arrival.Budget)
+	v.firstRequestAt = s.now - (operation.longestBudget - arrival.Budget)
 	s.countArrival(operation, arrival.Tenant)
 	s.queryOwners(v)
 	s.arrivedSinceTick = true
@@ -122,7 +122,7 @@
 		return
 	}
 	for range min(s.queriesPerInvocation, len(s.dispatcher.checkOrder)) {
-		s.dispatcher.send(poolRequest{requirements: anyWorker, fleetStats: s.fleet, viaGossip: true})
+		s.dispatcher.send(poolRequest{requirements: anyWorker, workerStats: s.stats, viaGossip: true})
 	}
 }
 
@@ -145,7 +145,7 @@
 func (s *scheduler) updateRank(v *invocation) {
 	operation := &s.operations[v.operation]
 	weight := operation.weight
-	if s.isLate(v, v.firstTriedAt) {
+	if s.isLate(v, v.firstRequestAt) {
 		weight = weight * cmp.Or(operation.lateWeight, 1) / lateRankDivisor
 		v.reserve = lateReserve // it may have what is left over
 	}
@@ -205,7 +205,7 @@
 	return operation.objective + seconds(waitShare*v.work*(medianHintRatio*operation.stretch-pace))
 }
 
-// isLate tells whether an invocation has waited too long since a time for any worker; not before the plain objective,
+// isLate reports whether an invocation has waited too long since a time for any worker; not before the plain objective,
 // as paces may be wrong.
 func (s *scheduler) isLate(v *invocation, since time.Duration) bool {
 	most := s.operations[v.operation].objective
@@ -221,7 +221,7 @@
 	if left <= minTimeLeft || s.isLate(v, v.arrivedAt) && !s.operations[v.operation].countsLate {
 		return true
 	}
-	return s.isLate(v, v.firstTriedAt) && left <= s.fastestRun(v)
+	return s.isLate(v, v.firstRequestAt) && left <= s.fastestRun(v)
 }
 
 // fastestRun is how long an invocation runs at the fastest worker of the pool.
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -55,7 +55,7 @@
 	if config.Index >= 0 || newer.PreviousOperations == nil {
 		d.self = config.Index
 	}
-	// Told too few, those with higher numbers leave workers in slow start alone; told none, each knows of those before
+	// With too few configured, those with higher numbers leave workers in slow start alone; with none configured, each knows of those before
 	// it.
 	d.schedulers = float64(cmp.Or(max(0, config.Schedulers), max(1, config.Index+1)))
 	d.gossips = config.Limits.Gossip && d.schedulers > 1 && config.Index >= 0
@@ -130,7 +130,7 @@
 // tenants keep their index and what was seen of them: a flood does not end with a newer configuration.
 func (e Reconfigured) tenants(older []tenant) (all []tenant) {
 	for i, configured := range e.Tenants {
-		configured.QuotaPerSecond = cmp.Or(configured.QuotaPerSecond, math.Inf(1)) // not told: nothing is beyond it
+		configured.QuotaPerSecond = cmp.Or(configured.QuotaPerSecond, math.Inf(1)) // not configured: nothing is beyond it
 		newer := tenant{Tenant: configured}
 		if i < len(older) {
 			newer.arrivals = older[i].arrivals
--- a/dispatch/registry.go
+++ b/dispatch/registry.go
@@ -25,7 +25,7 @@
 // ownedCheckInterval: of so many requests for one more worker, one goes to workers whose load data others own.
 const ownedCheckInterval = 3
 
-// workerRecord is what the endpoint list says of one worker. A fleet is large and a scheduler uses few of it: full
+// workerRecord is what the endpoint list says of one worker. There are many workers and a scheduler uses few of them: full
 // state for each would cost memory and time for nothing.
 type workerRecord struct {
 	Endpoint
@@ -158,7 +158,7 @@
 	// At our own start too: whoever knew of the worker's start has forgotten it.
 	slowStart := d.now < endpoint.StartedAt+d.slowStartDuration
 	if restarted && slowStart && record.lotteryRank < slowStartWatchers {
-		d.workerAt(index).send(joinPool{fleetStats: fleetStats{runTime: 1}})
+		d.workerAt(index).send(joinPool{workerStats: workerStats{runTime: 1}})
 	}
 }
 
@@ -180,7 +180,7 @@
 		return
 	}
 	index := d.owned[d.checksRequested/2%len(d.owned)]
-	d.orderCheck(index, request, joinPool{fleetStats: request.fleetStats})
+	d.orderCheck(index, request, joinPool{workerStats: request.workerStats})
 }
 
 // checkNext asks the worker whose turn it is. The order is random: one order at all schedulers would have them crowd at
@@ -200,7 +200,7 @@
 			d.checkOrder[place] = d.checkOrder[turn]
 			d.checkOrder[turn] = index
 			d.checkTurn = turn + 1
-			d.orderCheck(index, request, joinPool{fleetStats: request.fleetStats, viaGossip: request.viaGossip})
+			d.orderCheck(index, request, joinPool{workerStats: request.workerStats, viaGossip: request.viaGossip})
 			return
 		}
 	}
@@ -244,7 +244,7 @@
 	}
 }
 
-// notifyWorker tells a worker that is in use what its record says.
+// notifyWorker notifies a worker that is in use of its record.
 func (d *Dispatcher) notifyWorker(index int) {
 	record := &d.records[index]
 	if record.worker != nil {
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -10,7 +10,7 @@
 	maxBadRequests = 2
 	// minTimeLeft: with less time left to the client timeout nothing is begun any more.
 	minTimeLeft = 2 * tickInterval
-	// maxRetryAfter bounds how long a throttled client is told to wait.
+	// maxRetryAfter bounds how long a throttled client is asked to wait.
 	maxRetryAfter = 1250 * time.Millisecond
 	// minTenantBackoff and maxTenantBackoff bound for how long a worker that rejects a tenant's operation gets no more of
 	// it; each further time is twice as long.
@@ -51,7 +51,7 @@
 	ReasonWindow   Reason = "the window for repeats has passed"
 )
 
-// RejectionReason tells why an invocation was given up by the last call of Handle; empty: it was not.
+// RejectionReason returns why an invocation was given up by the last call of Handle; empty: it was not.
 func (d *Dispatcher) RejectionReason(id InvocationID) Reason { return d.scheduler.reasons[id] }
 
 // rejectionReason names the first of the conditions of mayAttempt and cannotMeetDeadline that does not hold.
@@ -87,7 +87,7 @@
 	return count, first
 }
 
-// mayAttempt tells whether the effect class and the limits allow one more attempt.
+// mayAttempt reports whether the effect class and the limits allow one more attempt.
 func (s *scheduler) mayAttempt(v *invocation) bool {
 	count, first := v.inFlight()
 	if len(v.attempts) >= s.maxAttempts || count >= s.maxInFlight || v.badRequests >= maxBadRequests {
@@ -142,7 +142,7 @@
 	s.complete(index, noAttempt)
 }
 
-// retriableByClient tells whether the client may safely ask again.
+// retriableByClient reports whether the client may safely ask again.
 func (s *scheduler) retriableByClient(v *invocation, first *requestAttempt) bool {
 	if v.badRequests >= maxBadRequests {
 		return false
@@ -190,7 +190,7 @@
 	return 1
 }
 
-// free gives the memory of an invocation back of which nothing more will be heard.
+// free gives the memory of an invocation back of which nothing more will be reported.
 func (s *scheduler) free(index int) {
 	s.freeInvocations = append(s.freeInvocations, index)
 	s.dispatcher.send(invocationReleased{id: s.invocations[index].id})
@@ -207,7 +207,7 @@
 	attempt.mayHaveRun = !outcome.Result.provesNotRun()
 	key := rejectionKey{worker: attempt.worker, operation: v.operation, tenant: v.tenant}
 	switch outcome.Result {
-	case BadRequest: // its own fault or the worker's: the next worker's word tells which
+	case BadRequest: // its own fault or the worker's: the next worker's result tells which
 		attempt.badRequest = true
 		v.badRequests++
 	case Succeeded:
@@ -227,11 +227,11 @@
 	}
 }
 
-// blameRejecters tells the workers that would not have an invocation that another one ran it.
+// blameRejecters notifies the workers that would not have an invocation that another one ran it.
 func (s *scheduler) blameRejecters(v *invocation) {
 	for _, attempt := range v.attempts {
 		if attempt.badRequest {
-			s.dispatcher.records[attempt.worker].worker.send(refusedGoodRequest{})
+			s.dispatcher.records[attempt.worker].worker.send(rejectedValidRequest{})
 		}
 	}
 }
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -138,7 +138,7 @@
 	}})
 }
 
-// requirementsOf tells which workers may have an invocation next: its first attempt that may have run fixes where
+// requirementsOf returns which workers may have an invocation next: its first attempt that may have run fixes where
 // repeats are dropped.
 func (s *scheduler) requirementsOf(v *invocation) requirements {
 	operation := &s.operations[v.operation]
@@ -217,7 +217,7 @@
 	left := s.slack(v, view.pace) - limits.waited
 	inTime := s.operations[v.operation].countsLate || left >= 0
 	// Stale reports show no slots that have been free for less: work that can wait may queue there.
-	waitable := max(0, min(1, left.Seconds()/s.fleet.runTime))
+	waitable := max(0, min(1, left.Seconds()/s.stats.runTime))
 	capacity := score + s.staleQueueShare*(1-view.confidence)*view.maxFree*waitable
 	if capacity < v.slots+v.reserve || limits.timely && !inTime {
 		return 0, false
@@ -226,7 +226,7 @@
 		score += surePreference // before those that may be too slow
 	}
 	if view.hasOwnedCapacity(v) {
-		score += ownedPreference // what others tell of theirs may be taken by the time that we are there
+		score += ownedPreference // what others report of theirs may be gone by the time that we are there
 	}
 	if view.zone == s.zone {
 		score += zonePreference // among equals our own zone, then the faster one
@@ -248,12 +248,12 @@
 	return view.free
 }
 
-// hasOwnedCapacity tells whether we know, as its owner, that a worker has capacity for an invocation.
+// hasOwnedCapacity reports whether we know, as its owner, that a worker has capacity for an invocation.
 func (v *workerView) hasOwnedCapacity(j *invocation) bool {
 	return v.ownedHere && v.warmUpWeight == 1 && v.free >= j.slots
 }
 
-// isEligible tells whether a worker may get an invocation, whatever its free slots.
+// isEligible reports whether a worker may get an invocation, whatever its free slots.
 func (s *scheduler) isEligible(v *invocation, worker int, view *workerView) bool {
 	if len(s.rejections) > 0 {
 		key := rejectionKey{worker: worker, operation: v.operation, tenant: v.tenant}
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -40,7 +40,7 @@
 }
 
 // lotteryRank is how many schedulers come before this one for one incarnation of a worker. Left to chance alone, now
-// none and now many would send to it. A scheduler whose number lies beyond the number told comes last.
+// none and now many would send to it. A scheduler whose number lies beyond the configured number comes last.
 func (d *Dispatcher) lotteryRank(incarnation uint64) (before int) {
 	own := rendezvousHash(incarnation, d.self)
 	for other := range int(d.schedulers) {
@@ -60,19 +60,19 @@
 // until there is one of its operation, and no worker has reported how long anything runs, they count several times.
 func (s *scheduler) expectedCost(v *invocation) float64 {
 	measured := s.operations[v.operation].hintErrors
-	if len(measured) == 0 && s.fleet.serviceTime == 0 {
+	if len(measured) == 0 && s.stats.serviceTime == 0 {
 		return v.work * unmeasuredCostFactor
 	}
 	return v.work * max(1, measured.mean())
 }
 
-// withinSlowStartBudget tells whether a worker in slow start may get work of a cost if all other schedulers send their
+// withinSlowStartBudget reports whether a worker in slow start may get work of a cost if all other schedulers send their
 // parts too.
 func (s *scheduler) withinSlowStartBudget(cost float64, v *workerView) bool {
 	// Its first runs may be quick and it still unable to bear as many: its kind's usual pace is the least.
 	capacity := max(1, v.maxFree) / max(v.pace, cmp.Or(s.kindPace[v.kind], 1)/v.warmUpWeight)
 	budget := s.overloadBudget * capacity
-	run := cmp.Or(s.fleet.runTime, 1)
+	run := cmp.Or(s.stats.runTime, 1)
 	rank := float64(v.lotteryRank)
 	evenly := s.schedulers <= slowStartWatchers || budget >= minRunsPerShare*run*s.schedulers
 	if rank < s.schedulers && evenly {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -204,7 +204,7 @@
 	view := &workerView{pace: 1, warmUpWeight: 1, lotteryRank: lotteryRank}
 	view.maxFree = calls * run / s.overloadBudget
 	view.pace = max(1, 1/view.maxFree) // a worker of less than one slot is a slower one
-	s.fleet.runTime = run
+	s.stats.runTime = run
 	s.now = 20 * time.Second
 	s.admitted = 20 * calls
 	for cost := run / 100; s.withinSlowStartBudget(cost, view) && view.budgetUsed < 3*calls*run; {
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -160,7 +160,7 @@
 			d.workerAt(index).send(workerSnapshotLoaded{loaded})
 		}
 	}
-	d.scheduler.learnFleet()
+	d.scheduler.updateStats()
 }
 
 func (s *scheduler) loadSnapshot(snapshot Snapshot) {
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -8,7 +8,7 @@
 
 // The scheduler sees each worker by a cached view. A view depends on the worker's state, on the time and on what was
 // learned of all workers. The state changes by messages; the other two change for all workers with each epoch. Bringing
-// all views up to date with each epoch would cost as much as the fleet is large: an epoch is only written down, and a
+// all views up to date with each epoch would cost as much as there are workers: an epoch is only written down, and a
 // view is brought up to the last epoch that counts for it when somebody reads it, or before the worker's state changes.
 
 // ownedRejoinSpan: a worker in slow start that only few schedulers may use is asked again after this time in the pool.
@@ -21,7 +21,7 @@
 type refreshEpoch struct {
 	number int
 	at     time.Duration
-	fleetStats
+	workerStats
 	kindPace map[int]float64 // is not written to any more
 }
 
@@ -58,11 +58,11 @@
 	}
 	if entry.epoch < epoch.number {
 		w := s.dispatcher.records[worker].worker
-		w.fleet = epoch.fleetStats
+		w.stats = epoch.workerStats
 		w.estimate(epoch.at)
 		entry.epoch = epoch.number
 		entry.workerView = w.workerView
-		entry.estimatePace(epoch.kindPace, epoch.fleetStats)
+		entry.estimatePace(epoch.kindPace, epoch.workerStats)
 	}
 	return &entry.workerView
 }
@@ -99,7 +99,7 @@
 
 // updateView stores a view, and keeps the pool within its size.
 func (s *scheduler) updateView(view *workerView) {
-	view.estimatePace(s.kindPace, s.fleet)
+	view.estimatePace(s.kindPace, s.stats)
 	s.storeView(view)
 	for place := 0; len(s.pool) > int(s.poolSize) && place < len(s.pool); {
 		pooled := s.currentView(s.pool[place])
@@ -109,7 +109,7 @@
 		}
 		place++
 		if s.now > pooled.pooledAt+ownedRejoinSpan { // we are one of few that may use it
-			s.dispatcher.records[pooled.index].worker.send(joinPool{fleetStats: s.fleet})
+			s.dispatcher.records[pooled.index].worker.send(joinPool{workerStats: s.stats})
 		}
 	}
 }
@@ -148,7 +148,7 @@
 func (s *scheduler) beginEpoch() {
 	s.dropInactive()
 	s.epochs++
-	s.epoch = refreshEpoch{number: s.epochs, at: s.now, fleetStats: s.fleet, kindPace: s.kindPace}
+	s.epoch = refreshEpoch{number: s.epochs, at: s.now, workerStats: s.stats, kindPace: s.kindPace}
 	queued := len(s.queue) > 0
 	if queued {
 		s.poolEpoch = s.epoch
--- a/dispatch/view_test.go
+++ b/dispatch/view_test.go
@@ -24,13 +24,13 @@
 				}
 				worker := s.dispatcher.records[index].worker
 				savedView := worker.workerView
-				savedFleet := worker.fleet
-				worker.fleet = scheduler.epoch.fleetStats
+				savedFleet := worker.stats
+				worker.stats = scheduler.epoch.workerStats
 				worker.estimate(scheduler.epoch.at)
 				want := worker.workerView
 				worker.workerView = savedView
-				worker.fleet = savedFleet
-				want.estimatePace(scheduler.epoch.kindPace, scheduler.epoch.fleetStats)
+				worker.stats = savedFleet
+				want.estimatePace(scheduler.epoch.kindPace, scheduler.epoch.workerStats)
 				if got := *scheduler.currentView(index); got != want {
 					t.Fatalf("seed %d, %v: view %+v, want %+v", seed, s.now, got, want)
 				}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -44,9 +44,9 @@
 	startedAt  time.Duration
 
 	attempts    []workerAttempt
-	fleet       fleetStats // as of when it was last asked
-	freeSamples samples    // free or ours at the last few reports, less what was usual; the last at freeSampledAt
-	paces       samples    // running time over hinted cost
+	stats       workerStats // as of when it was last asked
+	freeSamples samples     // free or ours at the last few reports, less what was usual; the last at freeSampledAt
+	paces       samples     // running time over hinted cost
 
 	lastReport    LoadReport // as it came
 	reportedAt    time.Duration
@@ -173,7 +173,7 @@
 
 // joinPool has the worker asked for its load, itself or by its owner.
 func (w *worker) joinPool(join joinPool) {
-	w.fleet = join.fleetStats
+	w.stats = join.workerStats
 	w.pooledAt = w.now
 	w.recheck = join.unmeasured && !join.viaGossip
 	if join.viaGossip && !w.ownedHere && !(w.checkPending && w.queriedAt == w.now) {
@@ -256,8 +256,8 @@
 	// All schedulers chase the worker that looked emptiest: the older its last report, the more the mean of the last
 	// few counts, and the fewer there are, the more what is usual anywhere.
 	age := max(0, now-w.freeSampledAt).Seconds()
-	w.confidence = math.Exp(-age / max(w.fleet.runTime, minRunTime))
-	faded := w.fleet.usualFree + w.freeSamples.sum()/float64(count+usualSampleWeight)
+	w.confidence = math.Exp(-age / max(w.stats.runTime, minRunTime))
+	faded := w.stats.usualFree + w.freeSamples.sum()/float64(count+usualSampleWeight)
 	w.free = math.Round(min(w.confidence*w.lastFree+(1-w.confidence)*faded-w.reserved, w.maxFree))
 }
 
@@ -293,15 +293,15 @@
 		}
 		w.scheduler.send(pair)
 	}
-	if !changed && gap < repeatedReportLags*w.fleet.lag || load.FreeSlots < 0 {
+	if !changed && gap < repeatedReportLags*w.stats.lag || load.FreeSlots < 0 {
 		return
 	}
 	// What fails fast leaves its slots free: they are counted as if it had run.
-	free := math.Round(load.FreeSlots - load.Queued - load.ErrorRate*w.fleet.runTime)
+	free := math.Round(load.FreeSlots - load.Queued - load.ErrorRate*w.stats.runTime)
 	w.maxFree = max(w.maxFree, free)
 	w.serviceTime = load.ServiceTime
-	w.recordFreeSlots(w.now-w.fleet.lag, free)
-	w.forgetAttempts(w.now - max(w.fleet.lag, w.overloadWindow))
+	w.recordFreeSlots(w.now-w.stats.lag, free)
+	w.forgetAttempts(w.now - max(w.stats.lag, w.overloadWindow))
 }
 
 // forgetAttempts drops attempts that ended before a time.
@@ -318,7 +318,7 @@
 	w.freeSampledAt = at
 	if !w.ownedHere {
 		// By how much it lies off what is usual: when all have filled or emptied, old reports tell no more.
-		w.freeSamples.add(w.lastFree - w.fleet.usualFree)
+		w.freeSamples.add(w.lastFree - w.stats.usualFree)
 	} else if w.showsCapacity(capacity, free) {
 		w.freeSamples.add(capacity)
 	}
@@ -333,8 +333,8 @@
 	}
 }
 
-// showsCapacity tells whether a report shows the capacity of a worker that we own: a full one may have more queued
-// than it tells.
+// showsCapacity reports whether a report shows the capacity of a worker that we own: a full one may have more queued
+// than it reports.
 func (w *worker) showsCapacity(capacity, free float64) bool {
 	return w.lastReport.Queued > 0 || free > 0 || len(w.freeSamples) == 0 ||
 		capacity < w.freeSamples.quantile(median)
@@ -348,7 +348,7 @@
 	w.confidence = 0
 }
 
-// attemptProgressed takes a worker's word on an attempt in.
+// attemptProgressed follows a worker's progress report on an attempt.
 func (w *worker) attemptProgressed(invocation int, progress AttemptProgress) {
 	attempt := w.inFlightAttempt(invocation, progress.Attempt)
 	if attempt == nil {
@@ -371,7 +371,7 @@
 	w.reinstate(true)
 }
 
-// attemptEnded enters how an attempt has ended, and tells the scheduler.
+// attemptEnded enters how an attempt has ended, and notifies the scheduler.
 func (w *worker) attemptEnded(message eventMessage, outcome Outcome) {
 	w.recordReport(outcome.Load)
 	attempt := w.inFlightAttempt(message.invocation, outcome.Attempt)
@@ -424,7 +424,7 @@
 	w.paces.add(runTime / attempt.work * w.warmUpWeight) // past its slow start, which comes on top
 	w.pace = w.paces.quantile(median)
 	if w.gossips && !w.ownedHere {
-		w.recordFreeSlots(w.now, 1) // the slot that it leaves is ours at once, before its owner hears of it
+		w.recordFreeSlots(w.now, 1) // the slot that it leaves is ours at once, before its owner is notified
 	}
 	w.reinstate(true)
 	w.probationLeft = max(0, w.probationLeft-1)
@@ -436,9 +436,9 @@
 
 // estimatePace sets what the scheduler takes for a worker's pace: its reports may show that it is slow, long before the
 // few results of thin traffic do.
-func (v *workerView) estimatePace(kindPace map[int]float64, fleet fleetStats) {
+func (v *workerView) estimatePace(kindPace map[int]float64, stats workerStats) {
 	if v.pace == 0 {
-		usual := max(fleet.serviceTime, v.serviceTime/maxServiceRatio, minServiceTime)
+		usual := max(stats.serviceTime, v.serviceTime/maxServiceRatio, minServiceTime)
 		v.pace = cmp.Or(kindPace[v.kind], 1) * max(1, v.serviceTime/usual/slowServiceRatio)
 	}
 	v.pace /= v.warmUpWeight
