--- /dev/null
+++ b/internal/lifecycle/transitions_test.go
@@ -0,0 +1,173 @@
+package lifecycle
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// trace prints the behavior of a process at now and at each later moment at which it changes by time alone.
+func trace(l *Lifecycle, now time.Duration) {
+	for {
+		fmt.Printf("%5v %s: %s\n", now, l.State(), strings.Join(flags(l.Behavior(now)), ", "))
+		next, more := l.NextChange(now)
+		if !more {
+			return
+		}
+		now = next
+	}
+}
+
+// flags names what is set in a behavior.
+func flags(b Behavior) []string {
+	names := []string{}
+	for _, flag := range []struct {
+		set  bool
+		name string
+	}{
+		{b.Ready, "ready"},
+		{b.Accepts, "accepts"},
+		{b.Admits, "admits"},
+		{b.ClosesIdle, "closes idle"},
+		{b.ClosesPartial, "closes partial"},
+		{b.Migrates, "migrates"},
+		{b.KeepsCallbacks, "keeps callbacks"},
+		{b.ExitsWhenIdle, "exits when idle"},
+		{b.FailsRemaining, "fails remaining"},
+		{b.Exits, "exits"},
+	} {
+		if flag.set {
+			names = append(names, flag.name)
+		}
+	}
+	return names
+}
+
+// A drain and its end: the process is ready again at once. A second order does not restart the drain.
+func ExampleLifecycle_Standby() {
+	var l Lifecycle
+	trace(&l, 0)
+	l.EndpointsKnown(time.Second)
+	trace(&l, time.Second)
+	fmt.Println(l.Standby(10*time.Second), l.Standby(11*time.Second))
+	trace(&l, 10*time.Second)
+	fmt.Println(l.Active(11 * time.Second))
+	trace(&l, 11*time.Second)
+	// Output:
+	// 0s starting: accepts, admits
+	//    1s ready: ready, accepts, admits
+	// true true
+	//   10s standby: accepts, admits, keeps callbacks
+	//   11s standby: accepts, admits, closes idle, keeps callbacks
+	// 11.9s standby: accepts, closes idle, keeps callbacks
+	// 13.4s standby: accepts, closes idle, closes partial, keeps callbacks
+	// true
+	//   11s ready: ready, accepts, admits
+}
+
+// Drained before an endpoint list is known, the process stays drained when the list comes; activated before that, it is
+// starting again.
+func ExampleLifecycle_Active() {
+	var l Lifecycle
+	l.Standby(0)
+	l.Active(1)
+	fmt.Println(l.State())
+	l.Standby(2)
+	l.EndpointsKnown(3)
+	fmt.Println(l.State())
+	l.Active(4)
+	fmt.Println(l.State())
+	// Output:
+	// starting
+	// standby
+	// ready
+}
+
+// The order to stop: no kill comes before 3.7 s. Operators' orders change nothing any more, nor does a second order to stop.
+func ExampleLifecycle_Stop() {
+	var l Lifecycle
+	l.EndpointsKnown(0)
+	l.Stop(2*time.Second, 25*time.Second)
+	l.Stop(3*time.Second, 25*time.Second)
+	fmt.Println(l.Standby(4*time.Second), l.Active(4*time.Second))
+	trace(&l, 2*time.Second)
+	// In the midst of a drain the front has turned the clients elsewhere already.
+	l = Lifecycle{}
+	l.EndpointsKnown(0)
+	l.Standby(time.Second)
+	l.Stop(1500*time.Millisecond, time.Second)
+	trace(&l, 1500*time.Millisecond)
+	// With a successor clients lose nothing by reconnecting at once.
+	l = Lifecycle{}
+	l.EndpointsKnown(0)
+	l.SuccessorChanged(0, true)
+	l.Stop(time.Second, 2*time.Second)
+	trace(&l, time.Second)
+	// The successor exits: the old process accepts clients again for as long as it has. Then another successor starts.
+	l.SuccessorChanged(1500*time.Millisecond, false)
+	trace(&l, 1500*time.Millisecond)
+	l.SuccessorChanged(2*time.Second, true)
+	trace(&l, 2*time.Second)
+	// Output:
+	// false false
+	//    2s stopping: accepts, admits
+	//  3.5s stopping: accepts, admits, closes idle, exits when idle
+	//  5.2s stopping: accepts, closes idle, exits when idle, fails remaining
+	//  5.4s stopping: accepts, closes idle, exits when idle, fails remaining, exits
+	//  1.5s stopping: accepts, admits
+	//    2s stopping: accepts, admits, closes idle, exits when idle
+	//  2.7s stopping: accepts, closes idle, exits when idle, fails remaining
+	//  2.9s stopping: accepts, closes idle, exits when idle, fails remaining, exits
+	//    1s handing over: ready, admits, migrates, keeps callbacks, exits when idle
+	//    2s handing over: ready, admits, closes idle, migrates, keeps callbacks, exits when idle
+	//  3.2s handing over: ready, closes idle, keeps callbacks, exits when idle, fails remaining
+	//  3.4s handing over: ready, closes idle, keeps callbacks, exits when idle, fails remaining, exits
+	//  1.5s stopping: accepts, admits
+	//    2s stopping: accepts, admits, closes idle, exits when idle
+	//  3.2s stopping: accepts, closes idle, exits when idle, fails remaining
+	//  3.4s stopping: accepts, closes idle, exits when idle, fails remaining, exits
+	//    2s handing over: ready, admits, closes idle, migrates, keeps callbacks, exits when idle
+	//  3.2s handing over: ready, closes idle, keeps callbacks, exits when idle, fails remaining
+	//  3.4s handing over: ready, closes idle, keeps callbacks, exits when idle, fails remaining, exits
+}
+
+// However short the client timeouts, the process exits before the kill, 0.7 s after the longest timeout, in a drain too.
+// Where no timeout is known, no client can be answered late.
+func ExampleLifecycle_Stop_short() {
+	for _, longest := range []time.Duration{0, 450 * time.Millisecond, 900 * time.Millisecond, 2 * time.Second} {
+		var l Lifecycle
+		l.EndpointsKnown(0)
+		l.Stop(time.Second, longest)
+		fmt.Println("clients wait for", longest, "and the kill comes after", time.Second+longest+700*time.Millisecond)
+		trace(&l, time.Second)
+	}
+	var l Lifecycle
+	l.Standby(time.Second)
+	l.Stop(time.Second, 300*time.Millisecond)
+	trace(&l, time.Second)
+	// Output:
+	// clients wait for 0s and the kill comes after 1.7s
+	//    1s stopping: accepts, admits
+	//  2.3s stopping: accepts, admits, closes idle, exits when idle
+	//  2.5s stopping: accepts, closes idle, exits when idle, fails remaining
+	//  2.7s stopping: accepts, closes idle, exits when idle, fails remaining, exits
+	// clients wait for 450ms and the kill comes after 2.15s
+	//    1s stopping: accepts, admits
+	// 1.45s stopping: accepts, admits, closes idle, exits when idle
+	// 1.65s stopping: accepts, closes idle, exits when idle, fails remaining
+	// 1.85s stopping: accepts, closes idle, exits when idle, fails remaining, exits
+	// clients wait for 900ms and the kill comes after 2.6s
+	//    1s stopping: accepts, admits
+	//  1.9s stopping: accepts, admits, closes idle, exits when idle
+	//  2.1s stopping: accepts, closes idle, exits when idle, fails remaining
+	//  2.3s stopping: accepts, closes idle, exits when idle, fails remaining, exits
+	// clients wait for 2s and the kill comes after 3.7s
+	//    1s stopping: accepts, admits
+	//  2.5s stopping: accepts, admits, closes idle, exits when idle
+	//  3.2s stopping: accepts, closes idle, exits when idle, fails remaining
+	//  3.4s stopping: accepts, closes idle, exits when idle, fails remaining, exits
+	//    1s stopping: accepts, admits
+	//  1.3s stopping: accepts, admits, closes idle, exits when idle
+	//  1.5s stopping: accepts, closes idle, exits when idle, fails remaining
+	//  1.7s stopping: accepts, closes idle, exits when idle, fails remaining, exits
+}
