--- a/internal/invariant/history.go
+++ b/internal/invariant/history.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"iter"
 	"time"
 
 	"stoatweir/dispatch"
@@ -14,24 +15,42 @@
 type Transition struct {
 	At      time.Duration // since the start of the process
 	Request dispatch.InvocationID
-	ID      string // that its client gave it; told where it is taken
+	ID      string // given by its client; only set when the request is admitted
 	Attempt int
-	Worker  string // empty: it concerns no attempt
+	Worker  string // its UID; empty: it concerns no attempt
 	Event   string
 }
 
-// String is the transition as the log has it.
+// String formats the transition as a line of a history.
 func (t Transition) String() string {
 	if t.Worker == "" {
 		return fmt.Sprintf("%.3f %s", t.At.Seconds(), t.Event)
 	}
-	return fmt.Sprintf("%.3f %s at %s: %s", t.At.Seconds(), attemptName(t.Attempt), t.Worker, t.Event)
+	return fmt.Sprintf("%.3f attempt %d at %s: %s", t.At.Seconds(), t.Attempt, t.Worker, t.Event)
+}
+
+// History returns the transitions that are still known of a request, oldest first.
+func (c *Checker) History(id dispatch.InvocationID) []Transition { return c.history.of(id) }
+
+// HistoryByID returns the transitions that are still known of the last request to which its client gave that id, oldest
+// first.
+func (c *Checker) HistoryByID(id string) []Transition {
+	request, known := c.history.lastAdmitted(id)
+	if !known {
+		return nil
+	}
+	return c.History(request)
+}
+
+// record adds an event that concerns a request as a whole.
+func (c *Checker) record(id dispatch.InvocationID, event string) {
+	c.history.add(Transition{At: c.clock(), Request: id, Event: event})
 }
 
 // history is a ring of the last transitions.
 type history struct {
 	ring []Transition
-	next int
+	next int // the oldest, once the ring is full
 }
 
 func (h *history) add(t Transition) {
@@ -43,21 +62,37 @@
 	h.next = (h.next + 1) % historyLength
 }
 
-// last finds the last request that was taken under an id.
-func (h *history) last(id string) (request dispatch.InvocationID, known bool) {
-	for n := range h.ring {
-		if t := h.ring[(h.next+n)%len(h.ring)]; t.ID == id && id != "" {
-			request, known = t.Request, true
+// all yields the transitions, oldest first.
+func (h *history) all() iter.Seq[Transition] {
+	return func(yield func(Transition) bool) {
+		for offset := range h.ring {
+			if !yield(h.ring[(h.next+offset)%len(h.ring)]) {
+				return
+			}
+		}
+	}
+}
+
+// lastAdmitted finds the last request that was admitted under an id.
+func (h *history) lastAdmitted(id string) (request dispatch.InvocationID, known bool) {
+	if id == "" {
+		return noRequest, false
+	}
+	for t := range h.all() {
+		if t.ID == id {
+			request = t.Request
+			known = true
 		}
 	}
 	return request, known
 }
 
-func (h *history) of(id dispatch.InvocationID) (all []Transition) {
-	for n := range h.ring {
-		if t := h.ring[(h.next+n)%len(h.ring)]; t.Request == id {
-			all = append(all, t)
+func (h *history) of(id dispatch.InvocationID) []Transition {
+	var transitions []Transition
+	for t := range h.all() {
+		if t.Request == id {
+			transitions = append(transitions, t)
 		}
 	}
-	return all
+	return transitions
 }
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -1,50 +1,51 @@
 package invariant
 
 import (
-	"strconv"
 	"time"
 
 	"stoatweir/dispatch"
 )
 
-// Attempt is one that is about to be written.
+// Attempt is an attempt that is about to be written.
 type Attempt struct {
 	Request     dispatch.InvocationID
 	Number      int
 	Chosen      Target        // the worker as it was when it was chosen
-	Current     Target        // and as the list has it now
-	NotAfter    time.Duration // no byte goes out from then on; 0: the client timeout alone bounds it
-	Deadline    time.Duration // its client's
-	MinTimeLeft time.Duration // what must be left to the client timeout
+	Current     Target        // the worker as the endpoint list has it now
+	NotAfter    time.Duration // no byte may go out from then on; 0: the client timeout alone bounds it
+	Deadline    time.Duration // its client timeout
+	MinTimeLeft time.Duration // that must be left until the client timeout
 }
 
-// Send tells whether an attempt may be written now; empty: it may. It is asked directly before the first byte.
-func (g *Checker) CheckSend(a Attempt) Reason {
-	if why := a.worker(); why != "" {
-		return g.stop(why, a)
+// CheckSend returns why an attempt may not be written now; empty: it may. It is to be called directly before the first
+// byte is written.
+func (c *Checker) CheckSend(a Attempt) Reason {
+	if reason := a.workerChange(); reason != "" {
+		return c.stop(reason, a)
 	}
-	if g.ClientWaiting != nil && !g.ClientWaiting(a.Request) {
-		return g.stop(ClientGone, a)
+	if c.ClientWaiting != nil && !c.ClientWaiting(a.Request) {
+		return c.stop(ClientGone, a)
 	}
-	now, r := g.clock(), g.requests[a.Request]
+	now := c.clock()
+	r := c.requests[a.Request]
 	switch {
 	case r == nil || r.answered:
-		g.violate(UnknownRequest, a.Request, a.Current.UID)
+		c.violate(UnknownRequest, a.Request, a.Current.UID)
 		return UnknownRequest
 	case a.Deadline-now < a.MinTimeLeft:
-		return g.stop(TimeoutPassed, a)
+		return c.stop(TimeoutPassed, a)
 	case a.NotAfter > 0 && now >= a.NotAfter:
-		return g.stop(WindowPassed, a)
+		return c.stop(WindowPassed, a)
 	}
-	if why := r.repeat(a, now); why != "" {
-		g.violate(why, a.Request, a.Current.UID)
-		return why
+	if reason := r.retryViolation(a, now); reason != "" {
+		c.violate(reason, a.Request, a.Current.UID)
+		return reason
 	}
 	return ""
 }
 
-// worker tells what has become of the worker since it was chosen.
-func (a Attempt) worker() Reason {
+// workerChange tells what has become of the worker since it was chosen; empty: it may still be sent to.
+func (a Attempt) workerChange() Reason {
 	switch {
 	case a.Current.State != dispatch.Ready:
 		return WorkerUnavailable
@@ -56,82 +57,117 @@
 	return ""
 }
 
-// repeat tells which rule one more attempt would violate.
-func (r *request) repeat(a Attempt, now time.Duration) Reason {
-	out := 0
-	var first *attempt // that may have run
-	for _, before := range r.attempts {
-		if before.out && before.worker == a.Current.UID {
-			return SecondAtWorker
-		}
-		if before.out {
-			out++
+// retryViolation tells which invariant one more attempt would violate; empty: none.
+func (r *request) retryViolation(a Attempt, now time.Duration) Reason {
+	inFlight := 0
+	for _, previous := range r.attempts {
+		if !previous.inFlight {
+			continue
 		}
-		if first == nil && (before.out || before.ran) {
-			first = before
+		if previous.worker == a.Current.UID {
+			return SecondAtWorker
 		}
+		inFlight++
 	}
 	switch {
 	case r.MaxAttempts > 0 && len(r.attempts) >= r.MaxAttempts:
 		return TooManyAttempts
-	case out >= max(1, r.MaxInFlight):
+	case inFlight >= max(1, r.MaxInFlight):
 		return SecondOut
+	}
+	return r.effectViolation(a, now)
+}
+
+// effectViolation tells which invariant of the request's effect class one more attempt would violate; empty: none.
+func (r *request) effectViolation(a Attempt, now time.Duration) Reason {
+	first := r.firstThatMayHaveRun()
+	switch {
 	case first == nil || r.Effect == dispatch.Idempotent:
 		return ""
 	case r.Effect == dispatch.NonIdempotent:
 		return RepeatedUnproven
 	case now >= first.sent+r.Window:
 		return RepeatedTooLate
-	case r.Scope == dispatch.ScopeZone && first.zone != a.Current.Zone, r.Scope == dispatch.ScopeCell && first.cell != a.Current.Cell:
+	case r.Scope == dispatch.ScopeZone && first.zone != a.Current.Zone:
+		return RepeatedOutOfGroup
+	case r.Scope == dispatch.ScopeCell && first.cell != a.Current.Cell:
 		return RepeatedOutOfGroup
 	}
 	return ""
 }
 
-func (g *Checker) stop(why Reason, a Attempt) Reason {
-	g.Counts.Stopped[why]++
-	g.history.add(Transition{At: g.clock(), Request: a.Request, Attempt: a.Number, Worker: a.Current.UID, Event: "stopped: " + string(why)})
-	return why
+// firstThatMayHaveRun is the first attempt that may have run or may yet run; nil: there is none.
+func (r *request) firstThatMayHaveRun() *attempt {
+	for _, a := range r.attempts {
+		if a.inFlight || a.mayHaveRun {
+			return a
+		}
+	}
+	return nil
+}
+
+func (c *Checker) stop(reason Reason, a Attempt) Reason {
+	c.Counts.Stopped[reason]++
+	c.history.add(Transition{
+		At:      c.clock(),
+		Request: a.Request,
+		Attempt: a.Number,
+		Worker:  a.Current.UID,
+		Event:   "stopped: " + string(reason),
+	})
+	return reason
 }
 
-// Begun enters that the first byte of an attempt has been written.
-func (g *Checker) AttemptStarted(a Attempt) {
-	r := g.requests[a.Request]
+// AttemptStarted records that the first byte of an attempt has been written.
+func (c *Checker) AttemptStarted(a Attempt) {
+	r := c.requests[a.Request]
 	if r == nil {
 		return
 	}
-	if n := len(r.attempts); n > 0 {
-		ending := r.attempts[n-1].ending
-		if ending == "" {
-			ending = "still out"
-		}
-		g.Counts.Retries[ending]++
+	c.countRetry(r)
+	now := c.clock()
+	r.attempts = append(r.attempts, &attempt{
+		number:   a.Number,
+		worker:   a.Current.UID,
+		zone:     a.Current.Zone,
+		cell:     a.Current.Cell,
+		sent:     now,
+		inFlight: true,
+	})
+	c.history.add(Transition{
+		At:      now,
+		Request: a.Request,
+		Attempt: a.Number,
+		Worker:  a.Current.UID,
+		Event:   "sent",
+	})
+}
+
+// countRetry counts an attempt that follows others, by how the last of these has ended.
+func (c *Checker) countRetry(r *request) {
+	if len(r.attempts) == 0 {
+		return
 	}
-	now := g.clock()
-	r.attempts = append(r.attempts, &attempt{number: a.Number, worker: a.Current.UID, zone: a.Current.Zone, cell: a.Current.Cell, sent: now, out: true})
-	g.history.add(Transition{At: now, Request: a.Request, Attempt: a.Number, Worker: a.Current.UID, Event: "sent"})
+	outcome := r.attempts[len(r.attempts)-1].outcome
+	if outcome == "" {
+		outcome = "still out"
+	}
+	c.Counts.Retries[outcome]++
 }
 
-// Ended enters how an attempt has ended; ran: it may have run.
-func (g *Checker) AttemptEnded(id dispatch.InvocationID, number int, ending string, ran bool) {
-	g.history.add(Transition{At: g.clock(), Request: id, Attempt: number, Event: "ended: " + ending})
-	r := g.requests[id]
+// AttemptEnded records how an attempt has ended and whether it may have run.
+func (c *Checker) AttemptEnded(id dispatch.InvocationID, number int, outcome string, mayHaveRun bool) {
+	c.history.add(Transition{At: c.clock(), Request: id, Attempt: number, Event: "ended: " + outcome})
+	r := c.requests[id]
 	if r == nil {
 		return
 	}
 	for _, a := range r.attempts {
-		if a.number == number && a.out {
-			a.out, a.ran, a.ending = false, ran, ending
+		if a.number == number && a.inFlight {
+			a.inFlight = false
+			a.mayHaveRun = mayHaveRun
+			a.outcome = outcome
 		}
 	}
-	g.settle(id, r)
+	c.settle(id, r)
 }
-
-// Started passes a worker's start as the list tells of it. One that lies ahead can't have happened.
-func (g *Checker) CheckStart(worker string, at time.Duration) {
-	if at > g.clock() {
-		g.violate(StartInFuture, 0, worker)
-	}
-}
-
-func attemptName(number int) string { return "attempt " + strconv.Itoa(number) }
