--- a/internal/accounting/capacity_test.go
+++ b/internal/accounting/capacity_test.go
@@ -5,22 +5,23 @@
 	"testing"
 )
 
-// The figures of docs/CAPACITY.md for the ledger: a copy of it is made ten times a second while anything happens, and a text of
-// that at each look of an operator.
+// The figures of docs/CAPACITY.md for the ledger: it is copied ten times a second while anything happens, and the copy is
+// formatted at each admin command stats.
 
-func bookOf(classes int) *Ledger {
+// ledgerOf returns a Ledger with so many classes, each with one request completed and one outstanding.
+func ledgerOf(classes int) *Ledger {
 	l := New()
 	for n := range classes {
-		at := l.Class(fmt.Sprintf("t%dmark8bits/operation-%d", n/32, n%32))
-		l.Admitted(at)
-		l.Completed(at, Succeeded)
-		l.Admitted(at)
+		class := l.Class(fmt.Sprintf("t%dmark8bits/operation-%d", n/32, n%32))
+		l.Admitted(class)
+		l.Completed(class, Succeeded)
+		l.Admitted(class)
 	}
 	return l
 }
 
 func BenchmarkEntry(b *testing.B) {
-	l := bookOf(2272)
+	l := ledgerOf(2272)
 	for b.Loop() {
 		l.Admitted(7)
 		l.Forwarded()
@@ -32,7 +33,7 @@
 	for _, n := range []int{71, 284, 1136, 2272, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			l := bookOf(n)
+			l := ledgerOf(n)
 			for b.Loop() {
 				l.Totals(3800, 10)
 			}
@@ -43,9 +44,10 @@
 func BenchmarkText(b *testing.B) {
 	for _, n := range []int{71, 284, 1136, 2272, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, size := bookOf(n).Totals(3800, 10), 0
+			totals := ledgerOf(n).Totals(3800, 10)
+			size := 0
 			for b.Loop() {
-				size = len(f.Text())
+				size = len(totals.Text())
 			}
 			b.ReportMetric(float64(size), "bytes")
 		})
--- a/internal/accounting/ledger_test.go
+++ b/internal/accounting/totals_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// The figures as operators see them. A class with strange letters must not break the lines of others; one that has
-// vanished keeps its count, and goes on with it when it comes back.
+// The metrics as operators see them. A class with strange letters must not break the lines of others.
 func ExampleTotals_Text() {
 	l := New("render", "a\"b\\c\nd")
 	l.Admitted(l.Class("render"))
@@ -36,22 +35,22 @@
 	// svc_sighup_rejected_total 1
 }
 
-// Copies do not change with the book.
-func TestFiguresAreACopy(t *testing.T) {
+// Totals do not change with the ledger, and count what is outstanding.
+func TestTotalsAreACopy(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	l := New("a", "b")
-	open := []int{}
+	outstanding := []int{} // classes
 	before := l.Totals(0, 0)
 	for range 1000 {
 		if class := rng.Intn(2); rng.Intn(3) > 0 {
 			l.Admitted(class)
-			open = append(open, class)
-		} else if len(open) > 0 {
-			l.Completed(open[0], Disposition(rng.Intn(endings)))
-			open = open[1:]
+			outstanding = append(outstanding, class)
+		} else if len(outstanding) > 0 {
+			l.Completed(outstanding[0], Disposition(rng.Intn(dispositionCount)))
+			outstanding = outstanding[1:]
 		}
-		if got := l.Totals(0, 0).Outstanding; got != len(open) {
-			t.Fatal("outstanding", got, "not", len(open))
+		if got := l.Totals(0, 0).Outstanding; got != len(outstanding) {
+			t.Fatal("outstanding", got, "not", len(outstanding))
 		}
 	}
 	if before.Classes[0].Admitted != 0 || before.Outstanding != 0 {
