--- a/internal/admin/line.go
+++ b/internal/admin/line.go
@@ -1,43 +1,56 @@
-// Package admin is the operators' door: a line a connection, beside the clients' address and out of a crowd's way.
 package admin
 
 import (
-	"errors"
 	"fmt"
 	"strings"
 )
 
-// maxLine is far more than any order needs; a caller that sends without end is no operator.
+// maxLine is the longest line in bytes. It is far more than any command needs; a caller that sends without end is no
+// operator.
 const maxLine = 256
 
-// Line reads the one line of a connection. It is fed bytes and knows no socket.
+// lineError is what is wrong with a line. Its text is sent to the caller.
+type lineError string
+
+// Error returns the text.
+func (e lineError) Error() string { return string(e) }
+
+const (
+	errSecondLine lineError = "more than one line"
+	errNUL        lineError = "a NUL in the line"
+	errNoNewline  lineError = "the line has no end"
+)
+
+var errTooLong = lineError(fmt.Sprintf("the line is over %d bytes", maxLine))
+
+// Line parses the one line of a connection. It is fed bytes and does no I/O.
 type Line struct {
-	text []byte
-	done bool
+	text  []byte
+	whole bool
 }
 
-// Feed takes bytes in. ended says that no more will come. Whole tells that the line is there.
+// Feed parses further bytes; ended tells that no more will come. It returns whether the line is whole.
 func (l *Line) Feed(b []byte, ended bool) (whole bool, err error) {
 	for _, c := range b {
 		switch {
-		case l.done:
+		case l.whole:
 			// Which of the two lines was meant can't be known: neither is carried out.
-			return false, errors.New("more than one line")
+			return false, errSecondLine
 		case c == '\n':
-			l.done = true
+			l.whole = true
 		case c == 0:
-			return false, errors.New("a NUL in the line")
+			return false, errNUL
 		case len(l.text) == maxLine:
-			return false, fmt.Errorf("the line is over %d bytes", maxLine)
+			return false, errTooLong
 		default:
 			l.text = append(l.text, c)
 		}
 	}
-	if !l.done && ended {
-		return false, errors.New("the line has no end")
+	if ended && !l.whole {
+		return false, errNoNewline
 	}
-	return l.done, nil
+	return l.whole, nil
 }
 
-// Word is the call, once the line is whole.
+// Word is the command's word, once the line is whole.
 func (l *Line) Word() string { return strings.TrimSpace(string(l.text)) }
