--- a/cmd/baseline/main.go
+++ b/cmd/baseline/main.go
@@ -1,5 +1,5 @@
-// Command baseline decides by a plain policy, on the simulator's wire, so that a played day has something to be held
-// against. It serves nobody.
+// Command baseline decides by a plain policy, over the simulator's protocol on standard input and standard output, so that
+// the results of a run can be compared with a simple one's. It serves no client.
 package main
 
 import (
@@ -15,9 +15,11 @@
 	if len(os.Args) != 2 {
 		logrus.Fatal("usage: baseline POLICY, which is one of ", baseline.Names)
 	}
-	if err := simwire.Serve(os.Stdin, os.Stdout, func(up simwire.Up) (simwire.Decider, error) {
-		return baseline.New(os.Args[1], up.Deployment, up.Seed)
-	}); err != nil {
-		logrus.WithError(err).Fatal("the wire can't be read on")
+	policy := os.Args[1]
+	err := simwire.Serve(os.Stdin, os.Stdout, func(start simwire.InstanceStart) (simwire.Decider, error) {
+		return baseline.New(policy, start.Config, start.Seed)
+	})
+	if err != nil {
+		logrus.WithError(err).Fatal("simulator protocol failed")
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs the decision module in the simulator, over the simulator's protocol on standard input and output. It decides nothing itself.
+// Command simadapter runs the decision module in the simulator, over the simulator's protocol on standard input and
+// standard output. It decides nothing itself.
 package main
 
 import (
@@ -12,16 +13,20 @@
 	"stoatweir/internal/simwire"
 )
 
+// gcPercent is the garbage collector's target. Over a thousand instances may share this process: their memory is small
+// beside what collecting it costs.
+const gcPercent = 400
+
 func main() {
-	// Over a thousand instances may share this process: their memory is small beside what collecting it costs.
-	debug.SetGCPercent(400)
-	if err := play(os.Stdin, os.Stdout); err != nil {
-		logrus.WithError(err).Fatal("the wire can't be read on")
+	debug.SetGCPercent(gcPercent)
+	if err := serve(os.Stdin, os.Stdout); err != nil {
+		logrus.WithError(err).Fatal("simulator protocol failed")
 	}
 }
 
-func play(in io.Reader, out io.Writer) error {
-	return simwire.Serve(in, out, func(up simwire.Up) (simwire.Decider, error) {
-		return dispatch.New(up.Deployment, int64(up.Seed)), nil
+// serve runs a dispatcher for each instance that the simulator starts, until the end of the input.
+func serve(in io.Reader, out io.Writer) error {
+	return simwire.Serve(in, out, func(start simwire.InstanceStart) (simwire.Decider, error) {
+		return dispatch.New(start.Config, int64(start.Seed)), nil
 	})
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -26,7 +26,8 @@
 	return append(out, body...)
 }
 
-func up(instance, settings string) string {
+// start packs the record that starts an instance.
+func start(instance, settings string) string {
 	size := binary.LittleEndian.AppendUint32(nil, uint32(len(settings)))
 	return "01" + instance + "0700000000000000" + hex.EncodeToString(size) + hex.EncodeToString([]byte(settings))
 }
@@ -37,13 +38,13 @@
 	arrival  = "0900000000000000 0000 0000 0000000000000000 0000000000001440 0000000000000000 0000803f 00000000 0000"
 )
 
-func TestInstancesKeepToThemselves(t *testing.T) {
+func TestInstancesShareNoState(t *testing.T) {
 	var in, out bytes.Buffer
 	in.Write(frame(t, 5))
-	in.Write(frame(t, 6, up("01000000", settings), "02 01000000"+list, up("02000000", settings)))
+	in.Write(frame(t, 6, start("01000000", settings), "02 01000000"+list, start("02000000", settings)))
 	in.Write(frame(t, 7, "03 02000000"+arrival, "03 01000000"+arrival))
 	in.Write(frame(t, 8, "0a 01000000", "07 01000000 0000000000000000"))
-	if err := play(&in, &out); err != nil {
+	if err := serve(&in, &out); err != nil {
 		t.Fatal(err)
 	}
 	var got []string
@@ -52,13 +53,13 @@
 		got = append(got, hex.EncodeToString(out.Next(int(size))))
 	}
 	want := []string{
-		"00000000", // nothing was asked
-		// instance 1 wakes, instance 2 too; neither knows more than it was told
+		"00000000", // no event
+		// both instances set a timer; each knows only its own list
 		"02000000" + "050100000014ae47e17a1418400000000000000000" + "050200000014ae47e17a1418400000000000000000",
-		// 2 holds what it knows no worker for, 1 sends it to the one it knows; in the order of their events
+		// 2 queues its request, as it knows no worker; 1 forwards to the one it knows; in the order of their events
 		"03000000" + "050200000014ae47e17a141c400000000000000000" +
 			"0101000000090000000000000000000000000000000a124a078b13" + "050100000014ae47e17a141c400000000000000000",
-		"00000000", // stopped: the wake-up is nobody's
+		"00000000", // stopped: the timer is void
 	}
 	if len(got) != len(want) {
 		t.Fatalf("%d replies, want %d", len(got), len(want))
@@ -70,26 +71,26 @@
 	}
 }
 
-func TestBadInputEndsInOneMessage(t *testing.T) {
+func TestMalformedInputIsAnError(t *testing.T) {
 	for name, input := range map[string][]byte{
-		"settings that are no JSON": frame(t, 5, up("01000000", "{")),
+		"settings that are no JSON": frame(t, 5, start("01000000", "{")),
 		"an unknown event":          frame(t, 5, "63 01000000"),
 		"a frame cut short":         frame(t, 5, "07 01000000 0000000000000000")[:20],
 	} {
-		if err := play(bytes.NewReader(input), &bytes.Buffer{}); err == nil {
-			t.Errorf("%s was taken without a word", name)
+		if err := serve(bytes.NewReader(input), &bytes.Buffer{}); err == nil {
+			t.Errorf("%s was accepted without an error", name)
 		}
 	}
 }
 
-// A panic of the decisions ends the day in plain words on the wire, not the adapter.
-func TestPanicIsToldOnTheWire(t *testing.T) {
+// A panic of the decisions ends the run with an error on the wire, not the adapter.
+func TestPanicIsReportedOnTheWire(t *testing.T) {
 	var out bytes.Buffer
-	input := frame(t, 5, up("01000000", `{"PeersTotal": 1}`), "03 01000000"+arrival)
-	if err := play(bytes.NewReader(input), &out); err != nil {
+	input := frame(t, 5, start("01000000", `{"PeersTotal": 1}`), "03 01000000"+arrival)
+	if err := serve(bytes.NewReader(input), &out); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("the decisions panicked: ")) || out.Bytes()[8] != 10 {
-		t.Errorf("no word of the panic in %q", out.Bytes())
+		t.Errorf("no report of the panic in %q", out.Bytes())
 	}
 }
--- a/internal/lab/virtual/program.go
+++ b/internal/lab/virtual/program.go
@@ -68,8 +68,8 @@
 		}
 		i := &instance{Program: p, scheduler: uint32(scheduler), base: clock(), report: site.Report}
 		i.begin = func() {
-			p.host.PowerOff(i.scheduler)
-			p.host.Up(i.scheduler, uint64(seed), text)
+			p.host.StopInstance(i.scheduler)
+			p.host.StartInstance(i.scheduler, uint64(seed), text)
 		}
 		return i, nil
 	}
@@ -85,12 +85,12 @@
 		i.begin = nil
 	}
 	for _, e := range events {
-		if i.err = i.host.Event(i.scheduler, i.base, i.report, e); i.err != nil {
+		if i.err = i.host.AddEvent(i.scheduler, i.base, i.report, e); i.err != nil {
 			return nil
 		}
 	}
 	base := func(uint32) time.Duration { return i.base }
-	if err := i.host.Flush(i.base+now, base, func(n uint32, a dispatch.Action) {
+	if err := i.host.Exchange(i.base+now, base, func(n uint32, a dispatch.Action) {
 		if n == i.scheduler {
 			actions = append(actions, a)
 		}
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -279,7 +279,9 @@
 	s := parse(t, small+"[[troubles]]\nkind = \"slow\"\nat = \"2s\"\nfor = \"4s\"\nshare = 0.4\n[[troubles]]\nkind = \"killed\"\nat = \"5s\"\nshare = 0.5\n")
 	in, toProgram := io.Pipe()
 	fromProgram, out := io.Pipe()
-	go simwire.Serve(in, out, func(up simwire.Up) (simwire.Decider, error) { return baseline.New("least", up.Deployment, up.Seed) })
+	go simwire.Serve(in, out, func(start simwire.InstanceStart) (simwire.Decider, error) {
+		return baseline.New("least", start.Config, start.Seed)
+	})
 	p := &Program{in: toProgram, host: simwire.NewHost(toProgram, fromProgram)}
 	var d *Day
 	d = New(s, p.Maker(func() time.Duration { return d.Time() }))
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -13,198 +13,54 @@
 	"stoatweir/internal/settings"
 )
 
-// Host is the other side of the wire: it hands events to a program that decides, and reads its actions. It speaks for
-// whoever plays a day; the clock of the wire is the day's.
+// Host is the simulator's side of the protocol: it sends batches of events to a program that decides, and reads the actions
+// of its replies. The clock of the batches is the time of the run, from 0.
 type Host struct {
-	out     io.Writer
-	in      *bufio.Reader
-	body    []byte
-	records uint32
+	out    io.Writer
+	in     *bufio.Reader
+	events eventWriter
 }
 
-// NewHost speaks over a program's standard input and output.
+// NewHost returns a Host that writes to a program's standard input, out, and reads its standard output, in.
 func NewHost(out io.Writer, in io.Reader) *Host {
-	return &Host{out: out, in: bufio.NewReaderSize(in, 1<<16)}
+	return &Host{out: out, in: bufio.NewReaderSize(in, bufferSize), events: newEventWriter()}
 }
 
-func (h *Host) record(code uint8, scheduler uint32) {
-	if h.body == nil {
-		h.body = make([]byte, 16)
-	}
-	h.records++
-	h.body = append(h.body, code)
-	h.u32(scheduler)
+// StartInstance adds the start of an instance to the batch, with its settings as JSON text.
+func (h *Host) StartInstance(scheduler uint32, seed uint64, text []byte) {
+	h.events.begin(eventUp, scheduler)
+	h.events.u64(seed)
+	h.events.u32(uint32(len(text)))
+	h.events.body = append(h.events.body, text...)
 }
 
-func (h *Host) u8(v uint8)    { h.body = append(h.body, v) }
-func (h *Host) u16(v uint16)  { h.body = binary.LittleEndian.AppendUint16(h.body, v) }
-func (h *Host) u32(v uint32)  { h.body = binary.LittleEndian.AppendUint32(h.body, v) }
-func (h *Host) u64(v uint64)  { h.body = binary.LittleEndian.AppendUint64(h.body, v) }
-func (h *Host) f32(v float64) { h.u32(math.Float32bits(float32(v))) }
-func (h *Host) f64(v float64) { h.u64(math.Float64bits(v)) }
+// StopInstance adds the end of an instance to the batch.
+func (h *Host) StopInstance(scheduler uint32) { h.events.begin(eventPowerOff, scheduler) }
 
-func (h *Host) worker(id dispatch.WorkerID) {
-	addr := id.Addr().As4()
-	h.body = append(h.body, addr[:]...)
-	h.u16(id.Port())
+// AddEvent adds an event to the batch. startedAt is when the instance was started, from which its times count. The error
+// tells that the protocol does not have such an event.
+func (h *Host) AddEvent(scheduler uint32, startedAt time.Duration, report settings.Report, event dispatch.Event) error {
+	return h.events.event(scheduler, startedAt, report, event)
 }
 
-func (h *Host) load(load *dispatch.LoadReport, report settings.Report) {
-	if load == nil {
-		h.u8(0)
-		return
-	}
-	h.u8(uint8(len(report.Names)))
-	for i := range report.Names {
-		v := 0.0
-		if field := report.Field(load, i); field != nil {
-			v = *field
-		}
-		h.f32(v)
-	}
-}
-
-// Up starts an instance.
-func (h *Host) Up(scheduler uint32, seed uint64, text []byte) {
-	h.record(evUp, scheduler)
-	h.u64(seed)
-	h.u32(uint32(len(text)))
-	h.body = append(h.body, text...)
-}
-
-// PowerOff ends one.
-func (h *Host) PowerOff(scheduler uint32) { h.record(evPowerOff, scheduler) }
-
-// Event hands one event over; base is when the instance was started, which is where its times count from.
-func (h *Host) Event(scheduler uint32, base time.Duration, report settings.Report, event dispatch.Event) error {
-	switch e := event.(type) {
-	case dispatch.EndpointUpdate:
-		h.record(evDirectory, scheduler)
-		h.u64(0)
-		h.u8(map[dispatch.UpdateKind]uint8{dispatch.WatchFailed: 0, dispatch.FullUpdate: 1, dispatch.DeltaUpdate: 3}[e.Kind])
-		h.u32(uint32(len(e.Endpoints)))
-		for _, w := range e.Endpoints {
-			h.worker(w.Worker)
-			h.u8(uint8(w.Zone))
-			h.u8(uint8(w.Kind))
-			h.u16(uint16(w.Cell))
-			h.u8(map[dispatch.EndpointState]uint8{dispatch.Gone: 0, dispatch.Ready: 1, dispatch.Draining: 2}[w.State])
-			h.f32(1)
-			if at := (w.StartedAt + base).Seconds(); w.StartKnown {
-				if at == 0 {
-					at = 1e-9 // nought stands for long ago
-				}
-				h.f64(at)
-			} else {
-				h.f64(0)
-			}
-		}
-	case dispatch.Arrival:
-		h.record(evInbound, scheduler)
-		h.u64(uint64(e.Invocation))
-		h.u16(uint16(e.Operation))
-		h.u16(uint16(e.Tenant))
-		h.u64(0)
-		h.f64(e.Budget.Seconds())
-		h.f64(e.Hint)
-		h.f32(e.Slots)
-		h.f32(0)
-		flags := uint16(0)
-		if e.Hint > 0 {
-			flags = hintValid
-		}
-		h.u16(flags)
-	case dispatch.AttemptProgress:
-		if e.Accepted {
-			return nil // the wire has no word for it
-		}
-		h.record(evHeartbeat, scheduler)
-		h.u64(uint64(e.Invocation))
-		h.u8(uint8(e.Attempt))
-		h.worker(e.Worker)
-		kind := uint8(2)
-		if e.Started {
-			kind = 1
-		}
-		h.u8(kind)
-		h.f32(e.Done)
-	case dispatch.Outcome:
-		h.record(evCompleted, scheduler)
-		h.u64(uint64(e.Invocation))
-		h.u8(uint8(e.Attempt))
-		h.u16(status(e.Result))
-		h.f64(0)
-		h.u8(0)
-		closed := uint8(0)
-		if e.Answered {
-			closed = 1
-		}
-		h.u8(closed)
-		h.worker(e.Worker)
-		h.load(e.Load, report)
-	case dispatch.ClientDisconnected:
-		h.record(evWithdrawn, scheduler)
-		h.u64(uint64(e.Invocation))
-	case dispatch.HealthCheckResult:
-		h.record(evHealth, scheduler)
-		h.worker(e.Worker)
-		h.u16(status(e.Result))
-		h.f64(e.Latency.Seconds())
-		h.load(e.Load, report)
-	case dispatch.TimerFired:
-		h.record(evTickDue, scheduler)
-		h.u64(0)
-	default:
-		return fmt.Errorf("no word on the wire for %T", event)
-	}
-	return nil
-}
-
-// status is a result's word; what the wire has none for is told as the nearest that promises less.
-func status(r dispatch.Result) uint16 {
-	switch r {
-	case dispatch.BadRequest:
-		r = dispatch.Failed
-	case dispatch.ReusedConnectionBroken:
-		r = dispatch.ConnectionBroken
-	}
-	for code, result := range results {
-		if result == r {
-			return code
-		}
-	}
-	return 0
-}
-
-// Flush sends the batch and gives each action of the reply to do.
-func (h *Host) Flush(now time.Duration, base func(scheduler uint32) time.Duration, do func(scheduler uint32, a dispatch.Action)) error {
-	if h.body == nil {
-		h.body = make([]byte, 16)
-	}
-	binary.LittleEndian.PutUint32(h.body, uint32(len(h.body)-4))
-	binary.LittleEndian.PutUint32(h.body[4:], h.records)
-	binary.LittleEndian.PutUint64(h.body[8:], math.Float64bits(now.Seconds()))
-	_, err := h.out.Write(h.body)
-	if h.body, h.records = h.body[:16], 0; err != nil {
+// Exchange sends the batch, reads the reply and calls do for each of its actions. startedAt tells when an instance was
+// started.
+func (h *Host) Exchange(
+	now time.Duration, startedAt func(scheduler uint32) time.Duration, do func(scheduler uint32, a dispatch.Action),
+) error {
+	if err := h.send(now); err != nil {
 		return err
 	}
-	var head [8]byte
-	if _, err := io.ReadFull(h.in, head[:]); err != nil {
-		return fmt.Errorf("the program has ended in the midst of the day: %w", err)
-	}
-	size := binary.LittleEndian.Uint32(head[:])
-	if size < 4 || size > maxFrame {
-		return fmt.Errorf("a reply of %d bytes", size)
-	}
-	body := make([]byte, size-4)
-	if _, err := io.ReadFull(h.in, body); err != nil {
-		return fmt.Errorf("reply cut short: %w", err)
+	records, body, err := h.readReply()
+	if err != nil {
+		return err
 	}
 	c := cursor{rest: body}
-	for range binary.LittleEndian.Uint32(head[4:]) {
-		code, scheduler := c.u8(), c.u32()
-		action, err := c.action(code, base(scheduler))
-		if err = errors.Join(c.err, err); err != nil {
+	for range records {
+		code := actionCode(c.u8())
+		scheduler := c.u32()
+		action, err := c.action(code, startedAt(scheduler))
+		if err := errors.Join(c.err, err); err != nil {
 			return fmt.Errorf("action code %d: %w", code, err)
 		}
 		do(scheduler, action)
@@ -215,31 +71,28 @@
 	return nil
 }
 
-func (c *cursor) action(code uint8, base time.Duration) (dispatch.Action, error) {
-	switch code {
-	case actForward:
-		inv := dispatch.InvocationID(c.u64())
-		c.u64()
-		return dispatch.Forward{Invocation: inv, Worker: c.worker()}, nil
-	case actNotNow:
-		return dispatch.Throttle{Invocation: dispatch.InvocationID(c.u64()), RetryAfter: settings.Duration(c.f64())}, nil
-	case actDropRequest:
-		return dispatch.Fail{Invocation: dispatch.InvocationID(c.u64())}, nil
-	case actCallOff:
-		return dispatch.Cancel{Invocation: dispatch.InvocationID(c.u64()), Attempt: int(c.u8())}, nil
-	case actAfter:
-		at := settings.Duration(c.f64()) - base
-		c.u64()
-		return dispatch.SetTimer{At: at}, nil
-	case actHealthCheck:
-		return dispatch.HealthCheck{Worker: c.worker()}, nil
-	case actJournalLine:
-		return dispatch.Log{Text: string(c.take(int(c.u16())))}, nil
-	case actBroken:
-		return nil, fmt.Errorf("the program says: %s", c.take(int(c.u16())))
-	case actFollow:
-		c.u8()
-		return dispatch.WatchEndpoints{}, nil
+// send writes the batch, and empties it also when that fails.
+func (h *Host) send(now time.Duration) error {
+	frame := h.events.frame()
+	binary.LittleEndian.PutUint64(frame[clockOffset:], math.Float64bits(now.Seconds()))
+	_, err := h.out.Write(frame)
+	h.events.reset()
+	return err
+}
+
+// readReply reads a reply and returns the number of its records and the records, still packed.
+func (h *Host) readReply() (records uint32, body []byte, err error) {
+	var header [replyHeaderSize]byte
+	if _, err := io.ReadFull(h.in, header[:]); err != nil {
+		return 0, nil, fmt.Errorf("the program exited during the run: %w", err)
+	}
+	size := binary.LittleEndian.Uint32(header[:])
+	if size < replyHeaderSize-lengthSize || size > maxFrame {
+		return 0, nil, fmt.Errorf("a reply of %d bytes", size)
+	}
+	body = make([]byte, size-(replyHeaderSize-lengthSize))
+	if _, err := io.ReadFull(h.in, body); err != nil {
+		return 0, nil, fmt.Errorf("reply cut short: %w", err)
 	}
-	return nil, errors.New("unknown")
+	return binary.LittleEndian.Uint32(header[lengthSize:]), body, nil
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/records_test.go
@@ -22,16 +22,17 @@
 	return b
 }
 
-// read prints the events of a frame, as the decisions get them.
-func read(frame string) {
-	batch, err := ReadBatch(bytes.NewReader(unhex(frame)))
+// printEvents prints the events of a frame as the decisions get them.
+func printEvents(frame string) {
+	b, err := readBatch(bytes.NewReader(unhex(frame)))
 	if err != nil {
 		fmt.Println("error:", err)
 		return
 	}
-	dialect := Dialect{Base: Base(batch.Clock), Report: settings.Report{Meanings: []string{"free slots", "waiting"}}}
-	for records := Open(batch); ; {
-		scheduler, event, more, err := records.Next(func(uint32) Dialect { return dialect })
+	d := dialect{epoch: epoch(b.clock), report: settings.Report{Meanings: []string{"free slots", "waiting"}}}
+	reader := newEventReader(b)
+	for {
+		r, more, err := reader.next(func(uint32) dialect { return d })
 		if err != nil {
 			fmt.Println("error:", err)
 			return
@@ -39,28 +40,28 @@
 		if !more {
 			return
 		}
-		if a, is := event.(dispatch.HealthCheckResult); is && a.Load != nil {
-			fmt.Printf("%d load %+v\n", scheduler, *a.Load)
-			a.Load = nil
-			event = a
+		if result, is := r.event.(dispatch.HealthCheckResult); is && result.Load != nil {
+			fmt.Printf("%d load %+v\n", r.scheduler, *result.Load)
+			result.Load = nil
+			r.event = result
 		}
-		fmt.Printf("%d %T%+v\n", scheduler, event, event)
+		fmt.Printf("%d %T%+v\n", r.scheduler, r.event, r.event)
 	}
 }
 
-// The worked examples of the wire note, byte for byte.
+// The worked examples of the protocol note, byte for byte.
 func Example_events() {
-	read("0c000000 00000000 508d976e12d32040")
-	read(`59000000 03000000 508d976e12d32040
+	printEvents("0c000000 00000000 508d976e12d32040")
+	printEvents(`59000000 03000000 508d976e12d32040
 		03 03000000 c4913a5dfc7e0400 0000 0000 640ad2557c3bf091 b81e85eb51b8ce3f fa7e6abc7493883f 00000040 00000000 0100
 		07 03000000 4d00000000000000
 		06 05000000 192b6f0e4f080400`)
-	read(`4c000000 01000000 508d976e12d32040
+	printEvents(`4c000000 01000000 508d976e12d32040
 		02 03000000 2900000000000000 01 02000000
 		0a124a07 8b13 00 00 0000 01 0000803f 0000000000000000
 		0a9011f2 b413 01 00 0000 01 0000c03f 6666666666661840`)
-	read("2d000000 01000000 508d976e12d32040 05 03000000 c4913a5dfc7e0400 00 6400 8b6ce7fba9f1923f 00 01 0a124a07 8b13 00")
-	read("2a000000 01000000 0000000000000000 08 01000000 0a124a07 8b13 6400 fca9f1d24d62503f 02 00004040 00008040")
+	printEvents("2d000000 01000000 508d976e12d32040 05 03000000 c4913a5dfc7e0400 00 6400 8b6ce7fba9f1923f 00 01 0a124a07 8b13 00")
+	printEvents("2a000000 01000000 0000000000000000 08 01000000 0a124a07 8b13 6400 fca9f1d24d62503f 02 00004040 00008040")
 	// Output:
 	// 3 dispatch.Arrival{Invocation:1265522267820484 Operation:0 Tenant:0 Budget:240ms Hint:0.012 Slots:2}
 	// 3 dispatch.TimerFired{}
@@ -72,14 +73,14 @@
 }
 
 func Example_actions() {
-	var r Reply
-	fmt.Println(hex.EncodeToString(r.Bytes()))
-	r.Reset()
+	r := newReply()
+	fmt.Println(hex.EncodeToString(r.frame()))
+	r.reset()
 	worker := netip.AddrPortFrom(netip.AddrFrom4([4]byte{0x0a, 0x12, 0x4a, 0x07}), 0x138b)
-	r.Action(3, 0, dispatch.Forward{Invocation: 0x47efc5d3a91c4, Worker: worker})
-	r.Action(3, 8, dispatch.SetTimer{At: 500 * time.Millisecond})
-	r.Action(3, 0, dispatch.Log{Text: "two workers known"})
-	b := r.Bytes()
+	r.action(3, 0, dispatch.Forward{Invocation: 0x47efc5d3a91c4, Worker: worker})
+	r.action(3, 8, dispatch.SetTimer{At: 500 * time.Millisecond})
+	r.action(3, 0, dispatch.Log{Text: "two workers known"})
+	b := r.frame()
 	for _, cut := range []int{8, 27, 21} {
 		fmt.Println(hex.EncodeToString(b[:cut]))
 		b = b[cut:]
@@ -93,18 +94,18 @@
 	// 0903000000110074776f20776f726b657273206b6e6f776e
 }
 
-// What can't be read gives one plain message and no guess.
+// What can't be read gives one plain error and no guess.
 func Example_malformed() {
-	read("0c00")
-	read("04000000 00000000")
-	read("ffffffff 00000000")
-	read("20000000 00000000 508d976e12d32040")
-	read("0c000000 01000000 508d976e12d32040")
-	read("11000000 01000000 508d976e12d32040 63 00000000")
-	read("12000000 00000000 508d976e12d32040 07 00000000 00")
-	read("15000000 01000000 508d976e12d32040 07 00000000 00000000")
-	read("1e000000 01000000 508d976e12d32040 02 00000000 0000000000000000 01 ffffff7f")
-	read("20000000 01000000 508d976e12d32040 01 00000000 0000000000000000 03000000 7b7d7d")
+	printEvents("0c00")
+	printEvents("04000000 00000000")
+	printEvents("ffffffff 00000000")
+	printEvents("20000000 00000000 508d976e12d32040")
+	printEvents("0c000000 01000000 508d976e12d32040")
+	printEvents("11000000 01000000 508d976e12d32040 63 00000000")
+	printEvents("12000000 00000000 508d976e12d32040 07 00000000 00")
+	printEvents("15000000 01000000 508d976e12d32040 07 00000000 00000000")
+	printEvents("1e000000 01000000 508d976e12d32040 02 00000000 0000000000000000 01 ffffff7f")
+	printEvents("20000000 01000000 508d976e12d32040 01 00000000 0000000000000000 03000000 7b7d7d")
 	// Output:
 	// error: frame cut short in its length field
 	// error: frame of 4 bytes is too short for its header
@@ -119,7 +120,7 @@
 }
 
 func TestEndOfInput(t *testing.T) {
-	if _, err := ReadBatch(strings.NewReader("")); err != io.EOF {
+	if _, err := readBatch(strings.NewReader("")); err != io.EOF {
 		t.Errorf("clean end of input: %v, want io.EOF", err)
 	}
 }
