--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -17,32 +17,32 @@
 // least of ours outstanding, or to the better of two random ones. It keeps the rules, and nothing else: it neither holds
 // nor ranks, probes or repeats what may have run.
 type Policy struct {
-	name    string
-	rng     *rand.Rand
-	dep     dispatch.Config
-	ready   []dispatch.WorkerID
-	out     map[dispatch.WorkerID]int
-	held    map[dispatch.InvocationID]*held
-	order   []*held // by deadline as they came
-	now     time.Duration
-	asked   time.Duration
-	follows bool
-	todo    []dispatch.Action
+	policy     string
+	rng        *rand.Rand
+	config     dispatch.Config
+	ready      []dispatch.WorkerID
+	inFlight   map[dispatch.WorkerID]int
+	requests   map[dispatch.InvocationID]*request
+	byDeadline []*request // by deadline as they came
+	now        time.Duration
+	watchedAt  time.Duration
+	watching   bool
+	actions    []dispatch.Action
 }
 
-type held struct {
-	inv    dispatch.InvocationID
-	op     int
-	due    time.Duration
-	sent   int
-	out    int
-	mayRun bool
-	over   bool
+type request struct {
+	id         dispatch.InvocationID
+	operation  int
+	deadline   time.Duration
+	attempts   int
+	inFlight   int
+	mayHaveRun bool
+	answered   bool
 }
 
 const (
-	margin   = 40 * time.Millisecond // before its client's time is over an invocation is given up
-	askAgain = time.Second
+	deadlineMargin     = 40 * time.Millisecond // before its client's time is over an invocation is given up
+	watchRetryInterval = time.Second
 )
 
 // New makes one.
@@ -50,71 +50,71 @@
 	if !slices.Contains(Names, name) {
 		return nil, fmt.Errorf("%q is none of %v", name, Names)
 	}
-	return &Policy{name: name, rng: rand.New(rand.NewPCG(seed, 1)), dep: dep, out: map[dispatch.WorkerID]int{},
-		held: map[dispatch.InvocationID]*held{}, asked: -time.Hour}, nil
+	return &Policy{policy: name, rng: rand.New(rand.NewPCG(seed, 1)), config: dep, inFlight: map[dispatch.WorkerID]int{},
+		requests: map[dispatch.InvocationID]*request{}, watchedAt: -time.Hour}, nil
 }
 
 // Handle takes the events of one moment.
 func (p *Policy) Handle(now time.Duration, events []dispatch.Event) []dispatch.Action {
-	p.now, p.todo = now, nil
+	p.now, p.actions = now, nil
 	for _, e := range events {
 		p.take(e)
 	}
-	if !p.follows && now >= p.asked+askAgain {
-		p.asked, p.follows = now, true
+	if !p.watching && now >= p.watchedAt+watchRetryInterval {
+		p.watchedAt, p.watching = now, true
 		p.do(dispatch.WatchEndpoints{})
 	}
-	for len(p.order) > 0 && (p.order[0].over || p.order[0].due <= now) {
-		if h := p.order[0]; !h.over {
+	for len(p.byDeadline) > 0 && (p.byDeadline[0].answered || p.byDeadline[0].deadline <= now) {
+		if h := p.byDeadline[0]; !h.answered {
 			p.giveUp(h)
 		}
-		p.order = p.order[1:]
+		p.byDeadline = p.byDeadline[1:]
 	}
-	next := now + askAgain
-	for _, h := range p.order {
-		if !h.over {
-			next = min(next, h.due)
+	next := now + watchRetryInterval
+	for _, h := range p.byDeadline {
+		if !h.answered {
+			next = min(next, h.deadline)
 		}
 	}
-	return append(p.todo, dispatch.SetTimer{At: next})
+	return append(p.actions, dispatch.SetTimer{At: next})
 }
 
-func (p *Policy) do(a dispatch.Action) { p.todo = append(p.todo, a) }
+func (p *Policy) do(a dispatch.Action) { p.actions = append(p.actions, a) }
 
 func (p *Policy) take(e dispatch.Event) {
 	switch e := e.(type) {
 	case dispatch.EndpointUpdate:
 		p.list(e)
 	case dispatch.Arrival:
-		h := &held{inv: e.Invocation, op: e.Operation, due: p.now + e.Budget - margin}
-		p.held[e.Invocation] = h
-		at, _ := slices.BinarySearchFunc(p.order, h, func(a, b *held) int { return int(a.due - b.due) })
-		p.order = slices.Insert(p.order, at, h)
+		h := &request{id: e.Invocation, operation: e.Operation, deadline: p.now + e.Budget - deadlineMargin}
+		p.requests[e.Invocation] = h
+		at, _ := slices.BinarySearchFunc(p.byDeadline, h, func(a, b *request) int { return int(a.deadline - b.deadline) })
+		p.byDeadline = slices.Insert(p.byDeadline, at, h)
 		p.send(h)
 	case dispatch.Outcome:
-		p.out[e.Worker]--
-		h := p.held[e.Invocation]
+		p.inFlight[e.Worker]--
+		h := p.requests[e.Invocation]
 		if h == nil {
 			return
 		}
-		h.out--
+		h.inFlight--
 		switch e.Result {
 		case dispatch.Succeeded:
 			p.drop(h)
 			return
 		case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent:
 		default:
-			h.mayRun = true
+			h.mayHaveRun = true
 		}
-		if h.over || e.Answered {
+		if h.answered || e.Answered {
 			p.drop(h)
 			return
 		}
-		if h.out == 0 {
+		if h.inFlight == 0 {
 			p.again(h)
 		}
 	case dispatch.ClientDisconnected:
-		if h := p.held[e.Invocation]; h != nil {
+		if h := p.requests[e.Invocation]; h != nil {
 			p.drop(h)
 		}
 	}
@@ -122,7 +122,7 @@
 
 func (p *Policy) list(l dispatch.EndpointUpdate) {
 	if l.Kind == dispatch.WatchFailed {
-		p.follows = false
+		p.watching = false
 		return
 	}
 	if l.Kind == dispatch.FullUpdate {
@@ -140,54 +140,54 @@
 }
 
 // again sends once more what may be sent once more.
-func (p *Policy) again(h *held) {
-	repeatable := !h.mayRun || p.dep.Operations[h.op].Effect == dispatch.Idempotent
-	if repeatable && h.sent < max(1, p.dep.Limits.MaxAttempts) && p.now < h.due {
+func (p *Policy) again(h *request) {
+	repeatable := !h.mayHaveRun || p.config.Operations[h.operation].Effect == dispatch.Idempotent
+	if repeatable && h.attempts < max(1, p.config.Limits.MaxAttempts) && p.now < h.deadline {
 		p.send(h)
 		return
 	}
 	p.giveUp(h)
 }
 
-func (p *Policy) giveUp(h *held) {
-	if h.mayRun || h.out > 0 {
-		p.do(dispatch.Fail{Invocation: h.inv})
+func (p *Policy) giveUp(h *request) {
+	if h.mayHaveRun || h.inFlight > 0 {
+		p.do(dispatch.Fail{Invocation: h.id})
 	} else {
-		p.do(dispatch.Throttle{Invocation: h.inv})
+		p.do(dispatch.Throttle{Invocation: h.id})
 	}
-	if h.over = true; h.out == 0 {
+	if h.answered = true; h.inFlight == 0 {
 		p.drop(h)
 	}
 }
 
-func (p *Policy) drop(h *held) {
-	if h.over = true; h.out <= 0 {
-		delete(p.held, h.inv)
+func (p *Policy) drop(h *request) {
+	if h.answered = true; h.inFlight <= 0 {
+		delete(p.requests, h.id)
 	}
 }
 
-func (p *Policy) send(h *held) {
+func (p *Policy) send(h *request) {
 	if len(p.ready) == 0 {
 		p.giveUp(h)
 		return
 	}
 	to := p.ready[p.rng.IntN(len(p.ready))]
-	switch p.name {
+	switch p.policy {
 	case "two":
-		if other := p.ready[p.rng.IntN(len(p.ready))]; p.out[other] < p.out[to] {
+		if other := p.ready[p.rng.IntN(len(p.ready))]; p.inFlight[other] < p.inFlight[to] {
 			to = other
 		}
 	case "least":
 		start := p.rng.IntN(len(p.ready))
 		to = p.ready[start]
 		for n := range p.ready {
-			if w := p.ready[(start+n)%len(p.ready)]; p.out[w] < p.out[to] {
+			if w := p.ready[(start+n)%len(p.ready)]; p.inFlight[w] < p.inFlight[to] {
 				to = w
 			}
 		}
 	}
-	p.out[to]++
-	h.sent++
-	h.out++
-	p.do(dispatch.Forward{Invocation: h.inv, Worker: to})
+	p.inFlight[to]++
+	h.attempts++
+	h.inFlight++
+	p.do(dispatch.Forward{Invocation: h.id, Worker: to})
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -83,18 +83,18 @@
 			break
 		}
 		time.Sleep(time.Until(start.Add(j.At)))
-		audit.Sent(j.At, time.Since(start))
+		audit.RequestSent(j.At, time.Since(start))
 		sender.Send(context.Background(), addr, &j, time.Second, time.Second*3)
 	}
-	l, void := audit.Verdict(s)
-	if void == "" || l.Most < 400 {
+	l, void := audit.Result(s)
+	if void == "" || l.Max < 400 {
 		t.Errorf("%+v %q", l, void)
 	}
 	sound := NewAudit()
 	for n := range time.Duration(100) {
-		sound.Sent(n*time.Millisecond, n*time.Millisecond+time.Millisecond)
+		sound.RequestSent(n*time.Millisecond, n*time.Millisecond+time.Millisecond)
 	}
-	if _, void := sound.Verdict(s); void != "" {
+	if _, void := sound.Result(s); void != "" {
 		t.Error(void)
 	}
 }
@@ -106,10 +106,10 @@
 			t.Errorf("%q", addr)
 		}
 	}
-	if err := Loopback("127.0.0.9:80"); err != nil {
+	if err := CheckLoopback("127.0.0.9:80"); err != nil {
 		t.Error(err)
 	}
-	if err := Loopback("[::1]:80"); err != nil {
+	if err := CheckLoopback("[::1]:80"); err != nil {
 		t.Error(err)
 	}
 }
@@ -125,7 +125,7 @@
 	s := day(t, "[clients]\nretries = 2\nbackoff = \"5ms\"\n")
 	s.Length = scenario.Span(200 * time.Millisecond)
 	r, err := Run(context.Background(), s, nil, addr)
-	if err != nil || r.All.Throttled != r.All.Offered || r.Costs.Tries != 3*r.All.Offered {
+	if err != nil || r.All.Throttled != r.All.Offered || r.Costs.Requests != 3*r.All.Offered {
 		t.Errorf("%+v %+v %v", r.All, r.Costs, err)
 	}
 	s.Length = scenario.Span(3 * time.Hour)
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -14,19 +14,19 @@
 
 // Bounds of one run of the load tool.
 const (
-	MostTries  = 5_000_000
-	MostOpen   = 10_000 // tries in hand at once; beyond that the run ends, as the target is far behind
-	MostLength = 2 * time.Hour
+	MaxRequests = 5_000_000
+	MaxOpen     = 10_000 // tries in hand at once; beyond that the run ends, as the target is far behind
+	MaxDuration = 2 * time.Hour
 )
 
 // Run sends the load of a scenario to a scheduler that is running, and tells what its clients saw. The workers are
 // whoever the scheduler knows: nothing but the load is taken from the scenario.
 func Run(ctx context.Context, s scenario.Scenario, source model.Source, addr string) (report.Report, error) {
-	if err := Loopback(addr); err != nil {
+	if err := CheckLoopback(addr); err != nil {
 		return report.Report{}, err
 	}
-	if s.Length.D() > MostLength {
-		return report.Report{}, fmt.Errorf("length: %v is more than %v", s.Length.D(), MostLength)
+	if s.Length.D() > MaxDuration {
+		return report.Report{}, fmt.Errorf("length: %v is more than %v", s.Length.D(), MaxDuration)
 	}
 	w := model.New(s)
 	if source == nil {
@@ -37,25 +37,25 @@
 	var mu sync.Mutex // of the world, from here on
 	var wait sync.WaitGroup
 	open, sent := 0, 0
-	var try func(j model.Job)
-	try = func(j model.Job) {
+	var try func(j model.Request)
+	try = func(j model.Request) {
 		defer wait.Done()
 		mu.Lock()
-		w.Tally.Tries++
+		w.Statistics.Requests++
 		mu.Unlock()
-		audit.Sent(j.At, time.Since(start))
+		audit.RequestSent(j.At, time.Since(start))
 		a := sender.Send(ctx, addr, &j, j.Deadline-time.Since(start), j.Deadline+s.Rules.AnswerSlack.D()-time.Since(start))
 		now := time.Since(start)
 		mu.Lock()
 		defer mu.Unlock()
-		if next, again := w.Clients.Again(now, &j, a.How, a.Advice); again && ctx.Err() == nil && sent < MostTries {
+		if next, again := w.Clients.Retry(now, &j, a.Reply, a.RetryAfter); again && ctx.Err() == nil && sent < MaxRequests {
 			sent++
 			wait.Add(1)
 			time.AfterFunc(next.At-now, func() { try(next) })
 			return
 		}
 		open--
-		w.Tally.Ended(now, &j, a.How)
+		w.Statistics.InvocationEnded(now, &j, a.Reply)
 	}
 	var err error
 	for err == nil {
@@ -72,12 +72,12 @@
 			continue
 		}
 		mu.Lock()
-		w.Tally.Offered(&j)
+		w.Statistics.InvocationOffered(&j)
 		open++
 		sent++
-		if open > MostOpen {
+		if open > MaxOpen {
 			err = fmt.Errorf("%d are in hand at once: the target is far behind", open)
-		} else if sent > MostTries {
+		} else if sent > MaxRequests {
 			err = errors.New("more tries than one run may make")
 		}
 		mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 	wait.Wait()
 	r := report.Of(w).Name(s.Name, "load", addr, s.Seed, 1, 0, s.Length.D())
-	l, void := audit.Verdict(s)
+	l, void := audit.Result(s)
 	r.Lateness, r.Void = &l, void
 	return r, err
 }
--- a/internal/lab/loopback/hosted_test.go
+++ b/internal/lab/loopback/hosted_test.go
@@ -29,14 +29,14 @@
 		}
 		var b bytes.Buffer
 		r.Text(&b)
-		if a := r.All; r.Broken() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Missed != a.Offered {
+		if a := r.All; r.Broken() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered {
 			t.Error(b.String())
 		}
 		return r, b.String()
 	}
 	alone, _ := play("hosted-alone.toml")
 	flood, text := play("hosted-flood.toml")
-	share := func(l report.Line) float64 { return float64(l.InTime) / float64(max(1, l.Offered)) }
+	share := func(l report.Service) float64 { return float64(l.InTime) / float64(max(1, l.Offered)) }
 	calm, solo := share(flood.Tenants[0]), share(alone.Tenants[0])
 	t.Logf("alone %.3f of %d, beside the flood %.3f of %d, the flood %.3f of %d", solo, alone.Tenants[0].Offered, calm, flood.Tenants[0].Offered,
 		share(flood.Tenants[1]), flood.Tenants[1].Offered)
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -30,7 +30,7 @@
 	s       scenario.Scenario
 	program string
 	dir     string
-	world   *model.World
+	world   *model.Model
 	source  model.Source
 	sender  *load.Sender
 	audit   *load.Audit
@@ -40,7 +40,7 @@
 	cancel  context.CancelFunc
 
 	todo     chan func(now time.Duration)
-	plans    eventqueue.Agenda[func(now time.Duration)]
+	plans    eventqueue.Queue[func(now time.Duration)]
 	open     int // invocations that have not ended
 	drained  bool
 	last     time.Duration
@@ -53,7 +53,7 @@
 
 // handed is a try that a scheduler has, and what has reached workers of it.
 type handed struct {
-	job       *model.Job
+	job       *model.Request
 	scheduler int
 	attempts  []*model.Attempt
 	results   map[string]bool // that workers made
@@ -83,7 +83,7 @@
 		d.source = d.world.Clients
 	}
 	defer d.close()
-	if s.Hosted.Room > 0 {
+	if s.Hosted.Capacity > 0 {
 		if err := d.host(); err != nil {
 			return r, err
 		}
@@ -125,7 +125,7 @@
 		return r, err
 	}
 	r = report.Of(d.world).Name(s.Name, "loopback", program, s.Seed, s.Schedulers.Count, workers, s.Length.D())
-	l, void := d.audit.Verdict(s)
+	l, void := d.audit.Result(s)
 	r.Lateness, r.Void = &l, void
 	return r, errors.Join(d.failures...)
 }
@@ -133,20 +133,20 @@
 // hook has the model call us from here on.
 func (d *Day) hook() {
 	w := d.world
-	w.Fleet.Tell = d.tell
-	w.Fleet.Stirred = d.stirred
-	w.List.Changed = func(time.Duration, int) {
+	w.Fleet.OnCallback = d.tell
+	w.Fleet.OnChange = d.stirred
+	w.Discovery.OnChange = func(time.Duration, int) {
 		for _, x := range d.nodes {
 			x.bring()
 		}
 	}
-	w.List.Died = func(time.Duration) {
+	w.Discovery.OnOutage = func(time.Duration) {
 		for _, x := range d.nodes {
 			x.dropWatch()
 		}
 	}
-	w.Kill = func(now time.Duration, n int) { d.nodes[n].kill(now) }
-	w.Revive = func(_ time.Duration, n int) {
+	w.OnSchedulerKilled = func(now time.Duration, n int) { d.nodes[n].kill(now) }
+	w.OnSchedulerRestarted = func(_ time.Duration, n int) {
 		if err := d.nodes[n].run(); err != nil {
 			d.failures = append(d.failures, err)
 		}
@@ -174,7 +174,7 @@
 	}
 }
 
-func (d *Day) at(when time.Duration, do func(now time.Duration)) { d.plans.Put(when, do) }
+func (d *Day) at(when time.Duration, do func(now time.Duration)) { d.plans.Push(when, do) }
 
 // play is the loop.
 func (d *Day) play() error {
@@ -183,15 +183,15 @@
 	defer timer.Stop()
 	for {
 		now := d.now()
-		d.world.Now(now)
+		d.world.AdvanceTo(now)
 		for d.plans.Due(now) {
 			d.plans.Pop()(now)
 		}
 		if d.drained && d.open == 0 || now > max(d.last, d.s.Length.D())+5*time.Second {
-			d.world.Judge.Close(now + time.Hour)
+			d.world.Rules.Close(now + time.Hour)
 			return nil
 		}
-		next := min(d.world.Next(), d.plans.Next(model.Never), now+100*time.Millisecond)
+		next := min(d.world.NextTime(), d.plans.NextTime(model.Never), now+100*time.Millisecond)
 		timer.Reset(max(0, next-d.now()))
 		select {
 		case do := <-d.todo:
@@ -211,7 +211,7 @@
 		return
 	}
 	d.at(j.At, func(now time.Duration) {
-		d.world.Tally.Offered(&j)
+		d.world.Statistics.InvocationOffered(&j)
 		d.open++
 		d.last = max(d.last, j.Deadline)
 		d.handIn(&j)
@@ -220,8 +220,8 @@
 }
 
 // front deals tries out among the schedulers of a zone that are not known to be gone.
-func (d *Day) front(now time.Duration, j *model.Job) *node {
-	n := d.world.Clients.Front(j, func(n int) bool { return !d.nodes[n].up && now >= d.nodes[n].noticed })
+func (d *Day) front(now time.Duration, j *model.Request) *node {
+	n := d.world.Clients.Route(j, func(n int) bool { return !d.nodes[n].up && now >= d.nodes[n].noticed })
 	if n < 0 {
 		return nil
 	}
@@ -229,25 +229,25 @@
 }
 
 // handIn sends a try in a goroutine of its own: nothing that it waits for may hold up the next one.
-func (d *Day) handIn(j *model.Job) {
+func (d *Day) handIn(j *model.Request) {
 	now := d.now()
-	d.world.Tally.Tries++
+	d.world.Statistics.Requests++
 	x := d.front(now, j)
 	if x == nil {
-		d.replied(now, j, load.Answer{How: model.NoneThere})
+		d.replied(now, j, load.Answer{Reply: model.NoScheduler})
 		return
 	}
 	h := &handed{job: j, scheduler: x.number, results: map[string]bool{}, end: j.Deadline + 10*time.Second}
 	d.jobs[j.ID] = h
-	d.world.Judge.Offered(now, x.number, j)
+	d.world.Rules.RequestReceived(now, x.number, j)
 	within := j.Deadline + time.Second - now
-	if j.Leaves > now {
-		within = min(within, j.Leaves-now)
-		d.at(j.Leaves, func(now time.Duration) { d.world.Judge.Left(now, j) })
+	if j.DisconnectAt > now {
+		within = min(within, j.DisconnectAt-now)
+		d.at(j.DisconnectAt, func(now time.Duration) { d.world.Rules.ClientDisconnected(now, j) })
 	}
-	d.at(j.Deadline+d.s.Rules.AnswerSlack.D(), func(now time.Duration) { d.replied(now, j, load.Answer{How: model.Unanswered}) })
+	d.at(j.Deadline+d.s.Rules.AnswerSlack.D(), func(now time.Duration) { d.replied(now, j, load.Answer{Reply: model.Unanswered}) })
 	d.at(h.end, func(time.Duration) { delete(d.jobs, j.ID) })
-	d.audit.Sent(j.At, now)
+	d.audit.RequestSent(j.At, now)
 	d.wait.Add(1)
 	go func() {
 		defer d.wait.Done()
@@ -258,39 +258,39 @@
 
 func (d *Day) answered(now time.Duration, x *node, h *handed, a load.Answer) {
 	j := h.job
-	switch a.How {
-	case model.NoneThere: // it was never taken
-		d.world.Judge.Left(now, j)
+	switch a.Reply {
+	case model.NoScheduler: // it was never taken
+		d.world.Rules.ClientDisconnected(now, j)
 	case model.Unanswered:
 	default:
-		d.world.Judge.Answered(now, x.number, j, a.How)
-		if a.How == model.Succeeded && !h.results[a.Body] {
-			d.world.Judge.Spoilt(now, x.number, j, a.Body)
+		d.world.Rules.RequestAnswered(now, x.number, j, a.Reply)
+		if a.Reply == model.Succeeded && !h.results[a.Body] {
+			d.world.Rules.ResultCorrupted(now, x.number, j, a.Body)
 		}
 	}
-	if a.How == model.Unanswered && j.Leaves > 0 && now >= j.Leaves {
-		a.How = model.Left
+	if a.Reply == model.Unanswered && j.DisconnectAt > 0 && now >= j.DisconnectAt {
+		a.Reply = model.Disconnected
 	}
 	d.replied(now, j, a)
 }
 
 // replied: a client has the end of a try, and may try again.
-func (d *Day) replied(now time.Duration, j *model.Job, a load.Answer) {
-	if !d.world.Clients.First(j) {
+func (d *Day) replied(now time.Duration, j *model.Request, a load.Answer) {
+	if !d.world.Clients.FirstReply(j) {
 		return
 	}
-	if next, again := d.world.Clients.Again(now, j, a.How, a.Advice); again {
+	if next, again := d.world.Clients.Retry(now, j, a.Reply, a.RetryAfter); again {
 		d.at(next.At, func(time.Duration) { d.handIn(&next) })
 		return
 	}
 	d.open--
-	d.world.Tally.Ended(now, j, a.How)
+	d.world.Statistics.InvocationEnded(now, j, a.Reply)
 }
 
 // tell calls a scheduler back.
-func (d *Day) tell(now time.Duration, a *model.Attempt, sign model.Sign, share float64) {
+func (d *Day) tell(now time.Duration, a *model.Attempt, sign model.Callback, share float64) {
 	uid := d.world.Fleet.Machines[a.Machine].UID
-	h := d.jobs[a.Job.ID]
+	h := d.jobs[a.Request.ID]
 	if h == nil {
 		return
 	}
@@ -302,7 +302,7 @@
 		news["state"] = "started"
 	case model.Progress:
 		news["state"], news["share"] = "running", share
-	case model.Done:
+	case model.Completed:
 		result := fmt.Sprintf("made %s at %s", id, uid)
 		h.results[result] = true
 		news["state"], news["result"], end = "done", result, "done"
@@ -319,7 +319,7 @@
 		defer d.wait.Done()
 		if x.news(news) && end != "" {
 			d.put(func(now time.Duration) {
-				d.world.Judge.Ended(now, a.Job, a.Forward, sign == model.Returned, end)
+				d.world.Rules.AttemptEnded(now, a.Request, a.Number, sign == model.Returned, end)
 			})
 		}
 	}()
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -95,7 +95,7 @@
 	}
 	var text bytes.Buffer
 	r.Text(&text)
-	if a := r.All; r.Broken() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Missed != a.Offered || a.InTime < a.Offered/2 {
+	if a := r.All; r.Broken() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered || a.InTime < a.Offered/2 {
 		t.Error(text.String())
 	}
 	nothingLeft(t, program, tmp)
@@ -174,7 +174,7 @@
 // Two days at once do not take each other's ports: a scheduler's is free while it is away.
 func TestPortsStayOurs(t *testing.T) {
 	a, b := host(schedulers), host(others)
-	if a == b || load.Loopback(a+":1") != nil || load.Loopback(b+":1") != nil {
+	if a == b || load.CheckLoopback(a+":1") != nil || load.CheckLoopback(b+":1") != nil {
 		t.Error(a, b)
 	}
 }
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -33,7 +33,7 @@
 	noticed time.Duration
 	rev     int
 	watch   chan []byte // nil: none stands
-	known   []model.Entry
+	known   []model.Endpoint
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
@@ -69,7 +69,7 @@
 	x.discovery = l.Addr().String()
 	x.server = &http.Server{Handler: http.HandlerFunc(x.targets)}
 	go x.server.Serve(l)
-	x.known, x.rev = d.world.List.Whole(), d.world.List.Rev()
+	x.known, x.rev = d.world.Discovery.Snapshot(), d.world.Discovery.Version()
 	return x, nil
 }
 
@@ -79,8 +79,8 @@
 		"seed": fmt.Sprintf("%016x", uint64(x.d.s.Seed)<<16|uint64(x.number)), "limits": map[string]any{"memory_mb": limitMemory, "sockets": limitSockets},
 		"known":    json.RawMessage(x.d.list(x.known, x.rev, true)),
 		"settings": json.RawMessage(x.d.s.Settings(x.number))}
-	if x.d.s.Hosted.Room > 0 {
-		config["tenants"] = map[string]any{"dir": x.d.tenants(), "room": x.d.s.Hosted.Room}
+	if x.d.s.Hosted.Capacity > 0 {
+		config["tenants"] = map[string]any{"dir": x.d.tenants(), "room": x.d.s.Hosted.Capacity}
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -128,7 +128,7 @@
 
 // kill ends the process at once.
 func (x *node) kill(now time.Duration) {
-	x.up, x.noticed = false, now+x.d.s.Schedulers.Notice.D()
+	x.up, x.noticed = false, now+x.d.s.Schedulers.FailureDetection.D()
 	x.dropWatch()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -186,7 +186,7 @@
 	}
 	got := make(chan *answer, 1)
 	x.d.put(func(now time.Duration) {
-		at, answered := x.d.world.List.Call(now)
+		at, answered := x.d.world.Discovery.Query(now)
 		a := &answer{wait: at - now}
 		if answered {
 			a.lines = make(chan []byte, 64)
@@ -210,16 +210,16 @@
 	}
 	first := make(chan []byte, 1)
 	x.d.put(func(time.Duration) {
-		if x.d.world.List.Dead() {
+		if x.d.world.Discovery.Down() {
 			first <- nil
 			return
 		}
 		if index == 0 {
-			x.rev = x.d.world.List.Rev()
-			first <- x.tell(x.d.world.List.Whole(), true)
+			x.rev = x.d.world.Discovery.Version()
+			first <- x.tell(x.d.world.Discovery.Snapshot(), true)
 		} else {
-			entries := x.d.world.List.Since(index)
-			x.rev = x.d.world.List.Rev()
+			entries := x.d.world.Discovery.Since(index)
+			x.rev = x.d.world.Discovery.Version()
 			first <- x.tell(entries, false)
 		}
 		x.dropWatch()
@@ -266,11 +266,11 @@
 }
 
 // tell writes entries for this scheduler, which counts as told with them.
-func (x *node) tell(entries []model.Entry, whole bool) []byte {
+func (x *node) tell(entries []model.Endpoint, whole bool) []byte {
 	for _, e := range entries {
-		x.d.world.Judge.Told(x.d.now(), x.number, e.Machine, e.Standing)
+		x.d.world.Rules.EndpointReceived(x.d.now(), x.number, e.Machine, e.State)
 	}
-	x.known = x.d.world.List.Whole()
+	x.known = x.d.world.Discovery.Snapshot()
 	return x.d.list(entries, x.rev, whole)
 }
 
@@ -279,8 +279,8 @@
 	if x.watch == nil {
 		return
 	}
-	entries := x.d.world.List.Since(x.rev)
-	x.rev = x.d.world.List.Rev()
+	entries := x.d.world.Discovery.Since(x.rev)
+	x.rev = x.d.world.Discovery.Version()
 	select {
 	case x.watch <- x.tell(entries, false):
 	default: // it takes nothing: it has to ask anew
@@ -295,10 +295,10 @@
 	}
 }
 
-var states = map[model.Standing]string{model.Gone: "Gone", model.Ready: "Ready", model.Draining: "Terminating"}
+var states = map[model.MachineState]string{model.Gone: "Gone", model.Ready: "Ready", model.Draining: "Terminating"}
 
 // list writes entries as the list does.
-func (d *Day) list(entries []model.Entry, rev int, whole bool) []byte {
+func (d *Day) list(entries []model.Endpoint, rev int, whole bool) []byte {
 	targets := []map[string]any{}
 	for _, e := range entries {
 		m := d.world.Fleet.Machines[e.Machine]
@@ -307,7 +307,7 @@
 			boot = d.epoch + e.StartedAt.Milliseconds()
 		}
 		targets = append(targets, map[string]any{"uid": m.UID, "endpoint": d.workers[e.Machine].addr, "az": d.s.Zones[m.Zone],
-			"model": d.s.Workers[m.Kind].Name, "pod_group": m.Zone, "state": states[e.Standing], "capacity_hint": 1.0, "boot_ms": boot})
+			"model": d.s.Workers[m.Kind].Name, "pod_group": m.Zone, "state": states[e.State], "capacity_hint": 1.0, "boot_ms": boot})
 	}
 	text, err := json.Marshal(map[string]any{"rev": rev, "all": whole, "targets": targets})
 	if err != nil {
--- a/internal/lab/loopback/worker.go
+++ b/internal/lab/loopback/worker.go
@@ -62,19 +62,19 @@
 		if err != nil {
 			return nil, err
 		}
-		got := make(chan model.Verdict, 1)
+		got := make(chan model.Response, 1)
 		d := g.w.d
 		d.put(func(now time.Duration) {
-			d.world.Tally.Connections++
-			d.world.Now(now)
+			d.world.Statistics.Connections++
+			d.world.AdvanceTo(now)
 			got <- d.world.Fleet.Connect(g.w.machine)
 		})
-		v := model.Taken
+		v := model.Accepted
 		select {
 		case v = <-got:
 		case <-d.ctx.Done():
 		}
-		if v != model.NoConnection {
+		if v != model.ConnectionRefused {
 			return c, nil
 		}
 		if tcp, is := c.(*net.TCPConn); is {
@@ -109,7 +109,7 @@
 	w := d.workers[machine]
 	switch {
 	case m.Silent():
-	case m.Listens():
+	case m.Reachable():
 		w.close()
 		if err := w.open(); err != nil {
 			d.failures = append(d.failures, err)
@@ -155,21 +155,21 @@
 func (w *worker) probe(out http.ResponseWriter, in *http.Request) {
 	type answer struct {
 		report  *model.Report
-		verdict model.Verdict
+		verdict model.Response
 	}
 	got := make(chan answer, 1)
 	w.d.put(func(now time.Duration) {
-		w.d.world.Tally.Probes++
-		w.d.world.Now(now)
-		r, v := w.d.world.Fleet.Probe(now, w.machine)
+		w.d.world.Statistics.HealthChecks++
+		w.d.world.AdvanceTo(now)
+		r, v := w.d.world.Fleet.HealthCheck(now, w.machine)
 		got <- answer{r, v}
 	})
 	select {
 	case a := <-got:
 		switch {
-		case a.verdict == model.NoWord:
+		case a.verdict == model.NoResponse:
 			w.quiet(in)
-		case a.verdict == model.NoConnection:
+		case a.verdict == model.ConnectionRefused:
 			reset(out)
 		case a.report != nil && in.URL.Path == "/-/load":
 			io.WriteString(out, w.d.report(a.report))
@@ -182,7 +182,7 @@
 func (d *Day) report(r *model.Report) string {
 	var fields []string
 	for i, name := range d.s.ReportNames() {
-		v := map[string]float64{"free_slots": r.FreeSlots, "waiting": r.Waiting, "active": r.Active, "service_ms": r.ServiceMs}[d.s.Reports.Fields[i]]
+		v := map[string]float64{"free_slots": r.FreeSlots, "waiting": r.Waiting, "active": r.Active, "service_ms": r.ServiceMs}[d.s.LoadReports.Fields[i]]
 		fields = append(fields, fmt.Sprintf("%s=%g", name, v))
 	}
 	return "TEXT " + strings.Join(fields, ", ")
@@ -195,7 +195,7 @@
 		return
 	}
 	w.d.put(func(now time.Duration) {
-		w.d.world.Now(now)
+		w.d.world.AdvanceTo(now)
 		h := w.d.jobs[id]
 		if h == nil {
 			return
@@ -203,7 +203,7 @@
 		for _, a := range h.attempts {
 			if a.Machine == w.machine {
 				// The scheduler has given it up, whether or not the machine hears of it.
-				w.d.world.Judge.Ended(now, a.Job, a.Forward, false, "called off")
+				w.d.world.Rules.AttemptEnded(now, a.Request, a.Number, false, "called off")
 				w.d.world.Fleet.Cancel(now, a)
 			}
 		}
@@ -227,27 +227,27 @@
 	}
 	type taken struct {
 		a       *model.Attempt
-		verdict model.Verdict
+		verdict model.Response
 	}
 	got := make(chan *taken, 1)
 	w.d.put(func(now time.Duration) {
-		w.d.world.Now(now)
+		w.d.world.AdvanceTo(now)
 		h := w.d.jobs[id]
 		if h == nil {
 			got <- nil
 			return
 		}
-		a := &model.Attempt{Scheduler: h.scheduler, Job: h.job, Forward: len(h.attempts), Machine: w.machine}
+		a := &model.Attempt{Scheduler: h.scheduler, Request: h.job, Number: len(h.attempts), Machine: w.machine}
 		h.attempts, h.wire = append(h.attempts, a), in.Header.Get("X-Call-Id")
-		w.d.world.Judge.Sent(now, h.scheduler, h.job, a.Forward, w.machine)
-		v := w.d.world.Fleet.Take(now, a)
+		w.d.world.Rules.AttemptSent(now, h.scheduler, h.job, a.Number, w.machine)
+		v := w.d.world.Fleet.Submit(now, a)
 		switch v {
-		case model.TurnedAway, model.NoConnection:
-			w.d.world.Judge.Ended(now, a.Job, a.Forward, true, "turned away")
-		case model.Fails:
-			w.d.world.Judge.Ended(now, a.Job, a.Forward, false, "failed at once")
-		case model.Breaks:
-			w.d.world.Judge.Ended(now, a.Job, a.Forward, false, "the connection broke")
+		case model.Rejected, model.ConnectionRefused:
+			w.d.world.Rules.AttemptEnded(now, a.Request, a.Number, true, "turned away")
+		case model.FailedAtOnce:
+			w.d.world.Rules.AttemptEnded(now, a.Request, a.Number, false, "failed at once")
+		case model.ConnectionReset:
+			w.d.world.Rules.AttemptEnded(now, a.Request, a.Number, false, "the connection broke")
 		}
 		got <- &taken{a, v}
 	})
@@ -262,20 +262,20 @@
 		return
 	}
 	switch t.verdict {
-	case model.Taken:
+	case model.Accepted:
 		out.WriteHeader(202)
-	case model.TurnedAway, model.NoConnection:
+	case model.Rejected, model.ConnectionRefused:
 		out.Header().Set("X-Rejected", "1")
 		out.WriteHeader(503)
-	case model.Fails:
+	case model.FailedAtOnce:
 		out.WriteHeader(500)
-	case model.Breaks:
+	case model.ConnectionReset:
 		reset(out)
-	case model.NoWord:
+	case model.NoResponse:
 		w.quiet(in)
 		// Whoever waited for a word has given it up.
 		w.d.put(func(now time.Duration) {
-			w.d.world.Judge.Ended(now, t.a.Job, t.a.Forward, false, "given up before a word")
+			w.d.world.Rules.AttemptEnded(now, t.a.Request, t.a.Number, false, "given up before a word")
 		})
 	}
 }
--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -8,105 +8,105 @@
 )
 
 // Entry is what the list says of a machine.
-type Entry struct {
+type Endpoint struct {
 	Machine   int
-	Standing  Standing
+	State     MachineState
 	StartedAt time.Duration
 }
 
 // List is the service that tells schedulers of workers. It learns of changes late, and has room for so many calls.
-type List struct {
+type Discovery struct {
 	// Changed is called with each entry that changes, Died when all watches end.
-	Changed func(now time.Duration, rev int)
-	Died    func(now time.Duration)
-	Calls   int
-
-	s       scenario.Scenario
-	fleet   *Fleet
-	log     []Entry // by version: the entry that it brought
-	entries []Entry // by machine, as they stand
-	listed  []bool
-	coming  eventqueue.Agenda[Entry] // changes on their way
-	late    time.Duration
-	slower  float64
-	dead    int
-	busy    time.Duration // until when all calls taken so far are through
-	judge   *Judge
+	OnChange func(now time.Duration, rev int)
+	OnOutage func(now time.Duration)
+	Queries  int
+
+	scenario   scenario.Scenario
+	cluster    *Cluster
+	log        []Endpoint // by version: the entry that it brought
+	endpoints  []Endpoint // by machine, as they stand
+	listed     []bool
+	pending    eventqueue.Queue[Endpoint] // changes on their way
+	extraDelay time.Duration
+	slowdown   float64
+	downFaults int
+	busyUntil  time.Duration // until when all calls taken so far are through
+	rules      *RuleChecker
 }
 
-func newList(s scenario.Scenario, f *Fleet) *List {
-	l := &List{s: s, fleet: f, slower: 1, judge: f.judge, Changed: func(time.Duration, int) {}, Died: func(time.Duration) {}}
+func newDiscovery(s scenario.Scenario, f *Cluster) *Discovery {
+	l := &Discovery{scenario: s, cluster: f, slowdown: 1, rules: f.rules, OnChange: func(time.Duration, int) {}, OnOutage: func(time.Duration) {}}
 	for _, m := range f.Machines {
-		l.enter(Entry{m.index, Ready, m.StartedAt})
+		l.apply(Endpoint{m.index, Ready, m.StartedAt})
 	}
 	return l
 }
 
-func (l *List) enter(e Entry) {
-	for len(l.entries) <= e.Machine {
-		l.entries, l.listed = append(l.entries, Entry{}), append(l.listed, false)
+func (d *Discovery) apply(e Endpoint) {
+	for len(d.endpoints) <= e.Machine {
+		d.endpoints, d.listed = append(d.endpoints, Endpoint{}), append(d.listed, false)
 	}
-	l.entries[e.Machine], l.listed[e.Machine] = e, true
-	l.log = append(l.log, e)
+	d.endpoints[e.Machine], d.listed[e.Machine] = e, true
+	d.log = append(d.log, e)
 }
 
 // change is told by the fleet the moment something changes.
-func (l *List) change(now time.Duration, machine int, silently bool) {
-	m := l.fleet.Machines[machine]
-	e := Entry{machine, m.Standing, m.StartedAt}
-	after := l.s.List.Notice.D()
-	if m.down || m.silent > 0 {
-		e.Standing = Gone
+func (d *Discovery) machineChanged(now time.Duration, machine int, silently bool) {
+	m := d.cluster.Machines[machine]
+	e := Endpoint{machine, m.State, m.StartedAt}
+	after := d.scenario.Discovery.ChangeDelay.D()
+	if m.down || m.silentFaults > 0 {
+		e.State = Gone
 	}
 	if silently {
-		after = l.s.List.SilentNotice.D()
+		after = d.scenario.Discovery.SilentChangeDelay.D()
 	}
-	l.coming.Put(now+after+l.late, e)
+	d.pending.Push(now+after+d.extraDelay, e)
 }
 
-func (l *List) next() time.Duration { return l.coming.Next(Never) }
+func (d *Discovery) nextTime() time.Duration { return d.pending.NextTime(Never) }
 
-func (l *List) step(now time.Duration) {
-	c := l.coming.Pop()
+func (d *Discovery) step(now time.Duration) {
+	c := d.pending.Pop()
 	// What has changed again meanwhile is on its way too, but a machine that was back before anybody noticed has never
 	// been away.
-	if m := l.fleet.Machines[c.Machine]; c.Standing == Gone && m.Standing != Gone && !m.down && m.silent == 0 {
+	if m := d.cluster.Machines[c.Machine]; c.State == Gone && m.State != Gone && !m.down && m.silentFaults == 0 {
 		return
 	}
-	if c.Machine < len(l.entries) && l.listed[c.Machine] && l.entries[c.Machine] == c {
+	if c.Machine < len(d.endpoints) && d.listed[c.Machine] && d.endpoints[c.Machine] == c {
 		return
 	}
-	l.enter(c)
-	l.judge.turned(now, c)
-	if l.dead == 0 {
-		l.Changed(now, len(l.log))
+	d.apply(c)
+	d.rules.endpointChanged(now, c)
+	if d.downFaults == 0 {
+		d.OnChange(now, len(d.log))
 	}
 }
 
 // Rev is the present version.
-func (l *List) Rev() int { return len(l.log) }
+func (d *Discovery) Version() int { return len(d.log) }
 
 // Dead tells whether it answers nobody.
-func (l *List) Dead() bool { return l.dead > 0 }
+func (d *Discovery) Down() bool { return d.downFaults > 0 }
 
 // Since gives what has changed after a version, each machine once, in the order of the changes.
-func (l *List) Since(rev int) (entries []Entry) {
+func (d *Discovery) Since(rev int) (entries []Endpoint) {
 	last := map[int]int{}
-	for at := max(0, rev); at < len(l.log); at++ {
-		last[l.log[at].Machine] = at
+	for at := max(0, rev); at < len(d.log); at++ {
+		last[d.log[at].Machine] = at
 	}
-	for at := max(0, rev); at < len(l.log); at++ {
-		if last[l.log[at].Machine] == at {
-			entries = append(entries, l.log[at])
+	for at := max(0, rev); at < len(d.log); at++ {
+		if last[d.log[at].Machine] == at {
+			entries = append(entries, d.log[at])
 		}
 	}
 	return entries
 }
 
 // Whole is the list as it stands.
-func (l *List) Whole() (entries []Entry) {
-	for i, e := range l.entries {
-		if l.listed[i] && e.Standing != Gone {
+func (d *Discovery) Snapshot() (entries []Endpoint) {
+	for i, e := range d.endpoints {
+		if d.listed[i] && e.State != Gone {
 			entries = append(entries, e)
 		}
 	}
@@ -114,18 +114,18 @@
 }
 
 // callMost is how long a call may wait in the queue.
-const callMost = 3 * time.Second
+const maxQueryWait = 3 * time.Second
 
 // Call takes a call in: when its answer goes out, and whether it is one.
-func (l *List) Call(now time.Duration) (at time.Duration, answered bool) {
-	l.Calls++
-	if l.dead > 0 {
-		return now + l.s.List.Call.D(), false
+func (d *Discovery) Query(now time.Duration) (at time.Duration, answered bool) {
+	d.Queries++
+	if d.downFaults > 0 {
+		return now + d.scenario.Discovery.CallDuration.D(), false
 	}
-	each := time.Duration(l.slower / l.s.List.CallsPerS * float64(time.Second))
-	if l.busy = max(l.busy, now); l.busy-now+each > callMost {
-		return now + callMost, false
+	each := time.Duration(d.slowdown / d.scenario.Discovery.CallsPerSecond * float64(time.Second))
+	if d.busyUntil = max(d.busyUntil, now); d.busyUntil-now+each > maxQueryWait {
+		return now + maxQueryWait, false
 	}
-	l.busy += each
-	return l.busy + l.s.List.Call.D(), true
+	d.busyUntil += each
+	return d.busyUntil + d.scenario.Discovery.CallDuration.D(), true
 }
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -11,83 +11,83 @@
 )
 
 // Job is one try of an invocation, as its client hands it in.
-type Job struct {
-	ID, Origin            int64 // Origin: of the first try, which the tries of one invocation share
-	Op, Tenant, Zone, Try int
-	Cost                  float64 // seconds that it runs on a machine of speed 1
-	Hint                  float64 // seconds; 0: none
-	Slots                 int
-	Meant                 time.Duration // when the first try was to be sent: waiting counts from there
-	At                    time.Duration // when this one is to be sent
-	Deadline              time.Duration // when its client stops waiting for this one
-	Leaves                time.Duration // when its client goes away before that; 0: it does not
-	Objective             time.Duration
+type Request struct {
+	ID, Invocation                 int64 // Origin: of the first try, which the tries of one invocation share
+	Operation, Tenant, Zone, Retry int
+	Cost                           float64 // seconds that it runs on a machine of speed 1
+	Hint                           float64 // seconds; 0: none
+	Slots                          int
+	IntendedAt                     time.Duration // when the first try was to be sent: waiting counts from there
+	At                             time.Duration // when this one is to be sent
+	Deadline                       time.Duration // when its client stops waiting for this one
+	DisconnectAt                   time.Duration // when its client goes away before that; 0: it does not
+	Objective                      time.Duration
 }
 
 // Work is what it takes of a machine of speed 1, all slots together.
-func (j *Job) Work() float64 { return j.Cost * float64(j.Slots) }
+func (j *Request) Work() float64 { return j.Cost * float64(j.Slots) }
 
 // Source gives the invocations of a day in the order in which they are meant to be sent.
 type Source interface {
 	// Next gives the next first try; false: there are no more.
-	Next() (Job, bool)
+	Next() (Request, bool)
 }
 
 // chance is a source of chance for one purpose: what is drawn for one must not move what is drawn for another, so that
 // two deciders meet the same day.
-func chance(seed int64, purpose string) *rand.Rand {
+func newRand(seed int64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(uint64(seed), h.Sum64()))
 }
 
 // World is the model.
-type World struct {
-	Fleet   *Fleet
-	List    *List
-	Judge   *Judge
-	Tally   *Tally
-	Clients *Clients
+type Model struct {
+	Fleet      *Cluster
+	Discovery  *Discovery
+	Rules      *RuleChecker
+	Statistics *Statistics
+	Clients    *Clients
 
 	// Kill and Revive are called when troubles hit schedulers.
-	Kill, Revive func(now time.Duration, scheduler int)
+	OnSchedulerKilled, OnSchedulerRestarted func(now time.Duration, scheduler int)
 
-	s      scenario.Scenario
-	spells []spell
-	edges  []edge // what troubles change, in order
-	past   int
+	scenario scenario.Scenario
+	faults   []activeFault
+	changes  []change // what troubles change, in order
+	applied  int
 }
 
 // New makes the day of a scenario.
-func New(s scenario.Scenario) *World {
-	w := &World{s: s, Kill: func(time.Duration, int) {}, Revive: func(time.Duration, int) {}}
-	w.Tally = newTally(s)
-	w.Judge = newJudge(s)
-	w.Fleet = newFleet(s, w.Tally, w.Judge)
-	w.Judge.machine = func(n int) *Machine { return w.Fleet.Machines[n] }
-	w.List = newList(s, w.Fleet)
-	w.Fleet.Stirred = func(time.Duration, int) {}
-	w.Fleet.changed = func(now time.Duration, machine int, silently bool) {
-		w.List.change(now, machine, silently)
-		w.Fleet.Stirred(now, machine)
+func New(s scenario.Scenario) *Model {
+	w := &Model{scenario: s, OnSchedulerKilled: func(time.Duration, int) {}, OnSchedulerRestarted: func(time.Duration, int) {}}
+	w.Statistics = newStatistics(s)
+	w.Rules = newRuleChecker(s)
+	w.Fleet = newCluster(s, w.Statistics, w.Rules)
+	w.Rules.machine = func(n int) *Machine { return w.Fleet.Machines[n] }
+	w.Discovery = newDiscovery(s, w.Fleet)
+	w.Fleet.OnChange = func(time.Duration, int) {}
+	w.Fleet.stateChanged = func(now time.Duration, machine int, silently bool) {
+		w.Discovery.machineChanged(now, machine, silently)
+		w.Fleet.OnChange(now, machine)
 	}
 	w.Clients = newClients(s, w.Fleet.Capacity())
-	w.plan()
+	w.planFaults()
 	return w
 }
 
 // Now moves the model on to a time: all that happens by itself until then has happened.
-func (w *World) Now(now time.Duration) {
+func (w *Model) AdvanceTo(now time.Duration) {
 	for {
-		at := w.Next()
+		at := w.NextTime()
 		switch {
 		case at > now:
 			return
-		case w.past < len(w.edges) && w.edges[w.past].at == at:
-			w.past++
-			w.edge(w.edges[w.past-1])
-		case w.List.next() == at:
-			w.List.step(at)
+		case w.applied < len(w.changes) && w.changes[w.applied].at == at:
+			w.applied++
+			w.edge(w.changes[w.applied-1])
+		case w.Discovery.nextTime() == at:
+			w.Discovery.step(at)
 		default:
 			w.Fleet.step(at)
 		}
@@ -95,10 +95,10 @@
 }
 
 // Next is when something happens by itself again.
-func (w *World) Next() time.Duration {
-	next := min(w.Fleet.next(), w.List.next())
-	if w.past < len(w.edges) {
-		next = min(next, w.edges[w.past].at)
+func (w *Model) NextTime() time.Duration {
+	next := min(w.Fleet.nextTime(), w.Discovery.nextTime())
+	if w.applied < len(w.changes) {
+		next = min(next, w.changes[w.applied].at)
 	}
 	return next
 }
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -11,25 +11,25 @@
 )
 
 // Figure is one that two deciders are compared by.
-type Figure struct {
-	Name   string
-	Of     func(Report) float64
-	Higher bool // is better
+type Metric struct {
+	Name           string
+	Value          func(Report) float64
+	HigherIsBetter bool // is better
 }
 
 // Figures that comparisons show.
-var Figures = []Figure{
+var Metrics = []Metric{
 	{"service", func(r Report) float64 { return r.Service }, true},
-	{"worst 10 s", func(r Report) float64 { return r.WorstSpan }, true},
-	{"worst operation", func(r Report) float64 { return r.Worst }, true},
+	{"worst 10 s", func(r Report) float64 { return r.WorstInterval }, true},
+	{"worst operation", func(r Report) float64 { return r.WorstOperation }, true},
 	{"p99 ms", func(r Report) float64 { return r.All.P99 }, false},
-	{"throttled share", func(r Report) float64 { return part(r.All.Throttled, r.All.Offered) }, false},
-	{"errored share", func(r Report) float64 { return part(r.All.Errored+r.All.Missed, r.All.Offered) }, false},
-	{"wasted work", func(r Report) float64 { return r.Costs.Wasted }, false},
+	{"throttled share", func(r Report) float64 { return ratio(r.All.Throttled, r.All.Offered) }, false},
+	{"errored share", func(r Report) float64 { return ratio(r.All.Errored+r.All.Unanswered, r.All.Offered) }, false},
+	{"wasted work", func(r Report) float64 { return r.Costs.WastedShare }, false},
 	{"rules broken", func(r Report) float64 { return float64(r.Broken()) }, false},
 }
 
-func part(n, of int) float64 {
+func ratio(n, of int) float64 {
 	if of == 0 {
 		return 0
 	}
@@ -64,11 +64,11 @@
 		}
 	}
 	var all []Difference
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		var as, bs, diffs []float64
 		for i := range a {
-			as, bs = append(as, f.Of(a[i])), append(bs, f.Of(b[i]))
-			diffs = append(diffs, f.Of(b[i])-f.Of(a[i]))
+			as, bs = append(as, f.Value(a[i])), append(bs, f.Value(b[i]))
+			diffs = append(diffs, f.Value(b[i])-f.Value(a[i]))
 		}
 		d := Difference{Name: f.Name, A: round6(stat.Mean(as, nil)), B: round6(stat.Mean(bs, nil)), Pairs: len(diffs), Conclusion: "no difference shown"}
 		mean, dev := stat.MeanStdDev(diffs, nil)
@@ -77,7 +77,7 @@
 			t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(diffs) - 1)}.Quantile((1 + confidence) / 2)
 			half := t * dev / math.Sqrt(float64(len(diffs)))
 			d.Low, d.High = round6(mean-half), round6(mean+half)
-			switch better := d.Low > 0 == f.Higher; {
+			switch better := d.Low > 0 == f.HigherIsBetter; {
 			case d.Low <= 0 && d.High >= 0:
 			case better:
 				d.Conclusion = "b is better"
--- a/internal/lab/report/compare_test.go
+++ b/internal/lab/report/compare_test.go
@@ -10,11 +10,11 @@
 func Example() {
 	var a, b []Report
 	for n := range 6 {
-		x := Report{Scenario: "day", Mode: "virtual", Seed: int64(n), Service: 0.5 + 0.05*float64(n), WorstSpan: 0.4, All: Line{P99: 100, Offered: 10}}
+		x := Report{Scenario: "day", Mode: "virtual", Seed: int64(n), Service: 0.5 + 0.05*float64(n), WorstInterval: 0.4, All: Service{P99: 100, Offered: 10}}
 		y := x
-		y.Service += 0.02 + 0.001*float64(n%2)           // small beside how far the days differ, and the same on all
-		y.WorstSpan += 0.03 * float64([]int{1, -1}[n%2]) // up and down
-		y.All.P99 += 5 + float64(n%3)                    // worse
+		y.Service += 0.02 + 0.001*float64(n%2)               // small beside how far the days differ, and the same on all
+		y.WorstInterval += 0.03 * float64([]int{1, -1}[n%2]) // up and down
+		y.All.P99 += 5 + float64(n%3)                        // worse
 		a, b = append(a, x), append(b, y)
 	}
 	all, err := Compare(a, b)
@@ -45,11 +45,11 @@
 func TestPlot(t *testing.T) {
 	for _, name := range []string{"x.svg", "x.png"} {
 		var n counter
-		if err := Plot(&n, name, Report{Scenario: "day", Seconds1: []float64{1, 0.5, 1}}); err != nil || n < 1000 {
+		if err := Plot(&n, name, Report{Scenario: "day", ServiceBySecond: []float64{1, 0.5, 1}}); err != nil || n < 1000 {
 			t.Error(name, n, err)
 		}
 	}
-	if Plot(new(counter), "x.gif", Report{Seconds1: []float64{1, 1}}) == nil || Plot(new(counter), "x.svg", Report{Seconds1: []float64{1}}) == nil {
+	if Plot(new(counter), "x.gif", Report{ServiceBySecond: []float64{1, 1}}) == nil || Plot(new(counter), "x.svg", Report{ServiceBySecond: []float64{1}}) == nil {
 		t.Error("no word on a plot that can't be drawn")
 	}
 }
--- a/internal/lab/report/forms_test.go
+++ b/internal/lab/report/forms_test.go
@@ -13,9 +13,9 @@
 // A report with every field set is the same to the byte, and the recorded one is read back whole.
 func TestGoldenReport(t *testing.T) {
 	r := filled[Report]()
-	r.Rules = map[string]int{}
-	for n, rule := range []model.Rule{model.OneAnswer, model.OneEffect, model.Drains, model.Cold} {
-		r.Rules[rule.String()] = n + 1
+	r.ViolationCounts = map[string]int{}
+	for n, rule := range []model.Rule{model.OneAnswer, model.OneEffect, model.NoSendToDraining, model.NoOverload} {
+		r.ViolationCounts[rule.String()] = n + 1
 	}
 	var text, trace bytes.Buffer
 	if err := r.JSON(&text); err != nil {
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -21,11 +21,11 @@
 		XAxis: chart.XAxis{Name: "seconds, when invocations were meant to be sent"},
 		YAxis: chart.YAxis{Name: "service", Range: &chart.ContinuousRange{Min: 0, Max: 1}}}
 	for _, d := range days {
-		if len(d.Seconds1) < 2 {
+		if len(d.ServiceBySecond) < 2 {
 			return fmt.Errorf("%s by seed %d is too short for a plot", d.Scenario, d.Seed)
 		}
 		series := chart.ContinuousSeries{Name: fmt.Sprintf("%s, %s, seed %d", d.Decider, d.Mode, d.Seed)}
-		for at, v := range d.Seconds1 {
+		for at, v := range d.ServiceBySecond {
 			series.XValues, series.YValues = append(series.XValues, float64(at)), append(series.YValues, v)
 		}
 		c.Series = append(c.Series, series)
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -60,7 +60,7 @@
 // Fits names by key and figure what this machine can't carry of a step. Nothing has been started by then.
 func (s Scenario) Fits(m Machine) error {
 	fault := func(key, text string, args ...any) error {
-		return scenario.Fault{File: s.Name, Key: key, Text: fmt.Sprintf(text, args...)}
+		return scenario.FileError{File: s.Name, Key: key, Text: fmt.Sprintf(text, args...)}
 	}
 	n := int64(s.Schedulers)
 	listeners := int64(s.Workers + s.spares())
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -128,9 +128,9 @@
 )
 
 // faults names what no machine could play.
-func (s Scenario) faults() (all []scenario.Fault) {
+func (s Scenario) faults() (all []scenario.FileError) {
 	fault := func(key, text string, args ...any) {
-		all = append(all, scenario.Fault{Key: key, Text: fmt.Sprintf(text, args...)})
+		all = append(all, scenario.FileError{Key: key, Text: fmt.Sprintf(text, args...)})
 	}
 	if s.Version != 1 {
 		fault("version", "%d is not 1", s.Version)
--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/forms_test.go
@@ -47,14 +47,14 @@
 // toldOf is a day of which everything is told that schedulers can be told.
 func toldOf() Scenario {
 	s := filled[Scenario]()
-	s.Hosted.Room = 0
-	s.Reports.Fields = []string{"free_slots", "waiting", "active", "service_ms"}
+	s.Hosted.Capacity = 0
+	s.LoadReports.Fields = []string{"free_slots", "waiting", "active", "service_ms"}
 	s.Operations = append(s.Operations, s.Operations[0])
 	for i, effect := range []string{"idempotent", "deduplicated", "non-idempotent"} {
 		s.Operations[i].Effect = effect
 	}
 	for i := range s.Workers {
-		s.Workers[i].ColdFrom, s.Workers[i].Warm = 0.25+float64(i)/8, Span(time.Duration(i+1)*time.Second)
+		s.Workers[i].ColdFrom, s.Workers[i].WarmUp = 0.25+float64(i)/8, Span(time.Duration(i+1)*time.Second)
 	}
 	return s
 }
@@ -63,7 +63,7 @@
 func TestGoldenTold(t *testing.T) {
 	day := toldOf()
 	hosted, counted := toldOf(), toldOf()
-	hosted.Hosted.Room, counted.Schedulers.Told = 4, 0
+	hosted.Hosted.Capacity, counted.Schedulers.ReportedCount = 4, 0
 	var text bytes.Buffer
 	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
 		if err := json.Indent(&text, told, "", "  "); err != nil {
--- a/internal/lab/trace/forms_test.go
+++ b/internal/lab/trace/forms_test.go
@@ -12,8 +12,8 @@
 // Counts that have met each kind of odd row are the same to the byte.
 func TestGoldenCounts(t *testing.T) {
 	c := filled[Counts]()
-	for k := range kinds {
-		c.Kinds[k], c.Lines[k] = int(k)+100, []int{int(k) + 200, int(k) + 300}
+	for k := range anomalyCount {
+		c.Anomalies[k], c.Lines[k] = int(k)+100, []int{int(k) + 200, int(k) + 300}
 	}
 	text, err := json.MarshalIndent(c, "", "  ")
 	if err != nil {
@@ -33,8 +33,8 @@
 		t.Fatal(err)
 	}
 	wanted := map[string]odd{}
-	for k := range kinds {
-		wanted[k.String()] = odd{c.Kinds[k], c.Lines[k]}
+	for k := range anomalyCount {
+		wanted[k.String()] = odd{c.Anomalies[k], c.Lines[k]}
 	}
 	if got.Rows != c.Rows || got.Used != c.Used || got.Ended != c.Ended {
 		t.Error(got, c)
--- a/internal/lab/trace/mapping.go
+++ b/internal/lab/trace/mapping.go
@@ -18,20 +18,20 @@
 
 // Mapping tells how the rows of a trace become invocations.
 type Mapping struct {
-	Version int     `toml:"Version"`
-	Header  bool    `toml:"Header"` // the first line names the columns; else they are numbered from 0
-	Comma   string  `toml:"Comma"`  // what stands between columns; "," if left out
-	Columns Columns `toml:"Columns"`
-	Unit    string  `toml:"Unit"`    // of the time column: ns, us, ms or s
-	WorkBy  string  `toml:"work_by"` // unit of the work column: ns, us, ms or s, times Scale
-	Scale   float64 `toml:"Scale"`   // of the work
-	Speed   float64 `toml:"Speed"`   // so many times faster than it was recorded
+	Version   int     `toml:"Version"`
+	Header    bool    `toml:"Header"` // the first line names the columns; else they are numbered from 0
+	Separator string  `toml:"Comma"`  // what stands between columns; "," if left out
+	Columns   Columns `toml:"Columns"`
+	TimeUnit  string  `toml:"Unit"`    // of the time column: ns, us, ms or s
+	WorkUnit  string  `toml:"work_by"` // unit of the work column: ns, us, ms or s, times Scale
+	WorkScale float64 `toml:"Scale"`   // of the work
+	Speed     float64 `toml:"Speed"`   // so many times faster than it was recorded
 	// Operations tells which operation a value of the operation column stands for; "*" is for all others.
 	Operations map[string]string `toml:"Operations"`
 	Slots      Slots             `toml:"Slots"`
 	Policies   Policies          `toml:"Policies"`
-	RowMost    int               `toml:"row_most"` // bytes in a line
-	GapMost    scenario.Span     `toml:"gap_most"` // a longer step of the recorded clock is a jump
+	MaxRowSize int               `toml:"row_most"` // bytes in a line
+	MaxGap     scenario.Span     `toml:"gap_most"` // a longer step of the recorded clock is a jump
 }
 
 // Columns name the columns, by their header or number. Time is needed, the others may be left out.
@@ -47,19 +47,19 @@
 // Slots scales what the slots column holds.
 type Slots struct {
 	Scale float64 `toml:"Scale"`
-	Most  int     `toml:"Most"`
+	Max   int     `toml:"Most"`
 }
 
 // Policies say what becomes of rows that are not as they should be: skip, clamp or stop.
 type Policies struct {
-	Bad     string `toml:"Bad"`     // a value that can't be read, too few columns
-	Order   string `toml:"Order"`   // a time before that of a row before
-	Jump    string `toml:"Jump"`    // a step of the clock over gap_most
-	Long    string `toml:"Long"`    // a line over row_most
-	Unknown string `toml:"Unknown"` // an operation that the mapping does not know
+	Malformed        string `toml:"Bad"`     // a value that can't be read, too few columns
+	OutOfOrder       string `toml:"Order"`   // a time before that of a row before
+	ClockJump        string `toml:"Jump"`    // a step of the clock over gap_most
+	TooLong          string `toml:"Long"`    // a line over row_most
+	UnknownOperation string `toml:"Unknown"` // an operation that the mapping does not know
 }
 
-var units = map[string]time.Duration{"ns": time.Nanosecond, "us": time.Microsecond, "ms": time.Millisecond, "s": time.Second}
+var unitByName = map[string]time.Duration{"ns": time.Nanosecond, "us": time.Microsecond, "ms": time.Millisecond, "s": time.Second}
 
 // ReadMapping reads the file and checks it against the operations that there are.
 func ReadMapping(file string, s scenario.Scenario) (Mapping, error) {
@@ -72,9 +72,9 @@
 
 // ParseMapping reads a text.
 func ParseMapping(file string, text []byte, s scenario.Scenario) (Mapping, error) {
-	m := Mapping{Comma: ",", Unit: "us", WorkBy: "us", Scale: 1, Speed: 1, RowMost: 64 << 10, GapMost: scenario.Span(time.Hour),
-		Slots:    Slots{Scale: 1, Most: 64},
-		Policies: Policies{Bad: "skip", Order: "clamp", Jump: "clamp", Long: "skip", Unknown: "skip"}}
+	m := Mapping{Separator: ",", TimeUnit: "us", WorkUnit: "us", WorkScale: 1, Speed: 1, MaxRowSize: 64 << 10, MaxGap: scenario.Span(time.Hour),
+		Slots:    Slots{Scale: 1, Max: 64},
+		Policies: Policies{Malformed: "skip", OutOfOrder: "clamp", ClockJump: "clamp", TooLong: "skip", UnknownOperation: "skip"}}
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&m); err != nil {
@@ -82,7 +82,7 @@
 	}
 	var all []error
 	fault := func(key, format string, args ...any) {
-		all = append(all, scenario.Fault{File: file, Key: key, Text: fmt.Sprintf(format, args...)})
+		all = append(all, scenario.FileError{File: file, Key: key, Text: fmt.Sprintf(format, args...)})
 	}
 	if m.Version != 1 {
 		fault("version", "%d is not the version that is read here, which is 1", m.Version)
@@ -90,19 +90,19 @@
 	if m.Columns.Time == "" {
 		fault("columns.time", "is not set")
 	}
-	if len(m.Comma) != 1 || m.Comma == "\n" || m.Comma == "\"" {
-		fault("comma", "%q is not one character that can stand between columns", m.Comma)
+	if len(m.Separator) != 1 || m.Separator == "\n" || m.Separator == "\"" {
+		fault("comma", "%q is not one character that can stand between columns", m.Separator)
 	}
-	for key, unit := range map[string]string{"unit": m.Unit, "work_by": m.WorkBy} {
-		if units[unit] == 0 {
+	for key, unit := range map[string]string{"unit": m.TimeUnit, "work_by": m.WorkUnit} {
+		if unitByName[unit] == 0 {
 			fault(key, "%q is none of ns, us, ms, s", unit)
 		}
 	}
-	if !(m.Speed > 0) || !(m.Scale > 0) || !(m.Slots.Scale > 0) || m.Slots.Most < 1 || m.RowMost < 1 || m.GapMost <= 0 {
+	if !(m.Speed > 0) || !(m.WorkScale > 0) || !(m.Slots.Scale > 0) || m.Slots.Max < 1 || m.MaxRowSize < 1 || m.MaxGap <= 0 {
 		fault("", "speed, scale, slots.scale, slots.most, row_most and gap_most must be over 0")
 	}
-	for _, p := range []struct{ key, value string }{{"bad", m.Policies.Bad}, {"order", m.Policies.Order}, {"jump", m.Policies.Jump},
-		{"long", m.Policies.Long}, {"unknown", m.Policies.Unknown}} {
+	for _, p := range []struct{ key, value string }{{"bad", m.Policies.Malformed}, {"order", m.Policies.OutOfOrder}, {"jump", m.Policies.ClockJump},
+		{"long", m.Policies.TooLong}, {"unknown", m.Policies.UnknownOperation}} {
 		of := []string{"skip", "clamp", "stop"}
 		if p.key == "bad" || p.key == "long" || p.key == "unknown" {
 			of = []string{"skip", "stop"} // there is nothing to hold such a row to
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -20,38 +20,38 @@
 )
 
 // Kind is a way in which a row is not as it should be.
-type Kind uint8
+type Anomaly uint8
 
 const (
-	Bad Kind = iota
-	Order
-	Jump
-	Long
-	Unknown
-	kinds
+	Malformed Anomaly = iota
+	OutOfOrder
+	ClockJump
+	TooLong
+	UnknownOperation
+	anomalyCount
 )
 
-var kindNames = [...]string{"bad", "out of order", "clock jump", "too long", "unknown operation"}
+var anomalyNames = [...]string{"bad", "out of order", "clock jump", "too long", "unknown operation"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k Anomaly) String() string { return anomalyNames[k] }
 
 // linesKept is how many lines of each kind are named.
-const linesKept = 10
+const maxLines = 10
 
 // Counts of what was met.
 type Counts struct {
 	Rows, Used int
-	Kinds      [kinds]int
-	Lines      [kinds][]int // the first ones of each kind
-	Ended      string       // why it was not read to its end
+	Anomalies  [anomalyCount]int
+	Lines      [anomalyCount][]int // the first ones of each kind
+	Ended      string              // why it was not read to its end
 }
 
 // MarshalJSON names the kinds.
 func (c Counts) MarshalJSON() ([]byte, error) {
 	odd := map[string]any{}
-	for k, n := range c.Kinds {
+	for k, n := range c.Anomalies {
 		if n > 0 {
-			odd[kindNames[k]] = map[string]any{"rows": n, "first_lines": c.Lines[k]}
+			odd[anomalyNames[k]] = map[string]any{"rows": n, "first_lines": c.Lines[k]}
 		}
 	}
 	return json.Marshal(map[string]any{"rows": c.Rows, "used": c.Used, "odd": odd, "ended": c.Ended})
@@ -61,51 +61,51 @@
 type Reader struct {
 	Counts
 
-	m        Mapping
-	s        scenario.Scenario
-	clients  *model.Clients
-	in       *bufio.Reader
-	line     int
-	at       map[string]int // columns
-	widest   int
-	rng      *rand.Rand
-	ops      map[string]int
-	any      int // operation for all others; -1: none
-	tenants  map[string]int
-	begun    bool
-	last     float64 // time of the row before, as it was recorded
-	first    float64
-	shift    float64 // what jumps and the like have taken out
-	previous time.Duration
-	stopped  bool
+	mapping          Mapping
+	scenario         scenario.Scenario
+	clients          *model.Clients
+	in               *bufio.Reader
+	line             int
+	columnIndex      map[string]int // columns
+	lastColumn       int
+	rand             *rand.Rand
+	operationByValue map[string]int
+	defaultOperation int // operation for all others; -1: none
+	tenantByName     map[string]int
+	begun            bool
+	lastRecorded     float64 // time of the row before, as it was recorded
+	firstRecorded    float64
+	shift            float64 // what jumps and the like have taken out
+	lastSendAt       time.Duration
+	stopped          bool
 }
 
 // Open begins a trace. An empty one, or one whose columns are missing, is an error: nothing is guessed.
 func Open(in io.Reader, m Mapping, s scenario.Scenario, clients *model.Clients) (*Reader, error) {
-	r := &Reader{m: m, s: s, clients: clients, in: bufio.NewReaderSize(in, 1<<16), at: map[string]int{}, any: -1, ops: map[string]int{},
-		tenants: map[string]int{}, rng: rand.New(rand.NewPCG(uint64(s.Seed), 0x7472))}
+	r := &Reader{mapping: m, scenario: s, clients: clients, in: bufio.NewReaderSize(in, 1<<16), columnIndex: map[string]int{}, defaultOperation: -1, operationByValue: map[string]int{},
+		tenantByName: map[string]int{}, rand: rand.New(rand.NewPCG(uint64(s.Seed), 0x7472))}
 	index := map[string]int{}
 	for i, o := range s.Operations {
 		index[o.Name] = i
 	}
 	for value, op := range m.Operations {
 		if value == "*" {
-			r.any = index[op]
+			r.defaultOperation = index[op]
 		} else {
-			r.ops[value] = index[op]
+			r.operationByValue[value] = index[op]
 		}
 	}
 	if len(m.Operations) == 0 {
-		r.any = 0
+		r.defaultOperation = 0
 	}
 	for i, t := range s.Tenants {
-		r.tenants[t.Name] = i
+		r.tenantByName[t.Name] = i
 	}
 	wanted := []struct{ key, name string }{{"time", m.Columns.Time}, {"work", m.Columns.Work}, {"end", m.Columns.End},
 		{"operation", m.Columns.Operation}, {"tenant", m.Columns.Tenant}, {"slots", m.Columns.Slots}}
 	var header []string
 	if m.Header {
-		fields, _, err := r.row()
+		fields, _, err := r.readRow()
 		if err == io.EOF {
 			return nil, errors.New("the trace is empty")
 		}
@@ -132,16 +132,16 @@
 		if at < 0 {
 			return nil, fmt.Errorf("columns.%s: there is no column %q, but %q", w.key, w.name, header)
 		}
-		r.at[w.key] = at
-		r.widest = max(r.widest, at)
+		r.columnIndex[w.key] = at
+		r.lastColumn = max(r.lastColumn, at)
 	}
 	return r, nil
 }
 
-var errLong = errors.New("the line is too long")
+var errTooLong = errors.New("the line is too long")
 
 // row reads one line. A long one is passed over without being held.
-func (r *Reader) row() ([]string, int, error) {
+func (r *Reader) readRow() ([]string, int, error) {
 	for {
 		var line []byte
 		long := false
@@ -149,7 +149,7 @@
 			part, err := r.in.ReadSlice('\n')
 			if !long {
 				line = append(line, part...)
-				if len(line) > r.m.RowMost {
+				if len(line) > r.mapping.MaxRowSize {
 					long, line = true, nil
 				}
 			}
@@ -166,30 +166,30 @@
 		}
 		r.line++
 		if long {
-			return nil, r.line, errLong
+			return nil, r.line, errTooLong
 		}
 		if line = bytes.TrimRight(line, "\r\n"); len(line) == 0 {
 			continue
 		}
-		fields := strings.Split(string(line), r.m.Comma)
+		fields := strings.Split(string(line), r.mapping.Separator)
 		if bytes.IndexByte(line, '"') >= 0 {
 			c := csv.NewReader(bytes.NewReader(line))
-			c.Comma, c.FieldsPerRecord = rune(r.m.Comma[0]), -1
+			c.Comma, c.FieldsPerRecord = rune(r.mapping.Separator[0]), -1
 			var err error
 			if fields, err = c.Read(); err != nil {
-				return nil, r.line, fmt.Errorf("%w: %v", errBad, err)
+				return nil, r.line, fmt.Errorf("%w: %v", errMalformed, err)
 			}
 		}
 		return fields, r.line, nil
 	}
 }
 
-var errBad = errors.New("can't be read")
+var errMalformed = errors.New("can't be read")
 
 // odd counts a row that is not as it should be, and tells whether the trace ends with it.
-func (r *Reader) odd(k Kind, line int, policy string) (stop bool) {
-	r.Kinds[k]++
-	if len(r.Lines[k]) < linesKept {
+func (r *Reader) countAnomaly(k Anomaly, line int, policy string) (stop bool) {
+	r.Anomalies[k]++
+	if len(r.Lines[k]) < maxLines {
 		r.Lines[k] = append(r.Lines[k], line)
 	}
 	if policy == "stop" {
@@ -200,131 +200,131 @@
 }
 
 // Next gives the next invocation.
-func (r *Reader) Next() (model.Job, bool) {
+func (r *Reader) Next() (model.Request, bool) {
 	for !r.stopped {
-		fields, line, err := r.row()
+		fields, line, err := r.readRow()
 		switch {
 		case err == io.EOF:
-			return model.Job{}, false
-		case errors.Is(err, errLong):
+			return model.Request{}, false
+		case errors.Is(err, errTooLong):
 			r.Rows++
-			r.odd(Long, line, r.m.Policies.Long)
+			r.countAnomaly(TooLong, line, r.mapping.Policies.TooLong)
 			continue
-		case errors.Is(err, errBad):
+		case errors.Is(err, errMalformed):
 			r.Rows++
-			r.odd(Bad, line, r.m.Policies.Bad)
+			r.countAnomaly(Malformed, line, r.mapping.Policies.Malformed)
 			continue
 		case err != nil:
 			r.stopped, r.Ended = true, fmt.Sprintf("line %d: %v", line, err)
 			continue
 		}
 		r.Rows++
-		if j, ok := r.job(fields, line); ok {
+		if j, ok := r.request(fields, line); ok {
 			r.Used++
 			return j, true
 		}
 	}
-	return model.Job{}, false
+	return model.Request{}, false
 }
 
 // number reads a column; what is no finite number is none.
 func (r *Reader) number(fields []string, key string) (float64, bool) {
-	v, err := strconv.ParseFloat(strings.TrimSpace(fields[r.at[key]]), 64)
+	v, err := strconv.ParseFloat(strings.TrimSpace(fields[r.columnIndex[key]]), 64)
 	return v, err == nil && !math.IsNaN(v) && !math.IsInf(v, 0)
 }
 
-func (r *Reader) has(key string) bool { _, has := r.at[key]; return has }
+func (r *Reader) hasColumn(key string) bool { _, has := r.columnIndex[key]; return has }
 
-func (r *Reader) job(fields []string, line int) (j model.Job, ok bool) {
-	if len(fields) <= r.widest {
-		r.odd(Bad, line, r.m.Policies.Bad)
+func (r *Reader) request(fields []string, line int) (j model.Request, ok bool) {
+	if len(fields) <= r.lastColumn {
+		r.countAnomaly(Malformed, line, r.mapping.Policies.Malformed)
 		return j, false
 	}
-	op := r.any
-	if r.has("operation") {
-		if at, known := r.ops[strings.TrimSpace(fields[r.at["operation"]])]; known {
+	op := r.defaultOperation
+	if r.hasColumn("operation") {
+		if at, known := r.operationByValue[strings.TrimSpace(fields[r.columnIndex["operation"]])]; known {
 			op = at
 		}
 	}
 	if op < 0 {
-		r.odd(Unknown, line, r.m.Policies.Unknown)
+		r.countAnomaly(UnknownOperation, line, r.mapping.Policies.UnknownOperation)
 		return j, false
 	}
 	recorded, sound := r.number(fields, "time")
-	cost := r.s.Operations[op].Work.D().Seconds()
-	if r.has("work") {
+	cost := r.scenario.Operations[op].Work.D().Seconds()
+	if r.hasColumn("work") {
 		work, is := r.number(fields, "work")
 		sound = sound && is && work >= 0
-		cost = work * r.m.Scale * units[r.m.WorkBy].Seconds()
-	} else if r.has("end") {
+		cost = work * r.mapping.WorkScale * unitByName[r.mapping.WorkUnit].Seconds()
+	} else if r.hasColumn("end") {
 		end, is := r.number(fields, "end")
 		sound = sound && is && end >= recorded
-		cost = (end - recorded) * r.m.Scale * units[r.m.Unit].Seconds()
+		cost = (end - recorded) * r.mapping.WorkScale * unitByName[r.mapping.TimeUnit].Seconds()
 	}
-	slots := float64(r.s.Operations[op].Slots)
-	if r.has("slots") {
+	slots := float64(r.scenario.Operations[op].Slots)
+	if r.hasColumn("slots") {
 		n, is := r.number(fields, "slots")
 		sound = sound && is && n >= 0
-		slots = min(math.Ceil(n*r.m.Slots.Scale), float64(r.m.Slots.Most))
+		slots = min(math.Ceil(n*r.mapping.Slots.Scale), float64(r.mapping.Slots.Max))
 	}
 	if !sound || cost > 1e6 {
-		r.odd(Bad, line, r.m.Policies.Bad)
+		r.countAnomaly(Malformed, line, r.mapping.Policies.Malformed)
 		return j, false
 	}
-	at, ok := r.time(recorded, line)
+	at, ok := r.sendTime(recorded, line)
 	if !ok {
 		return j, false
 	}
-	j = r.clients.Job(op, at, cost, r.rng)
+	j = r.clients.NewRequest(op, at, cost, r.rand)
 	j.Slots = max(1, int(slots))
-	if r.has("tenant") && len(r.tenants) > 0 {
-		j.Tenant = r.tenant(strings.TrimSpace(fields[r.at["tenant"]]))
+	if r.hasColumn("tenant") && len(r.tenantByName) > 0 {
+		j.Tenant = r.tenantOf(strings.TrimSpace(fields[r.columnIndex["tenant"]]))
 	}
-	j.Zone = r.rng.IntN(len(r.s.Zones))
+	j.Zone = r.rand.IntN(len(r.scenario.Zones))
 	return j, true
 }
 
 // tenant finds one by name; names that the scenario does not have are dealt out, the same one always to the same tenant.
-func (r *Reader) tenant(name string) int {
-	if at, known := r.tenants[name]; known {
+func (r *Reader) tenantOf(name string) int {
+	if at, known := r.tenantByName[name]; known {
 		return at
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	return int(h.Sum32() % uint32(len(r.s.Tenants)))
+	return int(h.Sum32() % uint32(len(r.scenario.Tenants)))
 }
 
 // time is when a row is to be sent: as long after the one before as it was recorded, divided by the speed.
-func (r *Reader) time(recorded float64, line int) (time.Duration, bool) {
-	unit := float64(units[r.m.Unit])
+func (r *Reader) sendTime(recorded float64, line int) (time.Duration, bool) {
+	unit := float64(unitByName[r.mapping.TimeUnit])
 	if !r.begun {
-		r.begun, r.first, r.last = true, recorded, recorded
+		r.begun, r.firstRecorded, r.lastRecorded = true, recorded, recorded
 	}
-	step := (recorded - r.last) * unit
-	if step < -float64(r.m.GapMost) { // the clock was set back: it goes on from there
-		if r.odd(Jump, line, r.m.Policies.Jump) || r.m.Policies.Jump == "skip" {
+	step := (recorded - r.lastRecorded) * unit
+	if step < -float64(r.mapping.MaxGap) { // the clock was set back: it goes on from there
+		if r.countAnomaly(ClockJump, line, r.mapping.Policies.ClockJump) || r.mapping.Policies.ClockJump == "skip" {
 			return 0, false
 		}
 		r.shift += step
-		r.last = recorded
-		return r.previous, true
+		r.lastRecorded = recorded
+		return r.lastSendAt, true
 	}
 	if step < 0 {
-		if r.odd(Order, line, r.m.Policies.Order) || r.m.Policies.Order == "skip" {
+		if r.countAnomaly(OutOfOrder, line, r.mapping.Policies.OutOfOrder) || r.mapping.Policies.OutOfOrder == "skip" {
 			return 0, false
 		}
-		return r.previous, true // clamped: sent with the one before, and the clock stays where it was
+		return r.lastSendAt, true // clamped: sent with the one before, and the clock stays where it was
 	}
-	if step > float64(r.m.GapMost) {
-		if r.odd(Jump, line, r.m.Policies.Jump) || r.m.Policies.Jump == "skip" {
+	if step > float64(r.mapping.MaxGap) {
+		if r.countAnomaly(ClockJump, line, r.mapping.Policies.ClockJump) || r.mapping.Policies.ClockJump == "skip" {
 			return 0, false
 		}
-		r.shift += step - float64(r.m.GapMost)
+		r.shift += step - float64(r.mapping.MaxGap)
 	}
-	r.last = recorded
-	at := (recorded-r.first)*unit - r.shift
-	r.previous = max(r.previous, time.Duration(at/r.m.Speed))
-	return r.previous, true
+	r.lastRecorded = recorded
+	at := (recorded-r.firstRecorded)*unit - r.shift
+	r.lastSendAt = max(r.lastSendAt, time.Duration(at/r.mapping.Speed))
+	return r.lastSendAt, true
 }
 
 // Generate writes a trace of so many rows, with a header, for trying things out: bursts, heavy tails, and one row in
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -76,7 +76,7 @@
 		if !more {
 			break
 		}
-		fmt.Printf("%v %s of %s: %.3f s, %d slots\n", j.At, s.Operations[j.Op].Name, s.Tenants[j.Tenant].Name, j.Cost, j.Slots)
+		fmt.Printf("%v %s of %s: %.3f s, %d slots\n", j.At, s.Operations[j.Operation].Name, s.Tenants[j.Tenant].Name, j.Cost, j.Slots)
 	}
 	text2, _ := json.Marshal(r.Counts)
 	fmt.Println(string(text2))
@@ -178,8 +178,8 @@
 		}
 	}
 	// Of four kinds of odd rows in turn, those that are out of order are used all the same.
-	if want := rows - rows/oddEvery*3/4; r.Rows != rows || r.Used != want || r.Kinds[Order] != rows/oddEvery/4 || r.Kinds[Unknown] != rows/oddEvery/4 ||
-		r.Kinds[Bad] != rows/oddEvery/2 {
+	if want := rows - rows/oddEvery*3/4; r.Rows != rows || r.Used != want || r.Anomalies[OutOfOrder] != rows/oddEvery/4 || r.Anomalies[UnknownOperation] != rows/oddEvery/4 ||
+		r.Anomalies[Malformed] != rows/oddEvery/2 {
 		t.Errorf("%+v, %d wanted", r.Counts, want)
 	}
 	if most > 32<<20 {
--- a/internal/lab/virtual/program.go
+++ b/internal/lab/virtual/program.go
@@ -60,7 +60,7 @@
 }
 
 // Maker makes schedulers of the program; clock tells the day's time.
-func (p *Program) Maker(clock func() time.Duration) Maker {
+func (p *Program) Maker(clock func() time.Duration) DeciderFactory {
 	return func(scheduler int, seed int64, text []byte) (Decider, error) {
 		site, err := settings.ParseDeployment(text)
 		if err != nil {
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -61,7 +61,7 @@
 	return s
 }
 
-func play(t testing.TB, s scenario.Scenario, maker Maker) (*Day, report.Report) {
+func play(t testing.TB, s scenario.Scenario, maker DeciderFactory) (*Day, report.Report) {
 	t.Helper()
 	d := New(s, maker)
 	if err := d.Play(context.Background(), nil); err != nil {
@@ -96,7 +96,7 @@
 			r.Text(&why)
 			t.Error(why.String())
 		}
-		if a := r.All; a.InTime+a.Late+a.Throttled+a.Errored+a.Missed != a.Offered || a.Offered == 0 {
+		if a := r.All; a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered || a.Offered == 0 {
 			t.Errorf("what came in and how it ended do not agree: %+v", a)
 		}
 		return b.String()
@@ -123,7 +123,7 @@
 	}
 }
 
-func policy(name string) Maker {
+func policy(name string) DeciderFactory {
 	return func(_ int, seed int64, text []byte) (Decider, error) {
 		site, err := settings.ParseDeployment(text)
 		if err != nil {
@@ -158,9 +158,9 @@
 `)
 	d := New(s, Module)
 	done := map[time.Duration]int{}
-	tell := d.World.Fleet.Tell
-	d.World.Fleet.Tell = func(now time.Duration, a *model.Attempt, sign model.Sign, share float64) {
-		if sign == model.Done {
+	tell := d.World.Fleet.OnCallback
+	d.World.Fleet.OnCallback = func(now time.Duration, a *model.Attempt, sign model.Callback, share float64) {
+		if sign == model.Completed {
 			done[now.Truncate(time.Second)]++
 		}
 		tell(now, a, sign, share)
@@ -183,7 +183,7 @@
 	return s.spoil(now, s.Decider.Handle(now, events))
 }
 
-func spoilt(make func() func(now time.Duration, actions []dispatch.Action) []dispatch.Action) Maker {
+func spoilt(make func() func(now time.Duration, actions []dispatch.Action) []dispatch.Action) DeciderFactory {
 	return func(n int, seed int64, text []byte) (Decider, error) {
 		d, err := Module(n, seed, text)
 		return spoiler{d, make()}, err
@@ -211,7 +211,7 @@
 	drain := "[[troubles]]\nkind = \"replace\"\nat = \"2s\"\nfor = \"2s\"\nshare = 1.0\nbatch = 1.0\ndelay = \"6s\"\n"
 	for _, v := range []struct {
 		name, rule, text string
-		maker            Maker
+		maker            DeciderFactory
 	}{
 		{"twice answered", "one answer", small, spoilt(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
 			return func(_ time.Duration, actions []dispatch.Action) []dispatch.Action {
@@ -258,13 +258,13 @@
 				_, sound := play(t, s, Module)
 				_, broken := play(t, s, v.maker)
 				if sound.Broken() > 0 {
-					t.Errorf("seed %d: the module is blamed: %+v", seed, sound.Breaks)
+					t.Errorf("seed %d: the module is blamed: %+v", seed, sound.Violations)
 				}
-				if broken.Rules[v.rule] == 0 {
-					t.Errorf("seed %d: not caught: %v", seed, broken.Rules)
+				if broken.ViolationCounts[v.rule] == 0 {
+					t.Errorf("seed %d: not caught: %v", seed, broken.ViolationCounts)
 					continue
 				}
-				for _, b := range broken.Breaks {
+				for _, b := range broken.Violations {
 					if b.Rule == v.rule && b.Text == "" {
 						t.Errorf("seed %d: no word of what happened: %+v", seed, b)
 					}
