--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/forms_test.go
@@ -44,8 +44,8 @@
 	return all.String()
 }
 
-// toldOf is a day of which everything is told that schedulers can be told.
-func toldOf() Scenario {
+// fullScenario has a value for everything that settings can hold.
+func fullScenario() Scenario {
 	s := filled[Scenario]()
 	s.Hosted.Capacity = 0
 	s.LoadReports.Fields = []string{"free_slots", "waiting", "active", "service_ms"}
@@ -59,22 +59,22 @@
 	return s
 }
 
-// What a scheduler is told of a day is the same to the byte; its number, and what hosting leaves out, show in it.
-func TestGoldenTold(t *testing.T) {
-	day := toldOf()
-	hosted, counted := toldOf(), toldOf()
+// The settings of a scheduler are the same to the byte; its number, and what hosting leaves out, show in them.
+func TestGoldenSettings(t *testing.T) {
+	plain := fullScenario()
+	hosted, counted := fullScenario(), fullScenario()
 	hosted.Hosted.Capacity, counted.Schedulers.ReportedCount = 4, 0
 	var text bytes.Buffer
-	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
-		if err := json.Indent(&text, told, "", "  "); err != nil {
+	for _, settings := range [][]byte{plain.Settings(0), plain.Settings(1), hosted.Settings(1), counted.Settings(1)} {
+		if err := json.Indent(&text, settings, "", "  "); err != nil {
 			t.Fatal(err)
 		}
 		text.WriteByte('\n')
 	}
 	d := json.NewDecoder(bytes.NewReader(golden(t, "told.json", text.Bytes())))
-	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
+	for _, settings := range [][]byte{plain.Settings(0), plain.Settings(1), hosted.Settings(1), counted.Settings(1)} {
 		var wanted, got any
-		if err := json.Unmarshal(told, &wanted); err != nil {
+		if err := json.Unmarshal(settings, &wanted); err != nil {
 			t.Fatal(err)
 		}
 		if err := d.Decode(&got); err != nil {
--- a/internal/lab/scenario/read_test.go
+++ b/internal/lab/scenario/read_test.go
@@ -13,7 +13,7 @@
 	fmt.Println(err)
 }
 
-// What is wrong with a file is named by key and line: its form, its words, its figures.
+// What is wrong with a file is named by key and line: syntax, unknown keys, values.
 func Example() {
 	parse("version = 1\nname = \"x\"\nlength = \"20s\"\n[[operations]]\nname = \"render\"\nwork = \"10ms\"\nobjective = \"100ms\"\n")
 	parse("version = 1\nlength = 20\n")
@@ -68,7 +68,7 @@
 }
 
 // The scenarios that come with the program can be read.
-func TestShipped(t *testing.T) {
+func TestShippedScenariosAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/lab/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
