--- a/internal/lab/loopback/worker.go
+++ b/internal/lab/loopback/worker.go
@@ -154,7 +154,7 @@
 
 func (w *worker) probe(out http.ResponseWriter, in *http.Request) {
 	type answer struct {
-		report  *model.Report
+		report  *model.LoadReport
 		verdict model.Response
 	}
 	got := make(chan answer, 1)
@@ -179,7 +179,7 @@
 }
 
 // report writes the fields that the scenario names.
-func (d *Day) report(r *model.Report) string {
+func (d *Day) report(r *model.LoadReport) string {
 	var fields []string
 	for i, name := range d.s.ReportNames() {
 		v := map[string]float64{"free_slots": r.FreeSlots, "waiting": r.Waiting, "active": r.Active, "service_ms": r.ServiceMs}[d.s.LoadReports.Fields[i]]
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -1,94 +1,98 @@
 package model
 
 import (
-	"fmt"
-	"hash/fnv"
-	"math"
 	"math/rand/v2"
 	"time"
 
 	"stoatweir/internal/lab/scenario"
 )
 
-// Clients hand invocations in, each at the time it is meant to be: an open loop, whatever becomes of the ones before.
+const (
+	// A fifth of each burst period has three times the base rate, the rest half of it.
+	burstPeriod = 5 * time.Second
+	burstShare  = 0.2
+	burstFactor = 3
+	lullFactor  = 0.5
+	// roughHintCV is the coefficient of variation of a rough hint.
+	roughHintCV = 0.4
+	// zeroRateStep is how far the arrivals of a constant load advance while its rate is 0.
+	zeroRateStep = 10 * time.Millisecond
+	// minCost is the least cost of a request, in seconds.
+	minCost = 1e-6
+	// retryBits are the low bits of a request's ID, which number the requests of its invocation.
+	retryBits = 8
+	// maxRetries fits into retryBits.
+	maxRetries = 250
+)
+
+// Clients generate the load: an open loop, in which each invocation has its time whatever becomes of those before. It is a
+// Source. What its clients do with replies is in retry.go.
 type Clients struct {
 	scenario        scenario.Scenario
 	arrivalRand     *rand.Rand
 	requestRand     *rand.Rand
-	baseRate        float64 // usual
-	peakRate        float64 // the highest that the day has
+	baseRate        float64 // invocations a second, without steps and bursts
+	peakRate        float64 // at least the highest rate of the run
 	lastArrival     time.Duration
 	lastInvocation  int64
-	extraRetries    int // further tries that clients make, at once
-	operationShares []float64
-	tenantShares    []float64
+	extraRetries    int       // by faults; they come at once
+	operationShares []float64 // running sums
+	tenantShares    []float64 // running sums
 	heavyFaults     []scenario.Fault
-	rateSteps       []scenario.Step
-	replied         map[int64]bool // tries whose end their clients know, while it may be told again
-	repliedExpiry   []repliedRequest
-}
+	rateSteps       []scenario.Step // also those of faults
 
-type repliedRequest struct {
-	id       int64
-	forgetAt time.Duration
+	replied       map[int64]bool // requests whose end their clients know, while it may come again
+	repliedExpiry []repliedRequest
 }
 
-// Reply is how a try ended for its client.
-type Reply uint8
-
-const (
-	Succeeded Reply = iota
-	Throttled
-	Errored
-	Unanswered  // the connection ended, or the time was over
-	NoScheduler // nobody could be connected to: it was never handed in
-	Disconnected
-)
-
 func newClients(s scenario.Scenario, capacity float64) *Clients {
-	c := &Clients{scenario: s, arrivalRand: newRand(s.Seed, "times"), requestRand: newRand(s.Seed, "jobs"), replied: map[int64]bool{}}
-	sum, each := 0.0, 0.0
+	c := &Clients{
+		scenario:    s,
+		arrivalRand: newRand(s.Seed, "times"),
+		requestRand: newRand(s.Seed, "jobs"),
+		replied:     map[int64]bool{},
+	}
+	shares := 0.0
+	work := 0.0 // mean of an invocation, times shares
 	for _, o := range s.Operations {
-		sum += o.Share
-		c.operationShares = append(c.operationShares, sum)
-		each += o.Share * o.Work.D().Seconds() * float64(o.Slots)
+		shares += o.Share
+		c.operationShares = append(c.operationShares, shares)
+		work += o.Share * o.Work.D().Seconds() * float64(o.Slots)
 	}
-	total := 0.0
+	tenantShares := 0.0
 	for _, t := range s.Tenants {
-		total += t.Share
-		c.tenantShares = append(c.tenantShares, total)
+		tenantShares += t.Share
+		c.tenantShares = append(c.tenantShares, tenantShares)
 	}
-	if c.baseRate = s.Load.Rate; c.baseRate == 0 && each > 0 {
-		c.baseRate = s.Load.Utilization * capacity / (each / sum)
+	c.baseRate = s.Load.Rate
+	if c.baseRate == 0 && work > 0 {
+		c.baseRate = s.Load.Utilization * capacity / (work / shares)
 	}
-	c.rateSteps = append(c.rateSteps, s.Load.Steps...)
-	for _, t := range s.Troubles {
-		switch t.Kind {
+	c.addSteps()
+	return c
+}
+
+// addSteps collects what changes the rate and the requests, and finds the peak rate.
+func (c *Clients) addSteps() {
+	c.rateSteps = append(c.rateSteps, c.scenario.Load.Steps...)
+	for _, f := range c.scenario.Troubles {
+		switch f.Kind {
 		case scenario.Burst:
-			c.rateSteps = append(c.rateSteps, scenario.Step{Start: t.Start, Duration: t.Duration, Factor: t.Factor})
+			c.rateSteps = append(c.rateSteps, scenario.Step{Start: f.Start, Duration: f.Duration, Factor: f.Factor})
 		case scenario.HeavyRequests:
-			c.heavyFaults = append(c.heavyFaults, t)
+			c.heavyFaults = append(c.heavyFaults, f)
 		}
 	}
 	c.peakRate = c.baseRate
 	for _, step := range c.rateSteps {
 		c.peakRate *= max(1, step.Factor)
 	}
-	if s.Load.Shape == "bursts" {
+	if c.scenario.Load.Shape == scenario.ShapeBursts {
 		c.peakRate *= burstFactor
 	}
-	return c
 }
 
-// Bursts: a fifth of each period has three times the usual rate, the rest half of it.
-const (
-	burstPeriod, burstShare    = 5 * time.Second, 0.2
-	burstFactor, lullFactor    = 3, 0.5
-	shapeConstant, shapeBursts = "constant", "bursts"
-	roughHintCV                = 0.4 // of a rough hint
-)
-
-// Rate is how many are meant to come in a second, at a time.
+// Rate returns the intended rate at a time, in invocations a second.
 func (c *Clients) Rate(at time.Duration) float64 {
 	rate := c.baseRate
 	for _, step := range c.rateSteps {
@@ -96,7 +100,7 @@
 			rate *= step.Factor
 		}
 	}
-	if c.scenario.Load.Shape == shapeBursts {
+	if c.scenario.Load.Shape == scenario.ShapeBursts {
 		if float64(at%burstPeriod) < burstShare*float64(burstPeriod) {
 			rate *= burstFactor
 		} else {
@@ -106,153 +110,89 @@
 	return rate
 }
 
-// Next gives the next first try.
+// Next returns the first request of the next invocation; false: the run's load is over.
 func (c *Clients) Next() (Request, bool) {
 	if c.peakRate <= 0 {
 		return Request{}, false
 	}
 	for {
-		if c.scenario.Load.Shape == shapeConstant {
-			rate := c.Rate(c.lastArrival)
-			if rate <= 0 {
-				c.lastArrival += 10 * time.Millisecond
-			} else {
-				c.lastArrival += time.Duration(float64(time.Second) / rate)
-			}
-			if c.lastArrival >= c.scenario.Length.D() {
-				return Request{}, false
-			}
-			if rate <= 0 {
-				continue
-			}
+		var arrives bool
+		if c.scenario.Load.Shape == scenario.ShapeConstant {
+			arrives = c.stepConstant()
 		} else {
-			// Thinned: drawn at the highest rate that the day has, and kept by the present one.
-			c.lastArrival += time.Duration(c.arrivalRand.ExpFloat64() / c.peakRate * float64(time.Second))
-			if c.lastArrival >= c.scenario.Length.D() {
-				return Request{}, false
-			}
-			if c.arrivalRand.Float64()*c.peakRate >= c.Rate(c.lastArrival) {
-				continue
-			}
+			arrives = c.stepPoisson()
 		}
-		return c.draw(), true
-	}
-}
-
-func pickByShare(sums []float64, rng *rand.Rand) int {
-	if len(sums) == 0 {
-		return 0
-	}
-	at := rng.Float64() * sums[len(sums)-1]
-	for i, sum := range sums {
-		if at < sum {
-			return i
+		if c.lastArrival >= c.scenario.Length.D() {
+			return Request{}, false
 		}
-	}
-	return len(sums) - 1
-}
-
-func (c *Clients) draw() Request {
-	op := pickByShare(c.operationShares, c.requestRand)
-	o := c.scenario.Operations[op]
-	cost := lognormal(c.requestRand, o.Work.D().Seconds(), o.CV)
-	for _, t := range c.heavyFaults {
-		if c.lastArrival >= t.Start.D() && c.lastArrival < t.Start.D()+t.Duration.D() && (t.Operation == "" || t.Operation == o.Name) && c.requestRand.Float64() < t.Share {
-			cost *= t.Factor
+		if arrives {
+			return c.drawRequest(), true
 		}
 	}
-	j := c.NewRequest(op, c.lastArrival, cost, c.requestRand)
-	j.Tenant, j.Zone = pickByShare(c.tenantShares, c.requestRand), c.requestRand.IntN(len(c.scenario.Zones))
-	if c.requestRand.Float64() < c.scenario.Clients.Disconnect {
-		j.DisconnectAt = j.At + time.Duration(c.requestRand.Float64()*float64(o.Timeout))
-	}
-	return j
-}
-
-// Job makes the first try of an invocation of a known operation, time and cost.
-func (c *Clients) NewRequest(op int, at time.Duration, cost float64, rng *rand.Rand) Request {
-	o := c.scenario.Operations[op]
-	c.lastInvocation++
-	j := Request{ID: c.lastInvocation << 8, Invocation: c.lastInvocation, Operation: op, Cost: max(cost, 1e-6), Slots: o.Slots, IntendedAt: at, At: at,
-		Deadline: at + o.Timeout.D()}
-	j.Objective = o.Objective.D() + time.Duration(o.Stretch*j.Cost*float64(time.Second))
-	switch o.HintQuality {
-	case "good":
-		j.Hint = j.Cost
-	case "rough":
-		j.Hint = j.Cost * lognormal(rng, 1, roughHintCV)
-	}
-	return j
 }
 
-// Front deals a try out among the schedulers of its zone, or of another where all of these are known to be gone; -1: all are.
-func (c *Clients) Route(j *Request, gone func(scheduler int) bool) int {
-	h := fnv.New64a()
-	fmt.Fprint(h, c.scenario.Seed, j.ID)
-	all, other := c.scenario.Schedulers.Count, -1
-	at := int(h.Sum64() % uint64(all))
-	for n := range all {
-		x := (at + n) % all
-		switch {
-		case gone(x):
-		case c.scenario.Zone(x) == j.Zone:
-			return x
-		case other < 0:
-			other = x
-		}
+// stepConstant advances to the next arrival at a constant rate; false: the rate is 0.
+func (c *Clients) stepConstant() bool {
+	rate := c.Rate(c.lastArrival)
+	if rate <= 0 {
+		c.lastArrival += zeroRateStep
+		return false
 	}
-	return other
+	c.lastArrival += time.Duration(float64(time.Second) / rate)
+	return true
 }
 
-// lognormal has the mean and the coefficient of variation given.
-func lognormal(rng *rand.Rand, mean, cv float64) float64 {
-	n := rng.NormFloat64() // drawn also where it is not needed, so that other draws stay where they are
-	if cv <= 0 {
-		return mean
+// stepPoisson advances to the next arrival of a Poisson process at the peak rate; false: it is thinned out, as the present
+// rate is lower.
+func (c *Clients) stepPoisson() bool {
+	c.lastArrival += time.Duration(c.arrivalRand.ExpFloat64() / c.peakRate * float64(time.Second))
+	if c.lastArrival >= c.scenario.Length.D() {
+		return false
 	}
-	v := math.Log(1 + cv*cv)
-	return mean * math.Exp(math.Sqrt(v)*n-v/2)
+	return c.arrivalRand.Float64()*c.peakRate < c.Rate(c.lastArrival)
 }
 
-// Again gives the next try after one that ended without a result, if its client makes one.
-func (c *Clients) Retry(now time.Duration, j *Request, how Reply, advice time.Duration) (Request, bool) {
-	if how == Succeeded || how == Disconnected || j.Retry >= c.scenario.Clients.Retries+c.extraRetries || j.Retry >= 250 {
-		return Request{}, false
-	}
-	end := j.IntendedAt + c.scenario.Operations[j.Operation].Timeout.D()
-	rng := rand.New(rand.NewPCG(uint64(c.scenario.Seed), uint64(j.ID)))
-	wait := time.Duration((0.5 + rng.Float64()) * float64(c.scenario.Clients.Backoff))
-	if advice > 0 && rng.Float64() < c.scenario.Clients.HonorRetryAfter {
-		wait = max(wait, advice)
+// drawRequest draws a request of the scenario's operations and tenants.
+func (c *Clients) drawRequest() Request {
+	rng := c.requestRand
+	operation := pickByShare(c.operationShares, rng)
+	o := c.scenario.Operations[operation]
+	cost := lognormal(rng, o.Work.D().Seconds(), o.CV)
+	for _, f := range c.heavyFaults {
+		active := c.lastArrival >= f.Start.D() && c.lastArrival < f.Start.D()+f.Duration.D()
+		if active && (f.Operation == "" || f.Operation == o.Name) && rng.Float64() < f.Share {
+			cost *= f.Factor
+		}
 	}
-	if c.extraRetries > 0 {
-		wait = time.Millisecond
+	r := c.NewRequest(operation, c.lastArrival, cost, rng)
+	r.Tenant = pickByShare(c.tenantShares, rng)
+	r.Zone = rng.IntN(len(c.scenario.Zones))
+	if rng.Float64() < c.scenario.Clients.Disconnect {
+		r.DisconnectAt = r.At + time.Duration(rng.Float64()*float64(o.Timeout))
 	}
-	next := *j
-	next.Retry++
-	next.ID++
-	next.At = now + wait
-	next.Deadline = end
-	if next.At >= end {
-		return Request{}, false
-	}
-	return next, true
+	return r
 }
 
-// First tells whether this is the first word that a client has of the end of a try: an answer, a broken connection and
-// its own time-out may follow one another.
-func (c *Clients) FirstReply(j *Request) bool {
-	if c.replied[j.ID] {
-		return false
-	}
-	c.replied[j.ID] = true
-	c.repliedExpiry = append(c.repliedExpiry, repliedRequest{j.ID, j.Deadline + duplicateReplyPeriod})
-	for len(c.repliedExpiry) > 0 && c.repliedExpiry[0].forgetAt < j.At {
-		delete(c.replied, c.repliedExpiry[0].id)
-		c.repliedExpiry = c.repliedExpiry[1:]
+// NewRequest returns the first request of a new invocation of a known operation, time and cost, which is in seconds.
+func (c *Clients) NewRequest(operation int, at time.Duration, cost float64, rng *rand.Rand) Request {
+	o := c.scenario.Operations[operation]
+	c.lastInvocation++
+	r := Request{
+		ID:         c.lastInvocation << retryBits,
+		Invocation: c.lastInvocation,
+		Operation:  operation,
+		Cost:       max(cost, minCost),
+		Slots:      o.Slots,
+		IntendedAt: at,
+		At:         at,
+		Deadline:   at + o.Timeout.D(),
+	}
+	r.Objective = o.Objective.D() + time.Duration(o.Stretch*r.Cost*float64(time.Second))
+	switch o.HintQuality {
+	case scenario.HintsGood:
+		r.Hint = r.Cost
+	case scenario.HintsRough:
+		r.Hint = r.Cost * lognormal(rng, 1, roughHintCV)
 	}
-	return true
+	return r
 }
-
-// replyAgain is how long after its time a try can still end once more.
-const duplicateReplyPeriod = 5 * time.Second
--- /dev/null
+++ b/internal/lab/model/machine_faults.go
@@ -0,0 +1,118 @@
+package model
+
+import (
+	"math"
+	"time"
+
+	"stoatweir/internal/lab/scenario"
+)
+
+// planMachineFault schedules a fault that holds of each of its machines for a time.
+func (m *Model) planMachineFault(f *activeFault) {
+	switch f.Kind {
+	case scenario.MachinesSilent, scenario.ZoneLost:
+		m.duringOnMachines(f, m.Fleet.silence, m.Fleet.endSilence)
+	case scenario.MachinesHung:
+		m.duringOnMachines(f,
+			func(_ time.Duration, machine *Machine) { machine.hungFaults++ },
+			func(_ time.Duration, machine *Machine) { machine.hungFaults-- })
+	case scenario.MachinesSlow:
+		m.duringOnMachines(f,
+			func(_ time.Duration, machine *Machine) { machine.slowdown *= f.Factor },
+			func(_ time.Duration, machine *Machine) { machine.slowdown /= f.Factor })
+	case scenario.MachinesFailing:
+		m.duringOnMachines(f,
+			func(_ time.Duration, machine *Machine) { machine.failShare += f.Share },
+			func(_ time.Duration, machine *Machine) {
+				machine.failShare -= f.Share
+				if machine.failShare < minFailShare {
+					machine.failShare = 0
+				}
+			})
+	}
+}
+
+// updateEach applies a change to machines that are up to date, and updates them after it.
+func (c *Cluster) updateEach(now time.Duration, machines []int, apply func(now time.Duration, m *Machine)) {
+	for _, index := range machines {
+		m := c.Machines[index]
+		c.settle(m, now)
+		apply(now, m)
+		c.update(m, now)
+	}
+}
+
+// silence takes a machine off the network.
+func (c *Cluster) silence(now time.Duration, m *Machine) {
+	if m.State == Gone {
+		return
+	}
+	m.silentFaults++
+	if m.silentFaults == 1 {
+		c.stopProcess(now, m)
+		c.stateChanged(now, m.index, true)
+	}
+}
+
+// endSilence brings a machine back to the network.
+func (c *Cluster) endSilence(now time.Duration, m *Machine) {
+	if m.silentFaults == 0 {
+		return
+	}
+	m.silentFaults--
+	if m.silentFaults == 0 && m.State != Gone {
+		c.startProcess(now, m)
+	}
+}
+
+// planRestart schedules that processes stop, and start after the fault's delay.
+func (m *Model) planRestart(f *activeFault) {
+	c := m.Fleet
+	m.schedule(f.start(), func(now time.Duration) {
+		c.updateEach(now, f.machines, func(now time.Duration, machine *Machine) {
+			if machine.State != Gone && machine.silentFaults == 0 {
+				c.stopProcess(now, machine)
+				c.stateChanged(now, machine.index, false)
+			}
+		})
+	})
+	m.schedule(f.start()+f.Delay.D(), func(now time.Duration) {
+		c.updateEach(now, f.machines, func(now time.Duration, machine *Machine) {
+			if machine.State != Gone && machine.silentFaults == 0 && machine.down {
+				c.startProcess(now, machine)
+			}
+		})
+	})
+}
+
+// planReplacement schedules the batches of a replacement. The machines of a batch drain while their successors start, and
+// are gone after the fault's delay.
+func (m *Model) planReplacement(f *activeFault) {
+	count := len(f.machines)
+	batchSize := max(1, int(math.Ceil(f.Batch*float64(count))))
+	batches := (count + batchSize - 1) / batchSize
+	for n := range batches {
+		batch := f.machines[n*batchSize : min(count, (n+1)*batchSize)]
+		at := f.start() + time.Duration(float64(f.Duration)*float64(n)/float64(batches))
+		m.schedule(at, func(now time.Duration) { m.Fleet.replace(now, batch) })
+		m.schedule(at+f.Delay.D(), func(now time.Duration) { m.Fleet.updateEach(now, batch, m.Fleet.retire) })
+	}
+}
+
+// replace drains machines and starts a successor of each.
+func (c *Cluster) replace(now time.Duration, machines []int) {
+	for _, index := range machines {
+		m := c.Machines[index]
+		m.State = Draining
+		c.stateChanged(now, index, false)
+		successor := c.addMachine(m.Kind, m.Zone, now)
+		c.stateChanged(now, successor.index, false)
+	}
+}
+
+// retire ends a machine for good.
+func (c *Cluster) retire(now time.Duration, m *Machine) {
+	c.stopProcess(now, m)
+	m.State = Gone
+	c.stateChanged(now, m.index, false)
+}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -564,7 +564,7 @@
 	})
 }
 
-func (d *Day) loadReport(r *model.Report) *dispatch.LoadReport {
+func (d *Day) loadReport(r *model.LoadReport) *dispatch.LoadReport {
 	if r == nil {
 		return nil
 	}
