--- /dev/null
+++ b/internal/lab/report/build.go
@@ -0,0 +1,130 @@
+package report
+
+import (
+	"time"
+
+	"stoatweir/internal/lab/model"
+)
+
+const (
+	// worstIntervalSeconds is the length of the interval whose worst service is reported.
+	worstIntervalSeconds = 10
+	// precision is the inverse of the unit that figures are rounded to: what lies behind it depends on the order of sums.
+	precision = 1e6
+	// microsPerMilli is how many microseconds a millisecond has.
+	microsPerMilli = 1e3
+)
+
+// Of makes the report of a run that is over. Name adds what the model does not know.
+func Of(m *model.Model) Report {
+	s := m.Statistics
+	r := Report{
+		Version:         formatVersion,
+		All:             serviceOf(s.All),
+		Operations:      servicesOf(s.Operations),
+		Tenants:         servicesOf(s.Tenants),
+		Zones:           servicesOf(s.Zones),
+		ViolationCounts: map[string]int{},
+		Violations:      m.Rules.Violations,
+		Costs: Costs{
+			Requests:         s.Requests,
+			Forwards:         s.Forwards,
+			DuplicateRuns:    s.Duplicates,
+			WastedShare:      round(s.WastedShare()),
+			HealthChecks:     s.HealthChecks,
+			Connections:      s.Connections,
+			DiscoveryQueries: m.Discovery.Queries,
+			MaxWarmUpLoad:    round(s.MaxWarmUpLoad),
+		},
+	}
+	r.Service = r.All.ServedShare
+	r.WorstOperation = worstOperation(s.Operations)
+	r.ServiceBySecond, r.WorstInterval = serviceOverTime(s.Intervals)
+	for rule, n := range m.Rules.Counts {
+		r.ViolationCounts[model.Rule(rule).String()] = n
+	}
+	return r
+}
+
+// Name adds what the model does not know. length is that of the run.
+func (r Report) Name(scenario, mode, decider string, seed int64, schedulers, workers int, length time.Duration) Report {
+	r.Scenario = scenario
+	r.Mode = mode
+	r.Decider = decider
+	r.Seed = seed
+	r.Schedulers = schedulers
+	r.Workers = workers
+	r.Duration = length.Seconds()
+	return r
+}
+
+// worstOperation is the lowest service of an operation that was offered at all.
+func worstOperation(operations []*model.Service) float64 {
+	worst := 1.0
+	for _, o := range operations {
+		if o.Offered > 0 {
+			worst = min(worst, servedShare(o.ValueServed, o.ValueOffered))
+		}
+	}
+	return worst
+}
+
+// serviceOverTime is the service of each second, and the worst of worstIntervalSeconds on end, or of the whole run if that
+// is shorter.
+func serviceOverTime(intervals []model.Interval) (bySecond []float64, worst float64) {
+	worst = 1
+	for i, interval := range intervals {
+		bySecond = append(bySecond, servedShare(interval.ValueServed, interval.ValueOffered))
+		end := i + 1
+		if end < worstIntervalSeconds && end < len(intervals) {
+			continue
+		}
+		offered := 0.0
+		served := 0.0
+		for _, part := range intervals[max(0, end-worstIntervalSeconds):end] {
+			offered += part.ValueOffered
+			served += part.ValueServed
+		}
+		worst = min(worst, servedShare(served, offered))
+	}
+	return bySecond, worst
+}
+
+func servicesOf(parts []*model.Service) []Service {
+	var all []Service
+	for _, part := range parts {
+		all = append(all, serviceOf(part))
+	}
+	return all
+}
+
+func serviceOf(s *model.Service) Service {
+	percentile := func(p float64) float64 { return float64(s.Latency.ValueAtQuantile(p)) / microsPerMilli }
+	return Service{
+		Name:         s.Name,
+		Offered:      s.Offered,
+		ValueOffered: round(s.ValueOffered),
+		ValueServed:  round(s.ValueServed),
+		ServedShare:  servedShare(s.ValueServed, s.ValueOffered),
+		InTime:       s.InTime,
+		Late:         s.Late,
+		Throttled:    s.Throttled,
+		Errored:      s.Errored,
+		Unanswered:   s.Unanswered,
+		P50:          percentile(50),
+		P90:          percentile(90),
+		P99:          percentile(99),
+		P999:         percentile(99.9),
+	}
+}
+
+// servedShare is the rounded share of what was offered; 1 if nothing was.
+func servedShare(served, offered float64) float64 {
+	if offered <= 0 {
+		return 1
+	}
+	return round(served / offered)
+}
+
+// round rounds a figure that is not below 0.
+func round(v float64) float64 { return float64(int64(v*precision+0.5)) / precision }
--- a/internal/lab/report/compare_test.go
+++ b/internal/lab/report/compare_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Differences are told where the pairs show one, and only there.
+// A difference is concluded where the pairs show one, and only there.
 func Example() {
 	var a, b []Report
 	for n := range 6 {
