--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/reader_test.go
@@ -13,7 +13,8 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-func day() scenario.Scenario {
+// testScenario has two operations and two tenants.
+func testScenario() scenario.Scenario {
 	s, err := scenario.Parse("day.toml", []byte(`
 version = 1
 length = "1h"
@@ -59,8 +60,9 @@
 most = 8
 `
 
+// read prints the requests of a trace and its counts.
 func read(text, mapping string) {
-	s := day()
+	s := testScenario()
 	m, err := ParseMapping("map.toml", []byte(mapping), s)
 	if err != nil {
 		fmt.Println(err)
@@ -78,11 +80,11 @@
 		}
 		fmt.Printf("%v %s of %s: %.3f s, %d slots\n", j.At, s.Operations[j.Operation].Name, s.Tenants[j.Tenant].Name, j.Cost, j.Slots)
 	}
-	text2, _ := json.Marshal(r.Counts)
-	fmt.Println(string(text2))
+	counts, _ := json.Marshal(r.Counts)
+	fmt.Println(string(counts))
 }
 
-const odd = `who,t,kind,run,cpu
+const anomalous = `who,t,kind,run,cpu
 u1,1000,a,20,0.2
 u2,1500,b,900,1
 
@@ -99,13 +101,13 @@
 u2,5200,a,20,0.1
 `
 
-// Rows that are not as they should be are counted and named by their line, and become what the policy says.
+// Anomalous rows are counted and named by their line, and become what the policy says.
 func Example() {
-	read(odd, mapping)
+	read(anomalous, mapping)
 	fmt.Println("-- skipped, twice as fast")
-	read(odd, strings.Replace(mapping, "row_most", "speed = 2.0\npolicies = {order = \"skip\", jump = \"skip\"}\nrow_most", 1))
+	read(anomalous, strings.Replace(mapping, "row_most", "speed = 2.0\npolicies = {order = \"skip\", jump = \"skip\"}\nrow_most", 1))
 	fmt.Println("-- stopped")
-	read(odd, strings.Replace(mapping, "row_most", "policies = {order = \"stop\"}\nrow_most", 1))
+	read(anomalous, strings.Replace(mapping, "row_most", "policies = {order = \"stop\"}\nrow_most", 1))
 	// Output:
 	// 0s small of u1: 0.020 s, 1 slots
 	// 500ms batch of u2: 0.900 s, 4 slots
@@ -128,8 +130,8 @@
 	// {"ended":"line 7: out of order","odd":{"bad":{"first_lines":[5],"rows":1},"out of order":{"first_lines":[7],"rows":1},"unknown operation":{"first_lines":[6],"rows":1}},"rows":5,"used":2}
 }
 
-// Nothing is guessed: an empty trace, a column that is not there, a mapping that can't be meant so.
-func Example_refused() {
+// Nothing is guessed: an empty trace, a column that is not there, a wrong mapping.
+func Example_rejected() {
 	read("", mapping)
 	read("who,t,kind,run\n", mapping)
 	read("x\n", strings.Replace(strings.Replace(mapping, "version = 1", "version = 3", 1), `b = "batch"`, `b = "big"`, 1))
@@ -144,23 +146,23 @@
 	// map.toml:17: slosts: no such key
 }
 
-// A trace is never held: reading ten times as many rows takes no more memory.
-func TestStreams(t *testing.T) {
+// A trace is never held in memory, however many rows it has.
+func TestReadsAsStream(t *testing.T) {
 	const generated = "version = 1\nheader = true\n[columns]\ntime = \"time_us\"\nwork = \"run_us\"\noperation = \"collection_type\"\n" +
 		"tenant = \"user\"\n[operations]\nsmall = \"small\"\nprod = \"small\"\nbatch = \"batch\"\n"
-	s := day()
+	s := testScenario()
 	m, err := ParseMapping("map.toml", []byte(generated), s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	const rows, oddEvery = 200_000, 100
+	const rows, anomalyEvery = 200_000, 100
 	in, out := io.Pipe()
-	go func() { out.CloseWithError(Generate(out, rows, 1, 1000, oddEvery)) }()
+	go func() { out.CloseWithError(Generate(out, rows, 1, 1000, anomalyEvery)) }()
 	r, err := Open(in, m, s, model.New(s).Clients)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var most uint64
+	var maxHeap uint64
 	last := time.Duration(0)
 	for n := 0; ; n++ {
 		j, more := r.Next()
@@ -170,19 +172,22 @@
 		if j.At < last {
 			t.Fatal("not in order of time")
 		}
-		if last = j.At; n%20_000 == 0 {
+		last = j.At
+		if n%20_000 == 0 {
 			runtime.GC()
 			var mem runtime.MemStats
 			runtime.ReadMemStats(&mem)
-			most = max(most, mem.HeapAlloc)
+			maxHeap = max(maxHeap, mem.HeapAlloc)
 		}
 	}
-	// Of four kinds of odd rows in turn, those that are out of order are used all the same.
-	if want := rows - rows/oddEvery*3/4; r.Rows != rows || r.Used != want || r.Anomalies[OutOfOrder] != rows/oddEvery/4 || r.Anomalies[UnknownOperation] != rows/oddEvery/4 ||
-		r.Anomalies[Malformed] != rows/oddEvery/2 {
+	// Of four anomalies in turn, the rows that are out of order are used all the same.
+	const anomalies = rows / anomalyEvery
+	const want = rows - anomalies*3/4
+	if r.Rows != rows || r.Used != want || r.Anomalies[OutOfOrder] != anomalies/4 ||
+		r.Anomalies[UnknownOperation] != anomalies/4 || r.Anomalies[Malformed] != anomalies/2 {
 		t.Errorf("%+v, %d wanted", r.Counts, want)
 	}
-	if most > 32<<20 {
-		t.Errorf("%d MB are held", most>>20)
+	if maxHeap > 32<<20 {
+		t.Errorf("%d MB are in use", maxHeap>>20)
 	}
 }
