--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -13,7 +13,8 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-func day(t *testing.T, more string) scenario.Scenario {
+// testScenario is a constant load of two seconds.
+func testScenario(t *testing.T, more string) scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("day.toml", []byte(`
 version = 1
@@ -35,20 +36,20 @@
 	return s
 }
 
-// stalling answers at once, but for a second in which it answers nobody.
-func stalling(t *testing.T) string {
+// startStallingServer starts a server that answers at once, but for a second in which it answers nobody.
+func startStallingServer(t *testing.T) string {
 	var mu sync.Mutex
-	began := time.Time{}
+	startedAt := time.Time{}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		mu.Lock()
-		if began.IsZero() {
-			began = time.Now()
+		if startedAt.IsZero() {
+			startedAt = time.Now()
 		}
-		wait := time.Second + 500*time.Millisecond - time.Since(began)
+		wait := time.Second + 500*time.Millisecond - time.Since(startedAt)
 		mu.Unlock()
 		if wait < time.Second {
 			time.Sleep(max(0, wait))
@@ -59,10 +60,10 @@
 	return l.Addr().String()
 }
 
-// The load does not wait for answers: a stall of a second shows in the latencies of all that were meant to be sent in it.
-func TestStallShows(t *testing.T) {
-	s := day(t, "")
-	r, err := Run(context.Background(), s, nil, stalling(t))
+// The load does not wait for answers: a stall of a second shows in the latencies of all requests that fall into it.
+func TestStallShowsInLatencies(t *testing.T) {
+	s := testScenario(t, "")
+	r, err := Run(context.Background(), s, nil, startStallingServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,13 +72,16 @@
 	}
 }
 
-// A sender that waits for each answer before it sends the next, which is the usual mistake, is found out: it was late, and
-// its figures are void.
+// A sender that waits for each answer before the next request, which is the usual mistake, is late, and its figures are
+// void.
 func TestClosedLoopIsVoid(t *testing.T) {
-	s := day(t, "")
-	addr := stalling(t)
-	sender, audit, start := NewSender(s), NewAudit(), time.Now()
-	for clients := model.New(s).Clients; ; {
+	s := testScenario(t, "")
+	addr := startStallingServer(t)
+	sender := NewSender(s)
+	audit := NewAudit()
+	start := time.Now()
+	clients := model.New(s).Clients
+	for {
 		j, more := clients.Next()
 		if !more {
 			break
@@ -90,19 +94,19 @@
 	if void == "" || l.Max < 400 {
 		t.Errorf("%+v %q", l, void)
 	}
-	sound := NewAudit()
+	punctual := NewAudit()
 	for n := range time.Duration(100) {
-		sound.RequestSent(n*time.Millisecond, n*time.Millisecond+time.Millisecond)
+		punctual.RequestSent(n*time.Millisecond, n*time.Millisecond+time.Millisecond)
 	}
-	if _, void := sound.Result(s); void != "" {
+	if _, void := punctual.Result(s); void != "" {
 		t.Error(void)
 	}
 }
 
 // Nothing is sent to another machine.
-func TestLoopbackAlone(t *testing.T) {
+func TestOnlyLoopbackIsSentTo(t *testing.T) {
 	for _, addr := range []string{"10.0.0.1:80", "0.0.0.0:80", "example.org:80", "[2001:db8::1]:80", ""} {
-		if _, err := Run(context.Background(), day(t, ""), nil, addr); err == nil {
+		if _, err := Run(context.Background(), testScenario(t, ""), nil, addr); err == nil {
 			t.Errorf("%q", addr)
 		}
 	}
@@ -114,15 +118,15 @@
 	}
 }
 
-// A target that takes nothing in ends in an error of each invocation, within the bounds, and tries are made as clients do.
-func TestNobodyThere(t *testing.T) {
+// A target that accepts no connection throttles each invocation, after all its retries; and a run is bounded.
+func TestUnreachableTarget(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
 	l.Close()
-	s := day(t, "[clients]\nretries = 2\nbackoff = \"5ms\"\n")
+	s := testScenario(t, "[clients]\nretries = 2\nbackoff = \"5ms\"\n")
 	s.Length = scenario.Span(200 * time.Millisecond)
 	r, err := Run(context.Background(), s, nil, addr)
 	if err != nil || r.All.Throttled != r.All.Offered || r.Costs.Requests != 3*r.All.Offered {
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -12,15 +12,16 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// Bounds of one run of the load tool.
+// Bounds of one run.
 const (
 	MaxRequests = 5_000_000
-	MaxOpen     = 10_000 // tries in hand at once; beyond that the run ends, as the target is far behind
+	MaxOpen     = 10_000 // invocations at once; beyond that the run ends, as the target is far behind
 	MaxDuration = 2 * time.Hour
 )
 
-// Run sends the load of a scenario to a scheduler that is running, and tells what its clients saw. The workers are
-// whoever the scheduler knows: nothing but the load is taken from the scenario.
+// Run sends the load of a scenario to a scheduler that is running on this machine, and reports what its clients saw. A nil
+// source stands for the scenario's own load. Of the scenario nothing but the load is used: the workers are whoever the
+// scheduler knows.
 func Run(ctx context.Context, s scenario.Scenario, source model.Source, addr string) (report.Report, error) {
 	if err := CheckLoopback(addr); err != nil {
 		return report.Report{}, err
@@ -28,65 +29,111 @@
 	if s.Length.D() > MaxDuration {
 		return report.Report{}, fmt.Errorf("length: %v is more than %v", s.Length.D(), MaxDuration)
 	}
-	w := model.New(s)
+	r := newRunner(s, source, addr)
+	err := r.sendAll(ctx)
+	r.inFlight.Wait()
+	result := report.Of(r.model).Name(s.Name, "load", addr, s.Seed, 1, 0, s.Length.D())
+	lateness, void := r.audit.Result(s)
+	result.Lateness = &lateness
+	result.Void = void
+	return result, err
+}
+
+// runner is one run.
+type runner struct {
+	scenario scenario.Scenario
+	addr     string
+	sender   *Sender
+	audit    *Audit
+	start    time.Time
+	inFlight sync.WaitGroup // requests, also those whose time is to come
+
+	mu     sync.Mutex // guards what follows
+	model  *model.Model
+	source model.Source
+	open   int // invocations
+	sent   int // requests
+}
+
+func newRunner(s scenario.Scenario, source model.Source, addr string) *runner {
+	m := model.New(s)
 	if source == nil {
-		source = w.Clients
+		source = m.Clients
 	}
-	sender, audit := NewSender(s), NewAudit()
-	start := time.Now()
-	var mu sync.Mutex // of the world, from here on
-	var wait sync.WaitGroup
-	open, sent := 0, 0
-	var try func(j model.Request)
-	try = func(j model.Request) {
-		defer wait.Done()
-		mu.Lock()
-		w.Statistics.Requests++
-		mu.Unlock()
-		audit.RequestSent(j.At, time.Since(start))
-		a := sender.Send(ctx, addr, &j, j.Deadline-time.Since(start), j.Deadline+s.Rules.AnswerSlack.D()-time.Since(start))
-		now := time.Since(start)
-		mu.Lock()
-		defer mu.Unlock()
-		if next, again := w.Clients.Retry(now, &j, a.Reply, a.RetryAfter); again && ctx.Err() == nil && sent < MaxRequests {
-			sent++
-			wait.Add(1)
-			time.AfterFunc(next.At-now, func() { try(next) })
-			return
-		}
-		open--
-		w.Statistics.InvocationEnded(now, &j, a.Reply)
+	return &runner{
+		scenario: s,
+		addr:     addr,
+		sender:   NewSender(s),
+		audit:    NewAudit(),
+		start:    time.Now(),
+		model:    m,
+		source:   source,
 	}
-	var err error
-	for err == nil {
-		mu.Lock()
-		j, more := source.Next()
-		mu.Unlock()
+}
+
+// sendAll sends the first request of each invocation at its time, without waiting for any.
+func (r *runner) sendAll(ctx context.Context) error {
+	for {
+		request, more := r.next()
 		if !more {
-			break
+			return nil
 		}
 		select {
-		case <-time.After(time.Until(start.Add(j.At))):
+		case <-time.After(time.Until(r.start.Add(request.At))):
 		case <-ctx.Done():
-			err = ctx.Err()
-			continue
+			return ctx.Err()
 		}
-		mu.Lock()
-		w.Statistics.InvocationOffered(&j)
-		open++
-		sent++
-		if open > MaxOpen {
-			err = fmt.Errorf("%d are in hand at once: the target is far behind", open)
-		} else if sent > MaxRequests {
-			err = errors.New("more tries than one run may make")
+		err := r.offer(&request)
+		r.inFlight.Add(1)
+		go r.send(ctx, request)
+		if err != nil {
+			return err
 		}
-		mu.Unlock()
-		wait.Add(1)
-		go try(j)
 	}
-	wait.Wait()
-	r := report.Of(w).Name(s.Name, "load", addr, s.Seed, 1, 0, s.Length.D())
-	l, void := audit.Result(s)
-	r.Lateness, r.Void = &l, void
-	return r, err
+}
+
+func (r *runner) next() (model.Request, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.source.Next()
+}
+
+// offer counts an invocation. The error tells that it is the last one, as a bound is passed.
+func (r *runner) offer(request *model.Request) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.model.Statistics.InvocationOffered(request)
+	r.open++
+	r.sent++
+	if r.open > MaxOpen {
+		return fmt.Errorf("%d are in hand at once: the target is far behind", r.open)
+	}
+	if r.sent > MaxRequests {
+		return errors.New("more tries than one run may make")
+	}
+	return nil
+}
+
+// send sends a request, waits for its answer, and schedules the retry if its client makes one.
+func (r *runner) send(ctx context.Context, request model.Request) {
+	defer r.inFlight.Done()
+	r.mu.Lock()
+	r.model.Statistics.Requests++
+	r.mu.Unlock()
+	r.audit.RequestSent(request.At, time.Since(r.start))
+	budget := request.Deadline - time.Since(r.start)
+	timeout := request.Deadline + r.scenario.Rules.AnswerSlack.D() - time.Since(r.start)
+	answer := r.sender.Send(ctx, r.addr, &request, budget, timeout)
+	now := time.Since(r.start)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	retry, again := r.model.Clients.Retry(now, &request, answer.Reply, answer.RetryAfter)
+	if again && ctx.Err() == nil && r.sent < MaxRequests {
+		r.sent++
+		r.inFlight.Add(1)
+		time.AfterFunc(retry.At-now, func() { r.send(ctx, retry) })
+		return
+	}
+	r.open--
+	r.model.Statistics.InvocationEnded(now, &request, answer.Reply)
 }
