--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/day_test.go
@@ -18,7 +18,7 @@
 	"stoatweir/internal/simwire"
 )
 
-// small is a day of ten seconds, to which tests add what they need.
+// small is a run of ten seconds, to which tests add what they need.
 const small = `
 version = 1
 name = "small"
@@ -61,17 +61,18 @@
 	return s
 }
 
-func play(t testing.TB, s scenario.Scenario, maker DeciderFactory) (*Day, report.Report) {
+// play carries a run out and returns it with its report.
+func play(t testing.TB, s scenario.Scenario, newDecider DeciderFactory) (*Day, report.Report) {
 	t.Helper()
-	d := New(s, maker)
+	d := New(s, newDecider)
 	if err := d.Play(context.Background(), nil); err != nil {
 		t.Fatal(err)
 	}
 	return d, report.Of(d.World).Name(s.Name, "virtual", "module", s.Seed, s.Schedulers.Count, len(d.World.Fleet.Machines), s.Length.D())
 }
 
-// all is every kind of trouble, many at once.
-func all() string {
+// allFaults has every kind of fault, many at once.
+func allFaults() string {
 	text := small
 	for i, kind := range []string{"silent", "hung", "slow", "failing", "restart", "replace", "reports-late", "reports-absent",
 		"list-stale", "list-overbooked", "list-dead", "refused", "reset", "answers-lost", "killed", "burst", "heavy", "storm"} {
@@ -80,11 +81,11 @@
 	return text + "[[troubles]]\nkind = \"zone-lost\"\nzone = \"b\"\nat = \"8s\"\nfor = \"1s\"\n"
 }
 
-// The same seed gives the same report to the byte, with all troubles, and another seed another day. The module keeps the
-// rules on all of them.
+// The same seed gives the same report to the byte, with all faults, and another seed another run. The module keeps the rules
+// in all of them.
 func TestSameSeedSameReport(t *testing.T) {
 	text := func(seed int64) string {
-		s := parse(t, all())
+		s := parse(t, allFaults())
 		s.Seed = seed
 		_, r := play(t, s, Module)
 		var b bytes.Buffer
@@ -92,27 +93,27 @@
 			t.Fatal(err)
 		}
 		if r.Broken() > 0 {
-			var why bytes.Buffer
-			r.Text(&why)
-			t.Error(why.String())
+			var text bytes.Buffer
+			r.Text(&text)
+			t.Error(text.String())
 		}
 		if a := r.All; a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered || a.Offered == 0 {
-			t.Errorf("what came in and how it ended do not agree: %+v", a)
+			t.Errorf("offered invocations and their ends do not agree: %+v", a)
 		}
 		return b.String()
 	}
 	first := text(1)
 	if again := text(1); again != first {
-		t.Error("the same day twice, and two reports")
+		t.Error("the same run twice, and two reports")
 	}
 	if other := text(2); other == first {
-		t.Error("another seed, and the same day")
+		t.Error("another seed, and the same run")
 	}
 }
 
 // Two deciders meet the same arrivals, whatever they do.
-func TestDecidersMeetTheSameDay(t *testing.T) {
-	s := parse(t, all())
+func TestDecidersMeetTheSameRun(t *testing.T) {
+	s := parse(t, allFaults())
 	_, a := play(t, s, Module)
 	_, b := play(t, s, policy("random"))
 	if a.All.Offered != b.All.Offered || a.Operations[1].Offered != b.Operations[1].Offered || a.Zones[0].Offered != b.Zones[0].Offered {
@@ -123,13 +124,14 @@
 	}
 }
 
+// policy makes deciders by a policy of package baseline.
 func policy(name string) DeciderFactory {
 	return func(_ int, seed int64, text []byte) (Decider, error) {
-		site, err := settings.ParseDeployment(text)
+		deployment, err := settings.ParseDeployment(text)
 		if err != nil {
 			return nil, err
 		}
-		return baseline.New(name, site.Dispatch, uint64(seed))
+		return baseline.New(name, deployment.Dispatch, uint64(seed))
 	}
 }
 
@@ -142,8 +144,8 @@
 	}
 }
 
-// A trouble that begins and ends inside another of its kind lifts nothing of that one.
-func TestTroubleInsideAnother(t *testing.T) {
+// A fault that begins and ends inside another of its kind lifts nothing of that one.
+func TestFaultInsideAnother(t *testing.T) {
 	s := parse(t, small+`
 [[troubles]]
 kind = "hung"
@@ -157,40 +159,42 @@
 share = 1.0
 `)
 	d := New(s, Module)
-	done := map[time.Duration]int{}
-	tell := d.World.Fleet.OnCallback
-	d.World.Fleet.OnCallback = func(now time.Duration, a *model.Attempt, sign model.Callback, share float64) {
-		if sign == model.Completed {
-			done[now.Truncate(time.Second)]++
+	completed := map[time.Duration]int{}
+	onCallback := d.World.Fleet.OnCallback
+	d.World.Fleet.OnCallback = func(now time.Duration, a *model.Attempt, callback model.Callback, share float64) {
+		if callback == model.Completed {
+			completed[now.Truncate(time.Second)]++
 		}
-		tell(now, a, sign, share)
+		onCallback(now, a, callback, share)
 	}
 	if err := d.Play(context.Background(), nil); err != nil {
 		t.Fatal(err)
 	}
-	if done[time.Second] == 0 || done[3*time.Second]+done[4*time.Second]+done[5*time.Second]+done[7*time.Second] > 0 || done[9*time.Second] == 0 {
-		t.Error("ends by second:", done)
+	during := completed[3*time.Second] + completed[4*time.Second] + completed[5*time.Second] + completed[7*time.Second]
+	if completed[time.Second] == 0 || during > 0 || completed[9*time.Second] == 0 {
+		t.Error("completions by second:", completed)
 	}
 }
 
-// spoiler lets the module decide and breaks one rule on purpose.
-type spoiler struct {
+// faultyDecider lets the module decide, and changes its actions to violate a rule.
+type faultyDecider struct {
 	Decider
-	spoil func(now time.Duration, actions []dispatch.Action) []dispatch.Action
+	change func(now time.Duration, actions []dispatch.Action) []dispatch.Action
 }
 
-func (s spoiler) Handle(now time.Duration, events []dispatch.Event) []dispatch.Action {
-	return s.spoil(now, s.Decider.Handle(now, events))
+func (f faultyDecider) Handle(now time.Duration, events []dispatch.Event) []dispatch.Action {
+	return f.change(now, f.Decider.Handle(now, events))
 }
 
-func spoilt(make func() func(now time.Duration, actions []dispatch.Action) []dispatch.Action) DeciderFactory {
+// faulty makes deciders that change the module's actions.
+func faulty(newChange func() func(now time.Duration, actions []dispatch.Action) []dispatch.Action) DeciderFactory {
 	return func(n int, seed int64, text []byte) (Decider, error) {
 		d, err := Module(n, seed, text)
-		return spoiler{d, make()}, err
+		return faultyDecider{Decider: d, change: newChange()}, err
 	}
 }
 
-// sticky sends everything to the first worker that its scheduler ever used.
+// sticky forwards everything to the first worker that its scheduler ever used.
 func sticky() func(time.Duration, []dispatch.Action) []dispatch.Action {
 	var first *dispatch.WorkerID
 	return func(_ time.Duration, actions []dispatch.Action) []dispatch.Action {
@@ -206,14 +210,19 @@
 	}
 }
 
-// Each rule's judge catches a scheduler that breaks that rule, with what led there, and finds nothing where it does not.
-func TestJudgeCatches(t *testing.T) {
+// The check of each rule finds a scheduler that violates it, with a text, and nothing where it does not.
+func TestRuleCheckerFindsViolations(t *testing.T) {
 	drain := "[[troubles]]\nkind = \"replace\"\nat = \"2s\"\nfor = \"2s\"\nshare = 1.0\nbatch = 1.0\ndelay = \"6s\"\n"
+	overload := strings.NewReplacer(
+		`length = "10s"`, `length = "4s"`,
+		"queue = 16", "queue = 1000\ncold = true\nwarm = \"60s\"\ncold_from = 0.1",
+		"of = 0.5\n[[workers]]\ncount = 6", "of = 1.5\n[[workers]]\ncount = 12",
+	).Replace(small)
 	for _, v := range []struct {
 		name, rule, text string
-		maker            DeciderFactory
+		newDecider       DeciderFactory
 	}{
-		{"twice answered", "one answer", small, spoilt(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
+		{"twice answered", "one answer", small, faulty(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
 			return func(_ time.Duration, actions []dispatch.Action) []dispatch.Action {
 				for _, a := range actions {
 					if f, is := a.(dispatch.Forward); is && f.Invocation%7 == 0 {
@@ -224,7 +233,7 @@
 			}
 		})},
 		{"never answered", "one answer", small + "[[troubles]]\nkind = \"hung\"\nat = \"1s\"\nfor = \"9s\"\nshare = 1.0\n",
-			spoilt(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
+			faulty(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
 				return func(_ time.Duration, actions []dispatch.Action) (kept []dispatch.Action) {
 					for _, a := range actions {
 						switch a.(type) {
@@ -236,7 +245,7 @@
 					return kept
 				}
 			})},
-		{"sent twice", "one effect", small, spoilt(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
+		{"sent twice", "one effect", small, faulty(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
 			return func(_ time.Duration, actions []dispatch.Action) []dispatch.Action {
 				all := append([]dispatch.Action{}, actions...)
 				for _, a := range actions {
@@ -247,26 +256,25 @@
 				return all
 			}
 		})},
-		{"sent to the drained", "drains", small + drain, spoilt(sticky)},
-		{"cold workers pushed", "cold", strings.Replace(strings.Replace(strings.Replace(small, `length = "10s"`, `length = "4s"`, 1), "queue = 16", "queue = 1000\ncold = true\nwarm = \"60s\"\ncold_from = 0.1", 1),
-			"of = 0.5\n[[workers]]\ncount = 6", "of = 1.5\n[[workers]]\ncount = 12", 1), spoilt(sticky)},
+		{"sent to draining workers", "drains", small + drain, faulty(sticky)},
+		{"warming workers overloaded", "cold", overload, faulty(sticky)},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			for seed := range int64(2) {
 				s := parse(t, v.text)
 				s.Seed = seed + 1
-				_, sound := play(t, s, Module)
-				_, broken := play(t, s, v.maker)
-				if sound.Broken() > 0 {
-					t.Errorf("seed %d: the module is blamed: %+v", seed, sound.Violations)
+				_, correct := play(t, s, Module)
+				_, broken := play(t, s, v.newDecider)
+				if correct.Broken() > 0 {
+					t.Errorf("seed %d: violations by the module: %+v", seed, correct.Violations)
 				}
 				if broken.ViolationCounts[v.rule] == 0 {
-					t.Errorf("seed %d: not caught: %v", seed, broken.ViolationCounts)
+					t.Errorf("seed %d: not found: %v", seed, broken.ViolationCounts)
 					continue
 				}
 				for _, b := range broken.Violations {
 					if b.Rule == v.rule && b.Text == "" {
-						t.Errorf("seed %d: no word of what happened: %+v", seed, b)
+						t.Errorf("seed %d: no text: %+v", seed, b)
 					}
 				}
 			}
@@ -274,26 +282,36 @@
 	}
 }
 
-// A program on the simulator's wire decides as it does in this process.
-func TestOverTheWire(t *testing.T) {
-	s := parse(t, small+"[[troubles]]\nkind = \"slow\"\nat = \"2s\"\nfor = \"4s\"\nshare = 0.4\n[[troubles]]\nkind = \"killed\"\nat = \"5s\"\nshare = 0.5\n")
+// A program on the simulator's protocol decides as it does in this process.
+func TestProgramDecidesAsInProcess(t *testing.T) {
+	s := parse(t, small+`
+[[troubles]]
+kind = "slow"
+at = "2s"
+for = "4s"
+share = 0.4
+[[troubles]]
+kind = "killed"
+at = "5s"
+share = 0.5
+`)
 	in, toProgram := io.Pipe()
 	fromProgram, out := io.Pipe()
 	go simwire.Serve(in, out, func(start simwire.InstanceStart) (simwire.Decider, error) {
 		return baseline.New("least", start.Config, start.Seed)
 	})
-	p := &Program{in: toProgram, host: simwire.NewHost(toProgram, fromProgram)}
+	p := &Program{input: toProgram, host: simwire.NewHost(toProgram, fromProgram)}
 	var d *Day
 	d = New(s, p.Maker(func() time.Duration { return d.Time() }))
 	if err := d.Play(context.Background(), nil); err != nil || p.Err() != nil {
 		t.Fatal(err, p.Err())
 	}
 	toProgram.Close()
-	over := report.Of(d.World)
-	_, here := play(t, s, policy("least"))
-	if over.Broken() > 0 || over.All.Offered != here.All.Offered || over.Costs.Forwards < over.All.Offered/2 ||
-		over.Service < here.Service-0.02 || over.Service > here.Service+0.02 {
-		t.Errorf("over the wire %+v %+v\nin this process %+v %+v", over.All, over.Costs, here.All, here.Costs)
+	remote := report.Of(d.World)
+	_, local := play(t, s, policy("least"))
+	if remote.Broken() > 0 || remote.All.Offered != local.All.Offered || remote.Costs.Forwards < remote.All.Offered/2 ||
+		remote.Service < local.Service-0.02 || remote.Service > local.Service+0.02 {
+		t.Errorf("program %+v %+v\nin this process %+v %+v", remote.All, remote.Costs, local.All, local.Costs)
 	}
 }
 
@@ -304,7 +322,9 @@
 		d, _ := play(t, s, policy("two"))
 		return d.Steps
 	}
-	if few, many := steps(4), steps(12); many > 2*few {
+	few := steps(4)
+	many := steps(12)
+	if many > 2*few {
 		t.Errorf("%d and %d", few, many)
 	}
 }
--- a/internal/lab/virtual/program.go
+++ b/internal/lab/virtual/program.go
@@ -13,89 +13,104 @@
 	"stoatweir/internal/simwire"
 )
 
-// Program is a program that decides, on the simulator's wire: another build's decisions, or a baseline.
+// Program is a program that decides, over the simulator's protocol: another build's decisions, or a baseline.
 type Program struct {
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	host *simwire.Host
-	err  error
+	command string
+	process *exec.Cmd
+	input   io.WriteCloser
+	host    *simwire.Host
+	err     error
 }
 
-// Run starts a program by a command line. It ends with us.
+// Run starts a program by a command line of the shell. It is killed when this process exits.
 func Run(command string) (*Program, error) {
-	p := &Program{cmd: exec.Command("/bin/sh", "-c", "exec "+command)}
-	p.cmd.Stderr = os.Stderr
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	var err error
-	if p.in, err = p.cmd.StdinPipe(); err != nil {
+	process := exec.Command("/bin/sh", "-c", "exec "+command)
+	process.Stderr = os.Stderr
+	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	input, err := process.StdinPipe()
+	if err != nil {
 		return nil, err
 	}
-	out, err := p.cmd.StdoutPipe()
+	output, err := process.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := process.Start(); err != nil {
 		return nil, err
 	}
-	p.host = simwire.NewHost(p.in, out)
-	return p, nil
+	return &Program{command: command, process: process, input: input, host: simwire.NewHost(input, output)}, nil
 }
 
-// Close lets the program end.
+// Close ends the program's input and waits for its exit.
 func (p *Program) Close() error {
-	p.in.Close()
-	return p.cmd.Wait()
+	p.input.Close()
+	return p.process.Wait()
 }
 
-// Err is what has gone wrong with it.
+// Err returns the error by which the program decides nothing any more; nil: it decides.
 func (p *Program) Err() error { return p.err }
 
-// instance is one scheduler of a program.
-type instance struct {
-	*Program
-	scheduler uint32
-	base      time.Duration
-	report    settings.Report
-	begin     func() // tells the program of it, with the first events
-}
-
-// Maker makes schedulers of the program; clock tells the day's time.
+// Maker returns the DeciderFactory of the program. clock is the time of the run.
 func (p *Program) Maker(clock func() time.Duration) DeciderFactory {
 	return func(scheduler int, seed int64, text []byte) (Decider, error) {
-		site, err := settings.ParseDeployment(text)
+		deployment, err := settings.ParseDeployment(text)
 		if err != nil {
 			return nil, err
 		}
-		i := &instance{Program: p, scheduler: uint32(scheduler), base: clock(), report: site.Report}
-		i.begin = func() {
-			p.host.StopInstance(i.scheduler)
-			p.host.StartInstance(i.scheduler, uint64(seed), text)
-		}
-		return i, nil
+		return &instance{
+			program:   p,
+			scheduler: uint32(scheduler),
+			startedAt: clock(),
+			report:    deployment.Report,
+			seed:      uint64(seed),
+			text:      text,
+		}, nil
 	}
 }
 
-// Handle hands events on and brings the actions back.
-func (i *instance) Handle(now time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
-	if i.err != nil {
+// instance is one scheduler of a program.
+type instance struct {
+	program   *Program
+	scheduler uint32
+	startedAt time.Duration
+	report    settings.Report
+	seed      uint64
+	text      []byte // the settings
+	started   bool   // the program knows of it
+}
+
+// Handle sends the events to the program and returns its actions; none once the program has failed.
+func (i *instance) Handle(now time.Duration, events []dispatch.Event) []dispatch.Action {
+	p := i.program
+	if p.err != nil {
 		return nil
 	}
-	if i.begin != nil {
-		i.begin()
-		i.begin = nil
-	}
-	for _, e := range events {
-		if i.err = i.host.AddEvent(i.scheduler, i.base, i.report, e); i.err != nil {
+	i.start()
+	for _, event := range events {
+		p.err = p.host.AddEvent(i.scheduler, i.startedAt, i.report, event)
+		if p.err != nil {
 			return nil
 		}
 	}
-	base := func(uint32) time.Duration { return i.base }
-	if err := i.host.Exchange(i.base+now, base, func(n uint32, a dispatch.Action) {
-		if n == i.scheduler {
-			actions = append(actions, a)
+	var actions []dispatch.Action
+	startedAt := func(uint32) time.Duration { return i.startedAt }
+	err := p.host.Exchange(i.startedAt+now, startedAt, func(scheduler uint32, action dispatch.Action) {
+		if scheduler == i.scheduler {
+			actions = append(actions, action)
 		}
-	}); err != nil {
-		i.Program.err = fmt.Errorf("%s: %w", i.cmd.Args[2], err)
+	})
+	if err != nil {
+		p.err = fmt.Errorf("exec %s: %w", p.command, err)
 	}
 	return actions
 }
+
+// start starts the instance with its first events, in place of an earlier one.
+func (i *instance) start() {
+	if i.started {
+		return
+	}
+	i.started = true
+	i.program.host.StopInstance(i.scheduler)
+	i.program.host.StartInstance(i.scheduler, i.seed, i.text)
+}
