--- a/internal/admin/line.go
+++ b/internal/admin/line.go
@@ -29,7 +29,7 @@
 	whole bool
 }
 
-// Feed parses further bytes; ended tells that no more will come. It returns whether the line is whole.
+// Feed parses further bytes; ended reports that no more will come. It returns whether the line is whole.
 func (l *Line) Feed(b []byte, ended bool) (whole bool, err error) {
 	for _, c := range b {
 		switch {
--- a/internal/invariant/answer.go
+++ b/internal/invariant/answer.go
@@ -50,10 +50,10 @@
 	return kind
 }
 
-// isAnswer tells whether a client gets an answer of this kind.
+// isAnswer reports whether a client gets an answer of this kind.
 func (k Kind) isAnswer() bool { return k != Abandoned && k != Migrated }
 
-// refusable tells whether the client may safely retry.
+// refusable reports whether the client may safely retry.
 func (r *request) refusable() bool {
 	if r.Effect == dispatch.Idempotent || r.Effect == dispatch.Deduplicated && r.Scope == dispatch.ScopeAll {
 		return true
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -44,7 +44,7 @@
 	return ""
 }
 
-// workerChange tells what has become of the worker since it was chosen; empty: it may still be sent to.
+// workerChange returns what has become of the worker since it was chosen; empty: it may still be sent to.
 func (a Attempt) workerChange() Reason {
 	switch {
 	case a.Current.State != dispatch.Ready:
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// retryViolation tells which invariant one more attempt would violate; empty: none.
+// retryViolation returns which invariant one more attempt would violate; empty: none.
 func (r *request) retryViolation(a Attempt, now time.Duration) Reason {
 	inFlight := 0
 	for _, previous := range r.attempts {
@@ -78,7 +78,7 @@
 	return r.effectViolation(a, now)
 }
 
-// effectViolation tells which invariant of the request's effect class one more attempt would violate; empty: none.
+// effectViolation returns which invariant of the request's effect class one more attempt would violate; empty: none.
 func (r *request) effectViolation(a Attempt, now time.Duration) Reason {
 	first := r.firstThatMayHaveRun()
 	switch {
--- a/internal/lab/baseline/policy.go
+++ b/internal/lab/baseline/policy.go
@@ -58,7 +58,7 @@
 	answered   bool
 }
 
-// New returns the policy of that name. The error tells that there is none.
+// New returns the policy of that name. The error reports that there is none.
 func New(name string, config dispatch.Config, seed uint64) (*Policy, error) {
 	if !slices.Contains(Names, name) {
 		return nil, fmt.Errorf("%q is none of %v", name, Names)
--- a/internal/lab/eventqueue/queue.go
+++ b/internal/lab/eventqueue/queue.go
@@ -61,7 +61,7 @@
 // Pop removes the next value and returns it. It panics if the queue is empty.
 func (q *Queue[T]) Pop() T { return heap.Pop(&q.entries).(entry[T]).value }
 
-// Due tells whether the time of the next value is not after now.
+// Due reports whether the time of the next value is not after now.
 func (q *Queue[T]) Due(now time.Duration) bool {
 	return len(q.entries) > 0 && q.entries[0].at <= now
 }
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -98,7 +98,7 @@
 	return r.source.Next()
 }
 
-// offer counts an invocation. The error tells that it is the last one, as a bound is passed.
+// offer counts an invocation. The error reports that it is the last one, as a bound is passed.
 func (r *runner) offer(request *model.Request) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/model/cluster.go
+++ b/internal/lab/model/cluster.go
@@ -158,7 +158,7 @@
 				at = min(at, a.progressAt+interval)
 			}
 		}
-		if m.cold && len(m.running) > 0 {
+		if m.warmingUp && len(m.running) > 0 {
 			at = min(at, now+warmUpStep)
 		}
 	}
@@ -215,7 +215,7 @@
 	c.settle(m, now)
 	m.down = false
 	m.StartedAt = now
-	m.cold = true
+	m.warmingUp = true
 	c.stateChanged(now, m.index, false)
 	c.update(m, now)
 }
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -99,7 +99,7 @@
 // Version is the present version of the list.
 func (d *Discovery) Version() int { return len(d.log) }
 
-// Down tells whether it answers no query.
+// Down reports whether it answers no query.
 func (d *Discovery) Down() bool { return d.downFaults > 0 }
 
 // Since returns what has changed after a version: each machine once, in the order of their last changes.
--- a/internal/lab/model/machine.go
+++ b/internal/lab/model/machine.go
@@ -67,14 +67,14 @@
 	rate      float64       // of a slot since then; 1: speed 1
 	timer     int           // number of the timer that counts
 
-	cold            bool // warming up
+	warmingUp       bool
 	down            bool // its process does not run
 	silentFaults    int  // active faults of that kind
 	hungFaults      int  // active faults of that kind
 	slowdown        float64
 	failShare       float64 // of attempts, which fail at once
 	meanServiceTime time.Duration
-	recentArrivals  []arrival // within the overload window, while cold
+	recentArrivals  []arrival // within the overload window, while warming up
 
 	pendingReports []pendingReport
 	visibleReport  LoadReport
@@ -98,27 +98,27 @@
 		cancellation: group.Cancellation,
 		slowdown:     1,
 		settledAt:    max(0, startedAt),
-		cold:         startedAt >= 0,
+		warmingUp:    startedAt >= 0,
 		reportedAt:   longAgo,
 	}
 	m.rate = m.slotRate(m.settledAt)
 	return m
 }
 
-// Reachable tells whether there is a process on the machine that the network reaches.
+// Reachable reports whether there is a process on the machine that the network reaches.
 func (m *Machine) Reachable() bool { return !m.down && m.State != Gone && m.silentFaults == 0 }
 
-// Silent tells whether the machine has vanished from the network.
+// Silent reports whether the machine has vanished from the network.
 func (m *Machine) Silent() bool { return m.silentFaults > 0 && m.State != Gone }
 
 // capacityShare is the share of its capacity that the machine has, which grows while it warms up.
 func (m *Machine) capacityShare(now time.Duration) float64 {
-	if !m.cold {
+	if !m.warmingUp {
 		return 1
 	}
 	share := m.coldFrom + (1-m.coldFrom)*float64(now-m.StartedAt)/float64(m.warmUp)
 	if share >= 1 {
-		m.cold = false
+		m.warmingUp = false
 		return 1
 	}
 	return share
@@ -157,7 +157,7 @@
 	m.meanServiceTime += (serviceTime - m.meanServiceTime) / serviceTimeWindow
 }
 
-// cancels tells whether the machine honors the cancellation of an attempt.
+// cancels reports whether the machine honors the cancellation of an attempt.
 func (m *Machine) cancels(a *Attempt) bool {
 	if m.silentFaults > 0 || m.hungFaults > 0 {
 		return false
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,5 +1,5 @@
 // Package model is the laboratory's model of a run: the machines that workers run on, discovery, the clients, the faults,
-// and the checker of the rules. It has neither I/O nor a clock: its driver tells what happens and when, and calls AdvanceTo
+// and the checker of the rules. It has neither I/O nor a clock: its driver feeds it what happens and when, and calls AdvanceTo
 // before.
 package model
 
--- a/internal/lab/model/retry.go
+++ b/internal/lab/model/retry.go
@@ -77,7 +77,7 @@
 	return wait
 }
 
-// FirstReply tells whether this is the first time that a request ends for its client: an answer, a broken connection and
+// FirstReply reports whether this is the first time that a request ends for its client: an answer, a broken connection and
 // the client's timeout may follow one another.
 func (c *Clients) FirstReply(r *Request) bool {
 	if c.replied[r.ID] {
--- a/internal/lab/model/serve.go
+++ b/internal/lab/model/serve.go
@@ -49,7 +49,7 @@
 // checkOverload counts the work that a warming machine is sent, and stops its process if that is too much.
 func (c *Cluster) checkOverload(now time.Duration, m *Machine, a *Attempt) {
 	share := m.capacityShare(now)
-	if !m.cold {
+	if !m.warmingUp {
 		m.recentArrivals = nil
 		return
 	}
--- a/internal/lab/report/compare_test.go
+++ b/internal/lab/report/compare_test.go
@@ -12,7 +12,7 @@
 	for n := range 6 {
 		x := Report{Scenario: "day", Mode: "virtual", Seed: int64(n), Service: 0.5 + 0.05*float64(n), WorstInterval: 0.4, All: Service{P99: 100, Offered: 10}}
 		y := x
-		y.Service += 0.02 + 0.001*float64(n%2)               // small beside how far the days differ, and the same on all
+		y.Service += 0.02 + 0.001*float64(n%2)               // small beside how far the runs differ, and the same in all
 		y.WorstInterval += 0.03 * float64([]int{1, -1}[n%2]) // up and down
 		y.All.P99 += 5 + float64(n%3)                        // worse
 		a, b = append(a, x), append(b, y)
@@ -50,7 +50,7 @@
 		}
 	}
 	if Plot(new(counter), "x.gif", Report{ServiceBySecond: []float64{1, 1}}) == nil || Plot(new(counter), "x.svg", Report{ServiceBySecond: []float64{1}}) == nil {
-		t.Error("no word on a plot that can't be drawn")
+		t.Error("no error for a plot that can't be drawn")
 	}
 }
 
--- a/internal/lab/trace/clock.go
+++ b/internal/lab/trace/clock.go
@@ -23,7 +23,7 @@
 // step is how far a recorded time is from the last one, in nanoseconds.
 func (c *clock) step(recorded float64) float64 { return (recorded - c.last) * c.unit }
 
-// check tells what is wrong with a recorded time; false: nothing is. The first one starts the clock.
+// check returns what is wrong with a recorded time; false: nothing is. The first one starts the clock.
 func (c *clock) check(recorded float64) (Anomaly, bool) {
 	if !c.started {
 		c.started = true
--- a/internal/lab/trace/columns.go
+++ b/internal/lab/trace/columns.go
@@ -30,7 +30,7 @@
 	last     int // the highest index
 }
 
-// has tells whether the mapping has a column.
+// has reports whether the mapping has a column.
 func (c columnIndexes) has(col column) bool {
 	_, has := c.byColumn[col]
 	return has
--- a/internal/lab/trace/mapping.go
+++ b/internal/lab/trace/mapping.go
@@ -1,4 +1,4 @@
-// Package trace reads public cluster traces in CSV as a stream: a mapping tells what the columns mean. It holds one row at a
+// Package trace reads public cluster traces in CSV as a stream: a mapping defines what the columns mean. It holds one row at a
 // time, however large the trace is.
 package trace
 
@@ -28,7 +28,7 @@
 	"s":  time.Second,
 }
 
-// Mapping tells how the rows of a trace become invocations.
+// Mapping defines how the rows of a trace become invocations.
 type Mapping struct {
 	Version   int     `toml:"Version"`
 	Header    bool    `toml:"Header"` // the first line names the columns; else they are numbered from 0
--- a/internal/lab/trace/reader.go
+++ b/internal/lab/trace/reader.go
@@ -84,7 +84,7 @@
 }
 
 // Next returns the request of the next row that can be used; false: the trace is over, or was stopped by a policy or an
-// error, which Ended tells.
+// error, which Ended names.
 func (r *Reader) Next() (model.Request, bool) {
 	for !r.stopped {
 		fields, err := r.rows.next()
--- a/internal/lab/trace/rows.go
+++ b/internal/lab/trace/rows.go
@@ -27,7 +27,7 @@
 	line      int // number of the last line that was read, from 1
 }
 
-// empty tells whether there is nothing to read.
+// empty reports whether there is nothing to read.
 func (r *rowReader) empty() bool {
 	_, err := r.in.Peek(1)
 	return err != nil
--- a/internal/lab/virtual/attempts.go
+++ b/internal/lab/virtual/attempts.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// provesNotRun tells whether a result proves that the attempt has not run.
+// provesNotRun reports whether a result proves that the attempt has not run.
 func provesNotRun(r dispatch.Result) bool {
 	return r == dispatch.Rejected || r == dispatch.Unreachable || r == dispatch.NotSent
 }
--- a/internal/lab/virtual/scheduler.go
+++ b/internal/lab/virtual/scheduler.go
@@ -40,7 +40,7 @@
 	idleConnections map[int][]time.Duration // by machine: since when each is idle
 }
 
-// current tells whether an incarnation is up.
+// current reports whether an incarnation is up.
 func (s *scheduler) current(incarnation int) bool { return s.up && s.incarnation == incarnation }
 
 // startScheduler starts an incarnation, which has the endpoint list of the moment from its cache.
--- a/internal/lifecycle/transitions.go
+++ b/internal/lifecycle/transitions.go
@@ -23,7 +23,7 @@
 	exitDelay = 200 * time.Millisecond
 )
 
-// EndpointsKnown tells that there is an endpoint list to serve by, or that the wait for one is over.
+// EndpointsKnown records that there is an endpoint list to serve by, or that the wait for one is over.
 func (l *Lifecycle) EndpointsKnown(now time.Duration) {
 	l.endpointsKnown = true
 	if l.state == Starting {
@@ -54,7 +54,7 @@
 	return true
 }
 
-// SuccessorChanged tells whether another process serves at the same address from now on. A process that is stopping
+// SuccessorChanged records whether another process serves at the same address from now on. A process that is stopping
 // hands over to a successor at once, and goes on alone should the successor exit; the times set by Stop stay, but for
 // an earlier close of the connections.
 func (l *Lifecycle) SuccessorChanged(now time.Duration, present bool) {
@@ -69,7 +69,7 @@
 }
 
 // Stop is the order to shut down. longestTimeout is the longest client timeout, 0 if neither the settings nor a client
-// has told one. A second order changes nothing.
+// gives one. A second order changes nothing.
 func (l *Lifecycle) Stop(now, longestTimeout time.Duration) {
 	if l.state >= HandingOver {
 		return
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -55,7 +55,7 @@
 		r.begin(actionJournalLine, scheduler)
 		r.text(a.Text)
 	default:
-		panic(fmt.Sprintf("no word on the wire for %T", action))
+		panic(fmt.Sprintf("the protocol has no action for %T", action))
 	}
 }
 
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -38,12 +38,12 @@
 func (h *Host) StopInstance(scheduler uint32) { h.events.begin(eventPowerOff, scheduler) }
 
 // AddEvent adds an event to the batch. startedAt is when the instance was started, from which its times count. The error
-// tells that the protocol does not have such an event.
+// reports that the protocol does not have such an event.
 func (h *Host) AddEvent(scheduler uint32, startedAt time.Duration, report settings.Report, event dispatch.Event) error {
 	return h.events.event(scheduler, startedAt, report, event)
 }
 
-// Exchange sends the batch, reads the reply and calls do for each of its actions. startedAt tells when an instance was
+// Exchange sends the batch, reads the reply and calls do for each of its actions. startedAt returns when an instance was
 // started.
 func (h *Host) Exchange(
 	now time.Duration, startedAt func(scheduler uint32) time.Duration, do func(scheduler uint32, a dispatch.Action),
--- a/internal/simwire/protocol.go
+++ b/internal/simwire/protocol.go
@@ -43,7 +43,7 @@
 const (
 	// lengthSize is the size in bytes of a frame's first field, which counts the bytes after it.
 	lengthSize = 4
-	// clockOffset is where in a batch the clock stands, in bytes.
+	// clockOffset is where in a batch the clock is, in bytes.
 	clockOffset = 8
 	// batchHeaderSize is the size in bytes of the length, the number of records and the clock.
 	batchHeaderSize = 16
