--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -61,7 +61,7 @@
 }
 
 // The load does not wait for answers: a stall of a second shows in the latencies of all requests that fall into it.
-func TestStallShowsInLatencies(t *testing.T) {
+func TestStallShows(t *testing.T) {
 	s := testScenario(t, "")
 	r, err := Run(context.Background(), s, nil, startStallingServer(t))
 	if err != nil {
