--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/forms_test.go
@@ -46,38 +46,38 @@
 	return all.String()
 }
 
-// toldOf is a day of which everything is told that schedulers can be told.
-func toldOf(t *testing.T) Scenario {
+// fullScenario has a value for everything that settings can hold.
+func fullScenario(t *testing.T) Scenario {
 	t.Helper()
 	s := golden.Filled[Scenario](t)
-	s.Hosted.Room = 0
-	s.Reports.Fields = []string{"free_slots", "waiting", "active", "service_ms"}
+	s.Hosted.Capacity = 0
+	s.LoadReports.Fields = []string{"free_slots", "waiting", "active", "service_ms"}
 	s.Operations = append(s.Operations, s.Operations[0])
 	for i, effect := range []string{"idempotent", "deduplicated", "non-idempotent"} {
 		s.Operations[i].Effect = effect
 	}
 	for i := range s.Workers {
-		s.Workers[i].ColdFrom, s.Workers[i].Warm = 0.25+float64(i)/8, Span(time.Duration(i+1)*time.Second)
+		s.Workers[i].ColdFrom, s.Workers[i].WarmUp = 0.25+float64(i)/8, Span(time.Duration(i+1)*time.Second)
 	}
 	return s
 }
 
-// What a scheduler is told of a day is the same to the byte; its number, and what hosting leaves out, show in it.
-func TestGoldenTold(t *testing.T) {
-	day := toldOf(t)
-	hosted, counted := toldOf(t), toldOf(t)
-	hosted.Hosted.Room, counted.Schedulers.Told = 4, 0
+// The settings of a scheduler are the same to the byte; its number, and what hosting leaves out, show in them.
+func TestGoldenSettings(t *testing.T) {
+	plain := fullScenario(t)
+	hosted, counted := fullScenario(t), fullScenario(t)
+	hosted.Hosted.Capacity, counted.Schedulers.ReportedCount = 4, 0
 	var text bytes.Buffer
-	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
-		if err := json.Indent(&text, told, "", "  "); err != nil {
+	for _, settings := range [][]byte{plain.Settings(0), plain.Settings(1), hosted.Settings(1), counted.Settings(1)} {
+		if err := json.Indent(&text, settings, "", "  "); err != nil {
 			t.Fatal(err)
 		}
 		text.WriteByte('\n')
 	}
 	d := json.NewDecoder(bytes.NewReader(golden.Compare(t, "told.json", text.Bytes())))
-	for _, told := range [][]byte{day.Settings(0), day.Settings(1), hosted.Settings(1), counted.Settings(1)} {
+	for _, settings := range [][]byte{plain.Settings(0), plain.Settings(1), hosted.Settings(1), counted.Settings(1)} {
 		var wanted, got any
-		if err := json.Unmarshal(told, &wanted); err != nil {
+		if err := json.Unmarshal(settings, &wanted); err != nil {
 			t.Fatal(err)
 		}
 		if err := d.Decode(&got); err != nil {
