--- a/cmd/stoatweir/crossings_test.go
+++ b/cmd/stoatweir/crossings_test.go
@@ -133,7 +133,7 @@
 	// A neighbour in the temporary folder that takes the new process's call and says nothing holds it before it listens.
 	tmp := filepath.Join(r.dir, "tmp")
 	os.MkdirAll(tmp, 0o700)
-	place, err := handover.Place(tmp, r.listen)
+	place, err := handover.SocketPath(tmp, r.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("it does not end")
 	}
-	if text, _ := os.ReadFile(other.log); other.err == nil || !strings.Contains(string(text), handover.Foreign) {
+	if text, _ := os.ReadFile(other.log); other.err == nil || !strings.Contains(string(text), string(handover.ReasonNameMismatch)) {
 		t.Errorf("%v\n%s", other.err, text)
 	}
 	kept := &keptConn{addr: r.listen}
@@ -189,22 +189,23 @@
 			r.ready(p)
 			_, b := r.send("sale", "sale-passed")
 			r.outstanding(p, 1)
-			place, err := handover.Place(filepath.Join(r.dir, "tmp"), r.listen)
+			place, err := handover.SocketPath(filepath.Join(r.dir, "tmp"), r.listen)
 			if err != nil {
 				t.Fatal(err)
 			}
-			link, _, l, err := handover.Find(place, r.listen, "n0")
+			predecessor, err := handover.Dial(place, r.listen, "n0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
+			defer predecessor.Listener.Close()
+			link := predecessor.Link
 			passed, gone := make(chan handover.Message, 10), make(chan bool)
 			link.Start(func(m handover.Message) {
-				if m.Kind == handover.Pass {
+				if m.Kind == handover.KindMigrate {
 					passed <- m
 				}
 			}, func() { close(gone) })
-			link.Send(handover.Message{Kind: handover.Ready})
+			link.Send(handover.Message{Kind: handover.KindReady})
 			r.logged(p, "a process has come to replace this one", 1)
 			p.Process.Signal(syscall.SIGTERM)
 			m := <-passed
@@ -336,7 +337,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.inherit(handover.Message{File: far, Pass: &handover.Passed{Invocation: text}})
+		return s.inherit(handover.Message{File: far, Connection: &handover.MigratedConnection{Invocation: text}})
 	}
 	if !pass(way) {
 		t.Fatal("not kept")
--- a/cmd/stoatweir/lesson.go
+++ b/cmd/stoatweir/lesson.go
@@ -31,7 +31,7 @@
 		return
 	}
 	s.studies = true
-	s.bond.link.Send(handover.Message{Kind: handover.Learn})
+	s.bond.link.Send(handover.Message{Kind: handover.KindSnapshotRequest})
 	s.loop.After(taughtIn, s.knows)
 }
 
@@ -54,13 +54,13 @@
 			s.log.Warn("what was learned can't be told: ", err)
 			break
 		}
-		b.link.Send(handover.Message{Kind: handover.Lesson, Version: dispatch.SnapshotVersion, Body: text})
+		b.link.Send(handover.Message{Kind: handover.KindSnapshotPart, Version: dispatch.SnapshotVersion, Body: text})
 		if len(workers) == 0 {
 			break
 		}
 		l = dispatch.Snapshot{Version: l.Version} // the rest goes once
 	}
-	b.link.Send(handover.Message{Kind: handover.Taught})
+	b.link.Send(handover.Message{Kind: handover.KindSnapshotEnd})
 }
 
 // heed takes a part of the lesson in. One of another version is left aside, as its figures may mean something else.
--- a/cmd/stoatweir/pass.go
+++ b/cmd/stoatweir/pass.go
@@ -60,8 +60,8 @@
 		}
 		b.number++
 		sent := &parcel{MigratingConnection: p}
-		m := handover.Message{Kind: handover.Pass, Number: b.number, Socket: p.Socket,
-			Pass: &handover.Passed{Read: p.Buffered, News: p.CarriesCallbacks, Fresh: p.Unused, Silent: p.SilentFor}}
+		m := handover.Message{Kind: handover.KindMigrate, Sequence: b.number, Socket: p.Socket,
+			Connection: &handover.MigratedConnection{Buffered: p.Buffered, CarriesCallbacks: p.CarriesCallbacks, Unused: p.Unused, SilentFor: p.SilentFor}}
 		if p.Invocation != 0 {
 			sent.j = s.invs[p.Invocation]
 			sent.record, _ = s.core.MigrationRecord(p.Invocation)
@@ -73,7 +73,7 @@
 				p.Returned()
 				return
 			}
-			m.Pass.Invocation, m.Body = text, sent.j.Body
+			m.Connection.Invocation, m.Body = text, sent.j.Body
 			s.fleet.ReleaseAttempts(p.Invocation, sent.j.forwards)
 			delete(s.invs, p.Invocation)
 			s.events = append(s.events, dispatch.MigratedOut{Invocation: p.Invocation})
@@ -143,13 +143,13 @@
 
 // kept ends a pass.
 func (b *bond) kept(m handover.Message) {
-	p := b.passed[m.Number]
+	p := b.passed[m.Sequence]
 	if p == nil {
 		return
 	}
-	delete(b.passed, m.Number)
+	delete(b.passed, m.Sequence)
 	p.late.Stop()
-	if m.OK {
+	if m.Accepted {
 		p.Accepted()
 	} else {
 		b.takeBack(p)
@@ -190,7 +190,7 @@
 
 // inherit takes in what the process before passes on, or not.
 func (s *service) inherit(m handover.Message) bool {
-	if m.File == nil || m.Pass == nil {
+	if m.File == nil || m.Connection == nil {
 		return false
 	}
 	nc, err := net.FileConn(m.File)
@@ -200,9 +200,9 @@
 	var j *workers.Invocation
 	var l legacy
 	operation := 0
-	if m.Pass.Invocation != nil {
+	if m.Connection.Invocation != nil {
 		known := false
-		if json.Unmarshal(m.Pass.Invocation, &l) == nil {
+		if json.Unmarshal(m.Connection.Invocation, &l) == nil {
 			l.aged(uptime())
 			operation, known = s.heir(&l)
 			known = known && l.Left > 0
@@ -214,7 +214,7 @@
 		j = &workers.Invocation{ID: l.ID, Method: l.Method, Target: l.Target, Fields: l.Fields, Body: m.Body,
 			Deadline: s.loop.Now() + l.Left, Effect: s.effect(operation)}
 	}
-	inv, kept := s.door.AcceptMigrated(nc, clients.MigratingConnection{Buffered: m.Pass.Read, CarriesCallbacks: m.Pass.News, Unused: m.Pass.Fresh, SilentFor: m.Pass.Silent}, j, operation,
+	inv, kept := s.door.AcceptMigrated(nc, clients.MigratingConnection{Buffered: m.Connection.Buffered, CarriesCallbacks: m.Connection.CarriesCallbacks, Unused: m.Connection.Unused, SilentFor: m.Connection.SilentFor}, j, operation,
 		l.Record.Age)
 	if !kept {
 		nc.Close()
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -65,12 +65,12 @@
 	last   time.Duration // when the module was last asked
 
 	at            address
-	opened        bool              // clients are let in
-	studies       bool              // what the process before has learned was asked for
-	post          *handover.Post    // where a successor finds us; nil: nowhere
-	road          *gossip.Transport // to other schedulers; nil: none
-	hosting       *hosting          // nil: no tenants are served
-	bond          *bond             // nil: no other process serves at our address
+	opened        bool               // clients are let in
+	studies       bool               // what the process before has learned was asked for
+	post          *handover.Listener // where a successor finds us; nil: nowhere
+	road          *gossip.Transport  // to other schedulers; nil: none
+	hosting       *hosting           // nil: no tenants are served
+	bond          *bond              // nil: no other process serves at our address
 	life          lifecycle.Lifecycle
 	stands        atomic.Uint32 // the state of life, for operators
 	figures       atomic.Pointer[accounting.Totals]
--- a/cmd/stoatweir/start_test.go
+++ b/cmd/stoatweir/start_test.go
@@ -19,7 +19,7 @@
 func TestListenFailsForAMoment(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	t.Cleanup(func() { listenAt = handover.Reuse })
+	t.Cleanup(func() { listenAt = handover.ListenReusePort })
 	for _, c := range []struct {
 		name  string
 		errno syscall.Errno
--- a/cmd/stoatweir/successor.go
+++ b/cmd/stoatweir/successor.go
@@ -46,7 +46,7 @@
 }
 
 // listenAt opens a socket that a successor may share.
-var listenAt = handover.Reuse
+var listenAt = handover.ListenReusePort
 
 // errTold: we have nothing yet, and are to end.
 var errTold = errors.New("told to stop")
@@ -54,30 +54,31 @@
 // arrive finds who serves at our address and gets its socket, or one of our own.
 func arrive(node settings.Process, dir string, log *logrus.Entry, told func() bool) (at address, err error) {
 	var why error
-	if at.place, why = handover.Place(dir, node.Listen); why == nil {
-		at.link, at.welcome, at.listener, why = handover.Find(at.place, node.Listen, node.Name)
-		for began := time.Now(); errors.Is(why, handover.ErrBusy) && time.Since(began) < turnIn; {
+	var predecessor *handover.Predecessor
+	if at.place, why = handover.SocketPath(dir, node.Listen); why == nil {
+		predecessor, why = handover.Dial(at.place, node.Listen, node.Name)
+		for began := time.Now(); errors.Is(why, handover.ErrTakeoverInProgress) && time.Since(began) < turnIn; {
 			if time.Sleep(turnAgain); told() {
 				return at, errTold
 			}
-			at.link, at.welcome, at.listener, why = handover.Find(at.place, node.Listen, node.Name)
+			predecessor, why = handover.Dial(at.place, node.Listen, node.Name)
 		}
 	}
 	switch {
 	case why == nil:
 		log.Info("another process serves at ", node.Listen, ": it is to be replaced")
-		at.shared = true
+		at.shared, at.link, at.welcome, at.listener = true, predecessor.Link, predecessor.Welcome, predecessor.Listener
 		return at, nil
-	case errors.Is(why, handover.ErrBusy), errors.Is(why, handover.ErrForeign):
+	case errors.Is(why, handover.ErrTakeoverInProgress), errors.Is(why, handover.ErrNameMismatch):
 		return at, why
 	}
 	addr, err := netip.ParseAddrPort(node.Listen)
 	if err != nil {
 		return at, err
 	}
-	if at.shared = !handover.Free(addr); at.shared {
+	if at.shared = !handover.AddressFree(addr); at.shared {
 		log.Warn("another process listens at ", node.Listen, " and can't be talked to: ", why)
-	} else if !errors.Is(why, handover.ErrNobody) {
+	} else if !errors.Is(why, handover.ErrNoPredecessor) {
 		log.Info("a successor will not find us: ", why)
 	}
 	at.listener, err = patiently(told, func() (net.Listener, error) { return listenAt(node.Listen) })
@@ -114,7 +115,7 @@
 // came is a process that wants to replace us.
 type came struct {
 	*service
-	*handover.Newcomer
+	*handover.Handshake
 }
 
 func (s *service) tie(link *handover.Link, elder bool) {
@@ -144,37 +145,37 @@
 	if s.at.place == "" {
 		return
 	}
-	post, err := handover.Keep(s.at.place)
+	post, err := handover.Listen(s.at.place)
 	if err != nil {
 		s.log.Info("a successor will not find us: ", err)
 		return
 	}
 	s.post = post
-	go post.Serve(func(n *handover.Newcomer) { s.loop.Post(came{s, n}) })
+	go post.Serve(func(n *handover.Handshake) { s.loop.Post(came{s, n}) })
 }
 
 // serves: we say yes from now on.
 func (s *service) serves() {
 	s.open()
 	if s.bond != nil && s.bond.elder {
-		s.bond.link.Send(handover.Message{Kind: handover.Ready})
+		s.bond.link.Send(handover.Message{Kind: handover.KindReady})
 	}
 }
 
 // Take gives a newcomer our socket and half of what we have.
 func (n came) Run() {
 	s := n.service
-	if n.Name != "" && n.Name != s.node.Name {
-		s.log.Warn("a process named ", n.Name, " wants our address, and is sent away")
-		go n.Refuse(handover.Foreign)
+	if n.ProcessName != "" && n.ProcessName != s.node.Name {
+		s.log.Warn("a process named ", n.ProcessName, " wants our address, and is sent away")
+		go n.Reject(handover.ReasonNameMismatch)
 		return
 	}
-	if s.bond != nil || n.Listen != s.node.Listen {
-		go n.Refuse(handover.Busy)
+	if s.bond != nil || n.ListenAddress != s.node.Listen {
+		go n.Reject(handover.ReasonTakeoverInProgress)
 		return
 	}
 	sockets, memory := s.node.Sockets/2, s.node.MemoryMB/2
-	link, err := n.Welcome(s.at.listener, handover.Message{Sockets: sockets, MemoryMB: memory})
+	link, err := n.Accept(s.at.listener, handover.Message{Sockets: sockets, MemoryMB: memory})
 	if err != nil {
 		s.log.Warn("a process came to replace this one, and left: ", err)
 		return
@@ -184,7 +185,7 @@
 	s.tie(link, false)
 	for ids := s.door.IDs(); len(ids) > 0; {
 		n := min(len(ids), idsAtOnce)
-		link.Send(handover.Message{Kind: handover.Taken, IDs: ids[:n]})
+		link.Send(handover.Message{Kind: handover.KindIDsAcquired, IDs: ids[:n]})
 		ids = ids[n:]
 	}
 }
@@ -234,39 +235,39 @@
 		return
 	}
 	switch m.Kind {
-	case handover.Ready:
+	case handover.KindReady:
 		if !b.elder {
 			s.lives("the successor serves", func() bool { s.life.SuccessorChanged(s.loop.Now(), true); return true })
 		}
-	case handover.Taken:
+	case handover.KindIDsAcquired:
 		for _, id := range m.IDs {
 			b.ids[id] = true
 		}
-	case handover.Freed:
+	case handover.KindIDsReleased:
 		for _, id := range m.IDs {
 			delete(b.ids, id)
 		}
-	case handover.News:
+	case handover.KindCallback:
 		n, err := s.door.ParseCallback(m.Body)
 		owned := err == nil && s.fleet.HandleCallback(n)
-		b.link.Send(handover.Message{Kind: handover.Heard, Number: m.Number, OK: owned, Unsure: !owned && b.passing(n.ID)})
-	case handover.Heard:
-		if q := b.asked[m.Number]; q != nil {
-			delete(b.asked, m.Number)
+		b.link.Send(handover.Message{Kind: handover.KindCallbackResult, Sequence: m.Sequence, Accepted: owned, OwnerUnknown: !owned && b.passing(n.ID)})
+	case handover.KindCallbackResult:
+		if q := b.asked[m.Sequence]; q != nil {
+			delete(b.asked, m.Sequence)
 			q.late.Stop()
 			// What neither had was on its way here, or back, when it was asked for: the answer has come behind it.
-			q.heard(m.OK || s.fleet.HandleCallback(q.news) || !m.Unsure && !b.passing(q.news.ID))
+			q.heard(m.Accepted || s.fleet.HandleCallback(q.news) || !m.OwnerUnknown && !b.passing(q.news.ID))
 		}
-	case handover.Learn:
+	case handover.KindSnapshotRequest:
 		b.teach()
-	case handover.Lesson:
+	case handover.KindSnapshotPart:
 		s.heed(m.Message)
-	case handover.Taught:
+	case handover.KindSnapshotEnd:
 		s.knows()
-	case handover.Pass:
+	case handover.KindMigrate:
 		kept := s.inherit(m.Message)
-		b.link.Send(handover.Message{Kind: handover.Kept, Number: m.Number, OK: kept})
-	case handover.Kept:
+		b.link.Send(handover.Message{Kind: handover.KindMigrateResult, Sequence: m.Sequence, Accepted: kept})
+	case handover.KindMigrateResult:
 		b.kept(m.Message)
 	default:
 		s.log.Warn(fmt.Sprintf("the other process said %.40q, which means nothing here", m.Kind))
@@ -290,7 +291,7 @@
 		delete(b.asked, number)
 		heard(false)
 	})}
-	b.link.Send(handover.Message{Kind: handover.News, Number: number, Body: body})
+	b.link.Send(handover.Message{Kind: handover.KindCallback, Sequence: number, Body: body})
 	return true
 }
 
@@ -307,9 +308,9 @@
 	if s.bond == nil {
 		return
 	}
-	kind := handover.Freed
+	kind := handover.KindIDsReleased
 	if holds {
-		kind = handover.Taken
+		kind = handover.KindIDsAcquired
 	}
 	s.bond.link.Send(handover.Message{Kind: kind, IDs: []string{id}})
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -21,26 +21,26 @@
 func everyMessage() []Message {
 	invocation := json.RawMessage(`{"ID":"job-1","Method":"POST"}`)
 	return []Message{
-		{Kind: Hello, Version: 1, Listen: "127.0.0.1:8080", Name: "n0", Body: []byte{}},
-		{Kind: Hello, Version: 1, Listen: "127.0.0.1:8080", Body: []byte{}},
-		{Kind: Welcome, Version: 1, Sockets: 256, MemoryMB: 64, Body: []byte{}},
-		{Kind: Refused, Version: 1, Why: "another <address>", Body: []byte{}},
-		{Kind: Ready, Body: []byte{}},
-		{Kind: Taken, IDs: []string{"job-1", "job-2"}, Body: []byte{}},
-		{Kind: Freed, IDs: []string{"job-1"}, Body: []byte{}},
-		{Kind: News, Number: 7, Body: []byte("{\"id\":\"job-1\",\n\"state\":\"done\"}")},
-		{Kind: Heard, Number: 7, OK: true, Body: []byte{}},
-		{Kind: Heard, Number: 8, Unsure: true, Body: []byte{}},
-		{Kind: Pass, Number: 9, Pass: &Passed{Read: []byte("POST /a"), Invocation: invocation}, Body: []byte("first line\n\nthird line")},
-		{Kind: Pass, Number: 10, Pass: &Passed{Read: []byte("G"), News: true}, Body: []byte{}},
-		{Kind: Pass, Number: 11, Pass: &Passed{Fresh: true, Silent: 1500 * time.Millisecond}, Body: []byte{}},
-		{Kind: Kept, Number: 9, OK: true, Body: []byte{}},
-		{Kind: Kept, Number: 10, Body: []byte{}},
-		{Kind: Learn, Body: []byte{}},
-		{Kind: Lesson, Version: 2, Body: []byte(`{"Version":2}`)},
-		{Kind: Taught, Body: []byte{}},
-		{Kind: Pass, Version: 3, Listen: "127.0.0.1:1", Name: "every field", Sockets: 4, MemoryMB: 5, Why: "why", IDs: []string{"a", "b"},
-			Number: 6, OK: true, Unsure: true, Pass: &Passed{Read: []byte("read"), News: true, Fresh: true, Silent: 7, Invocation: invocation},
+		{Kind: KindHello, Version: 1, ListenAddress: "127.0.0.1:8080", ProcessName: "n0", Body: []byte{}},
+		{Kind: KindHello, Version: 1, ListenAddress: "127.0.0.1:8080", Body: []byte{}},
+		{Kind: KindWelcome, Version: 1, Sockets: 256, MemoryMB: 64, Body: []byte{}},
+		{Kind: KindRejected, Version: 1, Reason: "another <address>", Body: []byte{}},
+		{Kind: KindReady, Body: []byte{}},
+		{Kind: KindIDsAcquired, IDs: []string{"job-1", "job-2"}, Body: []byte{}},
+		{Kind: KindIDsReleased, IDs: []string{"job-1"}, Body: []byte{}},
+		{Kind: KindCallback, Sequence: 7, Body: []byte("{\"id\":\"job-1\",\n\"state\":\"done\"}")},
+		{Kind: KindCallbackResult, Sequence: 7, Accepted: true, Body: []byte{}},
+		{Kind: KindCallbackResult, Sequence: 8, OwnerUnknown: true, Body: []byte{}},
+		{Kind: KindMigrate, Sequence: 9, Connection: &MigratedConnection{Buffered: []byte("POST /a"), Invocation: invocation}, Body: []byte("first line\n\nthird line")},
+		{Kind: KindMigrate, Sequence: 10, Connection: &MigratedConnection{Buffered: []byte("G"), CarriesCallbacks: true}, Body: []byte{}},
+		{Kind: KindMigrate, Sequence: 11, Connection: &MigratedConnection{Unused: true, SilentFor: 1500 * time.Millisecond}, Body: []byte{}},
+		{Kind: KindMigrateResult, Sequence: 9, Accepted: true, Body: []byte{}},
+		{Kind: KindMigrateResult, Sequence: 10, Body: []byte{}},
+		{Kind: KindSnapshotRequest, Body: []byte{}},
+		{Kind: KindSnapshotPart, Version: 2, Body: []byte(`{"Version":2}`)},
+		{Kind: KindSnapshotEnd, Body: []byte{}},
+		{Kind: KindMigrate, Version: 3, ListenAddress: "127.0.0.1:1", ProcessName: "every field", Sockets: 4, MemoryMB: 5, Reason: "why", IDs: []string{"a", "b"},
+			Sequence: 6, Accepted: true, OwnerUnknown: true, Connection: &MigratedConnection{Buffered: []byte("read"), CarriesCallbacks: true, Unused: true, SilentFor: 7, Invocation: invocation},
 			Body: []byte("body")},
 	}
 }
@@ -74,8 +74,8 @@
 	return ""
 }
 
-// The two processes may be of different builds: each message's packet is the recorded one, and a recorded one is read as what it was.
-func TestMessagesGolden(t *testing.T) {
+// The two processes may be of different builds: each message is encoded as recorded, and a recorded one decodes to the same message.
+func TestPacketsAreAsRecorded(t *testing.T) {
 	all := everyMessage()
 	var got bytes.Buffer
 	for _, m := range all {
@@ -105,19 +105,19 @@
 	}
 }
 
-// The last message of everyMessage leaves no field out that goes on the wire, also one that is added later, and all kinds are there.
-func TestEveryMessageIsWhole(t *testing.T) {
+// The last message of everyMessage sets every field that is on the wire, also one that is added later, and every kind occurs.
+func TestGoldenMessagesSetEveryField(t *testing.T) {
 	all := everyMessage()
 	whole := all[len(all)-1]
-	for _, v := range []reflect.Value{reflect.ValueOf(whole), reflect.ValueOf(*whole.Pass)} {
+	for _, v := range []reflect.Value{reflect.ValueOf(whole), reflect.ValueOf(*whole.Connection)} {
 		for n := range v.NumField() {
 			if f := v.Type().Field(n); f.Tag.Get("json") != "-" && v.Field(n).IsZero() {
 				t.Errorf("%s.%s is not filled", v.Type(), f.Name)
 			}
 		}
 	}
-	missing := map[Kind]bool{Hello: true, Welcome: true, Refused: true, Ready: true, Taken: true, Freed: true, News: true, Heard: true,
-		Pass: true, Kept: true, Learn: true, Lesson: true, Taught: true}
+	missing := map[Kind]bool{KindHello: true, KindWelcome: true, KindRejected: true, KindReady: true, KindIDsAcquired: true, KindIDsReleased: true, KindCallback: true, KindCallbackResult: true,
+		KindMigrate: true, KindMigrateResult: true, KindSnapshotRequest: true, KindSnapshotPart: true, KindSnapshotEnd: true}
 	for _, m := range all {
 		delete(missing, m.Kind)
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func dir(t *testing.T) string {
+func temporaryDir(t *testing.T) string {
 	t.Helper()
 	d, err := os.MkdirTemp("", "ho")
 	if err != nil {
@@ -24,7 +24,7 @@
 	return d
 }
 
-func listening(t *testing.T) *net.TCPListener {
+func listenTCP(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,21 +34,21 @@
 	return l.(*net.TCPListener)
 }
 
-// keep lets a process be found that welcomes whoever comes, and passes on its side of the link.
-func keep(t *testing.T, place string, l net.Listener) chan *Link {
+// acceptSuccessors listens as a predecessor that accepts every successor, and gives its side of each link.
+func acceptSuccessors(t *testing.T, path string, l net.Listener) chan *Link {
 	t.Helper()
-	p, err := Keep(place)
+	p, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
 	links := make(chan *Link, 1)
-	go p.Serve(func(n *Newcomer) {
-		if n.Listen != l.Addr().String() {
-			n.Refuse("another address")
+	go p.Serve(func(n *Handshake) {
+		if n.ListenAddress != l.Addr().String() {
+			n.Reject("another address")
 			return
 		}
-		link, err := n.Welcome(l, Message{Sockets: 100})
+		link, err := n.Accept(l, Message{Sockets: 100})
 		if err == nil {
 			links <- link
 		}
@@ -56,15 +56,15 @@
 	return links
 }
 
-// What waits in the queue of the listening socket is served by the successor, whatever becomes of the old process.
-// With a socket of one's own at the same address it would be reset: that is why the socket is passed.
-func TestPendingConnections(t *testing.T) {
+// Connections in the accept queue of the listening socket are served by the successor, whatever becomes of the predecessor.
+// With a socket of one's own at the same address they would be reset: that is why the descriptor is passed.
+func TestPendingConnectionsAreServedBySuccessor(t *testing.T) {
 	for _, passed := range []bool{true, false} {
-		old := listening(t)
+		old := listenTCP(t)
 		addr := old.Addr().String()
 		if !passed {
 			old.Close()
-			old = reusing(t, addr)
+			old = listenShared(t, addr)
 		}
 		var pending []net.Conn
 		for range 20 {
@@ -77,20 +77,20 @@
 		}
 		next := old
 		if passed {
-			place, err := Place(dir(t), addr)
+			path, err := SocketPath(temporaryDir(t), addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			keep(t, place, old)
-			link, m, l, err := Find(place, addr, "n0")
-			if err != nil || m.Sockets != 100 {
-				t.Fatal(m, err)
+			acceptSuccessors(t, path, old)
+			predecessor, err := Dial(path, addr, "n0")
+			if err != nil || predecessor.Welcome.Sockets != 100 {
+				t.Fatal(predecessor, err)
 			}
-			defer link.Close()
-			defer l.Close()
-			next = l.(*net.TCPListener)
+			defer predecessor.Link.Close()
+			defer predecessor.Listener.Close()
+			next = predecessor.Listener.(*net.TCPListener)
 		} else {
-			next = reusing(t, addr)
+			next = listenShared(t, addr)
 		}
 		old.Close()
 		go func() {
@@ -116,9 +116,9 @@
 	}
 }
 
-func reusing(t *testing.T, addr string) *net.TCPListener {
+func listenShared(t *testing.T, addr string) *net.TCPListener {
 	t.Helper()
-	l, err := Reuse(addr)
+	l, err := ListenReusePort(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,32 +126,32 @@
 	return l.(*net.TCPListener)
 }
 
-// A file that the dead have left, none at all, a peer that hangs, ends, or speaks another version.
-func TestFindFails(t *testing.T) {
-	d := dir(t)
-	place, err := Place(d, "127.0.0.1:1")
+// A stale socket file, none at all, and a peer that hangs, exits, or speaks another version.
+func TestDialFailsWithoutUsablePredecessor(t *testing.T) {
+	d := temporaryDir(t)
+	path, err := SocketPath(d, "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := Find(place, "127.0.0.1:1", "n0"); !errors.Is(err, ErrNobody) {
+	if _, err := Dial(path, "127.0.0.1:1", "n0"); !errors.Is(err, ErrNoPredecessor) {
 		t.Error("nobody:", err)
 	}
-	dead, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: place, Net: "unixpacket"})
+	dead, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	dead.SetUnlinkOnClose(false)
 	dead.Close()
-	if _, _, _, err := Find(place, "127.0.0.1:1", "n0"); !errors.Is(err, ErrNobody) {
+	if _, err := Dial(path, "127.0.0.1:1", "n0"); !errors.Is(err, ErrNoPredecessor) {
 		t.Error("a file of the dead:", err)
 	}
-	os.Remove(place)
-	if _, err := Place(filepath.Join(d, strings.Repeat("x", 120)), "127.0.0.1:1"); err == nil {
+	os.Remove(path)
+	if _, err := SocketPath(filepath.Join(d, strings.Repeat("x", 120)), "127.0.0.1:1"); err == nil {
 		t.Error("a path that no Unix address holds is taken")
 	}
 	peer := func(answer func(*Link)) string {
-		place := filepath.Join(dir(t), "p")
-		l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: place, Net: "unixpacket"})
+		path := filepath.Join(temporaryDir(t), "p")
+		l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,39 +168,39 @@
 			link.read()
 			answer(link)
 		}()
-		return place
+		return path
 	}
 	for what, answer := range map[string]func(*Link){
-		"answered \"welcome\" of version 7": func(l *Link) { l.write(Message{Kind: Welcome, Version: 7}, -1) },
-		"no socket came with the welcome":   func(l *Link) { l.write(Message{Kind: Welcome, Version: Version}, -1) },
-		"refused: busy":                     func(l *Link) { l.write(Message{Kind: Refused, Why: "busy"}, -1) },
+		"answered \"welcome\" of version 7": func(l *Link) { l.write(Message{Kind: KindWelcome, Version: 7}, noDescriptor) },
+		"no socket came with the welcome":   func(l *Link) { l.write(Message{Kind: KindWelcome, Version: Version}, noDescriptor) },
+		"refused: busy":                     func(l *Link) { l.write(Message{Kind: KindRejected, Reason: "busy"}, noDescriptor) },
 		"EOF":                               func(l *Link) { l.Close() },
 		"i/o timeout":                       func(l *Link) {},
-		"a packet without a head":           func(l *Link) { l.c.Write([]byte("{}")) },
-		"the socket that came listens at":   func(l *Link) { welcome(t, l) },
+		"a packet without a head":           func(l *Link) { l.conn.Write([]byte("{}")) },
+		"the socket that came listens at":   func(l *Link) { sendWelcome(t, l) },
 	} {
-		if link, _, _, err := Find(peer(answer), "127.0.0.1:1", "n0"); err == nil || !strings.Contains(err.Error(), what) {
-			t.Error("wanted", what, "got", err, link)
+		if predecessor, err := Dial(peer(answer), "127.0.0.1:1", "n0"); err == nil || !strings.Contains(err.Error(), what) {
+			t.Error("wanted", what, "got", err, predecessor)
 		}
 	}
 }
 
-func welcome(t *testing.T, l *Link) {
-	raw, err := listening(t).SyscallConn()
+func sendWelcome(t *testing.T, l *Link) {
+	raw, err := listenTCP(t).SyscallConn()
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	raw.Control(func(fd uintptr) { l.write(Message{Kind: Welcome, Version: Version}, int(fd)) })
+	raw.Control(func(fd uintptr) { l.write(Message{Kind: KindWelcome, Version: Version}, int(fd)) })
 }
 
-// A newcomer of another version is told so; one that says nothing does not keep the next one out for long.
-func TestGreet(t *testing.T) {
-	l := listening(t)
-	place := filepath.Join(dir(t), "p")
-	links := keep(t, place, l)
+// A successor of another version gets a rejection; one that sends nothing does not block the next one for long.
+func TestHandshakeRejectsOtherVersionsAndSurvivesSilentPeers(t *testing.T) {
+	l := listenTCP(t)
+	path := filepath.Join(temporaryDir(t), "p")
+	links := acceptSuccessors(t, path, l)
 	dial := func() *Link {
-		c, err := net.Dial("unixpacket", place)
+		c, err := net.Dial("unixpacket", path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -208,14 +208,14 @@
 		return newLink(c.(*net.UnixConn))
 	}
 	other := dial()
-	other.write(Message{Kind: Hello, Version: 7}, -1)
-	if m, _, err := other.read(); err != nil || m.Kind != Refused || m.Why != `"hello" of version 7, not 1` {
+	other.write(Message{Kind: KindHello, Version: 7}, noDescriptor)
+	if m, _, err := other.read(); err != nil || m.Kind != KindRejected || m.Reason != `"hello" of version 7, not 1` {
 		t.Error(m, err)
 	}
 	dial() // silent
 	var err error
 	for began := time.Now(); time.Since(began) < 3*time.Second; {
-		if _, _, _, err = Find(place, l.Addr().String(), "n0"); err == nil {
+		if _, err = Dial(path, l.Addr().String(), "n0"); err == nil {
 			break
 		}
 	}
@@ -225,33 +225,33 @@
 	<-links
 }
 
-// The place passes from one process to the next without a gap, and the old one's end does not take it away.
-func TestKeep(t *testing.T) {
-	place := filepath.Join(dir(t), "p")
-	os.WriteFile(place+".new", []byte("left"), 0o600)
-	first, err := Keep(place)
+// A successor's socket replaces the predecessor's at the path, and closing the predecessor's does not remove it.
+func TestListenReplacesSocketWithoutGap(t *testing.T) {
+	path := filepath.Join(temporaryDir(t), "p")
+	os.WriteFile(path+".new", []byte("left"), 0o600)
+	first, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := Keep(place)
+	second, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first.Close()
-	if c, err := net.Dial("unixpacket", place); err != nil {
-		t.Error("the old one's end took the place away:", err)
+	if c, err := net.Dial("unixpacket", path); err != nil {
+		t.Error("the old one's end took the path away:", err)
 	} else {
 		c.Close()
 	}
 	second.Close()
-	if left, _ := filepath.Glob(place + "*"); len(left) > 0 {
+	if left, _ := filepath.Glob(path + "*"); len(left) > 0 {
 		t.Error("left behind:", left)
 	}
 }
 
-// Messages go both ways whole and in order, the longest too; each side hears the other's end once. A peer that reads
-// nothing is given up without a wait.
-func TestLink(t *testing.T) {
+// Messages go both ways whole and in order, the longest too; each side is notified once that the link is closed. The link to a
+// peer that reads nothing is closed without blocking.
+func TestLinkDeliversInOrderAndClosesHungPeers(t *testing.T) {
 	pair := func() (*Link, *Link) {
 		fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
@@ -272,12 +272,12 @@
 	a, b := pair()
 	got, gone := make(chan Message, 10), make(chan string, 2)
 	a.Start(func(m Message) { got <- m }, func() { gone <- "a" })
-	b.Start(func(m Message) { got <- m; b.Send(Message{Kind: Heard, Number: m.Number}) }, func() { gone <- "b" })
+	b.Start(func(m Message) { got <- m; b.Send(Message{Kind: KindCallbackResult, Sequence: m.Sequence}) }, func() { gone <- "b" })
 	for n := range uint64(3) {
-		a.Send(Message{Kind: News, Number: n, Body: []byte(strings.Repeat("\n", 64<<10))})
+		a.Send(Message{Kind: KindCallback, Sequence: n, Body: []byte(strings.Repeat("\n", 64<<10))})
 		m, answer := <-got, <-got
-		if m.Kind != News || m.Number != n || len(m.Body) != 64<<10 || answer.Kind != Heard || answer.Number != n {
-			t.Error(m.Kind, m.Number, len(m.Body), answer)
+		if m.Kind != KindCallback || m.Sequence != n || len(m.Body) != 64<<10 || answer.Kind != KindCallbackResult || answer.Sequence != n {
+			t.Error(m.Kind, m.Sequence, len(m.Body), answer)
 		}
 	}
 	b.Close()
@@ -287,8 +287,8 @@
 	c, _ := pair()
 	c.Start(func(Message) {}, func() { gone <- "c" })
 	began := time.Now()
-	for range 4 * waiting {
-		c.Send(Message{Kind: News, Body: make([]byte, 64<<10)})
+	for range 4 * outboundCapacity {
+		c.Send(Message{Kind: KindCallback, Body: make([]byte, 64<<10)})
 	}
 	if took := time.Since(began); took > time.Second {
 		t.Error("a hung peer cost", took)
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"os"
@@ -13,122 +12,145 @@
 )
 
 const (
-	writeIn = time.Second
-	// waiting messages are so many at most: a peer that hangs must cost neither memory nor a wait.
-	waiting = 512
+	// writeTimeout is how long writing one message may take before the peer counts as hung.
+	writeTimeout = time.Second
+	// outboundCapacity is how many messages may wait to be written: a peer that hangs must cost neither memory nor time.
+	outboundCapacity = 512
+	// maxReceivedFiles is how many descriptors are received with one packet at most; only the first one is kept.
+	maxReceivedFiles = 4
+	// descriptorBytes is the size of a descriptor in a control message.
+	descriptorBytes = 4
+	// noDescriptor stands for a message that goes without a descriptor.
+	noDescriptor = -1
 )
 
-// Link is a connection between the two processes. Messages are written by a goroutine of its own.
+// errPacketTooLong is returned for a packet that exceeds maxPacketBytes.
+var errPacketTooLong = errors.New("a packet is too long")
+
+// Link is the connection between the two processes. Messages are written by a goroutine of its own, so that Send never
+// blocks. Its methods may be called from any goroutine.
 type Link struct {
-	c    *net.UnixConn
-	out  chan Message
-	once sync.Once
-	over chan struct{}
+	conn      *net.UnixConn
+	outbound  chan Message
+	closeOnce sync.Once
+	closed    chan struct{}
+}
+
+func newLink(conn *net.UnixConn) *Link {
+	return &Link{
+		conn:     conn,
+		outbound: make(chan Message, outboundCapacity),
+		closed:   make(chan struct{}),
+	}
 }
 
-func newLink(c *net.UnixConn) *Link {
-	return &Link{c: c, out: make(chan Message, waiting), over: make(chan struct{})}
+// Start reads and writes until the link is closed. It calls onMessage for each message, and then onClose, once and last.
+// Both are called by the goroutine that reads.
+func (l *Link) Start(onMessage func(Message), onClose func()) {
+	l.conn.SetDeadline(time.Time{})
+	go l.writeMessages()
+	go l.readMessages(onMessage, onClose)
 }
 
-// Start reads and writes until the link ends: told hears each message, gone hears the end, once and last. Both are
-// called by the goroutine that reads.
-func (l *Link) Start(told func(Message), gone func()) {
-	l.c.SetDeadline(time.Time{})
-	go func() {
-		for {
-			select {
-			case m := <-l.out:
-				if l.send(m) != nil {
-					l.Close()
-					return
-				}
-			case <-l.over:
+func (l *Link) writeMessages() {
+	for {
+		select {
+		case m := <-l.outbound:
+			if l.writeWithSocket(m) != nil {
+				l.Close()
 				return
 			}
+		case <-l.closed:
+			return
 		}
-	}()
-	go func() {
-		defer gone()
-		defer l.Close()
-		for {
-			m, file, err := l.read()
-			if m.File = file; err != nil {
-				if file != nil {
-					file.Close()
-				}
-				return
+	}
+}
+
+func (l *Link) readMessages(onMessage func(Message), onClose func()) {
+	defer onClose()
+	defer l.Close()
+	for {
+		m, file, err := l.read()
+		if err != nil {
+			if file != nil {
+				file.Close()
 			}
-			told(m)
+			return
 		}
-	}()
+		m.File = file
+		onMessage(m)
+	}
 }
 
-// Send leaves a message. A peer that does not read is given up.
+// Send queues a message. The link to a peer that does not read is closed.
 func (l *Link) Send(m Message) {
 	select {
-	case l.out <- m:
+	case l.outbound <- m:
 	default:
 		l.Close()
 	}
 }
 
-// send writes a message with the descriptor that belongs to it, which is only borrowed for that.
-func (l *Link) send(m Message) error {
+// Close ends the link. Messages that were not written are lost.
+func (l *Link) Close() {
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		l.conn.Close()
+	})
+}
+
+// writeWithSocket writes a message with its descriptor, if any.
+func (l *Link) writeWithSocket(m Message) error {
 	if m.Socket == nil {
-		return l.write(m, -1)
+		return l.write(m, noDescriptor)
 	}
 	raw, err := m.Socket.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
-	if err = raw.Control(func(fd uintptr) { failed = l.write(m, int(fd)) }); err == nil {
-		err = failed
+	var writeErr error
+	if err := raw.Control(func(fd uintptr) { writeErr = l.write(m, int(fd)) }); err != nil {
+		return err
 	}
-	return err
+	return writeErr
 }
 
-// Close ends the link.
-func (l *Link) Close() {
-	l.once.Do(func() {
-		close(l.over)
-		l.c.Close()
-	})
-}
-
-// write sends a message, with a descriptor unless that is negative.
+// write writes a message with a descriptor, unless that is noDescriptor.
 func (l *Link) write(m Message, fd int) error {
 	packet, err := m.encode()
 	if err != nil {
 		return err
 	}
 	var rights []byte
-	if fd >= 0 {
+	if fd != noDescriptor {
 		rights = unix.UnixRights(fd)
 	}
-	l.c.SetWriteDeadline(time.Now().Add(writeIn))
-	_, _, err = l.c.WriteMsgUnix(packet, rights, nil)
+	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, _, err = l.conn.WriteMsgUnix(packet, rights, nil)
 	return err
 }
 
-func (l *Link) read() (m Message, file *os.File, err error) {
-	packet, rights := make([]byte, maxPacket), make([]byte, unix.CmsgSpace(4*4))
-	n, got, flags, _, err := l.c.ReadMsgUnix(packet, rights)
+// read waits for the next message. The caller closes the file, which may come with an error too.
+func (l *Link) read() (Message, *os.File, error) {
+	packet := make([]byte, maxPacketBytes)
+	rights := make([]byte, unix.CmsgSpace(maxReceivedFiles*descriptorBytes))
+	packetBytes, rightsBytes, flags, _, err := l.conn.ReadMsgUnix(packet, rights)
 	if err != nil {
-		return m, nil, err
+		return Message{}, nil, err
 	}
-	if file = received(rights[:got]); n == 0 {
-		return m, file, io.EOF
+	file := receivedFile(rights[:rightsBytes])
+	if packetBytes == 0 {
+		return Message{}, file, io.EOF
 	}
 	if flags&unix.MSG_TRUNC != 0 {
-		return m, file, errors.New("a packet is too long")
+		return Message{}, file, errPacketTooLong
 	}
-	m, err = decode(packet[:n])
+	m, err := decode(packet[:packetBytes])
 	return m, file, err
 }
 
-// received gives the first descriptor that came with a packet, and closes any other.
-func received(rights []byte) (file *os.File) {
+// receivedFile gives the first descriptor that came with a packet, and closes any other.
+func receivedFile(rights []byte) (file *os.File) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil
@@ -139,7 +161,8 @@
 			continue
 		}
 		for _, fd := range fds {
-			if unix.CloseOnExec(fd); file == nil {
+			unix.CloseOnExec(fd)
+			if file == nil {
 				file = os.NewFile(uintptr(fd), "listener")
 				continue
 			}
@@ -148,26 +171,3 @@
 	}
 	return file
 }
-
-// ours tells whether the peer runs as the same user: whoever else can reach the directory must not get our socket,
-// nor give us one.
-func ours(c *net.UnixConn) error {
-	raw, err := c.SyscallConn()
-	if err != nil {
-		return err
-	}
-	var peer *unix.Ucred
-	var failed error
-	if err := raw.Control(func(fd uintptr) {
-		peer, failed = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
-	}); err != nil {
-		return err
-	}
-	if failed != nil {
-		return failed
-	}
-	if int(peer.Uid) != os.Geteuid() {
-		return fmt.Errorf("the peer runs as user %d", peer.Uid)
-	}
-	return nil
-}
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -1,89 +1,116 @@
-// Package handover is how a process that is to replace another one finds it, gets its listening socket, and how the two
-// talk for as long as both live: over a Unix socket of packets, so that a message and the descriptor that comes with it
-// stay together and nothing has to be framed.
 package handover
 
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"syscall"
 	"time"
 )
 
-// Version of the messages. Another one is refused: half an understanding would lose invocations.
+// Version is the version of the messages. A peer of another version is rejected: messages that are understood in part
+// would lose requests.
 const Version = 1
 
-// maxPacket holds the longest body of news with its head.
-const maxPacket = 96 << 10
+// maxPacketBytes is the largest packet: the longest callback body with its head.
+const maxPacketBytes = 96 << 10
 
-// Kind says what a message is about.
+// errNoHead is returned for a packet without the line that ends its head.
+var errNoHead = errors.New("a packet without a head")
+
+// Kind is the type of a message.
 type Kind string
 
+// The kinds of messages, with who sends them. Their texts are on the wire between processes of different builds.
 const (
-	Hello   Kind = "hello"   // newcomer: it wants to take over
-	Welcome Kind = "welcome" // to it, with the listening socket
-	Refused Kind = "refused" // to it: it may not, and why
-	Ready   Kind = "ready"   // newcomer: it serves from now on
-	Taken   Kind = "taken"   // either: these ids are in hand here
-	Freed   Kind = "freed"   // either: these are no longer
-	News    Kind = "news"    // either: a worker's news that may be for the other one
-	Heard   Kind = "heard"   // the answer to that
-	Pass    Kind = "pass"    // from the one that ends: a client's connection, with the invocation that waits on it
-	Kept    Kind = "kept"    // the answer to that
-	Learn   Kind = "learn"   // newcomer: it asks for what was learned
-	Lesson  Kind = "lesson"  // a part of that
-	Taught  Kind = "taught"  // there is no more
+	KindHello           Kind = "hello"   // successor: asks to take over
+	KindWelcome         Kind = "welcome" // predecessor: accepts, with the listening socket
+	KindRejected        Kind = "refused" // predecessor: rejects, with a reason
+	KindReady           Kind = "ready"   // successor: it serves from now on
+	KindIDsAcquired     Kind = "taken"   // either: requests with these IDs are in flight here
+	KindIDsReleased     Kind = "freed"   // either: they are no longer
+	KindCallback        Kind = "news"    // either: a worker's callback whose request may be the peer's
+	KindCallbackResult  Kind = "heard"   // the answer to KindCallback
+	KindMigrate         Kind = "pass"    // predecessor: a client's connection, with the request that waits on it
+	KindMigrateResult   Kind = "kept"    // the answer to KindMigrate
+	KindSnapshotRequest Kind = "learn"   // successor: asks for the dispatcher's snapshot
+	KindSnapshotPart    Kind = "lesson"  // predecessor: a part of the snapshot
+	KindSnapshotEnd     Kind = "taught"  // predecessor: no further part follows
 )
 
-// Message is one packet: a head, and a body that is passed on as it came.
+// Message is one packet: a head in JSON, and a body that is forwarded as it is.
 type Message struct {
-	Kind     Kind     `json:"Kind"`
-	Version  int      `json:"Version,omitempty"`
-	Listen   string   `json:"Listen,omitempty"`   // hello: the address to be taken over
-	Name     string   `json:"Name,omitempty"`     // hello: whose; an older version does not say
-	Sockets  int      `json:"Sockets,omitempty"`  // welcome: the newcomer's part while both live
-	MemoryMB int      `json:"MemoryMB,omitempty"` // likewise
-	Why      string   `json:"Why,omitempty"`
-	IDs      []string `json:"IDs,omitempty"`
-	Number   uint64   `json:"Number,omitempty"` // of news or a pass, in its answer too
-	OK       bool     `json:"OK,omitempty"`     // news has found its owner; what was passed is kept
-	Unsure   bool     `json:"Unsure,omitempty"` // its owner can't be told at this moment
+	// Kind says which of the other fields are set.
+	Kind Kind `json:"Kind"`
+	// Version is Version in KindHello and KindWelcome, and the snapshot's version in KindSnapshotPart.
+	Version int `json:"Version,omitempty"`
+	// ListenAddress is the TCP address to be taken over, in KindHello.
+	ListenAddress string `json:"Listen,omitempty"`
+	// ProcessName is the configured name of the successor, in KindHello. Older builds leave it empty.
+	ProcessName string `json:"Name,omitempty"`
+	// Sockets is the successor's quota of descriptors while both processes live, in KindWelcome.
+	Sockets int `json:"Sockets,omitempty"`
+	// MemoryMB is the successor's quota of memory in MiB while both processes live, in KindWelcome.
+	MemoryMB int `json:"MemoryMB,omitempty"`
+	// Reason is why a successor was rejected, in KindRejected.
+	Reason RejectionReason `json:"Why,omitempty"`
+	// IDs are the requests of KindIDsAcquired and KindIDsReleased.
+	IDs []string `json:"IDs,omitempty"`
+	// Sequence numbers KindCallback and KindMigrate; the answer repeats it.
+	Sequence uint64 `json:"Number,omitempty"`
+	// Accepted says in an answer that the callback has found its request, or that the migrated connection is adopted.
+	Accepted bool `json:"OK,omitempty"`
+	// OwnerUnknown says in KindCallbackResult that the request is migrating, so that its owner can't be told now.
+	OwnerUnknown bool `json:"Unsure,omitempty"`
 
-	Pass *Passed `json:"Pass,omitempty"`
-	Body []byte  `json:"-"` // of news, the request that is passed, or a part of the lesson
+	// Connection describes the connection of KindMigrate.
+	Connection *MigratedConnection `json:"Pass,omitempty"`
+	// Body is the callback, the body of the migrating request, or a part of the snapshot.
+	Body []byte `json:"-"`
 
-	Socket syscall.Conn `json:"-"` // to go with it
-	File   *os.File     `json:"-"` // that came with it; whoever takes the message closes it
+	// Socket is the descriptor to be sent with the message; it is borrowed until the message is written.
+	Socket syscall.Conn `json:"-"`
+	// File is the descriptor that was received with the message. The receiver of the message closes it.
+	File *os.File `json:"-"`
 }
 
-// Passed is a client's connection, or one that brings workers' news.
-type Passed struct {
-	Read       []byte          `json:"Read"` // was read of it and not used
-	News       bool            `json:"News,omitempty"`
-	Fresh      bool            `json:"Fresh,omitempty"`      // nothing has come over it yet
-	Silent     time.Duration   `json:"Silent,omitempty"`     // for so long, of a fresh one
-	Invocation json.RawMessage `json:"Invocation,omitempty"` // as those know it who keep invocations; none: it is idle
+// MigratedConnection describes a connection of a client, or of a worker that sends callbacks, that goes to the successor.
+type MigratedConnection struct {
+	// Buffered was read from the connection and is not parsed yet.
+	Buffered []byte `json:"Read"`
+	// CarriesCallbacks says that the connection is a worker's.
+	CarriesCallbacks bool `json:"News,omitempty"`
+	// Unused says that nothing has been read from the connection yet.
+	Unused bool `json:"Fresh,omitempty"`
+	// SilentFor is how long an unused connection has been open.
+	SilentFor time.Duration `json:"Silent,omitempty"`
+	// Invocation is the request that waits on the connection, in the encoding of this package's user; nil: it is idle.
+	Invocation json.RawMessage `json:"Invocation,omitempty"`
 }
 
+// encode gives the message as a packet: the head, a line end, and the body.
 func (m Message) encode() ([]byte, error) {
 	head, err := json.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	packet := append(append(head, '\n'), m.Body...)
-	if len(packet) > maxPacket {
+	packet := append(head, '\n')
+	packet = append(packet, m.Body...)
+	if len(packet) > maxPacketBytes {
 		return nil, fmt.Errorf("a message of %d bytes is too long", len(packet))
 	}
 	return packet, nil
 }
 
-func decode(packet []byte) (m Message, err error) {
+// decode reads a packet. The message's body shares the packet's memory.
+func decode(packet []byte) (Message, error) {
 	head, body, found := bytes.Cut(packet, []byte("\n"))
 	if !found {
-		return m, fmt.Errorf("a packet without a head")
+		return Message{}, errNoHead
 	}
+	var m Message
 	if err := json.Unmarshal(head, &m); err != nil {
 		return m, err
 	}
