--- a/cmd/stoatweir/crossings_test.go
+++ b/cmd/stoatweir/crossings_test.go
@@ -258,14 +258,14 @@
 	come := func(inv dispatch.InvocationID) {
 		for n, name := range []string{"render", "keyed", "sale"} {
 			j := &workers.Invocation{Number: inv + dispatch.InvocationID(n)}
-			s.door.OnRequest(j, s.site.OperationIndex[name])
+			s.clients.OnRequest(j, s.deployment.OperationIndex[name])
 			fmt.Println(name, j.Effect == dispatch.NonIdempotent)
 		}
 	}
 	come(1)
-	newer{s, read(strings.NewReplacer("read_like", "non_idempotent", "non_idempotent", "read_like").Replace(text)), nil}.Run()
+	reloadedConfiguration{s, read(strings.NewReplacer("read_like", "non_idempotent", "non_idempotent", "read_like").Replace(text)), nil}.Run()
 	come(10)
-	fmt.Println("in hand before:", s.invs[1].Effect == dispatch.NonIdempotent, s.invs[3].Effect == dispatch.NonIdempotent)
+	fmt.Println("in hand before:", s.requests[1].Effect == dispatch.NonIdempotent, s.requests[3].Effect == dispatch.NonIdempotent)
 	// Output:
 	// render false
 	// keyed false
@@ -292,12 +292,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.life.EndpointsKnown(0)
+		s.lifecycle.EndpointsKnown(0)
 		return s
 	}
 	s := serve()
 	worker := netip.MustParseAddrPort("127.0.0.1:9")
-	s.fleet.ApplyUpdate(discovery.Update{Kind: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
+	s.workers.ApplyUpdate(discovery.Update{Kind: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
 		Endpoint: dispatch.Endpoint{Worker: worker, State: dispatch.Ready}}}})
 	record := dispatch.MigratedIn{Arrival: dispatch.Arrival{Budget: left}, Waited: age, Age: age,
 		Attempts: []dispatch.Attempt{{Worker: worker, Age: age, StartedAge: -1, LastProgressAge: age / 2, InFlight: true}}}
@@ -332,18 +332,18 @@
 			t.Fatal(err)
 		}
 		defer client.Close()
-		text, err := json.Marshal(legacy{ID: fmt.Sprint(spent), Method: "POST", Target: "/keyed/k", At: uptime() - spent, Left: left, Name: "keyed",
-			Operation: s.site.Dispatch.Operations[0], Timeout: s.site.ClientTimeouts[0], Record: record, Workers: []string{"s-1"}, Zones: []string{"a"}})
+		text, err := json.Marshal(migratedRequest{ID: fmt.Sprint(spent), Method: "POST", Target: "/keyed/k", EncodedAt: uptime() - spent, Remaining: left, OperationName: "keyed",
+			Operation: s.deployment.Dispatch.Operations[0], Timeout: s.deployment.ClientTimeouts[0], Record: record, AttemptWorkers: []string{"s-1"}, AttemptZones: []string{"a"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.inherit(handover.Message{File: far, Connection: &handover.MigratedConnection{Invocation: text}})
+		return s.adopt(handover.Message{File: far, Connection: &handover.MigratedConnection{Invocation: text}})
 	}
 	if !pass(way) {
 		t.Fatal("not kept")
 	}
 	alike("passed", s.events)
-	for _, j := range s.invs {
+	for _, j := range s.requests {
 		near("until it is given up", j.Deadline-s.loop.Now(), left-way)
 	}
 	if pass(left) {
@@ -351,10 +351,10 @@
 	}
 
 	s = serve()
-	b := &bond{service: s}
-	j := &tracked{Invocation: &workers.Invocation{Number: 1}}
+	b := &peerProcess{service: s}
+	j := &trackedRequest{Invocation: &workers.Invocation{Number: 1}}
 	record.Attempts[0].InFlight = false
-	b.takeBack(&parcel{MigratingConnection: &clients.MigratingConnection{Invocation: 1}, j: j, record: record, at: s.loop.Now() - way})
+	b.restore(&migration{MigratingConnection: &clients.MigratingConnection{Invocation: 1}, request: j, record: record, recordedAt: s.loop.Now() - way})
 	alike("given back", s.events)
 }
 
--- a/cmd/stoatweir/shims_soak.go
+++ b/cmd/stoatweir/faultinjection_soak.go
@@ -19,14 +19,14 @@
 )
 
 // shimsEvery is how often the file is read that says what the shims do.
-const shimsEvery = 20 * time.Millisecond
+const faultPollInterval = 20 * time.Millisecond
 
-var errnos = map[string]syscall.Errno{"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "ENETUNREACH": syscall.ENETUNREACH, "ENOBUFS": syscall.ENOBUFS,
+var errnosByName = map[string]syscall.Errno{"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "ENETUNREACH": syscall.ENETUNREACH, "ENOBUFS": syscall.ENOBUFS,
 	"ENFILE": syscall.ENFILE, "EMFILE": syscall.EMFILE, "ECONNABORTED": syscall.ECONNABORTED}
 
 // installShims puts shims between the program and the system: connections that can't be made or accepted for a while, interrupted looks at
 // sockets, and a wall clock that is stepped.
-func installShims(s *service) {
+func installFaultInjection(s *service) {
 	path := os.Getenv(soak.ShimsVariable)
 	if path == "" {
 		return
@@ -41,19 +41,19 @@
 	}
 	read()
 	go func() {
-		for range time.Tick(shimsEvery) {
+		for range time.Tick(faultPollInterval) {
 			read()
 		}
 	}()
 	dial := s.loop.DialContext
 	s.loop.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if errno, fails := errnos[now.Load().Connect]; fails {
+		if errno, fails := errnosByName[now.Load().Connect]; fails {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 		}
 		return dial(ctx, network, addr)
 	}
-	s.door.Accept = func(l net.Listener) (net.Conn, error) {
-		if errno, fails := errnos[now.Load().Accept]; fails && rand.IntN(2) == 0 {
+	s.clients.Accept = func(l net.Listener) (net.Conn, error) {
+		if errno, fails := errnosByName[now.Load().Accept]; fails && rand.IntN(2) == 0 {
 			return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 		}
 		return l.Accept()
@@ -72,5 +72,5 @@
 		}
 		return poll(fds, timeout)
 	}
-	s.list.WallClock = func() time.Time { return time.Now().Add(now.Load().WallStep) }
+	s.endpoints.WallClock = func() time.Time { return time.Now().Add(now.Load().WallStep) }
 }
--- a/cmd/stoatweir/figures_test.go
+++ b/cmd/stoatweir/figures_test.go
@@ -44,7 +44,7 @@
 		t.Error("under load:", got)
 	}
 	r.halt()
-	time.Sleep(2 * publishAfter)
+	time.Sleep(2 * publishDelay)
 	got, attempts := p.figures(t), 0
 	for _, w := range r.workers {
 		w.mu.Lock()
--- a/cmd/stoatweir/guard.go
+++ b/cmd/stoatweir/invariants.go
@@ -11,44 +11,44 @@
 )
 
 // terms are what the guard holds a request to. It keeps those under which it came, whatever the settings become.
-func (s *service) terms(j *workers.Invocation, operation int) invariant.RequestLimits {
-	d := &s.site.Dispatch
+func (s *service) requestLimits(j *workers.Invocation, operation int) invariant.RequestLimits {
+	d := &s.deployment.Dispatch
 	o := &d.Operations[operation]
 	return invariant.RequestLimits{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.Deadline,
 		MaxAttempts: d.Limits.MaxAttempts, MaxInFlight: d.Limits.MaxInFlight}
 }
 
 // inherited are the attempts that another process made, as the guard knows them.
-func (s *service) inherited(tries []dispatch.Attempt) (all []invariant.MigratedAttempt) {
+func (s *service) migratedAttempts(tries []dispatch.Attempt) (all []invariant.MigratedAttempt) {
 	for number, t := range tries {
-		all = append(all, invariant.MigratedAttempt{Number: number, Worker: s.fleet.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, InFlight: t.InFlight, MayHaveRun: t.MayHaveRun})
+		all = append(all, invariant.MigratedAttempt{Number: number, Worker: s.workers.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, InFlight: t.InFlight, MayHaveRun: t.MayHaveRun})
 	}
 	return all
 }
 
 // reason tells why the answer that is being given is given, and counts refusals and failures by it.
-func (s *service) reason(inv dispatch.InvocationID) string {
-	why := s.why
+func (s *service) answerReason(inv dispatch.InvocationID) string {
+	why := s.reasonOverride
 	if why == "" {
-		why = string(s.core.RejectionReason(inv))
+		why = string(s.dispatcher.RejectionReason(inv))
 	}
 	if why != "" {
-		s.givenUp[why]++
+		s.answersByReason[why]++
 	}
 	return why
 }
 
 // historyOf lists what is known of a request, a line each.
-func (s *service) historyOf(id string) []byte {
+func (s *service) requestHistory(id string) []byte {
 	var text []byte
-	for _, t := range s.fleet.Invariants.HistoryByID(id) {
+	for _, t := range s.workers.Invariants.HistoryByID(id) {
 		text = fmt.Appendln(text, t)
 	}
 	return text
 }
 
 // violated logs what the guard has found, with all that is known of the request.
-func (s *service) violated(v invariant.Violation) {
+func (s *service) logViolation(v invariant.Violation) {
 	fields := logrus.Fields{"rule": string(v.Reason)}
 	if v.ID != "" {
 		fields["id"] = v.ID
--- a/cmd/stoatweir/lab.go
+++ b/cmd/stoatweir/lab_command.go
@@ -27,12 +27,12 @@
 )
 
 // errFound: what was asked for was done, and what it has found is no good.
-var errFound = errors.New("")
+var errFindings = errors.New("")
 
 // command is the command line. Without any words the program serves.
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "stoatweir", Short: "A dispatcher beside each submitter; without a command it serves",
-		SilenceUsage: true, SilenceErrors: true, Run: func(*cobra.Command, []string) { scheduler() }}
+		SilenceUsage: true, SilenceErrors: true, Run: func(*cobra.Command, []string) { runScheduler() }}
 	root.CompletionOptions.DisableDefaultCmd = true
 	lab := &cobra.Command{Use: "lab", Short: "Play described days, and say what a change does"}
 	lab.AddCommand(checkCommand(), runCommand(), compareCommand(), loadCommand(), traceCommand(), scaleCommand(), hollowCommand())
@@ -42,14 +42,14 @@
 
 // execute runs a command line. What is wrong with it ends with 2, what it has found with 1.
 func execute(args []string) int {
-	root := command()
+	root := rootCommand()
 	root.SetArgs(args)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	switch err := root.ExecuteContext(ctx); {
 	case err == nil:
 		return 0
-	case errors.Is(err, errFound):
+	case errors.Is(err, errFindings):
 		return 1
 	default:
 		fmt.Fprintln(os.Stderr, err)
@@ -74,18 +74,18 @@
 }
 
 // played says how days are to be played.
-type played struct {
+type playOptions struct {
 	mode, decider, program, csv, mapping string
 	logs                                 bool
 }
 
-func (p *played) flags(c *cobra.Command) {
+func (p *playOptions) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&p.csv, "trace", "", "a CSV `file` of which the load is taken, in place of the scenario's")
 	c.Flags().StringVar(&p.mapping, "mapping", "", "the `file` that says what the trace's columns mean")
 }
 
 // source is the trace, if there is one.
-func (p *played) source(s scenario.Scenario, clients *model.Clients) (model.Source, *trace.Reader, io.Closer, error) {
+func (p *playOptions) source(s scenario.Scenario, clients *model.Clients) (model.Source, *trace.Reader, io.Closer, error) {
 	if p.csv == "" {
 		return nil, nil, nil, nil
 	}
@@ -106,7 +106,7 @@
 }
 
 // day plays one.
-func (p *played) day(ctx context.Context, s scenario.Scenario, decider string) (r report.Report, err error) {
+func (p *playOptions) play(ctx context.Context, s scenario.Scenario, decider string) (r report.Report, err error) {
 	if p.mode == "loopback" {
 		source, reader, file, err := p.source(s, model.New(s).Clients)
 		if err != nil {
@@ -164,7 +164,7 @@
 	return r
 }
 
-func write(file string, do func(io.Writer) error) error {
+func writeFile(file string, do func(io.Writer) error) error {
 	if file == "" {
 		return nil
 	}
@@ -176,7 +176,7 @@
 }
 
 func runCommand() *cobra.Command {
-	var p played
+	var p playOptions
 	var seed int64
 	var asJSON, plot string
 	c := &cobra.Command{Use: "run SCENARIO", Short: "Play a day and tell what came of it", Args: cobra.ExactArgs(1),
@@ -191,20 +191,20 @@
 			if p.mode != "virtual" && p.mode != "loopback" {
 				return fmt.Errorf("--mode: %q is neither virtual nor loopback", p.mode)
 			}
-			r, err := p.day(c.Context(), s, p.decider)
+			r, err := p.play(c.Context(), s, p.decider)
 			if err != nil {
 				return err
 			}
 			r.Text(c.OutOrStdout())
-			if err := errors.Join(write(asJSON, r.JSON), write(plot, func(w io.Writer) error { return report.Plot(w, plot, r) })); err != nil {
+			if err := errors.Join(writeFile(asJSON, r.JSON), writeFile(plot, func(w io.Writer) error { return report.Plot(w, plot, r) })); err != nil {
 				return err
 			}
 			if r.Broken() > 0 || r.Void != "" {
-				return errFound
+				return errFindings
 			}
 			return nil
 		}}
-	p.flags(c)
+	p.addFlags(c)
 	c.Flags().StringVar(&p.mode, "mode", "virtual", "virtual, or loopback: real processes and sockets on this machine")
 	c.Flags().StringVar(&p.decider, "decider", "module", "who decides in virtual time: module, or a command that speaks the simulator's wire")
 	c.Flags().StringVar(&p.program, "program", "", "the scheduler that is started on loopback; this program if left out")
@@ -216,7 +216,7 @@
 }
 
 func compareCommand() *cobra.Command {
-	var p played
+	var p playOptions
 	var a, b, against, asJSON, plot string
 	var seeds int
 	c := &cobra.Command{Use: "compare SCENARIO...", Short: "Play the same days with two deciders or settings and tell the difference", Args: cobra.MinimumNArgs(1),
@@ -246,7 +246,7 @@
 				}
 			}
 			nameA, nameB := a, cmp.Or(b, a)
-			as, bs, err := p.pairs(c.Context(), days, others, a, nameB)
+			as, bs, err := p.playPairs(c.Context(), days, others, a, nameB)
 			if err != nil {
 				return err
 			}
@@ -266,15 +266,15 @@
 			for _, r := range slices.Concat(as, bs) {
 				broken += r.Broken()
 			}
-			err = errors.Join(write(asJSON, func(w io.Writer) error {
+			err = errors.Join(writeFile(asJSON, func(w io.Writer) error {
 				return json.NewEncoder(w).Encode(map[string]any{"differences": all, "a": as, "b": bs})
-			}), write(plot, func(w io.Writer) error { return report.Plot(w, plot, as[0], bs[0]) }))
+			}), writeFile(plot, func(w io.Writer) error { return report.Plot(w, plot, as[0], bs[0]) }))
 			if err == nil && broken > 0 {
-				return errFound
+				return errFindings
 			}
 			return err
 		}}
-	p.flags(c)
+	p.addFlags(c)
 	c.Flags().StringVar(&a, "a", "module", "the first decider: module, or a command on the simulator's wire")
 	c.Flags().StringVar(&b, "b", "", "the second one; the first if left out")
 	c.Flags().StringVar(&against, "against", "", "a second scenario `file` for the second one: other settings, the same days")
@@ -285,7 +285,7 @@
 }
 
 // pairs plays each day twice, as many at a time as there are cores.
-func (p *played) pairs(ctx context.Context, days, others []scenario.Scenario, a, b string) (as, bs []report.Report, err error) {
+func (p *playOptions) playPairs(ctx context.Context, days, others []scenario.Scenario, a, b string) (as, bs []report.Report, err error) {
 	as, bs = make([]report.Report, len(days)), make([]report.Report, len(days))
 	errs := make([]error, 2*len(days))
 	var wait sync.WaitGroup
@@ -300,7 +300,7 @@
 			room <- struct{}{}
 			go func() {
 				defer wait.Done()
-				to[i], errs[2*i+n] = p.day(ctx, s, decider)
+				to[i], errs[2*i+n] = p.play(ctx, s, decider)
 				<-room
 			}()
 		}
@@ -310,7 +310,7 @@
 }
 
 func loadCommand() *cobra.Command {
-	var p played
+	var p playOptions
 	var to, asJSON string
 	c := &cobra.Command{Use: "load SCENARIO", Short: "Send a scenario's load to a scheduler that is running on this machine", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
@@ -331,15 +331,15 @@
 			}
 			r = withTrace(r, reader)
 			r.Text(c.OutOrStdout())
-			if err := write(asJSON, r.JSON); err != nil {
+			if err := writeFile(asJSON, r.JSON); err != nil {
 				return err
 			}
 			if r.Void != "" {
-				return errFound
+				return errFindings
 			}
 			return nil
 		}}
-	p.flags(c)
+	p.addFlags(c)
 	c.Flags().StringVar(&to, "to", "", "the scheduler's `address`, on loopback")
 	c.Flags().StringVar(&asJSON, "json", "", "a `file` for the report as JSON")
 	c.MarkFlagRequired("to")
@@ -353,13 +353,13 @@
 	var rate float64
 	generate := &cobra.Command{Use: "generate FILE", Short: "Write a made-up trace for trying things out", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
-			return write(files[0], func(w io.Writer) error { return trace.Generate(w, rows, seed, rate, odd) })
+			return writeFile(files[0], func(w io.Writer) error { return trace.Generate(w, rows, seed, rate, odd) })
 		}}
 	generate.Flags().IntVar(&rows, "rows", 10000, "how many")
 	generate.Flags().IntVar(&odd, "odd", 0, "one row in so many is not as it should be; 0: none")
 	generate.Flags().Int64Var(&seed, "seed", 1, "of chance")
 	generate.Flags().Float64Var(&rate, "rate", 100, "rows a second")
-	var p played
+	var p playOptions
 	check := &cobra.Command{Use: "check SCENARIO", Short: "Read a trace to its end and count what is odd", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			s, err := scenario.Read(files[0])
@@ -385,11 +385,11 @@
 			text, _ := r.Counts.MarshalJSON()
 			fmt.Fprintf(c.OutOrStdout(), "%s\nlasts %v\n", text, last.Round(time.Millisecond))
 			if r.Ended != "" {
-				return errFound
+				return errFindings
 			}
 			return nil
 		}}
-	p.flags(check)
+	p.addFlags(check)
 	t.AddCommand(generate, check)
 	return t
 }
--- a/cmd/stoatweir/log_test.go
+++ b/cmd/stoatweir/log_test.go
@@ -11,18 +11,18 @@
 // A reader of the log that stalls costs lines, and no waiting; it is told how many.
 func Example_stalledLog() {
 	r, w := io.Pipe()
-	l := newLines(w)
+	l := newAsyncWriter(w)
 	l.Write([]byte("first\n"))
-	for len(l.waiting) > 0 { // the goroutine has it and waits for the reader
+	for len(l.queue) > 0 { // the goroutine has it and waits for the reader
 		time.Sleep(time.Millisecond)
 	}
-	for n := range cap(l.waiting) + 3 {
+	for n := range cap(l.queue) + 3 {
 		fmt.Fprintf(l, "line %d\n", n)
 	}
 	text := make([]byte, 100)
 	n, _ := r.Read(text)
 	fmt.Print(string(text[:n]))
-	for len(l.waiting) == cap(l.waiting) {
+	for len(l.queue) == cap(l.queue) {
 		time.Sleep(time.Millisecond)
 	}
 	l.Write([]byte("last\n"))
@@ -45,7 +45,7 @@
 
 // Other goroutines may log while the program ends.
 func TestLogBehindTheEnd(t *testing.T) {
-	l := newLines(io.Discard)
+	l := newAsyncWriter(io.Discard)
 	l.close(time.Second)
 	if _, err := l.Write([]byte("the administrators' address is taken\n")); err != nil {
 		t.Error(err)
--- a/cmd/stoatweir/main.go
+++ b/cmd/stoatweir/main.go
@@ -20,30 +20,30 @@
 
 // operate waits for the address: after a restart the process before may still be on its way out. Serving clients does
 // not wait for it.
-func operate(l net.Listener, addr string, door *admin.Server, log *logrus.Entry) {
+func serveAdmin(l net.Listener, addr string, door *admin.Server, log *logrus.Entry) {
 	for tries, err := 0, error(nil); l == nil; tries++ {
 		if l, err = net.Listen("tcp", addr); err != nil {
 			l = nil
-			if tries == adminTries {
+			if tries == listenAttemptsBeforeError {
 				log.WithError(err).Error("admin: ", addr, ": still trying")
 			}
-			time.Sleep(adminAgain)
+			time.Sleep(listenRetryDelay)
 		}
 	}
 	door.Serve(l)
 }
 
-const adminTries, adminAgain = 100, 50 * time.Millisecond
+const listenAttemptsBeforeError, listenRetryDelay = 100, 50 * time.Millisecond
 
 func main() {
 	if len(os.Args) > 1 {
 		os.Exit(execute(os.Args[1:]))
 	}
-	scheduler()
+	runScheduler()
 }
 
 // scheduler is one scheduler, until it is told to end.
-func scheduler() {
+func runScheduler() {
 	// First of all: an order that came any earlier would end the program, also with clients in the queue at its address.
 	// Orders to read the configuration anew that come while one is carried out are one, as the file is read after the last.
 	reloads, signals := make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -55,8 +55,8 @@
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true,
 		TimestampFormat: "15:04:05.000"})
 	told := func() bool { return len(signals) > 0 }
-	node, err := patiently(told, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
-	if errors.Is(err, errTold) {
+	node, err := retryTransient(told, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
+	if errors.Is(err, errStopped) {
 		log.Info("told to stop before there was a configuration")
 		return
 	}
@@ -65,8 +65,8 @@
 	}
 	runtime.GOMAXPROCS(1) // one core is ours; more threads would only take turns on it
 	entry := log.WithField("node", node.Name)
-	at, err := arrive(node, os.TempDir(), entry, told)
-	if errors.Is(err, errTold) {
+	at, err := acquireAddress(node, os.TempDir(), entry, told)
+	if errors.Is(err, errStopped) {
 		entry.Info("told to stop before it was our turn")
 		return
 	}
@@ -77,32 +77,32 @@
 	if err != nil {
 		log.WithError(err).Fatal("the service can't begin")
 	}
-	s.share(node.Sockets, node.MemoryMB)
+	s.setQuotas(node.Sockets, node.MemoryMB)
 	if at.link != nil {
-		s.share(at.welcome.Sockets, at.welcome.MemoryMB)
+		s.setQuotas(at.welcome.Sockets, at.welcome.MemoryMB)
 	}
 	if node.Admin != "" {
 		operators, err := net.Listen("tcp", node.Admin)
-		if err != nil && !isMomentary(err) {
+		if err != nil && !isTransient(err) {
 			log.WithError(err).Fatal("admin: ", node.Admin)
 		}
-		go operate(operators, node.Admin, admin.New(s.calls(), operatorsMost), entry)
+		go serveAdmin(operators, node.Admin, admin.New(s.adminCommands(), maxAdminCalls), entry)
 	}
-	if s.hosting != nil {
-		go s.hosting.follow()
+	if s.tenancy != nil {
+		go s.tenancy.followStore()
 		if node.Tenants.API != "" {
-			go s.hosting.administer(node.Tenants, node.Deployment.Dispatch.Schedulers)
+			go s.tenancy.serveAPI(node.Tenants, node.Deployment.Dispatch.Schedulers)
 		}
 	}
-	out := newLines(os.Stderr)
+	out := newAsyncWriter(os.Stderr)
 	log.SetOutput(out)
 	go func() {
 		for range signals {
-			s.loop.PostUrgent(order{s, s.stop})
+			s.loop.PostUrgent(loopTask{s, s.stop})
 		}
 	}()
-	go s.reload(reloads, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
+	go s.reloadOnSignal(reloads, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
 	s.run(at)
-	fmt.Fprintf(out, "%s\n", s.report())
+	fmt.Fprintf(out, "%s\n", s.countsReport())
 	out.close(100 * time.Millisecond)
 }
--- a/cmd/stoatweir/pass_test.go
+++ b/cmd/stoatweir/migration_test.go
@@ -10,10 +10,10 @@
 // What is passed on ages while it is on its way; a clock that can't be read, or is another machine's, changes nothing.
 func Example_aged() {
 	for _, now := range []time.Duration{5 * time.Second, 5300 * time.Millisecond, time.Second} {
-		l := legacy{Left: 2 * time.Second, At: 5 * time.Second, Record: dispatch.MigratedIn{Age: time.Second,
+		l := migratedRequest{Remaining: 2 * time.Second, EncodedAt: 5 * time.Second, Record: dispatch.MigratedIn{Age: time.Second,
 			Arrival: dispatch.Arrival{Budget: 2 * time.Second}, Attempts: []dispatch.Attempt{{Age: time.Second, StartedAge: -1, LastProgressAge: 0}}}}
-		l.aged(now)
-		fmt.Println(l.Left, l.Record.Budget, l.Record.Age, l.Record.Attempts[0].Age, l.Record.Attempts[0].StartedAge, l.Record.Attempts[0].LastProgressAge)
+		l.ageInTransit(now)
+		fmt.Println(l.Remaining, l.Record.Budget, l.Record.Age, l.Record.Attempts[0].Age, l.Record.Attempts[0].StartedAge, l.Record.Attempts[0].LastProgressAge)
 	}
 	// Output:
 	// 2s 2s 1s 1s -1ns 0s
--- a/cmd/stoatweir/pairs_test.go
+++ b/cmd/stoatweir/pairs_test.go
@@ -66,7 +66,7 @@
 			}
 			close(stop)
 			r.halt()
-			time.Sleep(2 * publishAfter)
+			time.Sleep(2 * publishDelay)
 			if got := p.figures(t); got["svc_outstanding"] != 0 || got["svc_discovered"] != 3 {
 				t.Error(got)
 			}
--- a/cmd/stoatweir/panic_in_stop_test.go
+++ b/cmd/stoatweir/panic_in_stop_test.go
@@ -49,7 +49,7 @@
 	io.WriteString(kept, request("held"))
 	time.Sleep(50 * time.Millisecond)
 	ordered := time.Now()
-	s.loop.PostUrgent(order{s, s.stop})
+	s.loop.PostUrgent(loopTask{s, s.stop})
 	time.Sleep(50 * time.Millisecond)
 	s.loop.Post(breaks{s})
 	answers := bufio.NewReader(kept)
@@ -68,7 +68,7 @@
 	case <-time.After(5 * time.Second):
 		t.Error("it does not end")
 	}
-	if n := s.fleet.Invariants.Counts.Violations; len(n) > 0 || s.panics == 0 {
+	if n := s.workers.Invariants.Counts.Violations; len(n) > 0 || s.panics == 0 {
 		t.Error("violations ", n, ", panics ", s.panics)
 	}
 }
--- a/cmd/stoatweir/pause_test.go
+++ b/cmd/stoatweir/pause_test.go
@@ -11,14 +11,14 @@
 // What is pushed when whoever carries the list is back counts as told at once: the next watch stands well inside the grace.
 func Example_pause() {
 	for _, grace := range []time.Duration{0, 20 * time.Millisecond, 500 * time.Millisecond, 30 * time.Second} {
-		s := &service{site: settings.Deployment{DrainGrace: grace}, chance: rand.New(rand.NewPCG(1, 2))}
+		s := &service{deployment: settings.Deployment{DrainGrace: grace}, random: rand.New(rand.NewPCG(1, 2))}
 		fmt.Print(grace, ":")
-		for s.unlisted = range 12 {
+		for s.failedWatches = range 12 {
 			most := time.Duration(0)
 			for range 200 {
-				most = max(most, s.pause())
+				most = max(most, s.watchBackoff())
 			}
-			if s.unlisted%3 == 0 {
+			if s.failedWatches%3 == 0 {
 				fmt.Print(" ", most.Round(50*time.Millisecond))
 			}
 		}
--- a/cmd/stoatweir/reload_on_the_way_test.go
+++ b/cmd/stoatweir/reload_on_the_way_test.go
@@ -38,13 +38,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j := &tracked{Invocation: &workers.Invocation{Number: 1}, operation: s.site.OperationIndex["sale"]}
-	s.bond = &bond{service: s, passed: map[uint64]*parcel{1: {MigratingConnection: &clients.MigratingConnection{Invocation: 1}, j: j}}}
+	j := &trackedRequest{Invocation: &workers.Invocation{Number: 1}, operation: s.deployment.OperationIndex["sale"]}
+	s.peer = &peerProcess{service: s, migrations: map[uint64]*migration{1: {MigratingConnection: &clients.MigratingConnection{Invocation: 1}, request: j}}}
 	for n := range 2 {
-		s.retune(siteOf(t, render+fmt.Sprintf(`,{"Name":"other-%d","Effect":"read_like","ClientTimeout":5}`, n)))
+		s.reconfigure(siteOf(t, render+fmt.Sprintf(`,{"Name":"other-%d","Effect":"read_like","ClientTimeout":5}`, n)))
 	}
-	s.bond.takeBack(s.bond.passed[1])
-	if name, effect := s.site.Operations[j.operation], s.effect(j.operation); name != "sale" || effect != dispatch.NonIdempotent {
+	s.peer.restore(s.peer.migrations[1])
+	if name, effect := s.deployment.Operations[j.operation], s.effect(j.operation); name != "sale" || effect != dispatch.NonIdempotent {
 		t.Errorf("it is %s now, with effect %d", name, effect)
 	}
 }
--- a/cmd/stoatweir/retune_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -94,7 +94,7 @@
 	if status := <-answer; status != 200 {
 		t.Error("of a class that has gone meanwhile:", status)
 	}
-	time.Sleep(2 * publishAfter)
+	time.Sleep(2 * publishDelay)
 	got := p.figures(t)
 	if got["svc_sighup_rejected_total"] != 8 || applied < 2 || got["svc_sighup_applied_total"] != applied+1 ||
 		got[result("fresh", "succeeded")] != 2 {
--- a/cmd/stoatweir/rig_test.go
+++ b/cmd/stoatweir/rig_test.go
@@ -25,7 +25,7 @@
 	dir     string // of $TMPDIR and the configuration
 	listen  string
 	config  map[string]any
-	workers []*peer
+	workers []*rigWorker
 	program string
 
 	mu        sync.Mutex
@@ -37,7 +37,7 @@
 }
 
 // peer is a scripted worker.
-type peer struct {
+type rigWorker struct {
 	*rig
 	uid, addr string
 	runs      time.Duration
@@ -120,7 +120,7 @@
 	r := &rig{t: t, dir: dir, listen: freeAddr(t), program: program(t), stopped: make(chan struct{}), answers: map[int]int{}}
 	var targets []string
 	for n := range workers {
-		w := &peer{rig: r, uid: fmt.Sprint("s-", n), runs: runs, got: map[string]int{}, open: map[string]int{}}
+		w := &rigWorker{rig: r, uid: fmt.Sprint("s-", n), runs: runs, got: map[string]int{}, open: map[string]int{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -385,7 +385,7 @@
 }
 
 // ServeHTTP takes invocations and tells their ends to whoever listens at the scheduler's address.
-func (w *peer) ServeHTTP(out http.ResponseWriter, in *http.Request) {
+func (w *rigWorker) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	if in.Method == "GET" && w.slots != nil {
 		fmt.Fprintf(out, "TEXT x0=%d", cap(w.slots)-len(w.slots))
 	}
@@ -423,7 +423,7 @@
 }
 
 // tell tries ten times at most, as workers do.
-func (w *peer) tell(id, news string) bool {
+func (w *rigWorker) tell(id, news string) bool {
 	for range 10 {
 		kept := keptConn{addr: w.listen}
 		status, _ := kept.ask(post("/_jobs/news", "", news))
--- a/cmd/stoatweir/lab_scale.go
+++ b/cmd/stoatweir/scale_command.go
@@ -69,12 +69,12 @@
 				}
 				m.Value = values[i]
 				r.Add(m)
-				if err := write(asJSON, r.JSON); err != nil {
+				if err := writeFile(asJSON, r.JSON); err != nil {
 					return err
 				}
 			}
 			r.Text(c.OutOrStdout())
-			return write(plot, r.Plot)
+			return writeFile(plot, r.Plot)
 		}}
 	c.Flags().StringVar(&program, "bin", "", "the scheduler that is measured, of any checkout; this program if left out")
 	c.Flags().Float64SliceVar(&only, "only", nil, "these `values` of the sweep alone; with --json they are put into what is there")
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -26,387 +26,387 @@
 )
 
 const (
-	otherFiles = 16          // descriptors that are no connections: standard ones, poller, listener, a successor's
-	listWithin = time.Second // a start without a known list waits so long for one
+	reservedDescriptors = 16          // descriptors that are no connections: standard ones, poller, listener, a successor's
+	endpointWait        = time.Second // a start without a known list waits so long for one
 	// With a known list there is no time to lose: while schedulers are restarted in turn, the next one may have been
 	// stopped already, and clients have nobody to ask. Who has gone since shows by itself, and the list follows.
-	knownWithin = 50 * time.Millisecond
+	cachedEndpointWait = 50 * time.Millisecond
 	// What the list has to tell counts as told 6 s later, whether or not it has come: that is the span in which a
 	// watch that has failed must stand again, however long the settings allow not to ask.
-	toldWithin = 5 * time.Second
-	againAfter = 20 * time.Millisecond
+	maxPollInterval = 5 * time.Second
+	restartDelay    = 20 * time.Millisecond
 	// Between watches of a pushed list that fail in a row; inside toldWithin, with what a call may take, and inside the grace
 	// that the settings give: what is pushed at the return of whoever carries the list counts as told at once.
-	pushedFirst, pushedMost, pushedLeast = 250 * time.Millisecond, 2 * time.Second, 50 * time.Millisecond
+	watchBackoffMin, watchBackoffMax, watchBackoffMaxFloor = 250 * time.Millisecond, 2 * time.Second, 50 * time.Millisecond
 	// publishAfter is how old the figures that operators see may be, at most, while something happens.
-	publishAfter = 100 * time.Millisecond
-	leaveLook    = 10 * time.Millisecond
+	publishDelay      = 100 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond
 )
 
 // service is the wiring: one loop owns the module, hands it what has happened and carries out what it decides.
 type service struct {
-	loop   *conn.Loop
-	ours   *conn.Quota // of the descriptors: for clients and news
-	theirs *conn.Quota // for workers
-	log    *logrus.Entry
-	book   *accounting.Ledger
-	core   *dispatch.Dispatcher
-	door   *clients.Server
-	fleet  *workers.Transport
-	list   *discovery.Watcher
-	node   settings.Process // as it was at the start, but for discovery
-	site   settings.Deployment
-	base   settings.Deployment // as the configuration has it, without what tenants add
-	known  []byte
-	events []dispatch.Event
-	invs   map[dispatch.InvocationID]*tracked
-	wake   *conn.Timer
-	steps  *conn.Timer   // of the life cycle
-	last   time.Duration // when the module was last asked
+	loop            *conn.Loop
+	clientQuota     *conn.Quota // of the descriptors: for clients and news
+	workerQuota     *conn.Quota // for workers
+	log             *logrus.Entry
+	ledger          *accounting.Ledger
+	dispatcher      *dispatch.Dispatcher
+	clients         *clients.Server
+	workers         *workers.Transport
+	endpoints       *discovery.Watcher
+	process         settings.Process // as it was at the start, but for discovery
+	deployment      settings.Deployment
+	configured      settings.Deployment // as the configuration has it, without what tenants add
+	cachedEndpoints []byte
+	events          []dispatch.Event
+	requests        map[dispatch.InvocationID]*trackedRequest
+	dispatchTimer   *conn.Timer
+	lifecycleTimer  *conn.Timer   // of the life cycle
+	lastDecision    time.Duration // when the module was last asked
 
-	at            address
-	opened        bool               // clients are let in
-	studies       bool               // what the process before has learned was asked for
-	post          *handover.Listener // where a successor finds us; nil: nowhere
-	road          *gossip.Transport  // to other schedulers; nil: none
-	hosting       *hosting           // nil: no tenants are served
-	bond          *bond              // nil: no other process serves at our address
-	life          lifecycle.Lifecycle
-	stands        atomic.Uint32 // the state of life, for operators
-	figures       atomic.Pointer[accounting.Totals]
-	published     int         // changes of the ledger that these hold
-	publishing    *conn.Timer // nil: nothing has happened since
-	seed          int64
-	chance        *rand.Rand // for what the module does not decide
-	unlisted      int        // watches of a pushed list that failed in a row
-	panics        int
-	givenUp       map[string]int // answers other than a result, by why they were given
-	why           string         // answers are given now, if not by the module's word
-	waits, thinks *hdrhistogram.Histogram
+	address                         address
+	accepting                       bool               // clients are let in
+	snapshotRequested               bool               // what the process before has learned was asked for
+	successorListener               *handover.Listener // where a successor finds us; nil: nowhere
+	gossip                          *gossip.Transport  // to other schedulers; nil: none
+	tenancy                         *tenancy           // nil: no tenants are served
+	peer                            *peerProcess       // nil: no other process serves at our address
+	lifecycle                       lifecycle.Lifecycle
+	publishedState                  atomic.Uint32 // the state of life, for operators
+	publishedTotals                 atomic.Pointer[accounting.Totals]
+	publishedChanges                int         // changes of the ledger that these hold
+	publishTimer                    *conn.Timer // nil: nothing has happened since
+	seed                            int64
+	random                          *rand.Rand // for what the module does not decide
+	failedWatches                   int        // watches of a pushed list that failed in a row
+	panics                          int
+	answersByReason                 map[string]int // answers other than a result, by why they were given
+	reasonOverride                  string         // answers are given now, if not by the module's word
+	servingLatency, decisionLatency *hdrhistogram.Histogram
 }
 
 // tracked is an invocation while the module may still speak of it.
-type tracked struct {
+type trackedRequest struct {
 	*workers.Invocation
-	operation     int
-	forwards, out int
-	seat          *tenants.Account // nil: nobody's
-	sent          []time.Duration  // when each forward was, where it is somebody's
+	operation          int
+	attempts, inFlight int
+	account            *tenants.Account // nil: nobody's
+	sentAt             []time.Duration  // when each forward was, where it is somebody's
 }
 
 func newService(node settings.Process, log *logrus.Entry) (*service, error) {
 	start, given := time.Now(), node
 	loop := conn.NewLoop(start)
 	ours, theirs, book := loop.NewQuota(0), loop.NewQuota(0), accounting.New()
-	s := &service{loop: loop, ours: ours, theirs: theirs, log: log, book: book, node: given, base: given.Deployment, known: node.CachedEndpoints, invs: map[dispatch.InvocationID]*tracked{}, givenUp: map[string]int{},
-		seed: node.Seed, last: -1,
-		door:  clients.New(loop, node.Deployment, ours, book),
-		fleet: workers.NewTransport(loop, node.Deployment, theirs),
-		list:  discovery.New(loop, node.Discovery, node.Deployment.Zones, node.Deployment.Kinds, start),
-		waits: hdrhistogram.New(1, time.Minute.Microseconds(), 3), thinks: hdrhistogram.New(1, 1e7, 2)}
-	if err := s.host(&node); err != nil {
+	s := &service{loop: loop, clientQuota: ours, workerQuota: theirs, log: log, ledger: book, process: given, configured: given.Deployment, cachedEndpoints: node.CachedEndpoints, requests: map[dispatch.InvocationID]*trackedRequest{}, answersByReason: map[string]int{},
+		seed: node.Seed, lastDecision: -1,
+		clients:        clients.New(loop, node.Deployment, ours, book),
+		workers:        workers.NewTransport(loop, node.Deployment, theirs),
+		endpoints:      discovery.New(loop, node.Discovery, node.Deployment.Zones, node.Deployment.Kinds, start),
+		servingLatency: hdrhistogram.New(1, time.Minute.Microseconds(), 3), decisionLatency: hdrhistogram.New(1, 1e7, 2)}
+	if err := s.openTenants(&node); err != nil {
 		return nil, err
 	}
-	onSockets(&node.Deployment.Dispatch)
-	s.site, s.core = node.Deployment, dispatch.New(node.Deployment.Dispatch, node.Seed)
-	s.door.Reconfigure(node.Deployment)
+	applySocketRules(&node.Deployment.Dispatch)
+	s.deployment, s.dispatcher = node.Deployment, dispatch.New(node.Deployment.Dispatch, node.Seed)
+	s.clients.Reconfigure(node.Deployment)
 	event := func(e dispatch.Event) { s.events = append(s.events, e) }
-	s.chance = rand.New(rand.NewPCG(uint64(node.Seed), uint64(start.UnixNano())))
-	s.list.Rand = s.chance
-	s.askWithin()
-	s.door.OnEvent, s.fleet.OnEvent = event, event
-	s.door.OnRequest = func(j *workers.Invocation, operation int) {
+	s.random = rand.New(rand.NewPCG(uint64(node.Seed), uint64(start.UnixNano())))
+	s.endpoints.Rand = s.random
+	s.applyPollInterval()
+	s.clients.OnEvent, s.workers.OnEvent = event, event
+	s.clients.OnRequest = func(j *workers.Invocation, operation int) {
 		j.Effect = s.effect(operation)
-		s.invs[j.Number] = &tracked{Invocation: j, operation: operation, seat: s.hosting.came(j.ID)}
-		s.fleet.Invariants.RequestAdmitted(j.Number, s.terms(j, operation))
+		s.requests[j.Number] = &trackedRequest{Invocation: j, operation: operation, account: s.tenancy.accountFor(j.ID)}
+		s.workers.Invariants.RequestAdmitted(j.Number, s.requestLimits(j, operation))
 	}
-	s.door.Invariants, s.door.Reason, s.fleet.Invariants.OnViolation = s.fleet.Invariants, s.reason, s.violated
-	s.door.OnCallback, s.door.Counters, s.door.History = s.fleet.HandleCallback, s.report, s.historyOf
-	s.door.RelayCallback, s.door.OwnedByPeer, s.door.OnOwnership = s.relay, s.foreign, s.holds
-	s.door.OnServed = func(t time.Duration) { s.waits.RecordValue(t.Microseconds()) }
-	s.door.Behavior = func() lifecycle.Behavior { return s.life.Behavior(loop.Now()) }
-	s.fleet.Deliver, s.fleet.AwaitsAnswer, s.fleet.ClientWaiting, s.fleet.OnWritten = s.door.Deliver, s.door.AwaitsAnswer, s.door.ClientWaiting, book.Forwarded
-	s.list.OnUpdate, loop.Panicked = s.told, s.panicked
-	s.list.OnFailure = func(why string) { log.Warn("the watch of the list has failed: ", why) }
-	s.resize(node.Sockets)
+	s.clients.Invariants, s.clients.Reason, s.workers.Invariants.OnViolation = s.workers.Invariants, s.answerReason, s.logViolation
+	s.clients.OnCallback, s.clients.Counters, s.clients.History = s.workers.HandleCallback, s.countsReport, s.requestHistory
+	s.clients.RelayCallback, s.clients.OwnedByPeer, s.clients.OnOwnership = s.relayCallback, s.ownedByPeer, s.announceOwnership
+	s.clients.OnServed = func(t time.Duration) { s.servingLatency.RecordValue(t.Microseconds()) }
+	s.clients.Behavior = func() lifecycle.Behavior { return s.lifecycle.Behavior(loop.Now()) }
+	s.workers.Deliver, s.workers.AwaitsAnswer, s.workers.ClientWaiting, s.workers.OnWritten = s.clients.Deliver, s.clients.AwaitsAnswer, s.clients.ClientWaiting, book.Forwarded
+	s.endpoints.OnUpdate, loop.Panicked = s.handleEndpointUpdate, s.recordPanic
+	s.endpoints.OnFailure = func(why string) { log.Warn("the watch of the list has failed: ", why) }
+	s.setSocketLimit(node.Sockets)
 	if len(node.Peers) > 0 {
-		s.road = gossip.Open(loop, node.Peers, node.Deployment.Dispatch.Index, start, func(err error) {
+		s.gossip = gossip.Open(loop, node.Peers, node.Deployment.Dispatch.Index, start, func(err error) {
 			log.WithError(err).Warn("peers: our address can't be had, nothing is told until it can")
 		})
-		s.road.OnReceive = func(t dispatch.GossipReceived) { s.events = append(s.events, t) }
+		s.gossip.OnReceive = func(t dispatch.GossipReceived) { s.events = append(s.events, t) }
 	}
-	installShims(s)
+	installFaultInjection(s)
 	log.Info("deployment: ", node.Deployment.Features)
 	return s, nil
 }
 
 // effect is an operation's effect class.
 func (s *service) effect(operation int) dispatch.Effect {
-	return s.site.Dispatch.Operations[operation].Effect
+	return s.deployment.Dispatch.Operations[operation].Effect
 }
 
 // onSockets adds what holds on sockets, whatever the settings say.
-func onSockets(d *dispatch.Config) {
-	d.Rules.PollWithin = min(d.Rules.PollWithin, toldWithin)
+func applySocketRules(d *dispatch.Config) {
+	d.Rules.PollWithin = min(d.Rules.PollWithin, maxPollInterval)
 	d.NotifiesAccepted = true
 }
 
 // resize sets how many descriptors there are in all.
-func (s *service) resize(sockets int) {
-	sockets -= otherFiles
-	if s.node.Admin != "" {
-		sockets -= operatorsMost + 2 // their listener, and the one that is let in before another goes
+func (s *service) setSocketLimit(sockets int) {
+	sockets -= reservedDescriptors
+	if s.process.Admin != "" {
+		sockets -= maxAdminCalls + 2 // their listener, and the one that is let in before another goes
 	}
-	if s.hosting != nil {
-		sockets -= apiFiles
+	if s.tenancy != nil {
+		sockets -= apiDescriptors
 	}
 	// Clients and news have five eighths of the descriptors, four for invocations in hand; workers have the rest.
-	s.door.SetMaxInFlight(sockets / 2)
-	s.ours.Resize(sockets - sockets*3/8)
-	s.theirs.Resize(sockets * 3 / 8)
+	s.clients.SetMaxInFlight(sockets / 2)
+	s.clientQuota.Resize(sockets - sockets*3/8)
+	s.workerQuota.Resize(sockets * 3 / 8)
 }
 
 // run serves until the order to stop has been carried out.
 func (s *service) run(at address) {
-	s.at = at
-	within := listWithin
-	if len(s.known) > 0 {
-		list, err := s.list.Parse(s.known)
+	s.address = at
+	within := endpointWait
+	if len(s.cachedEndpoints) > 0 {
+		list, err := s.endpoints.Parse(s.cachedEndpoints)
 		if err != nil {
 			s.log.Warn("known: ", err) // discovery will tell
 		}
 		if list.Kind = dispatch.FullUpdate; len(list.Workers) > 0 && !at.shared {
-			within = knownWithin
+			within = cachedEndpointWait
 		}
-		s.fleet.ApplyUpdate(list)
+		s.workers.ApplyUpdate(list)
 		s.events = append(s.events, list.EndpointUpdate())
 	}
 	if at.shared {
-		within = sharedWithin
+		within = successorEndpointWait
 	}
-	s.loop.After(within, s.knows) // with discovery down we must serve too
-	s.meet()
-	if s.site.Dispatch.EndpointsPushed {
-		s.list.Watch() // the module does not ask where changes come unasked; here all is asked for
+	s.loop.After(within, s.endpointsKnown) // with discovery down we must serve too
+	s.startTakeover()
+	if s.deployment.Dispatch.EndpointsPushed {
+		s.endpoints.Watch() // the module does not ask where changes come unasked; here all is asked for
 	}
-	if s.hosting != nil {
-		s.hosting.share()
+	if s.tenancy != nil {
+		s.tenancy.updateQuotas()
 	}
 	s.events = append(s.events, dispatch.TimerFired{}) // the module has things to begin, also where nothing is known
 	s.decide()
-	s.publish()
+	s.publishTotals()
 	s.loop.Run(s.decide)
-	for _, inv := range s.door.Unanswered() {
-		s.fleet.Invariants.CheckClose(inv)
+	for _, inv := range s.clients.Unanswered() {
+		s.workers.Invariants.CheckClose(inv)
 	}
-	s.post.Close()
-	s.road.Close()
-	if s.hosting != nil {
-		s.hosting.registry.Close()
+	s.successorListener.Close()
+	s.gossip.Close()
+	if s.tenancy != nil {
+		s.tenancy.registry.Close()
 	}
 }
 
 // askWithin tells the watcher what time the settings give for asking.
-func (s *service) askWithin() {
-	if s.list.PollWithin = 0; !s.site.Dispatch.EndpointsPushed {
-		s.list.PollWithin = s.base.Dispatch.Rules.PollWithin
+func (s *service) applyPollInterval() {
+	if s.endpoints.PollWithin = 0; !s.deployment.Dispatch.EndpointsPushed {
+		s.endpoints.PollWithin = s.configured.Dispatch.Rules.PollWithin
 	}
 }
 
 // told takes news of the list in.
-func (s *service) told(list discovery.Update) {
+func (s *service) handleEndpointUpdate(list discovery.Update) {
 	if list.Kind != dispatch.WatchFailed {
-		s.fleet.ApplyUpdate(list)
-		s.loop.After(s.settling(), s.study)
-		s.unlisted = 0
-	} else if s.site.Dispatch.EndpointsPushed {
-		s.loop.After(s.pause(), s.watch) // the module does not ask where changes come unasked
-		s.unlisted++
+		s.workers.ApplyUpdate(list)
+		s.loop.After(s.settleDelay(), s.requestSnapshot)
+		s.failedWatches = 0
+	} else if s.deployment.Dispatch.EndpointsPushed {
+		s.loop.After(s.watchBackoff(), s.restartWatch) // the module does not ask where changes come unasked
+		s.failedWatches++
 	}
 	s.events = append(s.events, list.EndpointUpdate())
 }
 
 // watch begins the next watch, unless a call that was late has come to its turn meanwhile.
-func (s *service) watch() {
-	if !s.list.Established() {
-		s.list.Watch()
+func (s *service) restartWatch() {
+	if !s.endpoints.Established() {
+		s.endpoints.Watch()
 	}
 }
 
 // pause is how long the next watch of a pushed list waits. A pool must not come back to its list all at once.
-func (s *service) pause() time.Duration {
-	most := pushedMost
-	if s.site.DrainGrace > 0 {
-		most = min(most, max(s.site.DrainGrace/2, pushedLeast))
+func (s *service) watchBackoff() time.Duration {
+	most := watchBackoffMax
+	if s.deployment.DrainGrace > 0 {
+		most = min(most, max(s.deployment.DrainGrace/2, watchBackoffMaxFloor))
 	}
-	wait := min(pushedFirst<<min(s.unlisted, 8), most)
-	return wait/2 + time.Duration(s.chance.Int64N(int64(wait/2)))
+	wait := min(watchBackoffMin<<min(s.failedWatches, 8), most)
+	return wait/2 + time.Duration(s.random.Int64N(int64(wait/2)))
 }
 
 // decide asks the module for as long as something has happened; what it orders can make things happen.
 func (s *service) decide() {
-	if s.node.Admin != "" && s.publishing == nil && (len(s.events) > 0 || s.book.Changes != s.published) {
-		s.publishing = s.loop.After(publishAfter, s.publish)
+	if s.process.Admin != "" && s.publishTimer == nil && (len(s.events) > 0 || s.ledger.Changes != s.publishedChanges) {
+		s.publishTimer = s.loop.After(publishDelay, s.publishTotals)
 	}
 	for len(s.events) > 0 {
 		events := s.events
 		s.events = nil
-		now := max(s.loop.Now(), s.last+1)
-		s.last = now
+		now := max(s.loop.Now(), s.lastDecision+1)
+		s.lastDecision = now
 		began := time.Now()
-		actions, sound := s.ask(now, events)
+		actions, sound := s.callDispatcher(now, events)
 		if !sound {
-			s.restart()
+			s.restartDispatcher()
 			return
 		}
-		s.thinks.RecordValue(time.Since(began).Microseconds())
+		s.decisionLatency.RecordValue(time.Since(began).Microseconds())
 		for _, event := range events {
-			s.ended(event)
+			s.recordOutcome(event)
 		}
 		for _, action := range actions {
-			s.carryOut(action)
+			s.execute(action)
 		}
 	}
 }
 
 // ask hands events to the module. A mistake in it must not end the program with all that is in hand.
-func (s *service) ask(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, sound bool) {
+func (s *service) callDispatcher(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, sound bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			s.panicked(cause)
+			s.recordPanic(cause)
 		}
 	}()
-	return s.core.Handle(now, events), true
+	return s.dispatcher.Handle(now, events), true
 }
 
-func (s *service) panicked(cause any) {
+func (s *service) recordPanic(cause any) {
 	s.panics++
 	s.log.WithField("stack", string(debug.Stack())).Error("panic: ", cause)
 }
 
 // restart begins with a new module that knows the list and nothing else. What is in hand was in the old one's care:
 // it is answered, and its forwards are given up.
-func (s *service) restart() {
-	s.log.Error("the decisions start anew; in hand: ", s.door.InFlight())
-	s.failRest("the decisions start anew")
-	for _, inv := range slices.Sorted(maps.Keys(s.invs)) {
-		for fwd := range s.invs[inv].forwards {
-			s.fleet.Cancel(inv, fwd)
+func (s *service) restartDispatcher() {
+	s.log.Error("the decisions start anew; in hand: ", s.clients.InFlight())
+	s.failRemaining("the decisions start anew")
+	for _, inv := range slices.Sorted(maps.Keys(s.requests)) {
+		for fwd := range s.requests[inv].attempts {
+			s.workers.Cancel(inv, fwd)
 		}
-		s.door.ReleaseID(s.invs[inv].ID, s.invs[inv].forwards > 0)
+		s.clients.ReleaseID(s.requests[inv].ID, s.requests[inv].attempts > 0)
 	}
-	s.invs = map[dispatch.InvocationID]*tracked{}
+	s.requests = map[dispatch.InvocationID]*trackedRequest{}
 	s.seed++
-	s.core = dispatch.New(s.site.Dispatch, s.seed)
-	s.events = []dispatch.Event{s.fleet.Endpoints()}
-	if s.hosting != nil {
-		s.hosting.gate.Republish()
-		s.hosting.share()
+	s.dispatcher = dispatch.New(s.deployment.Dispatch, s.seed)
+	s.events = []dispatch.Event{s.workers.Endpoints()}
+	if s.tenancy != nil {
+		s.tenancy.admission.Republish()
+		s.tenancy.updateQuotas()
 	}
-	s.list.Watch()                      // the new one takes its first list for a sign that the watch stands
-	s.loop.After(againAfter, func() {}) // not at once: whatever made it panic may still be so
+	s.endpoints.Watch()                   // the new one takes its first list for a sign that the watch stands
+	s.loop.After(restartDelay, func() {}) // not at once: whatever made it panic may still be so
 }
 
 // failRest answers all that is owed. Where nothing was ever sent, asking again is harmless whatever the operation.
-func (s *service) failRest(why string) {
-	s.why = why
-	defer func() { s.why = "" }()
-	for _, inv := range s.door.Unanswered() {
-		if j := s.invs[inv]; j != nil && j.forwards == 0 {
-			s.door.Throttle(inv, 0)
+func (s *service) failRemaining(why string) {
+	s.reasonOverride = why
+	defer func() { s.reasonOverride = "" }()
+	for _, inv := range s.clients.Unanswered() {
+		if j := s.requests[inv]; j != nil && j.attempts == 0 {
+			s.clients.Throttle(inv, 0)
 		} else {
-			s.door.Fail(inv)
+			s.clients.Fail(inv)
 		}
 		s.events = append(s.events, dispatch.ClientDisconnected{Invocation: inv})
 	}
 }
 
 // ended counts the forwards that are out.
-func (s *service) ended(event dispatch.Event) {
+func (s *service) recordOutcome(event dispatch.Event) {
 	inv, _ := event.About()
-	if j := s.invs[inv]; j != nil {
+	if j := s.requests[inv]; j != nil {
 		if o, is := event.(dispatch.Outcome); is {
-			j.out--
-			s.hosting.worked(j, o)
+			j.inFlight--
+			s.tenancy.attemptEnded(j, o)
 		}
-		s.settle(inv, j)
+		s.releaseIfDone(inv, j)
 	}
 }
 
 // settle lets an invocation go when its client has its answer and no forward is out.
-func (s *service) settle(inv dispatch.InvocationID, j *tracked) {
-	if j.out <= 0 && !s.door.AwaitsAnswer(inv) {
-		delete(s.invs, inv)
-		s.door.ReleaseID(j.ID, j.forwards > 0)
+func (s *service) releaseIfDone(inv dispatch.InvocationID, j *trackedRequest) {
+	if j.inFlight <= 0 && !s.clients.AwaitsAnswer(inv) {
+		delete(s.requests, inv)
+		s.clients.ReleaseID(j.ID, j.attempts > 0)
 	}
 }
 
-func (s *service) carryOut(action dispatch.Action) {
+func (s *service) execute(action dispatch.Action) {
 	switch a := action.(type) {
 	case dispatch.Forward:
-		if j := s.invs[a.Invocation]; j != nil {
-			j.forwards++
-			j.out++
-			if j.seat != nil {
-				j.sent = append(j.sent, s.loop.Now())
+		if j := s.requests[a.Invocation]; j != nil {
+			j.attempts++
+			j.inFlight++
+			if j.account != nil {
+				j.sentAt = append(j.sentAt, s.loop.Now())
 			}
-			s.fleet.Forward(j.Invocation, j.forwards-1, a.Worker, a.NotAfter)
+			s.workers.Forward(j.Invocation, j.attempts-1, a.Worker, a.NotAfter)
 		}
 	case dispatch.Throttle:
-		s.door.Throttle(a.Invocation, a.RetryAfter)
-		s.answered(a.Invocation)
+		s.clients.Throttle(a.Invocation, a.RetryAfter)
+		s.requestAnswered(a.Invocation)
 	case dispatch.Fail:
-		s.door.Fail(a.Invocation)
-		s.answered(a.Invocation)
+		s.clients.Fail(a.Invocation)
+		s.requestAnswered(a.Invocation)
 	case dispatch.Cancel:
-		s.fleet.Cancel(a.Invocation, a.Attempt)
+		s.workers.Cancel(a.Invocation, a.Attempt)
 	case dispatch.HealthCheck:
-		s.fleet.HealthCheck(a.Worker)
+		s.workers.HealthCheck(a.Worker)
 	case dispatch.SetTimer:
-		s.wake.Stop()
-		s.wake = s.loop.After(a.At-s.loop.Now(), func() { s.events = append(s.events, dispatch.TimerFired{}) })
+		s.dispatchTimer.Stop()
+		s.dispatchTimer = s.loop.After(a.At-s.loop.Now(), func() { s.events = append(s.events, dispatch.TimerFired{}) })
 	case dispatch.SendGossip:
-		if s.road != nil {
-			s.road.Send(a.To, a.Entries)
+		if s.gossip != nil {
+			s.gossip.Send(a.To, a.Entries)
 		}
 	case dispatch.WatchEndpoints:
-		s.list.Watch()
+		s.endpoints.Watch()
 	case dispatch.Log:
 		s.log.Info(a.Text)
 	}
 }
 
-func (s *service) answered(inv dispatch.InvocationID) {
-	if j := s.invs[inv]; j != nil {
-		s.settle(inv, j)
+func (s *service) requestAnswered(inv dispatch.InvocationID) {
+	if j := s.requests[inv]; j != nil {
+		s.releaseIfDone(inv, j)
 	}
 }
 
 // publish lets operators see the figures as they stand.
-func (s *service) publish() {
-	f := s.book.Totals(s.fleet.EndpointCount(), s.core.Ejected())
-	s.figures.Store(&f)
-	s.published, s.publishing = s.book.Changes, nil
+func (s *service) publishTotals() {
+	f := s.ledger.Totals(s.workers.EndpointCount(), s.dispatcher.Ejected())
+	s.publishedTotals.Store(&f)
+	s.publishedChanges, s.publishTimer = s.ledger.Changes, nil
 }
 
 // report is the counters as JSON.
-func (s *service) report() []byte {
+func (s *service) countsReport() []byte {
 	spread := func(h *hdrhistogram.Histogram) map[string]int64 {
 		return map[string]int64{"p50": h.ValueAtQuantile(50), "p90": h.ValueAtQuantile(90),
 			"p99": h.ValueAtQuantile(99), "max": h.Max()}
 	}
 	told := map[string]uint64{}
-	if s.road != nil {
-		told = s.road.CountsByName()
+	if s.gossip != nil {
+		told = s.gossip.CountsByName()
 	}
 	turns, stored := s.loop.Iterations(), memory()
 	text, err := json.Marshal(map[string]any{
 		"turns":      map[string]int64{"count": turns.Count, "worst_us": turns.Worst.Microseconds(), "worst_10s_us": turns.WorstRecent.Microseconds()},
 		"heap_bytes": stored[heapLive], "allocations": stored[heapAllocs], "collections": stored[gcCycles],
 		"peers":       told,
-		"invocations": s.book.Totals(s.fleet.EndpointCount(), s.core.Ejected()), "clients": s.door.Counts, "connections_ended": s.door.ClosedConnections, "workers": s.fleet.Counts, "guard": s.fleet.Invariants.Counts, "refused": s.givenUp, "watches": s.list.WatchesStarted, "clock_steps": s.list.ClockSteps(), "in_hand": s.door.InFlight(),
-		"out": s.fleet.InFlight(), "panics": s.panics, "sockets": s.ours.Used() + s.theirs.Used(), "served_us": spread(s.waits),
-		"decided_us": spread(s.thinks),
+		"invocations": s.ledger.Totals(s.workers.EndpointCount(), s.dispatcher.Ejected()), "clients": s.clients.Counts, "connections_ended": s.clients.ClosedConnections, "workers": s.workers.Counts, "guard": s.workers.Invariants.Counts, "refused": s.answersByReason, "watches": s.endpoints.WatchesStarted, "clock_steps": s.endpoints.ClockSteps(), "in_hand": s.clients.InFlight(),
+		"out": s.workers.InFlight(), "panics": s.panics, "sockets": s.clientQuota.Used() + s.workerQuota.Used(), "served_us": spread(s.servingLatency),
+		"decided_us": spread(s.decisionLatency),
 	})
 	if err != nil {
 		return []byte("{}")
--- a/cmd/stoatweir/service_test.go
+++ b/cmd/stoatweir/service_test.go
@@ -101,7 +101,7 @@
 
 type breaks struct{ *service }
 
-func (b breaks) Run() { b.core, b.events = nil, append(b.events, dispatch.TimerFired{}) }
+func (b breaks) Run() { b.dispatcher, b.events = nil, append(b.events, dispatch.TimerFired{}) }
 
 // The whole way: known list, watch, an invocation to a worker, its news, the answer; then the order to stop, with one
 // invocation in hand that no worker ends: it is answered all the same, and the service ends by itself.
@@ -164,7 +164,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 	})
 	orders, reads := make(chan os.Signal, 1), 0
-	go s.reload(orders, func() (settings.Process, error) {
+	go s.reloadOnSignal(orders, func() (settings.Process, error) {
 		next := config
 		next.Discovery = second
 		if reads++; reads == 1 {
@@ -184,7 +184,7 @@
 		t.Error("one move, more than one watch")
 	}
 	hold("2", `"Taken":5`)
-	s.loop.PostUrgent(order{s, s.stop})
+	s.loop.PostUrgent(loopTask{s, s.stop})
 	orders <- syscall.SIGHUP
 	if got := exchange(node, "GET /-/ready HTTP/1.1\r\n\r\n"); got != "HTTP/1.1 503 Service Unavailable " {
 		t.Error("ready while it leaves:", got)
@@ -230,7 +230,7 @@
 	for exchange(l.Addr().String(), "GET /-/ready HTTP/1.1\r\n\r\n") != "HTTP/1.1 200 OK " {
 		time.Sleep(time.Millisecond)
 	}
-	if took := time.Since(began); took > listWithin/2 {
+	if took := time.Since(began); took > endpointWait/2 {
 		t.Error("ready after", took)
 	}
 	kept, err := net.Dial("tcp", l.Addr().String())
@@ -246,7 +246,7 @@
 	if got := ask(); got != "HTTP/1.1 200 OK <nil>" {
 		t.Error("kept:", got)
 	}
-	s.loop.PostUrgent(order{s, s.stop})
+	s.loop.PostUrgent(loopTask{s, s.stop})
 	for range 3 {
 		if got := ask(); got != "HTTP/1.1 503 Service Unavailable <nil>" {
 			t.Error("kept while stopping:", got)
--- a/cmd/stoatweir/shims.go
+++ /dev/null
@@ -1,6 +0,0 @@
-//go:build !soak
-
-package main
-
-// installShims does nothing in the program as it is released.
-func installShims(*service) {}
--- a/cmd/stoatweir/lesson.go
+++ b/cmd/stoatweir/snapshot.go
@@ -11,13 +11,13 @@
 
 const (
 	// taughtIn is how long our yes waits for what the process before has learned.
-	taughtIn = 300 * time.Millisecond
+	snapshotTimeout = 300 * time.Millisecond
 	// workersAtOnce keeps a part of the lesson well inside a packet.
-	workersAtOnce = 16
+	workersPerPart = 16
 )
 
 // part is a piece of a lesson, with names for what goes by indices in one process.
-type part struct {
+type snapshotPart struct {
 	dispatch.Snapshot
 	KindNames      []string `json:"KindNames"`      // by index
 	OperationNames []string `json:"OperationNames"` // likewise
@@ -25,29 +25,29 @@
 }
 
 // study asks for the lesson before we say yes.
-func (s *service) study() {
-	if s.bond == nil || !s.bond.elder || s.opened || s.studies {
-		s.knows()
+func (s *service) requestSnapshot() {
+	if s.peer == nil || !s.peer.isPredecessor || s.accepting || s.snapshotRequested {
+		s.endpointsKnown()
 		return
 	}
-	s.studies = true
-	s.bond.link.Send(handover.Message{Kind: handover.KindSnapshotRequest})
-	s.loop.After(taughtIn, s.knows)
+	s.snapshotRequested = true
+	s.peer.link.Send(handover.Message{Kind: handover.KindSnapshotRequest})
+	s.loop.After(snapshotTimeout, s.endpointsKnown)
 }
 
 // teach sends the lesson in parts.
-func (b *bond) teach() {
+func (b *peerProcess) sendSnapshot() {
 	s := b.service
-	l := s.core.Snapshot()
+	l := s.dispatcher.Snapshot()
 	maps.DeleteFunc(l.Operations, func(at int, _ dispatch.OperationSnapshot) bool {
-		return s.site.OperationIndex[s.site.Operations[at]] != at // it has gone, or changed
+		return s.deployment.OperationIndex[s.deployment.Operations[at]] != at // it has gone, or changed
 	})
 	for workers := l.Workers; ; {
-		n := min(len(workers), workersAtOnce)
+		n := min(len(workers), workersPerPart)
 		l.Workers, workers = workers[:n], workers[n:]
-		p := part{Snapshot: l, KindNames: s.list.Kinds(), OperationNames: s.site.Operations}
+		p := snapshotPart{Snapshot: l, KindNames: s.endpoints.Kinds(), OperationNames: s.deployment.Operations}
 		for _, w := range l.Workers {
-			p.UIDs = append(p.UIDs, s.fleet.UID(w.Worker))
+			p.UIDs = append(p.UIDs, s.workers.UID(w.Worker))
 		}
 		text, err := json.Marshal(p)
 		if err != nil {
@@ -64,8 +64,8 @@
 }
 
 // heed takes a part of the lesson in. One of another version is left aside, as its figures may mean something else.
-func (s *service) heed(m handover.Message) {
-	var p part
+func (s *service) loadSnapshotPart(m handover.Message) {
+	var p snapshotPart
 	if m.Version != dispatch.SnapshotVersion || json.Unmarshal(m.Body, &p) != nil {
 		s.log.Warn("what was learned before is of version ", m.Version, " and left aside")
 		return
@@ -74,14 +74,14 @@
 	l.KindPaces, l.Operations = map[int][]float64{}, map[int]dispatch.OperationSnapshot{}
 	for at, paces := range p.Snapshot.KindPaces {
 		if at >= 0 && at < len(p.KindNames) {
-			l.KindPaces[s.list.KindIndex(p.KindNames[at])] = paces
+			l.KindPaces[s.endpoints.KindIndex(p.KindNames[at])] = paces
 		}
 	}
 	for at, o := range p.Snapshot.Operations {
 		if at < 0 || at >= len(p.OperationNames) {
 			continue
 		}
-		if here, known := s.site.OperationIndex[p.OperationNames[at]]; known {
+		if here, known := s.deployment.OperationIndex[p.OperationNames[at]]; known {
 			l.Operations[here] = o
 		}
 	}
@@ -90,7 +90,7 @@
 		if n >= len(p.UIDs) {
 			break
 		}
-		if id, known := s.fleet.ID(p.UIDs[n]); known {
+		if id, known := s.workers.ID(p.UIDs[n]); known {
 			w.Worker = id
 			l.Workers = append(l.Workers, w)
 		}
--- a/cmd/stoatweir/start_test.go
+++ b/cmd/stoatweir/start_test.go
@@ -28,7 +28,7 @@
 		want  error
 	}{
 		{"no address for a moment", syscall.EADDRNOTAVAIL, 5, false, nil}, {"no buffer", syscall.ENOBUFS, 5, false, nil}, {"no descriptor", syscall.ENFILE, 5, false, nil},
-		{"not allowed", syscall.EACCES, 1 << 30, false, syscall.EACCES}, {"told to end meanwhile", syscall.ENFILE, 1 << 30, true, errTold},
+		{"not allowed", syscall.EACCES, 1 << 30, false, syscall.EACCES}, {"told to end meanwhile", syscall.ENFILE, 1 << 30, true, errStopped},
 	} {
 		tries := 0
 		listenAt = func(addr string) (net.Listener, error) {
@@ -38,7 +38,7 @@
 			return net.Listen("tcp", "127.0.0.1:0")
 		}
 		began := time.Now()
-		at, err := arrive(settings.Process{Name: "n0", Listen: freeAddr(t)}, t.TempDir(), logrus.NewEntry(log), func() bool { return c.told && tries > 3 })
+		at, err := acquireAddress(settings.Process{Name: "n0", Listen: freeAddr(t)}, t.TempDir(), logrus.NewEntry(log), func() bool { return c.told && tries > 3 })
 		if !errors.Is(err, c.want) || c.want == nil && at.listener == nil || time.Since(began) > 2*time.Second {
 			t.Errorf("%s: %v after %d tries and %v", c.name, err, tries, time.Since(began))
 		}
@@ -63,7 +63,7 @@
 	}
 	reads := 0
 	orders := make(chan os.Signal, 1)
-	go s.reload(orders, func() (settings.Process, error) {
+	go s.reloadOnSignal(orders, func() (settings.Process, error) {
 		if reads++; reads < 4 {
 			return settings.Process{}, &os.PathError{Op: "open", Path: "config.json", Err: syscall.ENFILE}
 		}
@@ -72,12 +72,12 @@
 	orders <- syscall.SIGHUP
 	late := s.loop.After(5*time.Second, s.loop.Stop)
 	s.loop.Run(func() {
-		if s.book.Applied+s.book.Rejected > 0 {
+		if s.ledger.Applied+s.ledger.Rejected > 0 {
 			s.loop.Stop()
 		}
 	})
 	late.Stop()
-	if s.book.Applied != 1 || s.book.Rejected != 0 {
-		t.Errorf("taken over %d times, refused %d times", s.book.Applied, s.book.Rejected)
+	if s.ledger.Applied != 1 || s.ledger.Rejected != 0 {
+		t.Errorf("taken over %d times, refused %d times", s.ledger.Applied, s.ledger.Rejected)
 	}
 }
--- a/cmd/stoatweir/storm_test.go
+++ b/cmd/stoatweir/storm_test.go
@@ -487,7 +487,7 @@
 	s.leftOver()
 	ends = begin()
 	time.Sleep(300 * time.Millisecond)
-	service.loop.PostUrgent(order{service, service.stop}) // with all of it going on
+	service.loop.PostUrgent(loopTask{service, service.stop}) // with all of it going on
 	ordered := time.Now()
 	time.AfterFunc(frontNotices, func() { s.turned.Store(true) })
 	select {
@@ -510,7 +510,7 @@
 	if service.panics > 0 {
 		t.Error("panics: ", service.panics)
 	}
-	if violations := service.fleet.Invariants.Counts.Violations; len(violations) > 0 {
+	if violations := service.workers.Invariants.Counts.Violations; len(violations) > 0 {
 		t.Error("the guard counted ", violations)
 	}
 	t.Log(s.tally)
--- a/cmd/stoatweir/tenant.go
+++ b/cmd/stoatweir/tenant_command.go
@@ -159,7 +159,7 @@
 	defer answer.Body.Close()
 	if answer.StatusCode >= 300 {
 		io.Copy(c.ErrOrStderr(), answer.Body)
-		return errFound
+		return errFindings
 	}
 	_, err = io.Copy(c.OutOrStdout(), answer.Body)
 	return err
--- a/cmd/stoatweir/thousand_test.go
+++ b/cmd/stoatweir/thousand_test.go
@@ -29,7 +29,7 @@
 			synctest.Wait()
 			goroutines, heap := runtime.NumGoroutine()-before, int64(heapInUse())-int64(heapBefore)
 			stop()
-			if listed := s.fleet.EndpointCount(); listed != many {
+			if listed := s.workers.EndpointCount(); listed != many {
 				t.Error("listed: ", listed)
 			}
 			if text := r.String(); !strings.Contains(text, "client     gets 200 made by request 1") {
--- a/cmd/stoatweir/told_test.go
+++ b/cmd/stoatweir/told_test.go
@@ -265,8 +265,8 @@
 	p := &player{service: s, at: at, listener: make(closed), over: make(chan struct{})}
 	s.loop.DialContext = at.DialContext
 	s.loop.Panicked = func(cause any) { panic(cause) }
-	took := s.list.OnUpdate
-	s.list.OnUpdate = func(l discovery.Update) {
+	took := s.endpoints.OnUpdate
+	s.endpoints.OnUpdate = func(l discovery.Update) {
 		if len(l.Workers) > 0 {
 			if p.heard = append(p.heard, at.now()); l.Workers[0].State != dispatch.Ready && p.told == 0 {
 				p.told = at.now()
@@ -283,7 +283,7 @@
 
 // end stops the player; its discovery has ended.
 func (p *player) end() {
-	p.loop.PostUrgent(order{p.service, p.loop.Stop})
+	p.loop.PostUrgent(loopTask{p.service, p.loop.Stop})
 	<-p.over
 	close(p.listener)
 }
@@ -434,9 +434,9 @@
 						p := day{push: push, peers: 300, seed: len(all)}.play(t, at)
 						all = append(all, p)
 						time.AfterFunc(first, func() {
-							node := p.node
-							node.Deployment, node.Discovery = p.base, movedAddr
-							p.loop.PostUrgent(newer{p.service, node, nil})
+							node := p.process
+							node.Deployment, node.Discovery = p.configured, movedAddr
+							p.loop.PostUrgent(reloadedConfiguration{p.service, node, nil})
 						})
 					}
 					together(t, first+longest+8*time.Second, all...)
@@ -471,8 +471,8 @@
 				at := &standIn{began: time.Now(), how: refused, from: first, to: first + 300*time.Millisecond, open: map[net.Conn]bool{}}
 				p := day{push: push, peers: 300, seed: seed}.play(t, at)
 				time.AfterFunc(first+100*time.Millisecond, func() {
-					p.loop.PostUrgent(order{p.service, func() {
-						p.door.LongestTimeout = 3 * time.Second // as a client has said
+					p.loop.PostUrgent(loopTask{p.service, func() {
+						p.clients.LongestTimeout = 3 * time.Second // as a client has said
 						p.service.stop()
 					}})
 				})
@@ -588,7 +588,7 @@
 					yes := map[*player]bool{}
 					for at.now() < watched {
 						for _, p := range all {
-							if !yes[p] && lifecycle.State(p.stands.Load()) == lifecycle.Ready {
+							if !yes[p] && lifecycle.State(p.publishedState.Load()) == lifecycle.Ready {
 								yes[p] = true
 								ready = append(ready, at.now())
 							}
--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -195,7 +195,7 @@
 	time.Sleep(e.timeout + 2*time.Second)
 	text := r.String()
 	stop()
-	ended, stopped := s.fleet.Counts.Ended, s.fleet.Counts.Stopped
+	ended, stopped := s.workers.Counts.Ended, s.workers.Counts.Stopped
 	if len(stopped) > 0 {
 		text += fmt.Sprintf("        stopped before the first byte: %v\n", stopped)
 	}
@@ -230,7 +230,7 @@
 	return s, world, func() {
 		world.end()
 		time.Sleep(3 * time.Second) // all connections end
-		s.loop.PostUrgent(order{s, s.loop.Stop})
+		s.loop.PostUrgent(loopTask{s, s.loop.Stop})
 		<-over
 	}
 }
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -128,17 +128,17 @@
 		t.Fatal(err)
 	}
 	// A new field is unset in the recorded text and shows here, a lost one in the text.
-	if diff := cmp.Diff(written, read, cmp.AllowUnexported(part{}, legacy{}), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
+	if diff := cmp.Diff(written, read, cmp.AllowUnexported(snapshotPart{}, migratedRequest{}), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
 		t.Errorf("read as something else (-written +read):\n%s", diff)
 	}
 }
 
 // What one process tells the next, with all fields set and with none, as the later parts of a lesson nearly are.
 func TestHandOverFormsGolden(t *testing.T) {
-	roundTrip(t, "part", filled[part](t))
-	roundTrip(t, "part_empty", part{})
-	roundTrip(t, "legacy", filled[legacy](t))
-	roundTrip(t, "legacy_empty", legacy{})
+	roundTrip(t, "part", filled[snapshotPart](t))
+	roundTrip(t, "part_empty", snapshotPart{})
+	roundTrip(t, "legacy", filled[migratedRequest](t))
+	roundTrip(t, "legacy_empty", migratedRequest{})
 }
 
 // wireService is a service with one worker in its list that nobody needs to reach.
@@ -189,23 +189,23 @@
 // fillCounts gives every counter of a service that does not run a value.
 func fillCounts(t *testing.T, s *service) {
 	t.Helper()
-	fillBook(s.book)
-	s.door.Counts, s.fleet.Counts, s.fleet.Invariants.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[invariant.Counts](t)
-	s.door.ClosedConnections, s.givenUp = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
-	s.list.WatchesStarted, s.panics = 1006, 1007
-	s.road = &gossip.Transport{}
-	for n, c := range []interface{ Store(uint64) }{&s.road.Counts.Sent, &s.road.Counts.Heard, &s.road.Counts.Unsent, &s.road.Counts.Foreign,
-		&s.road.Counts.Old, &s.road.Counts.Broken, &s.road.Counts.Crowded} {
+	fillBook(s.ledger)
+	s.clients.Counts, s.workers.Counts, s.workers.Invariants.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[invariant.Counts](t)
+	s.clients.ClosedConnections, s.answersByReason = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
+	s.endpoints.WatchesStarted, s.panics = 1006, 1007
+	s.gossip = &gossip.Transport{}
+	for n, c := range []interface{ Store(uint64) }{&s.gossip.Counts.Sent, &s.gossip.Counts.Heard, &s.gossip.Counts.Unsent, &s.gossip.Counts.Foreign,
+		&s.gossip.Counts.Old, &s.gossip.Counts.Broken, &s.gossip.Counts.Crowded} {
 		c.Store(uint64(1010 + n))
 	}
-	s.waits.RecordValue(200)
-	s.thinks.RecordValue(100)
+	s.servingLatency.RecordValue(200)
+	s.decisionLatency.RecordValue(100)
 }
 
 func TestCountsGolden(t *testing.T) {
 	s, _ := wireService(t)
 	fillCounts(t, s)
-	golden(t, "counts", memoryFigures.ReplaceAll(s.report(), []byte(`"$1":MEMORY`)))
+	golden(t, "counts", memoryFigures.ReplaceAll(s.countsReport(), []byte(`"$1":MEMORY`)))
 	figures, err := json.Marshal(filled[accounting.Totals](t))
 	if err != nil {
 		t.Fatal(err)
@@ -232,7 +232,7 @@
 	s, _ := wireService(t)
 	now := time.Duration(0)
 	g := invariant.New(func() time.Duration { now += 250 * time.Millisecond; return now })
-	s.fleet.Invariants = g
+	s.workers.Invariants = g
 	g.RequestAdmitted(1, invariant.RequestLimits{ID: "job-1", Effect: dispatch.NonIdempotent, Deadline: time.Minute, MaxAttempts: 2, MaxInFlight: 1})
 	worker := invariant.Target{UID: "s-1", Endpoint: dispatch.Endpoint{State: dispatch.Ready}}
 	gone := worker
@@ -248,8 +248,8 @@
 	g.CheckSend(sent)
 	g.CheckClose(1)
 	g.CheckAnswer(1, invariant.Refused, "an attempt may have run")
-	golden(t, "history", s.historyOf("job-1"))
-	if text := s.historyOf("another"); len(text) > 0 {
+	golden(t, "history", s.requestHistory("job-1"))
+	if text := s.requestHistory("another"); len(text) > 0 {
 		t.Errorf("of another request: %s", text)
 	}
 }
@@ -277,7 +277,7 @@
 		t.Fatal(err)
 	}
 	defer operators.Close()
-	go admin.New(s.calls(), operatorsMost).Serve(operators)
+	go admin.New(s.adminCommands(), maxAdminCalls).Serve(operators)
 	addr, got := operators.Addr().String(), ""
 	ask := func(words ...string) {
 		for _, word := range words {
@@ -285,19 +285,19 @@
 		}
 	}
 	ask("status", "stats")
-	fillBook(s.book)
+	fillBook(s.ledger)
 	over := make(chan struct{})
 	go func() { s.run(address{listener: l}); close(over) }()
 	for exchange(l.Addr().String(), "GET /-/ready HTTP/1.1\r\n\r\n") != "HTTP/1.1 200 OK " {
 		time.Sleep(time.Millisecond)
 	}
 	published := make(chan struct{})
-	s.loop.PostUrgent(order{s, func() { s.publish(); close(published) }})
+	s.loop.PostUrgent(loopTask{s, func() { s.publishTotals(); close(published) }})
 	<-published
 	ask("status", "stats", "active", "standby", "status", "standby", "active", "status", "other")
-	s.loop.PostUrgent(order{s, s.stop})
+	s.loop.PostUrgent(loopTask{s, s.stop})
 	ask("standby", "active", "status")
 	golden(t, "admin", []byte(got))
-	s.loop.PostUrgent(order{s, s.loop.Stop})
+	s.loop.PostUrgent(loopTask{s, s.loop.Stop})
 	<-over
 }
