--- a/cmd/stoatweir/crossings_test.go
+++ b/cmd/stoatweir/crossings_test.go
@@ -66,7 +66,7 @@
 	kept.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	began, asked := time.Now(), 0
 	p.Process.Signal(syscall.SIGTERM)
-	r.logged(p, "told to stop", 1)
+	r.logged(p, "stop requested", 1)
 	for ; kept.c != nil; asked++ { // as long as it stays open
 		first := kept.c
 		status, body := kept.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -114,7 +114,7 @@
 	_, b := r.send("render", "early")
 	r.outstanding(p, 1)
 	p.Process.Signal(syscall.SIGTERM)
-	r.logged(p, "told to stop", 1)
+	r.logged(p, "stop requested", 1)
 	p.Process.Signal(syscall.SIGTERM)
 	p.Process.Signal(syscall.SIGHUP)
 	if first, _, _, err := answerOf(b); first != "HTTP/1.1 503" || err != nil {
@@ -259,7 +259,7 @@
 		}
 	}
 	come(1)
-	reloadedConfiguration{s, read(strings.NewReplacer("read_like", "non_idempotent", "non_idempotent", "read_like").Replace(text)), nil}.Run()
+	s.applyConfiguration(read(strings.NewReplacer("read_like", "non_idempotent", "non_idempotent", "read_like").Replace(text)), nil)
 	come(10)
 	fmt.Println("in hand before:", s.requests[1].Effect == dispatch.NonIdempotent, s.requests[3].Effect == dispatch.NonIdempotent)
 	// Output:
--- a/cmd/stoatweir/faultinjection_soak.go
+++ b/cmd/stoatweir/faultinjection_soak.go
@@ -18,14 +18,14 @@
 	"stoatweir/internal/lab/soak"
 )
 
-// shimsEvery is how often the file is read that says what the shims do.
+// faultPollInterval is how often the file is read that says which faults to inject.
 const faultPollInterval = 20 * time.Millisecond
 
 var errnosByName = map[string]syscall.Errno{"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "ENETUNREACH": syscall.ENETUNREACH, "ENOBUFS": syscall.ENOBUFS,
 	"ENFILE": syscall.ENFILE, "EMFILE": syscall.EMFILE, "ECONNABORTED": syscall.ECONNABORTED}
 
-// installShims puts shims between the program and the system: connections that can't be made or accepted for a while, interrupted looks at
-// sockets, and a wall clock that is stepped.
+// installFaultInjection injects faults between the program and the system: connections that can't be made or accepted for a
+// while, interrupted polls of sockets, and a wall clock that is stepped.
 func installFaultInjection(s *service) {
 	path := os.Getenv(soak.ShimsVariable)
 	if path == "" {
--- a/cmd/stoatweir/invariants.go
+++ b/cmd/stoatweir/invariants.go
@@ -10,44 +10,61 @@
 	"stoatweir/internal/workers"
 )
 
-// terms are what the guard holds a request to. It keeps those under which it came, whatever the settings become.
-func (s *service) requestLimits(j *workers.Invocation, operation int) invariant.RequestLimits {
-	d := &s.deployment.Dispatch
-	o := &d.Operations[operation]
-	return invariant.RequestLimits{ID: j.ID, Effect: o.Effect, Scope: o.DedupScope, Window: o.DedupWindow, Deadline: j.Deadline,
-		MaxAttempts: d.Limits.MaxAttempts, MaxInFlight: d.Limits.MaxInFlight}
+// requestLimits are what the invariant checker holds a request to. It keeps those under which the request was admitted,
+// whatever the settings become.
+func (s *service) requestLimits(invocation *workers.Invocation, operation int) invariant.RequestLimits {
+	config := &s.deployment.Dispatch
+	o := &config.Operations[operation]
+	return invariant.RequestLimits{
+		ID:          invocation.ID,
+		Effect:      o.Effect,
+		Scope:       o.DedupScope,
+		Window:      o.DedupWindow,
+		Deadline:    invocation.Deadline,
+		MaxAttempts: config.Limits.MaxAttempts,
+		MaxInFlight: config.Limits.MaxInFlight,
+	}
 }
 
-// inherited are the attempts that another process made, as the guard knows them.
-func (s *service) migratedAttempts(tries []dispatch.Attempt) (all []invariant.MigratedAttempt) {
-	for number, t := range tries {
-		all = append(all, invariant.MigratedAttempt{Number: number, Worker: s.workers.UID(t.Worker), Zone: t.Zone, Cell: t.Cell, Age: t.Age, InFlight: t.InFlight, MayHaveRun: t.MayHaveRun})
+// migratedAttempts are the attempts that another process made, as the invariant checker knows them.
+func (s *service) migratedAttempts(attempts []dispatch.Attempt) (migrated []invariant.MigratedAttempt) {
+	for number, attempt := range attempts {
+		migrated = append(migrated, invariant.MigratedAttempt{
+			Number:     number,
+			Worker:     s.workers.UID(attempt.Worker),
+			Zone:       attempt.Zone,
+			Cell:       attempt.Cell,
+			Age:        attempt.Age,
+			InFlight:   attempt.InFlight,
+			MayHaveRun: attempt.MayHaveRun,
+		})
 	}
-	return all
+	return migrated
 }
 
-// reason tells why the answer that is being given is given, and counts refusals and failures by it.
-func (s *service) answerReason(inv dispatch.InvocationID) string {
-	why := s.reasonOverride
-	if why == "" {
-		why = string(s.dispatcher.RejectionReason(inv))
+// answerReason gives the reason of the answer that is being given, and counts it; empty: it is a result.
+func (s *service) answerReason(id dispatch.InvocationID) string {
+	reason := s.reasonOverride
+	if reason == "" {
+		reason = string(s.dispatcher.RejectionReason(id))
 	}
-	if why != "" {
-		s.answersByReason[why]++
+	if reason != "" {
+		s.answersByReason[reason]++
 	}
-	return why
+	return reason
 }
 
-// historyOf lists what is known of a request, a line each.
-func (s *service) requestHistory(id string) []byte {
+// requestHistory lists what is known of a request, a line each.
+func (s *service) requestHistory(requestID string) []byte {
 	var text []byte
-	for _, t := range s.workers.Invariants.HistoryByID(id) {
-		text = fmt.Appendln(text, t)
+	for _, entry := range s.workers.Invariants.HistoryByID(requestID) {
+		text = fmt.Appendln(text, entry)
 	}
 	return text
 }
 
-// violated logs what the guard has found, with all that is known of the request.
+// logViolation logs what the invariant checker has found, with all that is known of the request. The soak test looks for
+// the message.
 func (s *service) logViolation(v invariant.Violation) {
 	fields := logrus.Fields{"rule": string(v.Reason)}
 	if v.ID != "" {
@@ -56,8 +73,8 @@
 	if v.Worker != "" {
 		fields["worker"] = v.Worker
 	}
-	for n, t := range v.History {
-		fields[fmt.Sprintf("step_%02d", n)] = t.String()
+	for n, entry := range v.History {
+		fields[fmt.Sprintf("step_%02d", n)] = entry.String()
 	}
 	s.log.WithFields(fields).Error("a rule would have been broken, or was")
 }
--- a/cmd/stoatweir/lifecycle.go
+++ b/cmd/stoatweir/lifecycle.go
@@ -2,131 +2,106 @@
 
 import (
 	"cmp"
-	"errors"
 	"time"
 
-	"stoatweir/internal/admin"
 	"stoatweir/internal/lifecycle"
 )
 
-const (
-	// operatorsMost callers are served at once; their descriptors are set aside.
-	maxAdminCalls = 8
-	// orderIn is how long an order may take: a caller waits a second.
-	loopTaskTimeout = 900 * time.Millisecond
-)
-
-// order is something that somebody waits for; it goes past the inbox.
-type loopTask struct {
-	*service
-	do func()
-}
-
-// Take carries it out.
-func (o loopTask) Run() { o.do() }
-
-// calls are what operators may ask. Whatever only tells is read from what the loop has published.
-func (s *service) adminCommands() admin.Commands {
-	told := func(do func() bool) func() (string, error) {
-		return func() (string, error) {
-			held := make(chan error, 1)
-			s.loop.PostUrgent(loopTask{s, func() {
-				if do() {
-					held <- nil
-				} else {
-					held <- errors.New(s.lifecycle.State().String())
-				}
-			}})
-			select {
-			case err := <-held:
-				return lifecycle.State(s.publishedState.Load()).String(), err
-			case <-time.After(loopTaskTimeout):
-				return "", errors.New("no answer in time; the order stands")
-			}
-		}
-	}
-	return admin.Commands{
-		"status": func() (string, error) {
-			if state := lifecycle.State(s.publishedState.Load()); state != lifecycle.Ready {
-				return "", errors.New(state.String())
-			}
-			return "ready", nil
-		},
-		"stats": func() (string, error) {
-			f := s.publishedTotals.Load()
-			if f == nil {
-				return "", errors.New(lifecycle.Starting.String())
-			}
-			return "figures\n" + f.Text() + ".", nil
-		},
-		"standby": told(func() bool { return s.transition("standby", func() bool { return s.lifecycle.Standby(s.loop.Now()) }) }),
-		"active":  told(func() bool { return s.transition("active", func() bool { return s.lifecycle.Active(s.loop.Now()) }) }),
-	}
-}
+// drainPollInterval is how often a draining process looks whether it is idle.
+const drainPollInterval = 10 * time.Millisecond
 
-// lives carries out a step of the life cycle, and publishes where that has led.
-func (s *service) transition(what string, step func() bool) bool {
+// transition takes a step of the life cycle and applies what follows from it. step reports whether it is allowed in the
+// present state.
+func (s *service) transition(event string, step func() bool) bool {
 	before := s.lifecycle.State()
 	done := step()
-	if now := s.lifecycle.State(); now != before {
-		s.log.Info(what, ": ", before, " to ", now, ", ", s.clients.InFlight(), " in hand")
-		if now == lifecycle.Ready {
-			s.takeover.Ready()
+	now := s.lifecycle.State()
+	if now == before {
+		if !done {
+			s.log.WithField("event", event).WithField("state", now.String()).Warn("lifecycle command rejected")
 		}
-		s.publishedState.Store(uint32(now))
-		s.applyLifecycle()
-	} else if !done {
-		s.log.Warn(what, ": not while ", now)
+		return done
 	}
+	s.log.WithField("event", event).
+		WithField("from", before.String()).
+		WithField("to", now.String()).
+		WithField("in_flight", s.clients.InFlight()).
+		Info("lifecycle state changed")
+	if now == lifecycle.Ready {
+		s.takeover.Ready()
+	}
+	s.publishedState.Store(uint32(now))
+	s.applyLifecycle()
 	return done
 }
 
-// follow behaves as the life cycle has it, now and at each moment at which that changes.
+// applyLifecycle behaves as the life cycle has it, now and at each moment at which that changes.
 func (s *service) applyLifecycle() {
 	s.lifecycleTimer.Stop()
 	now := s.loop.Now()
 	s.clients.ApplyBehavior()
-	m := s.lifecycle.Behavior(now)
-	if m.Migrates {
+	behavior := s.lifecycle.Behavior(now)
+	if behavior.Migrates {
 		s.takeover.MigrateConnections()
 	}
-	if m.FailsRemaining {
-		s.failRemaining("the time to stop is over")
+	if behavior.FailsRemaining {
+		s.failRemaining(reasonTimeToStopOver)
 	}
-	waits := m.Migrates && !m.ClosesIdle && s.clients.HasMigratable()
-	if m.Exits || m.ExitsWhenIdle && !waits && s.clients.InFlight() == 0 && !s.clients.Busy() && s.clients.StopAccepting() {
+	if behavior.Exits || behavior.ExitsWhenIdle && s.drained(behavior) {
 		s.loop.Stop()
 		return
 	}
-	next, more := s.lifecycle.NextChange(now)
-	if look := now + drainPollInterval; m.ExitsWhenIdle && (!more || look < next) {
-		next, more = look, true
+	next, changes := s.lifecycle.NextChange(now)
+	poll := now + drainPollInterval
+	if behavior.ExitsWhenIdle && (!changes || poll < next) {
+		next = poll
+		changes = true
 	}
-	if more {
+	if changes {
 		s.lifecycleTimer = s.loop.After(next-now, s.applyLifecycle)
 	}
 }
 
-// EndpointsKnown implements takeover.Lifecycle.
-func (s *service) EndpointsKnown() {
-	s.transition("the list is known", func() bool { s.lifecycle.EndpointsKnown(s.loop.Now()); return true })
+// drained reports whether nothing is owed any more, and stops accepting connections if so.
+func (s *service) drained(behavior lifecycle.Behavior) bool {
+	if behavior.Migrates && !behavior.ClosesIdle && s.clients.HasMigratable() {
+		return false
+	}
+	return s.clients.InFlight() == 0 && !s.clients.Busy() && s.clients.StopAccepting()
 }
 
-// stop is the order to end. Clients go on coming for a while and what is in hand is still worth serving; what can't
-// be served in time is answered as errored, which promises nothing, well before a kill would lose it.
+// stop is the order to exit. Clients go on coming for a while, and requests in flight are still worth serving; those that
+// can't be served in time are answered as errored, which promises nothing, well before a kill would lose them.
 func (s *service) stop() {
-	longest := cmp.Or(s.deployment.LongestTimeout, s.clients.LongestTimeout) // where no setting tells, what clients said
-	s.transition("told to stop", func() bool { s.lifecycle.Stop(s.loop.Now(), longest); return true })
+	longestTimeout := cmp.Or(s.deployment.LongestTimeout, s.clients.LongestTimeout) // without a setting: what clients said
+	s.transition("stop requested", func() bool {
+		s.lifecycle.Stop(s.loop.Now(), longestTimeout)
+		return true
+	})
+}
+
+// EndpointsKnown implements takeover.Lifecycle.
+func (s *service) EndpointsKnown() {
+	s.transition("endpoints known", func() bool {
+		s.lifecycle.EndpointsKnown(s.loop.Now())
+		return true
+	})
 }
 
 // SuccessorServing implements takeover.Lifecycle.
 func (s *service) SuccessorServing() {
-	s.transition("the successor serves", func() bool { s.lifecycle.SuccessorChanged(s.loop.Now(), true); return true })
+	s.transition("successor serving", func() bool {
+		s.lifecycle.SuccessorChanged(s.loop.Now(), true)
+		return true
+	})
 }
 
 // SuccessorExited implements takeover.Lifecycle.
 func (s *service) SuccessorExited() {
-	s.transition("the successor has ended", func() bool { s.lifecycle.SuccessorChanged(s.loop.Now(), false); return true })
+	s.transition("successor exited", func() bool {
+		s.lifecycle.SuccessorChanged(s.loop.Now(), false)
+		return true
+	})
 }
 
 // Migrates implements takeover.Lifecycle.
--- a/cmd/stoatweir/log.go
+++ b/cmd/stoatweir/log.go
@@ -7,23 +7,33 @@
 	"time"
 )
 
-// lines passes log lines on from a goroutine of its own: whoever reads our log may stall, and the loop must not wait
-// for it. What does not fit is dropped and counted.
+// logQueueLines is how many lines may wait to be written.
+const logQueueLines = 256
+
+// asyncWriter writes log lines by a goroutine of its own: whoever reads our log may stall, and the event loop must not wait
+// for that. Lines that do not fit into the queue are dropped and counted.
 type asyncWriter struct {
-	queue     chan []byte
-	closed    chan struct{} // is closed at the end; lines that come behind it go nowhere
+	queue chan []byte
+	// closed is closed by close. Lines that are written after it go nowhere.
+	closed    chan struct{}
 	closeOnce sync.Once
-	done      chan struct{}
-	dropped   int // of the loop alone
+	// done is closed when the queue is written.
+	done chan struct{}
+	// dropped counts lines since the last one that fitted. The logger's lock protects it.
+	dropped int
 }
 
 func newAsyncWriter(to io.Writer) *asyncWriter {
-	l := &asyncWriter{queue: make(chan []byte, 256), closed: make(chan struct{}), done: make(chan struct{})}
-	go l.writeLines(to)
-	return l
+	w := &asyncWriter{
+		queue:  make(chan []byte, logQueueLines),
+		closed: make(chan struct{}),
+		done:   make(chan struct{}),
+	}
+	go w.writeLines(to)
+	return w
 }
 
-// pass writes lines until the end, and what waits then.
+// writeLines writes lines until close, and then what is in the queue.
 func (w *asyncWriter) writeLines(to io.Writer) {
 	defer close(w.done)
 	for {
@@ -39,14 +49,14 @@
 	}
 }
 
-// Write takes a line, or drops it.
+// Write implements io.Writer. It queues a line or drops it, and never blocks.
 func (w *asyncWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...) // the logger uses its buffer again
+	queued := append([]byte(nil), line...) // the logger reuses its buffer
 	if w.dropped > 0 {
-		kept = append(fmt.Appendf(nil, "%d lines were dropped\n", w.dropped), kept...)
+		queued = append(fmt.Appendf(nil, "%d lines were dropped\n", w.dropped), queued...)
 	}
 	select {
-	case w.queue <- kept:
+	case w.queue <- queued:
 		w.dropped = 0
 	default:
 		w.dropped++
@@ -54,11 +64,11 @@
 	return len(line), nil
 }
 
-// close waits a while for what is left. Others may go on logging meanwhile, and after it.
-func (w *asyncWriter) close(within time.Duration) {
+// close waits for the queue to be written, for as long as timeout. Others may go on logging meanwhile, and after it.
+func (w *asyncWriter) close(timeout time.Duration) {
 	w.closeOnce.Do(func() { close(w.closed) })
 	select {
 	case <-w.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
--- a/cmd/stoatweir/main.go
+++ b/cmd/stoatweir/main.go
@@ -1,5 +1,5 @@
-// Command stoatweir is one scheduler: it takes invocations in from clients and sends them to workers as the module
-// decides.
+// Command stoatweir is one scheduler: it accepts requests from clients and forwards them to workers as the dispatcher
+// decides. With a command it plays scenarios, or manages the tenants of a running scheduler.
 package main
 
 import (
@@ -20,22 +20,12 @@
 	"stoatweir/internal/takeover"
 )
 
-// operate waits for the address: after a restart the process before may still be on its way out. Serving clients does
-// not wait for it.
-func serveAdmin(l net.Listener, addr string, door *admin.Server, log *logrus.Entry) {
-	for tries, err := 0, error(nil); l == nil; tries++ {
-		if l, err = net.Listen("tcp", addr); err != nil {
-			l = nil
-			if tries == listenAttemptsBeforeError {
-				log.WithError(err).Error("admin: ", addr, ": still trying")
-			}
-			time.Sleep(listenRetryDelay)
-		}
-	}
-	door.Serve(l)
-}
-
-const listenAttemptsBeforeError, listenRetryDelay = 100, 50 * time.Millisecond
+const (
+	// logTimeFormat is that of log lines, to the millisecond.
+	logTimeFormat = "15:04:05.000"
+	// logCloseTimeout is how long an exit waits for the last log lines to be written.
+	logCloseTimeout = 100 * time.Millisecond
+)
 
 func main() {
 	if len(os.Args) > 1 {
@@ -44,84 +34,99 @@
 	runScheduler()
 }
 
-// listenAt opens a socket that a successor may share.
-var listenAt = handover.ListenReusePort
-
-// acquireAddress gets the predecessor's socket or opens one, for which it waits while the machine has none to give.
-func acquireAddress(node settings.Process, dir string, log *logrus.Entry, stopped func() bool) (takeover.Address, error) {
-	return takeover.Acquire(takeover.AddressConfig{
-		ListenAddress: node.Listen,
-		ProcessName:   node.Name,
-		Dir:           dir,
-		Listen: func(addr string) (net.Listener, error) {
-			return retryTransient(stopped, func() (net.Listener, error) { return listenAt(addr) })
-		},
-		Stopped: stopped,
-		Log:     log,
-	})
-}
-
-// scheduler is one scheduler, until it is told to end.
+// runScheduler serves until the process is told to stop.
 func runScheduler() {
-	// First of all: an order that came any earlier would end the program, also with clients in the queue at its address.
-	// Orders to read the configuration anew that come while one is carried out are one, as the file is read after the last.
-	reloads, signals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	// First of all: a signal that came any earlier would end the process, also with clients in the accept queue of its address.
+	// Signals to reload that come while one is carried out are one, as the file is read after the last.
+	reloads := make(chan os.Signal, 1)
+	stops := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
-	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-	// Whoever reads our log may go away: that is no reason to end.
+	signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
+	// Whoever reads our log may go away: that is no reason to exit.
 	signal.Ignore(syscall.SIGPIPE)
-	log := logrus.New()
-	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true,
-		TimestampFormat: "15:04:05.000"})
-	told := func() bool { return len(signals) > 0 }
-	node, err := retryTransient(told, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
+	stopped := func() bool { return len(stops) > 0 }
+
+	log := newLogger()
+	process, err := retryTransient(stopped, readProcess)
 	if errors.Is(err, takeover.ErrStopped) {
-		log.Info("told to stop before there was a configuration")
+		log.Info("stopped while reading the configuration")
 		return
 	}
 	if err != nil {
-		log.WithError(err).Fatal("the configuration can't be used")
+		log.WithError(err).Fatal("configuration unusable")
 	}
 	runtime.GOMAXPROCS(1) // one core is ours; more threads would only take turns on it
-	entry := log.WithField("node", node.Name)
-	at, err := acquireAddress(node, os.TempDir(), entry, told)
+	entry := log.WithField("node", process.Name)
+	address, err := acquireAddress(process, os.TempDir(), entry, stopped)
 	if errors.Is(err, takeover.ErrStopped) {
-		entry.Info("told to stop before it was our turn")
+		entry.Info("stopped while waiting for the address")
 		return
 	}
 	if err != nil {
-		log.WithError(err).Fatal("listen: ", node.Listen)
+		log.WithError(err).WithField("address", process.Listen).Fatal("listen failed")
 	}
-	s, err := newService(node, entry)
+	s := startService(process, address, entry)
+	out := newAsyncWriter(os.Stderr)
+	log.SetOutput(out)
+	go func() {
+		for range stops {
+			s.loop.PostUrgent(loopTask(s.stop))
+		}
+	}()
+	go s.reloadOnSignal(reloads, readProcess)
+	s.run(address)
+	fmt.Fprintf(out, "%s\n", s.countsReport())
+	out.close(logCloseTimeout)
+}
+
+func newLogger() *logrus.Logger {
+	log := logrus.New()
+	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: logTimeFormat})
+	return log
+}
+
+func readProcess() (settings.Process, error) { return settings.ReadProcess(os.Getenv) }
+
+// listenAt opens a socket that a successor may share.
+var listenAt = handover.ListenReusePort
+
+// acquireAddress gets the predecessor's socket or opens one, for which it waits while the machine has none to give.
+func acquireAddress(process settings.Process, dir string, log *logrus.Entry, stopped func() bool) (takeover.Address, error) {
+	return takeover.Acquire(takeover.AddressConfig{
+		ListenAddress: process.Listen,
+		ProcessName:   process.Name,
+		Dir:           dir,
+		Listen: func(addr string) (net.Listener, error) {
+			return retryTransient(stopped, func() (net.Listener, error) { return listenAt(addr) })
+		},
+		Stopped: stopped,
+		Log:     log,
+	})
+}
+
+// startService makes the service, and serves operators and administrators. It ends the process where that can't be done.
+func startService(process settings.Process, address takeover.Address, log *logrus.Entry) *service {
+	s, err := newService(process, log)
 	if err != nil {
-		log.WithError(err).Fatal("the service can't begin")
+		log.WithError(err).Fatal("service start failed")
 	}
-	s.SetQuotas(node.Sockets, node.MemoryMB)
-	if at.Predecessor != nil {
-		s.SetQuotas(at.Predecessor.Welcome.Sockets, at.Predecessor.Welcome.MemoryMB)
+	s.SetQuotas(process.Sockets, process.MemoryMB)
+	if address.Predecessor != nil {
+		welcome := address.Predecessor.Welcome
+		s.SetQuotas(welcome.Sockets, welcome.MemoryMB)
 	}
-	if node.Admin != "" {
-		operators, err := net.Listen("tcp", node.Admin)
+	if process.Admin != "" {
+		listener, err := net.Listen("tcp", process.Admin)
 		if err != nil && !isTransient(err) {
-			log.WithError(err).Fatal("admin: ", node.Admin)
+			log.WithError(err).WithField("address", process.Admin).Fatal("admin listen failed")
 		}
-		go serveAdmin(operators, node.Admin, admin.New(s.adminCommands(), maxAdminCalls), entry)
+		go serveAdmin(listener, process.Admin, admin.New(s.adminCommands(), maxAdminCalls), log)
 	}
 	if s.tenancy != nil {
 		go s.tenancy.followStore()
-		if node.Tenants.API != "" {
-			go s.tenancy.serveAPI(node.Tenants, node.Deployment.Dispatch.Schedulers)
+		if process.Tenants.API != "" {
+			go s.tenancy.serveAPI(process.Tenants, process.Deployment.Dispatch.Schedulers)
 		}
 	}
-	out := newAsyncWriter(os.Stderr)
-	log.SetOutput(out)
-	go func() {
-		for range signals {
-			s.loop.PostUrgent(loopTask{s, s.stop})
-		}
-	}()
-	go s.reloadOnSignal(reloads, func() (settings.Process, error) { return settings.ReadProcess(os.Getenv) })
-	s.run(at)
-	fmt.Fprintf(out, "%s\n", s.countsReport())
-	out.close(100 * time.Millisecond)
+	return s
 }
--- a/cmd/stoatweir/migration.go
+++ b/cmd/stoatweir/migration.go
@@ -76,12 +76,6 @@
 // Deployment implements takeover.Dispatcher.
 func (s *service) Deployment() *settings.Deployment { return &s.deployment }
 
-// Decide implements takeover.Dispatcher.
-func (s *service) Decide() { s.decide() }
-
-// Notify implements takeover.Dispatcher.
-func (s *service) Notify(event dispatch.Event) { s.events = append(s.events, event) }
-
 // MigrationRecord implements takeover.Dispatcher. The dispatcher's record is of its last decision.
 func (s *service) MigrationRecord(id dispatch.InvocationID) (dispatch.MigratedIn, bool) {
 	record, known := s.dispatcher.MigrationRecord(id)
--- a/cmd/stoatweir/panic_in_stop_test.go
+++ b/cmd/stoatweir/panic_in_stop_test.go
@@ -49,7 +49,7 @@
 	io.WriteString(kept, request("held"))
 	time.Sleep(50 * time.Millisecond)
 	ordered := time.Now()
-	s.loop.PostUrgent(loopTask{s, s.stop})
+	s.loop.PostUrgent(loopTask(s.stop))
 	time.Sleep(50 * time.Millisecond)
 	s.loop.Post(breaks{s})
 	answers := bufio.NewReader(kept)
--- a/cmd/stoatweir/reload.go
+++ b/cmd/stoatweir/reload.go
@@ -9,45 +9,41 @@
 	"stoatweir/internal/settings"
 )
 
-// reload reads the configuration anew at each order, beside the loop, which must not wait for a disk.
-func (s *service) reloadOnSignal(orders <-chan os.Signal, read func() (settings.Process, error)) {
-	for range orders {
-		node, err := retryTransient(func() bool { return false }, read)
-		s.loop.PostUrgent(reloadedConfiguration{s, node, err})
+// reloadOnSignal reads the configuration anew at each signal, beside the event loop, which must not wait for a disk.
+func (s *service) reloadOnSignal(signals <-chan os.Signal, read func() (settings.Process, error)) {
+	neverStopped := func() bool { return false }
+	for range signals {
+		process, err := retryTransient(neverStopped, read)
+		s.loop.PostUrgent(loopTask(func() { s.applyConfiguration(process, err) }))
 	}
 }
 
-type reloadedConfiguration struct {
-	*service
-	node settings.Process
-	err  error
-}
-
-// Take follows a newer configuration, whole or not at all: one that can't be used must not cost the service what it has.
-func (n reloadedConfiguration) Run() {
-	s := n.service
-	if n.err == nil {
-		n.err = s.process.MissingKey(n.node)
+// applyConfiguration follows a newer configuration, whole or not at all: one that can't be used must not cost the service
+// what it has.
+func (s *service) applyConfiguration(process settings.Process, err error) {
+	if err == nil {
+		err = s.process.MissingKey(process)
 	}
-	if s.ledger.ConfigurationLoaded(n.err == nil); n.err != nil {
-		s.log.WithError(n.err).Error("the new configuration can't be used, the old one stays")
+	s.ledger.ConfigurationLoaded(err == nil)
+	if err != nil {
+		s.log.WithError(err).Error("configuration rejected, keeping the last one")
 		return
 	}
-	if keys := s.process.StartOnlyChanges(n.node); len(keys) > 0 {
-		s.log.Warn("changed in the configuration, but only taken over at a start: ", strings.Join(keys, ", "))
+	if keys := s.process.StartOnlyChanges(process); len(keys) > 0 {
+		s.log.WithField("keys", strings.Join(keys, ", ")).Warn("configuration changes need a restart")
 	}
-	s.configured = n.node.Deployment
+	s.configured = process.Deployment
 	s.reconfigure(s.configured)
-	if n.node.Discovery != s.process.Discovery {
-		s.log.Info("the watch of the list moves to ", n.node.Discovery)
-		s.process.Discovery = n.node.Discovery
-		s.endpoints.ChangeAddress(n.node.Discovery)
+	if process.Discovery != s.process.Discovery {
+		s.log.WithField("address", process.Discovery).Info("endpoint watch moving")
+		s.process.Discovery = process.Discovery
+		s.endpoints.ChangeAddress(process.Discovery)
 	}
-	s.process.Text = n.node.Text
-	s.log.Info("the new configuration is in use")
+	s.process.Text = process.Text
+	s.log.Info("configuration applied")
 }
 
-// retune takes newer settings over. An index of an operation is used again only once nothing is under way under it.
+// reconfigure puts newer settings in force. An index of an operation is used again only once no request has it.
 func (s *service) reconfigure(newer settings.Deployment) {
 	if s.tenancy != nil {
 		newer = newer.WithTenants(s.tenancy.tenants, s.process.Tenants.ExcessValue)
@@ -55,20 +51,26 @@
 		newer.Dispatch.Operations = slices.Clone(newer.Dispatch.Operations) // renumbered in place
 	}
 	newer.Reindex(s.endpoints.ZoneIndex, s.endpoints.KindIndex)
-	under := map[int]bool{}
-	for _, j := range s.requests {
-		under[j.operation] = true
+	inUse := s.operationsInUse()
+	deployment, previousOperations := s.deployment.Reconfigure(newer, func(index int) bool { return !inUse[index] })
+	applySocketRules(&deployment.Dispatch)
+	deployment.Dispatch.Limits.Gossip = deployment.Dispatch.Limits.Gossip && s.gossip != nil
+	s.deployment = deployment
+	s.applyPollInterval()
+	s.clients.Reconfigure(deployment)
+	s.workers.Reconfigure(deployment)
+	s.workers.Invariants.RaiseLimits(deployment.Dispatch.Limits.MaxAttempts, deployment.Dispatch.Limits.MaxInFlight)
+	s.Notify(dispatch.Reconfigured{Config: deployment.Dispatch, PreviousOperations: previousOperations})
+}
+
+// operationsInUse are the indices of operations that requests have, also those that may come back from a successor.
+func (s *service) operationsInUse() map[int]bool {
+	inUse := map[int]bool{}
+	for _, request := range s.requests {
+		inUse[request.operation] = true
 	}
-	for _, j := range s.migrating {
-		under[j.operation] = true
+	for _, request := range s.migrating {
+		inUse[request.operation] = true
 	}
-	site, from := s.deployment.Reconfigure(newer, func(index int) bool { return !under[index] })
-	applySocketRules(&site.Dispatch)
-	site.Dispatch.Limits.Gossip = site.Dispatch.Limits.Gossip && s.gossip != nil
-	s.deployment = site
-	s.applyPollInterval()
-	s.clients.Reconfigure(site)
-	s.workers.Reconfigure(site)
-	s.workers.Invariants.RaiseLimits(site.Dispatch.Limits.MaxAttempts, site.Dispatch.Limits.MaxInFlight)
-	s.events = append(s.events, dispatch.Reconfigured{Config: site.Dispatch, PreviousOperations: from})
+	return inUse
 }
--- a/cmd/stoatweir/reload_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -48,7 +48,7 @@
 			t.Fatal("the test breaks nothing: ", n)
 		}
 		r.reread(p, bad)
-		r.logged(p, "the old one stays", n+1)
+		r.logged(p, "configuration rejected", n+1)
 	}
 	slow := &keptConn{addr: r.listen}
 	if status, _ := slow.ask(post("/fresh/k", "X-Call-Id: f1\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
@@ -59,7 +59,7 @@
 	render := map[string]any{"Name": "render", "Effect": "non_idempotent", "LatencyObjective": 2, "ClientTimeout": 10}
 	r.operations(fresh, sale, render) // render has become stricter, and all are in another order
 	r.reread(p, "")
-	r.logged(p, "is in use", 1)
+	r.logged(p, "configuration applied", 1)
 	if status, body := slow.ask(post("/fresh/k", "X-Call-Id: f2\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 200 {
 		t.Error("a new class:", status, body)
 	}
@@ -70,7 +70,7 @@
 	for range 10 {
 		p.Process.Signal(syscall.SIGHUP)
 	}
-	r.logged(p, "is in use", 2)
+	r.logged(p, "configuration applied", 2)
 	if got := p.ask("active"); got != "+OK ready\n" {
 		t.Errorf("active: %q", got)
 	}
--- a/cmd/stoatweir/retry.go
+++ b/cmd/stoatweir/retry.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"syscall"
 	"time"
 
@@ -9,32 +10,42 @@
 )
 
 const (
-	// startWithin is how long a start waits for what the machine has not got for a moment: nine in ten have to be ready within 10 s.
+	// retryWindow is how long a start waits for what the machine can't give for a moment: nine in ten processes have to be
+	// ready within 10 s.
 	retryWindow = 6 * time.Second
-	retryDelay  = 25 * time.Millisecond
+	// retryDelay is the time between two attempts. It does not grow, as the time to be ready is short.
+	retryDelay = 25 * time.Millisecond
 )
 
-// momentary are the errors by which a machine says that it has something not now.
-var transientErrors = []error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EAGAIN, syscall.EINTR,
-	syscall.EIO}
+// transientErrors are those by which a machine says that it can't give something now.
+var transientErrors = []error{
+	syscall.EADDRNOTAVAIL,
+	syscall.EADDRINUSE,
+	syscall.ENOBUFS,
+	syscall.ENOMEM,
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.EAGAIN,
+	syscall.EINTR,
+	syscall.EIO,
+}
 
 func isTransient(err error) bool {
-	for _, m := range transientErrors {
-		if errors.Is(err, m) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(transientErrors, func(transient error) bool { return errors.Is(err, transient) })
 }
 
-// patiently does something again while it fails for a moment, and gives what came of the last time. told: there is an order to end.
-func retryTransient[T any](told func() bool, do func() (T, error)) (result T, err error) {
-	for began := time.Now(); ; time.Sleep(retryDelay) {
-		if result, err = do(); err == nil || !isTransient(err) || time.Since(began) > retryWindow {
+// retryTransient attempts something until it succeeds, fails for good, or retryWindow has passed, and gives the result of
+// the last attempt. The error is takeover.ErrStopped if the process was told to stop between two attempts.
+func retryTransient[T any](stopped func() bool, attempt func() (T, error)) (T, error) {
+	began := time.Now()
+	for {
+		result, err := attempt()
+		if err == nil || !isTransient(err) || time.Since(began) > retryWindow {
 			return result, err
 		}
-		if told() {
+		if stopped() {
 			return result, takeover.ErrStopped
 		}
+		time.Sleep(retryDelay)
 	}
 }
--- a/cmd/stoatweir/service_test.go
+++ b/cmd/stoatweir/service_test.go
@@ -185,7 +185,7 @@
 		t.Error("one move, more than one watch")
 	}
 	hold("2", `"Taken":5`)
-	s.loop.PostUrgent(loopTask{s, s.stop})
+	s.loop.PostUrgent(loopTask(s.stop))
 	orders <- syscall.SIGHUP
 	if got := exchange(node, "GET /-/ready HTTP/1.1\r\n\r\n"); got != "HTTP/1.1 503 Service Unavailable " {
 		t.Error("ready while it leaves:", got)
@@ -247,7 +247,7 @@
 	if got := ask(); got != "HTTP/1.1 200 OK <nil>" {
 		t.Error("kept:", got)
 	}
-	s.loop.PostUrgent(loopTask{s, s.stop})
+	s.loop.PostUrgent(loopTask(s.stop))
 	for range 3 {
 		if got := ask(); got != "HTTP/1.1 503 Service Unavailable <nil>" {
 			t.Error("kept while stopping:", got)
--- a/cmd/stoatweir/storm_test.go
+++ b/cmd/stoatweir/storm_test.go
@@ -488,7 +488,7 @@
 	s.leftOver()
 	ends = begin()
 	time.Sleep(300 * time.Millisecond)
-	service.loop.PostUrgent(loopTask{service, service.stop}) // with all of it going on
+	service.loop.PostUrgent(loopTask(service.stop)) // with all of it going on
 	ordered := time.Now()
 	time.AfterFunc(frontNotices, func() { s.turned.Store(true) })
 	select {
--- a/cmd/stoatweir/tenancy.go
+++ b/cmd/stoatweir/tenancy.go
@@ -17,201 +17,239 @@
 )
 
 const (
-	// followEvery is how late a scheduler may be with what another one has published, and with taking over as the one
+	// storePollInterval is how late a scheduler may be with what another one has published, and with taking over as the one
 	// that writes.
 	storePollInterval = 250 * time.Millisecond
-	// quotasEvery is how often the decisions hear of new shares, while anyone is at work.
+	// quotaInterval is how often the dispatcher gets new quotas while any tenant is active.
 	quotaInterval = 250 * time.Millisecond
-	// quotasAgain is between two of them where many tenants come back one after the other: each costs by all that are at work.
+	// minQuotaInterval is the time between two updates where many tenants become active one after the other: each update costs
+	// by the number of active tenants.
 	minQuotaInterval = 10 * time.Millisecond
-	// apiFiles are the store's and the administrators' descriptors.
-	apiDescriptors = api.CallersMost + 6
+	// otherAPIDescriptors are the store's, and the API's listener.
+	otherAPIDescriptors = 6
+	// apiDescriptors are the store's and the tenant API's descriptors.
+	apiDescriptors = api.CallersMost + otherAPIDescriptors
+	// admissionStream is the random stream of the admission controller.
+	admissionStream = 1
 )
 
-// hosting serves many tenants by one scheduler. The gate belongs to the loop; the registry has a lock of its own, as
-// administrators wait for a disk.
+// tenancy serves many tenants by one scheduler. The event loop owns all fields but registry, which has a lock of its own,
+// as administrators wait for a disk.
 type tenancy struct {
-	*service
-	admission        *tenants.Controller
-	registry         *api.Registry
-	tenants          []tenants.Tenant
-	revision         uint64
-	appliedRevisions map[string]uint64 // revisions, by name
-	quotaTimer       *conn.Timer       // nil: nobody is at work
-	quotasUpdatedAt  time.Duration     // when shares were last told
+	service   *service
+	admission *tenants.Controller
+	registry  *api.Registry
+	// tenants are those of revision.
+	tenants  []tenants.Tenant
+	revision uint64
+	// appliedRevisions are the tenants' revisions that admission has, by name; 0: to be applied again.
+	appliedRevisions map[string]uint64
+	// quotaTimer rings at the next update of quotas; nil: no tenant is active.
+	quotaTimer *conn.Timer
+	// quotasUpdatedAt is when the dispatcher last got quotas.
+	quotasUpdatedAt time.Duration
 }
 
-// host opens what is known of tenants. The site has their operations from its start on.
-func (s *service) openTenants(node *settings.Process) error {
-	if !node.Tenants.Enabled() {
-		return nil
+// openTenants opens the tenants' store, if the configuration names one, and gives the deployment with the tenants'
+// operations.
+func (s *service) openTenants(process settings.Process) (settings.Deployment, error) {
+	if !process.Tenants.Enabled() {
+		return process.Deployment, nil
 	}
-	h := &tenancy{service: s, appliedRevisions: map[string]uint64{},
-		admission: tenants.NewController(node.Tenants.MaxInFlight, node.Deployment.Dispatch.Schedulers, rand.New(rand.NewPCG(uint64(node.Seed), 1)))}
-	kept, err := store.Open(&store.Disk{Dir: node.Tenants.Dir})
+	stored, err := store.Open(&store.Disk{Dir: process.Tenants.Dir})
 	if err != nil {
-		return fmt.Errorf("tenants.dir: %w", err)
+		return settings.Deployment{}, fmt.Errorf("tenants.dir: %w", err)
+	}
+	if stored.Failed != nil {
+		s.log.WithError(stored.Failed).Warn("tenant store is read-only")
 	}
-	if kept.Failed != nil {
-		s.log.Warn("tenants: no changes are made here: ", kept.Failed)
+	random := rand.New(rand.NewPCG(uint64(process.Seed), admissionStream))
+	t := &tenancy{
+		service:          s,
+		admission:        tenants.NewController(process.Tenants.MaxInFlight, process.Deployment.Dispatch.Schedulers, random),
+		appliedRevisions: map[string]uint64{},
 	}
-	running := false
-	h.registry = api.NewRegistry(kept, time.Now, func(all []tenants.Tenant, revision uint64) {
-		if running {
-			s.loop.PostUrgent(loopTask{s, func() { h.applyRevision(all, revision) }})
+	opened := false
+	t.registry = api.NewRegistry(stored, time.Now, func(all []tenants.Tenant, revision uint64) {
+		if opened {
+			s.loop.PostUrgent(loopTask(func() { t.applyRevision(all, revision) }))
 			return
 		}
-		running = true
-		h.applyTenants(all, revision)
+		opened = true
+		t.applyTenants(all, revision)
 	})
-	s.tenancy, s.clients.Admission = h, h.admission
-	node.Deployment = node.Deployment.WithTenants(h.tenants, node.Tenants.ExcessValue)
-	return nil
+	s.tenancy = t
+	s.clients.Admission = t.admission
+	return process.Deployment.WithTenants(t.tenants, process.Tenants.ExcessValue), nil
 }
 
-// follow takes over what others write, and serves administrators. Neither waits for the loop, nor the loop for them.
-func (h *tenancy) followStore() {
-	failing := ""
+// followStore applies what other processes publish. It does not return, and neither waits for the event loop nor the loop
+// for it.
+func (t *tenancy) followStore() {
+	lastFailure := ""
 	for range time.Tick(storePollInterval) {
-		text := ""
-		if err := h.registry.Follow(); err != nil {
-			text = err.Error()
+		failure := ""
+		if err := t.registry.Follow(); err != nil {
+			failure = err.Error()
 		}
-		if text != failing && text != "" {
-			h.log.Warn("tenants: what was published can't be taken over, the last good state holds: ", text)
+		if failure != lastFailure && failure != "" {
+			t.service.log.WithField("error", failure).Warn("tenant store unreadable, keeping last revision")
 		}
-		failing = text
+		lastFailure = failure
 	}
 }
 
-// administer serves administrators once their address is free: a process that is being replaced may still have it.
-func (h *tenancy) serveAPI(t settings.Tenancy, schedulers int) {
-	var all []api.Administrator
-	for _, a := range t.Administrators {
+// serveAPI serves administrators once their address is free: a process that is being replaced may still have it. It does
+// not return.
+func (t *tenancy) serveAPI(config settings.Tenancy, schedulers int) {
+	server := api.New(t.registry, administrators(config), t.usage, schedulers)
+	log := t.service.log.WithField("address", config.API)
+	for attempt := 0; ; attempt++ {
+		listener, err := net.Listen("tcp", config.API)
+		if err == nil {
+			log.Info("tenant API listening")
+			err = server.Serve(listener)
+		}
+		if attempt == listenAttemptsBeforeError {
+			log.WithError(err).Error("tenant API address unavailable, retrying")
+		}
+		time.Sleep(listenRetryDelay)
+	}
+}
+
+func administrators(config settings.Tenancy) (all []api.Administrator) {
+	for _, a := range config.Administrators {
 		role := api.Read
 		if a.Operate {
 			role = api.Operate
 		}
 		all = append(all, api.Administrator{Name: a.Name, Role: role, Hash: a.Hash})
 	}
-	door := api.New(h.registry, all, h.usage, schedulers)
-	for tries := 0; ; tries++ {
-		l, err := net.Listen("tcp", t.API)
-		if err == nil {
-			h.log.Info("administrators are served at ", t.API)
-			err = door.Serve(l)
-		}
-		if tries == listenAttemptsBeforeError {
-			h.log.WithError(err).Error("tenants.api: ", t.API, ": still trying")
-		}
-		time.Sleep(listenRetryDelay)
-	}
+	return all
 }
 
-// usage asks the loop, for a second at most.
-func (h *tenancy) usage(name string) (tenants.Usage, bool) {
-	type told struct {
-		tenants.Usage
+// usage asks the event loop for a tenant's usage, for loopTaskTimeout at most.
+func (t *tenancy) usage(name string) (tenants.Usage, bool) {
+	type answer struct {
+		usage tenants.Usage
 		known bool
 	}
-	answer := make(chan told, 1)
-	h.loop.PostUrgent(loopTask{h.service, func() {
-		if seat := h.admission.Account(name); seat != nil {
-			answer <- told{h.admission.Usage(seat), true}
-		} else {
-			answer <- told{}
+	answers := make(chan answer, 1)
+	t.service.loop.PostUrgent(loopTask(func() {
+		account := t.admission.Account(name)
+		if account == nil {
+			answers <- answer{}
+			return
 		}
-	}})
+		answers <- answer{usage: t.admission.Usage(account), known: true}
+	}))
 	select {
-	case t := <-answer:
-		return t.Usage, t.known
+	case a := <-answers:
+		return a.usage, a.known
 	case <-time.After(loopTaskTimeout):
 		return tenants.Usage{}, false
 	}
 }
 
-// seat has the gate follow the book. What is in hand stays as it came.
-func (h *tenancy) applyTenants(all []tenants.Tenant, revision uint64) {
-	now, listed := h.loop.Now(), map[string]bool{}
-	for _, t := range all {
-		listed[t.Name] = true
-	}
-	for name := range h.appliedRevisions { // first: one that was never made to last may have had a newer one's handle
+// applyTenants has admission follow the store. Requests in flight stay as they were admitted.
+func (t *tenancy) applyTenants(all []tenants.Tenant, revision uint64) {
+	now := t.service.loop.Now()
+	listed := map[string]bool{}
+	for _, tenant := range all {
+		listed[tenant.Name] = true
+	}
+	for name := range t.appliedRevisions { // first: one that was never made to last may have had a newer one's handle
 		if !listed[name] {
-			h.admission.Remove(now, name)
-			delete(h.appliedRevisions, name)
+			t.admission.Remove(now, name)
+			delete(t.appliedRevisions, name)
 		}
 	}
-	for _, t := range all {
-		if h.appliedRevisions[t.Name] != t.Revision {
-			h.admission.Put(now, t)
-			h.appliedRevisions[t.Name] = t.Revision
+	for _, tenant := range all {
+		if t.appliedRevisions[tenant.Name] != tenant.Revision {
+			t.admission.Put(now, tenant)
+			t.appliedRevisions[tenant.Name] = tenant.Revision
 		}
 	}
-	h.tenants, h.revision = all, revision
+	t.tenants = all
+	t.revision = revision
 }
 
-// take follows what has been published. A revision that is not newer takes the place of changes that were read and then refused.
-func (h *tenancy) applyRevision(all []tenants.Tenant, revision uint64) {
-	if revision <= h.revision {
-		for name := range h.appliedRevisions {
-			h.appliedRevisions[name] = 0
+// applyRevision follows what has been published. A revision that is not newer replaces changes that were read and then
+// rejected.
+func (t *tenancy) applyRevision(all []tenants.Tenant, revision uint64) {
+	if revision <= t.revision {
+		for name := range t.appliedRevisions {
+			t.appliedRevisions[name] = 0
 		}
 	}
-	h.applyTenants(all, revision)
-	h.reconfigure(h.configured)
-	h.updateQuotas()
-	h.log.Info("tenants: revision ", revision, " holds, ", len(all), " tenants")
+	t.applyTenants(all, revision)
+	t.service.reconfigure(t.service.configured)
+	t.updateQuotas()
+	t.service.log.WithField("revision", revision).WithField("tenants", len(all)).Info("tenant revision applied")
 }
 
-// share tells the decisions what tenants may have, for as long as anyone is at work.
-func (h *tenancy) updateQuotas() {
-	h.quotaTimer.Stop()
-	h.quotaTimer, h.quotasUpdatedAt = nil, h.loop.Now()
-	var told []dispatch.Quota
-	for _, q := range h.admission.Quotas(h.loop.Now()) {
-		told = append(told, dispatch.Quota{Tenant: q.Index, QuotaPerSecond: q.QuotaPerSecond, Reassigned: q.Reassigned})
-	}
-	if len(told) > 0 {
-		h.events = append(h.events, dispatch.QuotaUpdate{Quotas: told})
-	}
-	if h.admission.Active() > 0 {
-		h.quotaTimer = h.loop.After(quotaInterval, h.updateQuotas)
+// updateQuotas gives the dispatcher the tenants' quotas, now and for as long as any tenant is active.
+func (t *tenancy) updateQuotas() {
+	now := t.service.loop.Now()
+	t.quotaTimer.Stop()
+	t.quotaTimer = nil
+	t.quotasUpdatedAt = now
+	var quotas []dispatch.Quota
+	for _, q := range t.admission.Quotas(now) {
+		quotas = append(quotas, dispatch.Quota{Tenant: q.Index, QuotaPerSecond: q.QuotaPerSecond, Reassigned: q.Reassigned})
+	}
+	if len(quotas) > 0 {
+		t.service.Notify(dispatch.QuotaUpdate{Quotas: quotas})
+	}
+	if t.admission.Active() > 0 {
+		t.quotaTimer = t.service.loop.After(quotaInterval, t.updateQuotas)
 	}
 }
 
-// came has shares told again once somebody is at work, and finds who that is.
-func (h *tenancy) accountFor(id string) *tenants.Account {
-	if h == nil {
+// accountFor gives the account of a new request's tenant, and has quotas updated as that becomes active. Without tenants
+// there is none.
+func (t *tenancy) accountFor(requestID string) *tenants.Account {
+	if t == nil {
 		return nil
 	}
-	if wait := h.quotasUpdatedAt + minQuotaInterval - h.loop.Now(); h.admission.SharesChanged && wait <= 0 {
-		h.updateQuotas() // not in a quarter of a second: until then it would wait among a flood
-	} else if h.admission.SharesChanged {
-		h.quotaTimer.Stop()
-		h.quotaTimer = h.loop.After(wait, h.updateQuotas)
-	} else if h.quotaTimer == nil {
-		h.quotaTimer = h.loop.After(quotaInterval, h.updateQuotas)
-	}
-	return h.admission.ByHandle(clients.Scope(id))
+	t.scheduleQuotas()
+	return t.admission.ByHandle(clients.Scope(requestID))
 }
 
-// worked counts what a forward had of a worker. One that was turned away, or never came there, had nothing.
-func (h *tenancy) attemptEnded(j *trackedRequest, o dispatch.Outcome) {
+// scheduleQuotas updates quotas that have changed, as soon as minQuotaInterval lets it: until the next regular update the
+// request would wait among a flood.
+func (t *tenancy) scheduleQuotas() {
+	wait := t.quotasUpdatedAt + minQuotaInterval - t.service.loop.Now()
 	switch {
-	case h == nil || j.account == nil || o.Attempt >= len(j.sentAt):
-	case o.Result == dispatch.Rejected || o.Result == dispatch.Unreachable || o.Result == dispatch.NotSent:
-	default:
-		_, operation, _ := strings.Cut(h.deployment.Operations[j.operation], "/")
-		h.admission.AttemptEnded(h.loop.Now(), j.account, operation, j.Hint, h.loop.Now()-j.sentAt[o.Attempt])
+	case t.admission.SharesChanged && wait <= 0:
+		t.updateQuotas()
+	case t.admission.SharesChanged:
+		t.quotaTimer.Stop()
+		t.quotaTimer = t.service.loop.After(wait, t.updateQuotas)
+	case t.quotaTimer == nil:
+		t.quotaTimer = t.service.loop.After(quotaInterval, t.updateQuotas)
 	}
 }
 
-// heir finds the place of an invocation's tenant in the decisions.
-func (h *tenancy) tenantIndex(id string) (tenant int, known bool) {
-	seat := h.admission.ByHandle(clients.Scope(id))
-	if seat == nil {
+// attemptEnded accounts for what an attempt had of a worker. One that was rejected, or never reached it, had nothing.
+func (t *tenancy) attemptEnded(request *trackedRequest, outcome dispatch.Outcome) {
+	if t == nil || request.account == nil || outcome.Attempt >= len(request.sentAt) {
+		return
+	}
+	switch outcome.Result {
+	case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent:
+		return
+	}
+	now := t.service.loop.Now()
+	_, operation, _ := strings.Cut(t.service.deployment.Operations[request.operation], "/")
+	t.admission.AttemptEnded(now, request.account, operation, request.Hint, now-request.sentAt[outcome.Attempt])
+}
+
+// tenantIndex gives the dispatcher's index of a request's tenant.
+func (t *tenancy) tenantIndex(requestID string) (index int, known bool) {
+	account := t.admission.ByHandle(clients.Scope(requestID))
+	if account == nil {
 		return 0, false
 	}
-	return seat.Index, true
+	return account.Index, true
 }
--- a/cmd/stoatweir/told_test.go
+++ b/cmd/stoatweir/told_test.go
@@ -284,7 +284,7 @@
 
 // end stops the player; its discovery has ended.
 func (p *player) end() {
-	p.loop.PostUrgent(loopTask{p.service, p.loop.Stop})
+	p.loop.PostUrgent(loopTask(p.loop.Stop))
 	<-p.over
 	close(p.listener)
 }
@@ -437,7 +437,7 @@
 						time.AfterFunc(first, func() {
 							node := p.process
 							node.Deployment, node.Discovery = p.configured, movedAddr
-							p.loop.PostUrgent(reloadedConfiguration{p.service, node, nil})
+							p.loop.PostUrgent(loopTask(func() { p.applyConfiguration(node, nil) }))
 						})
 					}
 					together(t, first+longest+8*time.Second, all...)
@@ -472,10 +472,10 @@
 				at := &standIn{began: time.Now(), how: refused, from: first, to: first + 300*time.Millisecond, open: map[net.Conn]bool{}}
 				p := day{push: push, peers: 300, seed: seed}.play(t, at)
 				time.AfterFunc(first+100*time.Millisecond, func() {
-					p.loop.PostUrgent(loopTask{p.service, func() {
+					p.loop.PostUrgent(loopTask(func() {
 						p.clients.LongestTimeout = 3 * time.Second // as a client has said
 						p.service.stop()
-					}})
+					}))
 				})
 				all = append(all, p)
 			}
--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -231,7 +231,7 @@
 	return s, world, func() {
 		world.end()
 		time.Sleep(3 * time.Second) // all connections end
-		s.loop.PostUrgent(loopTask{s, s.loop.Stop})
+		s.loop.PostUrgent(loopTask(s.loop.Stop))
 		<-over
 	}
 }
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -262,12 +262,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	published := make(chan struct{})
-	s.loop.PostUrgent(loopTask{s, func() { s.publishTotals(); close(published) }})
+	s.loop.PostUrgent(loopTask(func() { s.publishTotals(); close(published) }))
 	<-published
 	ask("status", "stats", "active", "standby", "status", "standby", "active", "status", "other")
-	s.loop.PostUrgent(loopTask{s, s.stop})
+	s.loop.PostUrgent(loopTask(s.stop))
 	ask("standby", "active", "status")
 	golden(t, "admin", []byte(got))
-	s.loop.PostUrgent(loopTask{s, s.loop.Stop})
+	s.loop.PostUrgent(loopTask(s.loop.Stop))
 	<-over
 }
