--- a/cmd/stoatweir/scale_command.go
+++ b/cmd/stoatweir/scale_command.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -10,83 +9,132 @@
 	"stoatweir/internal/lab/scale"
 )
 
+// scaleOptions are the flags of lab scale.
+type scaleOptions struct {
+	// program is the scheduler that is measured; empty: this program.
+	program string
+	// only are the values of the sweep that are played; empty: all.
+	only []float64
+	// set are settings that go before the scenario's.
+	set      []string
+	jsonFile string
+	plotFile string
+}
+
 // scaleCommand plays a part of a large fleet on this machine, step by step of a sweep.
 func scaleCommand() *cobra.Command {
-	var program, asJSON, plot string
-	var only []float64
-	var set []string
-	c := &cobra.Command{Use: "scale SCENARIO", Short: "Measure what a large fleet costs a scheduler: real ones beside hollow processes", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, files []string) error {
-			s, err := scale.Read(files[0], set...)
-			if err != nil {
-				return err
-			}
-			own, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			if program == "" {
-				program = own
-			}
-			r := scale.Report{}
-			if asJSON != "" && len(only) > 0 {
-				if r, err = scale.ReadReport(asJSON); err != nil {
-					return err
-				}
-			}
-			r.Name, r.Key, r.Command = s.Name, s.Sweep.Key, "stoatweir lab scale "+files[0]
-			for _, v := range set {
-				r.Command += " --set '" + v + "'"
-			}
-			values := s.Sweep.Values
-			if len(only) > 0 {
-				values = only
-			}
-			if s.Sweep.Key == "" {
-				values = []float64{0}
-			}
-			rig := scale.Rig{Scheduler: program, Hollow: []string{own, "lab", "hollow"}}
-			machine, err := scale.This()
-			if err != nil {
-				return err
-			}
-			// All steps are looked at before the first one starts anything.
-			var steps []scale.Scenario
-			for _, v := range values {
-				step, err := s.Step(v)
-				if err != nil {
-					return fmt.Errorf("%s: sweep: %w", files[0], err)
-				}
-				if err := step.Fits(machine); err != nil {
-					return err
-				}
-				steps = append(steps, step)
-			}
-			for i, step := range steps {
-				m, err := rig.Play(c.Context(), step)
-				if err != nil {
-					return err
-				}
-				m.Value = values[i]
-				r.Add(m)
-				if err := writeFile(asJSON, r.JSON); err != nil {
-					return err
-				}
-			}
-			r.Text(c.OutOrStdout())
-			return writeFile(plot, r.Plot)
-		}}
-	c.Flags().StringVar(&program, "bin", "", "the scheduler that is measured, of any checkout; this program if left out")
-	c.Flags().Float64SliceVar(&only, "only", nil, "these `values` of the sweep alone; with --json they are put into what is there")
-	c.Flags().StringArrayVar(&set, "set", nil, "a `key = value` that goes before the file's; may be given more than once")
-	c.Flags().StringVar(&asJSON, "json", "", "a `file` for all figures as JSON")
-	c.Flags().StringVar(&plot, "plot", "", "a `file` for a plot, .png")
+	var o scaleOptions
+	c := &cobra.Command{
+		Use:   "scale SCENARIO",
+		Short: "Measure what a large fleet costs a scheduler: real ones beside hollow processes",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(c *cobra.Command, files []string) error { return o.run(c, files[0]) },
+	}
+	c.Flags().StringVar(&o.program, "bin", "", "the scheduler that is measured, of any checkout; this program if left out")
+	c.Flags().Float64SliceVar(&o.only, "only", nil, "these `values` of the sweep alone; with --json they are put into what is there")
+	c.Flags().StringArrayVar(&o.set, "set", nil, "a `key = value` that goes before the file's; may be given more than once")
+	c.Flags().StringVar(&o.jsonFile, "json", "", "a `file` for all figures as JSON")
+	c.Flags().StringVar(&o.plotFile, "plot", "", "a `file` for a plot, .png")
 	return c
 }
 
-// hollowCommand is a process that stands for a part of the fleet. The rig starts it.
+func (o *scaleOptions) run(c *cobra.Command, file string) error {
+	s, err := scale.Read(file, o.set...)
+	if err != nil {
+		return err
+	}
+	own, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	program := o.program
+	if program == "" {
+		program = own
+	}
+	r, err := o.report(s, file)
+	if err != nil {
+		return err
+	}
+	values := o.values(s)
+	steps, err := scaleSteps(s, file, values)
+	if err != nil {
+		return err
+	}
+	rig := scale.Rig{Scheduler: program, Hollow: []string{own, "lab", "hollow"}}
+	for i, step := range steps {
+		measured, err := rig.Play(c.Context(), step)
+		if err != nil {
+			return err
+		}
+		measured.Value = values[i]
+		r.Add(measured)
+		if err := writeFile(o.jsonFile, r.JSON); err != nil {
+			return err
+		}
+	}
+	r.Text(c.OutOrStdout())
+	return writeFile(o.plotFile, r.Plot)
+}
+
+// report is what the measurements are added to: with --only the stored one.
+func (o *scaleOptions) report(s scale.Scenario, file string) (scale.Report, error) {
+	var r scale.Report
+	if o.jsonFile != "" && len(o.only) > 0 {
+		stored, err := scale.ReadReport(o.jsonFile)
+		if err != nil {
+			return r, err
+		}
+		r = stored
+	}
+	r.Name = s.Name
+	r.Key = s.Sweep.Key
+	r.Command = "stoatweir lab scale " + file
+	for _, setting := range o.set {
+		r.Command += " --set '" + setting + "'"
+	}
+	return r, nil
+}
+
+// values are those of the sweep that are played. Without a sweep there is one step.
+func (o *scaleOptions) values(s scale.Scenario) []float64 {
+	switch {
+	case s.Sweep.Key == "":
+		return []float64{0}
+	case len(o.only) > 0:
+		return o.only
+	default:
+		return s.Sweep.Values
+	}
+}
+
+// scaleSteps checks all steps before the first one starts anything.
+func scaleSteps(s scale.Scenario, file string, values []float64) ([]scale.Scenario, error) {
+	machine, err := scale.This()
+	if err != nil {
+		return nil, err
+	}
+	var steps []scale.Scenario
+	for _, value := range values {
+		step, err := s.Step(value)
+		if err != nil {
+			return nil, fmt.Errorf("%s: sweep: %w", file, err)
+		}
+		if err := step.Fits(machine); err != nil {
+			return nil, err
+		}
+		steps = append(steps, step)
+	}
+	return steps, nil
+}
+
+// hollowCommand is a process that simulates a part of the fleet. The rig starts it.
 func hollowCommand() *cobra.Command {
-	return &cobra.Command{Use: "hollow", Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		return scale.Hollow(c.Context(), c.InOrStdin(), io.Writer(os.Stdout))
-	}}
+	return &cobra.Command{
+		Use:    "hollow",
+		Hidden: true,
+		Args:   cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			return scale.Hollow(c.Context(), c.InOrStdin(), os.Stdout)
+		},
+	}
 }
--- a/cmd/stoatweir/tenant_command.go
+++ b/cmd/stoatweir/tenant_command.go
@@ -1,166 +1,144 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"io"
 	"net/http"
 	"net/url"
 	"os"
-	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 )
 
-// tenantCall is one call of the administrators' door, as the command line has it.
-type tenantCall struct {
-	api, token, match string
-	absent, dry       bool
-}
-
 // tenantCommand manages tenants of a running scheduler.
 func tenantCommand() *cobra.Command {
-	var t tenantCall
+	var call tenantCall
 	root := &cobra.Command{Use: "tenant", Short: "Manage the tenants of a running scheduler"}
-	root.PersistentFlags().StringVar(&t.api, "api", "http://127.0.0.1:9400", "the administrators' `address`")
-	root.PersistentFlags().StringVar(&t.token, "token-file", "", "a `file` with the token; else STOATWEIR_TOKEN")
-	changes := func(c *cobra.Command) *cobra.Command {
-		c.Flags().StringVar(&t.match, "if-match", "", "only from this `revision`")
-		c.Flags().BoolVar(&t.dry, "dry-run", false, "work it out and change nothing")
-		return c
-	}
-	simple := func(use, short string, args int, do func(c *cobra.Command, args []string) error) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: do}
-	}
-	at := func(args []string, more string) string { return "/v1/tenants/" + url.PathEscape(args[0]) + more }
+	root.PersistentFlags().StringVar(&call.api, "api", "http://127.0.0.1:9400", "the administrators' `address`")
+	root.PersistentFlags().StringVar(&call.tokenFile, "token-file", "", "a `file` with the token; else STOATWEIR_TOKEN")
+	root.AddCommand(
+		listTenantsCommand(&call),
+		putTenantCommand(&call),
+		grantCommand(&call),
+		auditCommand(&call),
+		tenantReadCommand(&call, "get NAME", "Show a tenant", ""),
+		tenantReadCommand(&call, "usage NAME", "What a tenant has had at this scheduler", "/usage"),
+		revisionCommand(&call),
+		tenantStateCommand(&call, "suspend", "Refuse a tenant's new work", "suspended"),
+		tenantStateCommand(&call, "resume", "Take a tenant's work again", "active"),
+		removeTenantCommand(&call),
+		revokeCommand(&call),
+	)
+	return root
+}
 
+// tenantPath is the API's path of a tenant, or of something below it.
+func tenantPath(name, below string) string { return "/v1/tenants/" + url.PathEscape(name) + below }
+
+// tenantSubcommand is a command with so many arguments.
+func tenantSubcommand(use, short string, args int, run func(c *cobra.Command, args []string) error) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: run}
+}
+
+// addChangeFlags adds the flags of commands that change a tenant.
+func addChangeFlags(c *cobra.Command, call *tenantCall) {
+	c.Flags().StringVar(&call.ifMatch, "if-match", "", "only from this `revision`")
+	c.Flags().BoolVar(&call.dryRun, "dry-run", false, "work it out and change nothing")
+}
+
+func listTenantsCommand(call *tenantCall) *cobra.Command {
 	var limit, state, prefix, page string
-	list := simple("list", "List tenants by name", 0, func(c *cobra.Command, _ []string) error {
-		return t.do(c, "GET", "/v1/tenants", query("limit", limit, "state", state, "prefix", prefix, "page_token", page), nil)
+	c := tenantSubcommand("list", "List tenants by name", 0, func(c *cobra.Command, _ []string) error {
+		query := queryOf("limit", limit, "state", state, "prefix", prefix, "page_token", page)
+		return call.do(c, http.MethodGet, "/v1/tenants", query, nil)
 	})
-	list.Flags().StringVar(&limit, "limit", "", "of one page")
-	list.Flags().StringVar(&state, "state", "", "active or suspended")
-	list.Flags().StringVar(&prefix, "prefix", "", "of the name")
-	list.Flags().StringVar(&page, "page", "", "next_page_token of the page before")
+	c.Flags().StringVar(&limit, "limit", "", "of one page")
+	c.Flags().StringVar(&state, "state", "", "active or suspended")
+	c.Flags().StringVar(&prefix, "prefix", "", "of the name")
+	c.Flags().StringVar(&page, "page", "", "next_page_token of the page before")
+	return c
+}
 
+func putTenantCommand(call *tenantCall) *cobra.Command {
 	var file string
-	put := changes(simple("put NAME", "Make a tenant, or make it what a file says", 1, func(c *cobra.Command, args []string) error {
+	c := tenantSubcommand("put NAME", "Make a tenant, or make it what a file says", 1, func(c *cobra.Command, args []string) error {
 		body, err := readInput(c, file)
 		if err != nil {
 			return err
 		}
-		return t.do(c, "PUT", at(args, ""), nil, body)
-	}))
-	put.Flags().StringVarP(&file, "file", "f", "-", "the `file`, - for standard input")
-	put.Flags().BoolVar(&t.absent, "new", false, "only if there is none of that name")
+		return call.do(c, http.MethodPut, tenantPath(args[0], ""), nil, body)
+	})
+	addChangeFlags(c, call)
+	c.Flags().StringVarP(&file, "file", "f", "-", "the `file`, - for standard input")
+	c.Flags().BoolVar(&call.onlyNew, "new", false, "only if there is none of that name")
+	return c
+}
 
-	var expires time.Duration
-	grant := simple("grant NAME", "Grant a credential; it is shown this once", 1, func(c *cobra.Command, args []string) error {
+func grantCommand(call *tenantCall) *cobra.Command {
+	var lifetime time.Duration
+	c := tenantSubcommand("grant NAME", "Grant a credential; it is shown this once", 1, func(c *cobra.Command, args []string) error {
 		body := "{}"
-		if expires != 0 {
-			body = fmt.Sprintf(`{"expires": %q}`, time.Now().Add(expires).UTC().Format(time.RFC3339))
+		if lifetime != 0 {
+			body = fmt.Sprintf(`{"expires": %q}`, time.Now().Add(lifetime).UTC().Format(time.RFC3339))
 		}
-		return t.do(c, "POST", at(args, "/credentials"), nil, []byte(body))
+		return call.do(c, http.MethodPost, tenantPath(args[0], "/credentials"), nil, []byte(body))
 	})
-	grant.Flags().DurationVar(&expires, "for", 0, "it expires after so long, such as 720h")
+	c.Flags().DurationVar(&lifetime, "for", 0, "it expires after so long, such as 720h")
+	return c
+}
 
-	var auditAfter, auditLimit string
-	audit := simple("audit", "Who changed what", 0, func(c *cobra.Command, _ []string) error {
-		return t.do(c, "GET", "/v1/audit", query("after", auditAfter, "limit", auditLimit), nil)
+func auditCommand(call *tenantCall) *cobra.Command {
+	var after, limit string
+	c := tenantSubcommand("audit", "Who changed what", 0, func(c *cobra.Command, _ []string) error {
+		return call.do(c, http.MethodGet, "/v1/audit", queryOf("after", after, "limit", limit), nil)
 	})
-	audit.Flags().StringVar(&auditAfter, "after", "", "only later `revisions`")
-	audit.Flags().StringVar(&auditLimit, "limit", "", "of one page")
+	c.Flags().StringVar(&after, "after", "", "only later `revisions`")
+	c.Flags().StringVar(&limit, "limit", "", "of one page")
+	return c
+}
 
-	stand := func(use, short, state string) *cobra.Command {
-		return changes(simple(use+" NAME", short, 1, func(c *cobra.Command, args []string) error {
-			return t.do(c, "PUT", at(args, "/state"), nil, []byte(`{"state": "`+state+`"}`))
-		}))
-	}
-	root.AddCommand(list, put, grant, audit,
-		simple("get NAME", "Show a tenant", 1, func(c *cobra.Command, args []string) error { return t.do(c, "GET", at(args, ""), nil, nil) }),
-		simple("usage NAME", "What a tenant has had at this scheduler", 1, func(c *cobra.Command, args []string) error {
-			return t.do(c, "GET", at(args, "/usage"), nil, nil)
-		}),
-		simple("revision", "Which revision holds, and whether changes can be made here", 0, func(c *cobra.Command, _ []string) error {
-			return t.do(c, "GET", "/v1/revision", nil, nil)
-		}),
-		stand("suspend", "Refuse a tenant's new work", "suspended"), stand("resume", "Take a tenant's work again", "active"),
-		changes(simple("remove NAME", "Remove a tenant; what was taken is answered", 1, func(c *cobra.Command, args []string) error {
-			return t.do(c, "DELETE", at(args, ""), nil, nil)
-		})),
-		changes(simple("revoke NAME ID", "End a credential", 2, func(c *cobra.Command, args []string) error {
-			return t.do(c, "DELETE", at(args, "/credentials/"+url.PathEscape(args[1])), nil, nil)
-		})))
-	return root
+func tenantReadCommand(call *tenantCall, use, short, below string) *cobra.Command {
+	return tenantSubcommand(use, short, 1, func(c *cobra.Command, args []string) error {
+		return call.do(c, http.MethodGet, tenantPath(args[0], below), nil, nil)
+	})
 }
 
-func query(pairs ...string) url.Values {
-	q := url.Values{}
-	for n := 0; n < len(pairs); n += 2 {
-		if pairs[n+1] != "" {
-			q.Set(pairs[n], pairs[n+1])
-		}
-	}
-	return q
+func revisionCommand(call *tenantCall) *cobra.Command {
+	const short = "Which revision holds, and whether changes can be made here"
+	return tenantSubcommand("revision", short, 0, func(c *cobra.Command, _ []string) error {
+		return call.do(c, http.MethodGet, "/v1/revision", nil, nil)
+	})
+}
+
+func tenantStateCommand(call *tenantCall, verb, short, state string) *cobra.Command {
+	c := tenantSubcommand(verb+" NAME", short, 1, func(c *cobra.Command, args []string) error {
+		return call.do(c, http.MethodPut, tenantPath(args[0], "/state"), nil, []byte(`{"state": "`+state+`"}`))
+	})
+	addChangeFlags(c, call)
+	return c
+}
+
+func removeTenantCommand(call *tenantCall) *cobra.Command {
+	c := tenantSubcommand("remove NAME", "Remove a tenant; what was taken is answered", 1, func(c *cobra.Command, args []string) error {
+		return call.do(c, http.MethodDelete, tenantPath(args[0], ""), nil, nil)
+	})
+	addChangeFlags(c, call)
+	return c
+}
+
+func revokeCommand(call *tenantCall) *cobra.Command {
+	c := tenantSubcommand("revoke NAME ID", "End a credential", 2, func(c *cobra.Command, args []string) error {
+		return call.do(c, http.MethodDelete, tenantPath(args[0], "/credentials/"+url.PathEscape(args[1])), nil, nil)
+	})
+	addChangeFlags(c, call)
+	return c
 }
 
+// readInput reads a file; - is standard input.
 func readInput(c *cobra.Command, file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(c.InOrStdin())
 	}
 	return os.ReadFile(file)
 }
-
-// do makes a call and shows the answer. A refusal is a finding, not a mistake in the command line.
-func (t *tenantCall) do(c *cobra.Command, method, path string, q url.Values, body []byte) error {
-	token := os.Getenv("STOATWEIR_TOKEN")
-	if t.token != "" {
-		text, err := os.ReadFile(t.token)
-		if err != nil {
-			return err
-		}
-		token = strings.TrimSpace(string(text))
-	}
-	if token == "" {
-		return fmt.Errorf("no token: name --token-file, or set STOATWEIR_TOKEN")
-	}
-	if q == nil {
-		q = url.Values{}
-	}
-	if t.dry {
-		q.Set("dry_run", "true")
-	}
-	if !strings.Contains(t.api, "://") {
-		t.api = "http://" + t.api
-	}
-	target := strings.TrimSuffix(t.api, "/") + path
-	if len(q) > 0 {
-		target += "?" + q.Encode()
-	}
-	in, err := http.NewRequestWithContext(c.Context(), method, target, bytes.NewReader(body))
-	if err != nil {
-		return err
-	}
-	in.Header.Set("Authorization", "Bearer "+token)
-	if body != nil {
-		in.Header.Set("Content-Type", "application/json")
-	}
-	if t.match != "" {
-		in.Header.Set("If-Match", `"`+strings.Trim(t.match, `"`)+`"`)
-	}
-	if t.absent {
-		in.Header.Set("If-None-Match", "*")
-	}
-	answer, err := (&http.Client{Timeout: 10 * time.Second}).Do(in)
-	if err != nil {
-		return err
-	}
-	defer answer.Body.Close()
-	if answer.StatusCode >= 300 {
-		io.Copy(c.ErrOrStderr(), answer.Body)
-		return errFindings
-	}
-	_, err = io.Copy(c.OutOrStdout(), answer.Body)
-	return err
-}
