--- a/cmd/stoatweir/capacity_test.go
+++ b/cmd/stoatweir/capacity_test.go
@@ -17,7 +17,7 @@
 
 // inHand are the sizes of docs/CAPACITY.md for a hand-over; a test that is told nothing plays a small one, and one with more than
 // a link between two processes holds messages.
-var inHand = flag.String("in-hand", "40,600", "sizes of the hand-over that TestReplaceWithManyInHand plays, by commas")
+var inHand = flag.String("in-hand", "40,600", "sizes of the hand-over that TestTakeoverWithManyInFlight plays, by commas")
 
 // handed is what became of the invocations that one process passed to the next.
 type handed struct {
@@ -46,9 +46,9 @@
 	s["Report"] = map[string]any{"How": "probe", "Names": []string{"x0"}}
 	s["Limits"] = map[string]any{"MostForwards": 1, "Cancel": true, "RetryAfter": true, "MaxRetryAfter": 1, "Probes": true}
 	s["Operations"] = []map[string]any{{"Name": "render", "Effect": "non_idempotent", "LatencyObjective": 300, "ClientTimeout": 300}}
-	r.write()
+	r.writeConfig()
 	p := r.start()
-	r.ready(p)
+	r.waitUntilReady(p)
 	answers := make(chan string, n)
 	var clients sync.WaitGroup
 	for i := range n {
@@ -84,10 +84,10 @@
 	h.n, h.mem, h.files = n, p.resident(), p.descriptors()
 	began := time.Now()
 	next := r.start()
-	r.ready(next)
+	r.waitUntilReady(next)
 	h.serves, began = time.Since(began), time.Now()
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, 10*time.Second)
+	r.waitForExit(p, 10*time.Second)
 	h.passes = time.Since(began)
 	time.Sleep(200 * time.Millisecond)
 	h.memNext = next.resident()
@@ -112,7 +112,7 @@
 	}
 	r.check()
 	next.Process.Signal(syscall.SIGTERM)
-	r.end(next, 5*time.Second)
+	r.waitForExit(next, 5*time.Second)
 	return h
 }
 
@@ -126,7 +126,7 @@
 
 // All that is in hand goes to the successor, and each client has its worker's result on the connection that it has. With
 // -in-hand it plays other sizes and prints what became of them.
-func TestReplaceWithManyInHand(t *testing.T) {
+func TestTakeoverWithManyInFlight(t *testing.T) {
 	for _, word := range strings.Split(*inHand, ",") {
 		n, err := strconv.Atoi(word)
 		if err != nil || n < 1 || n > 8000 {
--- a/cmd/stoatweir/storm_test.go
+++ b/cmd/stoatweir/combined_faults_test.go
@@ -405,8 +405,8 @@
 	return l.Addr().String(), func() { l.Close() }
 }
 
-// TestStorm plays many crossings at once. STORM_SEED plays one seed alone.
-func TestStorm(t *testing.T) {
+// TestCombinedFaults plays many crossings at once. STORM_SEED plays one seed alone.
+func TestCombinedFaults(t *testing.T) {
 	seeds := []int64{1, 2, 3}
 	if text := os.Getenv("STORM_SEED"); text != "" {
 		seed, err := strconv.ParseInt(text, 10, 64)
--- a/cmd/stoatweir/pairs_test.go
+++ b/cmd/stoatweir/combined_operations_test.go
@@ -8,14 +8,14 @@
 
 // Drain, retune and replace in pairs under steady load with a crowd at the door: every invocation gets its answer, none is
 // sent twice where it may not be, and the ledgers of all processes together are what clients and workers saw.
-func TestPairs(t *testing.T) {
+func TestDrainReloadAndTakeoverInPairs(t *testing.T) {
 	type act func(r *rig, p *process) *process
 	drain := func(r *rig, p *process) *process {
-		if got := p.ask("standby"); got != "+OK standby\n" {
+		if got := p.adminCommand("standby"); got != "+OK standby\n" {
 			t.Errorf("standby: %q", got)
 		}
 		time.Sleep(300 * time.Millisecond)
-		if got := p.ask("active"); got != "+OK ready\n" {
+		if got := p.adminCommand("active"); got != "+OK ready\n" {
 			t.Errorf("active: %q", got)
 		}
 		return p
@@ -29,7 +29,7 @@
 		r.mu.Lock()
 		all := r.processes
 		r.mu.Unlock()
-		r.write()
+		r.writeConfig()
 		for _, p := range all {
 			p.Process.Signal(syscall.SIGHUP) // those that have ended do not mind
 		}
@@ -37,7 +37,7 @@
 	}
 	replace := func(r *rig, p *process) *process {
 		next := r.start()
-		r.ready(next)
+		r.waitUntilReady(next)
 		p.Process.Signal(syscall.SIGTERM)
 		return next
 	}
@@ -50,11 +50,11 @@
 		t.Run(pair.name, func(t *testing.T) {
 			r := newRig(t, 3, 100*time.Millisecond)
 			first := r.start()
-			r.ready(first)
+			r.waitUntilReady(first)
 			stop := make(chan struct{})
 			r.crowd(5*time.Millisecond, stop)
-			r.clients(4, "render")
-			r.clients(2, "sale")
+			r.startClients(4, "render")
+			r.startClients(2, "sale")
 			time.Sleep(200 * time.Millisecond)
 			p := first
 			for _, act := range pair.acts {
@@ -62,10 +62,10 @@
 			}
 			time.Sleep(400 * time.Millisecond)
 			if p != first {
-				r.end(first, 4*time.Second) // half requests of the crowd have their time
+				r.waitForExit(first, 4*time.Second) // half requests of the crowd have their time
 			}
 			close(stop)
-			r.halt()
+			r.stopClients()
 			time.Sleep(2 * publishDelay)
 			if got := p.figures(t); got["svc_outstanding"] != 0 || got["svc_discovered"] != 3 {
 				t.Error(got)
--- a/cmd/stoatweir/panic_in_stop_test.go
+++ b/cmd/stoatweir/dispatcher_panic_test.go
@@ -13,7 +13,7 @@
 
 // The decisions break while the process is told to stop, with an invocation in hand and a connection kept: what is in hand has its answer,
 // what comes over the connection is served by the decisions that begin anew, and the end comes in time.
-func TestPanicInAStop(t *testing.T) {
+func TestDispatcherPanicDuringStop(t *testing.T) {
 	const timeout = 2 * time.Second
 	node := ""
 	worker := serve(t, func(first, body string) string {
@@ -51,7 +51,7 @@
 	ordered := time.Now()
 	s.loop.PostUrgent(loopTask(s.stop))
 	time.Sleep(50 * time.Millisecond)
-	s.loop.Post(breaks{s})
+	s.loop.Post(breakDispatcher{s})
 	answers := bufio.NewReader(kept)
 	if first, _, err := message(answers); first != "HTTP/1.1 500 Internal Server Error" || err != nil {
 		t.Error("in hand: ", first, err)
--- a/cmd/stoatweir/told_test.go
+++ b/cmd/stoatweir/endpoint_watch_test.go
@@ -296,7 +296,7 @@
 // Discovery goes down in each way, for each span from nothing to 20 s in steps of 50 ms (variants: 250), with watches that end or fall silent; a
 // worker begins to drain at its return. From there to the list is less than 6 s and the grace, at each of these moments. What is
 // pushed counts as told at the return already: there the grace itself is the bound, unless a call was lost.
-func TestToldAtAnyReturn(t *testing.T) {
+func TestDrainIsAppliedAtAnyDiscoveryReturn(t *testing.T) {
 	const first, longest = 3 * time.Second, 20 * time.Second
 	for _, play := range []struct {
 		name string
@@ -375,7 +375,7 @@
 
 // An open watch falls silent while discovery has something to tell, and the call behind it may be lost as well: the list comes less than
 // 6 s and the grace after the watch fell silent. Where two calls or more were lost it could not be reached until it was back.
-func TestToldAfterSilence(t *testing.T) {
+func TestDrainIsAppliedAfterSilentWatch(t *testing.T) {
 	const first, step, longest = 3 * time.Second, 50 * time.Millisecond, 3600 * time.Millisecond
 	for _, play := range []day{{peers: 300}, {within: 2000}, {push: true}, {push: true, grace: 30}} {
 		t.Run(fmt.Sprintf("%+v", play), func(t *testing.T) {
@@ -420,7 +420,7 @@
 
 // SIGHUP names another address, which may fail in each way for up to 8 s: what it has to tell comes less than 4 s after the order,
 // or less than 6 s and the grace after it can be reached, whichever is later; with up to 1.5 s of failure, within the 4 s.
-func TestToldAfterMove(t *testing.T) {
+func TestDrainIsAppliedAfterAddressChange(t *testing.T) {
 	const first, step, longest = 3 * time.Second, 100 * time.Millisecond, 8 * time.Second
 	for how := refused; how <= stalled; how++ {
 		for _, push := range []bool{false, true} {
@@ -463,7 +463,7 @@
 }
 
 // A process that is told to stop follows the list on: its watch has ended, and what comes at the return is in before it goes.
-func TestToldDuringAStop(t *testing.T) {
+func TestEndpointListIsFollowedDuringStop(t *testing.T) {
 	const first = 3 * time.Second
 	for _, push := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -512,7 +512,7 @@
 
 // Discovery returns to 300 schedulers: they come spread over the longest wait, at most a quarter of them in any 100 ms. Pushed lists, with
 // a grace of half a second, leave a quarter of a second for that.
-func TestReturnToManySchedulers(t *testing.T) {
+func TestReturnedDiscoverySeesSpreadWatches(t *testing.T) {
 	for _, play := range []struct {
 		how  outage
 		span time.Duration
@@ -555,7 +555,7 @@
 
 // 300 schedulers are started together while discovery is slow, down or overrun: nine in ten say yes within 10 s. Without any known list
 // they say so a second after their start and hold what comes until there is one: the page's log tells when that is.
-func TestReadyAtManyRestarts(t *testing.T) {
+func TestManyRestartsAreReadyInTime(t *testing.T) {
 	const schedulers = 300
 	for _, play := range []struct {
 		name string
--- a/cmd/stoatweir/peers_test.go
+++ b/cmd/stoatweir/gossip_test.go
@@ -14,7 +14,7 @@
 
 // Schedulers of a pool: the program tells the others of itself and asks them. One is silent, one sends garbage without end,
 // cut and doubled messages and lies; clients get one answer each all the same. A file that mixes two shapes is refused.
-func TestPeersOnLoopback(t *testing.T) {
+func TestGossipSurvivesBrokenPeers(t *testing.T) {
 	r := newRig(t, 12, 200*time.Millisecond) // answers of others hold for a part of a run
 	var others []*net.UDPConn
 	var addrs []string
@@ -32,7 +32,7 @@
 	site := r.config["settings"].(map[string]any)
 	site["Discovery"], site["PeersTotal"], site["MyNumber"] = "push", 3, 1
 	site["Limits"].(map[string]any)["Peers"] = true
-	r.write()
+	r.writeConfig()
 
 	kinds := make(chan dispatch.GossipKind, 10000)
 	go func() {
@@ -66,9 +66,9 @@
 		}
 	}()
 	p := r.start()
-	r.ready(p)
-	r.clients(4, "render")
-	r.clients(2, "sale")
+	r.waitUntilReady(p)
+	r.startClients(4, "render")
+	r.startClients(2, "sale")
 	seen := map[dispatch.GossipKind]int{}
 	for until := time.After(5 * time.Second); seen[dispatch.GossipRestarted] < 1 || seen[dispatch.GossipAttemptStarted] < 1 || seen[dispatch.GossipAttemptEnded] < 1 || seen[dispatch.GossipCapacityQuery] < 50; {
 		select {
@@ -78,7 +78,7 @@
 			var got []string
 			for _, w := range r.workers {
 				w.mu.Lock()
-				got = append(got, fmt.Sprint(len(w.got)))
+				got = append(got, fmt.Sprint(len(w.attempts)))
 				w.mu.Unlock()
 			}
 			t.Fatal("told: ", seen, " sent ", got, "\n", exchange(r.listen, "GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"), r.answers)
@@ -86,19 +86,19 @@
 	}
 
 	site["Limits"].(map[string]any)["Peers"] = false
-	r.write()
+	r.writeConfig()
 	p.Process.Signal(syscall.SIGHUP)
-	r.logged(p, "peers: names 3 addresses, and settings.Limits.Peers does not allow messages", 1)
-	r.logged(p, "configuration rejected", 1)
+	r.waitForLog(p, "peers: names 3 addresses, and settings.Limits.Peers does not allow messages", 1)
+	r.waitForLog(p, "configuration rejected", 1)
 	site["Limits"].(map[string]any)["Peers"] = true
-	r.write()
+	r.writeConfig()
 	p.Process.Signal(syscall.SIGHUP)
-	r.logged(p, "configuration applied", 1)
-	r.logged(p, `features="list pushed, messages, no weights, 0 tenants"`, 1)
+	r.waitForLog(p, "configuration applied", 1)
+	r.waitForLog(p, `features="list pushed, messages, no weights, 0 tenants"`, 1)
 	time.Sleep(200 * time.Millisecond)
-	r.halt()
+	r.stopClients()
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, 8*time.Second)
+	r.waitForExit(p, 8*time.Second)
 	r.check()
 	if !strings.Contains(r.logs(), `"panics":0`) {
 		t.Error(r.logs())
@@ -107,7 +107,7 @@
 
 // A pushed list whose service is down: the watch comes back at growing spans with chance in them, clients are served from the
 // known list meanwhile, and what the service tells once it is back is taken.
-func TestPushedListIsDown(t *testing.T) {
+func TestServesWhilePushedListIsDown(t *testing.T) {
 	r := newRig(t, 2, 20*time.Millisecond)
 	var calls, back atomic.Int32
 	list := `{"rev":7,"all":true,"targets":[{"uid":"s-0","endpoint":"` + r.workers[0].addr + `","state":"Ready"}]}`
@@ -119,10 +119,10 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 	})
 	r.config["settings"].(map[string]any)["Discovery"] = "push"
-	r.write()
+	r.writeConfig()
 	p := r.start()
-	r.ready(p)
-	r.clients(3, "render")
+	r.waitUntilReady(p)
+	r.startClients(3, "render")
 	time.Sleep(3 * time.Second)
 	if n := calls.Load(); n < 3 || n > 8 { // 12 without growing spans
 		t.Error(n, " watches in 3 s")
@@ -136,8 +136,8 @@
 			t.Fatal(p.figures(t))
 		}
 	}
-	r.halt()
+	r.stopClients()
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, 8*time.Second)
+	r.waitForExit(p, 8*time.Second)
 	r.check()
 }
--- a/cmd/stoatweir/idle_test.go
+++ b/cmd/stoatweir/idle_clients_test.go
@@ -65,7 +65,7 @@
 
 // While discovery is down and no list is known, idle clients hold all descriptors that clients are given, and more wait outside. At its
 // return the watch has its descriptor within its budget, a new client gets in, and its request gets a connection to a worker.
-func TestIdleClientsAndDiscoveryReturns(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsForWatch(t *testing.T) {
 	r := newRig(t, 2, 20*time.Millisecond)
 	at := freeAddr(t)
 	list := `{"rev":1,"all":true,"targets":[`
@@ -80,9 +80,9 @@
 	delete(r.config, "known")
 	r.config["discovery"] = at
 	r.config["limits"] = map[string]any{"memory_mb": 64, "sockets": sockets}
-	r.write()
+	r.writeConfig()
 	p := r.start()
-	r.ready(p)
+	r.waitUntilReady(p)
 	stop := make(chan struct{})
 	in := r.idlers(sockets, stop)
 	most, held := 0, int64(0)
--- a/cmd/stoatweir/log_test.go
+++ b/cmd/stoatweir/log_test.go
@@ -44,7 +44,7 @@
 }
 
 // Other goroutines may log while the program ends.
-func TestLogBehindTheEnd(t *testing.T) {
+func TestLogAfterCloseDoesNotBlock(t *testing.T) {
 	l := newAsyncWriter(io.Discard)
 	l.close(time.Second)
 	if _, err := l.Write([]byte("the administrators' address is taken\n")); err != nil {
--- a/cmd/stoatweir/rig_test.go
+++ b/cmd/stoatweir/process_rig_test.go
@@ -33,30 +33,30 @@
 	load      sync.WaitGroup
 	stopped   chan struct{}
 	answers   map[int]int // by status; -1: none
-	troubles  []string
+	faults    []string
 }
 
 // peer is a scripted worker.
 type rigWorker struct {
 	*rig
 	uid, addr string
-	runs      time.Duration
+	runtime   time.Duration
 	slots     chan struct{} // nil: no end of them
 
-	mu      sync.Mutex
-	got     map[string]int // attempts by id
-	open    map[string]int // attempts under way by id
-	twice   []string       // a second attempt while one was under way here
-	unheard []string       // ends that the scheduler did not take
+	mu             sync.Mutex
+	attempts       map[string]int // attempts by id
+	running        map[string]int // attempts under way by id
+	duplicates     []string       // a second attempt while one was under way here
+	unacknowledged []string       // ends that the scheduler did not take
 }
 
 // process is one run of the program.
 type process struct {
 	*exec.Cmd
-	admin string
-	log   string
-	ended chan struct{}
-	err   error
+	admin  string
+	log    string
+	exited chan struct{}
+	err    error
 }
 
 var (
@@ -120,7 +120,7 @@
 	r := &rig{t: t, dir: dir, listen: freeAddr(t), program: program(t), stopped: make(chan struct{}), answers: map[int]int{}}
 	var targets []string
 	for n := range workers {
-		w := &rigWorker{rig: r, uid: fmt.Sprint("s-", n), runs: runs, got: map[string]int{}, open: map[string]int{}}
+		w := &rigWorker{rig: r, uid: fmt.Sprint("s-", n), runtime: runs, attempts: map[string]int{}, running: map[string]int{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -144,20 +144,20 @@
 			"Operations": []map[string]any{
 				{"Name": "render", "Effect": "read_like", "LatencyObjective": 2, "ClientTimeout": 10},
 				{"Name": "sale", "Effect": "non_idempotent", "LatencyObjective": 2, "ClientTimeout": 10}}}}
-	r.write()
+	r.writeConfig()
 	t.Cleanup(func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, p := range r.processes {
 			p.Process.Kill()
-			<-p.ended
+			<-p.exited
 		}
 		os.RemoveAll(dir)
 	})
 	return r
 }
 
-func (r *rig) write() {
+func (r *rig) writeConfig() {
 	text, err := json.Marshal(r.config)
 	if err == nil {
 		err = os.WriteFile(filepath.Join(r.dir, "config.json"), text, 0o600)
@@ -170,7 +170,7 @@
 // start runs the program once more, with an operators' address of its own.
 func (r *rig) start() *process {
 	r.t.Helper()
-	p := &process{Cmd: exec.Command(r.program), admin: freeAddr(r.t), ended: make(chan struct{})}
+	p := &process{Cmd: exec.Command(r.program), admin: freeAddr(r.t), exited: make(chan struct{})}
 	tmp := filepath.Join(r.dir, "tmp")
 	os.MkdirAll(tmp, 0o700)
 	p.Env = []string{"TMPDIR=" + tmp, "PROXY_CONFIG=" + filepath.Join(r.dir, "config.json"), "PROXY_ADMIN=" + p.admin}
@@ -186,7 +186,7 @@
 		r.t.Fatal(err)
 	}
 	log.Close()
-	go func() { p.err = p.Wait(); close(p.ended) }()
+	go func() { p.err = p.Wait(); close(p.exited) }()
 	r.mu.Lock()
 	r.processes = append(r.processes, p)
 	r.mu.Unlock()
@@ -194,10 +194,10 @@
 }
 
 // ready waits for the process's yes.
-func (r *rig) ready(p *process) {
+func (r *rig) waitUntilReady(p *process) {
 	r.t.Helper()
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if p.ask("status") == "+OK ready\n" {
+		if p.adminCommand("status") == "+OK ready\n" {
 			return
 		}
 	}
@@ -206,7 +206,7 @@
 }
 
 // logged waits until the process has said something so many times.
-func (r *rig) logged(p *process, what string, times int) {
+func (r *rig) waitForLog(p *process, what string, times int) {
 	r.t.Helper()
 	var text []byte
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -230,7 +230,7 @@
 }
 
 // ask is an operator's call.
-func (p *process) ask(word string) string {
+func (p *process) adminCommand(word string) string {
 	c, err := net.Dial("tcp", p.admin)
 	if err != nil {
 		return err.Error()
@@ -246,10 +246,10 @@
 }
 
 // end waits for the process to end by itself.
-func (r *rig) end(p *process, within time.Duration) {
+func (r *rig) waitForExit(p *process, within time.Duration) {
 	r.t.Helper()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		if p.err != nil {
 			text, _ := os.ReadFile(p.log)
 			r.t.Errorf("ended with %v\n%s", p.err, text)
@@ -261,12 +261,12 @@
 }
 
 // clients begin to ask, one invocation after the other each, on kept connections.
-func (r *rig) clients(n int, class string) {
+func (r *rig) startClients(n int, class string) {
 	for c := range n {
 		r.load.Add(1)
 		go func() {
 			defer r.load.Done()
-			kept := &keptConn{addr: r.listen}
+			kept := &reusedConn{addr: r.listen}
 			defer kept.close()
 			for i := 0; ; i++ {
 				select {
@@ -274,24 +274,24 @@
 					return
 				default:
 				}
-				r.one(kept, fmt.Sprintf("%s-%d-%d", class, c, i), class)
+				r.request(kept, fmt.Sprintf("%s-%d-%d", class, c, i), class)
 			}
 		}()
 	}
 }
 
 // one hands in an invocation and counts its answer.
-func (r *rig) one(kept *keptConn, id, class string) {
+func (r *rig) request(kept *reusedConn, id, class string) {
 	began := time.Now()
-	status, body := kept.ask(post("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
+	status, body := kept.request(post("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers[status]++
 	if status == 200 && body != "made "+id {
-		r.troubles = append(r.troubles, fmt.Sprintf("%s: got %q", id, body))
+		r.faults = append(r.faults, fmt.Sprintf("%s: got %q", id, body))
 	}
 	if status == -1 {
-		r.troubles = append(r.troubles, fmt.Sprintf("%s: no answer after %v: %s", id, time.Since(began).Round(time.Millisecond), body))
+		r.faults = append(r.faults, fmt.Sprintf("%s: no answer after %v: %s", id, time.Since(began).Round(time.Millisecond), body))
 	}
 	if status == 429 || status == 503 {
 		time.Sleep(10 * time.Millisecond)
@@ -299,7 +299,7 @@
 }
 
 // halt lets the clients' last invocations end.
-func (r *rig) halt() {
+func (r *rig) stopClients() {
 	close(r.stopped)
 	r.load.Wait()
 }
@@ -309,19 +309,19 @@
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, trouble := range r.troubles {
+	for _, trouble := range r.faults {
 		r.t.Error(trouble)
 	}
 	attempts := map[string]int{}
 	for _, w := range r.workers {
 		w.mu.Lock()
-		for _, id := range w.twice {
+		for _, id := range w.duplicates {
 			r.t.Error("a second attempt at one worker while one is under way: ", id)
 		}
-		for _, id := range w.unheard {
+		for _, id := range w.unacknowledged {
 			r.t.Error("an end that nobody took: ", id)
 		}
-		for id, n := range w.got {
+		for id, n := range w.attempts {
 			if attempts[id] += n; attempts[id] > 1 && strings.HasPrefix(id, "sale") {
 				r.t.Error("a non-idempotent invocation was sent twice: ", id)
 			}
@@ -331,20 +331,20 @@
 }
 
 // keptConn is a client's connection. One that was closed between two requests is opened anew, once.
-type keptConn struct {
+type reusedConn struct {
 	addr string
 	c    net.Conn
 	r    *bufio.Reader
 }
 
-func (k *keptConn) close() {
+func (k *reusedConn) close() {
 	if k.c != nil {
 		k.c.Close()
 		k.c = nil
 	}
 }
 
-func (k *keptConn) ask(request string) (status int, body string) {
+func (k *reusedConn) request(request string) (status int, body string) {
 	for try := range 2 {
 		fresh := k.c == nil
 		if fresh {
@@ -395,9 +395,9 @@
 	io.Copy(io.Discard, in.Body)
 	id := in.Header.Get("X-Call-Id")
 	w.mu.Lock()
-	w.got[id]++
-	if w.open[id]++; w.open[id] > 1 {
-		w.twice = append(w.twice, id)
+	w.attempts[id]++
+	if w.running[id]++; w.running[id] > 1 {
+		w.duplicates = append(w.duplicates, id)
 	}
 	w.mu.Unlock()
 	out.WriteHeader(202)
@@ -406,27 +406,27 @@
 		if w.slots != nil {
 			w.slots <- struct{}{}
 		}
-		w.tell(id, fmt.Sprintf(`{"id":%q,"from":%q,"state":"started"}`, id, w.uid))
-		time.Sleep(w.runs)
+		w.sendCallback(id, fmt.Sprintf(`{"id":%q,"from":%q,"state":"started"}`, id, w.uid))
+		time.Sleep(w.runtime)
 		if w.slots != nil {
 			<-w.slots
 		}
 		w.mu.Lock()
-		w.open[id]--
+		w.running[id]--
 		w.mu.Unlock()
-		if !w.tell(id, fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"made %s"}`, id, w.uid, id)) {
+		if !w.sendCallback(id, fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"made %s"}`, id, w.uid, id)) {
 			w.mu.Lock()
-			w.unheard = append(w.unheard, id)
+			w.unacknowledged = append(w.unacknowledged, id)
 			w.mu.Unlock()
 		}
 	}()
 }
 
 // tell tries ten times at most, as workers do.
-func (w *rigWorker) tell(id, news string) bool {
+func (w *rigWorker) sendCallback(id, news string) bool {
 	for range 10 {
-		kept := keptConn{addr: w.listen}
-		status, _ := kept.ask(post("/_jobs/news", "", news))
+		kept := reusedConn{addr: w.listen}
+		status, _ := kept.request(post("/_jobs/news", "", news))
 		kept.close()
 		if status == 200 || status == 204 {
 			return true
--- a/cmd/stoatweir/crossings_test.go
+++ b/cmd/stoatweir/races_test.go
@@ -33,7 +33,7 @@
 }
 
 // outstanding waits until so many invocations are in hand.
-func (r *rig) outstanding(p *process, n int) {
+func (r *rig) waitForInFlight(p *process, n int) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); p.figures(r.t)["svc_outstanding"] != n; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -45,14 +45,14 @@
 // Clients wait for half a second at most, workers hang as the order to stop comes, and one is killed 0.7 s later: everything in
 // hand has its answer by then, non-idempotent work that was sent is not said to be harmless to repeat, and what
 // comes up to the end over connections that stay open is answered too.
-func TestStopBeforeAnEarlyKill(t *testing.T) {
+func TestStopAnswersAllBeforeEarlyKill(t *testing.T) {
 	const longest = 500 * time.Millisecond
 	r := newRig(t, 2, time.Hour)
 	r.operations(map[string]any{"Name": "render", "Effect": "read_like", "LatencyObjective": 0.3, "ClientTimeout": longest.Seconds()},
 		map[string]any{"Name": "sale", "Effect": "non_idempotent", "LatencyObjective": 0.3, "ClientTimeout": longest.Seconds()})
-	r.write()
+	r.writeConfig()
 	p := r.start()
-	r.ready(p)
+	r.waitUntilReady(p)
 	answers := make(chan string, 2)
 	for _, class := range []string{"render", "sale"} {
 		_, b := r.send(class, class+"-hangs")
@@ -61,15 +61,15 @@
 			answers <- fmt.Sprint(class, " ", first, " ", err)
 		}()
 	}
-	r.outstanding(p, 2)
-	kept := &keptConn{addr: r.listen}
-	kept.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	r.waitForInFlight(p, 2)
+	kept := &reusedConn{addr: r.listen}
+	kept.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	began, asked := time.Now(), 0
 	p.Process.Signal(syscall.SIGTERM)
-	r.logged(p, "stop requested", 1)
+	r.waitForLog(p, "stop requested", 1)
 	for ; kept.c != nil; asked++ { // as long as it stays open
 		first := kept.c
-		status, body := kept.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		status, body := kept.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		if kept.c != nil && kept.c != first { // it had ended between two requests; the new one is the last to come
 			break
 		}
@@ -79,7 +79,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	kept.close()
-	r.end(p, longest+700*time.Millisecond-time.Since(began))
+	r.waitForExit(p, longest+700*time.Millisecond-time.Since(began))
 	t.Log("ended after ", time.Since(began), ", asked ", asked)
 	for range 2 {
 		got := <-answers
@@ -91,7 +91,7 @@
 
 // The order to stop comes before there is a list, with a request in hand that nobody could have: it gets its answer, and a
 // second order changes nothing.
-func TestStopBeforeTheList(t *testing.T) {
+func TestStopBeforeEndpointListAnswersRequests(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	defer silent.Close()
 	r := newRig(t, 0, 0)
 	r.config["discovery"], r.config["known"] = silent.Addr().String(), nil
-	r.write()
+	r.writeConfig()
 	p := r.start()
 	var c net.Conn
 	for c == nil { // it hears, and is not ready
@@ -108,19 +108,19 @@
 		}
 	}
 	c.Close()
-	for !strings.HasPrefix(p.ask("status"), "-ERR") { // the operators' door opens a moment later
+	for !strings.HasPrefix(p.adminCommand("status"), "-ERR") { // the operators' door opens a moment later
 		time.Sleep(time.Millisecond)
 	}
 	_, b := r.send("render", "early")
-	r.outstanding(p, 1)
+	r.waitForInFlight(p, 1)
 	p.Process.Signal(syscall.SIGTERM)
-	r.logged(p, "stop requested", 1)
+	r.waitForLog(p, "stop requested", 1)
 	p.Process.Signal(syscall.SIGTERM)
 	p.Process.Signal(syscall.SIGHUP)
 	if first, _, _, err := answerOf(b); first != "HTTP/1.1 503" || err != nil {
 		t.Error(first, err)
 	}
-	r.end(p, 4*time.Second)
+	r.waitForExit(p, 4*time.Second)
 }
 
 // The order to stop comes before anything listens: it is carried out, and is no death.
@@ -145,29 +145,29 @@
 	}
 	defer c.Close()
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, 6*time.Second)
+	r.waitForExit(p, 6*time.Second)
 }
 
 // A process of another name that is started at our address gets neither our socket nor what we have, and says why it ends.
-func TestForeignSuccessor(t *testing.T) {
+func TestSuccessorWithOtherNameIsRejected(t *testing.T) {
 	r := newRig(t, 1, 10*time.Millisecond)
 	p := r.start()
-	r.ready(p)
+	r.waitUntilReady(p)
 	r.config["name"] = "n1"
-	r.write()
+	r.writeConfig()
 	other := r.start()
 	select {
-	case <-other.ended:
+	case <-other.exited:
 	case <-time.After(5 * time.Second):
 		t.Fatal("it does not end")
 	}
 	if text, _ := os.ReadFile(other.log); other.err == nil || !strings.Contains(string(text), string(handover.ReasonNameMismatch)) {
 		t.Errorf("%v\n%s", other.err, text)
 	}
-	kept := &keptConn{addr: r.listen}
+	kept := &reusedConn{addr: r.listen}
 	defer kept.close()
 	for n := range 20 {
-		if status, body := kept.ask(post("/render/k", fmt.Sprintf("X-Call-Id: a%d\r\nX-Call-Class: render\r\nX-Budget: 10\r\n", n), "")); status != 200 {
+		if status, body := kept.request(post("/render/k", fmt.Sprintf("X-Call-Id: a%d\r\nX-Call-Class: render\r\nX-Budget: 10\r\n", n), "")); status != 200 {
 			t.Error(status, body)
 		}
 		kept.close()
@@ -177,14 +177,14 @@
 
 // A successor ends, or hangs, with an invocation on its way to it: its client has one answer, which promises nothing, the work
 // was sent once, and an idle connection that was on its way serves nobody twice.
-func TestSuccessorEndsInPass(t *testing.T) {
+func TestSuccessorExitsDuringMigration(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		t.Run(fmt.Sprint("hangs: ", hangs), func(t *testing.T) {
 			r := newRig(t, 1, time.Hour)
 			p := r.start()
-			r.ready(p)
+			r.waitUntilReady(p)
 			_, b := r.send("sale", "sale-passed")
-			r.outstanding(p, 1)
+			r.waitForInFlight(p, 1)
 			place, err := handover.SocketPath(filepath.Join(r.dir, "tmp"), r.listen)
 			if err != nil {
 				t.Fatal(err)
@@ -202,7 +202,7 @@
 				}
 			}, func() { close(gone) })
 			link.Send(handover.Message{Kind: handover.KindReady})
-			r.logged(p, "successor accepted", 1)
+			r.waitForLog(p, "successor accepted", 1)
 			p.Process.Signal(syscall.SIGTERM)
 			m := <-passed
 			if !hangs {
@@ -225,17 +225,17 @@
 			if n, err := late.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 				t.Error("it reads: ", n, err)
 			}
-			r.end(p, 5*time.Second)
+			r.waitForExit(p, 5*time.Second)
 			r.check()
-			if w := r.workers[0]; len(w.got) != 1 || w.got["sale-passed"] != 1 {
-				t.Error("attempts: ", w.got)
+			if w := r.workers[0]; len(w.attempts) != 1 || w.attempts["sale-passed"] != 1 {
+				t.Error("attempts: ", w.attempts)
 			}
 		})
 	}
 }
 
 // What must never run twice is known as such to those who carry it, from the settings that hold when it comes.
-func Example_once() {
+func Example_effectAtArrival() {
 	const text = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
 		{"Name":"render","Effect":"read_like"},{"Name":"keyed","Effect":"idempotency_key"},{"Name":"sale","Effect":"non_idempotent"}]}}`
 	read := func(text string) settings.Process {
@@ -274,11 +274,11 @@
 
 // A process is killed right after it has accepted connections, with requests unread, half read or just sent on: none of them is
 // sent twice, and the process that follows serves at once.
-func TestKilledAfterAccept(t *testing.T) {
+func TestKillAfterAcceptDuplicatesNothing(t *testing.T) {
 	r := newRig(t, 3, 10*time.Millisecond)
 	for kill := range 6 {
 		p := r.start()
-		r.ready(p)
+		r.waitUntilReady(p)
 		var all []net.Conn
 		for n := range 10 {
 			c, err := net.Dial("tcp", r.listen)
@@ -292,23 +292,23 @@
 		}
 		time.Sleep(time.Duration(kill) * time.Millisecond / 2)
 		p.Process.Kill()
-		<-p.ended
+		<-p.exited
 		for _, c := range all {
 			c.Close()
 		}
 	}
 	p := r.start()
-	r.ready(p)
-	kept := &keptConn{addr: r.listen}
+	r.waitUntilReady(p)
+	kept := &reusedConn{addr: r.listen}
 	defer kept.close()
-	status, body := kept.ask(post("/sale/k", "X-Call-Id: sale-last\r\nX-Call-Class: sale\r\nX-Budget: 10\r\n", "sale-last"))
+	status, body := kept.request(post("/sale/k", "X-Call-Id: sale-last\r\nX-Call-Class: sale\r\nX-Budget: 10\r\n", "sale-last"))
 	if status != 200 {
 		t.Error(status, body)
 	}
 	r.mu.Lock()
 	for _, w := range r.workers {
 		w.mu.Lock()
-		w.unheard = nil // news of what a killed process had finds nobody for a while
+		w.unacknowledged = nil // news of what a killed process had finds nobody for a while
 		w.mu.Unlock()
 	}
 	r.mu.Unlock()
--- a/cmd/stoatweir/reload_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -13,7 +13,7 @@
 func (r *rig) reread(p *process, text string) {
 	r.t.Helper()
 	if text == "" {
-		r.write()
+		r.writeConfig()
 	} else if err := os.WriteFile(filepath.Join(r.dir, "config.json"), []byte(text), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
@@ -27,12 +27,12 @@
 
 // New settings come under load, in the midst of a drain too: classes appear and vanish, one becomes stricter, the list is
 // reordered. Broken files change nothing, whole. What is under way keeps the class under which it came.
-func TestRetuneUnderLoad(t *testing.T) {
+func TestReloadUnderLoad(t *testing.T) {
 	r := newRig(t, 3, 100*time.Millisecond)
 	p := r.start()
-	r.ready(p)
-	r.clients(4, "render")
-	r.clients(2, "sale")
+	r.waitUntilReady(p)
+	r.startClients(4, "render")
+	r.startClients(2, "sale")
 	time.Sleep(200 * time.Millisecond)
 	whole, err := os.ReadFile(filepath.Join(r.dir, "config.json"))
 	if err != nil {
@@ -48,10 +48,10 @@
 			t.Fatal("the test breaks nothing: ", n)
 		}
 		r.reread(p, bad)
-		r.logged(p, "configuration rejected", n+1)
+		r.waitForLog(p, "configuration rejected", n+1)
 	}
-	slow := &keptConn{addr: r.listen}
-	if status, _ := slow.ask(post("/fresh/k", "X-Call-Id: f1\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
+	slow := &reusedConn{addr: r.listen}
+	if status, _ := slow.request(post("/fresh/k", "X-Call-Id: f1\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
 		t.Error("a class that does not exist yet:", status)
 	}
 	fresh := map[string]any{"Name": "fresh", "Effect": "read_like", "LatencyObjective": 2, "ClientTimeout": 10}
@@ -59,26 +59,26 @@
 	render := map[string]any{"Name": "render", "Effect": "non_idempotent", "LatencyObjective": 2, "ClientTimeout": 10}
 	r.operations(fresh, sale, render) // render has become stricter, and all are in another order
 	r.reread(p, "")
-	r.logged(p, "configuration applied", 1)
-	if status, body := slow.ask(post("/fresh/k", "X-Call-Id: f2\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 200 {
+	r.waitForLog(p, "configuration applied", 1)
+	if status, body := slow.request(post("/fresh/k", "X-Call-Id: f2\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 200 {
 		t.Error("a new class:", status, body)
 	}
 	// A burst of orders, and one in a drain.
-	if got := p.ask("standby"); got != "+OK standby\n" {
+	if got := p.adminCommand("standby"); got != "+OK standby\n" {
 		t.Errorf("standby: %q", got)
 	}
 	for range 10 {
 		p.Process.Signal(syscall.SIGHUP)
 	}
-	r.logged(p, "configuration applied", 2)
-	if got := p.ask("active"); got != "+OK ready\n" {
+	r.waitForLog(p, "configuration applied", 2)
+	if got := p.adminCommand("active"); got != "+OK ready\n" {
 		t.Errorf("active: %q", got)
 	}
-	r.halt()
+	r.stopClients()
 	// fresh is gone while one of it is under way, and a class of another kind comes: the old one ends as it came.
-	kept, answer := &keptConn{addr: r.listen}, make(chan int)
+	kept, answer := &reusedConn{addr: r.listen}, make(chan int)
 	go func() {
-		status, _ := kept.ask(post("/fresh/k", "X-Call-Id: f3\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", ""))
+		status, _ := kept.request(post("/fresh/k", "X-Call-Id: f3\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", ""))
 		answer <- status
 	}()
 	for p.figures(t)["svc_outstanding"] == 0 {
@@ -88,7 +88,7 @@
 	r.operations(sale, render)
 	r.reread(p, "")
 	time.Sleep(20 * time.Millisecond)
-	if status, _ := slow.ask(post("/fresh/k", "X-Call-Id: f4\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
+	if status, _ := slow.request(post("/fresh/k", "X-Call-Id: f4\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
 		t.Error("a class that is gone:", status)
 	}
 	if status := <-answer; status != 200 {
--- a/cmd/stoatweir/reload_on_the_way_test.go
+++ b/cmd/stoatweir/reload_while_migrating_test.go
@@ -12,7 +12,7 @@
 	"stoatweir/internal/workers"
 )
 
-func siteOf(t *testing.T, operations string) settings.Deployment {
+func deploymentOf(t *testing.T, operations string) settings.Deployment {
 	t.Helper()
 	site, err := settings.ParseDeployment([]byte(`{"Operations": [` + operations + `]}`))
 	if err != nil {
@@ -23,7 +23,7 @@
 
 // An invocation is on its way to a successor while settings are told anew, twice, and comes back: its operation is still the one under
 // which it came.
-func TestReloadsWhileOnTheWay(t *testing.T) {
+func TestReloadWhileMigratingKeepsOperation(t *testing.T) {
 	const render = `{"Name":"render","Effect":"read_like","ClientTimeout":5}`
 	const sale = `{"Name":"sale","Effect":"non_idempotent","ClientTimeout":5}`
 	log := logrus.New()
@@ -41,7 +41,7 @@
 	s.requests[1] = j
 	s.BeginMigration(1)
 	for n := range 2 {
-		s.reconfigure(siteOf(t, render+fmt.Sprintf(`,{"Name":"other-%d","Effect":"read_like","ClientTimeout":5}`, n)))
+		s.reconfigure(deploymentOf(t, render+fmt.Sprintf(`,{"Name":"other-%d","Effect":"read_like","ClientTimeout":5}`, n)))
 	}
 	s.CancelMigration(1, dispatch.MigratedIn{})
 	if s.requests[1] != j {
--- a/cmd/stoatweir/lab_scale_test.go
+++ b/cmd/stoatweir/scale_command_test.go
@@ -93,7 +93,7 @@
 }
 
 // A hollow process that dies ends the run with its name, and nothing stays behind.
-func TestScaleHollowDies(t *testing.T) {
+func TestScaleFailsWhenHollowProcessDies(t *testing.T) {
 	s, err := scale.Read(labFiles+"scale/small.toml", `window = "60s"`)
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +129,7 @@
 }
 
 // Whatever becomes of the rig, what it has started goes with it.
-func TestScaleRigDies(t *testing.T) {
+func TestHollowProcessesExitWithRig(t *testing.T) {
 	rig := exec.Command(program(t), "lab", "scale", labFiles+"scale/small.toml", "--set", `window = "60s"`)
 	if err := rig.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/stoatweir/service_test.go
+++ b/cmd/stoatweir/service_test.go
@@ -100,9 +100,9 @@
 	return s, over
 }
 
-type breaks struct{ *service }
+type breakDispatcher struct{ *service }
 
-func (b breaks) Run() { b.dispatcher, b.events = nil, append(b.events, dispatch.TimerFired{}) }
+func (b breakDispatcher) Run() { b.dispatcher, b.events = nil, append(b.events, dispatch.TimerFired{}) }
 
 // The whole way: known list, watch, an invocation to a worker, its news, the answer; then the order to stop, with one
 // invocation in hand that no worker ends: it is answered all the same, and the service ends by itself.
@@ -150,7 +150,7 @@
 		}
 	}
 	hold("b", `"Forwards":2`) // taken alone, it may not have been sent, and is told to come back
-	s.loop.Post(breaks{s})
+	s.loop.Post(breakDispatcher{s})
 	if got := <-answer; got != "HTTP/1.1 500 Internal Server Error " {
 		t.Error("in hand of a broken module:", got)
 	}
@@ -202,7 +202,7 @@
 
 // With a known list and a discovery that does not answer the service is ready at once, as nobody else may be; an idle
 // connection is served on after the order to stop, and shut before the end.
-func TestReadyAtOnceAndStopOnKept(t *testing.T) {
+func TestReadyAtOnceAndStopOnReusedConnection(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/stoatweir/crowd_test.go
+++ b/cmd/stoatweir/stalled_clients_test.go
@@ -85,15 +85,15 @@
 // A crowd that finishes no request, with memory and descriptors halved: every true one is served, on new connections and
 // written slowly too, workers' news gets in, operators are answered within their second, in a drain as well, and the
 // descriptors keep to their limit.
-func TestCrowdAtTheDoor(t *testing.T) {
+func TestServesBesideManyStalledClients(t *testing.T) {
 	r := newRig(t, 3, 60*time.Millisecond)
 	r.config["limits"] = map[string]any{"memory_mb": 32, "sockets": 96}
-	r.write()
+	r.writeConfig()
 	p := r.start()
-	r.ready(p)
+	r.waitUntilReady(p)
 	stop := make(chan struct{})
 	came := r.crowd(3*time.Millisecond, stop)
-	r.clients(3, "render")
+	r.startClients(3, "render")
 	slow := make(chan string)
 	go func() {
 		defer close(slow)
@@ -117,14 +117,14 @@
 			most = max(most, p.descriptors())
 		}
 		if n == 5 {
-			if got := p.ask("standby"); got != "+OK standby\n" {
+			if got := p.adminCommand("standby"); got != "+OK standby\n" {
 				t.Errorf("standby in a crowd: %q", got)
 			}
-			if got := p.ask("active"); got != "+OK ready\n" {
+			if got := p.adminCommand("active"); got != "+OK ready\n" {
 				t.Errorf("active in a crowd: %q", got)
 			}
 		}
-		if got := p.ask("stats"); !strings.HasPrefix(got, "+OK figures\n") {
+		if got := p.adminCommand("stats"); !strings.HasPrefix(got, "+OK figures\n") {
 			t.Errorf("stats in a crowd: %q", got)
 		}
 	}
@@ -134,7 +134,7 @@
 		}
 	}
 	close(stop)
-	r.halt()
+	r.stopClients()
 	if n := came(); n < 1000 {
 		t.Error("the crowd was no crowd:", n)
 	}
@@ -146,5 +146,5 @@
 		t.Error("descriptors: ", most)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, 5*time.Second)
+	r.waitForExit(p, 5*time.Second)
 }
--- a/cmd/stoatweir/start_test.go
+++ b/cmd/stoatweir/start_test.go
@@ -17,7 +17,7 @@
 )
 
 // A start at which the machine can't give a socket for a moment waits for it; what will not pass ends it at once, and so does an order to end.
-func TestListenFailsForAMoment(t *testing.T) {
+func TestStartRetriesTransientListenErrors(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	t.Cleanup(func() { listenAt = handover.ListenReusePort })
@@ -50,7 +50,7 @@
 }
 
 // An order to read the configuration anew comes while the machine has no descriptor for it: it is carried out a moment later.
-func TestReloadFailsForAMoment(t *testing.T) {
+func TestReloadRetriesTransientReadErrors(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	node, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"Operations":[
--- a/cmd/stoatweir/figures_test.go
+++ b/cmd/stoatweir/stats_test.go
@@ -11,7 +11,7 @@
 // figures are what the process tells operators, by name and labels.
 func (p *process) figures(t *testing.T) map[string]int {
 	t.Helper()
-	text := p.ask("stats")
+	text := p.adminCommand("stats")
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	if !strings.HasPrefix(text, "+OK") || lines[len(lines)-1] != "." {
 		t.Fatalf("stats: %q", text)
@@ -33,22 +33,22 @@
 }
 
 // What operators are told is what clients and workers saw: each class by itself, attempts, and what is under way.
-func TestFiguresAreTrue(t *testing.T) {
+func TestStatsMatchWhatPeersSaw(t *testing.T) {
 	r := newRig(t, 3, 150*time.Millisecond)
 	p := r.start()
-	r.ready(p)
-	r.clients(5, "render")
-	r.clients(3, "sale")
+	r.waitUntilReady(p)
+	r.startClients(5, "render")
+	r.startClients(3, "sale")
 	time.Sleep(700 * time.Millisecond)
 	if got := p.figures(t); got["svc_outstanding"] != 8 || got["svc_discovered"] != 3 || got["svc_ejected"] != 0 {
 		t.Error("under load:", got)
 	}
-	r.halt()
+	r.stopClients()
 	time.Sleep(2 * publishDelay)
 	got, attempts := p.figures(t), 0
 	for _, w := range r.workers {
 		w.mu.Lock()
-		for _, n := range w.got {
+		for _, n := range w.attempts {
 			attempts += n
 		}
 		w.mu.Unlock()
@@ -60,5 +60,5 @@
 		t.Error("workers saw", attempts, "in", got)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, 5*time.Second)
+	r.waitForExit(p, 5*time.Second)
 }
--- a/cmd/stoatweir/replace_test.go
+++ b/cmd/stoatweir/takeover_test.go
@@ -12,25 +12,25 @@
 
 // One process replaces another under steady load, twice: every invocation gets its answer, none is sent twice, news that
 // reaches the other process finds its owner, and nothing is left behind.
-func TestReplaceUnderLoad(t *testing.T) {
+func TestTakeoverUnderLoad(t *testing.T) {
 	r := newRig(t, 3, 120*time.Millisecond)
 	p := r.start()
-	r.ready(p)
-	r.clients(4, "render")
-	r.clients(2, "sale")
+	r.waitUntilReady(p)
+	r.startClients(4, "render")
+	r.startClients(2, "sale")
 	time.Sleep(300 * time.Millisecond)
 	for range 2 {
 		next := r.start()
-		r.ready(next)
+		r.waitUntilReady(next)
 		time.Sleep(200 * time.Millisecond) // both serve
 		p.Process.Signal(syscall.SIGTERM)
-		r.end(p, 2*time.Second)
+		r.waitForExit(p, 2*time.Second)
 		p = next
 		time.Sleep(200 * time.Millisecond)
 	}
-	r.halt()
+	r.stopClients()
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, 5*time.Second)
+	r.waitForExit(p, 5*time.Second)
 	r.check()
 	if r.answers[200] < 50 || len(r.answers) > 1 {
 		t.Error("answers by status: ", r.answers)
@@ -42,72 +42,72 @@
 
 // A new process that dies before its yes costs nothing, one that is killed after it little: the old one goes on. A third
 // process waits for its turn. What was killed leaves its file, and the next one finds its way all the same.
-func TestReplaceFails(t *testing.T) {
+func TestFailedTakeoverKeepsServing(t *testing.T) {
 	r := newRig(t, 3, 50*time.Millisecond)
 	p := r.start()
-	r.ready(p)
-	r.clients(4, "render")
+	r.waitUntilReady(p)
+	r.startClients(4, "render")
 	next := r.start()
-	r.logged(p, "successor accepted", 1)
+	r.waitForLog(p, "successor accepted", 1)
 	next.Process.Kill()
-	<-next.ended
+	<-next.exited
 	time.Sleep(200 * time.Millisecond)
-	if got := p.ask("status"); got != "+OK ready\n" {
+	if got := p.adminCommand("status"); got != "+OK ready\n" {
 		t.Errorf("after the other's death: %q", got)
 	}
-	r.halt()
+	r.stopClients()
 	r.check()
 	if r.answers[200] == 0 || len(r.answers) > 1 {
 		t.Error("answers by status: ", r.answers)
 	}
 	// Two in turn: the third one comes while the second has not said yes.
 	second := r.start()
-	r.logged(p, "successor accepted", 2)
+	r.waitForLog(p, "successor accepted", 2)
 	third := r.start()
-	r.ready(second)
+	r.waitUntilReady(second)
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, 2*time.Second)
-	r.ready(third)
+	r.waitForExit(p, 2*time.Second)
+	r.waitUntilReady(third)
 	second.Process.Kill()
-	<-second.ended
-	if status, body := (&keptConn{addr: r.listen}).ask(post("/render/k", "X-Call-Id: last\r\nX-Call-Class: render\r\nX-Budget: 10\r\n", "")); status != 200 {
+	<-second.exited
+	if status, body := (&reusedConn{addr: r.listen}).request(post("/render/k", "X-Call-Id: last\r\nX-Call-Class: render\r\nX-Budget: 10\r\n", "")); status != 200 {
 		text, _ := os.ReadFile(third.log)
 		t.Errorf("after the second one's death: %v %v\n%s", status, body, text)
 	}
 	third.Process.Kill()
-	<-third.ended
+	<-third.exited
 	fourth := r.start()
-	r.ready(fourth)
+	r.waitUntilReady(fourth)
 }
 
 // Work that runs longer than the old process has goes on at its worker, and its client gets the answer on the connection
 // that it has, without a second attempt; idle connections go as well, and none is closed.
-func TestReplacePassesWorkOn(t *testing.T) {
+func TestTakeoverMigratesRequests(t *testing.T) {
 	r := newRig(t, 3, 5*time.Second)
 	p := r.start()
-	r.ready(p)
+	r.waitUntilReady(p)
 	answers := make(chan string)
 	for n := range 6 {
 		go func() {
-			kept := &keptConn{addr: r.listen}
-			kept.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+			kept := &reusedConn{addr: r.listen}
+			kept.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 			first := kept.c
 			class, id := []string{"render", "sale"}[n%2], fmt.Sprint("long-", n)
-			status, body := kept.ask(post("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
+			status, body := kept.request(post("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
 			answers <- fmt.Sprint(status, " ", body, " on the same: ", kept.c == first)
 		}()
 	}
-	idle := &keptConn{addr: r.listen}
-	idle.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	idle := &reusedConn{addr: r.listen}
+	idle.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	before := idle.c
 	for p.figures(t)["svc_outstanding"] < 6 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	next := r.start()
-	r.ready(next)
+	r.waitUntilReady(next)
 	p.Process.Signal(syscall.SIGTERM)
-	r.end(p, time.Second)
-	if status, body := idle.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 || idle.c != before {
+	r.waitForExit(p, time.Second)
+	if status, body := idle.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 || idle.c != before {
 		t.Error("idle connection:", status, body)
 	}
 	for range 6 {
--- a/cmd/stoatweir/tenancy_test.go
+++ b/cmd/stoatweir/tenancy_test.go
@@ -41,7 +41,7 @@
 	s["FamilyInfo"] = map[string]any{"TellsStart": true, "ReportX0": "free slots"}
 	s["Report"] = map[string]any{"How": "probe", "Names": []string{"x0"}}
 	s["Limits"] = map[string]any{"MostForwards": 3, "Cancel": true, "RetryAfter": true, "MaxRetryAfter": 1, "Probes": true}
-	h.write()
+	h.writeConfig()
 	return h
 }
 
@@ -105,7 +105,7 @@
 func (h *hosted) hinted(credential, name, operation string, rate float64, lasts time.Duration, tries int, hint time.Duration) *tally {
 	cost := fmt.Sprint("X-Call-Cost: ", hint.Microseconds(), "\r\n")
 	t := &tally{statuses: map[int]int{}}
-	idle := make(chan *keptConn, 4096)
+	idle := make(chan *reusedConn, 4096)
 	var all sync.WaitGroup
 	began := time.Now()
 	for n := 0; ; n++ {
@@ -117,16 +117,16 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			var kept *keptConn
+			var kept *reusedConn
 			select {
 			case kept = <-idle:
 			default:
-				kept = &keptConn{addr: h.listen}
+				kept = &reusedConn{addr: h.listen}
 			}
 			first, served := time.Now(), false
 			for try := 1; try <= tries && !served; try++ {
 				id := fmt.Sprintf("%s-%d-%d", name, n, try)
-				status, body := kept.ask(post("/"+operation+"/k", "Authorization: Bearer "+credential+"\r\nX-Call-Id: "+id+"\r\nX-Call-Class: "+operation+
+				status, body := kept.request(post("/"+operation+"/k", "Authorization: Bearer "+credential+"\r\nX-Call-Id: "+id+"\r\nX-Call-Class: "+operation+
 					"\r\nX-Budget: 2\r\n"+cost, id))
 				t.mu.Lock()
 				t.statuses[status]++
@@ -154,11 +154,11 @@
 
 // A tenant at ten times its share, each refusal followed by two more tries at once, that claims a million times the value and a
 // fortieth of its work: the other one is served as if it were alone.
-func TestHostedFlood(t *testing.T) {
+func TestTenantFloodLeavesOthersServed(t *testing.T) {
 	h := newHosted(t, 4, 2, 40*time.Millisecond, 64)
 	small := strings.Replace(renders, `"billed_value": 1`, `"billed_value": 1000000`, 1)
 	p := h.start()
-	h.ready(p)
+	h.waitUntilReady(p)
 	calm, flood := h.tenant("calm", ""), h.tenant("flood", "", small)
 	solo := h.load(calm, "solo", "render", 60, 2*time.Second, 1)
 	flooded := make(chan *tally)
@@ -186,10 +186,10 @@
 
 // Removed in the midst of its load: new work is refused, what was taken gets one answer, and a tenant made anew under the name
 // has none of its credentials, ids or counters.
-func TestHostedRemoval(t *testing.T) {
+func TestRemovedTenantLeavesNothingBehind(t *testing.T) {
 	h := newHosted(t, 2, 4, 150*time.Millisecond, 64)
 	p := h.start()
-	h.ready(p)
+	h.waitUntilReady(p)
 	old := h.tenant("brief", "")
 	done := make(chan *tally)
 	go func() { done <- h.load(old, "gone", "render", 40, 2*time.Second, 1) }()
@@ -214,10 +214,10 @@
 }
 
 // Limits go below what is in hand, a class becomes stricter while forwards are out, and a tenant is suspended and resumed.
-func TestHostedChanges(t *testing.T) {
+func TestTenantChangesUnderLoad(t *testing.T) {
 	h := newHosted(t, 2, 8, 600*time.Millisecond, 64)
 	p := h.start()
-	h.ready(p)
+	h.waitUntilReady(p)
 	key := h.tenant("change", `"concurrency": 12`)
 	done := make(chan *tally)
 	go func() { done <- h.load(key, "before", "render", 100, 100*time.Millisecond, 1) }()
@@ -229,7 +229,7 @@
 	if before.statuses[200] != 10 || now.statuses[429] != 5 {
 		t.Error("before: ", before.statuses, " with the lower limit: ", now.statuses)
 	}
-	if status, body := (&keptConn{addr: h.listen}).ask(post("/render/k", "Authorization: Bearer "+key+"\r\nX-Call-Id: l\r\nX-Call-Class: render\r\nX-Budget: 2\r\n",
+	if status, body := (&reusedConn{addr: h.listen}).request(post("/render/k", "Authorization: Bearer "+key+"\r\nX-Call-Id: l\r\nX-Call-Class: render\r\nX-Budget: 2\r\n",
 		strings.Repeat("x", 41))); status != 413 {
 		t.Error("a large body: ", status, body)
 	}
@@ -247,13 +247,13 @@
 }
 
 // Who shows no credential, another's, or a header that a client may invent, is nobody; one tenant's ids mean nothing to another.
-func TestHostedIdentity(t *testing.T) {
+func TestTenantsAreIsolated(t *testing.T) {
 	h := newHosted(t, 1, 8, 300*time.Millisecond, 64)
 	p := h.start()
-	h.ready(p)
+	h.waitUntilReady(p)
 	one, two := h.tenant("one", ""), h.tenant("two", "")
 	ask := func(credential, id string) int {
-		status, _ := (&keptConn{addr: h.listen}).ask(post("/render/k", credential+"X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 2\r\n", id))
+		status, _ := (&reusedConn{addr: h.listen}).request(post("/render/k", credential+"X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 2\r\n", id))
 		return status
 	}
 	bearer := func(c string) string { return "Authorization: Bearer " + c + "\r\n" }
@@ -277,12 +277,12 @@
 	if fmt.Sprint(statuses) != "[200 200 409]" {
 		t.Error("the same id of two tenants, and of one twice: ", statuses)
 	}
-	for w := range h.workers[0].got {
+	for w := range h.workers[0].attempts {
 		if handle, _, scoped := strings.Cut(w, "~"); !scoped || len(handle) < 16 {
 			t.Error("an id at a worker without its tenant, or one that others can guess: ", w)
 		}
 	}
-	if status, _ := (&keptConn{addr: h.listen}).ask("GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"); status != 405 {
+	if status, _ := (&reusedConn{addr: h.listen}).request("GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"); status != 405 {
 		t.Error("anybody may read all tenants' figures: ", status)
 	}
 	h.check()
@@ -290,10 +290,10 @@
 
 // Killed under load and started again, it has all that it had said yes to; a second process that replaces the first goes on with
 // what it had in hand, and becomes the one that writes.
-func TestHostedRestart(t *testing.T) {
+func TestTenantsSurviveKillAndTakeover(t *testing.T) {
 	h := newHosted(t, 2, 8, 100*time.Millisecond, 64)
 	p := h.start()
-	h.ready(p)
+	h.waitUntilReady(p)
 	key := h.tenant("stays", "")
 	done := make(chan *tally)
 	go func() { done <- h.load(key, "killed", "render", 40, 300*time.Millisecond, 1) }()
@@ -301,16 +301,16 @@
 	p.Process.Kill()
 	<-done
 	p = h.start()
-	h.ready(p)
+	h.waitUntilReady(p)
 	if s := h.load(key, "back", "render", 20, 200*time.Millisecond, 1); s.statuses[200] != s.asked {
 		t.Error("after a kill: ", s.statuses, h.logs())
 	}
 	go func() { done <- h.load(key, "passed", "render", 40, 4*time.Second, 1) }()
 	time.Sleep(300 * time.Millisecond)
 	successor := h.start()
-	h.ready(successor)
+	h.waitUntilReady(successor)
 	p.Process.Signal(os.Interrupt)
-	h.end(p, 5*time.Second)
+	h.waitForExit(p, 5*time.Second)
 	s := <-done
 	if s.statuses[200] != s.asked {
 		t.Error("over the change of processes: ", s.statuses, s.troubles, h.logs())
@@ -334,7 +334,7 @@
 func TestTenantCommands(t *testing.T) {
 	h := newHosted(t, 1, 8, 10*time.Millisecond, 64)
 	p := h.start()
-	h.ready(p)
+	h.waitUntilReady(p)
 	h.call(200, "GET", "/v1/revision", "") // it is there
 	token := filepath.Join(h.dir, "token")
 	os.WriteFile(token, []byte(adminToken+"\n"), 0o600)
@@ -377,10 +377,10 @@
 }
 
 // Two tenants that both want far more than there is have what their weights say, and together nearly all of it.
-func TestHostedWeights(t *testing.T) {
+func TestTenantsGetTheirWeights(t *testing.T) {
 	h := newHosted(t, 4, 2, 40*time.Millisecond, 32)
 	p := h.start()
-	h.ready(p)
+	h.waitUntilReady(p)
 	one, three := h.tenant("one", ""), h.tenant("three", "")
 	h.call(200, "PUT", "/v1/tenants/three", `{"weight": 3, "limits": {}, "operations": [`+renders+`]}`)
 	other := make(chan *tally)
--- a/cmd/stoatweir/pause_test.go
+++ b/cmd/stoatweir/watch_backoff_test.go
@@ -9,7 +9,7 @@
 )
 
 // What is pushed when whoever carries the list is back counts as told at once: the next watch stands well inside the grace.
-func Example_pause() {
+func Example_watchBackoff() {
 	for _, grace := range []time.Duration{0, 20 * time.Millisecond, 500 * time.Millisecond, 30 * time.Second} {
 		s := &service{deployment: settings.Deployment{DrainGrace: grace}, random: rand.New(rand.NewPCG(1, 2))}
 		fmt.Print(grace, ":")
