--- a/cmd/stoatweir/capacity_test.go
+++ b/cmd/stoatweir/capacity_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// inHand are the sizes of docs/CAPACITY.md for a hand-over; a test that is told nothing plays a small one, and one with more than
+// inHand are the sizes of docs/CAPACITY.md for a take-over; without the flag a test plays a small one, and one with more than
 // a link between two processes holds messages.
 var inHand = flag.String("in-hand", "40,600", "sizes of the hand-over that TestTakeoverWithManyInFlight plays, by commas")
 
-// handed is what became of the invocations that one process passed to the next.
+// handed is what became of the requests that migrated from one process to the other.
 type handed struct {
 	n, served, refused, errored, lost int
 	serves, passes                    time.Duration // until the successor's yes, and from the order to stop to the end
-	mem, memNext                      int           // resident MB, of both, with all of it in hand
+	mem, memNext                      int           // resident MB, of both, with all of it in flight
 	files                             int           // descriptors of the first
 	told                              string        // what the logs say of the link
 }
@@ -33,13 +33,13 @@
 		h.passes.Seconds(), h.mem, h.memNext, h.files, h.told)
 }
 
-// replaceWith has n invocations in hand that run on for long, puts a successor beside the process and ends it.
+// replaceWith has n long-running requests in flight, starts a successor beside the process and stops the process.
 func replaceWith(t *testing.T, n int) (h handed) {
 	r := newRig(t, 3, 4*time.Second+time.Duration(n)*5*time.Millisecond)
 	for _, w := range r.workers {
 		w.slots = make(chan struct{}, n+10)
 	}
-	// While both live each has half of the descriptors, and of these half are for invocations in hand.
+	// While both live each has half of the descriptors, and of these half are for requests in flight.
 	r.config["limits"] = map[string]any{"memory_mb": 512, "sockets": 4*n + 400}
 	s := r.config["settings"].(map[string]any)
 	s["FamilyInfo"] = map[string]any{"TellsStart": true, "ReportX0": "free slots"}
@@ -124,7 +124,7 @@
 	return part * os.Getpagesize() >> 20
 }
 
-// All that is in hand goes to the successor, and each client has its worker's result on the connection that it has. With
+// All requests in flight migrate to the successor, and each client gets its worker's result on the connection that it has. With
 // -in-hand it plays other sizes and prints what became of them.
 func TestTakeoverWithManyInFlight(t *testing.T) {
 	for _, word := range strings.Split(*inHand, ",") {
--- a/cmd/stoatweir/combined_operations_test.go
+++ b/cmd/stoatweir/combined_operations_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Drain, retune and replace in pairs under steady load with a crowd at the door: every invocation gets its answer, none is
+// Drain, reload and take-over in pairs under steady load beside many stalled clients: every request gets its answer, none is
 // sent twice where it may not be, and the ledgers of all processes together are what clients and workers saw.
 func TestDrainReloadAndTakeoverInPairs(t *testing.T) {
 	type act func(r *rig, p *process) *process
--- a/cmd/stoatweir/dispatcher_panic_test.go
+++ b/cmd/stoatweir/dispatcher_panic_test.go
@@ -11,8 +11,8 @@
 	"stoatweir/internal/settings"
 )
 
-// The decisions break while the process is told to stop, with an invocation in hand and a connection kept: what is in hand has its answer,
-// what comes over the connection is served by the decisions that begin anew, and the end comes in time.
+// The dispatcher panics while the process stops, with a request in flight and a connection that is reused: the request gets its answer,
+// the next one on the connection is served by the restarted dispatcher, and the process exits in time.
 func TestDispatcherPanicDuringStop(t *testing.T) {
 	const timeout = 2 * time.Second
 	node := ""
--- a/cmd/stoatweir/endpoint_watch_test.go
+++ b/cmd/stoatweir/endpoint_watch_test.go
@@ -52,7 +52,7 @@
 	silent   bool          // watches that are open then fall silent instead of being reset
 	each     time.Duration // that one call keeps it busy
 	late     time.Duration // that an answer takes beyond that, for nobody else to wait
-	patience time.Duration // a call that has waited for longer is turned away; 0: never
+	patience time.Duration // a call that has waited for longer is rejected; 0: never
 	drains   time.Duration // when the worker begins to; 0: at the return
 	moves    bool          // another address is served from the beginning of the outage on, and fails; the old one goes
 
@@ -186,7 +186,7 @@
 			if line%10 == 0 {
 				io.WriteString(c, chunk("\n"))
 			}
-			continue // what is new is told at the new address alone
+			continue // changes are sent at the new address alone
 		} else if old || d.state() != up {
 			if d.silent {
 				<-gone
@@ -217,7 +217,7 @@
 
 func (l closed) Accept() (net.Conn, error) {
 	<-l
-	runtime.Goexit() // the loop that would be told is over
+	runtime.Goexit() // the event loop that would be notified has ended
 	return nil, net.ErrClosed
 }
 func (l closed) Close() error   { return nil }
@@ -289,13 +289,13 @@
 	close(p.listener)
 }
 
-// afterSix is how long a change may be on its way after discovery has it and can be reached: what counts as told then may be
-// sent to for the grace, which is kept in hand.
+// afterSix is how long a change may take after discovery has it and can be reached: a worker that counts as draining then may be
+// sent requests for the drain grace, which is kept as a reserve.
 const afterSix = 6*time.Second - 500*time.Millisecond
 
 // Discovery goes down in each way, for each span from nothing to 20 s in steps of 50 ms (variants: 250), with watches that end or fall silent; a
 // worker begins to drain at its return. From there to the list is less than 6 s and the grace, at each of these moments. What is
-// pushed counts as told at the return already: there the grace itself is the bound, unless a call was lost.
+// pushed counts as known at the return already: there the drain grace itself is the bound, unless a call was lost.
 func TestDrainIsAppliedAtAnyDiscoveryReturn(t *testing.T) {
 	const first, longest = 3 * time.Second, 20 * time.Second
 	for _, play := range []struct {
@@ -462,7 +462,7 @@
 	}
 }
 
-// A process that is told to stop follows the list on: its watch has ended, and what comes at the return is in before it goes.
+// A draining process goes on following the endpoint list: its watch has failed, and the list that comes at the return is applied before it exits.
 func TestEndpointListIsFollowedDuringStop(t *testing.T) {
 	const first = 3 * time.Second
 	for _, push := range []bool{false, true} {
--- a/cmd/stoatweir/gossip_test.go
+++ b/cmd/stoatweir/gossip_test.go
@@ -12,8 +12,8 @@
 	"stoatweir/dispatch"
 )
 
-// Schedulers of a pool: the program tells the others of itself and asks them. One is silent, one sends garbage without end,
-// cut and doubled messages and lies; clients get one answer each all the same. A file that mixes two shapes is refused.
+// Schedulers of a pool exchange messages. One is silent, one sends garbage without end, truncated and duplicated messages and false
+// ones; clients get one answer each all the same. A configuration that mixes two shapes is rejected.
 func TestGossipSurvivesBrokenPeers(t *testing.T) {
 	r := newRig(t, 12, 200*time.Millisecond) // answers of others hold for a part of a run
 	var others []*net.UDPConn
@@ -52,7 +52,7 @@
 					}
 				}
 			}
-			// Without a true answer between the lies none of its workers need ever look free: all that is held may go to our own.
+			// Without a true answer between the lies none of its workers need ever look free: all queued requests may go to our own.
 			if len(free) > 0 {
 				answer := append(append([]byte(nil), message[:15]...), dispatch.EncodeGossip(free)[0]...)
 				answer[1], answer[2] = 0, 0
@@ -105,8 +105,8 @@
 	}
 }
 
-// A pushed list whose service is down: the watch comes back at growing spans with chance in them, clients are served from the
-// known list meanwhile, and what the service tells once it is back is taken.
+// A pushed list whose discovery is down: the watch is retried with backoff and jitter, clients are served from the cached list
+// meanwhile, and the list that discovery sends once it is back is applied.
 func TestServesWhilePushedListIsDown(t *testing.T) {
 	r := newRig(t, 2, 20*time.Millisecond)
 	var calls, back atomic.Int32
--- a/cmd/stoatweir/large_fleet_test.go
+++ b/cmd/stoatweir/large_fleet_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A scheduler that is told of 1,024 workers and 1,024 schedulers has them all, holds goroutines and memory for what it uses of them,
+// A scheduler that is configured with 1,024 workers and 1,024 schedulers has them all, holds goroutines and memory for what it uses of them,
 // and serves.
 func TestThousandWorkersAndSchedulers(t *testing.T) {
 	const many, goroutinesMost, heapMost = 1024, 40, 16 << 20
--- a/cmd/stoatweir/log_test.go
+++ b/cmd/stoatweir/log_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A reader of the log that stalls costs lines, and no waiting; it is told how many.
+// A reader of the log that stalls costs lines, and no waiting; their number is logged.
 func Example_stalledLog() {
 	r, w := io.Pipe()
 	l := newAsyncWriter(w)
--- a/cmd/stoatweir/process_rig_test.go
+++ b/cmd/stoatweir/process_rig_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// rig is a small scripted world on loopback round real processes of the built program: one list of workers, workers that
-// take, tell and count, and clients that insist on one answer each.
+// rig runs real processes of the built program on loopback: one list of workers, workers that accept, call back and count, and
+// clients that insist on one answer each.
 type rig struct {
 	t       *testing.T
 	dir     string // of $TMPDIR and the configuration
@@ -36,7 +36,7 @@
 	faults    []string
 }
 
-// peer is a scripted worker.
+// rigWorker is a scripted worker.
 type rigWorker struct {
 	*rig
 	uid, addr string
@@ -47,7 +47,7 @@
 	attempts       map[string]int // attempts by id
 	running        map[string]int // attempts under way by id
 	duplicates     []string       // a second attempt while one was under way here
-	unacknowledged []string       // ends that the scheduler did not take
+	unacknowledged []string       // results that the scheduler did not acknowledge
 }
 
 // process is one run of the program.
@@ -193,7 +193,7 @@
 	return p
 }
 
-// ready waits for the process's yes.
+// waitUntilReady waits until the process reports that it is ready.
 func (r *rig) waitUntilReady(p *process) {
 	r.t.Helper()
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -205,7 +205,7 @@
 	r.t.Fatalf("no yes within 6 s\n%s", text)
 }
 
-// logged waits until the process has said something so many times.
+// waitForLog waits until the process has logged something so many times.
 func (r *rig) waitForLog(p *process, what string, times int) {
 	r.t.Helper()
 	var text []byte
@@ -229,7 +229,7 @@
 	return all.String()
 }
 
-// ask is an operator's call.
+// adminCommand is an operator's call.
 func (p *process) adminCommand(word string) string {
 	c, err := net.Dial("tcp", p.admin)
 	if err != nil {
@@ -245,7 +245,7 @@
 	return string(b)
 }
 
-// end waits for the process to end by itself.
+// waitForExit waits for the process to exit by itself.
 func (r *rig) waitForExit(p *process, within time.Duration) {
 	r.t.Helper()
 	select {
@@ -260,7 +260,7 @@
 	}
 }
 
-// clients begin to ask, one invocation after the other each, on kept connections.
+// startClients starts clients that send one request after the other each, on reused connections.
 func (r *rig) startClients(n int, class string) {
 	for c := range n {
 		r.load.Add(1)
@@ -280,7 +280,7 @@
 	}
 }
 
-// one hands in an invocation and counts its answer.
+// request sends a request and counts its answer.
 func (r *rig) request(kept *reusedConn, id, class string) {
 	began := time.Now()
 	status, body := kept.request(post("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
@@ -298,7 +298,7 @@
 	}
 }
 
-// halt lets the clients' last invocations end.
+// stopClients waits for the clients' last requests.
 func (r *rig) stopClients() {
 	close(r.stopped)
 	r.load.Wait()
@@ -330,7 +330,7 @@
 	}
 }
 
-// keptConn is a client's connection. One that was closed between two requests is opened anew, once.
+// reusedConn is a client's connection. One that was closed between two requests is opened anew, once.
 type reusedConn struct {
 	addr string
 	c    net.Conn
@@ -384,7 +384,7 @@
 	return fmt.Sprint("HTTP/1.1 ", answer.StatusCode), string(b), answer.Close, err
 }
 
-// ServeHTTP takes invocations and tells their ends to whoever listens at the scheduler's address.
+// ServeHTTP accepts requests and sends their callbacks to whoever listens at the scheduler's address.
 func (w *rigWorker) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	if in.Method == "GET" && w.slots != nil {
 		fmt.Fprintf(out, "TEXT x0=%d", cap(w.slots)-len(w.slots))
@@ -422,7 +422,7 @@
 	}()
 }
 
-// tell tries ten times at most, as workers do.
+// sendCallback makes ten attempts at most, as workers do.
 func (w *rigWorker) sendCallback(id, news string) bool {
 	for range 10 {
 		kept := reusedConn{addr: w.listen}
--- a/cmd/stoatweir/races_test.go
+++ b/cmd/stoatweir/races_test.go
@@ -20,7 +20,7 @@
 	"stoatweir/internal/workers"
 )
 
-// send hands in an invocation without waiting for its answer.
+// send sends a request without waiting for its answer.
 func (r *rig) send(class, id string) (net.Conn, *bufio.Reader) {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.listen)
@@ -32,7 +32,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// outstanding waits until so many invocations are in hand.
+// waitForInFlight waits until so many requests are in flight.
 func (r *rig) waitForInFlight(p *process, n int) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); p.figures(r.t)["svc_outstanding"] != n; time.Sleep(5 * time.Millisecond) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// The order to stop comes before there is a list, with a request in hand that nobody could have: it gets its answer, and a
+// The order to stop comes before there is a list, with a request in flight that no worker could have: it gets its answer, and a
 // second order changes nothing.
 func TestStopBeforeEndpointListAnswersRequests(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,13 +102,13 @@
 	r.writeConfig()
 	p := r.start()
 	var c net.Conn
-	for c == nil { // it hears, and is not ready
+	for c == nil { // it listens, and is not ready
 		if c, err = net.Dial("tcp", r.listen); err != nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	c.Close()
-	for !strings.HasPrefix(p.adminCommand("status"), "-ERR") { // the operators' door opens a moment later
+	for !strings.HasPrefix(p.adminCommand("status"), "-ERR") { // the admin address listens a moment later
 		time.Sleep(time.Millisecond)
 	}
 	_, b := r.send("render", "early")
@@ -175,8 +175,8 @@
 	r.check()
 }
 
-// A successor ends, or hangs, with an invocation on its way to it: its client has one answer, which promises nothing, the work
-// was sent once, and an idle connection that was on its way serves nobody twice.
+// A successor exits, or hangs, with a request migrating to it: its client gets one answer, which promises nothing, the request
+// was sent once, and its connection is not served twice.
 func TestSuccessorExitsDuringMigration(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		t.Run(fmt.Sprint("hangs: ", hangs), func(t *testing.T) {
@@ -234,7 +234,7 @@
 	}
 }
 
-// What must never run twice is known as such to those who carry it, from the settings that hold when it comes.
+// A request has the effect class of the settings that are in force when it arrives.
 func Example_effectAtArrival() {
 	const text = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
 		{"Name":"render","Effect":"read_like"},{"Name":"keyed","Effect":"idempotency_key"},{"Name":"sale","Effect":"non_idempotent"}]}}`
@@ -272,7 +272,7 @@
 	// in hand before: false true
 }
 
-// A process is killed right after it has accepted connections, with requests unread, half read or just sent on: none of them is
+// A process is killed right after it has accepted connections, with requests unread, half read or just forwarded: none of them is
 // sent twice, and the process that follows serves at once.
 func TestKillAfterAcceptDuplicatesNothing(t *testing.T) {
 	r := newRig(t, 3, 10*time.Millisecond)
@@ -308,7 +308,7 @@
 	r.mu.Lock()
 	for _, w := range r.workers {
 		w.mu.Lock()
-		w.unacknowledged = nil // news of what a killed process had finds nobody for a while
+		w.unacknowledged = nil // callbacks of a killed process's requests find nobody for a while
 		w.mu.Unlock()
 	}
 	r.mu.Unlock()
--- a/cmd/stoatweir/recovery_test.go
+++ b/cmd/stoatweir/recovery_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// All workers are lost for some time and come back, with probes and where the settings allow none: clients are served again within the
-// longest time for which a worker is set aside, and a little more where all work is non-idempotent. A scheduler that nothing told of their
-// return, or that had no other work to try them with, turned away all that it got for good.
+// All workers are unreachable for some time and come back, with health checks and where the settings allow none: clients are served
+// again within the longest ejection time, and a little more where all requests are non-idempotent. A scheduler that was not notified of
+// their return, or had no other requests to attempt them with, rejected all requests for good.
 func TestServesAgainAfterAllWorkersWereLost(t *testing.T) {
 	const longestAside, margin, every = 8 * time.Second, 3 * time.Second, 100 * time.Millisecond
 	for _, effect := range effectClasses {
--- a/cmd/stoatweir/reload_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -25,8 +25,8 @@
 	settings["Operations"] = list
 }
 
-// New settings come under load, in the midst of a drain too: classes appear and vanish, one becomes stricter, the list is
-// reordered. Broken files change nothing, whole. What is under way keeps the class under which it came.
+// Configurations are reloaded under load, while draining too: classes appear and vanish, one becomes stricter, the list is
+// reordered. Invalid files change nothing at all. Requests in flight keep the class under which they arrived.
 func TestReloadUnderLoad(t *testing.T) {
 	r := newRig(t, 3, 100*time.Millisecond)
 	p := r.start()
@@ -75,7 +75,7 @@
 		t.Errorf("active: %q", got)
 	}
 	r.stopClients()
-	// fresh is gone while one of it is under way, and a class of another kind comes: the old one ends as it came.
+	// fresh is removed while a request of it is in flight, and a class of another kind is added: the request ends as it arrived.
 	kept, answer := &reusedConn{addr: r.listen}, make(chan int)
 	go func() {
 		status, _ := kept.request(post("/fresh/k", "X-Call-Id: f3\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", ""))
--- a/cmd/stoatweir/reload_while_migrating_test.go
+++ b/cmd/stoatweir/reload_while_migrating_test.go
@@ -21,8 +21,8 @@
 	return site
 }
 
-// An invocation is on its way to a successor while settings are told anew, twice, and comes back: its operation is still the one under
-// which it came.
+// A request is migrating to a successor while settings are reloaded, twice, and comes back: its operation is still the one under
+// which it arrived.
 func TestReloadWhileMigratingKeepsOperation(t *testing.T) {
 	const render = `{"Name":"render","Effect":"read_like","ClientTimeout":5}`
 	const sale = `{"Name":"sale","Effect":"non_idempotent","ClientTimeout":5}`
--- a/cmd/stoatweir/scale_command_test.go
+++ b/cmd/stoatweir/scale_command_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A small sweep over workers: what a start costs in messages, probes, descriptors and allocations, and how that grows. Times
+// A small sweep over workers: what a start costs in messages, health checks, descriptors and allocations, and how that grows. Times
 // are not compared, as they differ from machine to machine.
 func TestScaleSweep(t *testing.T) {
 	s, err := scale.Read(labFiles + "scale/small.toml")
--- a/cmd/stoatweir/scripted_test.go
+++ b/cmd/stoatweir/scripted_test.go
@@ -67,7 +67,7 @@
 	case c := <-l.come:
 		return c, nil
 	case <-l.ended:
-		runtime.Goexit() // the loop that would be told is over
+		runtime.Goexit() // the event loop that would be notified has ended
 		return nil, net.ErrClosed
 	}
 }
--- a/cmd/stoatweir/service_test.go
+++ b/cmd/stoatweir/service_test.go
@@ -104,8 +104,8 @@
 
 func (b breakDispatcher) Run() { b.dispatcher, b.events = nil, append(b.events, dispatch.TimerFired{}) }
 
-// The whole way: known list, watch, an invocation to a worker, its news, the answer; then the order to stop, with one
-// invocation in hand that no worker ends: it is answered all the same, and the service ends by itself.
+// Cached list, watch, a request forwarded to a worker, its callback, the answer; then the order to stop, with one request in
+// flight that no worker completes: it is answered all the same, and the service exits by itself.
 func TestServeAndStop(t *testing.T) {
 	var node string // where the service listens
 	worker := serve(t, func(first, body string) string {
@@ -141,7 +141,7 @@
 	if got := exchange(node, post("/render", head("q"), "end q")); got != "HTTP/1.1 200 OK made" {
 		t.Error("served:", got)
 	}
-	// A module that panics costs what it had in hand, not the service.
+	// A dispatcher that panics costs its requests in flight, not the service.
 	answer := make(chan string)
 	hold := func(id, counted string) {
 		go func() { answer <- exchange(node, post("/render", head(id), "never")) }()
@@ -149,7 +149,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	hold("b", `"Forwards":2`) // taken alone, it may not have been sent, and is told to come back
+	hold("b", `"Forwards":2`) // on its own it may not have been sent, and is throttled
 	s.loop.Post(breakDispatcher{s})
 	if got := <-answer; got != "HTTP/1.1 500 Internal Server Error " {
 		t.Error("in hand of a broken module:", got)
@@ -200,8 +200,8 @@
 	}
 }
 
-// With a known list and a discovery that does not answer the service is ready at once, as nobody else may be; an idle
-// connection is served on after the order to stop, and shut before the end.
+// With a cached list and a discovery that does not answer the service is ready at once, as nobody else may be; an idle
+// connection is served on after the order to stop, and closed before the exit.
 func TestReadyAtOnceAndStopOnReusedConnection(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/stoatweir/soak_test.go
+++ b/cmd/stoatweir/soak_test.go
@@ -23,7 +23,7 @@
 	soakKeep       = flag.String("soak.keep", "", "a folder for the logs; empty: they go unless a rule is broken")
 )
 
-// soakProgram builds the program with the shims of the soak.
+// soakProgram builds the program with the soak's fault injection.
 func soakProgram(t *testing.T, dir string) string {
 	t.Helper()
 	path := filepath.Join(dir, "stoatweir-soak")
--- a/cmd/stoatweir/stalled_clients_test.go
+++ b/cmd/stoatweir/stalled_clients_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// crowd keeps connecting until told to stop: most say nothing, some send half a request, some ask once and stay. It counts
-// those that came.
+// crowd keeps connecting until it is stopped: most send nothing, some half a request, some one request and stay. It counts the
+// connections.
 func (r *rig) crowd(each time.Duration, stop chan struct{}) (came func() int) {
 	total := make(chan int, 1)
 	total <- 0
@@ -56,7 +56,7 @@
 	return len(all)
 }
 
-// slowly hands in an invocation whose request takes two seconds to write, in pieces cut anywhere.
+// slowly sends a request that takes two seconds to write, in pieces cut anywhere.
 func (r *rig) slowly(id string) (status int, body string) {
 	c, err := net.Dial("tcp", r.listen)
 	if err != nil {
@@ -82,9 +82,9 @@
 	return status, string(b)
 }
 
-// A crowd that finishes no request, with memory and descriptors halved: every true one is served, on new connections and
-// written slowly too, workers' news gets in, operators are answered within their second, in a drain as well, and the
-// descriptors keep to their limit.
+// Many clients complete no request, with memory and descriptors halved: every complete request is served, on new connections and
+// written slowly too, callbacks are accepted, operators are answered within a second, while draining as well, and the descriptors
+// keep to their limit.
 func TestServesBesideManyStalledClients(t *testing.T) {
 	r := newRig(t, 3, 60*time.Millisecond)
 	r.config["limits"] = map[string]any{"memory_mb": 32, "sockets": 96}
--- a/cmd/stoatweir/start_test.go
+++ b/cmd/stoatweir/start_test.go
@@ -16,7 +16,7 @@
 	"stoatweir/internal/takeover"
 )
 
-// A start at which the machine can't give a socket for a moment waits for it; what will not pass ends it at once, and so does an order to end.
+// A start at which listening fails with a transient error retries; any other error ends it at once, and so does an order to stop.
 func TestStartRetriesTransientListenErrors(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/cmd/stoatweir/stats_test.go
+++ b/cmd/stoatweir/stats_test.go
@@ -32,7 +32,7 @@
 	return fmt.Sprintf(`svc_results_total{service=%q,disposition=%q}`, class, disposition)
 }
 
-// What operators are told is what clients and workers saw: each class by itself, attempts, and what is under way.
+// The operators' figures are what clients and workers saw: each class by itself, attempts, and requests in flight.
 func TestStatsMatchWhatPeersSaw(t *testing.T) {
 	r := newRig(t, 3, 150*time.Millisecond)
 	p := r.start()
--- a/cmd/stoatweir/takeover_test.go
+++ b/cmd/stoatweir/takeover_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// One process replaces another under steady load, twice: every invocation gets its answer, none is sent twice, news that
-// reaches the other process finds its owner, and nothing is left behind.
+// One process takes over from another under steady load, twice: every request gets its answer, none is sent twice, callbacks that
+// reach the other process are relayed, and nothing is left behind.
 func TestTakeoverUnderLoad(t *testing.T) {
 	r := newRig(t, 3, 120*time.Millisecond)
 	p := r.start()
@@ -40,8 +40,8 @@
 	}
 }
 
-// A new process that dies before its yes costs nothing, one that is killed after it little: the old one goes on. A third
-// process waits for its turn. What was killed leaves its file, and the next one finds its way all the same.
+// A successor that dies before it is ready costs nothing, one that is killed after it little: the predecessor goes on. A third
+// process waits for its turn. A killed process leaves its socket file, and the next one takes over all the same.
 func TestFailedTakeoverKeepsServing(t *testing.T) {
 	r := newRig(t, 3, 50*time.Millisecond)
 	p := r.start()
@@ -80,8 +80,8 @@
 	r.waitUntilReady(fourth)
 }
 
-// Work that runs longer than the old process has goes on at its worker, and its client gets the answer on the connection
-// that it has, without a second attempt; idle connections go as well, and none is closed.
+// A request that runs longer than the predecessor goes on at its worker, and its client gets the answer on the connection that it
+// has, without a second attempt; idle connections migrate as well, and none is closed.
 func TestTakeoverMigratesRequests(t *testing.T) {
 	r := newRig(t, 3, 5*time.Second)
 	p := r.start()
--- a/cmd/stoatweir/tenancy_test.go
+++ b/cmd/stoatweir/tenancy_test.go
@@ -96,7 +96,7 @@
 	troubles      []string
 }
 
-// load sends invocations at a rate whatever comes back, each with so many tries at once after a refusal, over kept connections.
+// load sends invocations at a rate whatever comes back, each with so many retries at once after a rejection, over reused connections.
 func (h *hosted) load(credential, name, operation string, rate float64, lasts time.Duration, tries int) *tally {
 	return h.hinted(credential, name, operation, rate, lasts, tries, 40*time.Millisecond)
 }
@@ -152,8 +152,8 @@
 
 func (t *tally) service() float64 { return float64(t.inTime) / float64(max(1, t.asked)) }
 
-// A tenant at ten times its share, each refusal followed by two more tries at once, that claims a million times the value and a
-// fortieth of its work: the other one is served as if it were alone.
+// A tenant at ten times its quota, which retries each rejection twice at once and claims a million times the value and a fortieth of
+// its cost: the other one is served as if it were alone.
 func TestTenantFloodLeavesOthersServed(t *testing.T) {
 	h := newHosted(t, 4, 2, 40*time.Millisecond, 64)
 	small := strings.Replace(renders, `"billed_value": 1`, `"billed_value": 1000000`, 1)
@@ -184,8 +184,8 @@
 	h.check()
 }
 
-// Removed in the midst of its load: new work is refused, what was taken gets one answer, and a tenant made anew under the name
-// has none of its credentials, ids or counters.
+// A tenant is removed under load: new requests are rejected, admitted ones get one answer, and a tenant made anew under the name has
+// none of its credentials, IDs or counters.
 func TestRemovedTenantLeavesNothingBehind(t *testing.T) {
 	h := newHosted(t, 2, 4, 150*time.Millisecond, 64)
 	p := h.start()
@@ -213,7 +213,7 @@
 	h.check()
 }
 
-// Limits go below what is in hand, a class becomes stricter while forwards are out, and a tenant is suspended and resumed.
+// Limits go below the requests in flight, a class becomes stricter while attempts are in flight, and a tenant is suspended and resumed.
 func TestTenantChangesUnderLoad(t *testing.T) {
 	h := newHosted(t, 2, 8, 600*time.Millisecond, 64)
 	p := h.start()
@@ -233,7 +233,7 @@
 		strings.Repeat("x", 41))); status != 413 {
 		t.Error("a large body: ", status, body)
 	}
-	// Two administrators change one tenant: the later one is told.
+	// Two administrators change one tenant: the later one is rejected.
 	h.call(200, "PUT", "/v1/tenants/change/state", `{"state": "suspended"}`, "If-Match", fmt.Sprintf("\"%v\"", v["revision"]))
 	h.call(412, "PUT", "/v1/tenants/change/state", `{"state": "active"}`, "If-Match", fmt.Sprintf("\"%v\"", v["revision"]))
 	if s := h.load(key, "suspended", "render", 50, 100*time.Millisecond, 1); s.statuses[403] != 5 {
@@ -289,7 +289,7 @@
 }
 
 // Killed under load and started again, it has all that it had said yes to; a second process that replaces the first goes on with
-// what it had in hand, and becomes the one that writes.
+// its requests in flight, and becomes the one that writes.
 func TestTenantsSurviveKillAndTakeover(t *testing.T) {
 	h := newHosted(t, 2, 8, 100*time.Millisecond, 64)
 	p := h.start()
@@ -330,7 +330,7 @@
 	h.check()
 }
 
-// The command line does what the administrators' door does, and tells a refusal from a mistake by its exit code.
+// The command line does what the tenant API does, and its exit code tells a rejection from a usage error.
 func TestTenantCommands(t *testing.T) {
 	h := newHosted(t, 1, 8, 10*time.Millisecond, 64)
 	p := h.start()
