--- a/internal/takeover/address.go
+++ b/internal/takeover/address.go
@@ -53,14 +53,14 @@
 // Acquire gets the predecessor's listening socket, or opens one where nobody serves at the address. It returns
 // handover.ErrNameMismatch and handover.ErrTakeoverInProgress where the predecessor rejects this process, and ErrStopped.
 func Acquire(c AddressConfig) (Address, error) {
-	path, predecessor, dialErr := c.dial()
+	path, found, dialErr := c.dial()
 	address := Address{socketPath: path}
 	switch {
 	case dialErr == nil:
 		c.Log.WithField("address", c.ListenAddress).Info("taking over from predecessor")
 		address.Shared = true
-		address.Predecessor = predecessor
-		address.Listener = predecessor.Listener
+		address.Predecessor = found
+		address.Listener = found.Listener
 		return address, nil
 	case errors.Is(dialErr, ErrStopped),
 		errors.Is(dialErr, handover.ErrTakeoverInProgress),
@@ -82,16 +82,16 @@
 }
 
 // dial asks the process at the address for its socket. While that one is busy with another successor it is asked again.
-func (c *AddressConfig) dial() (path string, predecessor *handover.Predecessor, err error) {
+func (c *AddressConfig) dial() (path string, found *handover.Predecessor, err error) {
 	path, err = handover.SocketPath(c.Dir, c.ListenAddress)
 	if err != nil {
 		return "", nil, err
 	}
 	began := time.Now()
 	for {
-		predecessor, err = handover.Dial(path, c.ListenAddress, c.ProcessName)
+		found, err = handover.Dial(path, c.ListenAddress, c.ProcessName)
 		if !errors.Is(err, handover.ErrTakeoverInProgress) || time.Since(began) >= turnTimeout {
-			return path, predecessor, err
+			return path, found, err
 		}
 		time.Sleep(turnRetryDelay)
 		if c.Stopped() {
--- a/internal/takeover/adoption.go
+++ b/internal/takeover/adoption.go
@@ -34,7 +34,7 @@
 		SilentFor:        message.Connection.SilentFor,
 	}
 	if message.Connection.Invocation == nil {
-		_, adopted := m.Clients.AcceptMigrated(connection, migrating, nil, 0, 0)
+		_, adopted := m.clients.AcceptMigrated(connection, migrating, nil, 0, 0)
 		return adopted
 	}
 	var migrated migratedRequest
@@ -52,16 +52,16 @@
 		Target:   migrated.Target,
 		Fields:   migrated.Fields,
 		Body:     message.Body,
-		Deadline: m.Loop.Now() + migrated.Remaining,
-		Effect:   m.Service.Deployment().Dispatch.Operations[operation].Effect,
+		Deadline: m.loop.Now() + migrated.Remaining,
+		Effect:   m.service.Deployment().Dispatch.Operations[operation].Effect,
 	}
 	record := migrated.Record
-	id, adopted := m.Clients.AcceptMigrated(connection, migrating, invocation, operation, record.Age)
+	id, adopted := m.clients.AcceptMigrated(connection, migrating, invocation, operation, record.Age)
 	if !adopted {
 		return false
 	}
 	record.Invocation = id
 	record.Operation = operation
-	m.Service.AdoptRequest(Request{Invocation: invocation, Operation: operation, Attempts: len(record.Attempts)}, record)
+	m.service.AdoptRequest(Request{Invocation: invocation, Operation: operation, Attempts: len(record.Attempts)}, record)
 	return true
 }
--- a/internal/takeover/callback.go
+++ b/internal/takeover/callback.go
@@ -30,7 +30,7 @@
 	p := m.peer
 	if p == nil && m.ownerUnknown() {
 		// The worker's next attempt may reach the other process.
-		m.Loop.After(0, func() { onResult(false) })
+		m.loop.After(0, func() { onResult(false) })
 		return true
 	}
 	if p == nil {
@@ -45,7 +45,7 @@
 	p.callbacks[sequence] = &pendingCallback{
 		callback: callback,
 		onResult: onResult,
-		timeout:  m.Loop.After(callbackResultTimeout, onTimeout),
+		timeout:  m.loop.After(callbackResultTimeout, onTimeout),
 	}
 	p.link.Send(handover.Message{Kind: handover.KindCallback, Sequence: sequence, Body: body})
 	return true
@@ -53,13 +53,13 @@
 
 // ownerUnknown reports whether a process that can't be reached may have requests that are not here.
 func (m *Manager) ownerUnknown() bool {
-	return m.address.Shared && m.address.Predecessor == nil && m.Loop.Now() < ownerUnknownWindow
+	return m.address.Shared && m.address.Predecessor == nil && m.loop.Now() < ownerUnknownWindow
 }
 
 // handleCallback answers for a callback that the other process has relayed.
 func (m *Manager) handleCallback(p *peer, message handover.Message) {
-	callback, err := m.Clients.ParseCallback(message.Body)
-	owned := err == nil && m.Workers.HandleCallback(callback)
+	callback, err := m.clients.ParseCallback(message.Body)
+	owned := err == nil && m.workers.HandleCallback(callback)
 	p.link.Send(handover.Message{
 		Kind:         handover.KindCallbackResult,
 		Sequence:     message.Sequence,
@@ -78,7 +78,7 @@
 	delete(p.callbacks, message.Sequence)
 	pending.timeout.Stop()
 	settled := message.Accepted ||
-		m.Workers.HandleCallback(pending.callback) ||
+		m.workers.HandleCallback(pending.callback) ||
 		!message.OwnerUnknown && !p.isMigrating(pending.callback.ID)
 	pending.onResult(settled)
 }
@@ -88,7 +88,7 @@
 func (m *Manager) resolveCallbacks(p *peer) {
 	for _, pending := range p.callbacks {
 		pending.timeout.Stop()
-		m.Workers.HandleCallback(pending.callback)
+		m.workers.HandleCallback(pending.callback)
 		pending.onResult(true)
 	}
 }
--- a/internal/takeover/manager.go
+++ b/internal/takeover/manager.go
@@ -37,7 +37,19 @@
 // Manager connects this process with its predecessor or its successor, of which it has at most one at a time. The event
 // loop's goroutine owns it.
 type Manager struct {
-	Config
+	loop      *conn.Loop
+	clients   *clients.Server
+	workers   *workers.Transport
+	endpoints *discovery.Watcher
+	service   Service
+	log       *logrus.Entry
+
+	// processName, listenAddress, sockets and memoryMB are those of Config.
+	processName   string
+	listenAddress string
+	sockets       int
+	memoryMB      int
+
 	// address is set by Start, once.
 	address Address
 	// accepting says that connections are accepted. It never becomes false again.
@@ -50,11 +62,21 @@
 	peer *peer
 }
 
+// role is what the other process is to this one.
+type role uint8
+
+const (
+	// predecessor serves already and is to be replaced by this process.
+	predecessor role = iota + 1
+	// successor replaces this process.
+	successor
+)
+
 // peer is the other process. A link that is closed ends it: what it leaves unanswered is settled by Manager.handleExit.
 type peer struct {
 	link *handover.Link
-	// isPredecessor says that it served first; else it is our successor.
-	isPredecessor bool
+	// role is what the other process is to this one.
+	role role
 	// requestIDs are the requests in flight there.
 	requestIDs map[string]bool
 	// sequence is the number of the last message that has an answer.
@@ -72,14 +94,27 @@
 func (t task) Run() { t() }
 
 // New returns a Manager of a process that has no address yet.
-func New(c Config) *Manager { return &Manager{Config: c} }
+func New(c Config) *Manager {
+	return &Manager{
+		loop:          c.Loop,
+		clients:       c.Clients,
+		workers:       c.Workers,
+		endpoints:     c.Endpoints,
+		service:       c.Service,
+		log:           c.Log,
+		processName:   c.ProcessName,
+		listenAddress: c.ListenAddress,
+		sockets:       c.Sockets,
+		memoryMB:      c.MemoryMB,
+	}
+}
 
 // Start begins to serve at an address: at once where nobody else does, else when this process is ready or its
 // predecessor has exited.
 func (m *Manager) Start(address Address) {
 	m.address = address
 	if address.Predecessor != nil {
-		m.connect(address.Predecessor.Link, true)
+		m.connect(address.Predecessor.Link, predecessor)
 	}
 	if !address.Shared {
 		m.accept()
@@ -90,17 +125,17 @@
 func (m *Manager) Close() { m.listener.Close() }
 
 // connect starts a link with the other process.
-func (m *Manager) connect(link *handover.Link, isPredecessor bool) {
+func (m *Manager) connect(link *handover.Link, peerRole role) {
 	p := &peer{
-		link:          link,
-		isPredecessor: isPredecessor,
-		requestIDs:    map[string]bool{},
-		callbacks:     map[uint64]*pendingCallback{},
-		migrations:    map[uint64]*migration{},
+		link:       link,
+		role:       peerRole,
+		requestIDs: map[string]bool{},
+		callbacks:  map[uint64]*pendingCallback{},
+		migrations: map[uint64]*migration{},
 	}
 	m.peer = p
-	onMessage := func(message handover.Message) { m.Loop.Post(task(func() { m.handleMessage(p, message) })) }
-	onClose := func() { m.Loop.Post(task(func() { m.handleExit(p) })) }
+	onMessage := func(message handover.Message) { m.loop.Post(task(func() { m.handleMessage(p, message) })) }
+	onClose := func() { m.loop.Post(task(func() { m.handleExit(p) })) }
 	link.Start(onMessage, onClose)
 }
 
@@ -110,17 +145,17 @@
 		return
 	}
 	m.accepting = true
-	m.Clients.Listen(m.address.Listener)
+	m.clients.Listen(m.address.Listener)
 	if m.address.socketPath == "" {
 		return
 	}
 	listener, err := handover.Listen(m.address.socketPath)
 	if err != nil {
-		m.Log.WithError(err).Info("successors can't connect")
+		m.log.WithError(err).Info("successors can't connect")
 		return
 	}
 	m.listener = listener
-	go listener.Serve(func(h *handover.Handshake) { m.Loop.Post(task(func() { m.handleHandshake(h) })) })
+	go listener.Serve(func(h *handover.Handshake) { m.loop.Post(task(func() { m.handleHandshake(h) })) })
 }
 
 // handleMessage applies a message of the other process. One that came before its exit is ignored after it.
@@ -133,8 +168,8 @@
 	}
 	switch message.Kind {
 	case handover.KindReady:
-		if !p.isPredecessor {
-			m.Service.SuccessorServing()
+		if p.role == successor {
+			m.service.SuccessorServing()
 		}
 	case handover.KindIDsAcquired:
 		for _, id := range message.IDs {
@@ -153,14 +188,14 @@
 	case handover.KindSnapshotPart:
 		m.loadSnapshotPart(message)
 	case handover.KindSnapshotEnd:
-		m.Service.EndpointsKnown()
+		m.service.EndpointsKnown()
 	case handover.KindMigrate:
 		adopted := m.adopt(message)
 		p.link.Send(handover.Message{Kind: handover.KindMigrateResult, Sequence: message.Sequence, Accepted: adopted})
 	case handover.KindMigrateResult:
 		m.handleMigrateResult(p, message)
 	default:
-		m.Log.WithField("kind", fmt.Sprintf("%.*s", maxLoggedKind, message.Kind)).Warn("unknown message ignored")
+		m.log.WithField("kind", fmt.Sprintf("%.*s", maxLoggedKind, message.Kind)).Warn("unknown message ignored")
 	}
 }
 
@@ -171,14 +206,14 @@
 		return
 	}
 	m.peer = nil
-	m.Service.SetQuotas(m.Sockets, m.MemoryMB)
+	m.service.SetQuotas(m.sockets, m.memoryMB)
 	m.failMigrations(p)
 	m.resolveCallbacks(p)
-	if p.isPredecessor {
-		m.Log.Info("predecessor exited")
+	if p.role == predecessor {
+		m.log.Info("predecessor exited")
 		m.accept() // also before we are ready: what is in the accept queue has nobody else
 		return
 	}
-	m.Log.Info("successor exited")
-	m.Service.SuccessorExited()
+	m.log.Info("successor exited")
+	m.service.SuccessorExited()
 }
--- a/internal/takeover/migration.go
+++ b/internal/takeover/migration.go
@@ -35,10 +35,10 @@
 // their way.
 func (m *Manager) MigrateConnections() {
 	p := m.peer
-	if p == nil || p.isPredecessor {
+	if p == nil || p.role != successor {
 		return
 	}
-	m.Clients.MigrateConnections(maxMigrations, m.canMigrate, func(c *clients.MigratingConnection) {
+	m.clients.MigrateConnections(maxMigrations, m.canMigrate, func(c *clients.MigratingConnection) {
 		if m.peer != p {
 			c.Returned()
 			return
@@ -50,12 +50,12 @@
 // canMigrate reports whether a request can migrate as it stands: the dispatcher has been notified of all that has
 // happened, and no attempt is being sent.
 func (m *Manager) canMigrate(id dispatch.InvocationID) bool {
-	m.Service.Decide()
-	request, tracked := m.Service.Request(id)
-	if !tracked || !m.Clients.AwaitsAnswer(id) || !m.Workers.AttemptsAccepted(id, request.Attempts) {
+	m.service.Decide()
+	request, tracked := m.service.Request(id)
+	if !tracked || !m.clients.AwaitsAnswer(id) || !m.workers.AttemptsAccepted(id, request.Attempts) {
 		return false
 	}
-	_, recorded := m.Service.MigrationRecord(id)
+	_, recorded := m.service.MigrationRecord(id)
 	return recorded
 }
 
@@ -77,24 +77,24 @@
 	sent := &migration{MigratingConnection: c}
 	if c.Invocation != 0 {
 		if err := m.attachRequest(sent, &message); err != nil {
-			m.Log.WithError(err).Error("request migration failed")
+			m.log.WithError(err).Error("request migration failed")
 			c.Returned()
 			return
 		}
-		m.Service.BeginMigration(c.Invocation)
+		m.service.BeginMigration(c.Invocation)
 	}
 	p.migrations[sequence] = sent
 	// A successor that hangs may still adopt it later: only the successor's exit is certain.
-	sent.timeout = m.Loop.After(migrateResultTimeout, p.link.Close)
+	sent.timeout = m.loop.After(migrateResultTimeout, p.link.Close)
 	p.link.Send(message)
 }
 
 // attachRequest adds the request that waits on a connection to its message.
 func (m *Manager) attachRequest(sent *migration, message *handover.Message) error {
-	request, _ := m.Service.Request(sent.Invocation)
+	request, _ := m.service.Request(sent.Invocation)
 	sent.requestID = request.ID
-	sent.record, _ = m.Service.MigrationRecord(sent.Invocation)
-	sent.recordedAt = m.Loop.Now()
+	sent.record, _ = m.service.MigrationRecord(sent.Invocation)
+	sent.recordedAt = m.loop.Now()
 	text, err := json.Marshal(m.encodeRequest(request, sent.record))
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 		m.restore(sent)
 		sent.Returned()
 	}
-	if m.Service.Migrates() && len(p.migrations) < minMigrations {
+	if m.service.Migrates() && len(p.migrations) < minMigrations {
 		m.MigrateConnections()
 	}
 }
@@ -136,7 +136,7 @@
 // finish ends a migration whose connection the successor has adopted.
 func (m *Manager) finish(sent *migration) {
 	if sent.Invocation != 0 {
-		m.Service.FinishMigration(sent.Invocation)
+		m.service.FinishMigration(sent.Invocation)
 	}
 	sent.Accepted()
 }
@@ -146,7 +146,7 @@
 	if sent.Invocation == 0 {
 		return
 	}
-	m.Service.CancelMigration(sent.Invocation, sent.record.Aged(m.Loop.Now()-sent.recordedAt))
+	m.service.CancelMigration(sent.Invocation, sent.record.Aged(m.loop.Now()-sent.recordedAt))
 }
 
 // failMigrations ends all migrations that the successor had not answered when it exited.
@@ -156,7 +156,7 @@
 		m.restore(sent)
 		sent.PeerFailed()
 		if sent.Invocation != 0 {
-			m.Service.Notify(dispatch.ClientDisconnected{Invocation: sent.Invocation})
+			m.service.Notify(dispatch.ClientDisconnected{Invocation: sent.Invocation})
 		}
 	}
 	p.migrations = nil
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -89,7 +89,7 @@
 	const transit, remaining, age = 400 * time.Millisecond, 5 * time.Second, 2 * time.Second
 	m, service := newTestManager(t)
 	worker := netip.MustParseAddrPort("127.0.0.1:9")
-	m.Workers.ApplyUpdate(discovery.Update{Kind: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
+	m.workers.ApplyUpdate(discovery.Update{Kind: dispatch.FullUpdate, Workers: []discovery.Worker{{UID: "s-1", Address: worker.String(),
 		Endpoint: dispatch.Endpoint{Worker: worker, State: dispatch.Ready}}}})
 	record := dispatch.MigratedIn{Arrival: dispatch.Arrival{Budget: remaining}, Waited: age, Age: age,
 		Attempts: []dispatch.Attempt{{Worker: worker, Age: age, StartedAge: -1, LastProgressAge: age / 2, InFlight: true}}}
@@ -143,14 +143,14 @@
 	if len(service.adopted) != 1 {
 		t.Fatal("adopted: ", service.adopted)
 	}
-	near("until the deadline", service.adopted[0].Deadline-m.Loop.Now(), remaining-transit)
+	near("until the deadline", service.adopted[0].Deadline-m.loop.Now(), remaining-transit)
 	if migrate(remaining) {
 		t.Error("adopted though its client has stopped waiting")
 	}
 
 	m, service = newTestManager(t)
 	record.Attempts[0].InFlight = false
-	m.restore(&migration{MigratingConnection: &clients.MigratingConnection{Invocation: 1}, record: record, recordedAt: m.Loop.Now() - transit})
+	m.restore(&migration{MigratingConnection: &clients.MigratingConnection{Invocation: 1}, record: record, recordedAt: m.loop.Now() - transit})
 	alike("restored", service.records)
 }
 
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -9,31 +9,31 @@
 
 // handleHandshake gives a successor our socket and half of the quotas, or rejects it.
 func (m *Manager) handleHandshake(h *handover.Handshake) {
-	if h.ProcessName != "" && h.ProcessName != m.ProcessName {
+	if h.ProcessName != "" && h.ProcessName != m.processName {
 		reason := handover.ReasonNameMismatch
-		m.Log.WithField("name", h.ProcessName).WithField("reason", string(reason)).Warn("successor rejected")
+		m.log.WithField("name", h.ProcessName).WithField("reason", string(reason)).Warn("successor rejected")
 		go h.Reject(reason)
 		return
 	}
-	if m.peer != nil || h.ListenAddress != m.ListenAddress {
+	if m.peer != nil || h.ListenAddress != m.listenAddress {
 		go h.Reject(handover.ReasonTakeoverInProgress)
 		return
 	}
-	quotas := handover.Message{Sockets: m.Sockets / 2, MemoryMB: m.MemoryMB / 2}
+	quotas := handover.Message{Sockets: m.sockets / 2, MemoryMB: m.memoryMB / 2}
 	link, err := h.Accept(m.address.Listener, quotas)
 	if err != nil {
-		m.Log.WithError(err).Warn("successor handshake failed")
+		m.log.WithError(err).Warn("successor handshake failed")
 		return
 	}
-	m.Log.Info("successor accepted")
-	m.Service.SetQuotas(m.Sockets-quotas.Sockets, m.MemoryMB-quotas.MemoryMB)
-	m.connect(link, false)
+	m.log.Info("successor accepted")
+	m.service.SetQuotas(m.sockets-quotas.Sockets, m.memoryMB-quotas.MemoryMB)
+	m.connect(link, successor)
 	m.sendRequestIDs(link)
 }
 
 // sendRequestIDs tells a successor which requests are in flight here.
 func (m *Manager) sendRequestIDs(link *handover.Link) {
-	ids := m.Clients.IDs()
+	ids := m.clients.IDs()
 	for len(ids) > 0 {
 		n := min(len(ids), idsPerMessage)
 		link.Send(handover.Message{Kind: handover.KindIDsAcquired, IDs: ids[:n]})
--- a/internal/takeover/record.go
+++ b/internal/takeover/record.go
@@ -33,13 +33,13 @@
 
 // encodeRequest gives a request with its dispatcher's record.
 func (m *Manager) encodeRequest(request Request, record dispatch.MigratedIn) migratedRequest {
-	deployment := m.Service.Deployment()
+	deployment := m.service.Deployment()
 	migrated := migratedRequest{
 		ID:            request.ID,
 		Method:        request.Method,
 		Target:        request.Target,
 		Fields:        request.Fields,
-		Remaining:     request.Deadline - m.Loop.Now(),
+		Remaining:     request.Deadline - m.loop.Now(),
 		EncodedAt:     uptime(),
 		OperationName: deployment.Operations[request.Operation],
 		Operation:     deployment.Dispatch.Operations[request.Operation],
@@ -49,9 +49,9 @@
 	if record.Tenant < len(deployment.Tenants) {
 		migrated.TenantName = deployment.Tenants[record.Tenant]
 	}
-	zones := m.Endpoints.Zones()
+	zones := m.endpoints.Zones()
 	for _, attempt := range record.Attempts {
-		migrated.AttemptWorkers = append(migrated.AttemptWorkers, m.Workers.UID(attempt.Worker))
+		migrated.AttemptWorkers = append(migrated.AttemptWorkers, m.workers.UID(attempt.Worker))
 		migrated.AttemptZones = append(migrated.AttemptZones, zones[attempt.Zone])
 	}
 	return migrated
@@ -84,12 +84,12 @@
 	if !known || !m.resolveAttempts(r) {
 		return 0, false
 	}
-	r.Record.Tenant, known = m.Service.TenantIndex(r.ID, r.TenantName)
+	r.Record.Tenant, known = m.service.TenantIndex(r.ID, r.TenantName)
 	return operation, known
 }
 
 func (m *Manager) resolveOperation(r *migratedRequest) (operation int, known bool) {
-	deployment := m.Service.Deployment()
+	deployment := m.service.Deployment()
 	operation, known = deployment.OperationIndex[r.OperationName]
 	if !known {
 		return 0, false
@@ -106,13 +106,13 @@
 		return false // an older build does not say in which zone repeats are deduplicated
 	}
 	for n, uid := range r.AttemptWorkers {
-		worker, known := m.Workers.ID(uid)
+		worker, known := m.workers.ID(uid)
 		if !known {
 			return false
 		}
 		r.Record.Attempts[n].Worker = worker
 		if n < len(r.AttemptZones) {
-			r.Record.Attempts[n].Zone = m.Endpoints.ZoneIndex(r.AttemptZones[n])
+			r.Record.Attempts[n].Zone = m.endpoints.ZoneIndex(r.AttemptZones[n])
 		}
 	}
 	return true
--- a/internal/takeover/snapshot.go
+++ b/internal/takeover/snapshot.go
@@ -24,8 +24,8 @@
 
 // sendSnapshot sends the dispatcher's snapshot in parts. What does not go by worker is in the first part alone.
 func (m *Manager) sendSnapshot(p *peer) {
-	deployment := m.Service.Deployment()
-	snapshot := m.Service.Snapshot()
+	deployment := m.service.Deployment()
+	snapshot := m.service.Snapshot()
 	maps.DeleteFunc(snapshot.Operations, func(operation int, _ dispatch.OperationSnapshot) bool {
 		return deployment.OperationIndex[deployment.Operations[operation]] != operation // removed, or changed
 	})
@@ -36,7 +36,7 @@
 		rest = rest[n:]
 		text, err := json.Marshal(m.snapshotPart(snapshot))
 		if err != nil {
-			m.Log.WithError(err).Warn("snapshot encoding failed")
+			m.log.WithError(err).Warn("snapshot encoding failed")
 			break
 		}
 		p.link.Send(handover.Message{Kind: handover.KindSnapshotPart, Version: dispatch.SnapshotVersion, Body: text})
@@ -51,11 +51,11 @@
 func (m *Manager) snapshotPart(snapshot dispatch.Snapshot) snapshotPart {
 	part := snapshotPart{
 		Snapshot:       snapshot,
-		KindNames:      m.Endpoints.Kinds(),
-		OperationNames: m.Service.Deployment().Operations,
+		KindNames:      m.endpoints.Kinds(),
+		OperationNames: m.service.Deployment().Operations,
 	}
 	for _, worker := range snapshot.Workers {
-		part.UIDs = append(part.UIDs, m.Workers.UID(worker.Worker))
+		part.UIDs = append(part.UIDs, m.workers.UID(worker.Worker))
 	}
 	return part
 }
@@ -65,28 +65,28 @@
 func (m *Manager) loadSnapshotPart(message handover.Message) {
 	var part snapshotPart
 	if message.Version != dispatch.SnapshotVersion || json.Unmarshal(message.Body, &part) != nil {
-		m.Log.WithField("version", message.Version).Warn("snapshot ignored")
+		m.log.WithField("version", message.Version).Warn("snapshot ignored")
 		return
 	}
 	snapshot := part.Snapshot
 	snapshot.KindPaces = m.resolveKinds(part)
 	snapshot.Operations = m.resolveOperations(part)
 	snapshot.Workers = m.resolveWorkers(part)
-	m.Service.Notify(dispatch.SnapshotLoaded{Snapshot: snapshot})
+	m.service.Notify(dispatch.SnapshotLoaded{Snapshot: snapshot})
 }
 
 func (m *Manager) resolveKinds(part snapshotPart) map[int][]float64 {
 	resolved := map[int][]float64{}
 	for kind, paces := range part.KindPaces {
 		if kind >= 0 && kind < len(part.KindNames) {
-			resolved[m.Endpoints.KindIndex(part.KindNames[kind])] = paces
+			resolved[m.endpoints.KindIndex(part.KindNames[kind])] = paces
 		}
 	}
 	return resolved
 }
 
 func (m *Manager) resolveOperations(part snapshotPart) map[int]dispatch.OperationSnapshot {
-	index := m.Service.Deployment().OperationIndex
+	index := m.service.Deployment().OperationIndex
 	resolved := map[int]dispatch.OperationSnapshot{}
 	for operation, estimates := range part.Operations {
 		if operation < 0 || operation >= len(part.OperationNames) {
@@ -104,7 +104,7 @@
 		if n >= len(part.UIDs) {
 			break
 		}
-		id, known := m.Workers.ID(part.UIDs[n])
+		id, known := m.workers.ID(part.UIDs[n])
 		if !known {
 			continue
 		}
--- a/internal/takeover/successor.go
+++ b/internal/takeover/successor.go
@@ -25,19 +25,19 @@
 // endpoints count as known when the snapshot is whole or snapshotTimeout has passed, and at once where there is nobody to
 // ask.
 func (m *Manager) RequestSnapshot() {
-	if m.peer == nil || !m.peer.isPredecessor || m.accepting || m.snapshotRequested {
-		m.Service.EndpointsKnown()
+	if m.peer == nil || m.peer.role != predecessor || m.accepting || m.snapshotRequested {
+		m.service.EndpointsKnown()
 		return
 	}
 	m.snapshotRequested = true
 	m.peer.link.Send(handover.Message{Kind: handover.KindSnapshotRequest})
-	m.Loop.After(snapshotTimeout, m.Service.EndpointsKnown)
+	m.loop.After(snapshotTimeout, m.service.EndpointsKnown)
 }
 
 // Ready accepts connections, if that has not begun, and tells the predecessor that this process serves.
 func (m *Manager) Ready() {
 	m.accept()
-	if m.peer != nil && m.peer.isPredecessor {
+	if m.peer != nil && m.peer.role == predecessor {
 		m.peer.link.Send(handover.Message{Kind: handover.KindReady})
 	}
 }
