--- a/cmd/stoatweir/log.go
+++ b/cmd/stoatweir/log.go
@@ -7,58 +7,68 @@
 	"time"
 )
 
-// lines passes log lines on from a goroutine of its own: whoever reads our log may stall, and the loop must not wait
-// for it. What does not fit is dropped and counted.
-type lines struct {
-	waiting chan []byte
-	over    chan struct{} // is closed at the end; lines that come behind it go nowhere
-	ending  sync.Once
-	done    chan struct{}
-	dropped int // of the loop alone
+// logQueueLines is how many lines may wait to be written.
+const logQueueLines = 256
+
+// asyncWriter writes log lines by a goroutine of its own: whoever reads our log may stall, and the event loop must not wait
+// for that. Lines that do not fit into the queue are dropped and counted.
+type asyncWriter struct {
+	queue chan []byte
+	// closed is closed by close. Lines that are written after it go nowhere.
+	closed    chan struct{}
+	closeOnce sync.Once
+	// done is closed when the queue is written.
+	done chan struct{}
+	// dropped counts lines since the last one that fitted. The logger's lock protects it.
+	dropped int
 }
 
-func newLines(to io.Writer) *lines {
-	l := &lines{waiting: make(chan []byte, 256), over: make(chan struct{}), done: make(chan struct{})}
-	go l.pass(to)
-	return l
+func newAsyncWriter(to io.Writer) *asyncWriter {
+	w := &asyncWriter{
+		queue:  make(chan []byte, logQueueLines),
+		closed: make(chan struct{}),
+		done:   make(chan struct{}),
+	}
+	go w.writeLines(to)
+	return w
 }
 
-// pass writes lines until the end, and what waits then.
-func (l *lines) pass(to io.Writer) {
-	defer close(l.done)
+// writeLines writes lines until close, and then what is in the queue.
+func (w *asyncWriter) writeLines(to io.Writer) {
+	defer close(w.done)
 	for {
 		select {
-		case line := <-l.waiting:
+		case line := <-w.queue:
 			to.Write(line)
-		case <-l.over:
-			for len(l.waiting) > 0 {
-				to.Write(<-l.waiting)
+		case <-w.closed:
+			for len(w.queue) > 0 {
+				to.Write(<-w.queue)
 			}
 			return
 		}
 	}
 }
 
-// Write takes a line, or drops it.
-func (l *lines) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...) // the logger uses its buffer again
-	if l.dropped > 0 {
-		kept = append(fmt.Appendf(nil, "%d lines were dropped\n", l.dropped), kept...)
+// Write implements io.Writer. It queues a line or drops it, and never blocks.
+func (w *asyncWriter) Write(line []byte) (int, error) {
+	queued := append([]byte(nil), line...) // the logger reuses its buffer
+	if w.dropped > 0 {
+		queued = append(fmt.Appendf(nil, "%d lines were dropped\n", w.dropped), queued...)
 	}
 	select {
-	case l.waiting <- kept:
-		l.dropped = 0
+	case w.queue <- queued:
+		w.dropped = 0
 	default:
-		l.dropped++
+		w.dropped++
 	}
 	return len(line), nil
 }
 
-// close waits a while for what is left. Others may go on logging meanwhile, and after it.
-func (l *lines) close(within time.Duration) {
-	l.ending.Do(func() { close(l.over) })
+// close waits for the queue to be written, for as long as timeout. Others may go on logging meanwhile, and after it.
+func (w *asyncWriter) close(timeout time.Duration) {
+	w.closeOnce.Do(func() { close(w.closed) })
 	select {
-	case <-l.done:
-	case <-time.After(within):
+	case <-w.done:
+	case <-time.After(timeout):
 	}
 }
--- a/internal/structure/structure_test.go
+++ b/internal/structure/structure_test.go
@@ -55,6 +55,7 @@
 	}},
 	{name: "workers", packages: []string{"internal/workers"}},
 	{name: "clients", packages: []string{"internal/clients"}},
+	{name: "take-over", packages: []string{"internal/takeover"}},
 	{name: "laboratory: scenarios and tools", packages: []string{
 		"internal/lab/baseline", "internal/lab/eventqueue", "internal/lab/scenario", "internal/lab/soak",
 	}},
