--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -13,12 +13,24 @@
 	"time"
 )
 
-// think is the usual time between two requests of a client.
-const think = 200 * time.Millisecond
+const (
+	thinkTime       = 200 * time.Millisecond // usual time between two requests of a client
+	dialTimeout     = time.Second            // of a client
+	redialAfter     = 50 * time.Millisecond  // pause after a connection that could not be made
+	shortBudgetOf   = 8                      // one of so many requests has little time left
+	shortBudgetFrom = 20                     // ms, the least of these budgets
+	shortBudgetSpan = 300                    // ms, how far they spread
+	splitWriteOf    = 12                     // one of so many requests is written in two pieces
+	splitPauseMost  = 40                     // ms between the two pieces
+	disconnectMost  = 150                    // ms after which a client disconnects that does
+	keys            = 7                      // resources that the requests name
 
-// client hands in requests to one scheduler, one after the other, and leaves some of them.
+	leastWork = 0.3 // of the mean; the rest of a request's work is drawn
+)
+
+// client sends requests to one scheduler, one after the other, and disconnects from some of them.
 type client struct {
-	play      *play
+	harness   *harness
 	name      string
 	rng       *rand.Rand
 	scheduler *scheduler
@@ -26,180 +38,206 @@
 	reader    *bufio.Reader
 }
 
-// beginLoad sets the clients going; halt waits until each has the answer to its last request.
-func (p *play) beginLoad() (halt func()) {
-	var over atomic.Bool
-	for _, s := range p.schedulers {
-		for n := range p.Clients {
-			c := &client{play: p, name: fmt.Sprintf("%d-%d", s.number, n), scheduler: s, rng: rand.New(rand.NewSource(p.Seed<<16 + int64(s.number*100+n)))}
-			p.load.Add(1)
-			go func() {
-				defer p.load.Done()
-				defer c.hangUp()
-				for n := 0; !over.Load(); n++ {
-					c.one(n)
-					p.mu.Lock()
-					patience := p.patience
-					p.mu.Unlock()
-					time.Sleep(time.Duration(c.rng.ExpFloat64() * patience * float64(think)))
-				}
-			}()
+// startClients starts the clients; stop waits until each has the answer to its last request.
+func (h *harness) startClients() (stop func()) {
+	var stopping atomic.Bool
+	for _, s := range h.schedulers {
+		for n := range h.Clients {
+			c := newClient(h, s, n)
+			h.clientsRunning.Go(func() { c.run(&stopping) })
 		}
 	}
-	return func() { over.Store(true); p.load.Wait() }
+	return func() {
+		stopping.Store(true)
+		h.clientsRunning.Wait()
+	}
+}
+
+func newClient(h *harness, s *scheduler, n int) *client {
+	return &client{
+		harness:   h,
+		name:      fmt.Sprintf("%d-%d", s.number, n),
+		rng:       rand.New(rand.NewSource(h.Seed<<16 + int64(s.number*100+n))),
+		scheduler: s,
+	}
 }
 
-func (c *client) hangUp() {
+func (c *client) run(stopping *atomic.Bool) {
+	defer c.closeConn()
+	for n := 0; !stopping.Load(); n++ {
+		c.sendRequest(n)
+		c.harness.mu.Lock()
+		factor := c.harness.thinkFactor
+		c.harness.mu.Unlock()
+		time.Sleep(time.Duration(c.rng.ExpFloat64() * factor * float64(thinkTime)))
+	}
+}
+
+// millisUpTo draws a time below so many milliseconds.
+func millisUpTo(rng *rand.Rand, most int) time.Duration {
+	return time.Duration(rng.Intn(most)) * time.Millisecond
+}
+
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// one hands in a request, and enters what comes of it.
-func (c *client) one(n int) {
-	kind := classes[c.rng.Intn(len(classes))]
-	id := fmt.Sprintf("%s-%s-%d", kind.name, c.name, n)
-	budget := kind.timeout
-	if c.rng.Intn(8) == 0 {
-		budget = time.Duration(c.rng.Intn(300)+20) * time.Millisecond // a later try with little time left
-	}
-	work := time.Duration((0.3 + 0.7*c.rng.ExpFloat64()) * float64(meanWork))
-	text := fmt.Sprintf("POST /%s/k%d HTTP/1.1\r\nHost: soak\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %.3f\r\n", kind.name, n%7, id, kind.name, budget.Seconds())
-	if kind.effect == "idempotency_key" {
-		text += "Idempotency-Key: " + id + "\r\n"
-	}
-	text += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(id), id)
-	r := c.play.books.request(id, kind, c.scheduler, budget, work)
-	c.play.mu.Lock()
-	leaves := c.rng.Float64() < c.play.leaving
-	c.play.mu.Unlock()
-	if leaves {
-		c.leave(r, text)
+// sendRequest sends a request and records its outcome. It is sent again once where its connection had ended before it was read.
+func (c *client) sendRequest(n int) {
+	q := c.drawRequest(n)
+	text := requestText(q, n)
+	c.harness.observed.addRequest(q)
+	c.harness.mu.Lock()
+	disconnects := c.rng.Float64() < c.harness.disconnectRate
+	c.harness.mu.Unlock()
+	if disconnects {
+		c.sendAndDisconnect(q, text)
 		return
 	}
-	for try := 0; ; try++ {
-		fresh := c.conn == nil
-		fate, again := c.ask(r, text, fresh)
-		if fate != "" {
-			c.play.count(fate)
-		}
-		if !again || try == 1 {
-			return
-		}
+	if c.exchange(q, text) == outcomeClosedIdle {
+		c.exchange(q, text)
+	}
+}
+
+func (c *client) drawRequest(n int) *request {
+	class := requestClasses[c.rng.Intn(len(requestClasses))]
+	budget := class.timeout
+	if c.rng.Intn(shortBudgetOf) == 0 { // a later attempt of the client, with little time left
+		budget = millisUpTo(c.rng, shortBudgetSpan) + shortBudgetFrom*time.Millisecond
+	}
+	return &request{
+		id:        fmt.Sprintf("%s-%s-%d", class.name, c.name, n),
+		class:     class,
+		scheduler: c.scheduler,
+		budget:    budget,
+		work:      time.Duration((leastWork + (1-leastWork)*c.rng.ExpFloat64()) * float64(meanWork)),
 	}
 }
 
-// dial connects; false: nobody is there.
-func (c *client) dial() bool {
+func requestText(q *request, n int) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "POST /%s/k%d HTTP/1.1\r\nHost: soak\r\n", q.class.name, n%keys)
+	fmt.Fprintf(&text, "X-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %.3f\r\n", q.id, q.class.name, q.budget.Seconds())
+	if q.class.effect == effectKeyed {
+		fmt.Fprintf(&text, "Idempotency-Key: %s\r\n", q.id)
+	}
+	fmt.Fprintf(&text, "Content-Length: %d\r\n\r\n%s", len(q.id), q.id)
+	return text.String()
+}
+
+// connect opens a connection where there is none. False: nobody is there, which is counted.
+func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
 	}
-	if !c.scheduler.fronted.Load() {
-		c.play.count("not dealt to")
-		time.Sleep(50 * time.Millisecond)
+	if !c.scheduler.routed.Load() {
+		c.harness.countOutcome("not dealt to")
+		time.Sleep(redialAfter)
 		return false
 	}
-	conn, err := net.DialTimeout("tcp", c.scheduler.listen, time.Second)
+	conn, err := net.DialTimeout("tcp", c.scheduler.address, dialTimeout)
 	if err != nil {
-		c.play.count("nobody there")
-		time.Sleep(50 * time.Millisecond)
+		c.harness.countOutcome("nobody there")
+		time.Sleep(redialAfter)
 		return false
 	}
-	c.conn, c.reader = conn, bufio.NewReader(conn)
+	c.conn = conn
+	c.reader = bufio.NewReader(conn)
 	return true
 }
 
-// leave hands a request in and goes.
-func (c *client) leave(r *request, text string) {
-	if !c.dial() {
+// sendAndDisconnect sends a request and disconnects soon, by a reset or in order.
+func (c *client) sendAndDisconnect(q *request, text string) {
+	if !c.connect() {
 		return
 	}
 	io.WriteString(c.conn, text)
-	r.sent(time.Now())
-	time.Sleep(time.Duration(c.rng.Intn(150)) * time.Millisecond)
-	r.leave(time.Now())
+	q.markSent(time.Now())
+	time.Sleep(millisUpTo(c.rng, disconnectMost))
+	q.markDisconnected(time.Now())
 	if c.rng.Intn(2) == 0 {
 		abort(c.conn)
 		c.conn = nil
 	}
-	c.hangUp()
+	c.closeConn()
 }
 
-// ask tells what came of a request; again: its connection had ended before it was read.
-func (c *client) ask(r *request, text string, fresh bool) (fate string, again bool) {
-	if !c.dial() {
-		return "", false
+// Outcomes of a request that has no status.
+const (
+	outcomeUnanswered = "unanswered"
+	outcomeClosedIdle = "closed between two requests"
+	outcomeNotSent    = ""
+)
+
+// exchange sends a request, awaits its answer, and counts and returns the outcome: a status or one of the constants.
+func (c *client) exchange(q *request, text string) (outcome string) {
+	isNew := c.conn == nil
+	if !c.connect() {
+		return outcomeNotSent
+	}
+	c.conn.SetDeadline(time.Now().Add(q.budget + unansweredAfter))
+	err := c.write(text)
+	q.markSent(time.Now())
+	var answer *http.Response
+	var body []byte
+	if err == nil {
+		answer, body, err = c.readAnswer()
+	}
+	if err == nil {
+		q.markAnswered(time.Now(), answer.StatusCode, string(body))
+		if answer.Close {
+			c.closeConn()
+		}
+		outcome = fmt.Sprint(answer.StatusCode)
+	} else {
+		outcome = c.exchangeFailed(q, err, isNew)
 	}
-	began := time.Now()
-	c.conn.SetDeadline(began.Add(r.budget + lostAfter))
+	c.harness.countOutcome(outcome)
+	return outcome
+}
+
+func (c *client) write(text string) error {
 	half := len(text)
-	if c.rng.Intn(12) == 0 { // in pieces
+	if c.rng.Intn(splitWriteOf) == 0 {
 		half = c.rng.Intn(len(text))
 	}
 	_, err := io.WriteString(c.conn, text[:half])
 	if half < len(text) && err == nil {
-		time.Sleep(time.Duration(c.rng.Intn(40)) * time.Millisecond)
+		time.Sleep(millisUpTo(c.rng, splitPauseMost))
 		_, err = io.WriteString(c.conn, text[half:])
 	}
-	sent := time.Now()
-	r.sent(sent)
-	var answer *http.Response
-	var body []byte
-	if err == nil {
-		if answer, err = http.ReadResponse(c.reader, nil); err == nil {
-			body, err = io.ReadAll(answer.Body)
-		}
+	return err
+}
+
+func (c *client) readAnswer() (*http.Response, []byte, error) {
+	answer, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return nil, nil, err
 	}
+	defer answer.Body.Close()
+	body, err := io.ReadAll(answer.Body)
+	return answer, body, err
+}
+
+func (c *client) exchangeFailed(q *request, err error, isNew bool) (outcome string) {
 	now := time.Now()
-	if err == nil {
-		r.answer(now, answer.StatusCode, string(body))
-		if answer.Close {
-			c.hangUp()
-		}
-		return fmt.Sprint(answer.StatusCode), false
-	}
-	c.hangUp()
-	timeout := net.Error(nil)
+	c.closeConn()
 	switch {
-	case errors.As(err, &timeout) && timeout.Timeout():
-		r.unanswered(now, "no answer")
-	case !fresh:
-		r.again()
-		return "closed between two requests", true
+	case isTimeout(err):
+		q.markUnanswered(now, "no answer")
+	case !isNew:
+		q.clearSent()
+		return outcomeClosedIdle
 	default:
-		r.unanswered(now, "closed: "+err.Error())
+		q.markUnanswered(now, "closed: "+err.Error())
 	}
-	return "unanswered", false
+	return outcomeUnanswered
 }
 
-// misbehave is a client that is no client: it sends half a request and stays, garbage, or much at once.
-func (p *play) misbehave(s *scheduler, rng *rand.Rand) {
-	conn, err := net.DialTimeout("tcp", s.listen, time.Second)
-	if err != nil {
-		return
-	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(4 * time.Second))
-	text := "POST /render/k HTTP/1.1\r\nHost: soak\r\nX-Call-Id: bad\r\nX-Call-Class: render\r\nX-Budget: 1.0\r\nContent-Length: 40\r\n\r\nhalf"
-	switch rng.Intn(5) {
-	case 0:
-		text = text[:rng.Intn(len(text))]
-	case 1:
-		text = strings.Repeat("\x00garbage ", 100) + "\r\n\r\n"
-	case 2:
-		text = strings.Repeat("GET /-/ready HTTP/1.1\r\nHost: soak\r\n\r\n", 50)
-	case 3:
-		text = ""
-	}
-	began := time.Now()
-	io.WriteString(conn, text)
-	if rng.Intn(3) == 0 {
-		return // and goes
-	}
-	_, err = io.Copy(io.Discard, conn)
-	timeout := net.Error(nil)
-	if errors.As(err, &timeout) && timeout.Timeout() && s.frozen(began, time.Now()) == 0 && len(text) < 200 {
-		p.books.find("F4 bad client", fmt.Sprint("n", s.number), fmt.Sprintf("no end after %v of %q", time.Since(began).Round(time.Millisecond), text[:min(20, len(text))]))
-	}
+func isTimeout(err error) bool {
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
 }
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -1,151 +1,168 @@
 package soak
 
 import (
+	"errors"
+	"io"
 	"net"
 	"sync"
 	"time"
 )
 
-// mode is what a proxy does with connections.
-type mode uint8
+// proxyMode is what a proxy does with connections.
+type proxyMode uint8
 
 const (
-	pass   mode = iota
-	freeze      // nothing moves, and connections stay open
-	refuse      // new ones are reset
-	late        // new ones come up after a while
+	proxyForward proxyMode = iota
+	proxyFreeze            // nothing is forwarded, and connections stay open
+	proxyRefuse            // new connections are reset
+	proxyDelay             // the first bytes of new connections are delayed
 )
 
-const lateBy = 300 * time.Millisecond
+const (
+	connectDelay = 300 * time.Millisecond // in proxyDelay
+	copyBuffer   = 8 << 10                // bytes
+)
 
-// proxy stands between schedulers and a peer of theirs.
+// proxy stands between schedulers and a peer of theirs, and injects faults of the network.
 type proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
-	mu      sync.Mutex
-	mode    mode
-	changed chan struct{} // is closed when the mode changes
-	open    map[net.Conn]struct{}
-	came    map[string]time.Time // when the last bytes came, by the address that the far end sees
+	mu         sync.Mutex
+	mode       proxyMode
+	changed    chan struct{} // closed when the mode changes
+	conns      map[net.Conn]struct{}
+	receivedAt map[string]time.Time // of the last bytes from the scheduler, by the address that the target sees
 }
 
-func newProxy(to string) (*proxy, error) {
-	l, err := net.Listen("tcp", host(peers)+":0")
+func newProxy(target string) (*proxy, error) {
+	l, err := net.Listen("tcp", loopbackHost(peerNet)+":0")
 	if err != nil {
 		return nil, err
 	}
-	x := &proxy{listener: l, to: to, changed: make(chan struct{}), open: map[net.Conn]struct{}{}, came: map[string]time.Time{}}
-	go x.accept()
-	return x, nil
+	p := &proxy{
+		listener:   l,
+		target:     target,
+		changed:    make(chan struct{}),
+		conns:      map[net.Conn]struct{}{},
+		receivedAt: map[string]time.Time{},
+	}
+	go p.accept()
+	return p, nil
 }
 
-func (x *proxy) addr() string { return x.listener.Addr().String() }
+func (p *proxy) addr() string { return p.listener.Addr().String() }
 
-func (x *proxy) set(m mode) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.mode = m
-	close(x.changed)
-	x.changed = make(chan struct{})
+func (p *proxy) setMode(m proxyMode) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.mode = m
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (x *proxy) now() (mode, <-chan struct{}) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.mode, x.changed
+// currentMode returns the mode, and a channel that is closed when it changes.
+func (p *proxy) currentMode() (proxyMode, <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.mode, p.changed
 }
 
-// reset ends all connections without a word.
-func (x *proxy) reset() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for c := range x.open {
+// resetConns resets all connections.
+func (p *proxy) resetConns() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
 		abort(c)
 	}
 }
 
+// abort closes a connection by a reset.
 func abort(c net.Conn) {
-	if tcp, is := c.(*net.TCPConn); is {
+	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 	c.Close()
 }
 
-func (x *proxy) close() {
-	x.listener.Close()
-	x.set(pass)
-	x.reset()
+func (p *proxy) close() {
+	p.listener.Close()
+	p.setMode(proxyForward)
+	p.resetConns()
 }
 
-func (x *proxy) accept() {
+func (p *proxy) accept() {
 	for {
-		c, err := x.listener.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go x.serve(c)
+		go p.serve(c)
 	}
 }
 
-func (x *proxy) serve(near net.Conn) {
-	m, _ := x.now()
-	if m == refuse {
+func (p *proxy) serve(near net.Conn) {
+	mode, _ := p.currentMode()
+	if mode == proxyRefuse {
 		abort(near)
 		return
 	}
-	far, err := net.Dial("tcp", x.to)
+	far, err := net.Dial("tcp", p.target)
 	if err != nil {
 		abort(near)
 		return
 	}
-	x.mu.Lock()
-	x.open[near], x.open[far] = struct{}{}, struct{}{}
-	x.mu.Unlock()
-	name, wait := far.LocalAddr().String(), time.Duration(0)
-	if m == late {
-		wait = lateBy
+	var delay time.Duration
+	if mode == proxyDelay {
+		delay = connectDelay
 	}
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); x.move(near, far, name, wait) }()
-	go func() { defer both.Done(); x.move(far, near, "", 0) }()
-	both.Wait()
+	p.mu.Lock()
+	p.conns[near] = struct{}{}
+	p.conns[far] = struct{}{}
+	p.mu.Unlock()
+	name := far.LocalAddr().String()
+	var copying sync.WaitGroup
+	copying.Go(func() { p.copyOneWay(near, far, delay, func() { p.markReceived(name) }) })
+	copying.Go(func() { p.copyOneWay(far, near, 0, func() {}) })
+	copying.Wait()
 	near.Close()
 	far.Close()
-	x.mu.Lock()
-	delete(x.open, near)
-	delete(x.open, far)
-	delete(x.came, name)
-	x.mu.Unlock()
+	p.mu.Lock()
+	delete(p.conns, near)
+	delete(p.conns, far)
+	delete(p.receivedAt, name)
+	p.mu.Unlock()
+}
+
+func (p *proxy) markReceived(name string) {
+	p.mu.Lock()
+	p.receivedAt[name] = time.Now()
+	p.mu.Unlock()
 }
 
-// cameAt is when the last bytes came that were passed on over a connection, which the far end knows by its peer's address. They may have
-// been held here since.
-func (x *proxy) cameAt(peer net.Addr) time.Time {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if at, known := x.came[peer.String()]; known {
+// lastReceived is when the last bytes were received that were forwarded over a connection, which the target knows by its peer's address.
+// The proxy may have delayed them since. It is now where the connection has ended meanwhile.
+func (p *proxy) lastReceived(peer net.Addr) time.Time {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if at, ok := p.receivedAt[peer.String()]; ok {
 		return at
 	}
-	return time.Now() // its connection has ended meanwhile
+	return time.Now()
 }
 
-// move copies one way until that ends, whatever the reason, the first bytes after a while. A reset goes on as one. Under a name it notes when bytes come.
-func (x *proxy) move(from, to net.Conn, name string, wait time.Duration) {
-	b := make([]byte, 8<<10)
+// copyOneWay forwards one way until that ends for whatever reason, the first bytes after a delay. A reset is forwarded as a reset.
+// received is called when bytes have been read, before they are delayed.
+func (p *proxy) copyOneWay(from, to net.Conn, delay time.Duration, received func()) {
+	b := make([]byte, copyBuffer)
 	for {
 		n, err := from.Read(b)
-		if name != "" && n > 0 {
-			x.mu.Lock()
-			x.came[name] = time.Now()
-			x.mu.Unlock()
-		}
-		time.Sleep(wait)
-		wait = 0
-		for m, changed := x.now(); m == freeze; m, changed = x.now() {
-			<-changed
+		if n > 0 {
+			received()
 		}
+		time.Sleep(delay)
+		delay = 0
+		p.awaitThaw()
 		if n > 0 {
 			if _, failed := to.Write(b[:n]); failed != nil {
 				abort(from)
@@ -153,12 +170,29 @@
 			}
 		}
 		if err != nil {
-			if tcp, is := to.(*net.TCPConn); is && err.Error() == "EOF" {
-				tcp.CloseWrite()
-			} else {
-				abort(to)
-			}
+			forwardClose(to, err)
+			return
+		}
+	}
+}
+
+// awaitThaw waits until the proxy is not frozen.
+func (p *proxy) awaitThaw() {
+	for {
+		mode, changed := p.currentMode()
+		if mode != proxyFreeze {
 			return
 		}
+		<-changed
+	}
+}
+
+// forwardClose closes one direction as the other side's was: in order at its end, by a reset otherwise.
+func forwardClose(to net.Conn, err error) {
+	tcp, ok := to.(*net.TCPConn)
+	if ok && errors.Is(err, io.EOF) {
+		tcp.CloseWrite()
+		return
 	}
+	abort(to)
 }
--- a/internal/lab/soak/scheduler.go
+++ b/internal/lab/soak/scheduler.go
@@ -1,15 +1,12 @@
 package soak
 
 import (
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -17,310 +14,145 @@
 )
 
 const (
-	schedulers, peers = 96, 160 // parts of 127.0.0.0/8
-	zones             = 3
-	grace             = 500 * time.Millisecond
-	toldAfter         = 6 * time.Second
-	longestTimeout    = 2 * time.Second
-	dedupWindow       = 1500 * time.Millisecond
-	connectTimeout    = 250 * time.Millisecond
-	frontNotices      = 300 * time.Millisecond // after an order to stop, new connections go on coming for so long
+	frontDelay        = 300 * time.Millisecond // new connections go on coming for so long after an order to stop
+	schedulerCallTime = time.Second            // timeout of a call to a scheduler's operators' paths
+	readyPollInterval = 10 * time.Millisecond
 )
 
-func zoneName(n int) string { return string(rune('a' + n)) }
-
-// host is a loopback address of this process, one for schedulers and one for all others: a scheduler listens at its port only while it
-// runs, and nobody else may be given it meanwhile.
-func host(part int) string {
-	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", part+pid>>16&31, pid>>8&255, max(1, pid&255))
-}
-
-// class is one kind of request.
-type class struct {
-	name, effect, scope string
-	timeout             time.Duration
-}
-
-var classes = []class{{"render", "read_like", "", longestTimeout}, {"keyed", "idempotency_key", "zone", 1500 * time.Millisecond},
-	{"sale", "non_idempotent", "", 1800 * time.Millisecond}}
-
 // scheduler is one address, and the processes that serve there in turn.
 type scheduler struct {
-	number  int
-	listen  string
-	dir     string
-	client  *http.Client
-	variant int         // of the settings
-	fronted atomic.Bool // new connections are dealt to it
-
-	mu      sync.Mutex
-	runs    []*run
-	freezes []span
-	busy    atomic.Bool // a trouble is being played on it
-	// faultsNow is what its shims are told; the play's lock guards it.
-	faultsNow Faults
-}
-
-// run is one process.
-type run struct {
-	cmd     *exec.Cmd
-	began   time.Time
-	killed  time.Time // by us; zero: it was not
-	told    time.Time // to stop
-	ended   chan struct{}
-	endedAt time.Time
-	err     error
-	log     string
-}
+	number          int
+	address         string
+	dir             string
+	client          *http.Client
+	settingsVariant int
+	routed          atomic.Bool // new connections are sent to it
+	faulted         atomic.Bool // a fault is being injected into it
 
-// span is a stretch of time.
-type span struct{ from, to time.Time }
+	mu        sync.Mutex
+	processes []*process
+	freezes   []interval
 
-func (s span) meets(from, to time.Time) bool {
-	return s.from.Before(to) && (s.to.IsZero() || s.to.After(from))
+	shims Faults // guarded by the harness's lock
 }
 
-func newScheduler(p *play, n int) (*scheduler, error) {
-	l, err := net.Listen("tcp", host(schedulers)+":0")
+func newScheduler(h *harness, number int) (*scheduler, error) {
+	l, err := net.Listen("tcp", loopbackHost(schedulerNet)+":0")
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
-	s := &scheduler{number: n, listen: l.Addr().String(), dir: filepath.Join(p.Dir, fmt.Sprint("n", n)),
-		client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	return s, os.MkdirAll(filepath.Join(s.dir, "tmp"), 0o700)
-}
-
-// configure writes the configuration.
-func (s *scheduler) configure(p *play, discovery string) error {
-	var operations []map[string]any
-	for n, c := range classes {
-		operations = append(operations, map[string]any{"Name": c.name, "Effect": c.effect, "DedupScope": c.scope, "DedupWindow": dedupWindow.Seconds(),
-			"LatencyObjective": 0.4 + 0.1*float64((s.variant+n)%3), "LateBilledValue": 0.5, "ClientTimeout": c.timeout.Seconds(), "BilledValue": 1})
+	defer l.Close() // the address stays reserved, as nobody else listens at this host
+	s := &scheduler{
+		number:  number,
+		address: l.Addr().String(),
+		client:  &http.Client{Timeout: schedulerCallTime, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
-	known, _, _, _ := p.list.text(0)
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", s.number), "listen": s.listen, "discovery": discovery,
-		"seed": fmt.Sprintf("%016x", uint64(p.Seed)<<16|uint64(s.number)), "limits": map[string]any{"memory_mb": 64, "sockets": 256},
-		"known": json.RawMessage(known), "settings": map[string]any{"Discovery": p.discovery(), "PeersTotal": p.Schedulers, "MyNumber": s.number,
-			"MyZone": s.number % zones, "Dcs": []string{"a", "b", "c"}, "Kinds": []string{"m"}, "Operations": operations, "WeightKind": "none",
-			"FamilyInfo": map[string]any{"ReportX0": "free slots", "TellsStart": true},
-			"Report":     map[string]any{"How": "probe", "Names": []string{"x0", "waiting", "avg_ms"}},
-			"Limits": map[string]any{"Probes": true, "Cancel": s.variant%4 != 3, "MostForwards": 3 + s.variant%2, "RetryAfter": true, "MaxRetryAfter": 0.5,
-				"ConnectTimeout": connectTimeout.Seconds(), "ConnIdle": 1.0},
-			"Rules": map[string]any{"AskWithin": 10, "StopSendingWithin": grace.Seconds(), "ColdFrom": coldFrom, "WarmAfter": warmAfter.Seconds(),
-				"FallMultiple": fallMultiple, "Fall": fallSpan.Seconds()}}})
-	if err != nil {
-		return err
-	}
-	fresh := filepath.Join(s.dir, "config.new")
-	if err := os.WriteFile(fresh, text, 0o600); err != nil {
-		return err
-	}
-	return os.Rename(fresh, filepath.Join(s.dir, "config.json"))
+	s.dir = filepath.Join(h.Dir, s.name())
+	return s, os.MkdirAll(s.tempDir(), 0o700)
 }
 
-// start runs the program once more.
-func (s *scheduler) start(p *play) error {
-	if err := s.configure(p, p.list.doors[s.number].proxy.addr()); err != nil {
+func (s *scheduler) name() string { return fmt.Sprint("n", s.number) }
+
+func (s *scheduler) tempDir() string { return filepath.Join(s.dir, "tmp") }
+
+func (s *scheduler) processName(n int) string { return fmt.Sprintf("%s-%d", s.name(), n) }
+
+// start starts one more process at the address.
+func (s *scheduler) start(h *harness) error {
+	if err := s.configure(h, h.endpoints.servers[s.number].proxy.addr()); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	name := fmt.Sprintf("n%d-%d", s.number, len(s.runs))
-	log, err := p.log(name)
+	log, err := h.openLog(s.processName(len(s.processes)))
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	r := &run{cmd: exec.Command(p.Program), began: time.Now(), ended: make(chan struct{}), log: log.Name()}
-	r.cmd.Env = []string{"PROXY_CONFIG=" + filepath.Join(s.dir, "config.json"), "TMPDIR=" + filepath.Join(s.dir, "tmp"), ShimsVariable + "=" + p.shimsFile(s.number)}
-	r.cmd.Stderr = log
-	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := r.cmd.Start(); err != nil {
+	p := &process{cmd: exec.Command(h.Program), began: time.Now(), exited: make(chan struct{}), log: log.Name()}
+	p.cmd.Env = []string{
+		"PROXY_CONFIG=" + s.configPath(),
+		"TMPDIR=" + s.tempDir(),
+		ShimsVariable + "=" + h.shimsFile(s.number),
+	}
+	p.cmd.Stderr = log
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	s.runs = append(s.runs, r)
-	go func() {
-		err := r.cmd.Wait()
-		s.mu.Lock()
-		r.err, r.endedAt = err, time.Now()
-		s.mu.Unlock()
-		close(r.ended)
-	}()
+	s.processes = append(s.processes, p)
+	go s.awaitProcess(p)
 	return nil
 }
 
-func (s *scheduler) last() *run {
+// awaitProcess records how a process exits; the harness's close kills those that are left.
+func (s *scheduler) awaitProcess(p *process) {
+	err := p.cmd.Wait()
+	s.mu.Lock()
+	p.err = err
+	s.mu.Unlock()
+	close(p.exited)
+}
+
+// current is the process that was started last; nil before the first.
+func (s *scheduler) current() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.runs) == 0 {
+	if len(s.processes) == 0 {
 		return nil
 	}
-	return s.runs[len(s.runs)-1]
+	return s.processes[len(s.processes)-1]
 }
 
-// awaitReady waits for a yes, and tells how long it took from the start.
-func (s *scheduler) awaitReady(p *play) time.Duration {
-	began := s.last().began
-	for time.Since(began) < 2*readyMost {
-		if out, err := s.client.Get("http://" + s.listen + "/-/ready"); err == nil {
-			if out.Body.Close(); out.StatusCode == 200 {
-				s.fronted.Store(true)
-				break
-			}
+// awaitReady waits until the scheduler is ready, and returns how long that took from the start of its process.
+func (s *scheduler) awaitReady(h *harness) time.Duration {
+	began := s.current().began
+	for time.Since(began) < 2*readyWithin {
+		if s.isReady() {
+			s.routed.Store(true)
+			break
 		}
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(readyPollInterval)
 	}
 	took := time.Since(began)
-	if took > readyMost {
-		p.books.find("F1 ready", fmt.Sprint("n", s.number), fmt.Sprintf("not ready after %v", took.Round(time.Millisecond)))
+	if took > readyWithin {
+		h.observed.addViolation("F1 ready", s.name(), fmt.Sprintf("not ready after %v", took.Round(time.Millisecond)))
 	}
 	return took
 }
 
-// begin starts the program anew, and waits for its yes.
-func (s *scheduler) begin(p *play) {
-	if err := s.start(p); err != nil {
-		p.books.find("play", fmt.Sprint("n", s.number), err.Error())
-		return
-	}
-	s.awaitReady(p)
-}
-
-// replace has a second process take over the address, and ends the first.
-func (s *scheduler) replace(p *play) {
-	before := s.last()
-	s.begin(p)
-	s.mu.Lock()
-	before.told = time.Now()
-	s.mu.Unlock()
-	before.cmd.Process.Signal(syscall.SIGTERM)
-	s.awaitEnd(p, before)
-}
-
-func (s *scheduler) signal(signal syscall.Signal) {
-	if r := s.last(); r != nil {
-		r.cmd.Process.Signal(signal)
-	}
-}
-
-// stop tells the process to end, in order, and kills what does not.
-func (s *scheduler) stop(p *play) {
-	r := s.last()
-	select {
-	case <-r.ended:
-		return // it is a crash, which judge sees
-	default:
-	}
-	s.mu.Lock()
-	r.told = time.Now()
-	s.mu.Unlock()
-	r.cmd.Process.Signal(syscall.SIGTERM)
-	time.AfterFunc(frontNotices, func() {
-		if s.last() == r {
-			s.fronted.Store(false)
-		}
-	})
-	s.awaitEnd(p, r)
-}
-
-// awaitEnd waits for the end of a process that was told to stop, and kills one that is late.
-func (s *scheduler) awaitEnd(p *play, r *run) {
-	select {
-	case <-r.ended:
-	case <-time.After(stopWithin):
-		p.books.find("F2 stop", fmt.Sprint("n", s.number), fmt.Sprintf("still there %v after SIGTERM", stopWithin))
-		s.killRun(r)
-	}
-}
-
-func (s *scheduler) kill() {
-	s.mu.Lock()
-	all := s.runs
-	s.mu.Unlock()
-	for _, r := range all {
-		select {
-		case <-r.ended:
-		default:
-			s.killRun(r)
-		}
+func (s *scheduler) isReady() bool {
+	response, err := s.client.Get("http://" + s.address + "/-/ready")
+	if err != nil {
+		return false
 	}
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-func (s *scheduler) killRun(r *run) {
-	s.mu.Lock()
-	r.killed = time.Now()
-	s.mu.Unlock()
-	r.cmd.Process.Kill()
-	<-r.ended
-}
-
-// freeze stops the process for a while.
-func (s *scheduler) freeze(length time.Duration) {
-	r := s.last()
-	from := time.Now()
-	r.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(length)
-	r.cmd.Process.Signal(syscall.SIGCONT)
-	s.mu.Lock()
-	s.freezes = append(s.freezes, span{from, time.Now()})
-	s.mu.Unlock()
-}
-
-// frozen tells how long the process stood still between two moments.
-func (s *scheduler) frozen(from, to time.Time) (length time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, f := range s.freezes {
-		if f.meets(from, to) {
-			length += f.to.Sub(f.from)
-		}
+// startAndAwaitReady starts a process and waits until it is ready.
+func (s *scheduler) startAndAwaitReady(h *harness) {
+	if err := s.start(h); err != nil {
+		h.observed.addViolation("play", s.name(), err.Error())
+		return
 	}
-	return length
+	s.awaitReady(h)
 }
 
-// stoodStill tells whether it was frozen for longer than a scheduler has to bear; the lock is held.
-func (s *scheduler) stoodStill() bool {
-	return slices.ContainsFunc(s.freezes, func(f span) bool { return f.to.Sub(f.from) > heldUp })
+// replace has a second process take over the address, and stops the first.
+func (s *scheduler) replace(h *harness) {
+	before := s.current()
+	s.startAndAwaitReady(h)
+	s.requestStop(before)
+	s.awaitExit(h, before)
 }
 
-// away tells whether no process of ours, or one that was killed, served between two moments.
-func (s *scheduler) away(from, to time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, r := range s.runs {
-		if !r.killed.IsZero() && (span{r.killed, time.Time{}}).meets(from, to) && r.began.Before(from) {
-			return true
-		}
+// reload writes the configuration with an address of the list and has the process read it.
+func (s *scheduler) reload(h *harness, discovery string) {
+	if s.configure(h, discovery) != nil {
+		return
 	}
-	return false
-}
-
-// faults are what the logs and the ends of the processes show.
-func (s *scheduler) faults() (finds []Find) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for n, r := range s.runs {
-		name := fmt.Sprintf("n%d-%d", s.number, n)
-		if r.killed.IsZero() && r.err != nil {
-			finds = append(finds, Find{"G4 crash", name, r.err.Error()})
-		}
-		if r.killed.IsZero() && r.told.IsZero() {
-			finds = append(finds, Find{"G4 crash", name, "it ended by itself"})
-		}
-		text, _ := os.ReadFile(r.log)
-		for line := range strings.Lines(string(text)) {
-			switch {
-			case strings.Contains(line, "answered late") && s.stoodStill():
-			case strings.Contains(line, "a rule would have been broken"):
-				finds = append(finds, Find{"guard", name, strings.TrimSpace(line)})
-			case strings.Contains(line, "panic"):
-				if !strings.Contains(line, `"panics":0`) {
-					finds = append(finds, Find{"G4 panic", name, strings.TrimSpace(line)})
-				}
-			}
-		}
+	if p := s.current(); p != nil {
+		p.cmd.Process.Signal(syscall.SIGHUP)
 	}
-	return finds
 }
--- /dev/null
+++ b/internal/lab/soak/scheduler_faults.go
@@ -0,0 +1,62 @@
+package soak
+
+import (
+	"math/rand"
+	"time"
+)
+
+const faultMove = "move" // the endpoint list changes its address
+
+// schedulerFault is a kind of fault that is injected into a part of the schedulers.
+func schedulerFault(name string, part float64, inject func(*harness, *scheduler, *rand.Rand)) faultKind {
+	return faultKind{name: name, inject: func(h *harness, rng *rand.Rand) string {
+		return injectInto(h.schedulers, part, rng, func(s *scheduler, rng *rand.Rand) { inject(h, s, rng) })
+	}}
+}
+
+var schedulerFaults = []faultKind{
+	schedulerFault("stop", 0.25, stopAndStart),
+	schedulerFault("kill", 0.3, killAndStart),
+	schedulerFault("reload", 0.6, reloadSettings),
+	schedulerFault(faultMove, 0.5, moveEndpointList),
+	schedulerFault("replace", 0.2, func(h *harness, s *scheduler, _ *rand.Rand) { s.replace(h) }),
+	schedulerFault("pause", 0.5, pauseShortly),
+	schedulerFault("freeze", 0.15, func(_ *harness, s *scheduler, rng *rand.Rand) {
+		s.freeze(time.Second + millisUpTo(rng, 1500))
+	}),
+}
+
+func stopAndStart(h *harness, s *scheduler, _ *rand.Rand) {
+	s.stop(h)
+	time.Sleep(50 * time.Millisecond)
+	s.startAndAwaitReady(h)
+}
+
+func killAndStart(h *harness, s *scheduler, _ *rand.Rand) {
+	s.kill()
+	s.startAndAwaitReady(h)
+}
+
+func reloadSettings(h *harness, s *scheduler, rng *rand.Rand) {
+	for range 1 + rng.Intn(3) {
+		s.settingsVariant++
+		s.reload(h, h.endpoints.servers[s.number].proxy.addr())
+		time.Sleep(millisUpTo(rng, 60))
+	}
+}
+
+// moveEndpointList has a scheduler reach the list without the proxy for a while.
+func moveEndpointList(h *harness, s *scheduler, rng *rand.Rand) {
+	server := h.endpoints.servers[s.number]
+	s.reload(h, server.listener.Addr().String())
+	time.Sleep(millisUpTo(rng, 1200))
+	s.reload(h, server.proxy.addr())
+}
+
+// pauseShortly freezes a scheduler several times, each for less than it has to tolerate.
+func pauseShortly(_ *harness, s *scheduler, rng *rand.Rand) {
+	for range 4 {
+		s.freeze(time.Duration(rng.Intn(int(pauseTolerated))))
+		time.Sleep(millisUpTo(rng, 150))
+	}
+}
