--- /dev/null
+++ b/internal/lab/scale/conn_pool.go
@@ -0,0 +1,73 @@
+package scale
+
+import (
+	"net"
+	"slices"
+	"sync"
+)
+
+// connPool holds idle connections to schedulers.
+type connPool struct {
+	mu   sync.Mutex
+	idle map[int][]net.Conn // by scheduler, the last one used last
+}
+
+func newConnPool() *connPool { return &connPool{idle: map[int][]net.Conn{}} }
+
+// get returns the idle connection that was used last, or a new one.
+func (p *connPool) get(scheduler int, addr string) (net.Conn, error) {
+	if c := p.take(scheduler); c != nil {
+		return c, nil
+	}
+	return net.DialTimeout("tcp", addr, dialTimeout)
+}
+
+func (p *connPool) take(scheduler int) net.Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	idle := p.idle[scheduler]
+	if len(idle) == 0 {
+		return nil
+	}
+	last := len(idle) - 1
+	p.idle[scheduler] = idle[:last]
+	return idle[last]
+}
+
+func (p *connPool) put(scheduler int, c net.Conn) {
+	p.mu.Lock()
+	p.idle[scheduler] = append(p.idle[scheduler], c)
+	p.mu.Unlock()
+}
+
+// closeIdle closes a connection, unless it is in use.
+func (p *connPool) closeIdle(scheduler int, c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	idle := p.idle[scheduler]
+	n := slices.Index(idle, c)
+	if n < 0 {
+		return
+	}
+	p.idle[scheduler] = slices.Delete(idle, n, n+1)
+	c.Close()
+}
+
+// countingConn counts the bytes of a connection.
+type countingConn struct {
+	net.Conn
+	read    int
+	written int
+}
+
+func (c *countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.read += n
+	return n, err
+}
+
+func (c *countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.written += n
+	return n, err
+}
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/forms_test.go
@@ -15,8 +15,8 @@
 	"stoatweir/internal/golden"
 )
 
-// line is a value as processes write it to one another.
-func line(t *testing.T, v any) []byte {
+// jsonLine is a value as processes write it to one another.
+func jsonLine(t *testing.T, v any) []byte {
 	t.Helper()
 	var text bytes.Buffer
 	if err := json.NewEncoder(&text).Encode(v); err != nil {
@@ -39,15 +39,17 @@
 
 // What a rig and its hollow processes write to one another is the same to the byte, every field set.
 func TestGoldenOrders(t *testing.T) {
-	part, order, stats := golden.Filled[Part](t), golden.Filled[Order](t), golden.Filled[Stats](t)
-	readBack(t, golden.Compare(t, "part.json", line(t, part)), part)
-	readBack(t, golden.Compare(t, "order.json", line(t, order)), order)
-	readBack(t, golden.Compare(t, "stats.json", line(t, stats)), stats)
+	part := golden.Filled[Part](t)
+	order := golden.Filled[Order](t)
+	stats := golden.Filled[Stats](t)
+	readBack(t, golden.Compare(t, "part.json", jsonLine(t, part)), part)
+	readBack(t, golden.Compare(t, "order.json", jsonLine(t, order)), order)
+	readBack(t, golden.Compare(t, "stats.json", jsonLine(t, stats)), stats)
 }
 
 // A hollow process that is given recorded lines answers with the recorded ones.
 func TestGoldenExchange(t *testing.T) {
-	in := append(line(t, Part{Role: ClientsRole, Schedulers: []string{"127.0.0.1:1"}, Host: "127.0.0.1"}), line(t, Order{Do: "stats"})...)
+	in := append(jsonLine(t, Part{Role: ClientsRole, Schedulers: []string{"127.0.0.1:1"}, Host: "127.0.0.1"}), jsonLine(t, Order{Do: "stats"})...)
 	var out bytes.Buffer
 	if err := Hollow(context.Background(), bytes.NewReader(golden.Compare(t, "exchange_in.json", in)), &out); err != nil {
 		t.Fatal(err)
@@ -75,7 +77,7 @@
 // The counts of the service are read by the keys that they have now.
 func TestGoldenCounts(t *testing.T) {
 	c := golden.Filled[counts](t)
-	readBack(t, golden.Compare(t, "counts.json", line(t, c)), c)
+	readBack(t, golden.Compare(t, "counts.json", jsonLine(t, c)), c)
 	text, err := os.ReadFile("testdata/counts.json")
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +108,11 @@
 // What a scheduler is told is the same to the byte.
 func TestGoldenSettings(t *testing.T) {
 	s := golden.Filled[Scenario](t)
-	s.Operations = []Operation{{"render", "idempotent"}, {"sale", "deduplicated"}, {"charge", "non-idempotent"}}
+	s.Operations = []Operation{
+		{Name: "render", Effect: "idempotent"},
+		{Name: "sale", Effect: "deduplicated"},
+		{Name: "charge", Effect: "non-idempotent"},
+	}
 	var text bytes.Buffer
 	if err := json.Indent(&text, s.settings(2), "", "  "); err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -4,111 +4,138 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"time"
 )
 
-// A hollow process stands for a part of the fleet that is not measured. It is told what it stands for in one line on its
-// standard input, says in one line that it is ready, and from then on answers each order with one line. It ends with its
-// input, so that it cannot outlive whoever started it.
+// A hollow process emulates a part of the deployment that is not measured. It reads what it emulates as one line of its
+// standard input, writes one line when it is ready, and from then on answers each order by one line. It ends with its
+// input, so that it cannot outlive the process that started it.
 
 // Roles of hollow processes.
 const (
-	FleetRole   = "fleet"   // workers, and the list of them
-	ClientsRole = "clients" // those of all schedulers
-	OthersRole  = "others"  // schedulers that only send and take messages
+	WorkersRole    = "fleet"   // workers, and the list of them
+	ClientsRole    = "clients" // those of all schedulers
+	SchedulersRole = "others"  // schedulers that only send and receive gossip
 )
 
-// Part is what a hollow process stands for.
+// Orders of a rig to its hollow processes.
+const (
+	orderBegin   = "begin"  // answered once, before any other, with the endpoints
+	orderStats   = "stats"  // nothing but the answer
+	orderStart   = "start"  // the load, or the changes of the list
+	orderFreeze  = "freeze" // load reports
+	orderLose    = "lose"   // workers
+	orderRestore = "return" // the lost workers
+)
+
+const (
+	orderBuffer = 1 << 20 // bytes
+	dialTimeout = time.Second
+)
+
+// Part is what a hollow process emulates.
 type Part struct {
 	Role       string   `json:"Role"`
 	Scenario   Scenario `json:"Scenario"`
 	Schedulers []string `json:"Schedulers"` // where each real one listens
 	Host       string   `json:"Host"`       // the address to listen at
 	Endpoints  []string `json:"Endpoints"`  // of the workers
-	Peers      []string `json:"Peers"`      // where each scheduler of the pool takes messages, by number: the real ones
+	Peers      []string `json:"Peers"`      // where the real schedulers receive gossip, by index
 }
 
-// Order is what a hollow process is asked to do.
+// Order is what a hollow process is to do.
 type Order struct {
 	Do    string        `json:"Do"`    // stats, start, lose, return, freeze
-	For   time.Duration `json:"For"`   // start: so long the pool is filled
+	For   time.Duration `json:"For"`   // start: the time in which the clients reach the requests in flight that are aimed at
 	Count int           `json:"Count"` // lose: so many workers of the first zone
 }
 
-// Stats are what a hollow process has seen since its start; which of them it tells depends on its role.
+// Stats are what a hollow process has seen since its start; which of them it fills in depends on its role.
 type Stats struct {
 	Discovery string   `json:"Discovery,omitempty"` // where the list is, once ready
-	Endpoints []string `json:"Endpoints,omitempty"` // of workers, at the beginning; of schedulers for messages
-	// of the fleet, for all schedulers
+	Endpoints []string `json:"Endpoints,omitempty"` // of workers, at the beginning; of schedulers for gossip
+
+	// Of the workers, for all schedulers; bytes are those of HTTP with the heads, both ways.
 	Starts      int64 `json:"Starts"`
 	Probes      int64 `json:"Probes"`
 	Cancels     int64 `json:"Cancels"`
-	News        int64 `json:"News"`
+	News        int64 `json:"News"` // callbacks
 	ProbeBytes  int64 `json:"ProbeBytes"`
 	CancelBytes int64 `json:"CancelBytes"`
 	TakeBytes   int64 `json:"TakeBytes"`
-	NewsBytes   int64 `json:"NewsBytes"` // bytes of these four with the heads of HTTP
-	Lists       int64 `json:"Lists"`
+	NewsBytes   int64 `json:"NewsBytes"`
+	Lists       int64 `json:"Lists"` // calls to the list
 	ListBytes   int64 `json:"ListBytes"`
 	Running     int64 `json:"Running"`
-	Changes     int64 `json:"Changes"`
-	Strange     int64 `json:"Strange"`
+	Changes     int64 `json:"Changes"` // entries of the list
+	Strange     int64 `json:"Strange"` // calls or messages that nobody should send
 	NewsFailed  int64 `json:"NewsFailed"`
-	// of the clients
+
+	// Of the clients.
 	Offered   int64         `json:"Offered"`
 	Succeeded int64         `json:"Succeeded"`
 	Throttled int64         `json:"Throttled"`
 	Errored   int64         `json:"Errored"`
 	Broken    int64         `json:"Broken"`
 	InHand    int64         `json:"InHand"`
-	LateMost  time.Duration `json:"LateMost"`
-	// of the other schedulers
+	LateMost  time.Duration `json:"LateMost"` // of an arrival against its plan
+
+	// Of the other schedulers.
 	MessagesIn      int64 `json:"MessagesIn"`
 	MessagesOut     int64 `json:"MessagesOut"`
 	MessageBytesIn  int64 `json:"MessageBytesIn"`
 	MessageBytesOut int64 `json:"MessageBytesOut"`
 }
 
-// Hollow is the whole of a hollow process.
+// emulator is what a hollow process runs.
+type emulator interface {
+	execute(Order) (Stats, error)
+}
+
+func newEmulator(ctx context.Context, p Part) (emulator, error) {
+	switch p.Role {
+	case WorkersRole:
+		return newWorkerPool(ctx, p)
+	case ClientsRole:
+		return newEmulatedClients(ctx, p), nil
+	case SchedulersRole:
+		return newEmulatedSchedulers(ctx, p)
+	default:
+		return nil, fmt.Errorf("hollow: %q is no role", p.Role)
+	}
+}
+
+// Hollow runs a hollow process until its input ends. Errors are those of its input and output, and of orders that it does not know.
 func Hollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	lines := bufio.NewReaderSize(in, 1<<20)
-	encode, decode := json.NewEncoder(out), json.NewDecoder(lines)
-	var p Part
-	if err := decode.Decode(&p); err != nil {
+	encoder := json.NewEncoder(out)
+	decoder := json.NewDecoder(bufio.NewReaderSize(in, orderBuffer))
+	var part Part
+	if err := decoder.Decode(&part); err != nil {
 		return fmt.Errorf("hollow: what it stands for can't be read: %w", err)
 	}
-	var player interface {
-		carry(Order) (Stats, error)
-	}
-	var err error
-	switch p.Role {
-	case FleetRole:
-		player, err = newFleet(ctx, p)
-	case ClientsRole:
-		player, err = newClients(ctx, p)
-	case OthersRole:
-		player, err = newOthers(ctx, p)
-	default:
-		err = fmt.Errorf("hollow: %q is no role", p.Role)
-	}
+	emulator, err := newEmulator(ctx, part)
 	if err != nil {
 		return err
 	}
-	for o := (Order{Do: "begin"}); ; {
-		s, err := player.carry(o)
+	order := Order{Do: orderBegin}
+	for {
+		stats, err := emulator.execute(order)
 		if err != nil {
 			return err
 		}
-		if err := encode.Encode(s); err != nil {
+		if err := encoder.Encode(stats); err != nil {
 			return err
 		}
-		if err := decode.Decode(&o); err == io.EOF {
+		err = decoder.Decode(&order)
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/limits_test.go
+++ b/internal/lab/scale/limits_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// What a machine can't carry is refused by key and figure; a mistyped file by key and line.
-func Example_refused() {
+// What a machine can't carry is rejected by key and figure; a mistyped file by key and line.
+func Example_rejected() {
 	m := Machine{Descriptors: 20000, Memory: 24 << 30, Processes: 300, Ports: 28000}
-	for _, change := range []string{"in_hand = 8000\nsockets = 30000", "workers = 8000\nschedulers = 15\nin_hand = 500", "schedulers = 30\nin_hand = 900\nworkers = 60",
+	for _, change := range []string{"in_hand = 8000\nsockets = 30000", "workers = 8000\nschedulers = 15\nin_hand = 500",
+		"schedulers = 30\nin_hand = 900\nworkers = 60",
 		"starts_per_second = 500.0", "window = \"10m\"", "workers = 3800\nin_hand = 5900"} {
 		s, err := Parse("a.toml", []byte("version = 1\nname = \"a\"\ntold = 60\n"+change))
 		if err == nil {
@@ -23,8 +24,10 @@
 		s, _ := Parse("a.toml", fmt.Appendf(nil, "version = 1\nname = \"a\"\nschedulers = %d", schedulers))
 		fmt.Println(s.Fits(m))
 	}
-	for _, text := range []string{"version = 2", "version = 1\nworkres = 5", "version = 1\nworkers = 0\nfill = \"soon\"", "version = 1\nworkers = 0\nstarts_per_second = nan",
-		"version = 1\n[sweep]\nkey = \"colour\"\nvalues = [1.0]", "version = 1\n[sweep]\nkey = \"workers\"", "version = 1\n[sweep]\nkey = \"workers\"\nvalues = [1e9]",
+	for _, text := range []string{"version = 2", "version = 1\nworkres = 5", "version = 1\nworkers = 0\nfill = \"soon\"",
+		"version = 1\nworkers = 0\nstarts_per_second = nan",
+		"version = 1\n[sweep]\nkey = \"colour\"\nvalues = [1.0]", "version = 1\n[sweep]\nkey = \"workers\"",
+		"version = 1\n[sweep]\nkey = \"workers\"\nvalues = [1e9]",
 		"version = 1\n[[operations]]\nname = \"a\"\neffect = \"odd\""} {
 		_, err := Parse("b.toml", []byte(text))
 		fmt.Println(err)
@@ -49,8 +52,8 @@
 	// b.toml: operations[0]: "a" of the effect "odd" is none
 }
 
-// What stands in the file gives way to what is set.
-func TestSettings(t *testing.T) {
+// A setting replaces what the file says.
+func TestSettingReplacesKeyOfFile(t *testing.T) {
 	s, err := Parse("a.toml", []byte("version = 1\nworkers = 60"), "workers = 240", "memory_mb = 512")
 	if err != nil || s.Workers != 240 || s.MemoryMB != 512 {
 		t.Error(s, err)
@@ -60,8 +63,8 @@
 	}
 }
 
-// What is shipped can be played, also by a machine with as many descriptors as ours.
-func TestShipped(t *testing.T) {
+// The shipped scenarios can be run, also by a machine of 20000 descriptors.
+func TestShippedScenariosFit(t *testing.T) {
 	files, _ := filepath.Glob("../../../deploy/lab/scale/*.toml")
 	if len(files) < 10 {
 		t.Fatal(files)
--- a/internal/lab/scale/list_test.go
+++ b/internal/lab/scale/list_test.go
@@ -13,8 +13,8 @@
 	"stoatweir/internal/workers"
 )
 
-// listOf writes a whole list of so many entries, of so many different workers.
-func listOf(entries, different int) []byte {
+// fullUpdate writes a full update of so many entries, of so many different workers.
+func fullUpdate(entries, different int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"rev":1,"all":true,"targets":[`)
 	for n := range entries {
@@ -22,47 +22,48 @@
 			b.WriteByte(',')
 		}
 		n %= different
-		fmt.Fprintf(&b, `{"uid":"w%d","endpoint":"127.%d.%d.1:%d","az":"z%d","model":"a","pod_group":1,"state":"Ready","capacity_hint":1,"boot_ms":0}`,
-			n, n>>12, n>>4&255, 9000+n&15, n%15)
+		fmt.Fprintf(&b, `{"uid":"w%d","endpoint":"127.%d.%d.1:%d","az":"z%d",`, n, n>>12, n>>4&255, 9000+n&15, n%15)
+		b.WriteString(`"model":"a","pod_group":1,"state":"Ready","capacity_hint":1,"boot_ms":0}`)
 	}
 	b.WriteString("]}")
 	return []byte(b.String())
 }
 
-// reading is what the service does with a list, from its text to the decisions, by a watcher and a module of its own.
-func reading(t *testing.T, entries, different int) (allocations float64, known int) {
+// applyFullUpdate does what the service does with a full update, from its text to the decisions, by a watcher and a dispatcher of its own.
+func applyFullUpdate(t *testing.T, entries, different int) (allocations float64, known int) {
 	t.Helper()
-	text := listOf(entries, different)
-	site, err := settings.ParseDeployment(Scenario{Zones: 15, Told: 15, InHand: 100, Starts: 48, Copies: true,
-		Operations: []Operation{{"render", "idempotent"}}}.settings(0))
+	text := fullUpdate(entries, different)
+	deployment, err := settings.ParseDeployment(Scenario{Zones: 15, Told: 15, InHand: 100, Starts: 48, Copies: true,
+		Operations: []Operation{{Name: "render", Effect: "idempotent"}}}.settings(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	allocations = testing.AllocsPerRun(1, func() {
 		loop := conn.NewLoop(time.Now())
-		watcher := discovery.New(loop, "127.0.0.1:1", site.Zones, site.Kinds, time.Now())
-		fleet, core := workers.NewTransport(loop, site, loop.NewQuota(100)), dispatch.New(site.Dispatch, 1)
-		list, err := watcher.Parse(text)
+		watcher := discovery.New(loop, "127.0.0.1:1", deployment.Zones, deployment.Kinds, time.Now())
+		transport := workers.NewTransport(loop, deployment, loop.NewQuota(100))
+		dispatcher := dispatch.New(deployment.Dispatch, 1)
+		update, err := watcher.Parse(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet.ApplyUpdate(list)
-		core.Handle(time.Second, []dispatch.Event{list.EndpointUpdate()})
-		core.Handle(2*time.Second, []dispatch.Event{dispatch.TimerFired{}})
-		known = fleet.EndpointCount()
+		transport.ApplyUpdate(update)
+		dispatcher.Handle(time.Second, []dispatch.Event{update.EndpointUpdate()})
+		dispatcher.Handle(2*time.Second, []dispatch.Event{dispatch.TimerFired{}})
+		known = transport.EndpointCount()
 	})
 	return allocations, known
 }
 
 // A long list costs in proportion to its entries, and one that names the same worker again and again no more than one of
 // as many different ones. Allocations are counted, as times differ.
-func TestListInProportion(t *testing.T) {
-	short, a := reading(t, 10_000, 10_000)
-	long, b := reading(t, 100_000, 100_000)
+func TestFullUpdateCostsInProportion(t *testing.T) {
+	short, a := applyFullUpdate(t, 10_000, 10_000)
+	long, b := applyFullUpdate(t, 100_000, 100_000)
 	if a != 10_000 || b != 100_000 || long > 11*short {
 		t.Errorf("%d entries: %.0f allocations, %d entries: %.0f", a, short, b, long)
 	}
-	again, one := reading(t, 10_000, 10)
+	again, one := applyFullUpdate(t, 10_000, 10)
 	if one != 10 || again > short {
 		t.Errorf("%d workers in 10000 entries: %.0f allocations, %.0f where all differ", one, again, short)
 	}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -1,32 +1,34 @@
 package scale
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"os"
 	"os/exec"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 )
 
+const (
+	stderrTail   = 4000        // bytes of a process's standard error that are reported
+	exitNoticeIn = time.Second // in which the end of a process is known after its pipe or its files have failed
+)
+
 // process is one that a run has started: a real scheduler or a hollow one.
 type process struct {
-	name  string
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	out   *json.Decoder
-	said  *tail
-	ended chan struct{}
-	err   error // of its end
+	name   string
+	cmd    *exec.Cmd
+	in     io.WriteCloser // of a hollow one
+	out    *json.Decoder  // of a hollow one
+	stderr *tail
+	exited chan struct{} // closed at its exit
+	err    error         // of its exit
 }
 
-// tail keeps the last of what a process says on its standard error.
+// tail is a writer that keeps the last bytes written.
 type tail struct {
 	mu   sync.Mutex
 	text []byte
@@ -36,7 +38,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
-	t.text = t.text[max(0, len(t.text)-4000):]
+	t.text = t.text[max(0, len(t.text)-stderrTail):]
 	return len(b), nil
 }
 
@@ -46,54 +48,76 @@
 	return strings.TrimSpace(string(t.text))
 }
 
-// start starts one. Whatever becomes of us, it is not left behind: the kernel kills it with us.
-func start(name string, cmd *exec.Cmd, talks bool, died chan<- *process) (*process, error) {
-	p := &process{name: name, cmd: cmd, said: &tail{}, ended: make(chan struct{})}
-	cmd.Stderr = p.said
+func newProcess(name string, cmd *exec.Cmd) *process {
+	p := &process{name: name, cmd: cmd, stderr: &tail{}, exited: make(chan struct{})}
+	cmd.Stderr = p.stderr
+	// Whatever becomes of this process, the other is not left behind: the kernel kills it too.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if talks {
-		in, err := cmd.StdinPipe()
-		if err != nil {
-			return nil, err
-		}
-		out, err := cmd.StdoutPipe()
-		if err != nil {
-			return nil, err
-		}
-		p.in, p.out = in, json.NewDecoder(out)
+	return p
+}
+
+// connect opens the pipes of a hollow process that has not been started.
+func (p *process) connect() error {
+	in, err := p.cmd.StdinPipe()
+	if err != nil {
+		return err
+	}
+	out, err := p.cmd.StdoutPipe()
+	if err != nil {
+		return err
 	}
-	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
+	p.in = in
+	p.out = json.NewDecoder(out)
+	return nil
+}
+
+// start starts it; its exit is sent to exits too.
+func (p *process) start(exits chan<- *process) error {
+	if err := p.cmd.Start(); err != nil {
+		return fmt.Errorf("%s: %w", p.name, err)
 	}
 	go func() {
-		state, err := cmd.Process.Wait()
-		if p.err = err; err == nil {
-			p.err = errors.New(state.String())
+		state, err := p.cmd.Process.Wait()
+		if err == nil {
+			err = errors.New(state.String())
 		}
-		close(p.ended)
-		died <- p
+		p.err = err
+		close(p.exited)
+		exits <- p
 	}()
-	return p, nil
+	return nil
+}
+
+// exitError says how it has exited.
+func (p *process) exitError() error {
+	return fmt.Errorf("%s has ended: %v: %s", p.name, p.err, p.stderr)
 }
 
-func (p *process) fault() error {
-	return fmt.Errorf("%s has ended: %v: %s", p.name, p.err, p.said)
+// explain returns the error of its exit, or the given one where it goes on.
+func (p *process) explain(err error) error {
+	select {
+	case <-p.exited:
+		return p.exitError()
+	case <-time.After(exitNoticeIn):
+		return fmt.Errorf("%s: %w", p.name, err)
+	}
 }
 
-// order has a hollow process carry something out.
-func (p *process) order(o any) (s Stats, err error) {
-	if err = json.NewEncoder(p.in).Encode(o); err == nil {
-		err = p.out.Decode(&s)
+// begin sends a hollow process what it emulates, and returns what it says when it is ready.
+func (p *process) begin(part Part) (Stats, error) { return p.exchange(part) }
+
+// execute has a hollow process execute an order.
+func (p *process) execute(o Order) (Stats, error) { return p.exchange(o) }
+
+func (p *process) exchange(line any) (stats Stats, err error) {
+	err = json.NewEncoder(p.in).Encode(line)
+	if err == nil {
+		err = p.out.Decode(&stats)
 	}
 	if err != nil {
-		select {
-		case <-p.ended:
-			return s, p.fault()
-		case <-time.After(time.Second):
-			return s, fmt.Errorf("%s: %w", p.name, err)
-		}
+		return stats, p.explain(err)
 	}
-	return s, nil
+	return stats, nil
 }
 
 func (p *process) kill() {
@@ -101,50 +125,5 @@
 		p.in.Close()
 	}
 	p.cmd.Process.Kill()
-	<-p.ended
-}
-
-// usage is what the kernel knows of a process.
-type usage struct {
-	CPU, System time.Duration // of user and system; of system alone
-	RSS, Peak   int64         // bytes
-	Descriptors int
-}
-
-// ticks of the kernel a second, in which it counts processor time for all to see.
-const ticks = 100
-
-func used(pid int) (u usage, err error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	if err != nil {
-		return u, err
-	}
-	// The name, in brackets, may hold anything.
-	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
-	if len(fields) < 13 {
-		return u, fmt.Errorf("/proc/%d/stat: can't be read", pid)
-	}
-	for _, f := range fields[11:13] {
-		n, err := strconv.ParseInt(f, 10, 64)
-		if err != nil {
-			return u, err
-		}
-		u.System = time.Duration(n) * time.Second / ticks // which comes last
-		u.CPU += u.System
-	}
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		return u, err
-	}
-	for line := range strings.Lines(string(status)) {
-		for name, to := range map[string]*int64{"VmRSS:": &u.RSS, "VmHWM:": &u.Peak} {
-			if rest, is := strings.CutPrefix(line, name); is {
-				kb, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
-				*to = kb << 10
-			}
-		}
-	}
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	u.Descriptors = len(fds)
-	return u, err
+	<-p.exited
 }
