--- /dev/null
+++ b/internal/lab/loopback/clients.go
@@ -0,0 +1,110 @@
+package loopback
+
+import (
+	"time"
+
+	"stoatweir/internal/lab/load"
+	"stoatweir/internal/lab/model"
+)
+
+const (
+	sendOvertime     = time.Second      // after its deadline, in which a client waits for an answer
+	attemptKeptAfter = 10 * time.Second // after its deadline, in which workers may still be sent an attempt
+)
+
+// clientAttempt is a client's attempt at a scheduler, and what has reached workers of it.
+type clientAttempt struct {
+	job       *model.Job
+	scheduler int
+	attempts  []*model.Attempt // of the scheduler at workers
+	results   map[string]bool  // that workers made
+	wireID    string           // its id as workers were sent it
+}
+
+// scheduleArrival plans the next invocation.
+func (r *run) scheduleArrival() {
+	j, more := r.source.Next()
+	if !more {
+		r.exhausted = true
+		return
+	}
+	r.at(j.At, func(time.Duration) {
+		r.model.Tally.Offered(&j)
+		r.unfinished++
+		r.lastDeadline = max(r.lastDeadline, j.Deadline)
+		r.send(&j)
+		r.scheduleArrival()
+	})
+}
+
+// route chooses a scheduler for a client's attempt, as the front end does: among those of a zone
+// that are not known to be gone. Nil: there is none.
+func (r *run) route(now time.Duration, j *model.Job) *scheduler {
+	isGone := func(n int) bool { return !r.schedulers[n].up && now >= r.schedulers[n].noticed }
+	n := r.model.Clients.Front(j, isGone)
+	if n < 0 {
+		return nil
+	}
+	return r.schedulers[n]
+}
+
+// send sends a client's attempt in a goroutine of its own: nothing that it waits for may delay the
+// next one.
+func (r *run) send(j *model.Job) {
+	now := r.now()
+	r.model.Tally.Tries++
+	s := r.route(now, j)
+	if s == nil {
+		r.attemptEnded(now, j, load.Answer{How: model.NoneThere})
+		return
+	}
+	c := &clientAttempt{job: j, scheduler: s.number, results: map[string]bool{}}
+	r.attempts[j.ID] = c
+	r.model.Judge.Offered(now, s.number, j)
+	within := j.Deadline + sendOvertime - now
+	if j.Leaves > now {
+		within = min(within, j.Leaves-now)
+		r.at(j.Leaves, func(now time.Duration) { r.model.Judge.Left(now, j) })
+	}
+	r.at(j.Deadline+r.scenario.Rules.AnswerSlack.D(), func(now time.Duration) {
+		r.attemptEnded(now, j, load.Answer{How: model.Unanswered})
+	})
+	r.at(j.Deadline+attemptKeptAfter, func(time.Duration) { delete(r.attempts, j.ID) })
+	r.audit.Sent(j.At, now)
+	r.sending.Go(func() {
+		a := r.sender.Send(r.ctx, s.address, j, j.Deadline-r.now(), within)
+		r.post(func(now time.Duration) { r.answered(now, c, a) })
+	})
+}
+
+// answered takes what a client got for an attempt.
+func (r *run) answered(now time.Duration, c *clientAttempt, a load.Answer) {
+	j := c.job
+	switch a.How {
+	case model.NoneThere: // the scheduler has never read it
+		r.model.Judge.Left(now, j)
+	case model.Unanswered:
+	default:
+		r.model.Judge.Answered(now, c.scheduler, j, a.How)
+		if a.How == model.Succeeded && !c.results[a.Body] {
+			r.model.Judge.Spoilt(now, c.scheduler, j, a.Body)
+		}
+	}
+	if a.How == model.Unanswered && j.Leaves > 0 && now >= j.Leaves {
+		a.How = model.Left
+	}
+	r.attemptEnded(now, j, a)
+}
+
+// attemptEnded ends a client's attempt, once. The client may retry.
+func (r *run) attemptEnded(now time.Duration, j *model.Job, a load.Answer) {
+	if !r.model.Clients.First(j) {
+		return
+	}
+	if next, retries := r.model.Clients.Again(now, j, a.How, a.Advice); retries {
+		r.at(next.At, func(time.Duration) { r.send(&next) })
+		return
+	}
+	r.unfinished--
+	r.model.Tally.Ended(now, j, a.How)
+}
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -25,7 +25,7 @@
 	return program
 }
 
-const day = `
+const smallScenario = `
 version = 1
 name = "small"
 length = "4s"
@@ -58,13 +58,14 @@
 effect = "non-idempotent"
 `
 
-// A day with killed schedulers, a worker that dies and one that is replaced, against real processes: each invocation ends
-// once, the rules hold, and nothing is left behind: no process, no open port, no file.
-func TestDay(t *testing.T) {
+// With killed schedulers, a worker that dies and one that is replaced, against real processes, each
+// invocation ends once, the rules hold, and nothing is left behind: no process, no open port, no
+// file.
+func TestRulesHoldUnderFaults(t *testing.T) {
 	program := build(t)
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
-	s, err := scenario.Parse("day.toml", []byte(day+`
+	s, err := scenario.Parse("small.toml", []byte(smallScenario+`
 [[troubles]]
 kind = "killed"
 at = "1s"
@@ -98,11 +99,12 @@
 	if a := r.All; r.Broken() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Missed != a.Offered || a.InTime < a.Offered/2 {
 		t.Error(text.String())
 	}
-	nothingLeft(t, program, tmp)
+	checkNothingLeft(t, program, tmp)
 }
 
-// nothingLeft looks for processes of the program, files, and listeners on loopback that this test has not.
-func nothingLeft(t *testing.T, program, tmp string) {
+// checkNothingLeft fails where processes of the program, files, or listeners at the run's addresses
+// are left.
+func checkNothingLeft(t *testing.T, program, tmp string) {
 	t.Helper()
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		var left []string
@@ -112,12 +114,13 @@
 				left = append(left, exe)
 			}
 		}
-		// Whoever still listens at one of our addresses: the kernel writes them backwards, in hexadecimal.
+		// Listeners at one of this process's addresses: the kernel writes them backwards, in
+		// hexadecimal.
 		text, _ := os.ReadFile("/proc/net/tcp")
 		for line := range strings.Lines(string(text)) {
 			f := strings.Fields(line)
-			for _, part := range []int{schedulers, others} {
-				ip := net.ParseIP(host(part)).To4()
+			for _, second := range []int{schedulerNet, otherNet} {
+				ip := net.ParseIP(loopbackHost(second)).To4()
 				if len(f) > 3 && f[3] == "0A" && strings.HasPrefix(f[1], fmt.Sprintf("%02X%02X%02X%02X:", ip[3], ip[2], ip[1], ip[0])) {
 					left = append(left, "port "+f[1])
 				}
@@ -135,26 +138,26 @@
 	}
 }
 
-// A day that is given up in its midst leaves as little.
-func TestGivenUp(t *testing.T) {
+// A run that is cancelled leaves nothing behind either.
+func TestCancelledRunLeavesNothing(t *testing.T) {
 	program := build(t)
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
-	s, err := scenario.Parse("day.toml", []byte(day))
+	s, err := scenario.Parse("small.toml", []byte(smallScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	if _, err := Play(ctx, s, nil, program); err == nil {
-		t.Error("a day of 4 s was over after 1.5 s")
+		t.Error("a run of 4 s was over after 1.5 s")
 	}
-	nothingLeft(t, program, tmp)
+	checkNothingLeft(t, program, tmp)
 }
 
-// A program that never gets ready is an error that shows what it said.
+// A program that never gets ready is an error that shows its log.
 func TestNotReady(t *testing.T) {
-	s, err := scenario.Parse("day.toml", []byte(day))
+	s, err := scenario.Parse("small.toml", []byte(smallScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,17 +166,26 @@
 	if _, err := Play(ctx, s, nil, "/bin/false"); err == nil || !strings.Contains(err.Error(), "not ready") {
 		t.Error(err)
 	}
+}
+
+// A scenario whose processes never start is an error, however many they are.
+func TestMissingProgram(t *testing.T) {
+	s, err := scenario.Parse("small.toml", []byte(smallScenario))
+	if err != nil {
+		t.Fatal(err)
+	}
 	s.Schedulers.Count = 1000
-	if _, err := Play(context.Background(), s, nil, program404); err == nil {
+	if _, err := Play(context.Background(), s, nil, missingProgram); err == nil {
 		t.Error("a thousand processes")
 	}
 }
 
-const program404 = "/nowhere"
+const missingProgram = "/nowhere"
 
-// Two days at once do not take each other's ports: a scheduler's is free while it is away.
-func TestPortsStayOurs(t *testing.T) {
-	a, b := host(schedulers), host(others)
+// Schedulers have an address that nobody else listens at: a scheduler's port is free while it is away.
+func TestSchedulersHaveOwnAddress(t *testing.T) {
+	a := loopbackHost(schedulerNet)
+	b := loopbackHost(otherNet)
 	if a == b || load.Loopback(a+":1") != nil || load.Loopback(b+":1") != nil {
 		t.Error(a, b)
 	}
--- a/internal/lab/loopback/worker.go
+++ b/internal/lab/loopback/worker.go
@@ -2,11 +2,8 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -15,7 +12,7 @@
 
 // worker is the listener of one machine of the model.
 type worker struct {
-	d       *Day
+	run     *run
 	machine int
 	addr    string
 
@@ -24,258 +21,100 @@
 	listener net.Listener
 }
 
-// add opens the address of a machine.
-func (d *Day) add(machine int) error {
-	w := &worker{d: d, machine: machine, addr: host(others) + ":0"}
-	for len(d.workers) <= machine {
-		d.workers = append(d.workers, nil)
+// addWorker opens the address of a machine; of the loop, or before there is one.
+func (r *run) addWorker(machine int) error {
+	w := &worker{run: r, machine: machine, addr: loopbackHost(otherNet) + ":0"}
+	for len(r.workers) <= machine {
+		r.workers = append(r.workers, nil)
 	}
-	d.workers[machine] = w
+	r.workers[machine] = w
 	return w.open()
 }
 
+// open listens at its address: the one that it had before, if any.
 func (w *worker) open() error {
 	l, err := net.Listen("tcp", w.addr)
 	if err != nil {
 		return fmt.Errorf("machine %d: %w", w.machine, err)
 	}
 	w.addr = l.Addr().String()
-	server := &http.Server{Handler: http.HandlerFunc(w.serve), IdleTimeout: w.d.s.Network.Idle.D()}
+	server := &http.Server{Handler: http.HandlerFunc(w.serve), IdleTimeout: w.run.scenario.Network.Idle.D()}
 	w.mu.Lock()
-	w.server, w.listener = server, l
+	w.server = server
+	w.listener = l
 	w.mu.Unlock()
-	go server.Serve(&gate{l, w})
+	go server.Serve(&modelListener{Listener: l, worker: w}) // until close
 	return nil
 }
 
-// gate asks the model whether a connection comes up. One that the model refuses has come up for the kernel already: it
-// is reset at once.
-type gate struct {
+// close ends the listener and all connections.
+func (w *worker) close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.server == nil {
+		return
+	}
+	// The address is free at once. The rest waits for whoever is accepting, who may wait for the
+	// loop that called this.
+	w.listener.Close()
+	go w.server.Close()
+	w.server = nil
+}
+
+// modelListener accepts the connections that the model accepts. For the kernel, one that the model
+// refuses has been accepted already: it is reset at once.
+type modelListener struct {
 	net.Listener
-	w *worker
+	worker *worker
 }
 
-// Accept gives the next connection that comes up.
-func (g *gate) Accept() (net.Conn, error) {
+// Accept returns the next connection that the model accepts.
+func (l *modelListener) Accept() (net.Conn, error) {
 	for {
-		c, err := g.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		got := make(chan model.Verdict, 1)
-		d := g.w.d
-		d.put(func(now time.Duration) {
-			d.world.Tally.Connections++
-			d.world.Now(now)
-			got <- d.world.Fleet.Connect(g.w.machine)
+		r := l.worker.run
+		verdict, ok := query(r, func(now time.Duration) model.Verdict {
+			r.model.Tally.Connections++
+			r.model.Now(now)
+			return r.model.Fleet.Connect(l.worker.machine)
 		})
-		v := model.Taken
-		select {
-		case v = <-got:
-		case <-d.ctx.Done():
-		}
-		if v != model.NoConnection {
+		if !ok || verdict != model.NoConnection {
 			return c, nil
 		}
-		if tcp, is := c.(*net.TCPConn); is {
-			tcp.SetLinger(0)
-		}
-		c.Close()
+		abort(c)
 	}
 }
 
-// close ends the listener and all connections.
-func (w *worker) close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.server != nil {
-		// The address is free at once. The rest waits for whoever is accepting, who may wait for the loop that called us.
-		w.listener.Close()
-		go w.server.Close()
-		w.server = nil
+// abort closes a connection by a reset.
+func abort(c net.Conn) {
+	if tcp, ok := c.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
+	c.Close()
 }
 
-// stirred follows the model: a process that has died refuses connections, a machine that has vanished keeps its own and
-// says nothing, one that is back has reset them.
-func (d *Day) stirred(_ time.Duration, machine int) {
-	m := d.world.Fleet.Machines[machine]
-	if machine >= len(d.workers) {
-		if err := d.add(machine); err != nil {
-			d.failures = append(d.failures, err)
+// workerChanged follows a machine of the model: a process that has died refuses connections, a
+// machine that has vanished keeps its own and sends nothing, one that is back has reset them.
+func (r *run) workerChanged(_ time.Duration, machine int) {
+	if machine >= len(r.workers) {
+		if err := r.addWorker(machine); err != nil {
+			r.failures = append(r.failures, err)
 		}
 		return
 	}
-	w := d.workers[machine]
+	m := r.model.Fleet.Machines[machine]
+	w := r.workers[machine]
 	switch {
 	case m.Silent():
 	case m.Listens():
 		w.close()
 		if err := w.open(); err != nil {
-			d.failures = append(d.failures, err)
+			r.failures = append(r.failures, err)
 		}
 	default:
 		w.close()
 	}
 }
-
-// quiet says nothing until the connection ends.
-func (w *worker) quiet(in *http.Request) {
-	select {
-	case <-in.Context().Done():
-	case <-w.d.ctx.Done():
-	}
-}
-
-// reset ends a connection without a word.
-func reset(out http.ResponseWriter) {
-	if h, can := out.(http.Hijacker); can {
-		if c, _, err := h.Hijack(); err == nil {
-			if tcp, is := c.(*net.TCPConn); is {
-				tcp.SetLinger(0)
-			}
-			c.Close()
-		}
-	}
-}
-
-func (w *worker) serve(out http.ResponseWriter, in *http.Request) {
-	switch {
-	case in.Method == "GET" && (in.URL.Path == "/-/load" || in.URL.Path == "/-/healthy"):
-		w.probe(out, in)
-	case in.Method == "DELETE" && strings.HasPrefix(in.URL.Path, "/jobs/"):
-		w.cancel(out, in)
-	case in.Method == "POST":
-		w.take(out, in)
-	default:
-		out.WriteHeader(404)
-	}
-}
-
-func (w *worker) probe(out http.ResponseWriter, in *http.Request) {
-	type answer struct {
-		report  *model.Report
-		verdict model.Verdict
-	}
-	got := make(chan answer, 1)
-	w.d.put(func(now time.Duration) {
-		w.d.world.Tally.Probes++
-		w.d.world.Now(now)
-		r, v := w.d.world.Fleet.Probe(now, w.machine)
-		got <- answer{r, v}
-	})
-	select {
-	case a := <-got:
-		switch {
-		case a.verdict == model.NoWord:
-			w.quiet(in)
-		case a.verdict == model.NoConnection:
-			reset(out)
-		case a.report != nil && in.URL.Path == "/-/load":
-			io.WriteString(out, w.d.report(a.report))
-		}
-	case <-w.d.ctx.Done():
-	}
-}
-
-// report writes the fields that the scenario names.
-func (d *Day) report(r *model.Report) string {
-	var fields []string
-	for i, name := range d.s.ReportNames() {
-		v := map[string]float64{"free_slots": r.FreeSlots, "waiting": r.Waiting, "active": r.Active, "service_ms": r.ServiceMs}[d.s.Reports.Fields[i]]
-		fields = append(fields, fmt.Sprintf("%s=%g", name, v))
-	}
-	return "TEXT " + strings.Join(fields, ", ")
-}
-
-func (w *worker) cancel(out http.ResponseWriter, in *http.Request) {
-	id, err := jobOf(strings.TrimPrefix(in.URL.Path, "/jobs/"))
-	if err != nil {
-		out.WriteHeader(400)
-		return
-	}
-	w.d.put(func(now time.Duration) {
-		w.d.world.Now(now)
-		h := w.d.jobs[id]
-		if h == nil {
-			return
-		}
-		for _, a := range h.attempts {
-			if a.Machine == w.machine {
-				// The scheduler has given it up, whether or not the machine hears of it.
-				w.d.world.Judge.Ended(now, a.Job, a.Forward, false, "called off")
-				w.d.world.Fleet.Cancel(now, a)
-			}
-		}
-	})
-	out.WriteHeader(204)
-}
-
-// jobOf reads the id that a client has given; of a hosted tenant it stands behind the tenant's handle.
-func jobOf(id string) (int64, error) {
-	return strconv.ParseInt(id[strings.LastIndexByte(id, '~')+1:], 16, 64)
-}
-
-func (w *worker) take(out http.ResponseWriter, in *http.Request) {
-	if _, err := io.Copy(io.Discard, in.Body); err != nil {
-		return
-	}
-	id, err := jobOf(in.Header.Get("X-Call-Id"))
-	if err != nil {
-		out.WriteHeader(404)
-		return
-	}
-	type taken struct {
-		a       *model.Attempt
-		verdict model.Verdict
-	}
-	got := make(chan *taken, 1)
-	w.d.put(func(now time.Duration) {
-		w.d.world.Now(now)
-		h := w.d.jobs[id]
-		if h == nil {
-			got <- nil
-			return
-		}
-		a := &model.Attempt{Scheduler: h.scheduler, Job: h.job, Forward: len(h.attempts), Machine: w.machine}
-		h.attempts, h.wire = append(h.attempts, a), in.Header.Get("X-Call-Id")
-		w.d.world.Judge.Sent(now, h.scheduler, h.job, a.Forward, w.machine)
-		v := w.d.world.Fleet.Take(now, a)
-		switch v {
-		case model.TurnedAway, model.NoConnection:
-			w.d.world.Judge.Ended(now, a.Job, a.Forward, true, "turned away")
-		case model.Fails:
-			w.d.world.Judge.Ended(now, a.Job, a.Forward, false, "failed at once")
-		case model.Breaks:
-			w.d.world.Judge.Ended(now, a.Job, a.Forward, false, "the connection broke")
-		}
-		got <- &taken{a, v}
-	})
-	var t *taken
-	select {
-	case t = <-got:
-	case <-w.d.ctx.Done():
-		return
-	}
-	if t == nil {
-		out.WriteHeader(400) // an id that no client has sent
-		return
-	}
-	switch t.verdict {
-	case model.Taken:
-		out.WriteHeader(202)
-	case model.TurnedAway, model.NoConnection:
-		out.Header().Set("X-Rejected", "1")
-		out.WriteHeader(503)
-	case model.Fails:
-		out.WriteHeader(500)
-	case model.Breaks:
-		reset(out)
-	case model.NoWord:
-		w.quiet(in)
-		// Whoever waited for a word has given it up.
-		w.d.put(func(now time.Duration) {
-			w.d.world.Judge.Ended(now, t.a.Job, t.a.Forward, false, "given up before a word")
-		})
-	}
-}
--- a/internal/lab/scale/emulated_clients.go
+++ b/internal/lab/scale/emulated_clients.go
@@ -16,7 +16,8 @@
 	hintError = 0.2  // standard deviation of the logarithm of what clients estimate
 )
 
-// emulatedClients send each invocation at its time, whatever has become of those before, over connections that they reuse.
+// emulatedClients send each invocation at its time, whatever has become of those before, over
+// connections that they reuse.
 type emulatedClients struct {
 	part  Part
 	ctx   context.Context
@@ -63,8 +64,9 @@
 	hint float64 // of run, as the client estimates it
 }
 
-// arrivals draws the invocations of one scheduler. Runs have no memory: a pool of requests in flight that holds the number aimed at
-// goes on holding it, and it is filled within any time by a rate that has as many in flight at its end.
+// arrivals draws the invocations of one scheduler. Runs have no memory: a pool of requests in
+// flight that holds the number aimed at goes on holding it, and it is filled within any time by a
+// rate that has as many in flight at its end.
 type arrivals struct {
 	scenario Scenario
 	rng      *rand.Rand
--- a/internal/lab/scale/emulated_schedulers.go
+++ b/internal/lab/scale/emulated_schedulers.go
@@ -23,8 +23,8 @@
 	mostReplied     = 99 // free slots in a reply
 )
 
-// emulatedSchedulers only send and receive gossip: what one of them sends to workers that a real one owns is sent to that one too, as the
-// decisions do.
+// emulatedSchedulers only send and receive gossip: what one of them sends to workers that a real
+// one owns is sent to that one too, as the decisions do.
 type emulatedSchedulers struct {
 	part        Part
 	ctx         context.Context
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// tagOf returns the tag of a worker, and ownerOf its owner, as the decisions do. Where they differ from those, the gossip of real
-// schedulers is on no worker, which is counted as unexpected.
+// tagOf returns the tag of a worker, and ownerOf its owner, as the decisions do. Where they differ
+// from those, the gossip of real schedulers is on no worker, which is counted as unexpected.
 func tagOf(addr netip.AddrPort) uint32 {
 	b := addr.Addr().As16()
 	hash := mix(binary.LittleEndian.Uint64(b[8:])^uint64(addr.Port())<<16, 0)
@@ -156,8 +156,8 @@
 	}
 }
 
-// sendAttempts sends what an emulated scheduler has to say of its attempts at the workers that a real one owns. The end of an attempt
-// is sent soon, as serials are few.
+// sendAttempts sends what an emulated scheduler has to say of its attempts at the workers that a
+// real one owns. The end of an attempt is sent soon, as serials are few.
 func (e *emulatedSchedulers) sendAttempts(from, to int) {
 	s := e.part.Scenario
 	tags := e.owned[to]
@@ -212,7 +212,8 @@
 	}
 }
 
-// handle counts what is wrong with a message, and replies to the queries of a worker's free capacity in it.
+// handle counts what is wrong with a message, and replies to the queries of a worker's free
+// capacity in it.
 func (e *emulatedSchedulers) handle(socket, sender int, message []byte) {
 	entries, ok := dispatch.DecodeGossip(message)
 	if !ok {
--- a/internal/lab/scale/endpoint_list.go
+++ b/internal/lab/scale/endpoint_list.go
@@ -86,7 +86,8 @@
 	l.send(l.fullUpdate())
 }
 
-// send sends a line to all watches, and ends those that are too far behind: they have to call again. The lock is held.
+// send sends a line to all watches, and ends those that are too far behind: they have to call
+// again. The lock is held.
 func (l *endpointList) send(line []byte) {
 	for watch := range l.watches {
 		select {
@@ -129,7 +130,8 @@
 	l.mu.Unlock()
 }
 
-// ServeHTTP answers a call to the list: with one update, or with all to come where it asks for a stream.
+// ServeHTTP answers a call to the list: with one update, or with all to come where it asks for a
+// stream.
 func (l *endpointList) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	query := in.URL.Query()
 	index, err := strconv.Atoi(query.Get("index"))
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/forms_test.go
@@ -49,7 +49,8 @@
 
 // A hollow process that is given recorded lines answers with the recorded ones.
 func TestGoldenExchange(t *testing.T) {
-	in := append(jsonLine(t, Part{Role: ClientsRole, Schedulers: []string{"127.0.0.1:1"}, Host: "127.0.0.1"}), jsonLine(t, Order{Do: "stats"})...)
+	part := Part{Role: ClientsRole, Schedulers: []string{"127.0.0.1:1"}, Host: "127.0.0.1"}
+	in := append(jsonLine(t, part), jsonLine(t, Order{Do: "stats"})...)
 	var out bytes.Buffer
 	if err := Hollow(context.Background(), bytes.NewReader(golden.Compare(t, "exchange_in.json", in)), &out); err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// A hollow process emulates a part of the deployment that is not measured. It reads what it emulates as one line of its
-// standard input, writes one line when it is ready, and from then on answers each order by one line. It ends with its
-// input, so that it cannot outlive the process that started it.
+// A hollow process emulates a part of the deployment that is not measured. It reads what it
+// emulates as one line of its standard input, writes one line when it is ready, and from then on
+// answers each order by one line. It ends with its input, so that it cannot outlive the process
+// that started it.
 
 // Roles of hollow processes.
 const (
@@ -53,7 +54,8 @@
 	Count int           `json:"Count"` // lose: so many workers of the first zone
 }
 
-// Stats are what a hollow process has seen since its start; which of them it fills in depends on its role.
+// Stats are what a hollow process has seen since its start; which of them it fills in depends on
+// its role.
 type Stats struct {
 	Discovery string   `json:"Discovery,omitempty"` // where the list is, once ready
 	Endpoints []string `json:"Endpoints,omitempty"` // of workers, at the beginning; of schedulers for gossip
@@ -108,7 +110,8 @@
 	}
 }
 
-// Hollow runs a hollow process until its input ends. Errors are those of its input and output, and of orders that it does not know.
+// Hollow runs a hollow process until its input ends. Errors are those of its input and output, and
+// of orders that it does not know.
 func Hollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -116,7 +119,7 @@
 	decoder := json.NewDecoder(bufio.NewReaderSize(in, orderBuffer))
 	var part Part
 	if err := decoder.Decode(&part); err != nil {
-		return fmt.Errorf("hollow: what it stands for can't be read: %w", err)
+		return fmt.Errorf("hollow: its part can't be read: %w", err)
 	}
 	emulator, err := newEmulator(ctx, part)
 	if err != nil {
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -94,7 +94,8 @@
 	return d
 }
 
-// callbackConnections are those of all workers to one scheduler: for the start and the end of each run, and for its progress.
+// callbackConnections are those of all workers to one scheduler: for the start and the end of each
+// run, and for its progress.
 func (s Scenario) callbackConnections() int64 {
 	idle := s.NewsIdle.D().Seconds()
 	connections := int64(2*s.Starts*idle + 1)
@@ -104,8 +105,8 @@
 	return connections
 }
 
-// Fits returns nil where a machine can carry a step, and a scenario.Fault with the key and figures of the first limit that it exceeds
-// otherwise.
+// Fits returns nil where a machine can carry a step, and a scenario.Fault with the key and figures
+// of the first limit that it exceeds otherwise.
 func (s Scenario) Fits(m Machine) error {
 	d := s.demand()
 	if err := s.fitsDescriptors(m, d); err != nil {
@@ -128,7 +129,8 @@
 	return nil
 }
 
-// fitsDescriptors compares the descriptors of a scheduler, of the workers' process and of the clients' process with the limit.
+// fitsDescriptors compares the descriptors of a scheduler, of the workers' process and of the
+// clients' process with the limit.
 func (s Scenario) fitsDescriptors(m Machine, d demand) error {
 	if need := d.sockets + otherFiles; need > m.Descriptors {
 		return s.fault("in_hand", "%d need %d descriptors of a scheduler, there are %d", s.InHand, need, m.Descriptors)
--- a/internal/lab/scale/list_test.go
+++ b/internal/lab/scale/list_test.go
@@ -29,7 +29,8 @@
 	return []byte(b.String())
 }
 
-// applyFullUpdate does what the service does with a full update, from its text to the decisions, by a watcher and a dispatcher of its own.
+// applyFullUpdate does what the service does with a full update, from its text to the decisions, by
+// a watcher and a dispatcher of its own.
 func applyFullUpdate(t *testing.T, entries, different int) (allocations float64, known int) {
 	t.Helper()
 	text := fullUpdate(entries, different)
@@ -55,8 +56,8 @@
 	return allocations, known
 }
 
-// A long list costs in proportion to its entries, and one that names the same worker again and again no more than one of
-// as many different ones. Allocations are counted, as times differ.
+// A long list costs in proportion to its entries, and one that names the same worker again and
+// again no more than one of as many different ones. Allocations are counted, as times differ.
 func TestFullUpdateCostsInProportion(t *testing.T) {
 	short, a := applyFullUpdate(t, 10_000, 10_000)
 	long, b := applyFullUpdate(t, 100_000, 100_000)
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -68,7 +68,8 @@
 	return c, json.NewDecoder(response.Body).Decode(&c)
 }
 
-// takeSample takes a sample. What that costs the schedulers comes after their processor time has been read.
+// takeSample takes a sample. What that costs the schedulers comes after their processor time has
+// been read.
 func (x *run) takeSample() (s sample, err error) {
 	s.at = time.Now()
 	for _, p := range x.schedulers {
--- a/internal/lab/scale/parse.go
+++ b/internal/lab/scale/parse.go
@@ -15,7 +15,8 @@
 // scenarioVersion is the version of scenario files.
 const scenarioVersion = 1
 
-// Read reads a scenario file. Each of the settings, written as in the file, replaces what the file says.
+// Read reads a scenario file. Each of the settings, written as in the file, replaces what the file
+// says.
 func Read(file string, settings ...string) (Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -24,8 +25,8 @@
 	return Parse(file, text, settings...)
 }
 
-// Parse parses a scenario with the settings that replace its keys, and fills in what is left out. Its error joins a scenario.Fault for
-// each thing that is wrong.
+// Parse parses a scenario with the settings that replace its keys, and fills in what is left out.
+// Its error joins a scenario.Fault for each thing that is wrong.
 func Parse(file string, text []byte, settings ...string) (Scenario, error) {
 	s := defaultScenario()
 	if err := decode(text, &s); err != nil {
@@ -150,7 +151,8 @@
 	return faults
 }
 
-// Step returns the scenario of one step of the sweep. An error names the key that can't be varied, or the fault of the step.
+// Step returns the scenario of one step of the sweep. An error names the key that can't be varied,
+// or the fault of the step.
 func (s Scenario) Step(value float64) (Scenario, error) {
 	key := s.Sweep.Key
 	switch key {
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -26,8 +26,8 @@
 
 var errStepTooLong = errors.New("the step took a minute longer than it lasts")
 
-// Play runs one step and returns its measurements. All processes that it starts have ended when it returns. The exit of one of them is an
-// error.
+// Play runs one step and returns its measurements. All processes that it starts have ended when it
+// returns. The exit of one of them is an error.
 func (r Rig) Play(ctx context.Context, s Scenario) (Step, error) {
 	dir, err := os.MkdirTemp("", "stoatscale")
 	if err != nil {
@@ -89,7 +89,8 @@
 	}
 }
 
-// Addresses of this process are one for schedulers and one for all others, so that nobody else is given a scheduler's port.
+// Addresses of this process are one for schedulers and one for all others, so that nobody else is
+// given a scheduler's port.
 const (
 	schedulerNet = 10  // second byte of the schedulers' address in 127.0.0.0/8, at least
 	otherNet     = 110 // second byte of the others'
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -1,5 +1,6 @@
-// Package scale runs a part of a large deployment on one machine and measures what it costs its schedulers: real ones, as
-// processes of their own, beside hollow processes that emulate workers, clients and the other schedulers over loopback addresses.
+// Package scale runs a part of a large deployment on one machine and measures what it costs its
+// schedulers: real ones, as processes of their own, beside hollow processes that emulate workers,
+// clients and the other schedulers over loopback addresses.
 package scale
 
 import (
@@ -19,7 +20,7 @@
 	Slots      int     `toml:"slots" json:"Slots"`                // of each worker
 	Others     float64 `toml:"others" json:"Others"`              // of these, used by other schedulers' invocations, on the mean
 	Schedulers int     `toml:"schedulers" json:"Schedulers"`      // real ones
-	Told       int     `toml:"told" json:"Told"`                  // number of schedulers that the settings tell; those that are not real are emulated
+	Told       int     `toml:"told" json:"Told"`                  // schedulers by the settings; those beyond the real ones are emulated
 	InHand     int     `toml:"in_hand" json:"InHand"`             // requests in flight, of each scheduler
 	Starts     float64 `toml:"starts_per_second" json:"Starts"`   // of each scheduler
 	Changes    float64 `toml:"changes_per_second" json:"Changes"` // replacements of a worker by one that is warming up
@@ -116,7 +117,8 @@
 	return s.Idle.D() + s.Fill.D() + s.Settle.D() + s.Window.D()
 }
 
-// meanRun is the mean time that an invocation runs, which follows from those in flight and the rate of starts.
+// meanRun is the mean time that an invocation runs, which follows from those in flight and the rate
+// of starts.
 func (s Scenario) meanRun() time.Duration {
 	return time.Duration(float64(s.InHand) / s.Starts * float64(time.Second))
 }
@@ -133,7 +135,8 @@
 	socketsEach   = 2.3 // sockets for a request in flight
 )
 
-// spares is the number of workers beside the listed ones that replace those: each is used again, but not at once.
+// spares is the number of workers beside the listed ones that replace those: each is used again,
+// but not at once.
 func (s Scenario) spares() int {
 	if s.Changes == 0 {
 		return 0
@@ -141,7 +144,8 @@
 	return max(leastSpares, min(int(s.Changes*spareSeconds), mostSpares))
 }
 
-// sockets is the limit of a scheduler's sockets: half of it is the most requests that it admits at a time.
+// sockets is the limit of a scheduler's sockets: half of it is the most requests that it admits at
+// a time.
 func (s Scenario) sockets() int {
 	if s.Sockets > 0 {
 		return s.Sockets
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// hollowMemory is the limit of a hollow process's memory, in the form of the environment of Go programs.
+// hollowMemory is the limit of a hollow process's memory, in the form of the environment of Go
+// programs.
 const hollowMemory = "GOMEMLIMIT=2GiB"
 
 // start starts all processes and waits until the schedulers are ready.
@@ -48,7 +49,8 @@
 	return nil
 }
 
-// startOthers starts the schedulers that only send and receive gossip, and returns the addresses of all for it, by index.
+// startOthers starts the schedulers that only send and receive gossip, and returns the addresses of
+// all for it, by index.
 func (x *run) startOthers(workers []string) (peers []string, err error) {
 	own, err := freeUDPAddresses(x.scenario.Schedulers)
 	if err != nil {
--- a/internal/lab/scale/step.go
+++ b/internal/lab/scale/step.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Step is what one step of a sweep has measured. Where there are several schedulers, figures are the mean of them, but for
-// the worst iteration, memory and descriptors, which are of the worst.
+// Step is what one step of a sweep has measured. Where there are several schedulers, figures are
+// the mean of them, but for the worst iteration, memory and descriptors, which are of the worst.
 type Step struct {
 	Value      float64 `json:"value"` // of the key that is varied
 	Workers    int     `json:"workers"`
@@ -75,7 +75,7 @@
 	tcpHead = 52 // IPv4 and TCP with time stamps
 )
 
-// notMeasured stands for a figure that there is none of.
+// notMeasured marks a figure that was not measured.
 const notMeasured = -1
 
 // window is the part of a measurement that is reported as rates.
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// memoryField reads a line of /proc of the form "KEY 123 kB", and returns bytes; false: the line has another key.
+// memoryField reads a line of /proc of the form "KEY 123 kB", and returns bytes; false: the line
+// has another key.
 func memoryField(line, key string) (bytes int64, ok bool) {
 	rest, ok := strings.CutPrefix(line, key)
 	if !ok {
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// handle returns the response to a request and the counter of its kind; nil: the request is none that a scheduler should send.
+// handle returns the response to a request and the counter of its kind; nil: the request is none
+// that a scheduler should send.
 func (w *worker) handle(request *http.Request) (response string, counter *callCounter) {
 	calls := &w.pool.calls
 	path := request.URL.Path
@@ -158,7 +159,8 @@
 	otherLoadPeriod = 20 // seconds, of one radian
 )
 
-// loadReport reports the free slots: all, less the jobs of the schedulers here, less those of all others, whose number varies.
+// loadReport reports the free slots: all, less the jobs of the schedulers here, less those of all
+// others, whose number varies.
 func (w *worker) loadReport() string {
 	if frozen := w.frozenReport.Load(); frozen != nil {
 		return *frozen
--- a/internal/lab/scale/worker_jobs.go
+++ b/internal/lab/scale/worker_jobs.go
@@ -39,8 +39,8 @@
 	return strconv.FormatUint(uint64(scheduler)<<schedulerBits|uint64(n), 16)
 }
 
-// startJob starts a job that runs for the microseconds at the end of its path; the rest of what clients send is not forwarded.
-// False: its request is none of the emulated clients'.
+// startJob starts a job that runs for the microseconds at the end of its path; the rest of what
+// clients send is not forwarded. False: its request is none of the emulated clients'.
 func (w *worker) startJob(request *http.Request) bool {
 	id := request.Header.Get("X-Call-Id")
 	path := request.URL.Path
@@ -65,7 +65,8 @@
 	return true
 }
 
-// scheduleProgress notifies the scheduler of the progress of a job at a time after its start, and at each interval from then on.
+// scheduleProgress notifies the scheduler of the progress of a job at a time after its start, and
+// at each interval from then on.
 func (w *worker) scheduleProgress(j *job, interval, at, run time.Duration) {
 	if at >= run {
 		return
--- a/internal/lab/scale/worker_pool.go
+++ b/internal/lab/scale/worker_pool.go
@@ -148,8 +148,9 @@
 	}
 }
 
-// replaceOldest takes the worker that was listed longest from the list and puts a spare one there, which is warming up and has a
-// name and address of its own. The jobs of the old one are lost with its process.
+// replaceOldest takes the worker that was listed longest from the list and puts a spare one there,
+// which is warming up and has a name and address of its own. The jobs of the old one are lost with
+// its process.
 func (p *workerPool) replaceOldest() {
 	p.list.mu.Lock()
 	old := p.list.entries[0]
@@ -173,7 +174,8 @@
 	})
 }
 
-// lose takes some workers of the first zone away without notice, as if they had lost power; the list shows it at once.
+// lose takes some workers of the first zone away without notice, as if they had lost power; the
+// list shows it at once.
 func (p *workerPool) lose(count int) {
 	p.list.mu.Lock()
 	defer p.list.mu.Unlock()
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// sendRequest sends a request and records its outcome. It is sent again once where its connection had ended before it was read.
+// sendRequest sends a request and records its outcome. It is sent again once where its connection
+// had ended before it was read.
 func (c *client) sendRequest(n int) {
 	q := c.drawRequest(n)
 	text := requestText(q, n)
@@ -172,7 +173,8 @@
 	outcomeNotSent    = ""
 )
 
-// exchange sends a request, awaits its answer, and counts and returns the outcome: a status or one of the constants.
+// exchange sends a request, awaits its answer, and counts and returns the outcome: a status or one
+// of the constants.
 func (c *client) exchange(q *request, text string) (outcome string) {
 	isNew := c.conn == nil
 	if !c.connect() {
--- a/internal/lab/soak/endpoint_list.go
+++ b/internal/lab/soak/endpoint_list.go
@@ -12,8 +12,8 @@
 	indentedOf      = 3 // one of so many revisions is written over many lines
 )
 
-// endpointList is the discovery service of all schedulers. Each reaches it through a server and a proxy of its own, so that it shows which
-// scheduler was sent what.
+// endpointList is the discovery service of all schedulers. Each reaches it through a server and a
+// proxy of its own, so that it shows which scheduler was sent what.
 type endpointList struct {
 	harness *harness
 	servers []*listServer // by scheduler
@@ -114,7 +114,8 @@
 	changed   <-chan struct{} // closed when there is more
 }
 
-// updateSince is the update for a scheduler that has a revision; a full one where it has none, or one that this list never had.
+// updateSince is the update for a scheduler that has a revision; a full one where it has none, or
+// one that this list never had.
 func (l *endpointList) updateSince(known int) listUpdate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,8 +167,8 @@
 	}
 }
 
-// countsAsNotified is when a change counts as notified, whatever was written: the list could be reached for pollInterval on end or, where
-// changes are pushed, at all.
+// countsAsNotified is when a change counts as notified, whatever was written: the list could be
+// reached for pollInterval on end or, where changes are pushed, at all.
 func (l *endpointList) countsAsNotified(at time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/soak/fault_schedule.go
+++ b/internal/lab/soak/fault_schedule.go
@@ -13,7 +13,8 @@
 	overlapSpread = 2                      // how many sizes of a group there are
 )
 
-// faultKind is one kind of fault. inject injects the fault, waits and undoes it, and returns its targets.
+// faultKind is one kind of fault. inject injects the fault, waits and undoes it, and returns its
+// targets.
 type faultKind struct {
 	name   string
 	inject func(h *harness, rng *rand.Rand) (targets string)
@@ -79,7 +80,8 @@
 func (w *worker) unclaim()      { w.faulted.Store(false) }
 func (w *worker) label() string { return w.uid }
 
-// injectInto injects a fault into a part of the targets at once, at least one, and returns the labels of those that were not claimed.
+// injectInto injects a fault into a part of the targets at once, at least one, and returns the
+// labels of those that were not claimed.
 func injectInto[T faultTarget](targets []T, part float64, rng *rand.Rand, inject func(T, *rand.Rand)) (labels string) {
 	var injections []func()
 	size := max(1, int(part*float64(len(targets))))
--- a/internal/lab/soak/harness.go
+++ b/internal/lab/soak/harness.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// open starts the endpoint list, the workers and the schedulers. What it started before an error is left to close.
+// open starts the endpoint list, the workers and the schedulers. What it started before an error is
+// left to close.
 func (h *harness) open() error {
 	var err error
 	h.endpoints, err = newEndpointList(h)
@@ -144,8 +145,9 @@
 	return os.OpenFile(filepath.Join(h.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// loopbackHost is a loopback address of this process, one for schedulers and one for all others: a scheduler listens at its port only
-// while it runs, and nobody else may be given that port meanwhile.
+// loopbackHost is a loopback address of this process, one for schedulers and one for all others: a
+// scheduler listens at its port only while it runs, and nobody else may be given that port
+// meanwhile.
 func loopbackHost(net int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", net+pid>>16&31, pid>>8&255, max(1, pid&255))
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -15,8 +15,8 @@
 	longText         = 200 // bytes from which a text may be answered and its connection stay open
 )
 
-// malformedText draws what a malformed client sends: a request that breaks off in its body, one that breaks off anywhere, garbage, many
-// requests at once, or nothing.
+// malformedText draws what a malformed client sends: a request that breaks off in its body, one
+// that breaks off anywhere, garbage, many requests at once, or nothing.
 func malformedText(rng *rand.Rand) string {
 	text := "POST /render/k HTTP/1.1\r\nHost: soak\r\nX-Call-Id: bad\r\nX-Call-Class: render\r\n" +
 		"X-Budget: 1.0\r\nContent-Length: 40\r\n\r\nhalf"
@@ -34,7 +34,8 @@
 	}
 }
 
-// sendMalformed is a client that breaks the protocol and waits, or disconnects at once. A scheduler has to close its connection.
+// sendMalformed is a client that breaks the protocol and waits, or disconnects at once. A scheduler
+// has to close its connection.
 func (h *harness) sendMalformed(s *scheduler, rng *rand.Rand) {
 	conn, err := net.DialTimeout("tcp", s.address, dialTimeout)
 	if err != nil {
--- a/internal/lab/soak/observations.go
+++ b/internal/lab/soak/observations.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// observations are what the peers of the schedulers have seen. The lock guards the requests and attempts too.
+// observations are what the peers of the schedulers have seen. The lock guards the requests and
+// attempts too.
 type observations struct {
 	mu           sync.Mutex
 	requests     map[string]*request // by call id
@@ -105,7 +106,8 @@
 	}
 }
 
-// addAttempt adds an attempt that a worker received; nil: no client has sent a request of that id, which is a violation.
+// addAttempt adds an attempt that a worker received; nil: no client has sent a request of that id,
+// which is a violation.
 func (o *observations) addAttempt(id string, w *worker, budget time.Duration, at time.Time) *attempt {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// markNotRun records that the scheduler is told that the attempt has not run and will not.
+// markNotRun records that the scheduler is notified that the attempt has not run and will not.
 func (a *attempt) markNotRun() {
 	o := a.request.observed
 	o.mu.Lock()
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -111,7 +111,8 @@
 	return length
 }
 
-// frozenTooLong says whether it was frozen for longer than a scheduler has to tolerate; the lock is held.
+// frozenTooLong says whether it was frozen for longer than a scheduler has to tolerate; the lock is
+// held.
 func (s *scheduler) frozenTooLong() bool {
 	return slices.ContainsFunc(s.freezes, func(f interval) bool { return f.to.Sub(f.from) > pauseTolerated })
 }
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -23,7 +23,7 @@
 	copyBuffer   = 8 << 10                // bytes
 )
 
-// proxy stands between schedulers and a peer of theirs, and injects faults of the network.
+// proxy forwards connections of schedulers to a peer of theirs, and injects faults of the network.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -140,8 +140,9 @@
 	p.mu.Unlock()
 }
 
-// lastReceived is when the last bytes were received that were forwarded over a connection, which the target knows by its peer's address.
-// The proxy may have delayed them since. It is now where the connection has ended meanwhile.
+// lastReceived is when the last bytes were received that were forwarded over a connection, which
+// the target knows by its peer's address. The proxy may have delayed them since. It is now where
+// the connection has ended meanwhile.
 func (p *proxy) lastReceived(peer net.Addr) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +152,9 @@
 	return time.Now()
 }
 
-// copyOneWay forwards one way until that ends for whatever reason, the first bytes after a delay. A reset is forwarded as a reset.
-// received is called when bytes have been read, before they are delayed.
+// copyOneWay forwards one way until that ends for whatever reason, the first bytes after a delay. A
+// reset is forwarded as a reset. received is called when bytes have been read, before they are
+// delayed.
 func (p *proxy) copyOneWay(from, to net.Conn, delay time.Duration, received func()) {
 	b := make([]byte, copyBuffer)
 	for {
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -11,7 +11,8 @@
 	pauseTolerated  = 150 * time.Millisecond // a scheduler that pauses for longer can't keep to its deadlines
 	disconnectSlack = 100 * time.Millisecond // an attempt may begin so long after its client has disconnected
 	budgetSlack     = 150 * time.Millisecond // of the deadline that an attempt is sent
-	// observationSlack is how late this process may see things, as it shares the machine with all schedulers.
+	// observationSlack is how late this process may see things, as it shares the machine with all
+	// schedulers.
 	observationSlack = 150 * time.Millisecond
 	// unansweredAfter is the time after a client's deadline at which it gives up.
 	unansweredAfter = 500*time.Millisecond + observationSlack
@@ -54,7 +55,8 @@
 
 func toMillis(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// checkAnswer: a request gets one final answer in time, that of a worker, and is rejected only where a retry is harmless.
+// checkAnswer: a request gets one final answer in time, that of a worker, and is rejected only
+// where a retry is harmless.
 func (o *observations) checkAnswer(q *request) {
 	if !q.disconnectedAt.IsZero() || q.sentAt.IsZero() {
 		return
@@ -90,7 +92,8 @@
 	return q.scheduler.frozenFor(q.sentAt.Add(-observationSlack), q.answeredAt)
 }
 
-// checkRejection: a request is rejected only where none of its attempts may have run, or where it may run again anywhere.
+// checkRejection: a request is rejected only where none of its attempts may have run, or where it
+// may run again anywhere.
 func (o *observations) checkRejection(q *request) {
 	if q.class.effect == effectReadLike || q.class.dedupScope == scopeAll {
 		return
@@ -124,11 +127,12 @@
 	}
 	left := q.sentAt.Add(q.budget).Sub(a.receivedAt)
 	if a.budget > left+budgetSlack+observationSlack+q.scheduler.frozenFor(q.sentAt, a.receivedAt) {
-		o.requestViolation("E1 deadline", q, "%s was told %v and %v was left", a.worker.uid, toMillis(a.budget), toMillis(left))
+		o.requestViolation("E1 deadline", q, "%s was sent %v and %v was left", a.worker.uid, toMillis(a.budget), toMillis(left))
 	}
 }
 
-// checkRetry: the n-th attempt keeps to what the effect class, the deduplication window and scope, and the limit on copies allow.
+// checkRetry: the n-th attempt keeps to what the effect class, the deduplication window and scope,
+// and the limit on copies allow.
 func (o *observations) checkRetry(q *request, n int) {
 	a := q.attempts[n]
 	var first *attempt // that may have run
--- a/internal/lab/soak/rules_workers.go
+++ b/internal/lab/soak/rules_workers.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// checkDrain: no attempt goes to a worker that drains or is gone once the scheduler has been notified, or counts as notified.
+// checkDrain: no attempt goes to a worker that drains or is gone once the scheduler has been
+// notified, or counts as notified.
 func (o *observations) checkDrain(h *harness, a *attempt) {
 	uid := a.worker.uid
 	s := a.request.scheduler
@@ -24,12 +25,13 @@
 		late := a.receivedAt.Sub(notified) - drainGrace - socketSlack - observationSlack - s.frozenFor(notified, a.receivedAt)
 		if late > 0 {
 			after := a.receivedAt.Sub(notified)
-			o.requestViolation("C1 drain", a.request, "sent to %s %v after it was told as %s", uid, toMillis(after), c.state)
+			o.requestViolation("C1 drain", a.request, "sent to %s %v after the notification of %s", uid, toMillis(after), c.state)
 		}
 	}
 }
 
-// notifiedOf is when a scheduler was notified of a state change, or counts as notified where that is earlier.
+// notifiedOf is when a scheduler was notified of a state change, or counts as notified where that
+// is earlier.
 func (o *observations) notifiedOf(h *harness, scheduler int, uid string, c stateChange) time.Time {
 	notified := h.endpoints.countsAsNotified(c.at)
 	for _, u := range o.updatesSent[scheduler][uid] {
@@ -40,7 +42,8 @@
 	return notified
 }
 
-// windowLoad is what a worker got in the overload window that ends at a moment, in requests of mean work.
+// windowLoad is what a worker got in the overload window that ends at a moment, in requests of mean
+// work.
 type windowLoad struct {
 	at    time.Time
 	load  float64
@@ -53,7 +56,8 @@
 // isKnown says whether most of the load came from schedulers that knew of the worker's start.
 func (w windowLoad) isKnown() bool { return w.known > 2*w.load/3 }
 
-// checkSlowStart: a worker that has just started gets no more in any window than it bears, where most of it is from schedulers that knew.
+// checkSlowStart: a worker that has just started gets no more in any window than it bears, where
+// most of it is from schedulers that knew.
 func (o *observations) checkSlowStart(w *worker) {
 	attempts := o.attemptsAt(w)
 	for _, start := range o.starts[w.uid] {
--- a/internal/lab/soak/scheduler.go
+++ b/internal/lab/soak/scheduler.go
@@ -104,7 +104,8 @@
 	return s.processes[len(s.processes)-1]
 }
 
-// awaitReady waits until the scheduler is ready, and returns how long that took from the start of its process.
+// awaitReady waits until the scheduler is ready, and returns how long that took from the start of
+// its process.
 func (s *scheduler) awaitReady(h *harness) time.Duration {
 	began := s.current().began
 	for time.Since(began) < 2*readyWithin {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs a few dozen real schedulers on loopback, with emulated workers, clients and an endpoint list, while faults
-// that a seed draws overlap in time. What the peers see of each request is checked against the rules, and so is what the schedulers'
-// own invariant checkers log.
+// Package soak runs a few dozen real schedulers on loopback, with emulated workers, clients and an
+// endpoint list, while faults that a seed draws overlap in time. What the peers see of each request
+// is checked against the rules, and so is what the schedulers' own invariant checkers log.
 package soak
 
 import (
@@ -53,7 +53,8 @@
 const (
 	// settleTime passes before the first fault and after the last.
 	settleTime = time.Second
-	// stopWithin is the time that a scheduler has to exit after SIGTERM: the longest client timeout and 0.7 s.
+	// stopWithin is the time that a scheduler has to exit after SIGTERM: the longest client timeout
+	// and 0.7 s.
 	stopWithin = longestTimeout + 700*time.Millisecond
 	// readyWithin is the time that a scheduler has to become ready after its start.
 	readyWithin = 10 * time.Second
--- a/internal/lab/soak/worker_execution.go
+++ b/internal/lab/soak/worker_execution.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// acquireSlot waits for a slot. False: the incarnation has ended, or nobody waits for the result any more.
+// acquireSlot waits for a slot. False: the incarnation has ended, or nobody waits for the result
+// any more.
 func (w *worker) acquireSlot(incarnation int) bool {
 	w.mu.Lock()
 	if w.incarnation != incarnation {
@@ -74,7 +75,8 @@
 	}
 }
 
-// release gives a slot to the next in the queue. False: the incarnation that had it has ended, or hangs.
+// release gives a slot to the next in the queue. False: the incarnation that had it has ended, or
+// hangs.
 func (w *worker) release(incarnation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
