--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -5,6 +5,7 @@
 	"flag"
 	"fmt"
 	"io"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
@@ -181,9 +182,14 @@
 func (l schedulerLog) Levels() []logrus.Level { return logrus.AllLevels }
 
 func (l schedulerLog) Fire(entry *logrus.Entry) error {
-	if !strings.HasPrefix(entry.Message, "deployment: ") {
-		l.say("scheduler", "logs: %s", entry.Message)
+	if entry.Message == "deployment configured" {
+		return nil
 	}
+	line := entry.Message
+	for _, key := range slices.Sorted(maps.Keys(entry.Data)) {
+		line += fmt.Sprintf(" %s=%v", key, entry.Data[key])
+	}
+	l.say("scheduler", "logs: %s", line)
 	return nil
 }
 
