--- a/cmd/stoatweir/gossip_test.go
+++ b/cmd/stoatweir/gossip_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net"
+	"net/netip"
 	"strings"
 	"sync/atomic"
 	"syscall"
@@ -12,13 +13,70 @@
 	"stoatweir/dispatch"
 )
 
+const (
+	// gossipSchedulers is how many schedulers the pool of newGossipRig has; the process under test is number 1.
+	gossipSchedulers = 3
+	// minOwnedByFirst is how many workers scheduler 0 owns at least: it is queried for these alone.
+	minOwnedByFirst = 3
+	// maxGossipRigs bounds the search: with twelve workers four rigs of five will do.
+	maxGossipRigs = 50
+)
+
+// newGossipRig is a rig with enough workers whose load data scheduler 0 owns. Which scheduler owns a worker follows from the
+// worker's port: once in a hundred times scheduler 0 would own none of twelve and never be asked.
+func newGossipRig(t *testing.T) *rig {
+	t.Helper()
+	for range maxGossipRigs {
+		r := newRig(t, 12, 200*time.Millisecond) // answers of others hold for a part of a run
+		owned := 0
+		for _, w := range r.workers {
+			if ownerOf(t, w.addr) == 0 {
+				owned++
+			}
+		}
+		if owned >= minOwnedByFirst {
+			return r
+		}
+	}
+	t.Fatal("scheduler 0 owns too few workers in any rig")
+	return nil
+}
+
+// ownerOf is the scheduler that scheduler 1 asks for a worker's free capacity, or 1 where it owns the worker itself.
+func ownerOf(t *testing.T, addr string) int {
+	t.Helper()
+	worker, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := dispatch.New(dispatch.Config{
+		Schedulers:      gossipSchedulers,
+		Index:           1,
+		EndpointsPushed: true,
+		Operations:      []dispatch.Operation{{LatencyObjective: time.Second, WorkerKind: dispatch.AnyKind}},
+		Limits:          dispatch.Limits{HealthChecks: true, Gossip: true, MaxAttempts: 1, MaxInFlight: 1},
+	}, 1)
+	endpoint := dispatch.Endpoint{Worker: worker, State: dispatch.Ready}
+	d.Handle(time.Millisecond, []dispatch.Event{
+		dispatch.EndpointUpdate{Kind: dispatch.FullUpdate, Endpoints: []dispatch.Endpoint{endpoint}},
+	})
+	arrival := dispatch.Arrival{Invocation: 1, Budget: 5 * time.Second}
+	for _, action := range d.Handle(100*time.Millisecond, []dispatch.Event{arrival}) {
+		gossip, isGossip := action.(dispatch.SendGossip)
+		if isGossip && gossip.To >= 0 && gossip.Entries[0].Kind == dispatch.GossipCapacityQuery {
+			return gossip.To
+		}
+	}
+	return 1
+}
+
 // Schedulers of a pool exchange messages. One is silent, one sends garbage without end, truncated and duplicated messages and false
 // ones; clients get one answer each all the same. A configuration that mixes two shapes is rejected.
 func TestGossipSurvivesBrokenPeers(t *testing.T) {
-	r := newRig(t, 12, 200*time.Millisecond) // answers of others hold for a part of a run
+	r := newGossipRig(t)
 	var others []*net.UDPConn
 	var addrs []string
-	for range 3 {
+	for range gossipSchedulers {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -30,18 +88,22 @@
 	others[1].Close()
 	r.config["peers"] = addrs
 	site := r.config["settings"].(map[string]any)
-	site["Discovery"], site["PeersTotal"], site["MyNumber"] = "push", 3, 1
+	site["Discovery"], site["PeersTotal"], site["MyNumber"] = "push", gossipSchedulers, 1
 	site["Limits"].(map[string]any)["Peers"] = true
 	r.writeConfig()
 
 	kinds := make(chan dispatch.GossipKind, 10000)
+	var datagrams atomic.Int32
+	var readError atomic.Value
 	go func() {
 		buffer := make([]byte, 1000)
 		for n := 0; ; n++ {
 			size, err := others[0].Read(buffer)
 			if err != nil {
+				readError.Store(err)
 				return
 			}
+			datagrams.Add(1)
 			message := buffer[:size]
 			var free []dispatch.GossipEntry
 			if notes, ok := dispatch.DecodeGossip(message[min(15, size):]); ok {
@@ -81,7 +143,7 @@
 				got = append(got, fmt.Sprint(len(w.attempts)))
 				w.mu.Unlock()
 			}
-			t.Fatal("told: ", seen, " sent ", got, "\n", exchange(r.listen, "GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"), r.answers)
+			t.Fatal("told: ", seen, " in ", datagrams.Load(), " datagrams, read error ", readError.Load(), ", sent ", got, "\n", exchange(r.listen, "GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"), r.answers)
 		}
 	}
 
