--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"io"
 	"maps"
@@ -15,9 +14,9 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
 	"github.com/sirupsen/logrus"
 
+	"stoatweir/internal/golden"
 	"stoatweir/internal/settings"
 	"stoatweir/internal/takeover"
 )
@@ -38,8 +37,6 @@
 //
 // Messages between two parties take a millisecond, so that time tells what came of what.
 
-var update = flag.Bool("update", false, "write the transcripts anew, for a person to read and approve")
-
 const (
 	hop           = time.Millisecond
 	settled       = 2 * time.Second // the list is known then, and the watch stands
@@ -62,7 +59,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			source, approved, _ := strings.Cut(string(text), transcriptEnd)
+			source, _, _ := strings.Cut(string(text), transcriptEnd)
 			script, err := parseExchangeScript(source)
 			if err != nil {
 				t.Fatal(err)
@@ -73,13 +70,7 @@
 					fmt.Fprintf(&got, "\n%s\n%s", effect, script.play(t, effect))
 				})
 			}
-			if *update {
-				if err := os.WriteFile(file, []byte(source+transcriptEnd+got.String()), 0o644); err != nil {
-					t.Fatal(err)
-				}
-			} else if diff := cmp.Diff(strings.Split(approved, "\n"), strings.Split(got.String(), "\n")); diff != "" {
-				t.Errorf("it is not as approved (-approved +played):\n%s", diff)
-			}
+			golden.Compare(t, filepath.Join("transcripts", filepath.Base(file)), []byte(source+transcriptEnd+got.String()))
 		})
 	}
 }
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -6,21 +6,17 @@
 	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
-	"reflect"
 	"regexp"
-	"strings"
 	"testing"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
 	"github.com/sirupsen/logrus"
 
 	"stoatweir/dispatch"
 	"stoatweir/internal/accounting"
 	"stoatweir/internal/admin"
 	"stoatweir/internal/clients"
+	"stoatweir/internal/golden"
 	"stoatweir/internal/gossip"
 	"stoatweir/internal/invariant"
 	"stoatweir/internal/lifecycle"
@@ -32,85 +28,13 @@
 // The files testdata/*.golden hold the texts that other processes, other builds and operators read. Go's names of fields must not
 // move them.
 
-// golden compares a text with the recorded one, and gives the latter. With -update it records it first.
-func golden(t *testing.T, name string, got []byte) []byte {
+// compareLine holds a text without an end of line to the recorded line, and returns the latter.
+func compareLine(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
-	file := filepath.Join("testdata", name+".golden")
-	got = append(bytes.Clone(got), '\n')
-	if *update {
-		if err := os.WriteFile(file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	recorded, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(recorded, got) {
-		t.Errorf("%s is not as recorded:\n%s", file, cmp.Diff(strings.SplitAfter(string(recorded), ","), strings.SplitAfter(string(got), ",")))
-	}
+	recorded := golden.Compare(t, name+".golden", append(bytes.Clone(got), '\n'))
 	return bytes.TrimSuffix(recorded, []byte("\n"))
 }
 
-// filler gives each field a value of its own that is not zero.
-type filler struct{ last int64 }
-
-func (f *filler) next() int64 {
-	f.last++
-	return f.last
-}
-
-// fill sets all exported fields below v; slices get two elements, maps one.
-func (f *filler) fill(t *testing.T, v reflect.Value) {
-	t.Helper()
-	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int64:
-		v.SetInt(f.next())
-	case reflect.Uint8, reflect.Uint64:
-		v.SetUint(uint64(f.next()))
-		if v.Uint() == 0 {
-			t.Fatal("too many values for ", v.Type())
-		}
-	case reflect.Float64:
-		v.SetFloat(float64(f.next()) + 0.5)
-	case reflect.String:
-		v.SetString(fmt.Sprint("text ", f.next()))
-	case reflect.Struct:
-		for n := range v.NumField() {
-			f.fill(t, v.Field(n))
-		}
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		f.fillElements(t, v)
-	case reflect.Array:
-		f.fillElements(t, v)
-	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		f.fill(t, key)
-		f.fill(t, value)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, value)
-	default:
-		t.Fatal("no value for ", v.Type())
-	}
-}
-
-func (f *filler) fillElements(t *testing.T, v reflect.Value) {
-	t.Helper()
-	for n := range v.Len() {
-		f.fill(t, v.Index(n))
-	}
-}
-
-// filled is a T with all fields set, the same one at each call.
-func filled[T any](t *testing.T) (value T) {
-	t.Helper()
-	new(filler).fill(t, reflect.ValueOf(&value).Elem())
-	return value
-}
-
 // wireService is a service with one worker in its list that nobody needs to reach.
 func wireService(t *testing.T) (*service, net.Listener) {
 	t.Helper()
@@ -160,7 +84,7 @@
 func fillCounts(t *testing.T, s *service) {
 	t.Helper()
 	fillBook(s.ledger)
-	s.clients.Counts, s.workers.Counts, s.workers.Invariants.Counts = filled[clients.Counts](t), filled[workers.Counts](t), filled[invariant.Counts](t)
+	s.clients.Counts, s.workers.Counts, s.workers.Invariants.Counts = golden.Filled[clients.Counts](t), golden.Filled[workers.Counts](t), golden.Filled[invariant.Counts](t)
 	s.clients.ClosedConnections, s.answersByReason = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
 	s.endpoints.WatchesStarted, s.panics = 1006, 1007
 	s.gossip = &gossip.Transport{}
@@ -175,12 +99,12 @@
 func TestCountsGolden(t *testing.T) {
 	s, _ := wireService(t)
 	fillCounts(t, s)
-	golden(t, "counts", memoryFigures.ReplaceAll(s.countsReport(), []byte(`"$1":MEMORY`)))
-	figures, err := json.Marshal(filled[accounting.Totals](t))
+	compareLine(t, "counts", memoryFigures.ReplaceAll(s.countsReport(), []byte(`"$1":MEMORY`)))
+	figures, err := json.Marshal(golden.Filled[accounting.Totals](t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "figures", figures)
+	compareLine(t, "figures", figures)
 }
 
 // The words that counts, answers' reasons and admin answers go by where they are constants of Go.
@@ -194,7 +118,7 @@
 	for _, key := range keys {
 		text = fmt.Appendln(text, key)
 	}
-	golden(t, "count_keys", bytes.TrimSuffix(text, []byte("\n")))
+	compareLine(t, "count_keys", bytes.TrimSuffix(text, []byte("\n")))
 }
 
 // A request that is stopped once, sent, ended, repeated in vain, answered, and handed over or taken back, as operators read it.
@@ -218,7 +142,7 @@
 	g.CheckSend(sent)
 	g.CheckClose(1)
 	g.CheckAnswer(1, invariant.Refused, "an attempt may have run")
-	golden(t, "history", s.requestHistory("job-1"))
+	compareLine(t, "history", s.requestHistory("job-1"))
 	if text := s.requestHistory("another"); len(text) > 0 {
 		t.Errorf("of another request: %s", text)
 	}
@@ -267,7 +191,7 @@
 	ask("status", "stats", "active", "standby", "status", "standby", "active", "status", "other")
 	s.loop.PostUrgent(loopTask(s.stop))
 	ask("standby", "active", "status")
-	golden(t, "admin", []byte(got))
+	compareLine(t, "admin", []byte(got))
 	s.loop.PostUrgent(loopTask(s.loop.Stop))
 	<-over
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -9,6 +9,7 @@
 import (
 	"flag"
 	"fmt"
+	"net/netip"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -70,9 +71,13 @@
 func (f *filler) fill(v reflect.Value) {
 	f.t.Helper()
 	f.visited++
-	if v.Type() == reflect.TypeFor[time.Time]() {
+	switch v.Type() {
+	case reflect.TypeFor[time.Time]():
 		v.Set(reflect.ValueOf(time.Date(2026, 1, 2, 3, 4, f.visited, 5, time.UTC)))
 		return
+	case reflect.TypeFor[netip.AddrPort]():
+		v.Set(reflect.ValueOf(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(f.visited))))
+		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
@@ -135,10 +140,20 @@
 	case v.CanInt():
 		v.SetInt(int64(f.visited))
 	case v.CanUint():
-		v.SetUint(uint64(f.visited))
+		f.fillUint(v)
 	case v.CanFloat():
 		v.SetFloat(float64(f.visited) + 0.5)
 	default:
 		f.t.Fatal("no value for a " + v.Type().String())
 	}
 }
+
+// fillUint fails where the type has no room for the number: it would be cut off, to zero at worst.
+func (f *filler) fillUint(v reflect.Value) {
+	f.t.Helper()
+	number := uint64(f.visited)
+	if v.OverflowUint(number) {
+		f.t.Fatal("too many values for a " + v.Type().String())
+	}
+	v.SetUint(number)
+}
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -1,10 +1,12 @@
 package golden
 
 import (
+	"net/netip"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
 type inner struct {
@@ -22,6 +24,7 @@
 	Pair    [2]int
 	ByName  map[string]int
 	Pointer *inner
+	Address netip.AddrPort
 }
 
 // The recorded forms depend on these values: they follow from the order of the fields alone.
@@ -35,9 +38,10 @@
 		Pair:    [2]int{14, 15},
 		ByName:  map[string]int{"text 17": 18},
 		Pointer: &inner{Flag: true, Ratio: 22.5},
+		Address: netip.MustParseAddrPort("10.0.0.1:23"),
 	}
 	got := Filled[outer](t)
-	if diff := cmp.Diff(want, got, cmp.AllowUnexported(inner{})); diff != "" {
+	if diff := cmp.Diff(want, got, cmp.AllowUnexported(inner{}), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
 		t.Error(diff)
 	}
 	if got.Pointer.hidden != 0 {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -3,19 +3,17 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-)
 
-var update = flag.Bool("update", false, "write the golden files anew, for a person to read and approve")
+	"stoatweir/internal/golden"
+)
 
-const messagesFile = "testdata/messages.golden"
+const messagesFile = "messages.golden"
 
 // everyMessage has one message of each kind, with all fields that it can carry, and the bare forms that are sent too.
 func everyMessage() []Message {
@@ -85,19 +83,8 @@
 		}
 		got.WriteString(heading(m.Kind) + strings.TrimSuffix(string(packet), trailing(m)) + "\n")
 	}
-	if *update {
-		if err := os.WriteFile(messagesFile, got.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(messagesFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(strings.Split(string(golden), "\n"), strings.Split(got.String(), "\n")); diff != "" {
-		t.Errorf("packets are not as recorded (-recorded +encoded):\n%s", diff)
-	}
-	for n, packet := range goldenPackets(t, string(golden), all) {
+	recorded := string(golden.Compare(t, messagesFile, got.Bytes()))
+	for n, packet := range goldenPackets(t, recorded, all) {
 		read, err := decode(packet)
 		if diff := cmp.Diff(all[n], read); err != nil || diff != "" {
 			t.Errorf("%s: read as another message: %v (-written +read)\n%s", all[n].Kind, err, diff)
