--- a/cmd/stoatweir/lab_command.go
+++ b/cmd/stoatweir/lab_command.go
@@ -52,7 +52,7 @@
 	}
 	w := model.New(s)
 	fmt.Fprintf(out, "%s: %s, %d schedulers, %d workers, %.1f invocations a second, %d troubles\n", file, s.Name,
-		s.Schedulers.Count, len(w.Fleet.Machines), w.Clients.Rate(0), len(s.Troubles))
+		s.Schedulers.Count, len(w.Fleet.Machines), w.Clients.Rate(0), len(s.Faults))
 	return nil
 }
 
--- a/cmd/stoatweir/tenancy.go
+++ b/cmd/stoatweir/tenancy.go
@@ -28,7 +28,7 @@
 	// otherAPIDescriptors are the store's, and the API's listener.
 	otherAPIDescriptors = 6
 	// apiDescriptors are the store's and the tenant API's descriptors.
-	apiDescriptors = api.CallersMost + otherAPIDescriptors
+	apiDescriptors = api.MaxConnections + otherAPIDescriptors
 	// admissionStream is the random stream of the admission controller.
 	admissionStream = 1
 )
@@ -60,8 +60,8 @@
 	if err != nil {
 		return settings.Deployment{}, fmt.Errorf("tenants.dir: %w", err)
 	}
-	if stored.Failed != nil {
-		s.log.WithError(stored.Failed).Warn("tenant store is read-only")
+	if stored.WriteError != nil {
+		s.log.WithError(stored.WriteError).Warn("tenant store is read-only")
 	}
 	random := rand.New(rand.NewPCG(uint64(process.Seed), admissionStream))
 	t := &tenancy{
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -88,8 +88,8 @@
 	s.clients.ClosedConnections, s.answersByReason = map[string]int{"idle": 1004}, map[string]int{"an attempt may have run": 1005}
 	s.endpoints.WatchesStarted, s.panics = 1006, 1007
 	s.gossip = &gossip.Transport{}
-	for n, c := range []interface{ Store(uint64) }{&s.gossip.Counts.Sent, &s.gossip.Counts.Heard, &s.gossip.Counts.Unsent, &s.gossip.Counts.Foreign,
-		&s.gossip.Counts.Old, &s.gossip.Counts.Broken, &s.gossip.Counts.Crowded} {
+	for n, c := range []interface{ Store(uint64) }{&s.gossip.Counts.Sent, &s.gossip.Counts.Received, &s.gossip.Counts.NotSent, &s.gossip.Counts.UnknownSender,
+		&s.gossip.Counts.Stale, &s.gossip.Counts.Malformed, &s.gossip.Counts.Dropped} {
 		c.Store(uint64(1010 + n))
 	}
 	s.servingLatency.RecordValue(200)
--- a/internal/clients/callback.go
+++ b/internal/clients/callback.go
@@ -25,11 +25,11 @@
 		return workers.Callback{}, err
 	}
 	callback := workers.Callback{
-		ID:     decoded.ID,
-		From:   decoded.From,
-		State:  decoded.State,
-		Share:  decoded.Share,
-		Result: decoded.Result,
+		ID:        decoded.ID,
+		WorkerUID: decoded.From,
+		State:     decoded.State,
+		Progress:  decoded.Share,
+		Result:    decoded.Result,
 	}
 	if len(decoded.Load) > 0 {
 		callback.Load = s.deployment.Report.Parse(string(decoded.Load))
--- a/internal/clients/callback_test.go
+++ b/internal/clients/callback_test.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.ID != "9b1f" || got.From != "s-1" || got.State != "running" || got.Share != 0.4 {
+			if got.ID != "9b1f" || got.WorkerUID != "s-1" || got.State != "running" || got.Progress != 0.4 {
 				t.Errorf("%+v", got)
 			}
 			if got.Result == nil || *got.Result != "made" || got.Load == nil {
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -139,7 +139,7 @@
 
 // statusOf returns the status that answers a request which the parser rejected.
 func statusOf(err error) int {
-	var bad *http1.Bad
+	var bad *http1.ParseError
 	if errors.As(err, &bad) {
 		return bad.Status
 	}
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -47,7 +47,7 @@
 		fmt.Println("request", invocation.ID, invocation.Method, invocation.Target, invocation.Fields, string(invocation.Body))
 	}
 	server.OnCallback = func(callback workers.Callback) bool {
-		fmt.Println("callback", callback.ID, callback.From, callback.State, callback.Share, callback.Load != nil)
+		fmt.Println("callback", callback.ID, callback.WorkerUID, callback.State, callback.Progress, callback.Load != nil)
 		return true
 	}
 	server.OnServed = func(time.Duration) {}
--- a/internal/clients/migrate_in.go
+++ b/internal/clients/migrate_in.go
@@ -35,7 +35,7 @@
 		acceptedAt:       s.loop.Now() - m.SilentFor,
 	}
 	s.connections[c] = struct{}{}
-	c.conn = s.quota.Inherit(netConn, m.Buffered, c)
+	c.conn = s.quota.AdoptBuffered(netConn, m.Buffered, c)
 	if invocation != nil {
 		invocation.Number = c.resume(invocation, operation, age, account)
 		inv = invocation.Number
--- a/internal/clients/migrate_out.go
+++ b/internal/clients/migrate_out.go
@@ -187,5 +187,5 @@
 	} else {
 		c.closeAfterFlush()
 	}
-	c.conn.Sever()
+	c.conn.ShutdownRead()
 }
--- a/internal/clients/tenancy.go
+++ b/internal/clients/tenancy.go
@@ -56,7 +56,7 @@
 	}
 	status := http.StatusTooManyRequests
 	switch decision.Kind {
-	case tenants.Stopped:
+	case tenants.TenantSuspended:
 		status = http.StatusForbidden
 	case tenants.Size:
 		status = http.StatusRequestEntityTooLarge
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -38,9 +38,9 @@
 	c.notifyClosed()
 }
 
-// Sever shuts the receiving side down for all processes that have the socket: none may go on where
+// ShutdownRead shuts the receiving side down for all processes that have the socket: none may go on where
 // another has given up.
-func (c *Conn) Sever() {
+func (c *Conn) ShutdownRead() {
 	if tcp, ok := c.netConn.(*net.TCPConn); ok {
 		tcp.CloseRead()
 	}
--- a/internal/conn/detach.go
+++ b/internal/conn/detach.go
@@ -45,8 +45,8 @@
 	c.startIO()
 }
 
-// Standing reports whether the connection has come up and not ended.
-func (c *Conn) Standing() bool { return c.connected && !c.closed }
+// Established reports whether the connection has come up and not ended.
+func (c *Conn) Established() bool { return c.connected && !c.closed }
 
 // Socket returns the connection's descriptor for the process that is to have it; false: there is
 // none.
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -24,12 +24,12 @@
 
 // Adopt drives a connection that a listener has accepted.
 func (q *Quota) Adopt(netConn net.Conn, handler Handler) *Conn {
-	return q.Inherit(netConn, nil, handler)
+	return q.AdoptBuffered(netConn, nil, handler)
 }
 
-// Inherit drives a connection that another process had, which has read some bytes of it. They must
+// AdoptBuffered drives a connection that another process had, which has read some bytes of it. They must
 // fit the ring.
-func (q *Quota) Inherit(netConn net.Conn, read []byte, handler Handler) *Conn {
+func (q *Quota) AdoptBuffered(netConn net.Conn, read []byte, handler Handler) *Conn {
 	q.used++
 	c := &Conn{loop: q.loop, quota: q, handler: handler, netConn: netConn, cancelDial: func() {}}
 	c.In.Write(read)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -116,7 +116,7 @@
 		watcher:  w,
 		addr:     w.addr,
 		revision: revision,
-		parser:   http1.Parser{Answers: true, Stream: true},
+		parser:   http1.Parser{ReadsResponses: true, Stream: true},
 	}
 	opened.conn = w.quota.Dial(w.addr, connectTimeout, opened)
 	opened.setTimeout(timeout, opened.timedOut)
@@ -152,7 +152,7 @@
 // is nearest to its turn.
 func (w *Watcher) worthKeeping(failed *watch, cause error) bool {
 	return errors.Is(cause, errTimedOut) &&
-		failed == w.current && !failed.established && failed.conn.Standing() &&
+		failed == w.current && !failed.established && failed.conn.Established() &&
 		!w.changingAddress && w.overdue == nil
 }
 
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -19,7 +19,7 @@
 	t := d.transport
 	t.inLoop.Add(-1)
 	if received, ok := t.validate(d.from, d.payload, t.loop.Now()); ok {
-		t.Counts.Heard.Add(1)
+		t.Counts.Received.Add(1)
 		t.OnReceive(received)
 	}
 }
@@ -29,22 +29,22 @@
 func (t *Transport) validate(from netip.AddrPort, payload []byte, now time.Duration) (_ dispatch.GossipReceived, ok bool) {
 	h, encoded, ok := decodeHeader(payload)
 	if !ok {
-		t.Counts.Broken.Add(1)
+		t.Counts.Malformed.Add(1)
 		return dispatch.GossipReceived{}, false
 	}
 	sender := int(h.sender)
 	if sender >= len(t.addrs) || sender == t.self || t.addrs[sender] != from {
-		t.Counts.Foreign.Add(1)
+		t.Counts.UnknownSender.Add(1)
 		return dispatch.GossipReceived{}, false
 	}
 	entries, ok := dispatch.DecodeGossip(encoded)
 	if !ok {
-		t.Counts.Broken.Add(1)
+		t.Counts.Malformed.Add(1)
 		return dispatch.GossipReceived{}, false
 	}
 	window, ok := t.windows[sender].accept(h, now)
 	if !ok {
-		t.Counts.Old.Add(1)
+		t.Counts.Stale.Add(1)
 		return dispatch.GossipReceived{}, false
 	}
 	t.windows[sender] = window
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -101,7 +101,7 @@
 	select {
 	case t.outbox <- d:
 	default:
-		t.Counts.Unsent.Add(1)
+		t.Counts.NotSent.Add(1)
 	}
 }
 
@@ -143,7 +143,7 @@
 		case d := <-t.outbox:
 			// An error says at most that the receiver is not there, which is its own business.
 			if _, err := socket.WriteToUDPAddrPort(d.payload, d.to); err != nil {
-				t.Counts.Unsent.Add(1)
+				t.Counts.NotSent.Add(1)
 			} else {
 				t.Counts.Sent.Add(1)
 			}
@@ -164,7 +164,7 @@
 			continue // such as the ICMP answer that nobody listens at some address
 		}
 		if int(t.inLoop.Load()) >= t.queueLimit {
-			t.Counts.Crowded.Add(1)
+			t.Counts.Dropped.Add(1)
 			continue
 		}
 		t.inLoop.Add(1)
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -162,7 +162,7 @@
 	}
 	counts := &transport.Counts
 	deadline := time.Now().Add(5 * time.Second)
-	for counts.Foreign.Load() < 5 || counts.Broken.Load() < 5 {
+	for counts.UnknownSender.Load() < 5 || counts.Malformed.Load() < 5 {
 		if time.Now().After(deadline) {
 			t.Fatal(transport.CountsByName())
 		}
@@ -186,7 +186,7 @@
 	for range 3 * transport.queueLimit {
 		transport.Send(1, []dispatch.GossipEntry{attemptStarted})
 	}
-	if n := transport.Counts.Unsent.Load(); n != uint64(2*transport.queueLimit) {
+	if n := transport.Counts.NotSent.Load(); n != uint64(2*transport.queueLimit) {
 		t.Fatal(n, " dropped where ", transport.queueLimit, " may wait")
 	}
 	holder.Close()
@@ -205,7 +205,7 @@
 	}
 	transport := newTransport(conn.NewLoop(time.Now()), addrs, 0, 1)
 	transport.Send(Broadcast, []dispatch.GossipEntry{{Kind: dispatch.GossipRestarted}})
-	if len(transport.outbox) != schedulers-1 || transport.Counts.Unsent.Load() != 0 || transport.queueLimit < schedulers {
-		t.Error("out:", len(transport.outbox), "unsent:", transport.Counts.Unsent.Load(), "limit:", transport.queueLimit)
+	if len(transport.outbox) != schedulers-1 || transport.Counts.NotSent.Load() != 0 || transport.queueLimit < schedulers {
+		t.Error("out:", len(transport.outbox), "unsent:", transport.Counts.NotSent.Load(), "limit:", transport.queueLimit)
 	}
 }
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -93,12 +93,12 @@
 	transport := &Transport{}
 	c := &transport.Counts
 	c.Sent.Store(1)
-	c.Heard.Store(2)
-	c.Unsent.Store(3)
-	c.Foreign.Store(4)
-	c.Old.Store(5)
-	c.Broken.Store(6)
-	c.Crowded.Store(7)
+	c.Received.Store(2)
+	c.NotSent.Store(3)
+	c.UnknownSender.Store(4)
+	c.Stale.Store(5)
+	c.Malformed.Store(6)
+	c.Dropped.Store(7)
 	text, err := json.MarshalIndent(transport.CountsByName(), "", "  ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -15,7 +15,7 @@
 	}
 	p.pending = append(p.pending, b[:n]...)
 	if len(p.pending) > p.maxLine() {
-		return n, badf(StatusBadRequest, "line too long between chunks")
+		return n, parseErrorf(StatusBadRequest, "line too long between chunks")
 	}
 	if newline < 0 {
 		return n, nil
@@ -36,14 +36,14 @@
 	switch p.state {
 	case stateChunkEnd:
 		if line != "" {
-			return badf(StatusBadRequest, "chunk longer than its size")
+			return parseErrorf(StatusBadRequest, "chunk longer than its size")
 		}
 		p.state = stateChunkSize
 	case stateChunkSize:
 		digits, _, _ := strings.Cut(line, ";") // extensions follow
 		size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, lengthBits)
 		if err != nil {
-			return badf(StatusBadRequest, "malformed chunk size")
+			return parseErrorf(StatusBadRequest, "malformed chunk size")
 		}
 		p.remaining = int(size)
 		p.state = stateChunk
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -14,24 +14,24 @@
 	lengths := m.Header["Content-Length"]
 	codings := m.Header["Transfer-Encoding"]
 	if len(lengths) > 1 || len(codings) > 1 || len(lengths) > 0 && len(codings) > 0 {
-		return badf(StatusBadRequest, "more than one length")
+		return parseErrorf(StatusBadRequest, "more than one length")
 	}
-	if p.Answers && m.Status < minFinalStatus {
+	if p.ReadsResponses && m.Status < minFinalStatus {
 		return p.skipInterim()
 	}
 	switch {
-	case p.Answers && (m.Status == StatusNoContent || m.Status == StatusNotModified):
+	case p.ReadsResponses && (m.Status == StatusNoContent || m.Status == StatusNotModified):
 		p.state = stateComplete
 	case len(codings) > 0:
 		if strings.ToLower(strings.TrimSpace(codings[0])) != "chunked" {
-			return badf(StatusNotImplemented, "unknown transfer coding")
+			return parseErrorf(StatusNotImplemented, "unknown transfer coding")
 		}
 		p.state = stateChunkSize
 	case len(lengths) > 0:
 		if err := p.frameByLength(lengths[0]); err != nil {
 			return err
 		}
-	case p.Answers:
+	case p.ReadsResponses:
 		p.state = stateUntilClose
 		m.Close = true
 	default:
@@ -48,7 +48,7 @@
 func (p *Parser) skipInterim() error {
 	p.interim++
 	if p.interim > maxInterim {
-		return badf(StatusBadGateway, "more than %d interim responses", maxInterim)
+		return parseErrorf(StatusBadGateway, "more than %d interim responses", maxInterim)
 	}
 	p.reset()
 	return nil
@@ -57,10 +57,10 @@
 func (p *Parser) frameByLength(length string) error {
 	n, err := strconv.ParseUint(length, 10, lengthBits)
 	if err != nil || strings.HasPrefix(length, "+") {
-		return badf(StatusBadRequest, "malformed length")
+		return parseErrorf(StatusBadRequest, "malformed length")
 	}
 	if n > MaxBody && !p.Stream {
-		return badf(StatusContentTooLarge, "body over %d bytes", MaxBody)
+		return parseErrorf(StatusContentTooLarge, "body over %d bytes", MaxBody)
 	}
 	p.remaining = int(n)
 	p.state = stateBody
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -23,13 +23,13 @@
 			continue
 		}
 		if forbiddenInHead(c) {
-			return n, badf(StatusBadRequest, "control byte %#x in the head", c)
+			return n, parseErrorf(StatusBadRequest, "control byte %#x in the head", c)
 		}
 		if len(p.pending) == MaxHead {
-			return n, badf(StatusHeaderFieldsTooLarge, "head over %d bytes", MaxHead)
+			return n, parseErrorf(StatusHeaderFieldsTooLarge, "head over %d bytes", MaxHead)
 		}
 		if c != '\n' && bytes.HasSuffix(p.pending, []byte("\r")) {
-			return n, badf(StatusBadRequest, "bare carriage return in the head") // others may see the end of a line there
+			return n, parseErrorf(StatusBadRequest, "bare carriage return in the head") // others may see the end of a line there
 		}
 		p.pending = append(p.pending, c)
 		if c == '\n' && endsWithBlankLine(p.pending) {
@@ -50,20 +50,20 @@
 func (p *Parser) parseHead() error {
 	// A folded line hides a header from one of two parsers.
 	if bytes.Contains(p.pending, []byte("\n ")) || bytes.Contains(p.pending, []byte("\n\t")) {
-		return badf(StatusBadRequest, "folded line in the head")
+		return parseErrorf(StatusBadRequest, "folded line in the head")
 	}
 	reader := textproto.NewReader(bufio.NewReader(bytes.NewReader(p.pending)))
 	startLine, err := reader.ReadLine()
 	if err != nil {
-		return badf(StatusBadRequest, "no first line")
+		return parseErrorf(StatusBadRequest, "no first line")
 	}
 	header, err := reader.ReadMIMEHeader()
 	if err != nil {
-		return badf(StatusBadRequest, "malformed header")
+		return parseErrorf(StatusBadRequest, "malformed header")
 	}
 	for name := range header {
 		if !Token(name) { // a length under a name that ends in a blank would be seen by one of two parsers
-			return badf(StatusBadRequest, "malformed header")
+			return parseErrorf(StatusBadRequest, "malformed header")
 		}
 	}
 	m := &Message{Header: header}
@@ -72,18 +72,18 @@
 		return err
 	}
 	if version != version11 && version != version10 {
-		return badf(StatusVersionNotSupported, "no HTTP/1.1")
+		return parseErrorf(StatusVersionNotSupported, "no HTTP/1.1")
 	}
 	m.Close = closesConnection(header, version)
 	if version == version10 && len(header["Transfer-Encoding"]) > 0 {
-		return badf(StatusBadRequest, "chunks in HTTP/1.0") // others may not see them
+		return parseErrorf(StatusBadRequest, "chunks in HTTP/1.0") // others may not see them
 	}
 	return p.frame(m)
 }
 
 // parseStartLine reads a status line or a request line into m and returns the version in it.
 func (p *Parser) parseStartLine(m *Message, line string) (version string, err error) {
-	if p.Answers {
+	if p.ReadsResponses {
 		return parseStatusLine(m, line)
 	}
 	return parseRequestLine(m, line)
@@ -94,7 +94,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != statusDigits || status < minStatus {
-		return "", badf(StatusBadGateway, "malformed status line")
+		return "", parseErrorf(StatusBadGateway, "malformed status line")
 	}
 	m.Status = status
 	return version, nil
@@ -103,7 +103,7 @@
 func parseRequestLine(m *Message, line string) (version string, err error) {
 	words := strings.Split(line, " ")
 	if len(words) != 3 || !Token(words[0]) || !strings.HasPrefix(words[1], "/") {
-		return "", badf(StatusBadRequest, "malformed request line")
+		return "", parseErrorf(StatusBadRequest, "malformed request line")
 	}
 	m.Method = words[0]
 	m.Target = words[1]
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -29,15 +29,15 @@
 	Close  bool   // the connection ends with this message
 }
 
-// Bad is the error of a message that can't be parsed. The connection it came on is of no more use.
-type Bad struct {
+// ParseError is the error of a message that can't be parsed. The connection it came on is of no more use.
+type ParseError struct {
 	Status int // what a server responds with
 	Reason string
 }
 
 // Error returns the reason.
-func (b *Bad) Error() string { return b.Reason }
+func (b *ParseError) Error() string { return b.Reason }
 
-func badf(status int, format string, args ...any) error {
-	return &Bad{Status: status, Reason: fmt.Sprintf(format, args...)}
+func parseErrorf(status int, format string, args ...any) error {
+	return &ParseError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -32,8 +32,8 @@
 
 // Parser reads one message after the other from a stream of bytes. Its zero value reads requests.
 type Parser struct {
-	// Answers has it read responses.
-	Answers bool
+	// ReadsResponses has it read responses.
+	ReadsResponses bool
 	// Stream has it hand out bodies in pieces as they come, for responses without an end.
 	Stream bool
 	// Message is the last message whose head was complete.
@@ -61,7 +61,7 @@
 	return true
 }
 
-// Feed consumes bytes up to the next step, and returns how many. Its errors are of type *Bad; after one the parser
+// Feed consumes bytes up to the next step, and returns how many. Its errors are of type *ParseError; after one the parser
 // is of no more use.
 func (p *Parser) Feed(b []byte) (used int, step Step, err error) {
 	for {
@@ -142,7 +142,7 @@
 		return nil
 	}
 	if len(p.Message.Body)+len(b) > MaxBody {
-		return badf(StatusContentTooLarge, "body over %d bytes", MaxBody)
+		return parseErrorf(StatusContentTooLarge, "body over %d bytes", MaxBody)
 	}
 	if p.Message.Body == nil && p.state == stateBody {
 		// The whole length is known, but nothing is allocated for it before some of the body has come.
--- a/internal/http1/parser_bench_test.go
+++ b/internal/http1/parser_bench_test.go
@@ -46,7 +46,7 @@
 func BenchmarkMessage(b *testing.B) {
 	for _, m := range messages() {
 		b.Run(m.name, func(b *testing.B) {
-			p := Parser{Answers: m.answers}
+			p := Parser{ReadsResponses: m.answers}
 			for b.Loop() {
 				if used, step, err := p.Feed(m.bytes); err != nil || step != Whole || used != len(m.bytes) {
 					b.Fatal(used, step, err)
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -18,8 +18,8 @@
 			m := p.Message
 			switch {
 			case err != nil:
-				return append(lines, fmt.Sprintf("%d: %v", err.(*Bad).Status, err))
-			case step == Whole && p.Answers:
+				return append(lines, fmt.Sprintf("%d: %v", err.(*ParseError).Status, err))
+			case step == Whole && p.ReadsResponses:
 				lines = append(lines, fmt.Sprintf("%d %q close=%v", m.Status, m.Body, m.Close))
 			case step == Whole:
 				lines = append(lines, fmt.Sprintf("%s %s %q close=%v", m.Method, m.Target, m.Body, m.Close))
@@ -58,12 +58,12 @@
 
 // Interim responses are skipped; a response without a length lasts until its connection ends.
 func Example_responses() {
-	p := &Parser{Answers: true}
+	p := &Parser{ReadsResponses: true}
 	show(p, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"+
 		"HTTP/1.1 503\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno", 7)
 	show(p, "HTTP/1.1 200 OK\r\n\r\nTEXT x0=1", 5)
 	fmt.Println(p.End(), string(p.Message.Body), p.Started())
-	show(&Parser{Answers: true, Stream: true},
+	show(&Parser{ReadsResponses: true, Stream: true},
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\":\r\n3\r\n1}\n\r\n1\r\n\n\r\n0\r\n\r\n", 1000)
 	// Output:
 	// 202 "" close=false
@@ -104,8 +104,8 @@
 	} {
 		show(&Parser{}, text, 4096)
 	}
-	show(&Parser{Answers: true}, "HTTP/1.1 abc\r\n\r\n", 99)
-	show(&Parser{Answers: true}, "SSH-2.0-thing\r\n\r\n", 99)
+	show(&Parser{ReadsResponses: true}, "HTTP/1.1 abc\r\n\r\n", 99)
+	show(&Parser{ReadsResponses: true}, "SSH-2.0-thing\r\n\r\n", 99)
 	// Output:
 	// 400: more than one length
 	// 400: more than one length
@@ -151,7 +151,7 @@
 	f.Add("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", 1, false)
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nrest", 2, true)
 	f.Fuzz(func(t *testing.T, text string, size int, answers bool) {
-		whole, cut := &Parser{Answers: answers}, &Parser{Answers: answers}
+		whole, cut := &Parser{ReadsResponses: answers}, &Parser{ReadsResponses: answers}
 		a, b := feed(whole, text, len(text)+1), feed(cut, text, max(1, size))
 		if !slices.Equal(a, b) || whole.End() != cut.End() {
 			t.Errorf("in one: %q, in pieces: %q", a, b)
@@ -174,9 +174,9 @@
 		{"POST /a HTTP/1.1\r\nX: a\rb\r\n\r\n", false},
 		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 No Content\r\n\r\n", true},
 	} {
-		whole := feed(&Parser{Answers: v.answers}, v.text, len(v.text))
+		whole := feed(&Parser{ReadsResponses: v.answers}, v.text, len(v.text))
 		for cut := 1; cut < len(v.text); cut++ {
-			p := &Parser{Answers: v.answers}
+			p := &Parser{ReadsResponses: v.answers}
 			parts := feed(p, v.text[:cut], cut)
 			if n := len(parts); n == 0 || !strings.Contains(parts[n-1], ": ") { // after an error the parser is of no more use
 				parts = append(parts, feed(p, v.text[cut:], len(v.text))...)
@@ -192,7 +192,7 @@
 // no end of them.
 func Example_interimResponses() {
 	feed := func(n int) {
-		p := Parser{Answers: true}
+		p := Parser{ReadsResponses: true}
 		text := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", n) + "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 		for rest := []byte(text + text); len(rest) > 0; {
 			used, step, err := p.Feed(rest)
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -17,9 +17,9 @@
 
 // What one machine can carry, with real processes and sockets.
 const (
-	mostSchedulers = 1024
-	mostWorkers    = 1024
-	mostLength     = 10 * time.Minute
+	maxSchedulers = 1024
+	maxWorkers    = 1024
+	maxLength     = 10 * time.Minute
 )
 
 // Play runs a scenario against processes of a program, with the clients' requests of a source; nil:
@@ -27,9 +27,9 @@
 // could not be played; broken rules are in the report.
 func Play(ctx context.Context, s scenario.Scenario, source model.Source, program string) (report.Report, error) {
 	workers := workerCount(s)
-	if s.Schedulers.Count > mostSchedulers || workers > mostWorkers || s.Length.D() > mostLength {
+	if s.Schedulers.Count > maxSchedulers || workers > maxWorkers || s.Length.D() > maxLength {
 		return report.Report{}, fmt.Errorf("%d schedulers, %d workers and %v are more than one machine is asked to carry: %d, %d and %v",
-			s.Schedulers.Count, workers, s.Length.D(), mostSchedulers, mostWorkers, mostLength)
+			s.Schedulers.Count, workers, s.Length.D(), maxSchedulers, maxWorkers, maxLength)
 	}
 	dir, err := os.MkdirTemp("", "stoatlab")
 	if err != nil {
--- a/internal/lab/loopback/tenants.go
+++ b/internal/lab/loopback/tenants.go
@@ -49,7 +49,7 @@
 // writeTenant writes one tenant, and returns its credential as clients send it.
 func (r *run) writeTenant(s *store.Store, i int, t scenario.Tenant) (credential string, err error) {
 	now := time.Now()
-	created, _, err := s.Book.Put(tenantsOwner, t.Name, specOf(r.scenario, t), tenants.Match{}, now, fmt.Sprint("-", i))
+	created, _, err := s.Directory.Put(tenantsOwner, t.Name, specOf(r.scenario, t), tenants.Precondition{}, now, fmt.Sprint("-", i))
 	if err != nil {
 		return "", fmt.Errorf("tenants[%d]: %w", i, err)
 	}
@@ -58,7 +58,7 @@
 	}
 	secret := fmt.Sprintf("secret-%d-%d", r.scenario.Seed, i)
 	key := tenants.Credential{ID: fmt.Sprint("k", i), Hash: tenants.HashOf(secret)}
-	granted, err := s.Book.Grant(tenantsOwner, t.Name, key, now)
+	granted, err := s.Directory.Grant(tenantsOwner, t.Name, key, now)
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -75,7 +75,7 @@
 // addSteps collects what changes the rate and the requests, and finds the peak rate.
 func (c *Clients) addSteps() {
 	c.rateSteps = append(c.rateSteps, c.scenario.Load.Steps...)
-	for _, f := range c.scenario.Troubles {
+	for _, f := range c.scenario.Faults {
 		switch f.Kind {
 		case scenario.Burst:
 			c.rateSteps = append(c.rateSteps, scenario.Step{Start: f.Start, Duration: f.Duration, Factor: f.Factor})
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -30,7 +30,7 @@
 
 // planFaults draws what all faults hit beforehand, each with a random source of its own, so that no decision can move them.
 func (m *Model) planFaults() {
-	for i, fault := range m.scenario.Troubles {
+	for i, fault := range m.scenario.Faults {
 		purpose := "trouble " + fault.Kind + string(rune('0'+i%10)) + string(rune('a'+i/10))
 		rng := newRand(m.scenario.Seed, purpose)
 		machines := sample(rng, m.machinesIn(fault.Zone), machineShare(fault))
--- a/internal/lab/scale/emulated_schedulers.go
+++ b/internal/lab/scale/emulated_schedulers.go
@@ -20,7 +20,7 @@
 	datagramBuffer  = 2048 // bytes
 	tagBits         = 19   // of a worker's tag in gossip
 	longestNotified = 4 * time.Second
-	mostReplied     = 99 // free slots in a reply
+	maxReplied      = 99 // free slots in a reply
 )
 
 // emulatedSchedulers only send and receive gossip: what one of them sends to workers that a real
@@ -236,7 +236,7 @@
 	free := max(0, float64(e.part.Scenario.Slots)-e.part.Scenario.Others)
 	e.send(socket, sender, dispatch.GossipEntry{
 		Kind:   dispatch.GossipCapacityReply,
-		Serial: uint8(int8(min(free, mostReplied))),
+		Serial: uint8(int8(min(free, maxReplied))),
 		Tag:    tag,
 	})
 }
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	mostProcesses   = 2048    // of a run, on any machine
-	mostDescriptors = 1 << 40 // where there is no limit
-	mostLength      = 10 * time.Minute
+	maxProcesses   = 2048    // of a run, on any machine
+	maxDescriptors = 1 << 40 // where there is no limit
+	maxLength      = 10 * time.Minute
 
 	otherFiles    = 64          // descriptors of a process that are not counted one by one
 	perConnection = 24 << 10    // bytes of a hollow process: buffers and the stacks of its goroutines
@@ -36,8 +36,8 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return m, err
 	}
-	m.Descriptors = int64(min(files.Max, mostDescriptors))
-	m.Processes = mostProcesses
+	m.Descriptors = int64(min(files.Max, maxDescriptors))
+	m.Processes = maxProcesses
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return m, err
@@ -123,8 +123,8 @@
 	if ports := d.closedPorts + d.clientPorts; s.NewsIdle.D() < timeWait && ports > m.Ports {
 		return s.fault("starts_per_second", "%g need %d ports towards one address, there are %d", s.Starts, ports, m.Ports)
 	}
-	if s.Length() > mostLength {
-		return s.fault("window", "with all before it a step lasts %v, %v is allowed", s.Length(), mostLength)
+	if s.Length() > maxLength {
+		return s.fault("window", "with all before it a step lasts %v, %v is allowed", s.Length(), maxLength)
 	}
 	return nil
 }
--- a/internal/lab/scale/limits_test.go
+++ b/internal/lab/scale/limits_test.go
@@ -82,7 +82,7 @@
 		for _, v := range values {
 			step, err := s.Step(v)
 			if err == nil {
-				err = step.Fits(Machine{Descriptors: 20000, Memory: 24 << 30, Processes: mostProcesses, Ports: 28000})
+				err = step.Fits(Machine{Descriptors: 20000, Memory: 24 << 30, Processes: maxProcesses, Ports: 28000})
 			}
 			if err != nil {
 				t.Error(file, v, err)
--- a/internal/lab/scale/parse.go
+++ b/internal/lab/scale/parse.go
@@ -56,25 +56,25 @@
 
 // Bounds of what any machine could run.
 const (
-	mostWorkers     = 8000
-	mostZones       = 100
-	mostSlots       = 10000   // of a worker
-	mostSchedulers  = 1024    // real ones
-	mostTold        = 1 << 16 // schedulers
-	mostInHand      = 8000    // of each scheduler
-	leastStarts     = 0.1     // a second, of each scheduler
-	mostStarts      = 2000    // a second, of each scheduler
-	mostChanges     = 1000    // a second
-	mostBody        = 1 << 16 // bytes
-	mostSockets     = 1 << 16 // of each scheduler
-	leastMemory     = 16      // MB, of each scheduler
-	mostMemory      = 4096    // MB, of each scheduler
-	mostSeconds     = 600     // of any span
-	leastConnIdle   = 0.1     // seconds
-	leastObjective  = 0.001   // seconds
-	leastFill       = 0.1     // seconds
-	leastWindow     = 0.5     // seconds
-	mostCostOfProbe = 1       // and of gossip
+	maxWorkers     = 8000
+	maxZones       = 100
+	maxSlots       = 10000   // of a worker
+	maxSchedulers  = 1024    // real ones
+	maxTold        = 1 << 16 // schedulers
+	maxInHand      = 8000    // of each scheduler
+	leastStarts    = 0.1     // a second, of each scheduler
+	maxStarts      = 2000    // a second, of each scheduler
+	maxChanges     = 1000    // a second
+	maxBody        = 1 << 16 // bytes
+	maxSockets     = 1 << 16 // of each scheduler
+	leastMemory    = 16      // MB, of each scheduler
+	maxMemory      = 4096    // MB, of each scheduler
+	maxSeconds     = 600     // of any span
+	leastConnIdle  = 0.1     // seconds
+	leastObjective = 0.001   // seconds
+	leastFill      = 0.1     // seconds
+	leastWindow    = 0.5     // seconds
+	maxCostOfProbe = 1       // and of gossip
 )
 
 // bound is a key's value and the range that it has to be in.
@@ -90,32 +90,32 @@
 
 func (s Scenario) bounds() []bound {
 	return []bound{
-		{key: "workers", value: float64(s.Workers), from: 1, most: mostWorkers},
-		{key: "zones", value: float64(s.Zones), from: 1, most: mostZones},
-		{key: "slots", value: float64(s.Slots), from: 1, most: mostSlots},
-		{key: "others", value: s.Others, most: mostSlots},
-		{key: "schedulers", value: float64(s.Schedulers), from: 1, most: mostSchedulers},
-		{key: "told", value: float64(s.Told), from: float64(s.Schedulers), most: mostTold},
-		{key: "in_hand", value: float64(s.InHand), from: 1, most: mostInHand},
-		{key: "starts_per_second", value: s.Starts, from: leastStarts, most: mostStarts},
-		{key: "changes_per_second", value: s.Changes, most: mostChanges},
-		{key: "body", value: float64(s.Body), most: mostBody},
-		{key: "probe_price", value: s.ProbePrice, most: mostCostOfProbe},
-		{key: "message_price", value: s.TellPrice, most: mostCostOfProbe},
-		{key: "sockets", value: float64(s.Sockets), most: mostSockets},
-		{key: "memory_mb", value: float64(s.MemoryMB), from: leastMemory, most: mostMemory},
+		{key: "workers", value: float64(s.Workers), from: 1, most: maxWorkers},
+		{key: "zones", value: float64(s.Zones), from: 1, most: maxZones},
+		{key: "slots", value: float64(s.Slots), from: 1, most: maxSlots},
+		{key: "others", value: s.Others, most: maxSlots},
+		{key: "schedulers", value: float64(s.Schedulers), from: 1, most: maxSchedulers},
+		{key: "told", value: float64(s.Told), from: float64(s.Schedulers), most: maxTold},
+		{key: "in_hand", value: float64(s.InHand), from: 1, most: maxInHand},
+		{key: "starts_per_second", value: s.Starts, from: leastStarts, most: maxStarts},
+		{key: "changes_per_second", value: s.Changes, most: maxChanges},
+		{key: "body", value: float64(s.Body), most: maxBody},
+		{key: "probe_price", value: s.ProbePrice, most: maxCostOfProbe},
+		{key: "message_price", value: s.TellPrice, most: maxCostOfProbe},
+		{key: "sockets", value: float64(s.Sockets), most: maxSockets},
+		{key: "memory_mb", value: float64(s.MemoryMB), from: leastMemory, most: maxMemory},
 		{key: "lost", value: float64(s.Lost), most: float64(s.Workers)},
-		{key: "lost_for", value: s.LostFor.D().Seconds(), most: mostSeconds},
-		{key: "whole_every", value: s.Whole.D().Seconds(), most: mostSeconds},
-		{key: "progress", value: s.Progress.D().Seconds(), most: mostSeconds},
-		{key: "news_idle", value: s.NewsIdle.D().Seconds(), most: mostSeconds},
-		{key: "connection_idle", value: s.ConnIdle.D().Seconds(), from: leastConnIdle, most: mostSeconds},
-		{key: "warm", value: s.Warm.D().Seconds(), most: mostSeconds},
-		{key: "objective", value: s.Objective.D().Seconds(), from: leastObjective, most: mostSeconds},
-		{key: "fill", value: s.Fill.D().Seconds(), from: leastFill, most: mostSeconds},
-		{key: "settle", value: s.Settle.D().Seconds(), most: mostSeconds},
-		{key: "window", value: s.Window.D().Seconds(), from: leastWindow, most: mostSeconds},
-		{key: "idle", value: s.Idle.D().Seconds(), most: mostSeconds},
+		{key: "lost_for", value: s.LostFor.D().Seconds(), most: maxSeconds},
+		{key: "whole_every", value: s.Whole.D().Seconds(), most: maxSeconds},
+		{key: "progress", value: s.Progress.D().Seconds(), most: maxSeconds},
+		{key: "news_idle", value: s.NewsIdle.D().Seconds(), most: maxSeconds},
+		{key: "connection_idle", value: s.ConnIdle.D().Seconds(), from: leastConnIdle, most: maxSeconds},
+		{key: "warm", value: s.Warm.D().Seconds(), most: maxSeconds},
+		{key: "objective", value: s.Objective.D().Seconds(), from: leastObjective, most: maxSeconds},
+		{key: "fill", value: s.Fill.D().Seconds(), from: leastFill, most: maxSeconds},
+		{key: "settle", value: s.Settle.D().Seconds(), most: maxSeconds},
+		{key: "window", value: s.Window.D().Seconds(), from: leastWindow, most: maxSeconds},
+		{key: "idle", value: s.Idle.D().Seconds(), most: maxSeconds},
 	}
 }
 
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -128,7 +128,7 @@
 
 const (
 	leastSpares   = 8
-	mostSpares    = 2000
+	maxSpares     = 2000
 	spareSeconds  = 10 // of replacements, after which a worker may be listed again
 	leastSockets  = 1024
 	socketsBeside = 200 // sockets of a scheduler that are not for requests
@@ -141,7 +141,7 @@
 	if s.Changes == 0 {
 		return 0
 	}
-	return max(leastSpares, min(int(s.Changes*spareSeconds), mostSpares))
+	return max(leastSpares, min(int(s.Changes*spareSeconds), maxSpares))
 }
 
 // sockets is the limit of a scheduler's sockets: half of it is the most requests that it admits at
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -18,7 +18,7 @@
 	billedValue       = 1
 	classStretch      = 2 // of a run's time, by class
 	maxRetryAfter     = 2
-	mostForwards      = 4 // attempts of a request
+	maxForwards       = 4 // attempts of a request
 	connectTimeout    = 0.25
 	askWithin         = 10  // interval of polls of the list
 	stopSendingWithin = 0.5 // drain grace
@@ -112,7 +112,7 @@
 			ConnIdle:       s.ConnIdle.D().Seconds(),
 			ConnectTimeout: connectTimeout,
 			MaxRetryAfter:  maxRetryAfter,
-			MostForwards:   mostForwards,
+			MostForwards:   maxForwards,
 			Peers:          s.Messages,
 			Probes:         true,
 			RetryAfter:     true,
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -82,8 +82,8 @@
 	for i := range s.Tenants {
 		s.Tenants[i].Weight = cmp.Or(s.Tenants[i].Weight, 1)
 	}
-	for i := range s.Troubles {
-		s.Troubles[i].fillDefaults()
+	for i := range s.Faults {
+		s.Faults[i].fillDefaults()
 	}
 }
 
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -25,7 +25,7 @@
 	Hosted        Hosted        `toml:"Hosted"`
 	Load          Load          `toml:"Load"`
 	Clients       Clients       `toml:"Clients"`
-	Troubles      []Fault       `toml:"Troubles"`
+	Faults        []Fault       `toml:"Troubles"`
 }
 
 // Schedulers are the dispatchers; they are spread over the zones round robin.
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -88,7 +88,7 @@
 	v.tenants(s)
 	v.load(s)
 	v.clients(s.Clients)
-	for i, fault := range s.Troubles {
+	for i, fault := range s.Faults {
 		v.fault(s, i, fault)
 	}
 }
--- a/internal/tenants/admission.go
+++ b/internal/tenants/admission.go
@@ -10,19 +10,19 @@
 
 // The kinds of rejection, as clients and counters spell them.
 const (
-	None        RejectionKind = ""
-	Unknown     RejectionKind = "unauthenticated"
-	Stopped     RejectionKind = "suspended"
-	Size        RejectionKind = "request_size"
-	Rate        RejectionKind = "rate"
-	Concurrency RejectionKind = "concurrency"
-	HeldWork    RejectionKind = "held_work"
-	Retries     RejectionKind = "retry_budget"
-	Share       RejectionKind = "share"
+	None            RejectionKind = ""
+	Unauthenticated RejectionKind = "unauthenticated"
+	TenantSuspended RejectionKind = "suspended"
+	Size            RejectionKind = "request_size"
+	Rate            RejectionKind = "rate"
+	Concurrency     RejectionKind = "concurrency"
+	HeldWork        RejectionKind = "held_work"
+	Retries         RejectionKind = "retry_budget"
+	Share           RejectionKind = "share"
 )
 
 // RejectionKinds are the kinds that Usage counts.
-var RejectionKinds = []RejectionKind{Stopped, Size, Rate, Concurrency, HeldWork, Retries, Share}
+var RejectionKinds = []RejectionKind{TenantSuspended, Size, Rate, Concurrency, HeldWork, Retries, Share}
 
 const (
 	// minRetryAfter and maxRetryAfter bound the advice of when to retry.
@@ -86,7 +86,7 @@
 		c.allocate(now)
 	}
 	if a.removed || a.state != Active {
-		return Decision{Kind: Stopped}
+		return Decision{Kind: TenantSuspended}
 	}
 	limits := &a.limits
 	if limits.RequestBytes != nil && r.Bytes > *limits.RequestBytes {
--- a/internal/tenants/api/api_test.go
+++ b/internal/tenants/api/api_test.go
@@ -210,7 +210,7 @@
 	go f.Serve(l)
 	t.Cleanup(func() { l.Close() })
 	var silent []net.Conn
-	for range CallersMost {
+	for range MaxConnections {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/tenants/api/registry.go
+++ b/internal/tenants/api/registry.go
@@ -26,7 +26,7 @@
 }
 
 func (r *Registry) publishDirectory() {
-	directory := r.store.Book
+	directory := r.store.Directory
 	r.publish(directory.All(), directory.Revision)
 }
 
@@ -53,14 +53,14 @@
 func (r *Registry) Writes() (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.store.Writes(), r.store.Failed
+	return r.store.Writes(), r.store.WriteError
 }
 
 // read calls a function with the directory, which must not be used afterwards.
 func (r *Registry) read(view func(*tenants.Directory)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	view(r.store.Book)
+	view(r.store.Directory)
 }
 
 // errUnchanged is returned by a changeFunc where there is nothing to change; the Change has the
@@ -75,7 +75,7 @@
 func (r *Registry) change(isDryRun bool, compute changeFunc) (tenants.Change, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change, err := compute(r.store.Book, r.now())
+	change, err := compute(r.store.Directory, r.now())
 	if err != nil || isDryRun {
 		return change, err
 	}
--- a/internal/tenants/api/request.go
+++ b/internal/tenants/api/request.go
@@ -31,7 +31,7 @@
 	administrator string // name
 	query         url.Values
 	isDryRun      bool
-	match         tenants.Match
+	match         tenants.Precondition
 }
 
 // serve authorizes and parses a request, and answers it.
--- a/internal/tenants/api/server.go
+++ b/internal/tenants/api/server.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// CallersMost is how many connections are open at once; their descriptors are reserved.
-	CallersMost = 16
+	// MaxConnections is how many connections are open at once; their descriptors are reserved.
+	MaxConnections = 16
 
 	maxHeaderBytes = 16 << 10
 	// readTimeout is for a whole request; who sends a byte now and then is no administrator.
@@ -29,7 +29,7 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	return server.Serve(&limitedListener{Listener: l, slots: make(chan struct{}, CallersMost)})
+	return server.Serve(&limitedListener{Listener: l, slots: make(chan struct{}, MaxConnections)})
 }
 
 // limitedListener accepts as many connections at once as its channel has slots.
--- a/internal/tenants/capacity_test.go
+++ b/internal/tenants/capacity_test.go
@@ -115,7 +115,7 @@
 			change := func(n int) {
 				s := validSpec()
 				s.Weight = float64(1 + n%1000)
-				c, unchanged, err := d.Put("ops", fmt.Sprint("team-", n%71), s, Match{}, epoch, "mark")
+				c, unchanged, err := d.Put("ops", fmt.Sprint("team-", n%71), s, Precondition{}, epoch, "mark")
 				if err != nil || unchanged {
 					b.Fatal(err, unchanged)
 				}
--- a/internal/tenants/change.go
+++ b/internal/tenants/change.go
@@ -32,16 +32,16 @@
 // handleBase is the radix of the revision in a tenant's handle.
 const handleBase = 36
 
-// Match is the precondition of a change: that the tenant is at a revision, that it exists, or
+// Precondition is what has to hold for a change to be made: that the tenant is at a revision, that it exists, or
 // that it does not. The zero value always holds.
-type Match struct {
+type Precondition struct {
 	Revision *uint64
 	Exists   bool
 	Absent   bool
 }
 
 // checkMatch returns ErrExists or ErrRace where a precondition does not hold.
-func (d *Directory) checkMatch(name string, m Match) error {
+func (d *Directory) checkPrecondition(name string, m Precondition) error {
 	tenant, known := d.tenants[name]
 	switch {
 	case m.Absent && known:
@@ -77,12 +77,12 @@
 //
 // mark is random text that nobody outside can guess and becomes part of a new tenant's handle:
 // whoever knew the ids of another tenant's invocations could report on them as a worker does.
-func (d *Directory) Put(by, name string, s Spec, m Match, now time.Time, mark string) (c Change, unchanged bool, err error) {
+func (d *Directory) Put(by, name string, s Spec, m Precondition, now time.Time, mark string) (c Change, unchanged bool, err error) {
 	invalid := append(Name("/name", name), s.Validate()...)
 	if len(invalid) > 0 {
 		return Change{}, false, invalid
 	}
-	if err := d.checkMatch(name, m); err != nil {
+	if err := d.checkPrecondition(name, m); err != nil {
 		return Change{}, false, err
 	}
 	tenant, known := d.tenants[name]
@@ -123,7 +123,7 @@
 
 // SetState returns the change that suspends or resumes a tenant; unchanged is set if it is in that
 // state already. The error is of type FieldErrors, ErrUnknown, ErrExists or ErrRace.
-func (d *Directory) SetState(by, name string, state State, m Match, now time.Time) (c Change, unchanged bool, err error) {
+func (d *Directory) SetState(by, name string, state State, m Precondition, now time.Time) (c Change, unchanged bool, err error) {
 	var what string
 	switch state {
 	case Active:
@@ -138,7 +138,7 @@
 	if !known {
 		return Change{}, false, ErrUnknown
 	}
-	if err := d.checkMatch(name, m); err != nil {
+	if err := d.checkPrecondition(name, m); err != nil {
 		return Change{}, false, err
 	}
 	if tenant.State == state {
@@ -149,11 +149,11 @@
 }
 
 // Remove returns the change that removes a tenant. The error is ErrUnknown, ErrExists or ErrRace.
-func (d *Directory) Remove(by, name string, m Match, now time.Time) (Change, error) {
+func (d *Directory) Remove(by, name string, m Precondition, now time.Time) (Change, error) {
 	if _, known := d.tenants[name]; !known {
 		return Change{}, ErrUnknown
 	}
-	if err := d.checkMatch(name, m); err != nil {
+	if err := d.checkPrecondition(name, m); err != nil {
 		return Change{}, err
 	}
 	return d.newChange(by, ChangeRemoved, name, now, nil), nil
--- a/internal/tenants/directory_test.go
+++ b/internal/tenants/directory_test.go
@@ -17,27 +17,27 @@
 		tenant, _ := d.Get("acme")
 		fmt.Println(step+":", d.Revision, tenant.Handle, tenant.State, unchanged, err)
 	}
-	put := func(step string, s Spec, m Match) {
+	put := func(step string, s Spec, m Precondition) {
 		c, unchanged, err := d.Put("ops", "acme", s, m, noon, "")
 		apply(step, c, unchanged, err)
 	}
-	put("created", validSpec(), Match{Absent: true})
-	put("the same", validSpec(), Match{})
-	put("created again", validSpec(), Match{Absent: true})
+	put("created", validSpec(), Precondition{Absent: true})
+	put("the same", validSpec(), Precondition{})
+	put("created again", validSpec(), Precondition{Absent: true})
 	heavier := validSpec()
 	heavier.Weight = 2
 	first := uint64(1)
-	put("changed", heavier, Match{Revision: &first})
-	put("raced for", validSpec(), Match{Revision: &first})
-	c, unchanged, err := d.SetState("ops", "acme", Suspended, Match{}, noon)
+	put("changed", heavier, Precondition{Revision: &first})
+	put("raced for", validSpec(), Precondition{Revision: &first})
+	c, unchanged, err := d.SetState("ops", "acme", Suspended, Precondition{}, noon)
 	apply("suspended", c, unchanged, err)
-	c, unchanged, err = d.SetState("ops", "acme", Suspended, Match{}, noon)
+	c, unchanged, err = d.SetState("ops", "acme", Suspended, Precondition{}, noon)
 	apply("suspended again", c, unchanged, err)
-	c, err = d.Remove("ops", "acme", Match{}, noon)
+	c, err = d.Remove("ops", "acme", Precondition{}, noon)
 	apply("removed", c, false, err)
-	c, err = d.Remove("ops", "acme", Match{}, noon)
+	c, err = d.Remove("ops", "acme", Precondition{}, noon)
 	apply("removed again", c, false, err)
-	put("created anew", validSpec(), Match{})
+	put("created anew", validSpec(), Precondition{})
 	for _, c := range d.Audit(3) {
 		fmt.Println(c.Revision, c.By, c.What, c.Name)
 	}
@@ -61,7 +61,7 @@
 	if _, err := d.Grant("ops", "a", Credential{ID: "k"}, noon); !errors.Is(err, ErrUnknown) {
 		t.Error(err)
 	}
-	c, _, _ := d.Put("ops", "a", validSpec(), Match{}, noon, "")
+	c, _, _ := d.Put("ops", "a", validSpec(), Precondition{}, noon, "")
 	if err := d.Apply(c); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 
 func TestApplyRejectsAGapBetweenRevisions(t *testing.T) {
 	d := NewDirectory()
-	c, _, _ := d.Put("ops", "a", validSpec(), Match{}, noon, "")
+	c, _, _ := d.Put("ops", "a", validSpec(), Precondition{}, noon, "")
 	if err := d.Apply(c); err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	}
 	created := 0
 	for ; ; created++ {
-		c, _, err := d.Put("ops", fmt.Sprint("t", created), largest, Match{}, noon, "")
+		c, _, err := d.Put("ops", fmt.Sprint("t", created), largest, Precondition{}, noon, "")
 		if err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Error(err)
--- a/internal/tenants/store/capacity_test.go
+++ b/internal/tenants/store/capacity_test.go
@@ -32,7 +32,7 @@
 
 func putTeam(b *testing.B, s *Store, n int, weight float64) {
 	b.Helper()
-	c, unchanged, err := s.Book.Put("ops", teamName(n), teamSpec(weight), tenants.Match{}, noon, "mark")
+	c, unchanged, err := s.Directory.Put("ops", teamName(n), teamSpec(weight), tenants.Precondition{}, noon, "mark")
 	if err == nil && !unchanged {
 		err = s.Append(c)
 	}
--- a/internal/tenants/store/compaction.go
+++ b/internal/tenants/store/compaction.go
@@ -4,9 +4,9 @@
 const compactAfter = 4096
 
 // Compact replaces the log by one with a single snapshot. At any moment the log's name refers to a
-// whole log. After an error the old log goes on, unless Failed says that nothing can be written.
+// whole log. After an error the old log goes on, unless WriteError says that nothing can be written.
 func (s *Store) Compact() error {
-	encoded, err := encode(snapshotRecord(s.Book))
+	encoded, err := encode(snapshotRecord(s.Directory))
 	if err != nil {
 		return err
 	}
@@ -22,7 +22,7 @@
 	s.namesUnsynced = true
 	err = s.syncNames()
 	if err != nil {
-		s.Failed = readOnly(err)
+		s.WriteError = readOnly(err)
 	}
 	return err
 }
--- a/internal/tenants/store/disk_test.go
+++ b/internal/tenants/store/disk_test.go
@@ -20,7 +20,7 @@
 	}
 	write(writer, "a")
 	follower, err := Open(&Disk{Dir: dir})
-	if err != nil || follower.Writes() || len(follower.Book.All()) != 1 {
+	if err != nil || follower.Writes() || len(follower.Directory.All()) != 1 {
 		t.Fatal(err)
 	}
 	write(writer, "b")
@@ -29,7 +29,7 @@
 	}
 	write(writer, "c")
 	changed, err := follower.Follow()
-	if !changed || err != nil || len(follower.Book.All()) != 3 {
+	if !changed || err != nil || len(follower.Directory.All()) != 3 {
 		t.Error(changed, err)
 	}
 	writer.Close()
@@ -42,7 +42,7 @@
 
 func TestMissingDirectoryIsReadOnly(t *testing.T) {
 	s, err := Open(&Disk{Dir: t.TempDir() + "/missing"})
-	if err != nil || !errors.Is(s.Failed, ErrReadOnly) {
+	if err != nil || !errors.Is(s.WriteError, ErrReadOnly) {
 		t.Error(err)
 	}
 }
--- a/internal/tenants/store/follower.go
+++ b/internal/tenants/store/follower.go
@@ -26,8 +26,8 @@
 		return false, err
 	}
 	previousLog := s.log
-	previousBook := s.Book
-	leastRevision := s.Book.Revision
+	previousBook := s.Directory
+	leastRevision := s.Directory.Revision
 	isSame := isSameFile(s.log.file, file)
 	isWithdrawn := isSame && !s.log.lastRecord.isIntact(file)
 	if isWithdrawn {
@@ -45,24 +45,24 @@
 	if err != nil {
 		file.Close()
 		s.log = previousLog
-		s.Book = previousBook
+		s.Directory = previousBook
 		return false, err
 	}
 	if previousLog.file != nil {
 		previousLog.file.Close()
 	}
-	return isWithdrawn || s.Book.Revision != leastRevision, nil
+	return isWithdrawn || s.Directory.Revision != leastRevision, nil
 }
 
 // takeOver makes this process, which has acquired the lock, the writer. The lock is released again
 // where the log can't be read.
 func (s *Store) takeOver() (changed bool, err error) {
 	previousLog := s.log
-	previousBook := s.Book
-	previousFailed := s.Failed
+	previousBook := s.Directory
+	previousFailed := s.WriteError
 	s.log.file = nil
 	s.isWriter = true
-	s.Failed = nil
+	s.WriteError = nil
 	err = s.load()
 	if err == nil {
 		err = s.checkRevision(previousBook.Revision)
@@ -73,21 +73,21 @@
 		}
 		s.files.Unlock(lockName)
 		s.log = previousLog
-		s.Book = previousBook
-		s.Failed = previousFailed
+		s.Directory = previousBook
+		s.WriteError = previousFailed
 		s.isWriter = false
 		return false, err
 	}
 	if previousLog.file != nil {
 		previousLog.file.Close()
 	}
-	return s.Book.Revision != previousBook.Revision, nil
+	return s.Directory.Revision != previousBook.Revision, nil
 }
 
 // checkRevision returns an error if the directory is older than it has been.
 func (s *Store) checkRevision(least uint64) error {
-	if s.Book.Revision < least {
-		return fmt.Errorf("%w: revision %d after %d", ErrCorrupt, s.Book.Revision, least)
+	if s.Directory.Revision < least {
+		return fmt.Errorf("%w: revision %d after %d", ErrCorrupt, s.Directory.Revision, least)
 	}
 	return nil
 }
--- a/internal/tenants/store/follower_test.go
+++ b/internal/tenants/store/follower_test.go
@@ -23,7 +23,7 @@
 	}
 	write("a")
 	follower, err := Open(files)
-	if err != nil || follower.Writes() || follower.Book.Revision != 1 {
+	if err != nil || follower.Writes() || follower.Directory.Revision != 1 {
 		t.Fatal(err)
 	}
 	if err := put(follower, "b", 1); !errors.Is(err, ErrFollows) {
@@ -32,8 +32,8 @@
 	follow := func(wantChanged bool, wantRevision uint64, wantErr error) {
 		t.Helper()
 		changed, err := follower.Follow()
-		if changed != wantChanged || !errors.Is(err, wantErr) || follower.Book.Revision != wantRevision {
-			t.Error(changed, err, follower.Book.Revision)
+		if changed != wantChanged || !errors.Is(err, wantErr) || follower.Directory.Revision != wantRevision {
+			t.Error(changed, err, follower.Directory.Revision)
 		}
 	}
 	follow(false, 1, nil)
--- a/internal/tenants/store/forms_test.go
+++ b/internal/tenants/store/forms_test.go
@@ -60,12 +60,12 @@
 	}
 	putSpec := func(name string, spec tenants.Spec, mark string) {
 		t.Helper()
-		c, _, err := s.Book.Put("ops", name, spec, tenants.Match{}, noon, mark)
+		c, _, err := s.Directory.Put("ops", name, spec, tenants.Precondition{}, noon, mark)
 		appendChange(c, err)
 	}
 	setState := func(state tenants.State) {
 		t.Helper()
-		c, _, err := s.Book.SetState("ops", "one", state, tenants.Match{}, noon)
+		c, _, err := s.Directory.SetState("ops", "one", state, tenants.Precondition{}, noon)
 		appendChange(c, err)
 	}
 	later := goldenSpec(t)
@@ -74,13 +74,13 @@
 
 	putSpec("one", goldenSpec(t), "-mark")
 	putSpec("one", later, "-mark")
-	appendChange(s.Book.Grant("ops", "one", credential, noon))
+	appendChange(s.Directory.Grant("ops", "one", credential, noon))
 	setState(tenants.Suspended)
 	setState(tenants.Active)
-	appendChange(s.Book.Revoke("ops", "one", "key", noon))
+	appendChange(s.Directory.Revoke("ops", "one", "key", noon))
 	putSpec("two", goldenSpec(t), "-other")
-	appendChange(s.Book.Remove("ops", "two", tenants.Match{}, noon))
-	appendChange(s.Book.Grant("ops", "one", credential, noon))
+	appendChange(s.Directory.Remove("ops", "two", tenants.Precondition{}, noon))
+	appendChange(s.Directory.Grant("ops", "one", credential, noon))
 	return all
 }
 
@@ -114,14 +114,14 @@
 	}
 	compacted := golden.Compare(t, "snapshot.log", files.names[logName].content)
 	for _, recorded := range [][]byte{log, compacted} {
-		got := openRecorded(t, recorded).Book
+		got := openRecorded(t, recorded).Directory
 		if diff := cmp.Diff(all, got.Audit(0), cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
-		if diff := cmp.Diff(s.Book.All(), got.All(), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(s.Directory.All(), got.All(), cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
-		if got.Revision != s.Book.Revision || got.Revision != 9 {
+		if got.Revision != s.Directory.Revision || got.Revision != 9 {
 			t.Error(got.Revision)
 		}
 	}
--- a/internal/tenants/store/log.go
+++ b/internal/tenants/store/log.go
@@ -44,7 +44,7 @@
 // resetLog begins to read a log from its start, with an empty directory.
 func (s *Store) resetLog(file File) {
 	s.log = logState{file: file}
-	s.Book = tenants.NewDirectory()
+	s.Directory = tenants.NewDirectory()
 }
 
 // catchUp applies the records behind the end, and leaves one that is being written. The error wraps
@@ -88,10 +88,10 @@
 func (s *Store) apply(r record) error {
 	switch {
 	case r.Snapshot != nil:
-		s.Book = tenants.Restore(*r.Snapshot)
+		s.Directory = tenants.Restore(*r.Snapshot)
 		s.log.changes = 0
 	case r.Change != nil:
-		if err := s.Book.Apply(*r.Change); err != nil {
+		if err := s.Directory.Apply(*r.Change); err != nil {
 			return fmt.Errorf("%w: %v, at byte %d", ErrCorrupt, err, s.log.end)
 		}
 		s.log.changes++
--- a/internal/tenants/store/record_test.go
+++ b/internal/tenants/store/record_test.go
@@ -40,7 +40,7 @@
 	schema = 2
 	migrations = map[int]migration{1: setWeight}
 	s, err = Open(files)
-	if err != nil || s.Book.All()[0].Spec.Weight != 7 {
+	if err != nil || s.Directory.All()[0].Spec.Weight != 7 {
 		t.Fatal(err)
 	}
 	if err := put(s, "new", 1); err != nil {
--- a/internal/tenants/store/store.go
+++ b/internal/tenants/store/store.go
@@ -27,11 +27,11 @@
 
 // Store is the log and the directory that it gives. It is not safe for concurrent use.
 type Store struct {
-	// Book is the directory, as of the last record that was read or written. Follow may replace
+	// Directory is the directory, as of the last record that was read or written. Follow may replace
 	// it.
-	Book *tenants.Directory
-	// Failed is why nothing can be written: it wraps ErrReadOnly or ErrFollows; nil: it can.
-	Failed error
+	Directory *tenants.Directory
+	// WriteError is why nothing can be written: it wraps ErrReadOnly or ErrFollows; nil: it can.
+	WriteError error
 
 	files         Files
 	log           logState
@@ -41,11 +41,11 @@
 }
 
 // Open reads the store. Where another process writes, or nothing can be written, this one follows,
-// and Failed says why. The error wraps ErrCorrupt or ErrNewer where the log can't be read.
+// and WriteError says why. The error wraps ErrCorrupt or ErrNewer where the log can't be read.
 func Open(files Files) (*Store, error) {
-	s := &Store{Book: tenants.NewDirectory(), files: files}
-	s.Failed = files.Lock(lockName)
-	if s.Failed == nil {
+	s := &Store{Directory: tenants.NewDirectory(), files: files}
+	s.WriteError = files.Lock(lockName)
+	if s.WriteError == nil {
 		s.isWriter = true
 		files.Remove(compactedName) // of a writer that was killed while it compacted
 	}
@@ -68,7 +68,7 @@
 	}
 	if s.isWriter {
 		if err := s.prepareLog(); err != nil {
-			s.Failed = readOnly(err)
+			s.WriteError = readOnly(err)
 		}
 	}
 	return nil
@@ -79,7 +79,7 @@
 func (s *Store) openLog() (File, error) {
 	file, err := s.files.Open(logName, !s.isWriter)
 	if err != nil && s.isWriter {
-		s.Failed = readOnly(err)
+		s.WriteError = readOnly(err)
 		s.isWriter = false
 		s.files.Unlock(lockName)
 		file, err = s.files.Open(logName, true)
@@ -107,7 +107,7 @@
 		return nil
 	}
 	s.namesUnsynced = true
-	if err := s.appendRecord(snapshotRecord(s.Book)); err != nil {
+	if err := s.appendRecord(snapshotRecord(s.Directory)); err != nil {
 		return err
 	}
 	return s.syncNames()
@@ -116,20 +116,20 @@
 // Append makes a change durable, and then applies it to the directory. After an error nothing has
 // changed; it wraps ErrReadOnly or ErrFollows, or is that of a change out of order.
 func (s *Store) Append(c tenants.Change) error {
-	if s.Failed != nil {
+	if s.WriteError != nil {
 		s.recoverWrites()
 	}
-	if s.Failed != nil {
-		return s.Failed
+	if s.WriteError != nil {
+		return s.WriteError
 	}
-	if c.Revision != s.Book.Revision+1 {
-		return fmt.Errorf("revision %d does not follow %d", c.Revision, s.Book.Revision)
+	if c.Revision != s.Directory.Revision+1 {
+		return fmt.Errorf("revision %d does not follow %d", c.Revision, s.Directory.Revision)
 	}
 	if err := s.appendRecord(record{Schema: schema, Change: &c}); err != nil {
-		s.Failed = readOnly(err)
-		return s.Failed
+		s.WriteError = readOnly(err)
+		return s.WriteError
 	}
-	if err := s.Book.Apply(c); err != nil {
+	if err := s.Directory.Apply(c); err != nil {
 		return err
 	}
 	s.log.changes++
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// recoverWrites clears Failed if the disk can be written to again. It first cuts off what could not
+// recoverWrites clears WriteError if the disk can be written to again. It first cuts off what could not
 // be cut off before.
 func (s *Store) recoverWrites() {
 	if !s.isWriter {
@@ -153,10 +153,10 @@
 		err = s.syncNames()
 	}
 	if err == nil && s.log.end == 0 {
-		err = s.appendRecord(snapshotRecord(s.Book))
+		err = s.appendRecord(snapshotRecord(s.Directory))
 	}
 	if err == nil {
-		s.Failed = nil
+		s.WriteError = nil
 	}
 }
 
--- a/internal/tenants/store/store_test.go
+++ b/internal/tenants/store/store_test.go
@@ -37,7 +37,7 @@
 
 // put creates or changes a tenant.
 func put(s *Store, name string, weight float64) error {
-	c, _, err := s.Book.Put("ops", name, newSpec(weight), tenants.Match{}, noon, "")
+	c, _, err := s.Directory.Put("ops", name, newSpec(weight), tenants.Precondition{}, noon, "")
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	}
 	for n := range 9 {
 		if n == 6 {
-			c, _ := s.Book.Remove("ops", "t1", tenants.Match{}, noon)
+			c, _ := s.Directory.Remove("ops", "t1", tenants.Precondition{}, noon)
 			err = s.Append(c)
 		} else {
 			err = put(s, fmt.Sprint("t", n%3), float64(n+1))
@@ -61,9 +61,9 @@
 		if err != nil {
 			return done
 		}
-		done = s.Book.Revision
+		done = s.Directory.Revision
 		if texts != nil {
-			texts[done] = directoryText(s.Book)
+			texts[done] = directoryText(s.Directory)
 		}
 		if n == 4 && s.Compact() != nil {
 			return done
@@ -92,17 +92,17 @@
 				if err != nil {
 					t.Fatalf("step %d, part %v, names %v: %v", step, part, keepNames, err)
 				}
-				got := s.Book.Revision
-				if got < done || got > done+1 || directoryText(s.Book) != texts[got] {
+				got := s.Directory.Revision
+				if got < done || got > done+1 || directoryText(s.Directory) != texts[got] {
 					t.Fatalf("step %d, part %v, names %v: revision %d after %d were done: %v",
-						step, part, keepNames, got, done, s.Book.All())
+						step, part, keepNames, got, done, s.Directory.All())
 				}
 				if err := put(s, "later", 3); err != nil {
 					t.Fatalf("step %d, part %v: %v", step, part, err)
 				}
 				s.Close()
 				s, err = Open(after)
-				if err != nil || s.Book.Revision != got+1 {
+				if err != nil || s.Directory.Revision != got+1 {
 					t.Fatal(step, part, err)
 				}
 				kills++
@@ -128,16 +128,16 @@
 			t.Error(err)
 		}
 	}
-	if len(s.Book.All()) != 1 {
-		t.Error(s.Book.All())
+	if len(s.Directory.All()) != 1 {
+		t.Error(s.Directory.All())
 	}
 	files.isFull = false
-	if err := put(s, "b", 1); err != nil || s.Book.Revision != 2 {
+	if err := put(s, "b", 1); err != nil || s.Directory.Revision != 2 {
 		t.Error(err)
 	}
 	s.Close()
 	s, err = Open(files)
-	if err != nil || len(s.Book.All()) != 2 {
+	if err != nil || len(s.Directory.All()) != 2 {
 		t.Error(err)
 	}
 }
@@ -159,13 +159,13 @@
 	files, log = newLog()
 	log.content = append(log.content, make([]byte, 512)...)
 	s, err := Open(files)
-	if err != nil || s.Book.Revision != 9 {
+	if err != nil || s.Directory.Revision != 9 {
 		t.Error("zeros behind the end, as a loss of power can leave: ", err)
 	}
 	files, log = newLog()
 	log.content = append(log.content, log.content...)
 	s, err = Open(files)
-	if err != nil || s.Book.Revision != 9 {
+	if err != nil || s.Directory.Revision != 9 {
 		t.Error("the same once more begins with a snapshot: ", err)
 	}
 	files, log = newLog()
--- a/internal/tenants/store/syncfault_test.go
+++ b/internal/tenants/store/syncfault_test.go
@@ -64,21 +64,21 @@
 	if err := s.Compact(); err == nil {
 		t.Error("a failed sync is not reported")
 	}
-	done := s.Book.Revision
+	done := s.Directory.Revision
 	for n := range 3 {
 		if err := put(s, fmt.Sprint("u-", n), 1); err == nil {
-			done = s.Book.Revision
+			done = s.Directory.Revision
 		}
 	}
-	if done != s.Book.Revision || done < 6 {
+	if done != s.Directory.Revision || done < 6 {
 		t.Errorf("changes are still rejected after the fault: revision %d", done)
 	}
 	after, err := Open(files.losePower(0, false))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if after.Book.Revision != done {
-		t.Errorf("reported as done: %d; after the loss of power: %d", done, after.Book.Revision)
+	if after.Directory.Revision != done {
+		t.Errorf("reported as done: %d; after the loss of power: %d", done, after.Directory.Revision)
 	}
 }
 
@@ -122,8 +122,8 @@
 	if _, err := follower.Follow(); err != nil {
 		t.Error(err)
 	}
-	got := directoryText(follower.Book)
-	want := directoryText(s.Book)
+	got := directoryText(follower.Directory)
+	want := directoryText(s.Directory)
 	if got != want {
 		t.Errorf("the follower has %s, the log %s", got, want)
 	}
--- a/internal/workers/callback.go
+++ b/internal/workers/callback.go
@@ -17,10 +17,10 @@
 
 // Callback is what a worker reports about an attempt that it has accepted.
 type Callback struct {
-	ID, From, State string               // the invocation's id, the worker's uid, one of the callback states
-	Share           float64              // of the work that is done, 0 to 1
-	Result          *string              // the result, with the state done
-	Load            *dispatch.LoadReport // the worker's load; nil: not reported
+	ID, WorkerUID, State string               // the invocation's id, the worker's uid, one of the callback states
+	Progress             float64              // of the work that is done, 0 to 1
+	Result               *string              // the result, with the state done
+	Load                 *dispatch.LoadReport // the worker's load; nil: not reported
 }
 
 // HandleCallback applies a callback to its attempt and reports whether the attempt is one of this
@@ -28,7 +28,7 @@
 // process may have sent what is not known here.
 func (t *Transport) HandleCallback(cb Callback) bool {
 	t.Counts.News++
-	a := t.attemptsByCallback[callbackKey{callID: cb.ID, workerUID: cb.From}]
+	a := t.attemptsByCallback[callbackKey{callID: cb.ID, workerUID: cb.WorkerUID}]
 	if a == nil {
 		t.Counts.Strange++
 		return false
@@ -53,7 +53,7 @@
 			Worker:     a.worker.endpoint.Worker,
 			Attempt:    a.number,
 			Started:    cb.State == callbackStarted,
-			Done:       cb.Share,
+			Done:       cb.Progress,
 		})
 	case callbackDone:
 		if cb.Result == nil {
--- a/internal/workers/connection_test.go
+++ b/internal/workers/connection_test.go
@@ -29,7 +29,7 @@
 				transport: f.Transport,
 				worker:    f.worker(),
 				address:   f.worker().address,
-				parser:    http1.Parser{Answers: true},
+				parser:    http1.Parser{ReadsResponses: true},
 			}
 			c.exchange = &exchange{
 				buildRequest: unconditional([]byte("GET / HTTP/1.1\r\n\r\n")),
--- a/internal/workers/dial.go
+++ b/internal/workers/dial.go
@@ -31,7 +31,7 @@
 		transport: t,
 		worker:    w,
 		address:   w.address,
-		parser:    http1.Parser{Answers: true},
+		parser:    http1.Parser{ReadsResponses: true},
 		exchange:  x,
 	}
 	c.socket = t.quota.Dial(w.address, x.dialDeadline-t.loop.Now(), c)
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -181,7 +181,7 @@
 
 // callBack has the worker report a state of an invocation.
 func (f *fixture) callBack(id, state string) {
-	f.HandleCallback(Callback{ID: id, From: workerUID, State: state})
+	f.HandleCallback(Callback{ID: id, WorkerUID: workerUID, State: state})
 }
 
 // newInvocation returns a request that the invariant checker knows, and lets out as often as a test
