--- a/cmd/stoatweir/lab_play.go
+++ b/cmd/stoatweir/lab_play.go
@@ -122,9 +122,9 @@
 
 func (p *playOptions) playVirtual(ctx context.Context, s scenario.Scenario, decider string) (r report.Report, err error) {
 	maker := virtual.Module
-	var day *virtual.Day
+	var day *virtual.Simulation
 	if decider != deciderModule {
-		program, runErr := virtual.Run(decider)
+		program, runErr := virtual.StartProgram(decider)
 		if runErr != nil {
 			return r, runErr
 		}
@@ -133,7 +133,7 @@
 		maker = program.Maker(func() time.Duration { return day.Time() })
 	}
 	day = virtual.New(s, maker)
-	reader, err := p.openTrace(s, day.World.Clients)
+	reader, err := p.openTrace(s, day.Model.Clients)
 	if err != nil {
 		return r, err
 	}
@@ -146,7 +146,7 @@
 	if err := day.Play(ctx, reader.source()); err != nil {
 		return r, err
 	}
-	r = report.Of(day.World).Name(s.Name, modeVirtual, decider, s.Seed, s.Schedulers.Count, len(day.World.Fleet.Machines), s.Length.D())
+	r = report.Of(day.Model).Name(s.Name, modeVirtual, decider, s.Seed, s.Schedulers.Count, len(day.Model.Fleet.Machines), s.Length.D())
 	r.Costs.Events = day.Steps
 	return reader.addCounts(r), nil
 }
--- a/cmd/stoatweir/soak_test.go
+++ b/cmd/stoatweir/soak_test.go
@@ -56,14 +56,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("seed %d: %d attempts, %d clients left, ready within %v, answers %v, logs in %s", seed, r.Attempts, r.Leaves, r.Ready, r.Answers, logs)
-		for _, p := range r.Troubles {
+		t.Logf("seed %d: %d attempts, %d clients left, ready within %v, answers %v, logs in %s", seed, r.Attempts, r.Disconnects, r.Ready, r.Answers, logs)
+		for _, p := range r.Faults {
 			t.Logf("%8v %s: %s", p.At, p.Name, p.On)
 		}
 		if r.Answers["200"] == 0 || r.Attempts == 0 {
 			t.Errorf("seed %d: nothing was served", seed)
 		}
-		for _, f := range r.Finds {
+		for _, f := range r.Violations {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 	}
--- a/internal/clients/answer_test.go
+++ b/internal/clients/answer_test.go
@@ -54,7 +54,7 @@
 	// invocation 3: operation 0 tenant 0 slots 1 hint 0 budget 5s
 	// unanswered: 0
 	// "500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// {Connections:3 Overdue:0 Malformed:0 Crowded:0 Silent:0} [{Name:render Admitted:3 Completed:[1 1 1 0 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
+	// {Connections:3 Overdue:0 Malformed:0 Shed:0 ReadTimeouts:0} [{Name:render Admitted:3 Completed:[1 1 1 0 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
 // Whatever becomes of invocations, in any order: each that was admitted has one disposition or is
--- a/internal/clients/deadline.go
+++ b/internal/clients/deadline.go
@@ -33,7 +33,7 @@
 		c.rejectMalformed(http.StatusRequestTimeout)
 		return
 	}
-	c.server.Counts.Silent++
+	c.server.Counts.ReadTimeouts++
 	c.closeIdle()
 }
 
--- a/internal/clients/deadline_test.go
+++ b/internal/clients/deadline_test.go
@@ -45,7 +45,7 @@
 	lines := []string{<-ended, <-ended}
 	slices.Sort(lines)
 	fmt.Println(strings.Join(lines, "\n"))
-	fmt.Println("rejections in bounds:", server.Counts.Malformed > 10, server.Counts.Malformed < 40, "silent:", server.Counts.Silent)
+	fmt.Println("rejections in bounds:", server.Counts.Malformed > 10, server.Counts.Malformed < 40, "silent:", server.Counts.ReadTimeouts)
 	repeating.Close()
 	// Output:
 	// dripping "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n" in time: true
--- a/internal/clients/inflight_test.go
+++ b/internal/clients/inflight_test.go
@@ -57,7 +57,7 @@
 	// request 9b21 POST /render/7f3a?x=1 [{X-Call-Id 9b21}] body
 	// invocation 4: operation 0 tenant 1 slots 2 hint 0.25 budget 2.5s
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// {Connections:7 Overdue:1 Malformed:2 Crowded:1 Silent:0} [{Name:render Admitted:5 Completed:[0 1 1 1 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
+	// {Connections:7 Overdue:1 Malformed:2 Shed:1 ReadTimeouts:0} [{Name:render Admitted:5 Completed:[0 1 1 1 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
 // Many clients disconnect while the event loop is busy. None of their invocations may be forwarded,
--- a/internal/clients/listener_test.go
+++ b/internal/clients/listener_test.go
@@ -43,7 +43,7 @@
 	}
 	callback := `{"id":"id1","from":"s-1","state":"started"}`
 	roundTrip(loop, addr, callbackText(callback, "Connection: close"))
-	fmt.Println(server.InFlight(), server.Counts.Crowded)
+	fmt.Println(server.InFlight(), server.Counts.Shed)
 	// Output:
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -128,7 +128,7 @@
 func (c *connection) shed(r *invocationRequest) {
 	s := c.server
 	class := s.classes[r.operation]
-	s.Counts.Crowded++
+	s.Counts.Shed++
 	s.Ledger.Admitted(class)
 	s.Ledger.Completed(class, accounting.Declined)
 	c.closeAfterAnswer = true
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -20,11 +20,11 @@
 
 // Counts holds counters of the server that the accounting of invocations does not cover.
 type Counts struct {
-	Connections int `json:"Connections"` // accepted
-	Overdue     int `json:"Overdue"`     // invocations that the server itself failed after their deadline
-	Malformed   int `json:"Malformed"`   // requests rejected by their form, path or credentials
-	Crowded     int `json:"Crowded"`     // invocations shed for want of capacity, or because the process admits none
-	Silent      int `json:"Silent"`      // connections closed because no request arrived on them in time
+	Connections  int `json:"Connections"` // accepted
+	Overdue      int `json:"Overdue"`     // invocations that the server itself failed after their deadline
+	Malformed    int `json:"Malformed"`   // requests rejected by their form, path or credentials
+	Shed         int `json:"Crowded"`     // invocations shed for want of capacity, or because the process admits none
+	ReadTimeouts int `json:"Silent"`      // connections closed because no request arrived on them in time
 }
 
 // Server accepts connections from clients and workers, and answers each request on them. Its
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -21,14 +21,14 @@
 // check checks what was seen against the rules, and reports it.
 func (o *observations) check(h *harness, report *Report) {
 	for _, s := range h.schedulers {
-		report.Finds = append(report.Finds, s.processViolations()...)
+		report.Violations = append(report.Violations, s.processViolations()...)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, q := range o.order {
 		report.Attempts += len(q.attempts)
 		if !q.disconnectedAt.IsZero() {
-			report.Leaves++
+			report.Disconnects++
 		}
 		o.checkAnswer(q)
 		for n, a := range q.attempts {
@@ -41,7 +41,7 @@
 	for _, w := range h.workers {
 		o.checkSlowStart(w)
 	}
-	report.Finds = append(report.Finds, o.violations...)
+	report.Violations = append(report.Violations, o.violations...)
 }
 
 // requestViolation adds a violation at a request; the lock is held.
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -34,13 +34,13 @@
 
 // Report is the result of a run.
 type Report struct {
-	Seed     int64
-	Troubles []InjectedFault
-	Answers  map[string]int // requests by status or other outcome
-	Attempts int            // that reached a worker
-	Leaves   int            // requests whose client disconnected
-	Ready    time.Duration  // the longest time from the start of a scheduler to its readiness
-	Finds    []Violation
+	Seed        int64
+	Faults      []InjectedFault
+	Answers     map[string]int // requests by status or other outcome
+	Attempts    int            // that reached a worker
+	Disconnects int            // requests whose client disconnected
+	Ready       time.Duration  // the longest time from the start of a scheduler to its readiness
+	Violations  []Violation
 }
 
 // InjectedFault is a fault that a run injected.
@@ -84,7 +84,7 @@
 	stopClients()
 	h.stopSchedulers()
 	h.close()
-	report := &Report{Seed: c.Seed, Troubles: h.injected, Answers: h.outcomes, Ready: ready}
+	report := &Report{Seed: c.Seed, Faults: h.injected, Answers: h.outcomes, Ready: ready}
 	h.observed.check(h, report)
 	return report, nil
 }
--- a/internal/lab/virtual/discovery.go
+++ b/internal/lab/virtual/discovery.go
@@ -16,73 +16,73 @@
 }
 
 // watchEndpoints queries discovery; an answer becomes a watch.
-func (d *Day) watchEndpoints(s *scheduler) {
+func (sim *Simulation) watchEndpoints(s *scheduler) {
 	incarnation := s.incarnation
 	s.watching = false
-	at, answered := d.World.Discovery.Query(d.now + d.jitter(d.scenario.Network.SameZone.D()))
-	d.schedule(at+d.jitter(d.scenario.Network.SameZone.D()), func() {
+	at, answered := sim.Model.Discovery.Query(sim.now + sim.jitter(sim.scenario.Network.SameZone.D()))
+	sim.schedule(at+sim.jitter(sim.scenario.Network.SameZone.D()), func() {
 		if !s.current(incarnation) {
 			return
 		}
-		if !answered || d.World.Discovery.Down() {
-			d.addEvent(s, dispatch.EndpointUpdate{Kind: dispatch.WatchFailed})
+		if !answered || sim.Model.Discovery.Down() {
+			sim.addEvent(s, dispatch.EndpointUpdate{Kind: dispatch.WatchFailed})
 			return
 		}
 		s.watching = true
-		d.sendChanges(s)
+		sim.sendChanges(s)
 	})
 }
 
 // sendChanges sends a scheduler what has changed since the version that it has.
-func (d *Day) sendChanges(s *scheduler) {
-	changed := d.World.Discovery.Since(s.listVersion)
-	s.listVersion = d.World.Discovery.Version()
-	d.addEvent(s, d.endpointUpdate(s, changed, dispatch.DeltaUpdate))
+func (sim *Simulation) sendChanges(s *scheduler) {
+	changed := sim.Model.Discovery.Since(s.listVersion)
+	s.listVersion = sim.Model.Discovery.Version()
+	sim.addEvent(s, sim.endpointUpdate(s, changed, dispatch.DeltaUpdate))
 }
 
 // endpointsChanged brings a change of the list to all schedulers that watch it.
-func (d *Day) endpointsChanged(now time.Duration, _ int) {
-	for _, s := range d.schedulers {
+func (sim *Simulation) endpointsChanged(now time.Duration, _ int) {
+	for _, s := range sim.schedulers {
 		if !s.up || !s.watching {
 			continue
 		}
 		incarnation := s.incarnation
-		d.schedule(now+d.jitter(d.scenario.Network.SameZone.D()), func() {
-			if s.current(incarnation) && s.watching && s.listVersion < d.World.Discovery.Version() {
-				d.sendChanges(s)
+		sim.schedule(now+sim.jitter(sim.scenario.Network.SameZone.D()), func() {
+			if s.current(incarnation) && s.watching && s.listVersion < sim.Model.Discovery.Version() {
+				sim.sendChanges(s)
 			}
 		})
 	}
 }
 
 // discoveryDown ends all watches.
-func (d *Day) discoveryDown(now time.Duration) {
-	for _, s := range d.schedulers {
+func (sim *Simulation) discoveryDown(now time.Duration) {
+	for _, s := range sim.schedulers {
 		if !s.up || !s.watching {
 			continue
 		}
 		s.watching = false
 		incarnation := s.incarnation
-		d.schedule(now, func() {
+		sim.schedule(now, func() {
 			if s.incarnation == incarnation {
-				d.addEvent(s, dispatch.EndpointUpdate{Kind: dispatch.WatchFailed})
+				sim.addEvent(s, dispatch.EndpointUpdate{Kind: dispatch.WatchFailed})
 			}
 		})
 	}
 }
 
 // endpointUpdate is an update for a scheduler's decider, whose times count from its start.
-func (d *Day) endpointUpdate(s *scheduler, endpoints []model.Endpoint, kind dispatch.UpdateKind) dispatch.EndpointUpdate {
+func (sim *Simulation) endpointUpdate(s *scheduler, endpoints []model.Endpoint, kind dispatch.UpdateKind) dispatch.EndpointUpdate {
 	update := dispatch.EndpointUpdate{Kind: kind}
 	for _, e := range endpoints {
-		d.World.Rules.EndpointReceived(d.now, s.number, e.Machine, e.State)
-		update.Endpoints = append(update.Endpoints, d.endpoint(s, e))
+		sim.Model.Rules.EndpointReceived(sim.now, s.number, e.Machine, e.State)
+		update.Endpoints = append(update.Endpoints, sim.endpoint(s, e))
 	}
 	return update
 }
 
-func (d *Day) endpoint(s *scheduler, e model.Endpoint) dispatch.Endpoint {
-	m := d.World.Fleet.Machines[e.Machine]
+func (sim *Simulation) endpoint(s *scheduler, e model.Endpoint) dispatch.Endpoint {
+	m := sim.Model.Fleet.Machines[e.Machine]
 	endpoint := dispatch.Endpoint{
 		Worker: workerID(e.Machine),
 		Zone:   m.Zone,
--- a/internal/lab/virtual/healthcheck.go
+++ b/internal/lab/virtual/healthcheck.go
@@ -13,7 +13,7 @@
 
 // healthCheck is a health check in flight.
 type healthCheck struct {
-	day         *Day
+	day         *Simulation
 	scheduler   *scheduler
 	incarnation int
 	worker      dispatch.WorkerID
@@ -23,28 +23,28 @@
 }
 
 // healthCheck checks a worker and brings its load report.
-func (d *Day) healthCheck(s *scheduler, worker dispatch.WorkerID) {
+func (sim *Simulation) healthCheck(s *scheduler, worker dispatch.WorkerID) {
 	h := &healthCheck{
-		day:         d,
+		day:         sim,
 		scheduler:   s,
 		incarnation: s.incarnation,
 		worker:      worker,
 		machine:     machineOf(worker),
-		sentAt:      d.now,
+		sentAt:      sim.now,
 	}
-	if h.machine >= len(d.World.Fleet.Machines) {
+	if h.machine >= len(sim.Model.Fleet.Machines) {
 		return
 	}
-	d.World.Statistics.HealthChecks++
-	connected := func(bool) { d.scheduleAfter(d.latency(s, h.machine), h.arrive) }
-	d.connect(s, h.machine, connected, func() { h.end(dispatch.Unreachable, nil) })
-	d.scheduleAfter(healthCheckTimeout, h.timeOut)
+	sim.Model.Statistics.HealthChecks++
+	connected := func(bool) { sim.scheduleAfter(sim.latency(s, h.machine), h.arrive) }
+	sim.connect(s, h.machine, connected, func() { h.end(dispatch.Unreachable, nil) })
+	sim.scheduleAfter(healthCheckTimeout, h.timeOut)
 }
 
 // arrive is when the check reaches its machine.
 func (h *healthCheck) arrive() {
 	d := h.day
-	report, response := d.World.Fleet.HealthCheck(d.now, h.machine)
+	report, response := d.Model.Fleet.HealthCheck(d.now, h.machine)
 	if response == model.NoResponse {
 		return
 	}
@@ -83,12 +83,12 @@
 }
 
 // loadReport has the fields of a report that the scenario's workers report; nil: there is none.
-func (d *Day) loadReport(r *model.LoadReport) *dispatch.LoadReport {
+func (sim *Simulation) loadReport(r *model.LoadReport) *dispatch.LoadReport {
 	if r == nil {
 		return nil
 	}
 	load := dispatch.UnknownLoad
-	for _, field := range d.scenario.LoadReports.Fields {
+	for _, field := range sim.scenario.LoadReports.Fields {
 		switch field {
 		case scenario.FieldFreeSlots:
 			load.FreeSlots = r.FreeSlots
--- a/internal/lab/virtual/network.go
+++ b/internal/lab/virtual/network.go
@@ -21,16 +21,16 @@
 )
 
 // jitter varies a latency.
-func (d *Day) jitter(t time.Duration) time.Duration {
-	return time.Duration(float64(t) * (1 + d.scenario.Network.Jitter*(2*d.networkRand.Float64()-1)))
+func (sim *Simulation) jitter(t time.Duration) time.Duration {
+	return time.Duration(float64(t) * (1 + sim.scenario.Network.Jitter*(2*sim.networkRand.Float64()-1)))
 }
 
 // latency draws how long a message takes between a scheduler and a machine.
-func (d *Day) latency(s *scheduler, machine int) time.Duration {
-	if d.World.Fleet.Machines[machine].Zone == s.zone {
-		return d.jitter(d.scenario.Network.SameZone.D())
+func (sim *Simulation) latency(s *scheduler, machine int) time.Duration {
+	if sim.Model.Fleet.Machines[machine].Zone == s.zone {
+		return sim.jitter(sim.scenario.Network.SameZone.D())
 	}
-	return d.jitter(d.scenario.Network.CrossZone.D())
+	return sim.jitter(sim.scenario.Network.CrossZone.D())
 }
 
 // workerID is the address of a machine's worker.
@@ -47,24 +47,24 @@
 
 // connect calls connected with an idle connection to a machine at once, or with a new one after a round trip; failed if none
 // comes up.
-func (d *Day) connect(s *scheduler, machine int, connected func(reused bool), failed func()) {
-	if s.takeIdleConnection(machine, d.now, d.scenario.Network.Idle.D()) {
+func (sim *Simulation) connect(s *scheduler, machine int, connected func(reused bool), failed func()) {
+	if s.takeIdleConnection(machine, sim.now, sim.scenario.Network.Idle.D()) {
 		connected(true)
 		return
 	}
 	incarnation := s.incarnation
-	d.World.Statistics.Connections++
-	d.scheduleAfter(2*d.latency(s, machine), func() {
+	sim.Model.Statistics.Connections++
+	sim.scheduleAfter(2*sim.latency(s, machine), func() {
 		if s.incarnation != incarnation {
 			return
 		}
-		switch d.World.Fleet.Connect(machine) {
+		switch sim.Model.Fleet.Connect(machine) {
 		case model.Accepted:
 			connected(false)
 		case model.ConnectionRefused:
 			failed()
 		default:
-			d.scheduleAfter(d.scenario.Network.ConnectTimeout.D(), func() {
+			sim.scheduleAfter(sim.scenario.Network.ConnectTimeout.D(), func() {
 				if s.incarnation == incarnation {
 					failed()
 				}
@@ -91,6 +91,6 @@
 }
 
 // releaseConnection makes a connection idle.
-func (d *Day) releaseConnection(s *scheduler, machine int) {
-	s.idleConnections[machine] = append(s.idleConnections[machine], d.now)
+func (sim *Simulation) releaseConnection(s *scheduler, machine int) {
+	s.idleConnections[machine] = append(s.idleConnections[machine], sim.now)
 }
--- a/internal/lab/virtual/program.go
+++ b/internal/lab/virtual/program.go
@@ -22,8 +22,8 @@
 	err     error
 }
 
-// Run starts a program by a command line of the shell. It is killed when this process exits.
-func Run(command string) (*Program, error) {
+// StartProgram starts a program by a command line of the shell. It is killed when this process exits.
+func StartProgram(command string) (*Program, error) {
 	process := exec.Command("/bin/sh", "-c", "exec "+command)
 	process.Stderr = os.Stderr
 	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/lab/virtual/day.go
+++ b/internal/lab/virtual/simulation.go
@@ -20,9 +20,9 @@
 	networkStream = 0x6e6574
 )
 
-// Day is one run. It is not safe for concurrent use.
-type Day struct {
-	World *model.Model
+// Simulation is one run of a scenario in virtual time. It is not safe for concurrent use.
+type Simulation struct {
+	Model *model.Model
 	Log   func(now time.Duration, scheduler int, text string) // what deciders log; may be nil
 	Steps int                                                 // events that were handled, beside those of the model
 
@@ -39,68 +39,68 @@
 }
 
 // New returns the run of a scenario whose deciders newDecider makes.
-func New(s scenario.Scenario, newDecider DeciderFactory) *Day {
-	d := &Day{
-		World:       model.New(s),
+func New(s scenario.Scenario, newDecider DeciderFactory) *Simulation {
+	sim := &Simulation{
+		Model:       model.New(s),
 		scenario:    s,
 		newDecider:  newDecider,
 		networkRand: rand.New(rand.NewPCG(uint64(s.Seed), networkStream)),
 	}
-	d.World.Fleet.OnCallback = d.callbackSent
-	d.World.Discovery.OnChange = d.endpointsChanged
-	d.World.Discovery.OnOutage = d.discoveryDown
-	d.World.OnSchedulerKilled = d.killScheduler
-	d.World.OnSchedulerRestarted = d.restartScheduler
-	return d
+	sim.Model.Fleet.OnCallback = sim.callbackSent
+	sim.Model.Discovery.OnChange = sim.endpointsChanged
+	sim.Model.Discovery.OnOutage = sim.discoveryDown
+	sim.Model.OnSchedulerKilled = sim.killScheduler
+	sim.Model.OnSchedulerRestarted = sim.restartScheduler
+	return sim
 }
 
 // Time is the time of the run, from 0.
-func (d *Day) Time() time.Duration { return d.now }
+func (sim *Simulation) Time() time.Duration { return sim.now }
 
 // Play carries the run out. A nil source stands for the scenario's own load. The error is that of the context, or of a
 // decider that could not be made.
-func (d *Day) Play(ctx context.Context, source model.Source) error {
-	if d.scenario.Hosted.Capacity > 0 {
+func (sim *Simulation) Play(ctx context.Context, source model.Source) error {
+	if sim.scenario.Hosted.Capacity > 0 {
 		return errors.New("hosted.room: tenants are hosted on loopback alone, by real programs")
 	}
-	d.source = source
-	if d.source == nil {
-		d.source = d.World.Clients
+	sim.source = source
+	if sim.source == nil {
+		sim.source = sim.Model.Clients
 	}
-	for n := range d.scenario.Schedulers.Count {
-		s := &scheduler{number: n, zone: d.scenario.Zone(n)}
-		d.schedulers = append(d.schedulers, s)
-		d.startScheduler(s)
+	for n := range sim.scenario.Schedulers.Count {
+		s := &scheduler{number: n, zone: sim.scenario.Zone(n)}
+		sim.schedulers = append(sim.schedulers, s)
+		sim.startScheduler(s)
 	}
-	d.decide() // before the first arrival: the list at the start is only the cached one
-	d.scheduleArrival()
-	for d.err == nil && ctx.Err() == nil && d.step() {
+	sim.decide() // before the first arrival: the list at the start is only the cached one
+	sim.scheduleArrival()
+	for sim.err == nil && ctx.Err() == nil && sim.step() {
 	}
-	if d.err == nil {
-		d.err = ctx.Err()
+	if sim.err == nil {
+		sim.err = ctx.Err()
 	}
-	d.World.Rules.Close(d.now + runOn)
-	return d.err
+	sim.Model.Rules.Close(sim.now + runOn)
+	return sim.err
 }
 
 // step handles all events of the next moment; false: the run is over.
-func (d *Day) step() bool {
-	at := min(d.World.NextTime(), d.queue.NextTime(model.Never))
-	if at == model.Never || at > max(d.scenario.Length.D(), d.lastDeadline)+runOn {
+func (sim *Simulation) step() bool {
+	at := min(sim.Model.NextTime(), sim.queue.NextTime(model.Never))
+	if at == model.Never || at > max(sim.scenario.Length.D(), sim.lastDeadline)+runOn {
 		return false
 	}
-	d.now = max(d.now, at)
-	d.World.AdvanceTo(d.now)
-	for d.queue.Due(d.now) {
-		handle := d.queue.Pop()
+	sim.now = max(sim.now, at)
+	sim.Model.AdvanceTo(sim.now)
+	for sim.queue.Due(sim.now) {
+		handle := sim.queue.Pop()
 		handle()
-		d.Steps++
+		sim.Steps++
 	}
-	d.decide()
+	sim.decide()
 	return true
 }
 
 // schedule has do called at a time, now if that has passed.
-func (d *Day) schedule(at time.Duration, do func()) { d.queue.Push(max(at, d.now), do) }
+func (sim *Simulation) schedule(at time.Duration, do func()) { sim.queue.Push(max(at, sim.now), do) }
 
-func (d *Day) scheduleAfter(wait time.Duration, do func()) { d.schedule(d.now+wait, do) }
+func (sim *Simulation) scheduleAfter(wait time.Duration, do func()) { sim.schedule(sim.now+wait, do) }
--- a/internal/lab/virtual/day_test.go
+++ b/internal/lab/virtual/simulation_test.go
@@ -62,13 +62,13 @@
 }
 
 // play carries a run out and returns it with its report.
-func play(t testing.TB, s scenario.Scenario, newDecider DeciderFactory) (*Day, report.Report) {
+func play(t testing.TB, s scenario.Scenario, newDecider DeciderFactory) (*Simulation, report.Report) {
 	t.Helper()
 	d := New(s, newDecider)
 	if err := d.Play(context.Background(), nil); err != nil {
 		t.Fatal(err)
 	}
-	return d, report.Of(d.World).Name(s.Name, "virtual", "module", s.Seed, s.Schedulers.Count, len(d.World.Fleet.Machines), s.Length.D())
+	return d, report.Of(d.Model).Name(s.Name, "virtual", "module", s.Seed, s.Schedulers.Count, len(d.Model.Fleet.Machines), s.Length.D())
 }
 
 // allFaults has every kind of fault, many at once.
@@ -160,8 +160,8 @@
 `)
 	d := New(s, Module)
 	completed := map[time.Duration]int{}
-	onCallback := d.World.Fleet.OnCallback
-	d.World.Fleet.OnCallback = func(now time.Duration, a *model.Attempt, callback model.Callback, share float64) {
+	onCallback := d.Model.Fleet.OnCallback
+	d.Model.Fleet.OnCallback = func(now time.Duration, a *model.Attempt, callback model.Callback, share float64) {
 		if callback == model.Completed {
 			completed[now.Truncate(time.Second)]++
 		}
@@ -301,13 +301,13 @@
 		return baseline.New("least", start.Config, start.Seed)
 	})
 	p := &Program{input: toProgram, host: simwire.NewHost(toProgram, fromProgram)}
-	var d *Day
+	var d *Simulation
 	d = New(s, p.Maker(func() time.Duration { return d.Time() }))
 	if err := d.Play(context.Background(), nil); err != nil || p.Err() != nil {
 		t.Fatal(err, p.Err())
 	}
 	toProgram.Close()
-	remote := report.Of(d.World)
+	remote := report.Of(d.Model)
 	_, local := play(t, s, policy("least"))
 	if remote.Broken() > 0 || remote.All.Offered != local.All.Offered || remote.Costs.Forwards < remote.All.Offered/2 ||
 		remote.Service < local.Service-0.02 || remote.Service > local.Service+0.02 {
--- a/internal/workers/callback.go
+++ b/internal/workers/callback.go
@@ -27,15 +27,15 @@
 // process. The end of an attempt removes it, so that repeated and late callbacks find none; another
 // process may have sent what is not known here.
 func (t *Transport) HandleCallback(cb Callback) bool {
-	t.Counts.News++
+	t.Counts.Callbacks++
 	a := t.attemptsByCallback[callbackKey{callID: cb.ID, workerUID: cb.WorkerUID}]
 	if a == nil {
-		t.Counts.Strange++
+		t.Counts.UnknownCallbacks++
 		return false
 	}
 	hasResult := cb.State == callbackDone && cb.Result != nil
 	if !a.written && !hasResult {
-		t.Counts.Strange++ // late, and of an earlier attempt at that worker: nothing of this one has been written
+		t.Counts.UnknownCallbacks++ // late, and of an earlier attempt at that worker: nothing of this one has been written
 		return true
 	}
 	cb.Load = a.worker.filterReport(cb.Load, t.deployment.Report.Unknown())
@@ -69,6 +69,6 @@
 	case callbackLost:
 		t.endAttempt(a, conn.Lost, cb.Load)
 	default:
-		t.Counts.Strange++
+		t.Counts.UnknownCallbacks++
 	}
 }
--- a/internal/workers/callback_test.go
+++ b/internal/workers/callback_test.go
@@ -24,7 +24,7 @@
 	f.runUntil(1, 1)
 	f.callBack("id2", "returned")
 	f.runUntil(1, 0)
-	fmt.Println("callbacks:", f.Counts.News, "strange:", f.Counts.Strange,
+	fmt.Println("callbacks:", f.Counts.Callbacks, "strange:", f.Counts.UnknownCallbacks,
 		"dialled:", f.Counts.Dialled, "in flight:", f.InFlight())
 	// Output:
 	// connection 1: POST /render/7f HTTP/1.1 id1 body
@@ -78,7 +78,7 @@
 		f.callBack("id1", state)
 	}
 	f.runUntil(1, 1)
-	fmt.Println("in flight:", f.InFlight(), "strange:", f.Counts.Strange)
+	fmt.Println("in flight:", f.InFlight(), "strange:", f.Counts.UnknownCallbacks)
 	f = newFixture(acceptedResponse)
 	first(f, f.newInvocation(2))
 	f.HandleCallback(Callback{ID: "id2", WorkerUID: workerUID, State: "done", Result: new("fine")})
--- a/internal/workers/transport.go
+++ b/internal/workers/transport.go
@@ -40,16 +40,16 @@
 
 // Counts says what was sent and how it ended.
 type Counts struct {
-	Sent     int            `json:"Sent"`     // attempts
-	Probes   int            `json:"Probes"`   // health checks
-	Cancels  int            `json:"Cancels"`  // cancels of accepted attempts
-	News     int            `json:"News"`     // callbacks received
-	Strange  int            `json:"Strange"`  // callbacks of unknown attempts or states
-	Dialled  int            `json:"Dialled"`  // connections dialled
-	Ended    map[string]int `json:"Ended"`    // attempts, by how they ended
-	Answered map[string]int `json:"Answered"` // health checks, by how they ended
-	Changes  map[string]int `json:"Changes"`  // of workers in the endpoint list, such as "ready to draining"
-	Stopped  map[string]int `json:"Stopped"`  // attempts that the check before the first byte stopped, by reason
+	Sent             int            `json:"Sent"`     // attempts
+	Probes           int            `json:"Probes"`   // health checks
+	Cancels          int            `json:"Cancels"`  // cancels of accepted attempts
+	Callbacks        int            `json:"News"`     // callbacks received
+	UnknownCallbacks int            `json:"Strange"`  // callbacks of unknown attempts or states
+	Dialled          int            `json:"Dialled"`  // connections dialled
+	Ended            map[string]int `json:"Ended"`    // attempts, by how they ended
+	Answered         map[string]int `json:"Answered"` // health checks, by how they ended
+	Changes          map[string]int `json:"Changes"`  // of workers in the endpoint list, such as "ready to draining"
+	Stopped          map[string]int `json:"Stopped"`  // attempts that the check before the first byte stopped, by reason
 }
 
 // NewTransport returns a transport that knows no workers yet. Its connections count against quota.
