--- a/cmd/stoatweir/command.go
+++ b/cmd/stoatweir/command.go
@@ -26,7 +26,7 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "stoatweir",
-		Short:         "A dispatcher beside each submitter; without a command it serves",
+		Short:         "Dispatch jobs to workers; without a command, run the scheduler",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Run:           func(*cobra.Command, []string) { runScheduler() },
--- a/cmd/stoatweir/lab_command.go
+++ b/cmd/stoatweir/lab_command.go
@@ -24,7 +24,7 @@
 
 // labCommand is the group of commands that play scenarios.
 func labCommand() *cobra.Command {
-	lab := &cobra.Command{Use: "lab", Short: "Play described days, and say what a change does"}
+	lab := &cobra.Command{Use: "lab", Short: "Simulate scenarios, and compare changes on them"}
 	lab.AddCommand(checkCommand(), runCommand(), compareCommand(), loadCommand(), traceCommand(), scaleCommand(), hollowCommand())
 	return lab
 }
@@ -32,7 +32,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check SCENARIO...",
-		Short: "Read scenarios and say what is wrong with them",
+		Short: "Validate scenario files",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			var errs []error
@@ -69,7 +69,7 @@
 	var o runOptions
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
-		Short: "Play a day and tell what came of it",
+		Short: "Run a scenario and report the results",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(c *cobra.Command, files []string) error { return o.run(c, files[0]) },
 	}
@@ -78,7 +78,7 @@
 	c.Flags().StringVar(&o.decider, "decider", deciderModule,
 		"who decides in virtual time: module, or a command that speaks the simulator's wire")
 	c.Flags().StringVar(&o.program, "program", "", "the scheduler that is started on loopback; this program if left out")
-	c.Flags().Int64Var(&o.seed, "seed", 1, "in place of the scenario's")
+	c.Flags().Int64Var(&o.seed, "seed", 1, "random seed, in place of the scenario's")
 	c.Flags().StringVar(&o.jsonFile, "json", "", "a `file` for the report as JSON")
 	c.Flags().StringVar(&o.plotFile, "plot", "", "a `file` for a plot, .svg or .png")
 	c.Flags().BoolVar(&o.showLog, "log", false, "show what deciders log")
@@ -125,7 +125,7 @@
 	var o loadOptions
 	c := &cobra.Command{
 		Use:   "load SCENARIO",
-		Short: "Send a scenario's load to a scheduler that is running on this machine",
+		Short: "Send a scenario's load to a scheduler that runs on this machine",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(c *cobra.Command, files []string) error { return o.run(c, files[0]) },
 	}
@@ -162,7 +162,7 @@
 }
 
 func traceCommand() *cobra.Command {
-	c := &cobra.Command{Use: "trace", Short: "Traces in CSV"}
+	c := &cobra.Command{Use: "trace", Short: "Work with traces in CSV"}
 	c.AddCommand(generateTraceCommand(), checkTraceCommand())
 	return c
 }
@@ -173,15 +173,15 @@
 	var rate float64
 	c := &cobra.Command{
 		Use:   "generate FILE",
-		Short: "Write a made-up trace for trying things out",
+		Short: "Write a synthetic trace",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
 			return writeFile(files[0], func(w io.Writer) error { return trace.Generate(w, rows, seed, rate, odd) })
 		},
 	}
-	c.Flags().IntVar(&rows, "rows", defaultTraceRows, "how many")
-	c.Flags().IntVar(&odd, "odd", 0, "one row in so many is not as it should be; 0: none")
-	c.Flags().Int64Var(&seed, "seed", 1, "of chance")
+	c.Flags().IntVar(&rows, "rows", defaultTraceRows, "number of rows")
+	c.Flags().IntVar(&odd, "odd", 0, "one row in this many is invalid; 0: none")
+	c.Flags().Int64Var(&seed, "seed", 1, "random seed")
 	c.Flags().Float64Var(&rate, "rate", defaultTraceRate, "rows a second")
 	return c
 }
@@ -190,7 +190,7 @@
 	var p playOptions
 	c := &cobra.Command{
 		Use:   "check SCENARIO",
-		Short: "Read a trace to its end and count what is odd",
+		Short: "Read a trace to its end and count invalid rows",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(c *cobra.Command, files []string) error { return p.checkTrace(c.OutOrStdout(), files[0]) },
 	}
--- a/cmd/stoatweir/lab_compare_command.go
+++ b/cmd/stoatweir/lab_compare_command.go
@@ -43,15 +43,15 @@
 	o := compareOptions{playOptions: playOptions{mode: modeVirtual}}
 	c := &cobra.Command{
 		Use:   "compare SCENARIO...",
-		Short: "Play the same days with two deciders or settings and tell the difference",
+		Short: "Run the same scenarios with two deciders or settings and report the differences",
 		Args:  cobra.MinimumNArgs(1),
 		RunE:  o.run,
 	}
 	o.addFlags(c)
 	c.Flags().StringVar(&o.deciderA, "a", deciderModule, "the first decider: module, or a command on the simulator's wire")
-	c.Flags().StringVar(&o.deciderB, "b", "", "the second one; the first if left out")
-	c.Flags().StringVar(&o.scenarioB, "against", "", "a second scenario `file` for the second one: other settings, the same days")
-	c.Flags().IntVar(&o.seeds, "seeds", defaultSeeds, "days of each scenario, by seeds from 1 on")
+	c.Flags().StringVar(&o.deciderB, "b", "", "the second decider; the first if left out")
+	c.Flags().StringVar(&o.scenarioB, "against", "", "a scenario `file` with other settings for the second decider")
+	c.Flags().IntVar(&o.seeds, "seeds", defaultSeeds, "number of seeds, from 1, that each scenario is run with")
 	c.Flags().StringVar(&o.jsonFile, "json", "", "a `file` for the differences and all reports as JSON")
 	c.Flags().StringVar(&o.plotFile, "plot", "", "a `file` for a plot of the first pair, .svg or .png")
 	return c
--- a/cmd/stoatweir/lab_play.go
+++ b/cmd/stoatweir/lab_play.go
@@ -40,7 +40,7 @@
 }
 
 func (p *playOptions) addFlags(c *cobra.Command) {
-	c.Flags().StringVar(&p.traceFile, "trace", "", "a CSV `file` of which the load is taken, in place of the scenario's")
+	c.Flags().StringVar(&p.traceFile, "trace", "", "a CSV `file` with the load, in place of the scenario's")
 	c.Flags().StringVar(&p.mappingFile, "mapping", "", "the `file` that says what the trace's columns mean")
 }
 
--- a/cmd/stoatweir/lab_scale_command.go
+++ b/cmd/stoatweir/lab_scale_command.go
@@ -26,13 +26,13 @@
 	var o scaleOptions
 	c := &cobra.Command{
 		Use:   "scale SCENARIO",
-		Short: "Measure what a large fleet costs a scheduler: real ones beside hollow processes",
+		Short: "Measure what a large fleet costs a scheduler: real schedulers beside emulated peers",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(c *cobra.Command, files []string) error { return o.run(c, files[0]) },
 	}
-	c.Flags().StringVar(&o.program, "bin", "", "the scheduler that is measured, of any checkout; this program if left out")
-	c.Flags().Float64SliceVar(&o.only, "only", nil, "these `values` of the sweep alone; with --json they are put into what is there")
-	c.Flags().StringArrayVar(&o.set, "set", nil, "a `key = value` that goes before the file's; may be given more than once")
+	c.Flags().StringVar(&o.program, "bin", "", "the scheduler program that is measured; this program if left out")
+	c.Flags().Float64SliceVar(&o.only, "only", nil, "run these `values` of the sweep only; with --json they are merged into the file")
+	c.Flags().StringArrayVar(&o.set, "set", nil, "a `key = value` that overrides the file; may be repeated")
 	c.Flags().StringVar(&o.jsonFile, "json", "", "a `file` for all figures as JSON")
 	c.Flags().StringVar(&o.plotFile, "plot", "", "a `file` for a plot, .png")
 	return c
--- a/cmd/stoatweir/tenant_command.go
+++ b/cmd/stoatweir/tenant_command.go
@@ -23,10 +23,10 @@
 		grantCommand(&call),
 		auditCommand(&call),
 		tenantReadCommand(&call, "get NAME", "Show a tenant", ""),
-		tenantReadCommand(&call, "usage NAME", "What a tenant has had at this scheduler", "/usage"),
+		tenantReadCommand(&call, "usage NAME", "Show a tenant's usage at this scheduler", "/usage"),
 		revisionCommand(&call),
-		tenantStateCommand(&call, "suspend", "Refuse a tenant's new work", "suspended"),
-		tenantStateCommand(&call, "resume", "Take a tenant's work again", "active"),
+		tenantStateCommand(&call, "suspend", "Reject a tenant's new requests", "suspended"),
+		tenantStateCommand(&call, "resume", "Admit a tenant's requests again", "active"),
 		removeTenantCommand(&call),
 		revokeCommand(&call),
 	)
@@ -43,8 +43,8 @@
 
 // addChangeFlags adds the flags of commands that change a tenant.
 func addChangeFlags(c *cobra.Command, call *tenantCall) {
-	c.Flags().StringVar(&call.ifMatch, "if-match", "", "only from this `revision`")
-	c.Flags().BoolVar(&call.dryRun, "dry-run", false, "work it out and change nothing")
+	c.Flags().StringVar(&call.ifMatch, "if-match", "", "apply the change at this `revision` only")
+	c.Flags().BoolVar(&call.dryRun, "dry-run", false, "report the change without making it")
 }
 
 func listTenantsCommand(call *tenantCall) *cobra.Command {
@@ -53,10 +53,10 @@
 		query := queryOf("limit", limit, "state", state, "prefix", prefix, "page_token", page)
 		return call.do(c, http.MethodGet, "/v1/tenants", query, nil)
 	})
-	c.Flags().StringVar(&limit, "limit", "", "of one page")
-	c.Flags().StringVar(&state, "state", "", "active or suspended")
-	c.Flags().StringVar(&prefix, "prefix", "", "of the name")
-	c.Flags().StringVar(&page, "page", "", "next_page_token of the page before")
+	c.Flags().StringVar(&limit, "limit", "", "most tenants or changes of one page")
+	c.Flags().StringVar(&state, "state", "", "only tenants in this state: active or suspended")
+	c.Flags().StringVar(&prefix, "prefix", "", "only tenants whose name begins with it")
+	c.Flags().StringVar(&page, "page", "", "next_page_token of the previous page")
 	return c
 }
 
@@ -71,7 +71,7 @@
 	})
 	addChangeFlags(c, call)
 	c.Flags().StringVarP(&file, "file", "f", "-", "the `file`, - for standard input")
-	c.Flags().BoolVar(&call.onlyNew, "new", false, "only if there is none of that name")
+	c.Flags().BoolVar(&call.onlyNew, "new", false, "fail if a tenant of that name exists")
 	return c
 }
 
@@ -84,7 +84,7 @@
 		}
 		return call.do(c, http.MethodPost, tenantPath(args[0], "/credentials"), nil, []byte(body))
 	})
-	c.Flags().DurationVar(&lifetime, "for", 0, "it expires after so long, such as 720h")
+	c.Flags().DurationVar(&lifetime, "for", 0, "time after which the credential expires, such as 720h")
 	return c
 }
 
@@ -93,8 +93,8 @@
 	c := tenantSubcommand("audit", "Who changed what", 0, func(c *cobra.Command, _ []string) error {
 		return call.do(c, http.MethodGet, "/v1/audit", queryOf("after", after, "limit", limit), nil)
 	})
-	c.Flags().StringVar(&after, "after", "", "only later `revisions`")
-	c.Flags().StringVar(&limit, "limit", "", "of one page")
+	c.Flags().StringVar(&after, "after", "", "only changes after this `revision`")
+	c.Flags().StringVar(&limit, "limit", "", "most tenants or changes of one page")
 	return c
 }
 
