--- a/cmd/stoatweir/reload_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -25,6 +26,26 @@
 	settings["Operations"] = list
 }
 
+// waitUntilRunning waits until a worker runs an invocation. The published totals don't show that: they may be publishDelay
+// old, and count what other clients had in flight.
+func (r *rig) waitUntilRunning(id string) {
+	r.t.Helper()
+	for end := time.Now().Add(10 * time.Second); !r.isRunning(id); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			r.t.Fatal("no worker runs ", id)
+		}
+	}
+}
+
+// isRunning reports whether a worker runs an invocation.
+func (r *rig) isRunning(id string) bool {
+	return slices.ContainsFunc(r.workers, func(w *rigWorker) bool {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		return w.running[id] > 0
+	})
+}
+
 // Configurations are reloaded under load, while draining too: classes appear and vanish, one becomes stricter, the list is
 // reordered. Invalid files change nothing at all. Requests in flight keep the class under which they arrived.
 func TestReloadUnderLoad(t *testing.T) {
@@ -81,9 +102,7 @@
 		status, _ := kept.request(post("/fresh/k", "X-Call-Id: f3\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", ""))
 		answer <- status
 	}()
-	for p.figures(t)["svc_outstanding"] == 0 {
-		time.Sleep(5 * time.Millisecond)
-	}
+	r.waitUntilRunning("f3")
 	applied := p.figures(t)["svc_sighup_applied_total"]
 	r.operations(sale, render)
 	r.reread(p, "")
