--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -12,23 +12,23 @@
 	"stoatweir/internal/invariant"
 )
 
-// A client whose requests are rejected and that repeats them on one connection waits ever longer
-// for the answers: thousands of such requests a second would starve all other clients.
+// A client that keeps repeating rejected requests on one connection waits longer for each answer:
+// thousands of such requests a second would starve all other clients.
 const (
-	// rejectionDelayMin is the base of the delay, which doubles with each rejection in a row.
-	rejectionDelayMin = 2 * time.Millisecond
-	// rejectionDelayMax bounds the delay.
+	// rejectionDelayBase is the base of the delay, which doubles with each consecutive rejection.
+	rejectionDelayBase = 2 * time.Millisecond
+	// rejectionDelayMax is the upper bound of the delay.
 	rejectionDelayMax = 250 * time.Millisecond
-	// rejectionDelayMaxShift bounds the doublings, so that the delay can't overflow.
+	// rejectionDelayMaxShift limits the number of doublings so that the delay can't overflow.
 	rejectionDelayMaxShift = 16
 )
 
-// Decimals of a Retry-After header.
+// Numbers of decimals in a Retry-After header.
 const (
-	// retryAfterShortest writes as many decimals as the value needs.
-	retryAfterShortest = -1
-	// retryAfterMilliseconds writes three decimals.
-	retryAfterMilliseconds = 3
+	// shortestDecimals writes as many decimals as the value needs.
+	shortestDecimals = -1
+	// millisecondDecimals writes three decimals.
+	millisecondDecimals = 3
 )
 
 // Deliver answers an invocation with its worker's result. It does nothing if the invocation is not
@@ -42,32 +42,33 @@
 	s.answer(inv, accounting.Succeeded, http.StatusOK, []byte(result))
 }
 
-// Throttle declines an invocation that a retry can't harm; after, if positive, is sent as the time
-// to wait before the retry. It does nothing if the invocation is not in flight.
-func (s *Server) Throttle(inv dispatch.InvocationID, after time.Duration) {
+// Throttle declines an invocation that can be retried without harm. A positive delay is sent to the
+// client as the time to wait before the retry. Throttle does nothing if the invocation is not in
+// flight.
+func (s *Server) Throttle(inv dispatch.InvocationID, delay time.Duration) {
 	if s.inFlight[inv] == nil {
 		return
 	}
 	var fields []http1.Field
-	if after > 0 {
-		fields = append(fields, retryAfter(after, retryAfterShortest))
+	if delay > 0 {
+		fields = append(fields, retryAfter(delay, shortestDecimals))
 	}
 	s.answer(inv, accounting.Declined, http.StatusServiceUnavailable, nil, fields...)
 }
 
-// Fail answers an invocation with an error that promises nothing: it may have run. It does nothing
-// if the invocation is not in flight.
+// Fail answers an invocation with an error that leaves open whether it has run. It does nothing if
+// the invocation is not in flight.
 func (s *Server) Fail(inv dispatch.InvocationID) {
 	if s.inFlight[inv] != nil {
 		s.answer(inv, accounting.Aborted, http.StatusInternalServerError, nil)
 	}
 }
 
-// answer completes an invocation in flight and writes its final answer. Where the invariants forbid
-// that answer, the client gets the only one that promises nothing.
+// answer completes an invocation in flight and writes its final answer. If the invariants forbid
+// that answer, the client gets the error that leaves open whether the invocation has run.
 func (s *Server) answer(inv dispatch.InvocationID, disposition accounting.Disposition, status int, body []byte, fields ...http1.Field) {
 	c := s.inFlight[inv].connection
-	kind := answerKinds[disposition]
+	kind := invariantKinds[disposition]
 	if s.Invariants.CheckAnswer(inv, kind, s.reason(inv)) != kind {
 		disposition = accounting.Aborted
 		status = http.StatusInternalServerError
@@ -78,8 +79,8 @@
 	c.answer(status, body, fields...)
 }
 
-// answerKinds are the dispositions as the invariants name them.
-var answerKinds = map[accounting.Disposition]invariant.Kind{
+// invariantKinds maps dispositions to the kinds of final answers of package invariant.
+var invariantKinds = map[accounting.Disposition]invariant.Kind{
 	accounting.Succeeded: invariant.Succeeded,
 	accounting.Declined:  invariant.Refused,
 	accounting.Aborted:   invariant.Failed,
@@ -94,7 +95,8 @@
 	return s.Reason(inv)
 }
 
-// answer writes an answer, and closes the connection with it if it is the last one.
+// answer writes an answer and, if it is the last one on the connection, closes the connection after
+// it.
 func (c *connection) answer(status int, body []byte, fields ...http1.Field) {
 	if c.closesAfterAnswer() {
 		c.closeAfterAnswer = true
@@ -106,8 +108,8 @@
 	}
 }
 
-// closesAfterAnswer reports whether the connection closes with the next answer, by its client's
-// wish or during a shutdown.
+// closesAfterAnswer reports whether the connection closes with the next answer: because that is
+// already decided, for instance at the client's request, or because of a shutdown.
 func (c *connection) closesAfterAnswer() bool {
 	if c.closeAfterAnswer {
 		return true
@@ -116,15 +118,16 @@
 	return b.ClosesIdle && !(b.KeepsCallbacks && c.carriesCallbacks)
 }
 
-// rejectMalformed answers a request that can't be read to its end, and closes the connection.
+// rejectMalformed answers a request that is malformed or was not received whole, and closes the
+// connection, as the end of the request is unknown.
 func (c *connection) rejectMalformed(status int) {
 	c.server.Counts.Malformed++
 	c.closeAfterAnswer = true
 	c.answer(status, nil)
 }
 
-// reject answers a request that can't be served as it is, with a delay that grows with each one in
-// a row.
+// reject answers a request that can't be served as it is. The first of several consecutive
+// rejections is answered at once, the others after a delay that grows with their number.
 func (c *connection) reject(status int, fields ...http1.Field) {
 	c.server.Counts.Malformed++
 	c.consecutiveRejections++
@@ -134,11 +137,11 @@
 	}
 	c.answerDeferred = true
 	c.conn.SetState(conn.StateFinished)
-	delay := min(rejectionDelayMin<<min(c.consecutiveRejections, rejectionDelayMaxShift), rejectionDelayMax)
+	delay := min(rejectionDelayBase<<min(c.consecutiveRejections, rejectionDelayMaxShift), rejectionDelayMax)
 	c.deferredTimer = c.server.loop.After(delay, func() { c.answerNow(status, fields...) })
 }
 
-// answerNow writes an answer that was deferred, and handles what has been received meanwhile.
+// answerNow writes a deferred answer and handles what has been received in the meantime.
 func (c *connection) answerNow(status int, fields ...http1.Field) {
 	c.answerDeferred = false
 	c.deferredTimer = nil
@@ -148,8 +151,8 @@
 	}
 }
 
-// retryAfter returns the header that asks a client to wait before its retry, in seconds with so
-// many decimals.
+// retryAfter returns the header that asks a client to wait before its retry, in seconds with the
+// given number of decimals.
 func retryAfter(wait time.Duration, decimals int) http1.Field {
 	return http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(wait.Seconds(), 'f', decimals, 64)}
 }
--- a/internal/clients/answer_test.go
+++ b/internal/clients/answer_test.go
@@ -13,8 +13,8 @@
 	"stoatweir/internal/workers"
 )
 
-// Each invocation gets one final answer: its worker's result as it was given, a rejection that says
-// when to retry, or an error.
+// Each invocation gets one final answer: its worker's unchanged result, a rejection with the time
+// to wait before a retry, or an error.
 func Example_oneFinalAnswer() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -57,8 +57,8 @@
 	// {Connections:3 Overdue:0 Malformed:0 Shed:0 ReadTimeouts:0} [{Name:render Admitted:3 Completed:[1 1 1 0 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
-// Whatever becomes of invocations, in any order: each that was admitted has one disposition or is
-// outstanding, and the ledger has the disposition that its client was answered.
+// Whatever happens to invocations, and in whatever order, each admitted one has one disposition or
+// is outstanding, and its disposition in the ledger matches the answer that its client got.
 func TestLedgerBalancesOverRandomHistories(t *testing.T) {
 	for seed := range int64(20) {
 		loop, server, addr, closeListener := newTestServer(3)
@@ -82,7 +82,7 @@
 				sum += n
 			}
 			if sum != totals.Classes[0].Admitted || totals.Outstanding != server.InFlight() {
-				t.Fatalf("seed %d: %+v with %d in flight", seed, totals, server.InFlight())
+				t.Fatalf("seed %d: ledger totals %+v do not balance with %d in flight", seed, totals, server.InFlight())
 			}
 			if waiting := server.Unanswered(); len(waiting) > 0 {
 				inv := waiting[rng.Intn(len(waiting))]
@@ -111,7 +111,7 @@
 			return step()
 		})
 		completed := server.Ledger.Totals(0, 0).Classes[0].Completed
-		// Some clients disconnected with their answer in transit.
+		// Clients that disconnected may have missed an answer in transit.
 		unanswered := completed[accounting.Abandoned]
 		sound := true
 		for status, disposition := range map[int]accounting.Disposition{
@@ -123,13 +123,14 @@
 			sound = sound && completed[disposition] >= answers[status]
 		}
 		if !sound || unanswered > disconnected {
-			t.Errorf("seed %d: %v, clients got %v and %d disconnected", seed, completed, answers, disconnected)
+			t.Errorf("seed %d: dispositions %v do not match the answers by status %v with %d clients disconnected",
+				seed, completed, answers, disconnected)
 		}
 		closeListener()
 	}
 }
 
-// A rejection of what may have run becomes a failure, which promises nothing.
+// If an invocation may have run, its rejection is replaced by an error, which leaves that open.
 func Example_rejectionOfWhatMayHaveRun() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/callback.go
+++ b/internal/clients/callback.go
@@ -11,11 +11,11 @@
 // callbackBody is the JSON body of a worker's callback.
 type callbackBody struct {
 	ID     string          `json:"ID"`
-	From   string          `json:"From"` // the worker's identifier
+	From   string          `json:"From"` // the worker's UID
 	State  string          `json:"State"`
-	Share  float64         `json:"Share"`  // of the work that is done
-	Result *string         `json:"Result"` // nil: there is none
-	Load   json.RawMessage `json:"Load"`   // load report, in the form that the settings give
+	Share  float64         `json:"Share"`  // fraction of the work that is done
+	Result *string         `json:"Result"` // nil if there is none
+	Load   json.RawMessage `json:"Load"`   // load report, in the format that the settings specify
 }
 
 // ParseCallback reads the body of a worker's callback. The error is that of json.Unmarshal.
@@ -38,8 +38,8 @@
 }
 
 // handleCallback handles a worker's callback, or relays it to the other process. It is acknowledged
-// whatever it is about, as the worker retries until then; a relayed one only once the other process
-// has handled it.
+// even if it refers to nothing known here, because the worker retries it until then. A relayed
+// callback is acknowledged only after the other process has handled it.
 func (c *connection) handleCallback(m *http1.Message) {
 	s := c.server
 	callback, err := s.ParseCallback(m.Body)
@@ -56,8 +56,8 @@
 	c.answer(http.StatusNoContent, nil)
 }
 
-// answerRelayed answers a callback that was relayed; one that was not handled the worker has to
-// retry.
+// answerRelayed answers a callback that was relayed. If it was not handled, the status tells the
+// worker to retry it.
 func (c *connection) answerRelayed(handled bool) {
 	if _, open := c.server.connections[c]; !open {
 		return
--- a/internal/clients/callback_test.go
+++ b/internal/clients/callback_test.go
@@ -12,7 +12,7 @@
 	"stoatweir/internal/workers"
 )
 
-// A callback is acknowledged whatever it is about, unless it can't be parsed.
+// A callback is acknowledged even if it refers to nothing known, unless it can't be parsed.
 func Example_callbacks() {
 	loop, _, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -31,8 +31,7 @@
 	// "400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
 
-// The keys of a callback's body are read whatever their case, and keys that are not known are
-// passed over.
+// The keys in a callback's body are matched regardless of case, and unknown keys are ignored.
 func TestParseCallbackKeys(t *testing.T) {
 	for name, body := range map[string]string{
 		"lower case": `{"id":"9b1f","from":"s-1","state":"running","share":0.4,"result":"made","load":{"x0":2}}`,
@@ -47,18 +46,18 @@
 				t.Fatal(err)
 			}
 			if got.ID != "9b1f" || got.WorkerUID != "s-1" || got.State != "running" || got.Progress != 0.4 {
-				t.Errorf("%+v", got)
+				t.Errorf("parsed callback %+v, want ID 9b1f, worker s-1, state running, progress 0.4", got)
 			}
 			if got.Result == nil || *got.Result != "made" || got.Load == nil {
-				t.Errorf("result %v, load %v", got.Result, got.Load)
+				t.Errorf("result %v, load %v, want result made and a load report", got.Result, got.Load)
 			}
 		})
 	}
 }
 
-// A callback that is relayed is acknowledged once the other process has handled it, and what
-// follows it on its connection is handled after that. One that was not handled the worker has to
-// retry.
+// A relayed callback is acknowledged once the other process has handled it, and a request that
+// follows it on the same connection is handled after that. If it was not handled, the worker is
+// told to retry it.
 func TestRelayedCallback(t *testing.T) {
 	for name, test := range map[string]struct {
 		handled bool
@@ -84,15 +83,15 @@
 				return len(done) == 1
 			})
 			if !server.Busy() {
-				t.Error("a connection whose answer is deferred is not busy")
+				t.Error("not busy while an answer is deferred, want busy")
 			}
 			done[0](test.handled)
 			if len(done) != 2 {
-				t.Fatalf("%d relayed", len(done))
+				t.Fatalf("%d callbacks relayed, want 2", len(done))
 			}
 			client.(*net.TCPConn).CloseWrite()
 			done[1](test.handled)
-			done[1](test.handled) // the connection is gone
+			done[1](test.handled) // the connection has been closed: nothing is answered
 			answer := make(chan string, 1)
 			go func() {
 				b, _ := io.ReadAll(client)
@@ -100,7 +99,7 @@
 			}()
 			want := test.want + strings.Replace(test.want, "\r\n", "\r\nConnection: close\r\n", 1)
 			if got := awaitAnswer(loop, answer, func() {}); got != want {
-				t.Errorf("%q, want %q", got, want)
+				t.Errorf("answers %q, want %q", got, want)
 			}
 		})
 	}
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -12,56 +12,62 @@
 	"stoatweir/internal/invariant"
 )
 
-// Reasons in ClosedConnections for a close by the server; all others are names of conn.CloseReason.
+// Keys of ClosedConnections for closes by the server. All other keys are the names of
+// conn.CloseReason values.
 const (
 	closedAnswered = "with its answer"
 	closedIdle     = "idle"
 	closedMigrated = "handed over"
 )
 
-// continueResponse asks a client that expects it to send its body.
+// continueResponse is the interim response to a client that waits for it before it sends its body.
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// connection is the server's side of one connection, from a client or from a worker with callbacks.
-// It reads one request at a time: the next one is parsed after the answer to the present one.
+// connection is the server's side of one connection, from a client or from a worker that sends
+// callbacks. It handles one request at a time: the next request is parsed after the current one has
+// been answered.
 type connection struct {
 	server *Server
 	conn   *conn.Conn
 	parser http1.Parser
 
-	// acceptedAt is when the connection was accepted; of a migrated one that was never used, at its
-	// first process.
+	// acceptedAt is when the connection was accepted. For a migrated connection that was never
+	// used, this is the time of the accept at its first process.
 	acceptedAt time.Duration
-	// invocation is the one in flight here, or the last one during its migration; noInvocation
-	// otherwise.
+	// invocation is the invocation in flight on the connection or, during the connection's
+	// migration, the one that was in flight when the migration began; noInvocation otherwise.
 	invocation dispatch.InvocationID
-	// closeAfterAnswer: the present answer is the last. Never reset; nothing more is parsed.
+	// closeAfterAnswer is set if the current answer is the last one on the connection. It is never
+	// reset, and nothing more is parsed.
 	closeAfterAnswer bool
-	// answerDeferred: a request has been handled whose answer is delayed, or awaits the peer that
-	// its callback was relayed to. Implies no invocation and no request that is partly read.
+	// answerDeferred is set while the answer to a handled request is delayed, or waits for the
+	// other process to which the callback was relayed. It implies that there is no invocation and
+	// no partially read request.
 	answerDeferred bool
-	// deferredTimer fires at the end of the delay; non-nil only while answerDeferred.
+	// deferredTimer fires when a delayed answer is due. It is non-nil only while answerDeferred.
 	deferredTimer *conn.Timer
-	// readTimer fires when the next request must have arrived whole; nil while a request is being
-	// handled and between requests, apart from the wait for the first.
+	// readTimer fires when the next request must have arrived whole. It is nil while a request is
+	// being handled and between requests, but runs during the wait for the first request.
 	readTimer *conn.Timer
-	// consecutiveRejections counts rejected requests since the last one that was not.
+	// consecutiveRejections counts the rejected requests since the last one that was not rejected.
 	consecutiveRejections int
-	// used: an invocation or a callback has arrived. Never reset.
+	// used is set once an invocation or a callback has arrived. It is never reset.
 	used bool
-	// carriesCallbacks: a callback has arrived. Never reset; implies used.
+	// carriesCallbacks is set once a callback has arrived. It is never reset and implies used.
 	carriesCallbacks bool
-	// closing: it is being detached, to be closed unless a request has arrived by then.
+	// closing is set while closeIdle detaches the connection, to close it unless a request arrives
+	// first.
 	closing bool
-	// migration is its state of migration to the other process.
+	// migration is the state of the connection's migration to the other process.
 	migration migrationState
 }
 
-// Connected implements conn.Handler: an accepted connection is connected from the start.
+// Connected implements conn.Handler. It does nothing: an accepted connection is connected from the
+// start.
 func (c *connection) Connected(*conn.Conn) {}
 
-// Flushed implements conn.Handler: with its answer sent, the connection may be closed for want of
-// descriptors.
+// Flushed implements conn.Handler. Once its answer has been sent, the connection may be evicted to
+// free its descriptor.
 func (c *connection) Flushed(transport *conn.Conn) {
 	if c.invocation != noInvocation || c.answerDeferred || c.parser.Started() {
 		return
@@ -72,14 +78,14 @@
 	}
 }
 
-// Disconnected implements conn.Handler: the client of an invocation in flight abandons it.
+// Disconnected implements conn.Handler. If an invocation is in flight, its client has abandoned it.
 func (c *connection) Disconnected(_ *conn.Conn, reason conn.CloseReason) {
 	s := c.server
 	delete(s.connections, c)
 	c.stopTimers()
 	s.ClosedConnections[reason.String()]++
 	if reason == conn.NoDescriptor {
-		s.Invariants.CheckClose(c.invocation) // the server closed it, not the client
+		s.Invariants.CheckClose(c.invocation) // the server evicted the connection; the client did not close it
 	}
 	if c.invocation == noInvocation || !s.AwaitsAnswer(c.invocation) {
 		return
@@ -89,9 +95,9 @@
 	s.OnEvent(dispatch.ClientDisconnected{Invocation: c.invocation})
 }
 
-// DataReceived implements conn.Handler: it parses and handles requests. Clients wait for answers,
-// so what follows an invocation before its answer is the rest of a body that is longer than its
-// declared length, or a request smuggled in it; the connection closes with that answer.
+// DataReceived implements conn.Handler. It parses and handles the requests received. Clients wait
+// for each answer, so bytes that follow an invocation before its answer are the rest of a body
+// longer than its declared length, or a smuggled request; the connection closes with that answer.
 func (c *connection) DataReceived(transport *conn.Conn) {
 	for transport.In.Len() > 0 && c.invocation == noInvocation && !c.closeAfterAnswer && !c.answerDeferred {
 		if !c.parse(transport) {
@@ -99,8 +105,8 @@
 		}
 	}
 	if c.invocation != noInvocation && transport.In.Len() > 0 {
-		// More than the ring holds would stop the reading, and the client's disconnect would not be
-		// seen.
+		// If more bytes arrived than the ring buffer holds, reading would stop and the client's
+		// disconnect would go unnoticed.
 		c.closeAfterAnswer = true
 		transport.DiscardInput()
 	}
@@ -113,8 +119,8 @@
 	}
 }
 
-// parse feeds the parser with what has been received, and handles the request once it is whole. It
-// returns false if the request was malformed, which ends the connection.
+// parse feeds the received bytes to the parser and handles the request once it is complete. It
+// returns false if the request is malformed, in which case the connection is closed.
 func (c *connection) parse(transport *conn.Conn) bool {
 	n, step, err := c.parser.Feed(transport.In.Bytes())
 	transport.In.Drop(n)
@@ -137,7 +143,7 @@
 	return true
 }
 
-// statusOf returns the status that answers a request which the parser rejected.
+// statusOf returns the HTTP status that answers a request rejected by the parser with err.
 func statusOf(err error) int {
 	var bad *http1.ParseError
 	if errors.As(err, &bad) {
@@ -146,15 +152,15 @@
 	return http.StatusBadRequest
 }
 
-// isIdle reports whether nothing of a request has been read and nothing of an answer is left to
-// write.
+// isIdle reports whether no part of a request has been received, no answer is due and all answers
+// have been sent.
 func (c *connection) isIdle() bool {
 	return c.invocation == noInvocation && !c.answerDeferred && !c.parser.Started() && c.conn.In.Len() == 0 && c.conn.Unsent() == 0
 }
 
-// closeIdle closes an idle connection. A request that has arrived by now is served first, also
-// where it has not been read yet: closing over it would reset the connection. One that arrives
-// later is never read, and its client sends it again.
+// closeIdle closes an idle connection. A request that has arrived by then is served first, even if
+// it has not been read yet: closing a socket with unread bytes resets the connection. A request
+// that arrives later is never read, and its client sends it again.
 func (c *connection) closeIdle() {
 	c.closing = true
 	c.conn.Detach(func() {
@@ -174,7 +180,7 @@
 	c.conn.CloseAfterFlush()
 }
 
-// remove unregisters a connection that the server closes, and counts the reason.
+// remove unregisters a connection that the server closes and counts the close reason.
 func (c *connection) remove(reason string) {
 	s := c.server
 	s.Invariants.CheckClose(c.invocation)
--- a/internal/clients/connection_test.go
+++ b/internal/clients/connection_test.go
@@ -10,8 +10,8 @@
 	"stoatweir/dispatch"
 )
 
-// A client that sends more than a ring buffer holds behind its request, and disconnects, is seen to
-// have done so, and its bytes cost few iterations of the event loop.
+// If a client sends more bytes than the ring buffer holds after its request and then disconnects,
+// the disconnect is noticed, and reading those bytes takes few iterations of the event loop.
 func TestDisconnectBehindManyBytes(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -29,30 +29,32 @@
 		return server.InFlight() == 0
 	})
 	if took := loop.Now() - began; server.Counts.Overdue > 0 || took > 300*time.Millisecond || iterations > 20 {
-		t.Errorf("seen after %v in %d iterations, %d overdue", took, iterations, server.Counts.Overdue)
+		t.Errorf("disconnect noticed after %v in %d iterations with %d overdue, want at most 300ms, 20 and 0",
+			took, iterations, server.Counts.Overdue)
 	}
 }
 
-// The request of a client that disconnected before it was read is not admitted: it would be
-// forwarded at once, however long ago that was.
+// A request is not admitted if its client disconnected before it was read. Otherwise it would be
+// forwarded at once, however long ago the client disconnected.
 func Example_disconnectBeforeRead() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
 	client := dial(addr)
 	client.Write([]byte(requestText))
-	client.Close() // the loop does not run yet
+	client.Close() // the loop is not running yet
 	runUntil(loop, "the close", func() bool { return server.Counts.Connections == 1 && server.quota.Used() == 0 })
 	fmt.Println("admitted:", server.Ledger.Totals(0, 0).Classes[0].Admitted)
 	// Output:
 	// admitted: 0
 }
 
-// The request of a client that disconnected behind bytes which have not been read is not admitted.
+// A request is not admitted if its client disconnected after sending further bytes that have not
+// been read.
 func Example_disconnectBehindUnread() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
 	client := dial(addr)
-	pad := "X-Pad: " + strings.Repeat("x", 256-len(requestText)-len("X-Pad: \r\n")) // the first read ends with the request
+	pad := "X-Pad: " + strings.Repeat("x", 256-len(requestText)-len("X-Pad: \r\n")) // makes the first read end with the request
 	client.Write([]byte(strings.Replace(requestText, "X-Budget", pad+"\r\nX-Budget", 1) + strings.Repeat("more", 1000)))
 	client.Close() // the loop does not run yet
 	runUntil(loop, "the close", func() bool { return server.Counts.Connections == 1 && server.quota.Used() == 0 })
@@ -61,7 +63,7 @@
 	// admitted: 0
 }
 
-// A client closes in the midst of its request's body or head: nothing is admitted.
+// If a client disconnects in the middle of its request's head or body, nothing is admitted.
 func Example_disconnectInRequest() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -86,7 +88,7 @@
 	// admitted: 0
 }
 
-// A client that expects it is asked to send its body.
+// A client that sends "Expect: 100-continue" is asked to send its body.
 func TestContinue(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -105,6 +107,6 @@
 	}()
 	want := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	if got := awaitAnswer(loop, answer, func() {}); got != want {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("answers %q, want %q", got, want)
 	}
 }
--- a/internal/clients/deadline.go
+++ b/internal/clients/deadline.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// readTimeout is how long a connection has for a whole request, the first one from its accept
-	// on: a client that sends nothing, or a byte now and then, must see the end within 3 s, and
-	// holds a descriptor until then.
+	// readTimeout is how long a connection has for a whole request; for the first request, this
+	// counts from the accept. A client that sends nothing, or a byte now and then, holds a
+	// descriptor and must be cut off within 3 s.
 	readTimeout = 2500 * time.Millisecond
-	// firstRequestGrace is how long a connection stays open after its accept, also when idle
-	// connections close: its first request may be in transit, and its client counts a close without
-	// an answer as a rejection.
+	// firstRequestGrace is how long a connection stays open after its accept even while idle
+	// connections are closed: its first request may be in transit, and its client counts a close
+	// without an answer as a rejection.
 	firstRequestGrace = 200 * time.Millisecond
 )
 
@@ -24,9 +24,9 @@
 	c.readTimer = loop.After(c.acceptedAt+readTimeout-loop.Now(), c.readDeadlineExceeded)
 }
 
-// readDeadlineExceeded ends a connection on which no whole request has arrived in time. Where
-// nothing has arrived, nothing is answered either: the answer could cross the client's first
-// request.
+// readDeadlineExceeded ends a connection on which no whole request has arrived in time. If nothing
+// has arrived, it is closed without an answer, because an answer could cross the client's first
+// request in transit.
 func (c *connection) readDeadlineExceeded() {
 	c.readTimer = nil
 	if c.parser.Started() {
@@ -37,8 +37,8 @@
 	c.closeIdle()
 }
 
-// awaitsFirstRequest reports whether the connection was accepted just now, so that its first
-// request may be in transit.
+// awaitsFirstRequest reports whether the connection was accepted so recently that its first request
+// may still be in transit.
 func (c *connection) awaitsFirstRequest() bool {
 	return !c.used && c.server.loop.Now() < c.acceptedAt+firstRequestGrace
 }
--- a/internal/clients/deadline_test.go
+++ b/internal/clients/deadline_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Within 3 s of its accept a connection without a request is closed, and one with a partial request
-// gets an answer; a client that repeats a rejected request waits longer for each answer.
+// Within 3 s of its accept, a connection without a request is closed, and one with a partial
+// request gets an answer. A client that repeats a rejected request waits longer for each answer.
 func Example_readDeadlines() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -15,7 +15,7 @@
 	"stoatweir/internal/workers"
 )
 
-// testDeployment has two operations and two tenants.
+// testDeployment returns settings with two operations and two tenants.
 func testDeployment() settings.Deployment {
 	deployment, err := settings.ParseDeployment([]byte(`{"Operations": [{"Name": "render", "Effect": "read_like", "ClientTimeout": 5},
 		{"Name": "sale", "Effect": "idempotency_key"}], "Tenants": [{"Name": "kestrel"}, {"Name": "oak"}],
@@ -26,8 +26,8 @@
 	return deployment
 }
 
-// newTestServer returns a server that listens on loopback, with a quota of 40 descriptors, and
-// prints its callbacks.
+// newTestServer returns a server that listens on loopback, has a quota of 40 descriptors and prints
+// the calls of its function fields. Its lifecycle behavior is taken from the variable behavior.
 func newTestServer(maxInFlight int) (loop *conn.Loop, server *Server, addr string, closeListener func()) {
 	loop = conn.NewLoop(time.Now())
 	server = New(loop, testDeployment(), loop.NewQuota(40), accounting.New())
@@ -65,8 +65,8 @@
 // behavior is what the lifecycle permits the server of newTestServer.
 var behavior lifecycle.Behavior
 
-// runUntil runs the event loop until done, which is called after each iteration; it panics after 10
-// s.
+// runUntil runs the event loop until done, which is called after each iteration, returns true. It
+// panics after 10 s, naming what it waited for.
 func runUntil(loop *conn.Loop, what string, done func() bool) {
 	timeout := loop.After(10*time.Second, func() { panic("timed out waiting for " + what) })
 	loop.Run(func() {
@@ -77,7 +77,7 @@
 	timeout.Stop()
 }
 
-// dial connects a client.
+// dial connects a client to addr.
 func dial(addr string) net.Conn {
 	client, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -86,8 +86,8 @@
 	return client
 }
 
-// awaitAnswer runs the event loop until a client has sent its answer, or error, to the channel;
-// each is called in every iteration.
+// awaitAnswer runs the event loop until a client has sent its answer or error to the channel, and
+// returns it. each is called after every iteration.
 func awaitAnswer(loop *conn.Loop, answer <-chan string, each func()) string {
 	got := ""
 	loop.After(0, func() {})
@@ -103,13 +103,13 @@
 	return got
 }
 
-// ignoreEvents keeps a server from printing what it admits.
+// ignoreEvents stops a server from printing the invocations that it admits.
 func ignoreEvents(server *Server) {
 	server.OnRequest = func(*workers.Invocation, int) {}
 	server.OnEvent = func(dispatch.Event) {}
 }
 
-// callbackText is a request with a worker's callback.
+// callbackText returns a request with a worker's callback and the given header lines.
 func callbackText(body string, fields ...string) string {
 	head := "POST /_jobs/news HTTP/1.1\r\n"
 	for _, field := range fields {
@@ -118,7 +118,8 @@
 	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-// roundTrip sends a text on a new connection and prints the answers until the connection is closed.
+// roundTrip sends text on a new connection, waits until the server closes it, and prints the
+// answers received.
 func roundTrip(loop *conn.Loop, addr, text string) {
 	client := dial(addr)
 	answer := make(chan string, 1)
@@ -150,8 +151,8 @@
 const requestText = "POST /render/7f3a?x=1 HTTP/1.1\r\nHost: backend\r\nX-Call-Id: 9b1f\r\nX-Call-Class: render\r\nX-Caller: oak\r\n" +
 	"X-Budget: 2.500\r\nX-Call-Cost: 250000\r\nX-Call-Info: slots=2,x=1\r\nContent-Length: 4\r\n\r\nbody"
 
-// submit sends a request for an invocation and reports the status of its answer, or
-// statusDisconnected.
+// submit sends a request for an invocation and sends the status of its answer to statuses. If the
+// client disconnects without waiting, it sends statusDisconnected.
 func submit(addr, id string, disconnects bool, statuses chan<- int) {
 	client := dial(addr)
 	defer client.Close()
@@ -166,5 +167,5 @@
 	statuses <- status
 }
 
-// statusDisconnected is reported by a client that has disconnected without waiting for its answer.
+// statusDisconnected stands for a client that disconnected without waiting for its answer.
 const statusDisconnected = -1
--- a/internal/clients/identifiers.go
+++ b/internal/clients/identifiers.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// idReleaseDelay is how long an identifier stays in use after the last attempt under it has ended:
-// a DELETE or a late callback for the old invocation would otherwise be attributed to the new one.
+// idReleaseDelay is how long an identifier stays in use after the last attempt under it has ended.
+// If the identifier were reused earlier, a DELETE or a late callback for the old invocation would
+// be attributed to the new one.
 const idReleaseDelay = 2 * time.Second
 
-// handleSeparator separates a tenant's handle from the identifier or key that the tenant chose. No
-// handle contains it.
+// handleSeparator separates a tenant's handle from the identifier or idempotency key that the
+// tenant chose. No handle contains it.
 const handleSeparator = "~"
 
-// IDs lists the identifiers in use, sorted.
-func (s *Server) IDs() []string { return slices.Sorted(maps.Keys(s.ids)) }
+// IDs returns the identifiers in use, sorted.
+func (s *Server) IDs() []string { return slices.Sorted(maps.Keys(s.idsInUse)) }
 
-// ReleaseID ends the use of an identifier after the last attempt under it has ended: some time
-// later if it was ever sent to a worker, as callbacks for it may still arrive.
+// ReleaseID ends the use of an identifier after the last attempt under it has ended: at once if it
+// was never sent to a worker, otherwise after idReleaseDelay, as callbacks for it may still arrive.
 func (s *Server) ReleaseID(id string, sent bool) {
 	release := func() {
-		delete(s.ids, id)
+		delete(s.idsInUse, id)
 		s.OnOwnership(id, false)
 	}
 	if !sent {
@@ -34,9 +35,9 @@
 
 // idInUse reports whether an identifier is in use, here or at the other process that serves the
 // same address.
-func (s *Server) idInUse(id string) bool { return s.ids[id] || s.OwnedByPeer(id) }
+func (s *Server) idInUse(id string) bool { return s.idsInUse[id] || s.OwnedByPeer(id) }
 
-// Scope returns the tenant's handle in an identifier; empty if it has none.
+// Scope returns the tenant's handle in an identifier, or "" if it has none.
 func Scope(id string) string {
 	handle, _, scoped := strings.Cut(id, handleSeparator)
 	if !scoped {
--- a/internal/clients/inflight.go
+++ b/internal/clients/inflight.go
@@ -11,40 +11,40 @@
 	"stoatweir/internal/tenants"
 )
 
-// noInvocation means none: numbers of invocations begin at 1.
+// noInvocation means that there is no invocation. Invocation numbers start at 1.
 const noInvocation dispatch.InvocationID = 0
 
-// overdueGrace is how long after an invocation's deadline the server fails it by itself, should the
-// decision module not have answered it.
+// overdueGrace is how long after an invocation's deadline the server fails it if the decision
+// module has not answered it.
 const overdueGrace = 25 * time.Millisecond
 
-// inFlightRequest is an admitted invocation whose client awaits the answer.
+// inFlightRequest is an admitted invocation whose client is waiting for the answer.
 type inFlightRequest struct {
-	id           string // as in use here, with its tenant's scope
-	class        int    // of accounting
+	id           string // within its tenant's scope
+	class        int    // accounting class
 	connection   *connection
-	admittedAt   time.Duration // of a migrated one: at the first process
-	deadline     time.Duration // when its client stops waiting
+	admittedAt   time.Duration // for a migrated invocation, when its first process admitted it
+	deadline     time.Duration // when its client is assumed to stop waiting
 	overdueTimer *conn.Timer
-	account      *tenants.Account // nil: it belongs to no tenant
-	admission    tenants.Request  // as the account admitted it
+	account      *tenants.Account // nil if it belongs to no tenant
+	admission    tenants.Request  // as admitted by the account
 }
 
-// register admits a request to the table of those in flight, under the number that it returns.
+// register puts a request in flight under a new number, which it returns.
 func (s *Server) register(r *inFlightRequest) dispatch.InvocationID {
 	s.lastInvocation++
 	inv := s.lastInvocation
 	s.Ledger.Admitted(r.class)
 	r.connection.invocation = inv
 	s.inFlight[inv] = r
-	s.ids[r.id] = true
+	s.idsInUse[r.id] = true
 	s.startOverdueTimer(inv, r)
 	s.OnOwnership(r.id, true)
 	return inv
 }
 
-// startOverdueTimer has the server fail an invocation that the decision module has not answered by
-// its deadline.
+// startOverdueTimer starts the timer that fails an invocation which the decision module has not
+// answered by overdueGrace after its deadline.
 func (s *Server) startOverdueTimer(inv dispatch.InvocationID, r *inFlightRequest) {
 	r.overdueTimer = s.loop.After(r.deadline+overdueGrace-s.loop.Now(), func() {
 		s.Counts.Overdue++
@@ -53,8 +53,8 @@
 	})
 }
 
-// complete removes an invocation from the table, with its disposition. Every invocation in flight
-// ends here, once.
+// complete removes an invocation from those in flight and records its disposition. Every invocation
+// in flight ends here, exactly once.
 func (s *Server) complete(inv dispatch.InvocationID, disposition accounting.Disposition) {
 	r := s.inFlight[inv]
 	s.Ledger.Completed(r.class, disposition)
@@ -66,7 +66,7 @@
 	delete(s.inFlight, inv)
 }
 
-// tenantDispositions are the dispositions as the tenants' accounts name them.
+// tenantDispositions maps dispositions to those of package tenants.
 var tenantDispositions = map[accounting.Disposition]tenants.Disposition{
 	accounting.Succeeded: tenants.Succeeded,
 	accounting.Declined:  tenants.Declined,
@@ -75,19 +75,19 @@
 	accounting.Migrated:  tenants.Migrated,
 }
 
-// InFlight returns the number of invocations whose clients await an answer.
+// InFlight returns the number of invocations whose clients are waiting for an answer.
 func (s *Server) InFlight() int { return len(s.inFlight) }
 
-// Unanswered lists the invocations whose clients await an answer, oldest first.
+// Unanswered returns the invocations whose clients are waiting for an answer, oldest first.
 func (s *Server) Unanswered() []dispatch.InvocationID { return slices.Sorted(maps.Keys(s.inFlight)) }
 
-// AwaitsAnswer reports whether the invocation's client awaits its answer, as far as the event loop
-// knows.
+// AwaitsAnswer reports whether the invocation's client is waiting for its answer, as far as the
+// event loop knows.
 func (s *Server) AwaitsAnswer(inv dispatch.InvocationID) bool { return s.inFlight[inv] != nil }
 
-// ClientWaiting reports whether the invocation's client awaits its answer at this moment. It asks
-// the kernel, as a disconnect may be queued behind all else that the event loop has to do; one that
-// it finds is handled at once.
+// ClientWaiting reports whether the invocation's client is waiting for its answer at this moment.
+// It asks the kernel, because a disconnect may be queued behind other tasks of the event loop. A
+// disconnect that it finds is handled at once.
 func (s *Server) ClientWaiting(inv dispatch.InvocationID) bool {
 	r := s.inFlight[inv]
 	if r != nil && r.connection.conn.PeerClosed() {
--- a/internal/clients/inflight_test.go
+++ b/internal/clients/inflight_test.go
@@ -15,9 +15,9 @@
 	"stoatweir/internal/workers"
 )
 
-// A client that closes abandons its invocation; an identifier in use is rejected; more invocations
-// than may be in flight are shed; one that the decision module does not answer is failed once its
-// deadline is over.
+// A client that closes its connection abandons its invocation. A request with an identifier in use
+// is rejected. Invocations beyond the limit in flight are shed. An invocation that the decision
+// module does not answer fails after its deadline.
 func Example_disconnectedAndOverdue() {
 	loop, server, addr, closeListener := newTestServer(2)
 	defer closeListener()
@@ -60,8 +60,8 @@
 	// {Connections:7 Overdue:1 Malformed:2 Shed:1 ReadTimeouts:0} [{Name:render Admitted:5 Completed:[0 1 1 1 0]} {Name:sale Admitted:0 Completed:[0 0 0 0 0]}]
 }
 
-// Many clients disconnect while the event loop is busy. None of their invocations may be forwarded,
-// whatever is queued for the loop: ClientWaiting asks the kernel.
+// If clients disconnect while the event loop is busy, none of their invocations may be forwarded,
+// no matter which tasks are queued for the loop. So ClientWaiting asks the kernel.
 func TestClientWaitingAsksKernel(t *testing.T) {
 	for name, disconnect := range map[string]func(client *net.TCPConn){
 		"close":                  func(client *net.TCPConn) { client.Close() },
@@ -90,7 +90,7 @@
 			for _, client := range clients[1:] {
 				disconnect(client)
 			}
-			end := time.Now().Add(5 * time.Second) // for the network; the loop does not run
+			end := time.Now().Add(5 * time.Second) // time for the disconnects to arrive; the loop is not running
 			waiting := 0
 			for _, inv := range server.Unanswered() {
 				for poll := server.Unanswered()[0] != inv || waiting > 0; poll && server.ClientWaiting(inv) && time.Now().Before(end); {
@@ -100,21 +100,22 @@
 				}
 			}
 			if waiting != 1 || disconnected != len(clients)-1 || server.InFlight() != 1 {
-				t.Errorf("%d waiting, %d disconnected, %d in flight", waiting, disconnected, server.InFlight())
+				t.Errorf("%d waiting, %d disconnected, %d in flight, want 1 waiting and in flight, all others disconnected",
+					waiting, disconnected, server.InFlight())
 			}
 			runUntil(loop, "the queued tasks", func() bool {
 				loop.After(time.Millisecond, func() {})
 				return server.quota.Used() == 1
 			})
 			if disconnected != len(clients)-1 {
-				t.Errorf("%d disconnected", disconnected)
+				t.Errorf("%d disconnects reported, want one for each client that disconnected", disconnected)
 			}
 		})
 	}
 }
 
-// A connection to a worker is established and the client disconnects, and the event loop handles
-// the former first: nothing is forwarded.
+// If a connection to a worker is established and the client disconnects, nothing is forwarded, even
+// if the event loop handles the new connection first.
 func TestClientDisconnectsAsWorkerConnects(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -152,10 +153,10 @@
 	client.Close()
 	runUntil(loop, "the close", func() bool { return len(outcomes) == 1 })
 	if outcome := outcomes[0].(dispatch.Outcome); outcome.Result != dispatch.NotSent || !outcome.Answered {
-		t.Errorf("%+v", outcome)
+		t.Errorf("outcome %+v, want NotSent and Answered", outcome)
 	}
 	setState(dispatch.Gone)
 	if b, err := io.ReadAll(workerSide); len(b) > 0 || err != nil {
-		t.Errorf("the worker got %q, %v", b, err)
+		t.Errorf("the worker received %q with error %v, want nothing and no error", b, err)
 	}
 }
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -8,60 +8,61 @@
 )
 
 const (
-	// acceptRetryInterval is the time between two searches for a free descriptor: connections with
-	// half a request become old enough to be closed for one without any event that says so.
+	// acceptRetryInterval is the time between two attempts to free a descriptor. They are repeated
+	// because a connection with a partial request becomes old enough to be evicted without any
+	// event.
 	acceptRetryInterval = 50 * time.Millisecond
-	// acceptErrorDelay is the pause after an accept that failed, as the error may last.
+	// acceptErrorDelay is the pause after a failed accept, because the error may persist.
 	acceptErrorDelay = time.Millisecond
 )
 
-// deadlineListener is what a listener needs to be held off and resumed, as net.TCPListener does.
+// deadlineListener is a listener whose pending and future accepts a deadline can stop, such as
+// net.TCPListener.
 type deadlineListener interface {
 	SetDeadline(time.Time) error
 }
 
-// accepted is the task that brings an accepted connection, or the failure to accept one, to the
-// event loop.
-type accepted struct {
+// acceptResult is the event-loop task that handles the outcome of one accept.
+type acceptResult struct {
 	server *Server
-	conn   net.Conn // nil: the accept failed
+	conn   net.Conn // nil if the accept failed
 }
 
-// Listen begins to accept connections. The accept goroutine needs a permit for each, so that it
-// never exhausts the descriptors.
+// Listen starts accepting connections from l. The accept goroutine needs a permit for each accept,
+// so that it never exhausts the descriptors.
 func (s *Server) Listen(l net.Listener) {
 	s.listener = l
 	s.listening = true
 	go func() {
-		for range s.acceptPermits { // the goroutine ends with the process
+		for range s.acceptPermits { // never closed: the goroutine ends with the process
 			netConn, err := s.Accept(l)
 			if err != nil {
-				netConn = nil // the client left the queue, or the listener is held off: the loop finds out what follows
+				netConn = nil // the client left the accept queue or accepting was stopped; acceptNext decides whether to go on
 			}
-			s.loop.Post(accepted{server: s, conn: netConn})
+			s.loop.Post(acceptResult{server: s, conn: netConn})
 		}
 	}()
 	s.acceptNext()
 }
 
 // Run implements conn.Task.
-func (a accepted) Run() {
-	s := a.server
+func (r acceptResult) Run() {
+	s := r.server
 	s.accepting = false
-	if a.conn == nil {
+	if r.conn == nil {
 		s.loop.After(acceptErrorDelay, s.acceptNext)
 		return
 	}
 	s.Counts.Connections++
 	c := &connection{server: s, acceptedAt: s.loop.Now()}
 	s.connections[c] = struct{}{}
-	c.conn = s.quota.Adopt(a.conn, c)
-	c.conn.SetState(conn.StateNew) // for want of descriptors, older ones without a request close before it
+	c.conn = s.quota.Adopt(r.conn, c)
+	c.conn.SetState(conn.StateNew) // if descriptors run out, older connections without a request are evicted before this one
 	c.setFirstReadDeadline()
 	s.acceptNext()
 }
 
-// acceptNext grants the permit for the next accept, as soon as a descriptor is free for it.
+// acceptNext grants the permit for the next accept once a descriptor is free for it.
 func (s *Server) acceptNext() {
 	s.acceptRetry.Stop()
 	s.awaitsDescriptor = false
@@ -77,16 +78,18 @@
 	s.acceptPermits <- struct{}{}
 }
 
-// descriptorFreed grants the permit that waits for a descriptor, if one does.
+// descriptorFreed is called when a descriptor becomes free. It grants the permit that waits for
+// one, if any.
 func (s *Server) descriptorFreed() {
 	if !s.awaitsDescriptor {
 		return
 	}
-	s.awaitsDescriptor = false // first, as acceptNext may free another one: one permit at a time
+	s.awaitsDescriptor = false // reset first: acceptNext may free another descriptor, and only one permit may be outstanding
 	s.acceptNext()
 }
 
-// setListening holds the accept goroutine off, or lets it go on, where the listener can do so.
+// setListening stops or resumes the accepts of the accept goroutine, if the listener supports
+// deadlines.
 func (s *Server) setListening(listening bool) {
 	listener, supported := s.listener.(deadlineListener)
 	if !supported || s.listening == listening {
@@ -100,9 +103,10 @@
 	}
 }
 
-// StopAccepting accepts no more connections. It reports whether the accept goroutine is blocked for
-// good: a connection that it has accepted and that has not reached the event loop would be closed
-// without an answer.
+// StopAccepting stops accepting connections. It returns false while the accept goroutine may still
+// hold a connection that has not reached the event loop: an exit would close that connection
+// without an answer. It returns true once the goroutine is blocked for good, and at once if the
+// listener supports no deadlines, because the accept can't be interrupted then.
 func (s *Server) StopAccepting() bool {
 	s.stopped = true
 	s.setListening(false)
--- a/internal/clients/listener_test.go
+++ b/internal/clients/listener_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Partial requests on more connections than there are descriptors for don't keep other clients out.
+// Partial requests on more connections than there are descriptors don't keep other clients from
+// being served.
 func Example_partialRequestsBeyondQuota() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -25,9 +26,9 @@
 	// 61 true
 }
 
-// With nearly all descriptors taken by invocations in flight, further ones are shed at once, and
-// callbacks are handled: both would otherwise wait to be accepted until all that is in flight is
-// overdue.
+// With nearly all descriptors used by invocations in flight, further invocations are shed at once
+// and callbacks are handled. Otherwise both would wait to be accepted until all invocations in
+// flight are overdue.
 func Example_shedAtCapacity() {
 	loop, server, addr, closeListener := newTestServer(36)
 	defer closeListener()
@@ -53,7 +54,8 @@
 	// 36 3
 }
 
-// A connection without a request costs one goroutine and no ring buffer, and leaves nothing behind.
+// A connection without a request uses one goroutine and no ring buffer, and leaks no goroutine when
+// it closes.
 func TestSilentConnectionsCostLittle(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -67,11 +69,11 @@
 	}
 	runUntil(loop, "all connections", func() bool { return len(server.connections) == count })
 	if cost := runtime.NumGoroutine() - before; cost > count+10 {
-		t.Errorf("%d silent connections cost %d goroutines", count, cost)
+		t.Errorf("%d silent connections use %d goroutines, want about one each", count, cost)
 	}
 	for c := range server.connections {
 		if !c.conn.In.Empty() {
-			t.Fatal("a silent connection has a ring buffer")
+			t.Fatal("a silent connection uses a ring buffer, want none")
 		}
 	}
 	server.quota.Resize(10)
--- a/internal/clients/migrate_in.go
+++ b/internal/clients/migrate_in.go
@@ -10,11 +10,11 @@
 	"stoatweir/internal/workers"
 )
 
-// AcceptMigrated adopts a connection of another process, with the invocation in flight on it, if
-// any. It sets that invocation's number and returns it. The operation is an index; age is the time
-// since the invocation's admission at its first process. It returns false, and leaves netConn to
-// the caller, if there is no capacity for the connection, its client has disconnected, or its
-// tenant is not known here.
+// AcceptMigrated adopts a connection from another process together with the invocation in flight on
+// it, nil if there is none. It sets the invocation's number and returns it. operation is the index
+// of the invocation's operation; age is the time since its admission at its first process. If there
+// is no capacity for the connection, its client has disconnected or its tenant is not known here,
+// AcceptMigrated returns false and leaves netConn to the caller.
 func (s *Server) AcceptMigrated(netConn net.Conn, m MigratingConnection, invocation *workers.Invocation, operation int, age time.Duration) (
 	inv dispatch.InvocationID, ok bool) {
 	if !s.admitsMigrated(invocation) || conn.PeerClosed(netConn) || !s.quota.EnsureFree(0) {
@@ -46,7 +46,8 @@
 	return inv, true
 }
 
-// admitsMigrated reports whether a connection may be adopted with its invocation; nil: it is idle.
+// admitsMigrated reports whether this process may adopt a connection with the given invocation or,
+// if that is nil, an idle connection.
 func (s *Server) admitsMigrated(invocation *workers.Invocation) bool {
 	b := s.Behavior()
 	if invocation == nil {
@@ -55,7 +56,7 @@
 	return b.Admits && len(s.inFlight) < s.maxInFlight
 }
 
-// resumeIdle resumes a migrated connection that is between two requests, or awaits its first.
+// resumeIdle resumes a migrated connection that is between two requests or waits for its first one.
 func (c *connection) resumeIdle() {
 	c.conn.SetState(conn.StateIdle)
 	if !c.used {
@@ -64,7 +65,8 @@
 	}
 }
 
-// resume puts the invocation of a migrated connection in flight, under the number that it returns.
+// resume puts the invocation of a migrated connection in flight under a new number, which it
+// returns.
 func (c *connection) resume(
 	invocation *workers.Invocation, operation int, age time.Duration, account *tenants.Account,
 ) dispatch.InvocationID {
@@ -72,7 +74,7 @@
 	now := s.loop.Now()
 	r := &inFlightRequest{
 		id:         invocation.ID,
-		class:      s.classes[operation],
+		class:      s.classByOperation[operation],
 		connection: c,
 		admittedAt: now - age,
 		deadline:   invocation.Deadline,
--- a/internal/clients/migrate_out.go
+++ b/internal/clients/migrate_out.go
@@ -15,50 +15,51 @@
 type migrationState uint8
 
 const (
-	migrationNone      migrationState = iota // not attempted yet
-	migrationDetaching                       // reading has been stopped; it migrates once all is flushed, if it still can then
-	migrationInTransit                       // the other process is offered its socket; one of three outcomes follows
-	migrationRejected                        // the other process did not accept it; it is not attempted again
+	migrationNone      migrationState = iota // not attempted yet, or to be attempted again
+	migrationDetaching                       // reading is being stopped; once all output is written, it migrates if it still can
+	migrationInTransit                       // its socket was offered to the other process; ends with Accepted, Returned or PeerFailed
+	migrationRejected                        // the other process did not accept it; the migration is not attempted again
 )
 
 // MigratingConnection is a connection in transit to the other process, with the invocation in
-// flight on it. Exactly one of Accepted, Returned and PeerFailed ends the migration.
+// flight on it, if any. The migration ends with a call of exactly one of Accepted, Returned and
+// PeerFailed.
 type MigratingConnection struct {
 	Socket           syscall.Conn
-	Buffered         []byte                // received and not parsed yet
+	Buffered         []byte                // received but not parsed yet
 	CarriesCallbacks bool                  // a worker's callback has arrived on it
 	Unused           bool                  // neither an invocation nor a callback has arrived on it
-	SilentFor        time.Duration         // since its accept, if Unused
-	Invocation       dispatch.InvocationID // in flight on it; 0: none
+	SilentFor        time.Duration         // time since the accept; set only if Unused
+	Invocation       dispatch.InvocationID // the one in flight on the connection; 0 if none
 
 	connection *connection
-	request    *inFlightRequest // nil: no invocation is in flight
-	record     *invariant.MigratedRequest
+	request    *inFlightRequest           // nil if no invocation is in flight
+	record     *invariant.MigratedRequest // of the request, for the invariant checker; nil if there is none
 }
 
-// MigrateConnections detaches connections that can migrate, and calls pass with each once reading
-// has stopped and all is flushed. At most so many migrate at once. allowed reports whether an
-// invocation can migrate at present.
-func (s *Server) MigrateConnections(most int, allowed func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
-	underWay := 0
+// MigrateConnections detaches connections that can migrate, and calls offer with each one once its
+// reading has stopped and its output has been written. At most limit connections migrate at once.
+// mayMigrate reports whether an invocation can migrate at present.
+func (s *Server) MigrateConnections(limit int, mayMigrate func(dispatch.InvocationID) bool, offer func(*MigratingConnection)) {
+	ongoing := 0
 	for c := range s.connections {
 		if c.migration == migrationDetaching || c.migration == migrationInTransit {
-			underWay++
+			ongoing++
 		}
 	}
 	for c := range s.connections {
-		if underWay >= most {
+		if ongoing >= limit {
 			return
 		}
 		if c.migration == migrationNone && c.migratable() {
 			c.migration = migrationDetaching
-			underWay++
-			c.conn.Detach(func() { c.migrate(allowed, pass) })
+			ongoing++
+			c.conn.Detach(func() { c.migrate(mayMigrate, offer) })
 		}
 	}
 }
 
-// HasMigratable reports whether a connection is left that can migrate, or is about to.
+// HasMigratable reports whether any connection can migrate or is being detached for its migration.
 func (s *Server) HasMigratable() bool {
 	for c := range s.connections {
 		if c.migratable() {
@@ -68,8 +69,9 @@
 	return false
 }
 
-// migratable reports whether the connection is between two requests, or a whole one awaits its
-// answer, and whether the other process neither has it nor has rejected it.
+// migratable reports whether the connection is between two requests, or has received a whole
+// request that waits for its answer, and has neither been offered to the other process nor been
+// rejected by it.
 func (c *connection) migratable() bool {
 	if c.migration == migrationInTransit || c.migration == migrationRejected {
 		return false
@@ -77,11 +79,11 @@
 	return !c.answerDeferred && !c.closeAfterAnswer && !c.parser.Started()
 }
 
-// migrate passes a detached connection to the other process; one that can't migrate at present is
-// attached again, and attempted later.
-func (c *connection) migrate(allowed func(dispatch.InvocationID) bool, pass func(*MigratingConnection)) {
+// migrate offers a detached connection to the other process. If the connection can't migrate at
+// present, it is attached again and its migration is attempted later.
+func (c *connection) migrate(mayMigrate func(dispatch.InvocationID) bool, offer func(*MigratingConnection)) {
 	s := c.server
-	forbidden := c.invocation != noInvocation && !allowed(c.invocation)
+	forbidden := c.invocation != noInvocation && !mayMigrate(c.invocation)
 	if forbidden || !c.migratable() || c.conn.Unsent() > 0 {
 		c.migration = migrationNone
 		c.conn.Attach()
@@ -111,10 +113,10 @@
 	s.migrating++
 	c.readTimer.Stop()
 	c.readTimer = nil
-	pass(m)
+	offer(m)
 }
 
-// takeBuffered removes and returns what has been received and not parsed.
+// takeBuffered removes and returns the bytes that have been received but not parsed.
 func (c *connection) takeBuffered() []byte {
 	var buffered []byte
 	for part := c.conn.In.Bytes(); len(part) > 0; part = c.conn.In.Bytes() {
@@ -124,7 +126,7 @@
 	return buffered
 }
 
-// Accepted ends the migration: the connection is the other process's now.
+// Accepted ends the migration after the other process has taken the connection over.
 func (m *MigratingConnection) Accepted() {
 	c := m.connection
 	s := c.server
@@ -133,13 +135,13 @@
 	s.ClosedConnections[closedMigrated]++
 	c.conn.Close()
 	if m.request != nil {
-		delete(s.ids, m.request.id)
+		delete(s.idsInUse, m.request.id)
 		s.OnOwnership(m.request.id, false)
 	}
 }
 
-// Returned ends the migration: the other process has not accepted the connection, and it is resumed
-// here.
+// Returned ends the migration after the other process has not accepted the connection, and resumes
+// it here.
 func (m *MigratingConnection) Returned() {
 	c := m.connection
 	s := c.server
@@ -152,7 +154,7 @@
 	if m.Unused {
 		c.setFirstReadDeadline()
 	}
-	if c.conn.PeerClosed() { // during the migration: its invocation must not be forwarded before that is read
+	if c.conn.PeerClosed() { // during the migration: the invocation must not be forwarded before the event loop reads that
 		c.conn.Close()
 		c.Disconnected(c.conn, conn.Closed)
 		return
@@ -172,9 +174,10 @@
 	s.startOverdueTimer(m.Invocation, m.request)
 }
 
-// PeerFailed ends the migration: the other process has died and may have forwarded the invocation,
-// or it hangs and may still find the connection. The connection ends for both processes, so that
-// nobody answers twice and nothing more is forwarded.
+// PeerFailed ends the migration after the other process has died or stopped responding. In the
+// first case it may have forwarded the invocation, in the second it may still use the connection.
+// So the connection is ended for both processes: no second answer is sent and nothing more is
+// forwarded.
 func (m *MigratingConnection) PeerFailed() {
 	c := m.connection
 	m.Returned()
--- a/internal/clients/migration_test.go
+++ b/internal/clients/migration_test.go
@@ -19,8 +19,8 @@
 	"stoatweir/internal/workers"
 )
 
-// startMigration sends a request and returns its connection in migration, with the peer's duplicate
-// of the socket.
+// startMigration sends a request and starts the migration of its connection. It returns the client,
+// the migration and the peer's duplicate of the socket.
 func startMigration(loop *conn.Loop, server *Server, addr string) (client net.Conn, m *MigratingConnection, peer net.Conn) {
 	client = dial(addr)
 	client.Write([]byte(requestText))
@@ -46,7 +46,7 @@
 	return client, m, peer
 }
 
-// tcpPipe returns both ends of a connection.
+// tcpPipe returns both ends of a TCP connection.
 func tcpPipe(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,12 +63,12 @@
 	return near, far
 }
 
-// maxSilence is within what time a connection without a request must be closed, less what it takes
-// to see that.
+// maxSilence is the time within which a connection without a request must be closed: 3 s, less the
+// time it takes to observe the close.
 const maxSilence = 3*time.Second - 200*time.Millisecond
 
-// The other process hangs during a migration, is given up, and recovers: the client gets one
-// answer, and nothing is left of the connection that the other process could serve.
+// The other process stops responding during a migration, is declared failed, and recovers later:
+// the client gets one answer, and the other process can no longer use the connection.
 func Example_migrationPeerFailed() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -95,8 +95,8 @@
 	// peer accepts: false 0
 }
 
-// A disconnect during a migration is seen whatever the outcome: the invocation could be forwarded
-// before the disconnect is read.
+// A client's disconnect during a migration is noticed whether the connection is accepted or
+// returned. Otherwise the invocation could be forwarded before the disconnect is read.
 func Example_disconnectDuringMigration() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -114,7 +114,8 @@
 	// in flight: 0 0
 }
 
-// The read deadline of a connection holds at the process that it migrates to.
+// The read deadline of a connection still counts from its accept after a migration to another
+// process.
 func TestReadDeadlineOfMigratedConnection(t *testing.T) {
 	loop, server, _, closeListener := newTestServer(10)
 	defer closeListener()
@@ -128,12 +129,13 @@
 		return len(server.connections) == 0
 	})
 	if took := 2400*time.Millisecond + time.Since(began); took > maxSilence {
-		t.Errorf("closed %v after its accept", took)
+		t.Errorf("closed %v after its accept, want at most maxSilence", took)
 	}
 	near.Close()
 }
 
-// The read deadline of a connection holds when the other process does not accept it.
+// The read deadline of a connection still counts from its accept if the other process does not
+// accept the connection.
 func TestReadDeadlineOfReturnedConnection(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -146,7 +148,7 @@
 	server.MigrateConnections(1, nil, func(m *MigratingConnection) { migrating = m })
 	runUntil(loop, "the migration", func() bool { return migrating != nil })
 	if migrating.SilentFor <= 0 || !migrating.Unused {
-		t.Errorf("%+v", migrating)
+		t.Errorf("migration %+v, want an unused connection with a positive SilentFor", migrating)
 	}
 	migrating.Returned()
 	loop.After(0, func() {})
@@ -155,12 +157,12 @@
 		return len(server.connections) == 0 || time.Since(began) > 4*time.Second
 	})
 	if took := time.Since(began); took > maxSilence {
-		t.Errorf("closed %v after its accept", took)
+		t.Errorf("closed %v after its accept, want at most maxSilence", took)
 	}
 }
 
-// A connection that the other process accepts is gone here, with its identifier. One whose
-// invocation may not migrate yet stays and is attempted again.
+// A connection that the other process accepts is removed here, and its identifier is released. A
+// connection whose invocation can't migrate yet stays, and its migration is attempted again.
 func TestMigrationAccepted(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -179,7 +181,7 @@
 	pass := func(m *MigratingConnection) { migrating = append(migrating, m) }
 	server.MigrateConnections(0, allowed, pass)
 	if attempts > 0 || !server.HasMigratable() {
-		t.Fatalf("%d attempts, %v migratable", attempts, server.HasMigratable())
+		t.Fatalf("%d attempts, migratable %v, want 0 and true", attempts, server.HasMigratable())
 	}
 	loop.After(0, func() {})
 	runUntil(loop, "the migration", func() bool {
@@ -189,28 +191,31 @@
 	})
 	m := migrating[0]
 	if attempts != 2 || m.Invocation != 1 || m.Unused || m.CarriesCallbacks || len(m.Buffered) > 0 {
-		t.Errorf("%d attempts: %+v", attempts, m)
+		t.Errorf("%d attempts, migration %+v, want 2 attempts and invocation 1 on a used client connection without buffered bytes",
+			attempts, m)
 	}
 	if server.HasMigratable() || !server.Busy() || server.AwaitsAnswer(1) {
-		t.Errorf("in transit: %v migratable, %v busy, %v awaits", server.HasMigratable(), server.Busy(), server.AwaitsAnswer(1))
+		t.Errorf("in transit: migratable %v, busy %v, awaits answer %v, want false, true and false",
+			server.HasMigratable(), server.Busy(), server.AwaitsAnswer(1))
 	}
 	server.MigrateConnections(2, allowed, pass)
 	m.Accepted()
 	ids := server.IDs()
 	if len(server.connections) > 0 || server.Busy() || len(ids) > 0 || server.ClosedConnections["handed over"] != 1 {
-		t.Errorf("%d connections, %v busy, %v, %v", len(server.connections), server.Busy(), ids, server.ClosedConnections)
+		t.Errorf("accepted: %d connections, busy %v, identifiers %v, closed %v, want none left and one handed over",
+			len(server.connections), server.Busy(), ids, server.ClosedConnections)
 	}
 	if got := fmt.Sprint(owned); got != "[9b1f true 9b1f false]" {
-		t.Errorf("ownership %v", got)
+		t.Errorf("ownership changes %v, want [9b1f true 9b1f false]", got)
 	}
 	completed := server.Ledger.Totals(0, 0).Classes[0].Completed
 	if completed[accounting.Migrated] != 1 || len(migrating) != 1 {
-		t.Errorf("%v completed, %d migrating", completed, len(migrating))
+		t.Errorf("completed by disposition %v, %d migrations, want one migrated and one migration", completed, len(migrating))
 	}
 }
 
-// An idle connection that is in transit when the other process fails is closed; nothing is answered
-// on it.
+// An idle connection that is in transit when the other process fails is closed without any further
+// answer.
 func TestMigrationPeerFailedIdle(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -229,7 +234,7 @@
 	loop.After(0, func() {})
 	runUntil(loop, "the migration", func() bool { return m != nil })
 	if m.Invocation != 0 || m.Unused || !m.CarriesCallbacks {
-		t.Errorf("%+v", m)
+		t.Errorf("migration %+v, want a used connection with callbacks and no invocation", m)
 	}
 	m.PeerFailed()
 	answer := make(chan string, 1)
@@ -239,12 +244,13 @@
 	}()
 	want := `"HTTP/1.1 204 No Content\r\n\r\n" <nil>`
 	if got := awaitAnswer(loop, answer, func() {}); got != want || len(server.connections) > 0 {
-		t.Errorf("%v, %d connections", got, len(server.connections))
+		t.Errorf("answer %v with %d connections left, want only the answer to the callback and none left",
+			got, len(server.connections))
 	}
 }
 
-// What a migrated connection brings along is parsed at once; a second invocation on it waits for
-// the answer to the first.
+// The buffered bytes of a migrated connection are parsed at once. An invocation on another
+// connection is not accepted while the limit of one in flight is reached.
 func TestMigratedBuffer(t *testing.T) {
 	_, server, _, closeListener := newTestServer(1)
 	defer closeListener()
@@ -253,12 +259,12 @@
 	defer near.Close()
 	inv, ok := server.AcceptMigrated(far, MigratingConnection{Buffered: []byte(requestText)}, nil, 0, 0)
 	if inv != 0 || !ok || server.InFlight() != 1 {
-		t.Errorf("invocation %d, accepted %v, %d in flight", inv, ok, server.InFlight())
+		t.Errorf("invocation %d, accepted %v, %d in flight, want 0, true and 1", inv, ok, server.InFlight())
 	}
 	_, second := tcpPipe(t)
 	defer second.Close()
 	inv, ok = server.AcceptMigrated(second, MigratingConnection{}, &workers.Invocation{ID: "9b20", Deadline: time.Minute}, 0, 0)
 	if inv != 0 || ok {
-		t.Errorf("beyond capacity: invocation %d, accepted %v", inv, ok)
+		t.Errorf("beyond capacity: invocation %d, accepted %v, want 0 and false", inv, ok)
 	}
 }
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -15,7 +15,7 @@
 	"stoatweir/internal/workers"
 )
 
-// Headers of a request for an invocation.
+// Headers of an invocation request.
 const (
 	headerCallID         = "X-Call-Id"
 	headerOperation      = "X-Call-Class"
@@ -29,36 +29,40 @@
 )
 
 const (
-	// budgetMargin is how long before its client stops waiting an invocation counts as given up:
-	// the request was in transit before it was read here, and the answer will be too.
+	// budgetMargin is how long before its client stops waiting an invocation is treated as given
+	// up: the request was in transit before it was read here, and the answer will be in transit
+	// too.
 	budgetMargin = 5 * time.Millisecond
-	// microsecondsPerSecond converts headerCost.
+	// microsecondsPerSecond converts the value of headerCost, which is in microseconds, to seconds.
 	microsecondsPerSecond = 1e6
-	// maxNumber bounds numbers in headers; larger ones count as not given.
-	maxNumber = 1e12
-	// defaultSlots is what an invocation occupies at its worker if it does not say.
+	// maxHeaderNumber is the exclusive upper bound of numbers in headers. Larger ones are treated
+	// as missing.
+	maxHeaderNumber = 1e12
+	// defaultSlots is the number of slots that an invocation occupies at its worker if headerInfo
+	// gives none.
 	defaultSlots = 1
 )
 
-// invocationRequest is a request for an invocation, as parsed and before it is admitted.
+// invocationRequest is a parsed request for an invocation that has not been admitted yet.
 type invocationRequest struct {
-	message     *http1.Message
-	path        string           // of the target, without its query
-	name        string           // of the operation, by the header, or else by the path
-	pathName    string           // of the operation, by the path's first segment
-	id          string           // as its client gave it
-	account     *tenants.Account // nil: tenants are not served
-	prefix      string           // scopes identifier and idempotency key to the tenant; empty where tenants are not served
-	operation   int              // index; 0 unless known
-	known       bool             // there is such an operation, for this tenant
-	budget      time.Duration    // of use only if budgetValid
-	budgetValid bool
+	message           *http1.Message
+	path              string           // of the target, without the query
+	operationName     string           // from headerOperation; if that is missing, pathOperationName
+	pathOperationName string           // first segment of the path, unescaped
+	id                string           // as sent by the client
+	account           *tenants.Account // nil if tenants are not served or the credentials are invalid
+	prefix            string           // scopes identifier and idempotency key to the tenant; empty if tenants are not served
+	operation         int              // index; 0 if not operationKnown
+	operationKnown    bool             // the operation exists, for this tenant
+	budget            time.Duration    // until the client stops waiting; only meaningful if budgetValid
+	budgetValid       bool
 }
 
-// scopedID returns the identifier under which the invocation is in use here and is sent to workers.
+// scopedID returns the identifier within its tenant's scope, as it is used here and sent to
+// workers.
 func (r *invocationRequest) scopedID() string { return r.prefix + r.id }
 
-// handleInvocation validates a request for an invocation, and admits, rejects or sheds it.
+// handleInvocation validates a request for an invocation and admits, rejects or sheds it.
 func (c *connection) handleInvocation(m *http1.Message, path string) {
 	s := c.server
 	r := s.parseInvocation(m, path)
@@ -67,12 +71,12 @@
 		return
 	}
 	switch {
-	case !r.known:
+	case !r.operationKnown:
 		c.reject(http.StatusNotFound)
 	case !r.valid(s.deployment.Dispatch.Operations[r.operation].Effect) || c.hasTrailingBytes():
 		c.reject(http.StatusBadRequest)
 	case s.idInUse(r.scopedID()):
-		c.reject(http.StatusConflict) // the invocation in flight gets an answer of its own
+		c.reject(http.StatusConflict) // the invocation that uses the identifier gets an answer of its own
 	case c.conn.PeerClosed():
 		c.discard()
 	case len(s.inFlight) >= s.maxInFlight || !s.Behavior().Admits:
@@ -82,52 +86,52 @@
 	}
 }
 
-// parseInvocation parses the head of a request. Where tenants are served, the account is nil if the
-// credentials are invalid, and the operation is not looked up then.
+// parseInvocation parses the head of an invocation request. If tenants are served and the
+// credentials are invalid, the account is nil and the operation is not looked up.
 func (s *Server) parseInvocation(m *http1.Message, path string) *invocationRequest {
 	r := &invocationRequest{message: m, path: path, id: m.Header.Get(headerCallID)}
-	r.pathName, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	if unescaped, err := url.PathUnescape(r.pathName); err == nil {
-		r.pathName = unescaped
+	r.pathOperationName, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	if unescaped, err := url.PathUnescape(r.pathOperationName); err == nil {
+		r.pathOperationName = unescaped
 	}
-	r.name = m.Header.Get(headerOperation)
-	if r.name == "" {
-		r.name = r.pathName
+	r.operationName = m.Header.Get(headerOperation)
+	if r.operationName == "" {
+		r.operationName = r.pathOperationName
 	}
-	operation := r.name
+	scopedName := r.operationName
 	if s.Admission != nil {
 		r.account = s.authenticate(m.Header[headerAuthorization])
 		if r.account == nil {
 			return r
 		}
-		// An identifier or key of one tenant is none of another's: neither an answer nor a repeat
-		// can cross.
+		// Scoped identifiers and keys differ between tenants, so neither an answer nor a recognized
+		// repeat can cross from one tenant to another.
 		r.prefix = r.account.Handle + handleSeparator
-		operation = settings.TenantOperationName(r.account.Handle, r.name)
+		scopedName = settings.TenantOperationName(r.account.Handle, r.operationName)
 	}
-	r.operation, r.known = s.deployment.OperationIndex[operation]
+	r.operation, r.operationKnown = s.deployment.OperationIndex[scopedName]
 	r.budget, r.budgetValid = parseBudget(m.Header.Get(headerBudget))
 	return r
 }
 
-// hasTrailingBytes reports whether more than line ends follows the request that was read.
+// hasTrailingBytes reports whether anything but line ends follows the request that was read.
 func (c *connection) hasTrailingBytes() bool {
 	return strings.Trim(string(c.conn.In.Bytes()), "\r\n") != ""
 }
 
-// discard drops a request whose client disconnected before it was read. A half close counts as one,
-// as the protocol has it.
+// discard drops a request whose client disconnected before it was read. As the protocol specifies,
+// a half close counts as a disconnect.
 func (c *connection) discard() {
 	delete(c.server.connections, c)
 	c.conn.Close()
 }
 
-// shed declines an invocation at once, without asking the decision module. It closes the
-// connection, as the descriptor is wanted: connections that wait to be accepted, with workers'
-// callbacks among them, would wait longer.
+// shed declines an invocation at once, without consulting the decision module. It closes the
+// connection to free its descriptor: connections that wait to be accepted, some of them with
+// workers' callbacks, would otherwise wait longer.
 func (c *connection) shed(r *invocationRequest) {
 	s := c.server
-	class := s.classes[r.operation]
+	class := s.classByOperation[r.operation]
 	s.Counts.Shed++
 	s.Ledger.Admitted(class)
 	s.Ledger.Completed(class, accounting.Declined)
@@ -136,17 +140,17 @@
 }
 
 // admit admits an invocation, unless its tenant's limits reject it, and passes it to the decision
-// module. Its time counts from the last byte of the request.
+// module. The invocation's time counts from the last byte of its request.
 func (c *connection) admit(r *invocationRequest) {
 	s := c.server
 	now := s.loop.Now()
 	arrival := s.parseArrival(r.message)
 	var admission tenants.Request
-	var clientHint float64 // in seconds; the arrival has the estimate that is made of it
+	var clientHint float64 // the tenant's own cost hint in seconds; arrival.Hint holds the estimate derived from it
 	if r.account != nil {
 		clientHint = arrival.Hint
 		arrival.Tenant = r.account.Index
-		arrival.Hint = r.account.EstimateCost(r.name, clientHint)
+		arrival.Hint = r.account.EstimateCost(r.operationName, clientHint)
 		admission = tenants.Request{Bytes: len(r.message.Body), Work: arrival.Hint, Retry: isRetry(r.message)}
 		decision := s.Admission.Admit(now, r.account, admission)
 		if decision.Kind != tenants.None {
@@ -161,7 +165,7 @@
 	deadline := now + budget - budgetMargin
 	inv := s.register(&inFlightRequest{
 		id:         r.scopedID(),
-		class:      s.classes[r.operation],
+		class:      s.classByOperation[r.operation],
 		connection: c,
 		admittedAt: now,
 		deadline:   deadline,
@@ -177,7 +181,7 @@
 	s.OnEvent(arrival)
 }
 
-// invocation returns the invocation as it is forwarded to workers, without its hint.
+// invocation returns the invocation as it is forwarded to workers, without its cost hint.
 func (r *invocationRequest) invocation(inv dispatch.InvocationID, deadline time.Duration) *workers.Invocation {
 	return &workers.Invocation{
 		Number:   inv,
@@ -190,18 +194,20 @@
 	}
 }
 
-// limitBudget bounds a request's budget by the timeout that the settings give for clients of its
-// operation: a longer one would look as if all other clients had waited for long.
+// limitBudget limits a request's budget to the client timeout configured for its operation. The
+// time a client has already waited is estimated from the longest budget seen, so with a longer one
+// all other clients would look as if they had waited for long.
 func (s *Server) limitBudget(r *invocationRequest) time.Duration {
-	most := s.deployment.ClientTimeouts[r.operation]
-	if most <= 0 {
+	limit := s.deployment.ClientTimeouts[r.operation]
+	if limit <= 0 {
 		return r.budget
 	}
-	return min(r.budget, most)
+	return min(r.budget, limit)
 }
 
-// parseArrival reads what a request says of its work and, where there are no credentials, of its
-// tenant. A hint that can't be read counts as none: it must not cost the client its answer.
+// parseArrival reads the cost hint, the slots and, where there are no credentials, the tenant from
+// the headers. A hint that can't be parsed is treated as missing, so that it does not cost the
+// client its answer.
 func (s *Server) parseArrival(m *http1.Message) dispatch.Arrival {
 	arrival := dispatch.Arrival{
 		Hint:  parseNumber(m.Header.Get(headerCost), 0) / microsecondsPerSecond,
@@ -210,7 +216,7 @@
 	if tenant := m.Header.Get(headerTenant); tenant != "" && s.Admission == nil {
 		index, known := s.tenantIndex[tenant]
 		if !known {
-			index = len(s.tenantIndex) // all unknown tenants are one
+			index = len(s.tenantIndex) // all unknown tenants share one index
 		}
 		arrival.Tenant = index
 	}
@@ -223,17 +229,18 @@
 	return arrival
 }
 
-// parseNumber reads a number that is not negative; otherwise it returns the default.
-func parseNumber(text string, byDefault float64) float64 {
+// parseNumber parses a non-negative number below maxHeaderNumber. It returns defaultValue for any
+// other text.
+func parseNumber(text string, defaultValue float64) float64 {
 	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || !(v >= 0 && v < maxNumber) { // as written, NaN is none either
-		return byDefault
+	if err != nil || !(v >= 0 && v < maxHeaderNumber) { // written as a negation to reject NaN as well
+		return defaultValue
 	}
 	return v
 }
 
-// forwardedFields returns the headers that go on to a worker, which are those that it needs. Any
-// other could mean something to it that its sender has no right to say.
+// forwardedFields returns the headers that are forwarded to a worker, which are only those it
+// needs. The worker could act on any other header, and its sender may have no right to set it.
 func forwardedFields(m *http1.Message, prefix string) []http1.Field {
 	var fields []http1.Field
 	for _, name := range []string{headerCallID, headerIdempotencyKey} {
--- a/internal/clients/routes.go
+++ b/internal/clients/routes.go
@@ -7,7 +7,7 @@
 	"stoatweir/internal/http1"
 )
 
-// Paths that are not operations'.
+// Paths that don't belong to an operation.
 const (
 	callbackPath = "/_jobs/news"
 	readyPath    = "/-/ready"
@@ -15,11 +15,11 @@
 	historyPath  = "/-/history"
 )
 
-// historyQueryPrefix precedes the identifier in the query of historyPath.
+// historyQueryPrefix precedes the request identifier in the query of historyPath.
 const historyQueryPrefix = "id="
 
-// route calls the handler for a request's path. Where tenants are served the pages for operators
-// are not: they would show one tenant's figures to another.
+// route calls the handler for a request's path. The pages for operators (counters and history) are
+// not available if tenants are served: they would show one tenant's figures to another.
 func (c *connection) route(m *http1.Message) {
 	s := c.server
 	path, query, _ := strings.Cut(m.Target, "?")
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -14,97 +14,102 @@
 	"stoatweir/internal/workers"
 )
 
-// noClass is the accounting class of an operation that is configured no longer: nothing is admitted
-// under it.
+// noClass is the accounting class of an operation that is no longer configured. No invocation is
+// admitted under it.
 const noClass = -1
 
-// Counts holds counters of the server that the accounting of invocations does not cover.
+// Counts holds server counters that the accounting ledger does not cover.
 type Counts struct {
-	Connections  int `json:"Connections"` // accepted
+	Connections  int `json:"Connections"` // connections accepted
 	Overdue      int `json:"Overdue"`     // invocations that the server itself failed after their deadline
-	Malformed    int `json:"Malformed"`   // requests rejected by their form, path or credentials
-	Shed         int `json:"Crowded"`     // invocations shed for want of capacity, or because the process admits none
+	Malformed    int `json:"Malformed"`   // requests rejected because of their form, path, identifier or credentials
+	Shed         int `json:"Crowded"`     // invocations shed because capacity was exhausted or the process admitted none
 	ReadTimeouts int `json:"Silent"`      // connections closed because no request arrived on them in time
 }
 
-// Server accepts connections from clients and workers, and answers each request on them. Its
-// exported function fields are called on the event loop unless they say otherwise, and are set
-// before Listen.
+// Server accepts connections from clients and workers and answers the requests on them. Its
+// exported function fields are called on the event loop unless stated otherwise, and are set before
+// Listen.
 type Server struct {
-	// OnEvent receives the events for the decision module: arrivals of invocations and disconnects
-	// of their clients.
+	// OnEvent receives the events for the decision module (package dispatch): arrivals of
+	// invocations and disconnects of their clients.
 	OnEvent func(dispatch.Event)
-	// OnRequest is called for each admitted invocation, before OnEvent gets its arrival. The
-	// operation is an index.
+	// OnRequest is called for each admitted invocation, before OnEvent receives its arrival.
+	// operation is an index into the configured operations.
 	OnRequest func(invocation *workers.Invocation, operation int)
-	// OnCallback handles a worker's callback; false if it is about no attempt that is known here.
+	// OnCallback handles a worker's callback. It returns false if the callback refers to no attempt
+	// known to this process.
 	OnCallback func(workers.Callback) bool
-	// OnServed observes how long a client waited for its worker's result.
+	// OnServed receives, for each invocation answered with a worker's result, the time since its
+	// admission.
 	OnServed func(time.Duration)
-	// Behavior returns what the lifecycle of the process permits at present.
+	// Behavior returns what the process lifecycle currently permits.
 	Behavior func() lifecycle.Behavior
-	// Accept returns the listener's next connection. It is called from a goroutine of its own; the
-	// default is net.Listener.Accept.
+	// Accept returns the listener's next connection. It is called on the accept goroutine, not on
+	// the event loop. The default is net.Listener.Accept.
 	Accept func(net.Listener) (net.Conn, error)
 	// Counters returns the JSON body of the counters page.
 	Counters func() []byte
-	// History returns the text of the history page for a request's identifier; nil: there is no
-	// such page.
+	// History returns the text of the history page for a request identifier. If it is nil, the page
+	// is not served.
 	History func(id string) []byte
 
-	// RelayCallback passes a callback that is unknown here on to the other process that serves the
-	// same address, and calls done once with whether it was handled there. It returns false, and
-	// does not call done, if there is no such process.
+	// RelayCallback relays a callback that is unknown here to the other process that serves the
+	// same address, and calls done once with whether that process handled it. If there is no such
+	// process, it returns false and does not call done.
 	RelayCallback func(callback workers.Callback, body []byte, done func(handled bool)) bool
 	// OwnedByPeer reports whether an identifier is in use at the other process that serves the same
 	// address.
 	OwnedByPeer func(id string) bool
-	// OnOwnership is called when an identifier begins or ceases to be in use here.
+	// OnOwnership is called when an identifier starts or stops being in use in this process.
 	OnOwnership func(id string, inUse bool)
 
 	// Counts holds the server's counters.
 	Counts Counts
-	// ClosedConnections counts closed connections by reason.
+	// ClosedConnections counts the closed connections by close reason.
 	ClosedConnections map[string]int
-	// LongestTimeout is the longest timeout that a client has requested so far.
+	// LongestTimeout is the longest client timeout of any invocation admitted so far, as limited by
+	// the configured timeout of its operation.
 	LongestTimeout time.Duration
-	// Ledger accounts for every invocation, from its admission to its disposition.
+	// Ledger accounts for every invocation from its admission to its disposition.
 	Ledger *accounting.Ledger
-	// Admission authenticates tenants and enforces their limits; nil: requests need no credentials.
+	// Admission authenticates tenants and enforces their limits. If it is nil, requests need no
+	// credentials.
 	Admission *tenants.Controller
-	// Invariants checks each final answer and each close of a connection; nil: nothing is checked.
+	// Invariants checks each final answer and each close of a connection. If it is nil, nothing is
+	// checked.
 	Invariants *invariant.Checker
-	// Reason returns why the answer that is being written is given, for the history of the request;
-	// nil: none is recorded.
+	// Reason returns the reason for the answer that is being written, which goes into the history
+	// of the request. If it is nil, no reason is recorded.
 	Reason func(dispatch.InvocationID) string
 
-	loop       *conn.Loop
-	quota      *conn.Quota // of descriptors
-	deployment settings.Deployment
-	classes    []int // accounting class by operation index, or noClass
-	// tenantIndex holds the indices of tenants by name, for requests that name their tenant without
+	loop             *conn.Loop
+	quota            *conn.Quota // of file descriptors
+	deployment       settings.Deployment
+	classByOperation []int // accounting class by operation index; noClass if the operation is no longer configured
+	// tenantIndex maps tenant names to indices, for requests that name their tenant without
 	// credentials.
 	tenantIndex map[string]int
 
-	// The listener and its accept goroutine; see listener.go.
+	// State of the listener and its accept goroutine; see listener.go.
 	listener         net.Listener // nil until Listen
-	listening        bool         // the accept goroutine is not held off by a deadline in the past
+	listening        bool         // false while a deadline in the past keeps the accept goroutine from accepting
 	acceptPermits    chan struct{}
-	accepting        bool // a permit is outstanding; at most one is
-	awaitsDescriptor bool // the next permit waits for a free descriptor; implies !accepting
-	acceptRetry      *conn.Timer
-	stopped          bool // StopAccepting was called and the process still exits when idle
+	accepting        bool        // a permit has been granted and not used up; there is at most one
+	awaitsDescriptor bool        // the next permit is granted once a descriptor is free; implies !accepting
+	acceptRetry      *conn.Timer // retries to free a descriptor while awaitsDescriptor
+	stopped          bool        // StopAccepting was called and the process still exits when idle
 
-	maxInFlight    int // invocations in flight at once
+	maxInFlight    int // limit on len(inFlight)
 	lastInvocation dispatch.InvocationID
 	inFlight       map[dispatch.InvocationID]*inFlightRequest
-	ids            map[string]bool // in use: of invocations in flight, and until their release
+	idsInUse       map[string]bool // identifiers in use: of invocations in flight, and of completed ones until their release
 	connections    map[*connection]struct{}
-	migrating      int // connections in state migrationInTransit
+	migrating      int // number of connections in state migrationInTransit
 }
 
-// New returns a server that does not listen yet, and that sheds every invocation until
-// SetMaxInFlight.
+// New returns a server that does not listen yet and sheds every invocation until SetMaxInFlight is
+// called.
 func New(loop *conn.Loop, deployment settings.Deployment, quota *conn.Quota, ledger *accounting.Ledger) *Server {
 	s := &Server{
 		Accept:            net.Listener.Accept,
@@ -114,7 +119,7 @@
 		quota:             quota,
 		acceptPermits:     make(chan struct{}, 1),
 		inFlight:          map[dispatch.InvocationID]*inFlightRequest{},
-		ids:               map[string]bool{},
+		idsInUse:          map[string]bool{},
 		connections:       map[*connection]struct{}{},
 	}
 	s.Reconfigure(deployment)
@@ -122,17 +127,17 @@
 	return s
 }
 
-// Reconfigure applies new settings. Invocations in flight keep the accounting class under which
-// they were admitted.
+// Reconfigure applies new deployment settings. Invocations in flight keep the accounting class
+// under which they were admitted.
 func (s *Server) Reconfigure(deployment settings.Deployment) {
 	s.deployment = deployment
-	s.classes = nil
+	s.classByOperation = nil
 	for index, name := range deployment.Operations {
 		class := noClass
 		if current, known := deployment.OperationIndex[name]; known && current == index {
 			class = s.Ledger.Class(name)
 		}
-		s.classes = append(s.classes, class)
+		s.classByOperation = append(s.classByOperation, class)
 	}
 	for _, name := range s.Ledger.Classes() {
 		_, known := deployment.OperationIndex[name]
@@ -146,6 +151,6 @@
 	}
 }
 
-// SetMaxInFlight sets how many invocations may be in flight at once. It should be less than the
-// quota of descriptors, so that one is always left for callbacks, and for the next connection.
-func (s *Server) SetMaxInFlight(most int) { s.maxInFlight = most }
+// SetMaxInFlight sets the maximum number of invocations in flight. It should be less than the
+// descriptor quota, so that a descriptor is always left for callbacks and for the next connection.
+func (s *Server) SetMaxInFlight(limit int) { s.maxInFlight = limit }
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -2,15 +2,16 @@
 
 import "net/http"
 
-// ApplyBehavior follows a change of the process's lifecycle: it accepts or stops accepting, and
-// closes the connections that may not stay open. Until it says so connections stay open, as their
-// clients may have no other server yet. The deadlines of invocations stay as the clients gave them,
-// also near the end: a shorter one would look like that of a client that has waited for long, and
-// would be rejected at once.
+// ApplyBehavior applies a change of the process lifecycle: it starts or stops accepting
+// connections, and closes those that may not stay open. Until the behavior demands a close,
+// connections stay open, as their clients may have no other server yet. Invocations keep the
+// deadlines that their clients gave them, even shortly before the exit: a shorter deadline would
+// look like that of a client that has already waited for long, and the invocation would be rejected
+// at once.
 func (s *Server) ApplyBehavior() {
 	b := s.Behavior()
 	s.stopped = s.stopped && b.ExitsWhenIdle
-	s.setListening(b.Accepts && !s.stopped) // clients in the queue are for the other process that listens on the same socket
+	s.setListening(b.Accepts && !s.stopped) // queued clients are left to the other process that listens on the same socket
 	s.acceptNext()
 	for c := range s.connections {
 		switch {
@@ -23,14 +24,14 @@
 	}
 }
 
-// busy reports whether an answer is due on the connection, or whether it is in transit to the other
-// process.
+// busy reports whether an answer is due on the connection or the connection is in transit to the
+// other process.
 func (c *connection) busy() bool {
 	return c.invocation != noInvocation || c.answerDeferred || c.migration == migrationInTransit
 }
 
-// Busy reports whether requests are being read, answers being written, or connections being
-// migrated: an exit now would cost a client its answer.
+// Busy reports whether requests are being read, answers are being written or connections are
+// migrating: an exit now would cost a client its answer.
 func (s *Server) Busy() bool {
 	if s.migrating > 0 {
 		return true
--- a/internal/clients/shutdown_test.go
+++ b/internal/clients/shutdown_test.go
@@ -12,8 +12,8 @@
 	"stoatweir/internal/lifecycle"
 )
 
-// During a shutdown the server is not ready and still serves requests, also on open connections;
-// once idle connections close, each answer closes its connection.
+// During a shutdown the server reports that it is not ready but still serves requests, also on open
+// connections. Once idle connections are to be closed, each connection closes with its next answer.
 func Example_gracefulShutdown() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -53,8 +53,8 @@
 	// "503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
 
-// While draining, idle connections of clients close first, then those with a partial request; one
-// that carries callbacks stays.
+// While draining, idle client connections are closed first, then those with a partial request. A
+// connection that carries callbacks stays open.
 func Example_draining() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -105,8 +105,9 @@
 	// "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
 
-// A request that has been read, and is queued for the event loop, is served, whatever closes idle
-// connections at that moment: a shutdown, the read deadline, or want of descriptors.
+// A request that has been read and is queued for the event loop is served, even if its connection
+// is to be closed as idle at that moment because of a shutdown, the read deadline or a lack of
+// descriptors.
 func TestReadRequestServedAtIdleClose(t *testing.T) {
 	for name, closeIdle := range map[string]func(server *Server, c *connection){
 		"shutdown":      func(server *Server, _ *connection) { behavior.ClosesIdle = true; server.ApplyBehavior() },
@@ -122,12 +123,12 @@
 			defer closeListener()
 			near, far := net.Pipe()
 			defer far.Close()
-			accepted{server: server, conn: near}.Run()
+			acceptResult{server: server, conn: near}.Run()
 			var c *connection
 			for c = range server.connections {
 				c.acceptedAt -= firstRequestGrace
 			}
-			far.Write([]byte(requestText)) // has been read when this returns, and the event loop does not run
+			far.Write([]byte(requestText)) // returns once the bytes have been read; the event loop is not running
 			closeIdle(server, c)
 			answer := make(chan string, 1)
 			go func() {
@@ -141,14 +142,14 @@
 				}
 			})
 			if !strings.HasPrefix(got, "HTTP/1.1 200 OK") {
-				t.Errorf("%q", got)
+				t.Errorf("answer %q, want 200 OK", got)
 			}
 		})
 	}
 }
 
-// A request that arrives between the last read of an idle connection and its close is served,
-// though it has not been read: closing over it would reset the connection.
+// A request that arrives between the last read from an idle connection and its close is served
+// although it has not been read: closing a socket with unread bytes would reset the connection.
 func TestUnreadRequestServedAtIdleClose(t *testing.T) {
 	for name, closeIdle := range map[string]func(server *Server){
 		"shutdown":      func(server *Server) { behavior.ClosesIdle = true; server.ApplyBehavior() },
@@ -165,7 +166,7 @@
 				c.acceptedAt -= firstRequestGrace
 				c.conn.SetState(conn.StateIdle)
 			}
-			closeIdle(server) // the reading has been stopped, and the event loop does not run
+			closeIdle(server) // stops reading; the event loop is not running
 			client.Write([]byte(requestText))
 			for end := time.Now().Add(5 * time.Second); !c.conn.Readable() && time.Now().Before(end); {
 			}
@@ -181,14 +182,14 @@
 				}
 			})
 			if !strings.HasPrefix(got, "HTTP/1.1 200 OK") {
-				t.Errorf("%q", got)
+				t.Errorf("answer %q, want 200 OK", got)
 			}
 		})
 	}
 }
 
-// A connection that is accepted just before the exit has its request served. The server stops
-// accepting only once the accept goroutine is blocked for good.
+// A connection that is accepted just before the exit still has its request served. StopAccepting
+// returns true only once the accept goroutine is blocked for good.
 func Example_lastConnection() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/tenancy.go
+++ b/internal/clients/tenancy.go
@@ -10,12 +10,13 @@
 	"stoatweir/internal/tenants"
 )
 
-// bearerScheme is the only scheme of credentials.
+// bearerScheme is the only authentication scheme accepted.
 const bearerScheme = "Bearer"
 
-// authenticate returns the account that a request's credentials belong to; nil: they are of no
-// account. Of two credentials each reader could believe another, so there must be exactly one. The
-// scheme is checked last, so that a rejection costs as much time as a success.
+// authenticate returns the account that a request's credentials belong to, or nil if they are
+// invalid. There must be exactly one Authorization header: given two, different readers could
+// choose different ones. The scheme is checked last, so that a rejection takes as long as a
+// success.
 func (s *Server) authenticate(authorization []string) *tenants.Account {
 	if len(authorization) != 1 {
 		return nil
@@ -29,9 +30,9 @@
 	return account
 }
 
-// accountOf returns the account of an invocation that another process admitted, by the handle in
-// its identifier. The account is nil where tenants are not served; known is false if the tenant
-// does not exist here.
+// accountOf returns the account of an invocation that another process admitted, looked up by the
+// tenant's handle in its identifier. If tenants are not served, the account is nil. known is false
+// if the tenant does not exist here.
 func (s *Server) accountOf(id string) (account *tenants.Account, known bool) {
 	if s.Admission == nil {
 		return nil, true
@@ -40,19 +41,19 @@
 	return account, account != nil
 }
 
-// rejectUnauthorized answers a request without valid credentials, ever more slowly on one
-// connection, as guesses cost processor time.
+// rejectUnauthorized answers a request without valid credentials. Consecutive ones on one
+// connection are answered with growing delays, because guesses cost processor time.
 func (c *connection) rejectUnauthorized() {
 	c.reject(http.StatusUnauthorized, http1.Field{Name: "WWW-Authenticate", Value: bearerScheme})
 }
 
-// rejectLimited answers a request that its tenant's limits reject: which limit it was, and when to
-// retry.
+// rejectLimited answers a request that its tenant's limits reject, with the name of the limit and,
+// if known, the time to wait before a retry.
 func (c *connection) rejectLimited(decision tenants.Decision) {
 	c.consecutiveRejections = 0
 	fields := []http1.Field{{Name: "X-Limit", Value: string(decision.Kind)}}
 	if decision.RetryAfter > 0 {
-		fields = append(fields, retryAfter(decision.RetryAfter, retryAfterMilliseconds))
+		fields = append(fields, retryAfter(decision.RetryAfter, millisecondDecimals))
 	}
 	status := http.StatusTooManyRequests
 	switch decision.Kind {
@@ -64,7 +65,7 @@
 	c.answer(status, nil, fields...)
 }
 
-// isRetry reports whether a client says that it has sent the request before.
+// isRetry reports whether the client declares that it has sent the request before.
 func isRetry(m *http1.Message) bool {
 	attempt, err := strconv.Atoi(m.Header.Get(headerAttempt))
 	return err == nil && attempt > 1
--- a/internal/clients/tenancy_test.go
+++ b/internal/clients/tenancy_test.go
@@ -12,12 +12,12 @@
 	"stoatweir/internal/workers"
 )
 
-// testSecret is the secret of each test tenant's credential.
+// testSecret is the secret in every test tenant's credential.
 const testSecret = "secret"
 
-// newTenantServer returns a server for the tenants a, b (suspended) and c, which may send one
-// request and 100 bytes. Tenant x has the handle h-x and the credential k-x. Each invocation is
-// throttled at once.
+// newTenantServer returns a server for the tenants a, b (suspended) and c (limited to one request,
+// of at most 100 bytes). The handle of tenant x is h-x and its credential's identifier is k-x. Each
+// invocation is throttled at once.
 func newTenantServer() (run func(text string), server *Server, closeListener func()) {
 	loop, server, addr, closeListener := newTestServer(10)
 	one := 1.0
@@ -55,15 +55,15 @@
 	}
 }
 
-// authorized returns requestText with the header lines given, and closes the connection with its
-// answer.
+// requestWithHeaders returns requestText with the given header lines, asking to close the
+// connection after the answer.
 func authorized(lines ...string) string {
 	lines = append(lines, "Connection: close")
 	return strings.Replace(requestText, "X-Caller: oak", strings.Join(lines, "\r\n"), 1)
 }
 
-// Only exactly one valid credential is accepted; identifier and key go to workers within the
-// tenant's scope.
+// Requests need exactly one valid credential. The identifier and the idempotency key are forwarded
+// to workers within the tenant's scope.
 func Example_credentials() {
 	run, _, closeListener := newTenantServer()
 	defer closeListener()
@@ -92,8 +92,8 @@
 	// "404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 }
 
-// A tenant's limits reject a request with the name of the limit and, where that is of use, the time
-// to retry.
+// A request beyond its tenant's limits is rejected with the name of the limit and, where it helps,
+// the time to wait before a retry.
 func Example_tenantLimits() {
 	run, server, closeListener := newTenantServer()
 	defer closeListener()
@@ -118,7 +118,8 @@
 	// c 1 0 [0 1 0 0 0] map[concurrency:0 held_work:0 rate:1 request_size:1 retry_budget:0 share:0 suspended:0] 0 4
 }
 
-// Where tenants are served, no page shows one tenant's figures to another.
+// If tenants are served, the pages for operators are not available, as they would show one tenant's
+// figures to another.
 func Example_operatorPagesWithTenants() {
 	run, server, closeListener := newTenantServer()
 	defer closeListener()
@@ -137,8 +138,8 @@
 	// "200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 7\r\n\r\nhistory"
 }
 
-// The invocation of a tenant that is not known here does not migrate in; one that does is accounted
-// to its tenant.
+// An invocation is not accepted from another process if its tenant is not known here. Otherwise it
+// counts toward its tenant's usage.
 func TestMigratedInvocationOfTenant(t *testing.T) {
 	for _, test := range []struct {
 		id string
@@ -157,11 +158,11 @@
 			invocation := &workers.Invocation{ID: test.id, Body: []byte("body"), Deadline: time.Minute}
 			inv, ok := server.AcceptMigrated(far, MigratingConnection{}, invocation, operation, time.Second)
 			if ok != test.ok || ok != (inv == 1) || ok != (server.InFlight() == 1) {
-				t.Fatalf("invocation %d, accepted %v, %d in flight", inv, ok, server.InFlight())
+				t.Fatalf("invocation %d, accepted %v, %d in flight, want it accepted only for a known tenant", inv, ok, server.InFlight())
 			}
 			usage := server.Admission.Usage(server.Admission.Account("a"))
 			if (usage.InFlight == 1) != test.ok || (usage.Bytes == 4) != test.ok || usage.HeldWorkS != 0 {
-				t.Errorf("%+v", usage)
+				t.Errorf("usage %+v, want the accepted invocation and its bytes accounted to the tenant, and no held work", usage)
 			}
 		})
 	}
--- a/internal/clients/validate.go
+++ b/internal/clients/validate.go
@@ -13,21 +13,24 @@
 )
 
 const (
-	// maxIDBytes bounds an identifier, before it is scoped to a tenant.
+	// maxIDBytes is the maximum length of an identifier as sent by the client, without its tenant's
+	// scope.
 	maxIDBytes = 64
-	// maxKeyBytes bounds an idempotency key, before it is scoped to a tenant.
+	// maxKeyBytes is the maximum length of an idempotency key as sent by the client, without its
+	// tenant's scope.
 	maxKeyBytes = 256
-	// maxTargetBytes bounds a request's target, path and query.
+	// maxTargetBytes is the maximum length of a request's target (path and query).
 	maxTargetBytes = 2 << 10
-	// maxBudgetSeconds bounds a budget.
+	// maxBudgetSeconds is the exclusive upper bound of a budget.
 	maxBudgetSeconds = 1e6
-	// decimalDigits are what a budget is written with, beside the decimal point.
+	// decimalDigits are the characters allowed in a budget besides the decimal point.
 	decimalDigits = "0123456789"
-	// asciiDelete is the control character above the printable ones.
+	// asciiDelete is the control character that follows the printable ASCII characters.
 	asciiDelete = 0x7f
 )
 
-// singletonHeaders may stand in a request only once: of two, each reader could believe another.
+// singletonHeaders may occur only once in a request: given two, different readers could choose
+// different ones.
 var singletonHeaders = []string{headerCallID, headerOperation, headerBudget, headerIdempotencyKey, "Host", headerAttempt}
 
 // valid reports whether a request for a known operation with the given effect is well formed.
@@ -37,12 +40,12 @@
 			return false
 		}
 	}
-	return r.budgetValid && r.name == r.pathName && validID(r.id) && validTarget(r.message.Target, r.path) &&
+	return r.budgetValid && r.operationName == r.pathOperationName && validID(r.id) && validTarget(r.message.Target, r.path) &&
 		validIdempotencyKey(r.message.Header[headerIdempotencyKey], effect)
 }
 
-// parseBudget reads a budget: seconds, with decimals, and in no form that only some readers parse
-// as a number.
+// parseBudget parses a budget in seconds. It accepts only digits with an optional decimal point,
+// and no notation that only some readers parse as a number.
 func parseBudget(text string) (budget time.Duration, valid bool) {
 	if strings.Trim(text, decimalDigits+".") != "" {
 		return 0, false
@@ -53,8 +56,8 @@
 
 func validID(id string) bool { return http1.Token(id) && len(id) <= maxIDBytes }
 
-// validTarget reports whether a worker reads the same in a target, whose path is given too, as this
-// process does.
+// validTarget reports whether a worker is certain to interpret a request's target as this process
+// does. path is the target's path.
 func validTarget(target, path string) bool {
 	unescaped, err := url.PathUnescape(path)
 	if err != nil || len(target) > maxTargetBytes || strings.ContainsAny(target, "#\\\"<>") || !utf8.ValidString(unescaped) {
@@ -71,8 +74,8 @@
 	return true
 }
 
-// validIdempotencyKey reports whether workers can recognize a repeat by its key, where the
-// operation's effect needs one.
+// validIdempotencyKey reports whether workers can recognize a repeat by its idempotency key, if the
+// operation's effect requires one.
 func validIdempotencyKey(values []string, effect dispatch.Effect) bool {
 	if len(values) == 0 {
 		return effect != dispatch.Deduplicated
@@ -81,7 +84,7 @@
 	return key != "" && len(key) <= maxKeyBytes && printableASCII(key)
 }
 
-// printableASCII reports whether a text consists of printable ASCII characters other than the
+// printableASCII reports whether a text consists only of printable ASCII characters other than the
 // space.
 func printableASCII(text string) bool {
 	for _, c := range text {
--- a/internal/clients/validate_test.go
+++ b/internal/clients/validate_test.go
@@ -8,7 +8,8 @@
 	"stoatweir/internal/settings"
 )
 
-// An invalid request gets a plain status, and nothing of it reaches the decision module.
+// An invalid request is answered with a status and no body, and nothing of it reaches the decision
+// module.
 func Example_invalidRequests() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
@@ -85,8 +86,8 @@
 	// 2 0 29
 }
 
-// Names that are prefixes of others, or need escaping in a path: each is an operation of its own,
-// by its whole name.
+// Operation names that are prefixes of others, or that need escaping in a path, are matched as a
+// whole.
 func Example_operationNames() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
