--- a/internal/clients/answer_test.go
+++ b/internal/clients/answer_test.go
@@ -113,16 +113,16 @@
 		completed := server.Ledger.Totals(0, 0).Classes[0].Completed
 		// Clients that disconnected may have missed an answer in transit.
 		unanswered := completed[accounting.Abandoned]
-		sound := true
+		consistent := true
 		for status, disposition := range map[int]accounting.Disposition{
 			200: accounting.Succeeded,
 			503: accounting.Declined,
 			500: accounting.Aborted,
 		} {
 			unanswered += completed[disposition] - answers[status]
-			sound = sound && completed[disposition] >= answers[status]
+			consistent = consistent && completed[disposition] >= answers[status]
 		}
-		if !sound || unanswered > disconnected {
+		if !consistent || unanswered > disconnected {
 			t.Errorf("seed %d: dispositions %v do not match the answers by status %v with %d clients disconnected",
 				seed, completed, answers, disconnected)
 		}
@@ -131,7 +131,7 @@
 }
 
 // If an invocation may have run, its rejection is replaced by an error, which leaves that open.
-func Example_rejectionOfWhatMayHaveRun() {
+func Example_rejectionAfterPossibleRun() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
 	server.Invariants = invariant.New(loop.Clock)
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -26,8 +26,9 @@
 	return deployment
 }
 
-// newTestServer returns a server that listens on loopback, has a quota of 40 descriptors and prints
-// the calls of its function fields. Its lifecycle behavior is taken from the variable behavior.
+// newTestServer returns a server that listens on loopback, has a quota of 40 descriptors, and
+// prints its events, admitted invocations and callbacks. Its lifecycle behavior is taken from the
+// variable behavior.
 func newTestServer(maxInFlight int) (loop *conn.Loop, server *Server, addr string, closeListener func()) {
 	loop = conn.NewLoop(time.Now())
 	server = New(loop, testDeployment(), loop.NewQuota(40), accounting.New())
@@ -36,7 +37,7 @@
 	server.OwnedByPeer = func(string) bool { return false }
 	server.OnOwnership = func(string, bool) {}
 	server.OnEvent = func(e dispatch.Event) {
-		if a, is := e.(dispatch.Arrival); is {
+		if a, ok := e.(dispatch.Arrival); ok {
 			fmt.Printf("invocation %d: operation %d tenant %d slots %v hint %v budget %v\n", a.Invocation, a.Operation, a.Tenant,
 				a.Slots, a.Hint, a.Budget.Round(100*time.Millisecond))
 			return
@@ -67,8 +68,8 @@
 
 // runUntil runs the event loop until done, which is called after each iteration, returns true. It
 // panics after 10 s, naming what it waited for.
-func runUntil(loop *conn.Loop, what string, done func() bool) {
-	timeout := loop.After(10*time.Second, func() { panic("timed out waiting for " + what) })
+func runUntil(loop *conn.Loop, awaited string, done func() bool) {
+	timeout := loop.After(10*time.Second, func() { panic("timed out waiting for " + awaited) })
 	loop.Run(func() {
 		if done() {
 			loop.Stop()
@@ -87,7 +88,7 @@
 }
 
 // awaitAnswer runs the event loop until a client has sent its answer or error to the channel, and
-// returns it. each is called after every iteration.
+// returns it. It calls each after every iteration.
 func awaitAnswer(loop *conn.Loop, answer <-chan string, each func()) string {
 	got := ""
 	loop.After(0, func() {})
--- a/internal/clients/identifiers_test.go
+++ b/internal/clients/identifiers_test.go
@@ -20,9 +20,9 @@
 		}
 	}
 	for _, id := range []string{"b", "a"} {
-		near, far := tcpPipe(t)
-		defer near.Close()
-		_, ok := server.AcceptMigrated(far, MigratingConnection{}, &workers.Invocation{ID: id, Deadline: time.Minute}, 0, 0)
+		client, accepted := tcpPipe(t)
+		defer client.Close()
+		_, ok := server.AcceptMigrated(accepted, MigratingConnection{}, &workers.Invocation{ID: id, Deadline: time.Minute}, 0, 0)
 		if !ok {
 			t.Fatal("the migrated connection was not accepted")
 		}
--- a/internal/clients/inflight_test.go
+++ b/internal/clients/inflight_test.go
@@ -75,7 +75,7 @@
 			disconnected := 0
 			server.OnRequest = func(*workers.Invocation, int) {}
 			server.OnEvent = func(e dispatch.Event) {
-				if _, is := e.(dispatch.ClientDisconnected); is {
+				if _, ok := e.(dispatch.ClientDisconnected); ok {
 					disconnected++
 				}
 			}
@@ -138,8 +138,8 @@
 	transport.OnEvent = func(e dispatch.Event) { outcomes = append(outcomes, e) }
 	var invocation *workers.Invocation
 	server.OnEvent = func(dispatch.Event) {}
-	server.OnRequest = func(given *workers.Invocation, _ int) {
-		invocation = given
+	server.OnRequest = func(admitted *workers.Invocation, _ int) {
+		invocation = admitted
 		transport.Invariants.RequestAdmitted(invocation.Number, invariant.RequestLimits{})
 	}
 	client := dial(addr)
--- a/internal/clients/listener_test.go
+++ b/internal/clients/listener_test.go
@@ -56,7 +56,7 @@
 
 // A connection without a request uses one goroutine and no ring buffer, and leaks no goroutine when
 // it closes.
-func TestSilentConnectionsCostLittle(t *testing.T) {
+func TestSilentConnectionResources(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
 	const count = 200
@@ -68,8 +68,8 @@
 		clients = append(clients, client)
 	}
 	runUntil(loop, "all connections", func() bool { return len(server.connections) == count })
-	if cost := runtime.NumGoroutine() - before; cost > count+10 {
-		t.Errorf("%d silent connections use %d goroutines, want about one each", count, cost)
+	if goroutines := runtime.NumGoroutine() - before; goroutines > count+10 {
+		t.Errorf("%d silent connections use %d goroutines, want about one each", count, goroutines)
 	}
 	for c := range server.connections {
 		if !c.conn.In.Empty() {
--- a/internal/clients/migration_test.go
+++ b/internal/clients/migration_test.go
@@ -25,7 +25,7 @@
 	client = dial(addr)
 	client.Write([]byte(requestText))
 	runUntil(loop, "the request", func() bool { return server.InFlight() == 1 })
-	server.MigrateConnections(1, func(dispatch.InvocationID) bool { return true }, func(given *MigratingConnection) { m = given })
+	server.MigrateConnections(1, func(dispatch.InvocationID) bool { return true }, func(offered *MigratingConnection) { m = offered })
 	loop.After(0, func() {})
 	runUntil(loop, "the migration", func() bool { return m != nil })
 	raw, err := m.Socket.SyscallConn()
@@ -47,20 +47,20 @@
 }
 
 // tcpPipe returns both ends of a TCP connection.
-func tcpPipe(t *testing.T) (near, far net.Conn) {
+func tcpPipe(t *testing.T) (clientSide, serverSide net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	if near, err = net.Dial("tcp", listener.Addr().String()); err != nil {
+	if clientSide, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if far, err = listener.Accept(); err != nil {
+	if serverSide, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	return near, far
+	return clientSide, serverSide
 }
 
 // maxSilence is the time within which a connection without a request must be closed: 3 s, less the
@@ -119,8 +119,8 @@
 func TestReadDeadlineOfMigratedConnection(t *testing.T) {
 	loop, server, _, closeListener := newTestServer(10)
 	defer closeListener()
-	near, far := tcpPipe(t)
-	if _, ok := server.AcceptMigrated(far, MigratingConnection{Unused: true, SilentFor: 2400 * time.Millisecond}, nil, 0, 0); !ok {
+	client, accepted := tcpPipe(t)
+	if _, ok := server.AcceptMigrated(accepted, MigratingConnection{Unused: true, SilentFor: 2400 * time.Millisecond}, nil, 0, 0); !ok {
 		t.Fatal("the connection was not accepted")
 	}
 	began := time.Now()
@@ -131,7 +131,7 @@
 	if took := 2400*time.Millisecond + time.Since(began); took > maxSilence {
 		t.Errorf("closed %v after its accept, want at most maxSilence", took)
 	}
-	near.Close()
+	client.Close()
 }
 
 // The read deadline of a connection still counts from its accept if the other process does not
@@ -166,26 +166,26 @@
 func TestMigrationAccepted(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
-	var owned []string
-	server.OnOwnership = func(id string, inUse bool) { owned = append(owned, fmt.Sprint(id, " ", inUse)) }
+	var ownershipChanges []string
+	server.OnOwnership = func(id string, inUse bool) { ownershipChanges = append(ownershipChanges, fmt.Sprint(id, " ", inUse)) }
 	client := dial(addr)
 	defer client.Close()
 	client.Write([]byte(requestText))
 	runUntil(loop, "the request", func() bool { return server.InFlight() == 1 })
 	attempts := 0
-	allowed := func(dispatch.InvocationID) bool {
+	mayMigrate := func(dispatch.InvocationID) bool {
 		attempts++
 		return attempts > 1
 	}
 	var migrating []*MigratingConnection
-	pass := func(m *MigratingConnection) { migrating = append(migrating, m) }
-	server.MigrateConnections(0, allowed, pass)
+	offer := func(m *MigratingConnection) { migrating = append(migrating, m) }
+	server.MigrateConnections(0, mayMigrate, offer)
 	if attempts > 0 || !server.HasMigratable() {
 		t.Fatalf("%d attempts, migratable %v, want 0 and true", attempts, server.HasMigratable())
 	}
 	loop.After(0, func() {})
 	runUntil(loop, "the migration", func() bool {
-		server.MigrateConnections(1, allowed, pass)
+		server.MigrateConnections(1, mayMigrate, offer)
 		loop.After(time.Millisecond, func() {})
 		return len(migrating) > 0
 	})
@@ -198,14 +198,14 @@
 		t.Errorf("in transit: migratable %v, busy %v, awaits answer %v, want false, true and false",
 			server.HasMigratable(), server.Busy(), server.AwaitsAnswer(1))
 	}
-	server.MigrateConnections(2, allowed, pass)
+	server.MigrateConnections(2, mayMigrate, offer)
 	m.Accepted()
 	ids := server.IDs()
 	if len(server.connections) > 0 || server.Busy() || len(ids) > 0 || server.ClosedConnections["handed over"] != 1 {
 		t.Errorf("accepted: %d connections, busy %v, identifiers %v, closed %v, want none left and one handed over",
 			len(server.connections), server.Busy(), ids, server.ClosedConnections)
 	}
-	if got := fmt.Sprint(owned); got != "[9b1f true 9b1f false]" {
+	if got := fmt.Sprint(ownershipChanges); got != "[9b1f true 9b1f false]" {
 		t.Errorf("ownership changes %v, want [9b1f true 9b1f false]", got)
 	}
 	completed := server.Ledger.Totals(0, 0).Classes[0].Completed
@@ -230,7 +230,7 @@
 		return false
 	})
 	var m *MigratingConnection
-	server.MigrateConnections(1, nil, func(given *MigratingConnection) { m = given })
+	server.MigrateConnections(1, nil, func(offered *MigratingConnection) { m = offered })
 	loop.After(0, func() {})
 	runUntil(loop, "the migration", func() bool { return m != nil })
 	if m.Invocation != 0 || m.Unused || !m.CarriesCallbacks {
@@ -255,9 +255,9 @@
 	_, server, _, closeListener := newTestServer(1)
 	defer closeListener()
 	ignoreEvents(server)
-	near, far := tcpPipe(t)
-	defer near.Close()
-	inv, ok := server.AcceptMigrated(far, MigratingConnection{Buffered: []byte(requestText)}, nil, 0, 0)
+	client, accepted := tcpPipe(t)
+	defer client.Close()
+	inv, ok := server.AcceptMigrated(accepted, MigratingConnection{Buffered: []byte(requestText)}, nil, 0, 0)
 	if inv != 0 || !ok || server.InFlight() != 1 {
 		t.Errorf("invocation %d, accepted %v, %d in flight, want 0, true and 1", inv, ok, server.InFlight())
 	}
--- a/internal/clients/shutdown_test.go
+++ b/internal/clients/shutdown_test.go
@@ -121,19 +121,19 @@
 		t.Run(name, func(t *testing.T) {
 			loop, server, _, closeListener := newTestServer(10)
 			defer closeListener()
-			near, far := net.Pipe()
-			defer far.Close()
-			acceptResult{server: server, conn: near}.Run()
+			serverSide, clientSide := net.Pipe()
+			defer clientSide.Close()
+			acceptResult{server: server, conn: serverSide}.Run()
 			var c *connection
 			for c = range server.connections {
 				c.acceptedAt -= firstRequestGrace
 			}
-			far.Write([]byte(requestText)) // returns once the bytes have been read; the event loop is not running
+			clientSide.Write([]byte(requestText)) // returns once the bytes have been read; the event loop is not running
 			closeIdle(server, c)
 			answer := make(chan string, 1)
 			go func() {
 				b := make([]byte, 1024)
-				n, err := far.Read(b)
+				n, err := clientSide.Read(b)
 				answer <- fmt.Sprint(string(b[:n]), err)
 			}()
 			got := awaitAnswer(loop, answer, func() {
--- a/internal/clients/tenancy_test.go
+++ b/internal/clients/tenancy_test.go
@@ -16,27 +16,27 @@
 const testSecret = "secret"
 
 // newTenantServer returns a server for the tenants a, b (suspended) and c (limited to one request,
-// of at most 100 bytes). The handle of tenant x is h-x and its credential's identifier is k-x. Each
-// invocation is throttled at once.
-func newTenantServer() (run func(text string), server *Server, closeListener func()) {
+// of at most 100 bytes), and a function that sends it a request and prints the answer. The handle
+// of tenant x is h-x and its credential's identifier is k-x. Each invocation is throttled at once.
+func newTenantServer() (send func(text string), server *Server, closeListener func()) {
 	loop, server, addr, closeListener := newTestServer(10)
-	one := 1.0
-	rate := 1e-6
-	size := 100
-	all := []tenants.Tenant{
+	burst := 1.0
+	ratePerS := 1e-6
+	requestBytes := 100
+	allTenants := []tenants.Tenant{
 		testTenant("a", tenants.Active, tenants.Limits{}),
 		testTenant("b", tenants.Suspended, tenants.Limits{}),
-		testTenant("c", tenants.Active, tenants.Limits{RatePerS: &rate, Burst: &one, RequestBytes: &size}),
+		testTenant("c", tenants.Active, tenants.Limits{RatePerS: &ratePerS, Burst: &burst, RequestBytes: &requestBytes}),
 	}
 	server.Admission = tenants.NewController(10, 1, rand.New(rand.NewPCG(1, 1)))
-	for _, tenant := range all {
+	for _, tenant := range allTenants {
 		server.Admission.Put(loop.Now(), tenant)
 	}
-	server.Reconfigure(testDeployment().WithTenants(all, 0))
+	server.Reconfigure(testDeployment().WithTenants(allTenants, 0))
 	printEvent := server.OnEvent
 	server.OnEvent = func(e dispatch.Event) {
 		printEvent(e)
-		if a, is := e.(dispatch.Arrival); is {
+		if a, ok := e.(dispatch.Arrival); ok {
 			server.Throttle(a.Invocation, 0)
 		}
 	}
@@ -57,7 +57,7 @@
 
 // requestWithHeaders returns requestText with the given header lines, asking to close the
 // connection after the answer.
-func authorized(lines ...string) string {
+func requestWithHeaders(lines ...string) string {
 	lines = append(lines, "Connection: close")
 	return strings.Replace(requestText, "X-Caller: oak", strings.Join(lines, "\r\n"), 1)
 }
@@ -65,17 +65,17 @@
 // Requests need exactly one valid credential. The identifier and the idempotency key are forwarded
 // to workers within the tenant's scope.
 func Example_credentials() {
-	run, _, closeListener := newTenantServer()
+	send, _, closeListener := newTenantServer()
 	defer closeListener()
-	run(authorized())
-	run(authorized("Authorization: Bearer k-a.secret", "Authorization: Bearer k-a.secret"))
-	run(authorized("Authorization: Basic k-a.secret"))
-	run(authorized("Authorization: Bearer k-a.other"))
-	run(authorized("Authorization: Bearer k-d.secret"))
-	run(authorized("Authorization: bearer  k-a.secret", "Idempotency-Key: key"))
-	run(authorized("Authorization: Bearer k-a.secret"))
-	run(authorized("Authorization: Bearer k-c.secret"))
-	run(strings.NewReplacer("render", "sale").Replace(authorized("Authorization: Bearer k-a.secret")))
+	send(requestWithHeaders())
+	send(requestWithHeaders("Authorization: Bearer k-a.secret", "Authorization: Bearer k-a.secret"))
+	send(requestWithHeaders("Authorization: Basic k-a.secret"))
+	send(requestWithHeaders("Authorization: Bearer k-a.other"))
+	send(requestWithHeaders("Authorization: Bearer k-d.secret"))
+	send(requestWithHeaders("Authorization: bearer  k-a.secret", "Idempotency-Key: key"))
+	send(requestWithHeaders("Authorization: Bearer k-a.secret"))
+	send(requestWithHeaders("Authorization: Bearer k-c.secret"))
+	send(strings.NewReplacer("render", "sale").Replace(requestWithHeaders("Authorization: Bearer k-a.secret")))
 	// Output:
 	// "401 \r\nWWW-Authenticate: Bearer\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// "401 \r\nWWW-Authenticate: Bearer\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -95,13 +95,13 @@
 // A request beyond its tenant's limits is rejected with the name of the limit and, where it helps,
 // the time to wait before a retry.
 func Example_tenantLimits() {
-	run, server, closeListener := newTenantServer()
+	send, server, closeListener := newTenantServer()
 	defer closeListener()
-	run(authorized("Authorization: Bearer k-b.secret"))
-	long := strings.NewReplacer("Content-Length: 4", "Content-Length: 101", "body", strings.Repeat("x", 101))
-	run(long.Replace(authorized("Authorization: Bearer k-c.secret")))
-	run(authorized("Authorization: Bearer k-c.secret"))
-	run(strings.Replace(authorized("Authorization: Bearer k-c.secret", "X-Attempt: 2"), "9b1f", "9b20", 1))
+	send(requestWithHeaders("Authorization: Bearer k-b.secret"))
+	tooLong := strings.NewReplacer("Content-Length: 4", "Content-Length: 101", "body", strings.Repeat("x", 101))
+	send(tooLong.Replace(requestWithHeaders("Authorization: Bearer k-c.secret")))
+	send(requestWithHeaders("Authorization: Bearer k-c.secret"))
+	send(strings.Replace(requestWithHeaders("Authorization: Bearer k-c.secret", "X-Attempt: 2"), "9b1f", "9b20", 1))
 	for _, name := range server.Admission.Names() {
 		usage := server.Admission.Usage(server.Admission.Account(name))
 		fmt.Println(name, usage.Admitted, usage.Retries, usage.Completed, usage.Throttled, usage.InFlight, usage.Bytes)
@@ -121,15 +121,15 @@
 // If tenants are served, the pages for operators are not available, as they would show one tenant's
 // figures to another.
 func Example_operatorPagesWithTenants() {
-	run, server, closeListener := newTenantServer()
+	send, server, closeListener := newTenantServer()
 	defer closeListener()
 	server.History = func(string) []byte { return []byte("history") }
-	run("GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
-	run("GET /-/counts HTTP/1.1\r\nConnection: close\r\n\r\n")
-	run("GET /-/history?id=9b1f HTTP/1.1\r\nConnection: close\r\n\r\n")
+	send("GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+	send("GET /-/counts HTTP/1.1\r\nConnection: close\r\n\r\n")
+	send("GET /-/history?id=9b1f HTTP/1.1\r\nConnection: close\r\n\r\n")
 	server.Admission = nil
-	run("GET /-/counts HTTP/1.1\r\nConnection: close\r\n\r\n")
-	run("GET /-/history?id=9b1f HTTP/1.1\r\nConnection: close\r\n\r\n")
+	send("GET /-/counts HTTP/1.1\r\nConnection: close\r\n\r\n")
+	send("GET /-/history?id=9b1f HTTP/1.1\r\nConnection: close\r\n\r\n")
 	// Output:
 	// "200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	// "405 Method Not Allowed\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -152,11 +152,11 @@
 		t.Run(test.id, func(t *testing.T) {
 			_, server, closeListener := newTenantServer()
 			defer closeListener()
-			near, far := tcpPipe(t)
-			defer near.Close()
+			client, accepted := tcpPipe(t)
+			defer client.Close()
 			operation := server.deployment.OperationIndex["h-a/render"]
 			invocation := &workers.Invocation{ID: test.id, Body: []byte("body"), Deadline: time.Minute}
-			inv, ok := server.AcceptMigrated(far, MigratingConnection{}, invocation, operation, time.Second)
+			inv, ok := server.AcceptMigrated(accepted, MigratingConnection{}, invocation, operation, time.Second)
 			if ok != test.ok || ok != (inv == 1) || ok != (server.InFlight() == 1) {
 				t.Fatalf("invocation %d, accepted %v, %d in flight, want it accepted only for a known tenant", inv, ok, server.InFlight())
 			}
--- a/internal/clients/validate_test.go
+++ b/internal/clients/validate_test.go
@@ -101,7 +101,7 @@
 	printEvent := server.OnEvent
 	server.OnEvent = func(e dispatch.Event) {
 		printEvent(e)
-		if a, is := e.(dispatch.Arrival); is {
+		if a, ok := e.(dispatch.Arrival); ok {
 			server.Throttle(a.Invocation, 0)
 		}
 	}
