--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -126,8 +126,9 @@
 	c.answer(status, nil)
 }
 
-// reject answers a request that can't be served as it is. The first of several consecutive
-// rejections is answered at once, the others after a delay that grows with their number.
+// reject answers an invalid request that was received whole, so that the connection can stay open.
+// The first of several consecutive rejections is answered at once, the others after a delay that
+// grows with their number.
 func (c *connection) reject(status int, fields ...http1.Field) {
 	c.server.Counts.Malformed++
 	c.consecutiveRejections++
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -49,7 +49,8 @@
 	// readTimer fires when the next request must have arrived whole. It is nil while a request is
 	// being handled and between requests, but runs during the wait for the first request.
 	readTimer *conn.Timer
-	// consecutiveRejections counts the rejected requests since the last one that was not rejected.
+	// consecutiveRejections counts the invalid requests since the last invocation that was
+	// admitted, or rejected only because of its tenant's limits.
 	consecutiveRejections int
 	// used is set once an invocation or a callback has arrived. It is never reset.
 	used bool
--- a/internal/clients/migrate_in.go
+++ b/internal/clients/migrate_in.go
@@ -11,10 +11,11 @@
 )
 
 // AcceptMigrated adopts a connection from another process together with the invocation in flight on
-// it, nil if there is none. It sets the invocation's number and returns it. operation is the index
-// of the invocation's operation; age is the time since its admission at its first process. If there
-// is no capacity for the connection, its client has disconnected or its tenant is not known here,
-// AcceptMigrated returns false and leaves netConn to the caller.
+// it, nil if there is none. It sets the invocation's number and returns it, or 0 without an
+// invocation. operation is the index of the invocation's operation; age is the time since its
+// admission at its first process. If there is no capacity for the connection, its client has
+// disconnected or its tenant is not known here, AcceptMigrated returns false and leaves netConn to
+// the caller.
 func (s *Server) AcceptMigrated(netConn net.Conn, m MigratingConnection, invocation *workers.Invocation, operation int, age time.Duration) (
 	inv dispatch.InvocationID, ok bool) {
 	if !s.admitsMigrated(invocation) || conn.PeerClosed(netConn) || !s.quota.EnsureFree(0) {
