--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// feedLine collects a line between chunks, or of the trailer, and handles it once it is complete.
+// feedLine collects a line between chunks or of the trailer, and handles it once it is complete. It
+// returns the number of bytes consumed.
 func (p *Parser) feedLine(b []byte) (int, error) {
 	newline := bytes.IndexByte(b, '\n')
 	n := newline + 1
@@ -25,6 +26,7 @@
 	return n, p.handleLine(line)
 }
 
+// maxLine returns the maximum length of a line in the current state, in bytes.
 func (p *Parser) maxLine() int {
 	if p.state == stateTrailer {
 		return maxTrailerLine
@@ -32,6 +34,7 @@
 	return maxChunkLine
 }
 
+// handleLine handles a complete line, without its line break, and sets the next state.
 func (p *Parser) handleLine(line string) error {
 	switch p.state {
 	case stateChunkEnd:
@@ -40,7 +43,7 @@
 		}
 		p.state = stateChunkSize
 	case stateChunkSize:
-		digits, _, _ := strings.Cut(line, ";") // extensions follow
+		digits, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
 		size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, lengthBits)
 		if err != nil {
 			return parseErrorf(StatusBadRequest, "malformed chunk size")
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -5,11 +5,14 @@
 	"strings"
 )
 
-// lengthBits is the size that the length of a body or of a chunk must fit, without a sign.
+// lengthBits is the number of bits that the length of a body or chunk must fit into, so that it is
+// a non-negative 32-bit integer.
 const lengthBits = 31
 
-// frame finds where the body of m ends. Two lengths, or a length beside chunks, are how requests are smuggled past
-// a peer that follows the other one: rejected, even where they agree.
+// frame determines how the end of m's body is recognised, and sets the parser's next state. A
+// message with two lengths, or with both a length and a transfer coding, is rejected even if they
+// agree: two parsers that follow different ones of them disagree on where the message ends, which
+// allows request smuggling.
 func (p *Parser) frame(m *Message) error {
 	lengths := m.Header["Content-Length"]
 	codings := m.Header["Transfer-Encoding"]
@@ -44,7 +47,8 @@
 	return nil
 }
 
-// skipInterim drops an interim response; the final one follows.
+// skipInterim discards an interim response, which is followed by the final one, and limits their
+// number.
 func (p *Parser) skipInterim() error {
 	p.interim++
 	if p.interim > maxInterim {
@@ -54,6 +58,7 @@
 	return nil
 }
 
+// frameByLength sets the next state from the value of a Content-Length header.
 func (p *Parser) frameByLength(length string) error {
 	n, err := strconv.ParseUint(length, 10, lengthBits)
 	if err != nil || strings.HasPrefix(length, "+") {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -13,10 +13,11 @@
 	version11 = "HTTP/1.1"
 )
 
-// deleteByte is the one control byte that is not below the blank.
+// deleteByte is DEL, the only ASCII control character above the space.
 const deleteByte = 0x7f
 
-// feedHead collects bytes until the head is complete. Blank lines before it are skipped, as RFC 9112 recommends.
+// feedHead collects bytes until the head is complete and then parses it. It returns the number of
+// bytes consumed. Blank lines before the head are skipped, as RFC 9112 recommends.
 func (p *Parser) feedHead(b []byte) (int, error) {
 	for n, c := range b {
 		if len(p.pending) == 0 && (c == '\r' || c == '\n') {
@@ -29,7 +30,8 @@
 			return n, parseErrorf(StatusHeaderFieldsTooLarge, "head over %d bytes", MaxHead)
 		}
 		if c != '\n' && bytes.HasSuffix(p.pending, []byte("\r")) {
-			return n, parseErrorf(StatusBadRequest, "bare carriage return in the head") // others may see the end of a line there
+			// Other parsers may take a bare carriage return for the end of a line.
+			return n, parseErrorf(StatusBadRequest, "bare carriage return in the head")
 		}
 		p.pending = append(p.pending, c)
 		if c == '\n' && endsWithBlankLine(p.pending) {
@@ -39,30 +41,35 @@
 	return len(b), nil
 }
 
+// forbiddenInHead reports whether c is a control character other than tab, CR and LF.
 func forbiddenInHead(c byte) bool {
 	return c < ' ' && c != '\r' && c != '\n' && c != '\t' || c == deleteByte
 }
 
+// endsWithBlankLine reports whether head ends with an empty line, terminated by CRLF or LF.
 func endsWithBlankLine(head []byte) bool {
 	return bytes.HasSuffix(head, []byte("\n\r\n")) || bytes.HasSuffix(head, []byte("\n\n"))
 }
 
+// parseHead parses the complete head in p.pending and determines how the body is framed.
 func (p *Parser) parseHead() error {
-	// A folded line hides a header from one of two parsers.
+	// Parsers disagree on folded lines, so one of them could miss a header that another one sees.
 	if bytes.Contains(p.pending, []byte("\n ")) || bytes.Contains(p.pending, []byte("\n\t")) {
 		return parseErrorf(StatusBadRequest, "folded line in the head")
 	}
 	reader := textproto.NewReader(bufio.NewReader(bytes.NewReader(p.pending)))
 	startLine, err := reader.ReadLine()
 	if err != nil {
-		return parseErrorf(StatusBadRequest, "no first line")
+		return parseErrorf(StatusBadRequest, "missing start line")
 	}
 	header, err := reader.ReadMIMEHeader()
 	if err != nil {
 		return parseErrorf(StatusBadRequest, "malformed header")
 	}
 	for name := range header {
-		if !Token(name) { // a length under a name that ends in a blank would be seen by one of two parsers
+		// Parsers disagree on names that end with a space: one could see a Content-Length where
+		// another does not.
+		if !Token(name) {
 			return parseErrorf(StatusBadRequest, "malformed header")
 		}
 	}
@@ -76,12 +83,13 @@
 	}
 	m.Close = closesConnection(header, version)
 	if version == version10 && len(header["Transfer-Encoding"]) > 0 {
-		return parseErrorf(StatusBadRequest, "chunks in HTTP/1.0") // others may not see them
+		// Other parsers may ignore Transfer-Encoding in HTTP/1.0.
+		return parseErrorf(StatusBadRequest, "Transfer-Encoding in HTTP/1.0")
 	}
 	return p.frame(m)
 }
 
-// parseStartLine reads a status line or a request line into m and returns the version in it.
+// parseStartLine parses a status line or request line into m and returns its HTTP version.
 func (p *Parser) parseStartLine(m *Message, line string) (version string, err error) {
 	if p.ReadsResponses {
 		return parseStatusLine(m, line)
@@ -89,6 +97,7 @@
 	return parseRequestLine(m, line)
 }
 
+// parseStatusLine parses the status line of a response into m and returns its HTTP version.
 func parseStatusLine(m *Message, line string) (version string, err error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -100,6 +109,8 @@
 	return version, nil
 }
 
+// parseRequestLine parses the request line into m and returns its HTTP version. Only targets that
+// are a path are accepted.
 func parseRequestLine(m *Message, line string) (version string, err error) {
 	words := strings.Split(line, " ")
 	if len(words) != 3 || !Token(words[0]) || !strings.HasPrefix(words[1], "/") {
@@ -110,7 +121,8 @@
 	return words[2], nil
 }
 
-// closesConnection reports whether the connection ends with the message. HTTP/1.0 has to ask for the contrary.
+// closesConnection reports whether the sender closes the connection after the message: in HTTP/1.1
+// if it says so, in HTTP/1.0 unless it asks to keep the connection open.
 func closesConnection(header textproto.MIMEHeader, version string) bool {
 	hasClose := false
 	hasKeepAlive := false
@@ -127,8 +139,8 @@
 	return hasClose || version == version10 && !hasKeepAlive
 }
 
-// Token reports whether s is a token in the sense of RFC 9110: not empty, and without blanks, separators and
-// control characters.
+// Token reports whether s is a token as defined by RFC 9110: not empty, and without spaces,
+// delimiters and control characters.
 func Token(s string) bool {
 	for _, c := range s {
 		if !tokenRune(c) {
@@ -138,6 +150,7 @@
 	return s != ""
 }
 
+// tokenRune reports whether c may occur in a token.
 func tokenRune(c rune) bool {
 	return 'A' <= c && c <= 'Z' || 'a' <= c && c <= 'z' || '0' <= c && c <= '9' ||
 		strings.ContainsRune("!#$%&'*+-.^_`|~", c)
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -5,39 +5,42 @@
 	"net/textproto"
 )
 
-// Limits on what a peer may have a parser hold, and on what it may send without an end.
+// Limits on how much memory a peer can make a parser use, and on sequences that it could send
+// without end.
 const (
-	// MaxHead is the longest head of a message, in bytes.
+	// MaxHead is the maximum length of a message's head, in bytes.
 	MaxHead = 16 << 10
-	// MaxBody is the longest body of a message that is not streamed, in bytes.
+	// MaxBody is the maximum length of the body of a message that is not streamed, in bytes.
 	MaxBody = 64 << 10
-	// maxChunkLine is the longest line with the size of a chunk, in bytes.
+	// maxChunkLine is the maximum length of the line with a chunk's size, in bytes.
 	maxChunkLine = 256
-	// maxTrailerLine is the longest line of a trailer, in bytes.
+	// maxTrailerLine is the maximum length of a trailer line, in bytes.
 	maxTrailerLine = 4 << 10
-	// maxInterim is how many interim responses may come before the final one.
+	// maxInterim is the maximum number of interim responses before a final one.
 	maxInterim = 8
 )
 
 // Message is a request or a response.
 type Message struct {
-	Method string // of a request
-	Target string // of a request
-	Status int    // of a response
+	Method string // requests only
+	Target string // requests only
+	Status int    // responses only
 	Header textproto.MIMEHeader
-	Body   []byte // nil where the message is streamed
-	Close  bool   // the connection ends with this message
+	Body   []byte // nil if the message is streamed
+	Close  bool   // the connection is closed after this message
 }
 
-// ParseError is the error of a message that can't be parsed. The connection it came on is of no more use.
+// ParseError reports that a message can't be parsed. As the end of the message is unknown, its
+// connection can't be used any more.
 type ParseError struct {
-	Status int // what a server responds with
+	Status int // status code with which a server should respond
 	Reason string
 }
 
-// Error returns the reason.
+// Error returns the reason, without the status code.
 func (b *ParseError) Error() string { return b.Reason }
 
+// parseErrorf returns a *ParseError with a formatted reason.
 func parseErrorf(status int, format string, args ...any) error {
 	return &ParseError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -2,21 +2,21 @@
 
 import "strings"
 
-// Step is what Feed has come to.
+// Step says why Feed returned.
 type Step uint8
 
 const (
-	// More: all bytes are used and the message goes on.
+	// More means that all bytes were consumed and the message is not complete.
 	More Step = iota
-	// Head: the head is complete; streams only.
+	// Head means that the head is complete; only with Parser.Stream.
 	Head
-	// Piece: Parser.Piece holds a part of the body; streams only.
+	// Piece means that Parser.Piece holds a part of the body; only with Parser.Stream.
 	Piece
-	// Whole: the message is complete.
+	// Whole means that the message is complete.
 	Whole
 )
 
-// state is the part of a message that the next byte belongs to.
+// state is the part of the message to which the next byte belongs.
 type state uint8
 
 const (
@@ -24,34 +24,37 @@
 	stateBody
 	stateChunkSize
 	stateChunk
-	stateChunkEnd // the line break behind the data of a chunk
+	stateChunkEnd // the line break after the data of a chunk
 	stateTrailer
-	stateUntilClose // the body of a response that lasts until the connection ends
+	stateUntilClose // a response body that ends when the connection is closed
 	stateComplete
 )
 
-// Parser reads one message after the other from a stream of bytes. Its zero value reads requests.
+// Parser parses consecutive messages from a stream of bytes. Its zero value parses requests.
 type Parser struct {
-	// ReadsResponses has it read responses.
+	// ReadsResponses makes the parser expect responses instead of requests.
 	ReadsResponses bool
-	// Stream has it hand out bodies in pieces as they come, for responses without an end.
+	// Stream makes the parser return bodies in pieces as they arrive, for responses of unlimited
+	// length.
 	Stream bool
 	// Message is the last message whose head was complete.
 	Message *Message
-	// Piece is valid until the next call of Feed, and part of the bytes that were fed.
+	// Piece is the latest part of a streamed body. It is a slice of the bytes passed to Feed and
+	// valid until the next call.
 	Piece []byte
 
 	state            state
-	pending          []byte // of the head, or of a line between chunks
-	remaining        int    // bytes of the body, or of the chunk, that are still to come
+	pending          []byte // incomplete head, or incomplete line between chunks
+	remaining        int    // bytes of the body or chunk still to be received
 	continueReported bool   // Expects has returned true for this message
 	interim          int    // interim responses since the last final one
 }
 
-// Started reports whether a message has begun and is not complete.
+// Started reports whether part of a message has been parsed and the message is not complete.
 func (p *Parser) Started() bool { return p.state != stateHead || len(p.pending) > 0 }
 
-// Expects reports, once a message, that its sender waits for 100 Continue before it sends the body.
+// Expects reports whether the sender waits for a 100 Continue response before it sends the body. It
+// returns true at most once per message.
 func (p *Parser) Expects() bool {
 	atBody := p.state == stateBody || p.state == stateChunkSize
 	if !atBody || p.continueReported || !strings.EqualFold(p.Message.Header.Get("Expect"), "100-continue") {
@@ -61,8 +64,8 @@
 	return true
 }
 
-// Feed consumes bytes up to the next step, and returns how many. Its errors are of type *ParseError; after one the parser
-// is of no more use.
+// Feed parses bytes until the next step and returns how many it has consumed. All errors are of
+// type *ParseError. The parser can't be used after an error.
 func (p *Parser) Feed(b []byte) (used int, step Step, err error) {
 	for {
 		n, step, err := p.advance(b[used:])
@@ -73,7 +76,8 @@
 	}
 }
 
-// End is called when the connection has ended, and reports whether that completes the message.
+// End must be called when the connection has ended. It reports whether that completes the message,
+// as it does for a response body without a length.
 func (p *Parser) End() bool {
 	if p.state != stateUntilClose {
 		return false
@@ -82,13 +86,13 @@
 	return true
 }
 
-// reset makes the parser ready for the head of another message.
+// reset prepares the parser for the head of the next message.
 func (p *Parser) reset() {
 	p.state = stateHead
 	p.pending = nil
 }
 
-// advance consumes bytes that belong to one state.
+// advance parses bytes in the current state and returns how many it has consumed.
 func (p *Parser) advance(b []byte) (n int, step Step, err error) {
 	switch p.state {
 	case stateHead:
@@ -108,6 +112,7 @@
 	}
 }
 
+// feedBody consumes bytes of the body or of the current chunk.
 func (p *Parser) feedBody(b []byte) (n int, step Step, err error) {
 	n = len(b)
 	if p.state != stateUntilClose {
@@ -126,7 +131,7 @@
 	return n, step, nil
 }
 
-// endBody moves on from the last byte of a body or chunk of known length.
+// endBody sets the state that follows the last byte of a body or chunk of known length.
 func (p *Parser) endBody() {
 	switch p.state {
 	case stateBody:
@@ -136,6 +141,7 @@
 	}
 }
 
+// appendBody adds bytes to the body of the message, or makes them the current piece of a stream.
 func (p *Parser) appendBody(b []byte) error {
 	if p.Stream {
 		p.Piece = b
@@ -145,7 +151,8 @@
 		return parseErrorf(StatusContentTooLarge, "body over %d bytes", MaxBody)
 	}
 	if p.Message.Body == nil && p.state == stateBody {
-		// The whole length is known, but nothing is allocated for it before some of the body has come.
+		// The body's length is known from the head, but the body is allocated only once its first
+		// bytes have arrived.
 		p.Message.Body = make([]byte, 0, len(b)+p.remaining)
 	}
 	p.Message.Body = append(p.Message.Body, b...)
--- a/internal/http1/parser_bench_test.go
+++ b/internal/http1/parser_bench_test.go
@@ -6,9 +6,11 @@
 	"testing"
 )
 
-// The figures of docs/CAPACITY.md for messages: the length of each, heads included, and what parsing one costs.
+// This benchmark produces the figures for messages in docs/CAPACITY.md: the length of each message,
+// head included, and the cost of parsing it.
 
-// messages are those of one invocation, of its callbacks and of health checks, as a scheduler sends and receives them.
+// messages returns the messages of an invocation, a callback and a health check, as a scheduler
+// sends and receives them.
 func messages() []struct {
 	name    string
 	answers bool
@@ -42,7 +44,7 @@
 	}
 }
 
-// BenchmarkMessage parses each of the messages.
+// BenchmarkMessage parses each of the messages and reports its length in bytes.
 func BenchmarkMessage(b *testing.B) {
 	for _, m := range messages() {
 		b.Run(m.name, func(b *testing.B) {
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// feed passes text to the parser in pieces of a size, and returns a line for each step.
+// feed passes text to the parser in pieces of at most size bytes. It returns a line for each step
+// other than More, and stops after an error.
 func feed(p *Parser, text string, size int) (lines []string) {
 	for b := []byte(text); len(b) > 0; {
 		piece := b[:min(size, len(b))]
@@ -34,13 +35,15 @@
 	return lines
 }
 
+// show prints the lines that feed returns.
 func show(p *Parser, text string, size int) {
 	for _, line := range feed(p, text, size) {
 		fmt.Println(line)
 	}
 }
 
-// Requests are parsed alike whole and a byte at a time, also where a body holds what looks like the end of one.
+// Requests are parsed identically whether they arrive at once or byte by byte, even if a body with
+// a Content-Length contains the bytes that end a chunked body.
 func Example_requests() {
 	text := "\r\nPOST /render/7f?x=1 HTTP/1.1\r\nHost: b\r\nContent-Length: 9\r\n\r\n0\r\n\r\nabcd" +
 		"GET /-/ready HTTP/1.1\r\nConnection: Keep-Alive, Close\r\n\r\n" +
@@ -56,7 +59,8 @@
 	// true
 }
 
-// Interim responses are skipped; a response without a length lasts until its connection ends.
+// Interim responses are skipped. The body of a response without a length ends when the connection
+// is closed. A streamed body is returned in pieces.
 func Example_responses() {
 	p := &Parser{ReadsResponses: true}
 	show(p, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"+
@@ -77,7 +81,8 @@
 	// 200 "" close=false
 }
 
-// What another parser could read differently is rejected, and no message makes the parser hold more than its limits.
+// Messages that another parser could interpret differently are rejected, and so are messages that
+// exceed the limits on what the parser stores.
 func Example_malformed() {
 	for _, text := range []string{
 		"POST /a HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
@@ -132,7 +137,8 @@
 	// 502: malformed status line
 }
 
-// Messages are written with a Content-Length where one is due.
+// Messages are written with a Content-Length header, except responses with status 204 and requests
+// without a body that are not POST.
 func Example_write() {
 	fmt.Printf("%q\n", Answer(503, nil, Field{Name: "Retry-After", Value: "0.5"}))
 	fmt.Printf("%q\n", Answer(204, nil))
@@ -145,7 +151,8 @@
 	// "DELETE /jobs/9b HTTP/1.1\r\nHost: b\r\n\r\n"
 }
 
-// Whatever a peer sends is parsed alike however it is cut up, and bodies keep to their limit.
+// FuzzFeed checks that any input is parsed identically however it is split, and that no body
+// exceeds MaxBody.
 func FuzzFeed(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET / HTTP/1.1\r\n\r\n", 3, false)
 	f.Add("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", 1, false)
@@ -154,15 +161,15 @@
 		whole, cut := &Parser{ReadsResponses: answers}, &Parser{ReadsResponses: answers}
 		a, b := feed(whole, text, len(text)+1), feed(cut, text, max(1, size))
 		if !slices.Equal(a, b) || whole.End() != cut.End() {
-			t.Errorf("in one: %q, in pieces: %q", a, b)
+			t.Errorf("parsed at once: %q, in pieces: %q", a, b)
 		}
 		if m := whole.Message; m != nil && len(m.Body) > MaxBody {
-			t.Errorf("a body of %d bytes", len(m.Body))
+			t.Errorf("body of %d bytes exceeds MaxBody", len(m.Body))
 		}
 	})
 }
 
-// Every message cut in two at any byte is parsed as in one.
+// A message split in two at any byte must be parsed as if it had arrived at once.
 func TestEverySplitParsesAlike(t *testing.T) {
 	for _, v := range []struct {
 		text    string
@@ -178,18 +185,18 @@
 		for cut := 1; cut < len(v.text); cut++ {
 			p := &Parser{ReadsResponses: v.answers}
 			parts := feed(p, v.text[:cut], cut)
-			if n := len(parts); n == 0 || !strings.Contains(parts[n-1], ": ") { // after an error the parser is of no more use
+			if n := len(parts); n == 0 || !strings.Contains(parts[n-1], ": ") { // no error: the parser can continue
 				parts = append(parts, feed(p, v.text[cut:], len(v.text))...)
 			}
 			if !slices.Equal(parts, whole) {
-				t.Errorf("%.30q cut at %d: %q, in one: %q", v.text, cut, parts, whole)
+				t.Errorf("%.30q split at %d: %q, parsed at once: %q", v.text, cut, parts, whole)
 			}
 		}
 	}
 }
 
-// A few interim responses are skipped, also before the next response; more than that are rejected, as there might be
-// no end of them.
+// Up to maxInterim interim responses before each final response are skipped. A larger number is
+// rejected, because a peer could otherwise send them without end.
 func Example_interimResponses() {
 	feed := func(n int) {
 		p := Parser{ReadsResponses: true}
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,6 +1,6 @@
 package http1
 
-// Status codes that are sent or distinguished, as registered with IANA.
+// The status codes that the service sends or handles specially, as registered with IANA.
 const (
 	StatusOK                   = 200
 	StatusNoContent            = 204
@@ -20,15 +20,17 @@
 )
 
 const (
-	// minStatus is the lowest status code there is.
+	// minStatus is the lowest valid status code.
 	minStatus = 100
-	// minFinalStatus is the lowest status code of a final response; those below are interim ones.
+	// minFinalStatus is the lowest status code of a final response; lower ones are interim
+	// responses.
 	minFinalStatus = 200
-	// statusDigits is the length of a status code, in digits.
+	// statusDigits is the number of digits of a status code.
 	statusDigits = 3
 )
 
-// reasonPhrases are written behind status codes; one that is not listed has none.
+// reasonPhrases are written after the status code. The phrase of a status that is not listed is
+// empty.
 var reasonPhrases = map[int]string{
 	StatusOK:                   "OK",
 	StatusNoContent:            "No Content",
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,20 +2,21 @@
 
 import "strconv"
 
-// Typical lengths of heads, in bytes, for which buffers are allocated.
+// Typical lengths of message heads, in bytes, which are allocated in addition to the known lengths.
 const (
 	typicalResponseHead = 160
 	typicalRequestHead  = 240 // without the target
 )
 
-// Field is a header field to write. The value must not contain a line break: it comes from a head that was parsed,
-// or from this program.
+// Field is a header field to write. The value must not contain a line break, and is not checked: it
+// comes from a parsed head or from this program.
 type Field struct {
 	Name  string `json:"Name"`
 	Value string `json:"Value"`
 }
 
-// Answer returns a response as bytes. It has a Content-Length unless its status allows none.
+// Answer returns an encoded response. It has a Content-Length header unless the status is
+// StatusNoContent.
 func Answer(status int, body []byte, fields ...Field) []byte {
 	b := make([]byte, 0, typicalResponseHead+len(body))
 	b = append(b, version11...)
@@ -27,7 +28,8 @@
 	return appendRest(b, fields, body, status != StatusNoContent)
 }
 
-// Request returns a request as bytes. It has a Content-Length if it has a body or is a POST.
+// Request returns an encoded request. It has a Content-Length header if it has a body or its method
+// is POST.
 func Request(method, target, host string, body []byte, fields ...Field) []byte {
 	b := make([]byte, 0, typicalRequestHead+len(target)+len(body))
 	for _, part := range []string{method, " ", target, " ", version11, "\r\nHost: ", host, "\r\n"} {
@@ -36,7 +38,8 @@
 	return appendRest(b, fields, body, method == "POST" || len(body) > 0)
 }
 
-// appendRest appends what follows the start line and the fields of its own.
+// appendRest appends the given header fields, a Content-Length header if withLength is set, and the
+// body.
 func appendRest(b []byte, fields []Field, body []byte, withLength bool) []byte {
 	for _, f := range fields {
 		for _, part := range []string{f.Name, ": ", f.Value, "\r\n"} {
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -3,23 +3,24 @@
 
 import "sync"
 
-// Size is the capacity of a Buffer, in bytes. It is small, as thousands of connections may be open at once; longer
-// messages pass through it in turns.
+// Size is the capacity of a Buffer, in bytes. It is small because thousands of connections may be
+// open at once; messages that are longer pass through the buffer in parts.
 const Size = 4 << 10
 
-// pool holds stores that no Buffer uses, so that idle connections need none.
+// pool holds the arrays that no Buffer uses, so that idle connections don't occupy any.
 var pool = sync.Pool{New: func() any { return new([Size]byte) }}
 
-// Buffer is a ring buffer, empty in its zero value. The slices that Room and Bytes return never overlap: one
-// goroutine may fill the one or send the other while the owner of the buffer works on the rest of it. Only the
-// owner calls methods.
+// Buffer is a ring buffer. Its zero value is empty. The slices returned by Room and Bytes never
+// overlap, so one goroutine may fill the former or send the latter while the owner of the buffer
+// works on the rest of it. Only the owner may call methods.
 type Buffer struct {
-	store  *[Size]byte // nil: none is needed yet, or it was given back
+	store  *[Size]byte // nil before the first use and after Free
 	start  int         // index of the first byte held
-	length int         // bytes held
+	length int         // number of bytes held
 }
 
-// Room returns the next contiguous run of free bytes, which is empty when the buffer is full.
+// Room returns the next contiguous run of free bytes, which is empty if the buffer is full. It
+// allocates the buffer's array if there is none.
 func (b *Buffer) Room() []byte {
 	if b.store == nil {
 		b.store = pool.Get().(*[Size]byte)
@@ -31,7 +32,7 @@
 // Add appends the first n bytes of the slice that Room returned.
 func (b *Buffer) Add(n int) { b.length += n }
 
-// Bytes returns the next contiguous run of bytes held, which is empty when there are none.
+// Bytes returns the first contiguous run of bytes held, which is empty if the buffer is empty.
 func (b *Buffer) Bytes() []byte {
 	if b.store == nil {
 		return nil
@@ -45,13 +46,14 @@
 	b.start = (b.start + n) % Size
 }
 
-// Empty reports whether the buffer has no store; one that has may still hold no bytes.
+// Empty reports whether the buffer has no array allocated. It may return false although the buffer
+// holds no bytes.
 func (b *Buffer) Empty() bool { return b.store == nil }
 
 // Len returns the number of bytes held.
 func (b *Buffer) Len() int { return b.length }
 
-// Write copies as much of p as fits and returns how many bytes that is.
+// Write copies as much of p as fits and returns the number of bytes copied.
 func (b *Buffer) Write(p []byte) (n int) {
 	for n < len(p) {
 		copied := copy(b.Room(), p[n:])
@@ -64,7 +66,8 @@
 	return n
 }
 
-// Free discards all bytes and gives the store back; no goroutine may still use a slice of it.
+// Free discards all bytes and returns the array to the pool. No goroutine may use a slice of the
+// buffer any more.
 func (b *Buffer) Free() {
 	if b.store != nil {
 		pool.Put(b.store)
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Bytes that are written past the end of the store go on at its beginning, in order.
+// Bytes written past the end of the array continue at its beginning, and are read in order.
 func Example_wrapsAround() {
 	var b Buffer
 	text := bytes.Repeat([]byte("0123456789"), Size/5)
@@ -26,7 +26,8 @@
 	// "345" "abcdef" after: 0
 }
 
-// A goroutine may fill Room while the owner reads Bytes: the two never overlap.
+// The slices returned by Room and Bytes don't overlap, so a goroutine may fill the former while the
+// owner reads the latter.
 func Example_disjoint() {
 	var b Buffer
 	b.Write([]byte("held"))
