--- a/internal/conn/capacity_test.go
+++ b/internal/conn/capacity_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// The figures of docs/CAPACITY.md for connections: what one holds in memory, by what it is doing.
-// The kernel's part is not in it.
+// These benchmarks produce the memory figures per connection in docs/CAPACITY.md, by connection
+// state. Kernel memory is not included.
 
-// discardingHandler drops what is received and leaves a connection as it is.
+// discardingHandler drops all input, counts the DataReceived calls, and never closes a connection.
 type discardingHandler struct{ read int }
 
 func (h *discardingHandler) Connected(*Conn)                 {}
@@ -21,8 +21,9 @@
 func (h *discardingHandler) Flushed(*Conn)                   {}
 func (h *discardingHandler) Disconnected(*Conn, CloseReason) {}
 
-// BenchmarkConnections adopts so many: mute ones have sent nothing, those in hand have sent a request
-// and wait for its answer, written ones have received one too.
+// BenchmarkConnections measures the memory per connection at several connection counts. On "mute"
+// connections the client has sent nothing, on "in_hand" ones it has sent a request and waits for
+// the answer, on "written" ones it has received the answer too.
 func BenchmarkConnections(b *testing.B) {
 	for _, state := range []string{"mute", "in_hand", "written"} {
 		for _, n := range []int{375, 750, 1500, 3000, 6000} {
@@ -35,7 +36,7 @@
 	}
 }
 
-// bytesPerConn returns the memory that each of n connections holds.
+// bytesPerConn returns the memory, in bytes, that each of n connections in the given state uses.
 func bytesPerConn(b *testing.B, state string, n int) float64 {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,11 +98,11 @@
 	return took
 }
 
-// liveMemory returns the memory of live objects and of goroutines, in bytes.
+// liveMemory returns the memory of live heap objects and goroutine stacks, in bytes.
 func liveMemory() int64 {
 	var m runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what a pool has kept over the first goes with the second
+	runtime.GC() // objects in a sync.Pool survive one collection and are freed by the second
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc + m.StackInuse)
 }
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -6,15 +6,17 @@
 )
 
 const (
-	// lingerTimeout is how long a connection whose last answer is written may still receive, as
-	// closing it with unread bytes would reset it and could cost the peer the answer.
+	// lingerTimeout is how long a connection stays open for reading after its last answer was
+	// written. Closing a socket that has unread input resets the connection, and the peer could
+	// lose the answer.
 	lingerTimeout = 2 * time.Second
-	// lastAnswerTimeout is how long a last answer may take to reach its peer, which closes the
-	// connection then. With bytes of the peer unread here, the end of the program would reset it.
+	// lastAnswerTimeout is how long AllFlushed waits for the peer to receive the last answer and
+	// close the connection. If the process exited while input from the peer was still unread, the
+	// kernel would reset the connection.
 	lastAnswerTimeout = 100 * time.Millisecond
 )
 
-// Close ends the connection at once; the handler is not notified any more.
+// Close closes the connection at once, or cancels its dial. The handler is not called again.
 func (c *Conn) Close() {
 	c.handler = nil
 	switch {
@@ -28,8 +30,8 @@
 	}
 }
 
-// Break ends the connection at once. Unlike with Close the handler is notified, once it is certain
-// how much has been written.
+// Break closes the connection at once. Unlike Close, it notifies the handler, once the writer has
+// reported how many bytes were written.
 func (c *Conn) Break() {
 	if c.closed || !c.connected {
 		return
@@ -38,16 +40,17 @@
 	c.notifyClosed()
 }
 
-// ShutdownRead shuts the receiving side down for all processes that have the socket: none may go on where
-// another has given up.
+// ShutdownRead shuts down the receiving side of the socket, which affects every process that holds
+// a copy of it: none of them may continue to read after another process has given up on the
+// connection.
 func (c *Conn) ShutdownRead() {
 	if tcp, ok := c.netConn.(*net.TCPConn); ok {
 		tcp.CloseRead()
 	}
 }
 
-// CloseAfterFlush ends the connection once all is written, so that the peer receives it whole. The
-// handler is not notified any more.
+// CloseAfterFlush closes the connection once all queued bytes are written, so that the peer
+// receives all of them. The handler is not called again.
 func (c *Conn) CloseAfterFlush() {
 	if c.closed || c.closing {
 		return
@@ -66,7 +69,8 @@
 	c.quota.flushing[c] = struct{}{}
 }
 
-// finishClosing ends a connection whose last byte is written: its peer is given time to receive it.
+// finishClosing shuts down the sending side of a connection whose queued bytes are all written. It
+// closes the connection when the peer has done so, or after lingerTimeout.
 func (c *Conn) finishClosing() {
 	if tcp, ok := c.netConn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
@@ -81,7 +85,7 @@
 	c.loop.After(lingerTimeout, c.Close)
 }
 
-// terminate closes the socket and lets the goroutines end.
+// terminate closes the socket, releases its descriptor and stops the reader and the writer.
 func (c *Conn) terminate(reason CloseReason) {
 	c.closed = true
 	c.closeReason = reason
@@ -93,8 +97,9 @@
 	}
 }
 
-// notifyClosed frees a connection that has ended and notifies its handler, once both goroutines have
-// given their bytes back.
+// notifyClosed releases the buffers of a closed connection and notifies its handler. It does
+// nothing while the reader or the writer still uses a slice of a buffer; their report calls it
+// again.
 func (c *Conn) notifyClosed() {
 	if c.reading || c.writing {
 		return
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -14,15 +14,16 @@
 	"time"
 )
 
-// A long answer passes through the small ring whole, also when the connection is to end with it,
-// and what the peer still sends does not cost it the answer.
+// An answer larger than the ring buffer must reach the peer completely when CloseAfterFlush is
+// called right after Write, even if the peer has sent input that was never read: closing with
+// unread input would reset the connection and lose the rest of the answer.
 func TestCloseAfterFlushDeliversWholeAnswer(t *testing.T) {
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
 	var got []byte
 	over := make(chan struct{})
 	addr, stop := listenPeer(func(c net.Conn) {
-		c.Write(make([]byte, 10000)) // more than is read before the answer
+		c.Write(make([]byte, 10000)) // more than the connection reads before it answers
 		time.Sleep(20 * time.Millisecond)
 		got, _ = io.ReadAll(c)
 		c.Close()
@@ -42,12 +43,12 @@
 		}
 	})
 	if !bytes.Equal(got, want) {
-		t.Errorf("%d bytes of %d came", len(got), len(want))
+		t.Errorf("peer received %d bytes, want %d", len(got), len(want))
 	}
 }
 
-// A peer that sends without end after it was rejected receives its answer whole, costs the loop no
-// iterations, and the connection ends in time.
+// A peer that keeps sending after its request was rejected must receive the whole answer. Its input
+// must be discarded without loop iterations, and the connection must end within the linger timeout.
 func TestCloseAfterFlushDiscardsInput(t *testing.T) {
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
@@ -73,12 +74,12 @@
 	q.Dial(addr, time.Second, h)
 	runUntil(l, "the end", func() bool { iterations++; return q.Used() == 0 })
 	if text := <-got; text != "too large" || iterations > 50 {
-		t.Errorf("the peer got %q, the loop took %d iterations", text, iterations)
+		t.Errorf("peer received %q after %d loop iterations, want \"too large\" and at most 50", text, iterations)
 	}
 }
 
-// A last answer counts as not arrived until its peer has closed the connection, for some time at
-// most.
+// AllFlushed must report false after a last answer until the peer closes the connection or
+// lastAnswerTimeout has passed.
 func TestAllFlushedAwaitsPeerClose(t *testing.T) {
 	for name, closes := range map[string]bool{"its peer ends": true, "its peer stays": false} {
 		t.Run(name, func(t *testing.T) {
@@ -98,28 +99,28 @@
 			runUntil(l, "the connection", func() bool { return len(h.events) > 0 })
 			c.CloseAfterFlush()
 			if q.AllFlushed() {
-				t.Error("at once")
+				t.Error("AllFlushed returned true right after CloseAfterFlush")
 			}
 			close(release)
 			began := l.Now()
 			runUntil(l, "the end", func() bool { l.After(time.Millisecond, func() {}); return q.AllFlushed() })
 			if took := l.Now() - began; closes != (q.Used() == 0) || !closes && took < lastAnswerTimeout {
-				t.Errorf("after %v, %d in use", took, q.Used())
+				t.Errorf("AllFlushed returned true after %v with %d descriptors in use", took, q.Used())
 			}
 			closeAndWait(l, c)
 		})
 	}
 }
 
-// scriptedConn is a connection whose calls return when the test says so, and what it says.
+// scriptedConn is a net.Conn whose Read and Write block until the test supplies their result.
 type scriptedConn struct {
-	net.Conn // nil: nothing else is called
+	net.Conn // nil: no other method may be called
 	reads    chan error
-	writes   chan int // that so many bytes have been taken
+	writes   chan int // number of bytes that the next Write accepts
 	closed   chan struct{}
 	once     sync.Once
-	taken    atomic.Int64  // bytes
-	returns  chan struct{} // closed: a write returns once its bytes are taken, and is not held before
+	taken    atomic.Int64  // total bytes accepted by Write
+	returns  chan struct{} // Write returns after this is closed, although its bytes are already accepted
 }
 
 func (s *scriptedConn) Read([]byte) (int, error) {
@@ -148,11 +149,11 @@
 
 func (s *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
-// A request is written in whole, in part or not at all, its peer resets the connection and we end
-// it, in every order, each in an iteration of its own and all in one, also where the writer is
-// held between its bytes and its report of them. The handler is notified once, unless it has
-// closed the connection itself, and that the request was not written if and only if some of it had
-// not been taken.
+// Combines a complete, partial or empty write of a request, a reset by the peer and a close by the
+// owner in every order, with one loop iteration per event and with all events in one iteration.
+// Some orders delay the writer between writing its bytes and reporting them. The handler must be
+// notified exactly once, unless the owner closed the connection itself, and with NotWritten if and
+// only if some bytes of the request were not written.
 func TestCloseInEveryOrder(t *testing.T) {
 	for _, taken := range []int{0, 1, closeTestSize - 1, closeTestSize} {
 		for _, end := range []string{"break", "close", "quit"} {
@@ -165,10 +166,11 @@
 	}
 }
 
-// closeTestSize, in bytes, is the size of the request.
+// closeTestSize is the size of the request, in bytes.
 const closeTestSize = 100
 
-// closeOrders returns the orders of events, with one way in which we end the connection.
+// closeOrders returns the event orders to test. end names the event by which the owner closes the
+// connection: "break", "close" or "quit".
 func closeOrders(end string) [][]string {
 	return [][]string{
 		{"write", "reset", end},
@@ -190,7 +192,8 @@
 	}
 }
 
-// closeInOrder plays one order of events, all of them in one iteration or each in its own.
+// closeInOrder runs one order of events, all in one loop iteration if together is set and otherwise
+// one event per iteration, and checks how the handler was notified.
 func closeInOrder(t *testing.T, order []string, taken int, together bool) {
 	t.Helper()
 	name := fmt.Sprintf("%d taken, %v, in one iteration: %v", taken, order, together)
@@ -207,7 +210,7 @@
 	h := &recordingHandler{}
 	c := l.NewQuota(9).Adopt(peer, h)
 	c.Write(make([]byte, closeTestSize))
-	settle := func() { // until all events of what has happened are in
+	settle := func() { // runs the loop until the reader and the writer have reported
 		over := false
 		l.After(3*time.Millisecond, func() { over = true })
 		runUntil(l, name, func() bool { return over })
@@ -237,16 +240,17 @@
 	checkNotified(t, name, h.events, order, peer.taken.Load() == closeTestSize)
 }
 
-// checkNotified holds what the handler was notified of against what has happened.
+// checkNotified checks the notifications in seen against the events in order. written says whether
+// the whole request was written.
 func checkNotified(t *testing.T, name string, seen, order []string, written bool) {
 	t.Helper()
 	if slices.Contains(order, "close") || slices.Contains(order, "quit") {
 		if len(seen) > 1 {
-			t.Error(name, ": notified ", seen)
+			t.Error(name, ": want at most one notification, got ", seen)
 		}
 		return
 	}
 	if len(seen) != 1 || (seen[0] == NotWritten.String()) == written {
-		t.Error(name, ": notified ", seen, ", written: ", written)
+		t.Error(name, ": want one notification that matches the write, got ", seen, ", written: ", written)
 	}
 }
--- a/internal/conn/closereason.go
+++ b/internal/conn/closereason.go
@@ -2,37 +2,39 @@
 
 import "stoatweir/dispatch"
 
-// CloseReason is how a connection, or a request over it, came to its end.
+// CloseReason is the reason why a connection, or a request sent over it, ended.
 type CloseReason uint8
 
-// The close reasons. What they mean for the dispatcher is in dispatchResults.
+// The close reasons. dispatchResults has the dispatcher's result for each of them.
 const (
-	Open              CloseReason = iota // it has not ended
-	Refused                              // nobody listens at the address
-	ConnectTimeout                       // it did not come up in time
-	NoDescriptor                         // no descriptor was left for it
-	WorkerUnavailable                    // it came up when nothing might be sent to the worker any more
-	NotWritten                           // it broke before the request's last byte was written
-	Closed                               // the peer closed it with the request unanswered, as workers do on what they can't read
-	Reset                                // the peer or the network reset it with the request unanswered
-	Stale                                // a reused one ended at its next use, with no byte of a response
-	Stalled                              // the peer reads or sends nothing for too long
-	Malformed                            // what the peer sent can't be read
-	Rejected                             // the response says that the worker did not look at the request
+	Open              CloseReason = iota // the connection or request has not ended
+	Refused                              // the connection was refused: no process listens at the address
+	ConnectTimeout                       // the connection was not established in time
+	NoDescriptor                         // no file descriptor was available
+	WorkerUnavailable                    // once connected, the worker was no longer allowed to receive requests
+	NotWritten                           // the connection failed before the last byte of the request was written
+	Closed                               // the peer closed it before answering, as workers do on unreadable requests
+	Reset                                // the peer or the network reset it before the request was answered
+	Stale                                // a reused connection ended before the first byte of the response
+	Stalled                              // the peer read or sent nothing for too long
+	Malformed                            // the peer sent bytes that can't be parsed
+	Rejected                             // the response says that the worker did not process the request
 	Returned                             // the worker accepted the request and returned it unstarted
-	WorkerError                          // the worker failed on the request
-	BadRequest                           // the worker says that the request itself is at fault
-	Lost                                 // the worker accepted the request, and the process that had it died
-	Succeeded                            // the worker's result is there
-	TimedOut                             // we stopped waiting at the client timeout
-	Cancelled                            // we cancelled it before that
-	LocalError                           // our own machine could not connect: no port, buffer, descriptor or route
-	NotSent                              // the client had its answer, or the window had passed, before it could be sent
+	WorkerError                          // the worker failed while processing the request
+	BadRequest                           // the worker says that the request itself is invalid
+	Lost                                 // the worker accepted the request, and the process running it died
+	Succeeded                            // the worker returned a result
+	TimedOut                             // the client timeout passed before the worker answered
+	Cancelled                            // this process cancelled the request before the client timeout
+	LocalError                           // this machine could not connect: no port, buffer, descriptor or route
+	NotSent                              // the client was answered, or the window passed, before it could be sent
 )
 
-// dispatchResults is the one place where close reasons become results for the dispatcher. Only what
-// proves that nothing has run may map to Rejected, Unreachable or NotSent: all else counts as having
-// run. What our own machine lacks says nothing about the worker, which Unreachable would eject.
+// dispatchResults is the only mapping from close reasons to results for the dispatcher. A reason
+// may map to Rejected, Unreachable or NotSent only if it proves that the request has not run; the
+// dispatcher assumes for all other results that it may have run. Unreachable makes the dispatcher
+// eject the worker, so a lack of local resources, which says nothing about the worker, must not map
+// to it.
 var dispatchResults = [...]dispatch.Result{
 	Open:              dispatch.TimedOut,
 	Refused:           dispatch.Unreachable,
@@ -57,10 +59,10 @@
 	NotSent:           dispatch.NotSent,
 }
 
-// Result returns the dispatcher's result for an attempt or a health check that ended so.
+// Result returns the dispatcher's result for an attempt or a health check that ended for reason r.
 func (r CloseReason) Result() dispatch.Result { return dispatchResults[r] }
 
-// ProvesNotRun reports whether the reason proves that nothing has run.
+// ProvesNotRun reports whether the reason proves that the worker has not run any of the request.
 func (r CloseReason) ProvesNotRun() bool {
 	switch r.Result() {
 	case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent:
@@ -69,7 +71,7 @@
 	return false
 }
 
-// Written reports whether the whole request had been written when it ended so.
+// Written reports whether r implies that the whole request had been written to the connection.
 func (r CloseReason) Written() bool {
 	switch r {
 	case Closed, Reset, Stale, Malformed:
@@ -78,7 +80,7 @@
 	return false
 }
 
-// closeReasonNames are the keys under which ends are counted.
+// closeReasonNames are the keys of the counters of ended connections and requests.
 var closeReasonNames = [...]string{
 	Open:              "open",
 	Refused:           "refused",
@@ -103,5 +105,5 @@
 	NotSent:           "not sent",
 }
 
-// String returns the reason's key under /-/counts.
+// String returns the key of the reason's counter in the /-/counts response.
 func (r CloseReason) String() string { return closeReasonNames[r] }
--- a/internal/conn/closereason_test.go
+++ b/internal/conn/closereason_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Only a reason that proves that nothing has run may let a non-idempotent invocation be sent
-// again.
+// Results 2 (Rejected), 4 (Unreachable) and 7 (NotSent) allow a non-idempotent invocation to be
+// sent again, so only reasons that prove that nothing has run may map to them.
 func ExampleCloseReason_Result() {
 	for e := Refused; e <= NotSent; e++ {
 		fmt.Println(e, e.Result())
@@ -36,7 +36,8 @@
 	// not sent 7
 }
 
-// How a connection ends decides whether its request may have run: written whole or not.
+// A request may have run if all of it was written before the connection ended. The close reason
+// must tell such a request from one that was not written completely.
 func Example_closeReasons() {
 	end := func(title, addr string, within time.Duration, size int) {
 		l := NewLoop(time.Now())
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -11,54 +11,55 @@
 	"stoatweir/internal/ring"
 )
 
-// Handler is notified of what happens to a connection, in the loop. Disconnected is called once, as
-// the last, and not after Close or CloseAfterFlush.
+// Handler receives the events of a connection, on the loop goroutine. Disconnected is called once,
+// after all other methods. No method is called after Close or CloseAfterFlush.
 type Handler interface {
-	// Connected is called when a dialled connection is up.
+	// Connected is called when a dialled connection has been established.
 	Connected(c *Conn)
-	// DataReceived is called when In holds more bytes.
+	// DataReceived is called when bytes were added to In.
 	DataReceived(c *Conn)
-	// Flushed is called when all that was queued has been written.
+	// Flushed is called when all queued bytes have been written.
 	Flushed(c *Conn)
-	// Disconnected is called when the connection has ended.
+	// Disconnected is called when the connection has ended or could not be established.
 	Disconnected(c *Conn, reason CloseReason)
 }
 
-// Conn is a connection with one ring a direction. A goroutine each way moves bytes between socket and
-// ring, and owns just the run of bytes that it was given; all else belongs to the loop.
+// Conn is a connection with a ring buffer for each direction. The reader and writer goroutines move
+// bytes between the socket and the buffers. Each of them may access only the slice it was last
+// given; everything else belongs to the loop goroutine.
 type Conn struct {
-	// In holds the bytes that were received and not dropped yet.
+	// In holds the bytes that were received and not yet dropped by the owner of the connection.
 	In ring.Buffer
 
 	loop       *Loop
 	quota      *Quota
-	handler    Handler // nil: nobody is to be notified any more
+	handler    Handler // nil: no more notifications
 	netConn    net.Conn
 	cancelDial context.CancelFunc
 
 	out           ring.Buffer
-	overflow      []byte // queued behind out, which has no room for it yet
-	firstBuffer   []byte // is read into before In has a store
+	overflow      []byte // queued bytes for which out has no room yet
+	firstBuffer   []byte // buffer of the first read, used before In has allocated its storage
 	readRequests  chan []byte
 	writeRuns     chan writeRun
-	writeDeadline time.Time // bounds what is queued; zero: nothing does
-	reading       bool      // the reader has a request
-	writing       bool      // the writer has a run of bytes
+	writeDeadline time.Time // for all queued bytes; zero: none
+	reading       bool      // the reader is serving a read request
+	writing       bool      // the writer is writing a run of bytes
 	unseen        unseenInput
 
 	connected  bool
 	closed     bool
-	closing    bool   // it ends once all is written
-	discarding bool   // what is still received is thrown away
-	readEnded  bool   // nothing more is read
-	onDetached func() // is called once nothing moves any more; nil: the connection is not detached
+	closing    bool   // the connection is closed once all queued bytes are written
+	discarding bool   // further input is discarded
+	readEnded  bool   // no more reads are started
+	onDetached func() // called when no read or write is in progress; nil: the connection is not detached
 
 	closeReason CloseReason
 	state       State
 	stateSince  time.Duration
 }
 
-// ioKind is what a goroutine of a connection has done.
+// ioKind is the kind of operation that an ioEvent reports.
 type ioKind uint8
 
 const (
@@ -67,16 +68,16 @@
 	writeDone
 )
 
-// ioEvent is the task by which a goroutine of a connection reports to the loop.
+// ioEvent is the task that reports the result of a dial, read or write to the loop.
 type ioEvent struct {
 	conn    *Conn
-	netConn net.Conn // that was dialled
+	netConn net.Conn // the dialled connection; dialDone only
 	n       int      // bytes read or written
 	err     error
 	kind    ioKind
 }
 
-// Run handles the event in the loop.
+// Run handles the event on the loop goroutine.
 func (e ioEvent) Run() {
 	switch e.kind {
 	case dialDone:
@@ -88,15 +89,15 @@
 	}
 }
 
-// start begins to move bytes over a connection that is up.
+// start starts the reader and the I/O of an established connection.
 func (c *Conn) start() {
 	c.connected = true
 	c.startReader()
 	c.startIO()
 }
 
-// startIO gives the goroutines what there is to do. A full ring In stops the reading until the owner
-// has dropped some of it.
+// startIO starts a read and a write unless they are in progress or there is nothing to do. While In
+// is full, no read is started; reading resumes after the owner has dropped bytes from it.
 func (c *Conn) startIO() {
 	if c.closed || !c.connected {
 		return
@@ -109,17 +110,17 @@
 	}
 }
 
-// handleRead takes what the reader has received, or the error that it met.
+// handleRead handles the reader's report of n received bytes or an error.
 func (c *Conn) handleRead(n int, err error) {
 	c.reading = false
 	c.unseen.clear()
 	if c.onDetached != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		err = nil // Detach has set that deadline
+		err = nil // this deadline was set by Detach to interrupt the read
 	}
 	c.acceptInput(n)
 	if err != nil && !c.closed {
 		if c.closing && c.Unsent() > 0 {
-			c.readEnded = true // a peer that has sent all may still wait for the answer
+			c.readEnded = true // the peer may have closed only its sending side and still wait for the answer
 		} else {
 			c.handleError(err)
 		}
@@ -132,7 +133,8 @@
 	c.checkDetached()
 }
 
-// acceptInput enters n bytes that the reader has received and notifies the handler.
+// acceptInput adds the n bytes that the reader has received to In and notifies the handler. Input
+// of a connection that is closing is dropped.
 func (c *Conn) acceptInput(n int) {
 	first := c.firstBuffer
 	c.firstBuffer = nil
@@ -147,7 +149,7 @@
 	c.handler.DataReceived(c)
 }
 
-// handleWritten drops what the writer has written, or takes the error that it met.
+// handleWritten handles the writer's report: n bytes were written, and err is its error, if any.
 func (c *Conn) handleWritten(n int, err error) {
 	c.writing = false
 	c.out.Drop(n)
@@ -172,8 +174,8 @@
 	}
 }
 
-// handleError ends a connection that has failed. What is still with the writer decides whether the
-// request was written, so its report is awaited.
+// handleError closes the socket after a read or write error and sets the close reason. The handler
+// is notified later: whether the request was written is only known once the writer has reported.
 func (c *Conn) handleError(err error) {
 	switch {
 	case errors.Is(err, io.EOF):
--- a/internal/conn/detach.go
+++ b/internal/conn/detach.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// pastDeadline is a deadline that ends a read at once.
+// pastDeadline is a deadline in the past, which interrupts a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Detach stops the reading and calls done, once, when all that was read is in and all that was queued
-// is written: then the socket can pass to another process, or be closed with no request lost that was
-// read. done is not called if the connection ends before.
+// Detach stops reading and calls done, once, when all bytes that were read are in In and all queued
+// bytes are written. The socket can then be passed to another process, or closed without losing a
+// request that was already read. If the connection ends first, done is not called.
 func (c *Conn) Detach(done func()) {
 	if c.closed || c.closing || !c.connected || c.onDetached != nil {
 		return
@@ -21,7 +21,7 @@
 	c.loop.After(0, c.checkDetached)
 }
 
-// checkDetached calls onDetached if nothing moves any more.
+// checkDetached calls onDetached if no read or write is in progress and no bytes are queued.
 func (c *Conn) checkDetached() {
 	if c.onDetached == nil || c.closed || c.closing {
 		return
@@ -30,11 +30,11 @@
 		return
 	}
 	done := c.onDetached
-	c.onDetached = func() {} // it is called once
+	c.onDetached = func() {} // not nil, as the connection stays detached; done is called only once
 	done()
 }
 
-// Attach undoes Detach.
+// Attach undoes Detach: reading resumes, and the connection may be evicted again.
 func (c *Conn) Attach() {
 	c.onDetached = nil
 	if c.closed {
@@ -45,11 +45,11 @@
 	c.startIO()
 }
 
-// Established reports whether the connection has come up and not ended.
+// Established reports whether the connection was established and has not ended.
 func (c *Conn) Established() bool { return c.connected && !c.closed }
 
-// Socket returns the connection's descriptor for the process that is to have it; false: there is
-// none.
+// Socket returns the connection's socket, for passing its descriptor to another process. It returns
+// false if the connection is closed or is not a socket.
 func (c *Conn) Socket() (syscall.Conn, bool) {
 	socket, ok := c.netConn.(syscall.Conn)
 	return socket, ok && !c.closed
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Dial begins a TCP connection to an address, which has the time within to come up; Connected or
-// Disconnected of the handler follows.
+// Dial starts to establish a TCP connection to an address. The handler's Connected is called when
+// it is established, Disconnected if that fails or takes longer than timeout.
 func (q *Quota) Dial(addr string, within time.Duration, handler Handler) *Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	c := &Conn{loop: q.loop, quota: q, handler: handler, cancelDial: cancel}
@@ -22,13 +22,15 @@
 	return c
 }
 
-// Adopt drives a connection that a listener has accepted.
+// Adopt returns a Conn for a connection that a listener has accepted, and starts to read from it.
+// It counts towards the quota, but does not check the limit.
 func (q *Quota) Adopt(netConn net.Conn, handler Handler) *Conn {
 	return q.AdoptBuffered(netConn, nil, handler)
 }
 
-// AdoptBuffered drives a connection that another process had, which has read some bytes of it. They must
-// fit the ring.
+// AdoptBuffered returns a Conn for a connection taken over from another process. read holds the
+// bytes that the other process has received and not handled; they become the content of In and must
+// fit into the ring buffer.
 func (q *Quota) AdoptBuffered(netConn net.Conn, read []byte, handler Handler) *Conn {
 	q.used++
 	c := &Conn{loop: q.loop, quota: q, handler: handler, netConn: netConn, cancelDial: func() {}}
@@ -37,7 +39,8 @@
 	return c
 }
 
-// handleDialed takes the connection that was dialled, or the error.
+// handleDialed handles the result of a dial. A connection that was closed meanwhile gives up its
+// descriptor without a notification.
 func (c *Conn) handleDialed(netConn net.Conn, err error) {
 	c.cancelDial()
 	switch {
@@ -57,13 +60,15 @@
 	}
 }
 
-// localErrors are those by which our own machine says that it can't connect to anybody now.
+// localErrors are the dial errors that mean that this machine can't connect to any peer at the
+// moment.
 var localErrors = []syscall.Errno{
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EMFILE, syscall.ENFILE, syscall.EAGAIN, syscall.EINTR, syscall.EPERM, syscall.EACCES,
 }
 
-// dialCloseReason returns how a dial has failed.
+// dialCloseReason returns the close reason for a dial error. Errors that are neither local nor a
+// refusal count as ConnectTimeout.
 func dialCloseReason(err error) CloseReason {
 	isLocal := func(errno syscall.Errno) bool { return errors.Is(err, errno) }
 	if slices.ContainsFunc(localErrors, isLocal) {
--- a/internal/conn/dial_test.go
+++ b/internal/conn/dial_test.go
@@ -13,7 +13,8 @@
 	"stoatweir/dispatch"
 )
 
-// A dial that is given up sends nothing and notifies nobody.
+// Closing a connection while it is being dialled must release its descriptor and must not notify
+// the handler.
 func TestCloseWhileDialling(t *testing.T) {
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
@@ -23,11 +24,12 @@
 	q.Dial(addr, time.Second, h).Close()
 	runUntil(l, "the descriptor", func() bool { return q.Used() == 0 })
 	if len(h.events) > 0 {
-		t.Errorf("the handler was notified: %v", h.events)
+		t.Errorf("the handler of a closed connection was notified: %v", h.events)
 	}
 }
 
-// No connection delays small writes: a close over unread bytes would take them along.
+// TCP_NODELAY must be set on every connection, however it was created. A small write that the
+// kernel delays would be lost if the connection is closed while it has unread input.
 func TestNoDelay(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,15 +64,16 @@
 		}
 		raw.Control(func(fd uintptr) {
 			if on, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY); on == 0 || err != nil {
-				t.Error(name, on, err)
+				t.Error(name, on, err) // TCP_NODELAY is off or could not be read
 			}
 		})
 	}
 	closeAndWait(loop, dialled)
 }
 
-// Only what the peer or the way to it reports says something about the worker. What our own
-// machine lacks says nothing.
+// Dial errors reported by the peer or the network must count as Unreachable. Errors caused by a
+// lack of local resources say nothing about the worker and must count as Rejected, which does not
+// eject it.
 func TestLocalDialErrorsAreNotTheWorkers(t *testing.T) {
 	for errno, want := range map[syscall.Errno]dispatch.Result{
 		unix.ECONNREFUSED:  dispatch.Unreachable,
@@ -89,7 +92,7 @@
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		reason := dialCloseReason(fmt.Errorf("wrapped: %w", err))
 		if reason.Result() != want || !reason.ProvesNotRun() {
-			t.Errorf("%v ends %q, result %d", errno, reason, reason.Result())
+			t.Errorf("%v: close reason %q, result %d: wrong result, or not proof that nothing has run", errno, reason, reason.Result())
 		}
 	}
 }
--- a/internal/conn/doc.go
+++ b/internal/conn/doc.go
@@ -1,11 +1,12 @@
-// Package conn drives network connections from one event loop.
+// Package conn runs network connections on a single event loop.
 //
-// Two goroutines a connection only move bytes between its socket and its rings. All else runs in the
-// goroutine of the Loop: the tasks that these goroutines post, timers, and the Handler of each
-// connection. Methods of this package are called there unless their comment says otherwise, so
-// owners of connections need no locks.
+// Each connection has two goroutines, a reader and a writer, which only move bytes between the
+// socket and the connection's ring buffers. Everything else runs on the goroutine of the Loop:
+// tasks posted by the readers and writers, timers, and each connection's Handler. Unless its
+// comment says otherwise, a method of this package must be called on the loop goroutine, so users
+// of connections need no locks.
 //
-// A Quota bounds the descriptors of one side of the service and decides which connection is evicted
-// where they run out. A CloseReason says how a connection or a request over it came to its end, and
-// maps to the dispatcher's result for that.
+// A Quota limits the file descriptors of one side of the service, such as its client connections,
+// and picks the connection to evict when they run out. A CloseReason says why a connection, or a
+// request sent over it, ended, and maps to a result for the dispatcher.
 package conn
--- a/internal/conn/eviction.go
+++ b/internal/conn/eviction.go
@@ -3,26 +3,27 @@
 import "time"
 
 var (
-	// newGrace is how long a connection that has sent nothing is evicted after idle ones only: a
-	// request may be there unread.
+	// newGrace is the age below which a connection that has sent nothing is evicted only after idle
+	// connections: its first request may have arrived and not been read yet.
 	newGrace = 100 * time.Millisecond
-	// stalledAfter is how long a connection without a whole request may receive no byte until it is
-	// evicted before idle ones.
+	// stalledAfter is how long a connection with an incomplete request may receive no bytes before
+	// it is evicted ahead of idle connections.
 	stalledAfter = 700 * time.Millisecond
 )
 
-// newGraceDivisor divides newGrace for what is evicted after idle connections.
+// newGraceDivisor divides newGrace to give the minimum age of new connections that are evicted
+// after idle ones.
 const newGraceDivisor = 5
 
-// evictionRule names the connections that have been in a state for some time at least.
+// evictionRule selects the connections that have been in a state for at least minAge.
 type evictionRule struct {
 	state  State
 	minAge time.Duration
 }
 
-// evictionOrder returns whom to evict first: those on which nothing is to come, those that send
-// nothing, those that have stopped in the midst of a request; then idle ones, whose clients lose
-// nothing but a connection; then those without a whole request that have had some time.
+// evictionOrder returns the rules in the order in which connections are evicted: first finished
+// connections, those that have sent nothing, and those that have stalled within a request; then
+// idle ones, whose clients lose only the connection; then younger ones without a complete request.
 func evictionOrder() [7]evictionRule {
 	return [...]evictionRule{
 		{state: StateFinished},
@@ -35,8 +36,9 @@
 	}
 }
 
-// evictDownTo evicts connections until at most limit descriptors are in use, those that are being
-// evicted left out. False: there is none left that may be evicted.
+// evictDownTo evicts connections until at most limit descriptors are in use, not counting
+// connections whose eviction is in progress. It returns false if no more connections may be
+// evicted.
 func (q *Quota) evictDownTo(limit int) bool {
 	for q.used-len(q.evicting) > limit {
 		c := q.evictionCandidate()
@@ -52,8 +54,9 @@
 	return true
 }
 
-// evictionCandidate returns the connection whose loss costs least, of several the longest in its
-// state; nil: none may be evicted. Those without a whole request come last, however short that is.
+// evictionCandidate returns the connection to evict next: of the first eviction rule that selects
+// any connection, the one that has been in its state longest. If no rule does, it returns a
+// connection without a complete request, whatever its age. It returns nil if none may be evicted.
 func (q *Quota) evictionCandidate() *Conn {
 	for _, rule := range evictionOrder() {
 		c := q.oldest(rule.state)
@@ -74,7 +77,8 @@
 	return reading
 }
 
-// oldest returns the evictable connection that has been in a state for longest; nil: there is none.
+// oldest returns the evictable connection that has been in a state longest, or nil if there is
+// none.
 func (q *Quota) oldest(state State) *Conn {
 	conns := q.evictable[state]
 	if len(conns) == 0 {
@@ -83,8 +87,8 @@
 	return conns[0]
 }
 
-// evictWhenDetached evicts the connection once all that was read is in, unless it has gone on by
-// then.
+// evictWhenDetached detaches the connection and then evicts it, unless it has changed state or
+// received input in the meantime.
 func (c *Conn) evictWhenDetached() {
 	state := c.state
 	since := c.stateSince
@@ -99,7 +103,7 @@
 	})
 }
 
-// evict closes the connection and notifies its handler.
+// evict closes the connection and notifies its handler with NoDescriptor.
 func (c *Conn) evict() {
 	handler := c.handler
 	c.Close()
--- a/internal/conn/eviction_test.go
+++ b/internal/conn/eviction_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Connections are evicted in this order: those on which nothing is to come, those that have sent
-// nothing for a while, those that have stopped in the midst of a request, idle ones, those that
-// have begun a request; never one that is active. A byte is progress.
+// Connections are evicted in this order: finished ones, those that have sent nothing for a while,
+// those that have stalled within a request, idle ones, new ones, those with a partial request that
+// still makes progress. An active connection is never evicted. Any received byte counts as
+// progress.
 func Example_evictionOrder() {
 	defer func(grace, after time.Duration) {
 		newGrace = grace
@@ -35,14 +36,14 @@
 	later := false
 	l.After(80*time.Millisecond, func() { later = true })
 	runUntil(l, "some time", func() bool { return later })
-	conns[5].SetState(StateReading) // progress
+	conns[5].SetState(StateReading) // more of the request was received
 	newest := &recordingHandler{}
 	c := q.Dial(addr, time.Second, newest)
 	runUntil(l, "the last", func() bool { return len(newest.events) > 0 })
 	c.SetState(StateNew)
 	handlers = append(handlers, newest)
 	for reserve := range 8 {
-		// What is evicted goes once all that was read of it is in.
+		// A connection is evicted only after the loop has handled everything that was read from it.
 		l.After(0, func() {})
 		runUntil(l, "the evictions", func() bool { q.EnsureFree(reserve); return len(q.evicting) == 0 })
 		fmt.Print(q.EnsureFree(reserve), " ", q.Used())
--- a/internal/conn/fixture_test.go
+++ b/internal/conn/fixture_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recordingHandler records of what it is notified.
+// recordingHandler records its notifications and the received bytes.
 type recordingHandler struct {
 	received    []byte
 	events      []string
@@ -38,9 +38,10 @@
 	h.events = append(h.events, reason.String())
 }
 
-// runUntil runs the loop until what is awaited has happened.
+// runUntil runs the loop until done returns true after an iteration. It panics after ten seconds
+// with a message that names what was awaited.
 func runUntil(l *Loop, what string, done func() bool) {
-	limit := l.After(10*time.Second, func() { panic("waited in vain for " + what) })
+	limit := l.After(10*time.Second, func() { panic("timed out waiting for " + what) })
 	l.Run(func() {
 		if done() {
 			l.Stop()
@@ -49,14 +50,14 @@
 	limit.Stop()
 }
 
-// closeAndWait closes a connection and waits for its reader, which may not use the system calls of a
-// later test.
+// closeAndWait closes a connection and waits until its reader has stopped, as the reader would
+// otherwise use the system calls that a later test replaces.
 func closeAndWait(l *Loop, c *Conn) {
 	c.Close()
 	runUntil(l, "the end of the reader", func() bool { return !c.reading })
 }
 
-// listenPeer listens on loopback and serves each connection.
+// listenPeer listens on the loopback interface and calls serve in a goroutine for each connection.
 func listenPeer(serve func(net.Conn)) (addr string, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +75,7 @@
 	return l.Addr().String(), func() { l.Close() }
 }
 
-// connPair returns both ends of a connection.
+// connPair returns both ends of a TCP connection, which are closed when the test ends.
 func connPair(t *testing.T) (near, far net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,7 +94,7 @@
 	return near, far
 }
 
-// replaceSystemCalls changes the system calls until the test is over.
+// replaceSystemCalls applies change to System and restores the previous value when the test ends.
 func replaceSystemCalls(t *testing.T, change func(*SystemCalls)) {
 	before := System
 	t.Cleanup(func() { System = before })
--- a/internal/conn/iterations.go
+++ b/internal/conn/iterations.go
@@ -3,30 +3,33 @@
 import "time"
 
 const (
-	// recentBucket is the span of which one worst iteration is kept.
+	// recentBucket is the length of the time buckets for each of which the longest iteration is
+	// kept.
 	recentBucket = time.Second
-	// recentBuckets is the number of spans that count as recent; the last of them has just begun.
+	// recentBuckets is the number of buckets that count as recent, the current, incomplete one
+	// included.
 	recentBuckets = 11
 )
 
-// Iterations says how long the iterations of a loop took: while one runs, all that comes has to wait.
-// It is real time, so whatever takes the core away shows too.
+// Iterations holds statistics of how long the iterations of a loop took. New tasks and timers wait
+// while an iteration runs. Durations are wall-clock time, so they include time in which the
+// goroutine did not have a core.
 type Iterations struct {
 	Count       int64
-	Worst       time.Duration // since the start
-	WorstRecent time.Duration // in the last ten seconds or a little more
+	Worst       time.Duration // since the start of the loop's clock
+	WorstRecent time.Duration // in the last ten to eleven seconds
 }
 
-// worstIteration is the longest iteration that ended in one span.
+// worstIteration is the longest iteration that ended in one bucket.
 type worstIteration struct {
-	bucket int64 // number of the span since the start
+	bucket int64 // index of the bucket, counted from the start of the loop's clock
 	took   time.Duration
 }
 
-// bucketAt returns the number of the span in which a time of the loop lies.
+// bucketAt returns the index of the bucket that contains a time of the loop's clock.
 func bucketAt(now time.Duration) int64 { return int64(now / recentBucket) }
 
-// recordIteration enters an iteration that ends now.
+// recordIteration records an iteration that ends now.
 func (l *Loop) recordIteration(began time.Duration) {
 	now := time.Since(l.start)
 	took := now - began
@@ -40,7 +43,7 @@
 	slot.took = max(slot.took, took)
 }
 
-// Iterations returns how long iterations took; the present one is not among them.
+// Iterations returns the statistics of all completed iterations; the current one is not included.
 func (l *Loop) Iterations() Iterations {
 	result := l.iterations
 	oldest := bucketAt(time.Since(l.start)) - recentBuckets
--- a/internal/conn/iterations_test.go
+++ b/internal/conn/iterations_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// busyTask keeps the loop busy for some time, and stops it.
+// busyTask keeps the loop busy for span and then stops it.
 type busyTask struct {
 	*Loop
 	span time.Duration
@@ -17,18 +17,18 @@
 	b.Stop()
 }
 
-// An iteration counts from the first task that it runs; the recent worst one is forgotten after a
-// while.
+// The duration of an iteration counts from the start of its first task. WorstRecent must return to
+// zero once the longest iteration is no longer recent, while Worst keeps its value.
 func TestIterations(t *testing.T) {
 	l := NewLoop(time.Now())
 	l.Post(busyTask{Loop: l, span: 20 * time.Millisecond})
 	l.Run(func() {})
 	iterations := l.Iterations()
 	if iterations.Count != 1 || iterations.Worst < 20*time.Millisecond || iterations.WorstRecent != iterations.Worst {
-		t.Errorf("%+v", iterations)
+		t.Errorf("one iteration of 20 ms or more: got %+v", iterations)
 	}
-	l.start = l.start.Add(-2 * recentBuckets * recentBucket) // so much later
+	l.start = l.start.Add(-2 * recentBuckets * recentBucket) // advances the loop's clock
 	if later := l.Iterations(); later.WorstRecent != 0 || later.Worst != iterations.Worst {
-		t.Errorf("%+v", later)
+		t.Errorf("the worst iteration is no longer recent: got %+v", later)
 	}
 }
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// taskBacklog is how many tasks may wait before Post blocks.
+	// taskBacklog is the number of tasks that may be queued before Post blocks.
 	taskBacklog = 1024
-	// urgentBacklog is how many urgent tasks may wait before PostUrgent blocks.
+	// urgentBacklog is the number of urgent tasks that may be queued before PostUrgent blocks.
 	urgentBacklog = 16
-	// maxWait is how long the loop waits for a task where no timer is set.
+	// maxWait is how long the loop waits for a task if no timer is set.
 	maxWait = time.Hour
 )
 
-// Task is run by the loop once.
+// Task is a unit of work that the loop runs once.
 type Task interface{ Run() }
 
-// Loop runs tasks and timers in one goroutine, one after the other.
+// Loop runs tasks and timers one at a time, on the goroutine that calls Run.
 type Loop struct {
 	tasks       chan Task
-	urgent      chan Task // run before all that wait in tasks
+	urgent      chan Task // run before everything queued in tasks
 	start       time.Time
 	now         time.Duration
 	timers      timerHeap
-	timerSeq    int // of the timer that was set last
+	timerSeq    int // sequence number of the timer that was set last
 	stopped     bool
 	iterations  Iterations
 	recentWorst [recentBuckets]worstIteration
 
-	// Panicked is called when a task panics: that task is dropped and the loop goes on. Nil: the
-	// panic ends the program.
+	// Panicked is called with the panic value when a task, a timer or Run's callback panics. The
+	// panic is recovered and the loop continues. If Panicked is nil, a panic ends the process.
 	Panicked func(cause any)
-	// DialContext makes the connections, as net.Dialer does unless it is set. Goroutines call it.
+	// DialContext establishes connections; by default it is that of a zero net.Dialer. It is called
+	// on other goroutines than the loop's.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// NewLoop returns a loop whose clock counts from start.
+// NewLoop returns a loop whose clock counts the time since start.
 func NewLoop(start time.Time) *Loop {
 	return &Loop{
 		tasks:       make(chan Task, taskBacklog),
@@ -47,16 +48,16 @@
 	}
 }
 
-// Now returns the time since the start as it was read before the present task: all that a task
-// causes happens at one moment.
+// Now returns the loop's time as read before the current task, so that everything a task causes has
+// the same time.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Clock reads the time since the start. Tasks and decisions go by Now; this is for what must hold at
-// the very moment of a system call, as a process that gets little of a core may be late by more than
-// a rule allows.
+// Clock reads the loop's clock again. Tasks and decisions use Now. Clock is for checks that must
+// hold at the time of a system call: a process that gets little CPU time may make the call much
+// later than Now, by more than a deadline or rule allows.
 func (l *Loop) Clock() time.Duration { return time.Since(l.start) }
 
-// wallTime returns a time of this loop as package time has it; 0 becomes the zero time.
+// wallTime converts a time of the loop's clock to a time.Time; 0 becomes the zero time.
 func (l *Loop) wallTime(at time.Duration) time.Time {
 	if at == 0 {
 		return time.Time{}
@@ -67,15 +68,15 @@
 // Post queues a task. Any goroutine may call it; it blocks while the queue is full.
 func (l *Loop) Post(task Task) { l.tasks <- task }
 
-// PostUrgent queues a task that runs before all others: its caller waits for a second at most,
-// however full the queue is. Any goroutine may call it.
+// PostUrgent queues a task that runs ahead of those queued by Post. It is for callers that wait at
+// most a second for the task, however full the task queue is. Any goroutine may call it.
 func (l *Loop) PostUrgent(task Task) { l.urgent <- task }
 
-// Stop ends Run after the present task.
+// Stop makes Run return at the end of the current iteration.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run runs tasks and timers until Stop. It calls after whenever all that has happened so far is
-// handled.
+// Run runs tasks and timers until Stop is called. At the end of each iteration, when the queued
+// tasks and due timers have been handled, it calls after.
 func (l *Loop) Run(after func()) {
 	l.stopped = false
 	wakeUp := time.NewTimer(0)
@@ -98,8 +99,9 @@
 	}
 }
 
-// runWaiting runs the tasks that have come meanwhile, as they belong to the same moment for the
-// decisions; no more than these, as a flood of tasks must not keep timers from firing.
+// runWaiting runs the tasks that are queued when it is called, so that decisions at the end of the
+// iteration take all of them into account. Tasks queued later wait for the next iteration:
+// otherwise a flood of tasks could keep timers from firing.
 func (l *Loop) runWaiting() {
 	for range len(l.tasks) {
 		l.runUrgent()
@@ -108,14 +110,14 @@
 	l.runUrgent()
 }
 
-// runUrgent runs the urgent tasks that wait.
+// runUrgent runs all queued urgent tasks.
 func (l *Loop) runUrgent() {
 	for len(l.urgent) > 0 {
 		l.runTask(<-l.urgent)
 	}
 }
 
-// runTask runs a task and returns when it began.
+// runTask runs a task and returns the time at which it started.
 func (l *Loop) runTask(task Task) time.Duration {
 	l.now = time.Since(l.start)
 	began := l.now
@@ -123,7 +125,7 @@
 	return began
 }
 
-// call keeps a panic in one function from ending the loop, if that is wanted.
+// call calls f. If Panicked is set, it recovers a panic in f and reports it there.
 func (l *Loop) call(f func()) {
 	if l.Panicked != nil {
 		defer func() {
--- a/internal/conn/peek_test.go
+++ b/internal/conn/peek_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer is gone in whatever way its connection has ended: the error of a broken one is returned
-// once only, to the call that looks.
+// PeerClosed must treat every socket error as a close. The kernel returns the error of a broken
+// connection only once, and the peek consumes it, so no later call would see that the peer is gone.
 func TestPeerClosedOnAnyError(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE,
@@ -18,12 +18,13 @@
 		near, _ := connPair(t)
 		replaceSystemCalls(t, func(s *SystemCalls) { s.Peek = func(int, []byte) (int, error) { return -1, errno } })
 		if !PeerClosed(near) {
-			t.Errorf("%v: the peer is taken for one that is there", errno)
+			t.Errorf("%v: PeerClosed returned false", errno)
 		}
 	}
 }
 
-// interruptFirst fails the first call of each, as a signal does that comes just then.
+// interruptFirst makes the first Peek and the first Poll fail with EINTR, as if a signal had
+// interrupted them.
 func interruptFirst(s *SystemCalls) {
 	peek := s.Peek
 	poll := s.Poll
@@ -45,7 +46,8 @@
 	}
 }
 
-// A look that is interrupted is repeated.
+// PeerClosed and Readable must repeat a system call that a signal has interrupted, and must not
+// take EINTR for input or a close.
 func TestPeekRetriesOnEINTR(t *testing.T) {
 	for _, behind := range []string{"", "unread"} {
 		near, far := connPair(t)
@@ -54,7 +56,7 @@
 		time.Sleep(20 * time.Millisecond)
 		replaceSystemCalls(t, interruptFirst)
 		if !PeerClosed(near) {
-			t.Errorf("a peer that has closed behind %q is taken for one that is there", behind)
+			t.Errorf("PeerClosed returned false for a peer that sent %q and closed", behind)
 		}
 	}
 	near, far := connPair(t)
@@ -62,10 +64,10 @@
 	time.Sleep(20 * time.Millisecond)
 	replaceSystemCalls(t, interruptFirst)
 	if c := (&Conn{netConn: near}); !c.Readable() {
-		t.Error("an answer that was received is not seen")
+		t.Error("Readable returned false with an answer in the kernel's receive buffer")
 	}
 	replaceSystemCalls(t, interruptFirst)
 	if near, _ := connPair(t); PeerClosed(near) {
-		t.Error("a peer that is there is taken for one that has closed")
+		t.Error("PeerClosed returned true for a peer that has not closed")
 	}
 }
--- a/internal/conn/quota.go
+++ b/internal/conn/quota.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Quota is a part of the descriptors. Each side of the service has one of its own: a crowd on the one
-// must not take what the other needs.
+// Quota limits the number of file descriptors that a group of connections may use. Each side of the
+// service has its own quota, so that many connections on one side can't use up the descriptors that
+// the other side needs.
 type Quota struct {
-	OnFree func() // is called when a descriptor is free again; may be nil
+	OnFree func() // called when a descriptor has been released or the limit has changed; may be nil
 
 	loop         *Loop
 	used         int
 	limit        int
-	discardPause time.Duration       // of readers that discard, after each read
-	evictable    [stateCount][]*Conn // by state, the longest in it first
-	flushing     map[*Conn]struct{}  // closing, and their last answer may not have arrived
-	evicting     map[*Conn]struct{}  // being detached to be evicted: a request of theirs may have been read
+	discardPause time.Duration       // pause of a discarding reader after each read
+	evictable    [stateCount][]*Conn // by state; the connection longest in the state comes first
+	flushing     map[*Conn]struct{}  // closing connections whose peer may not have received the last answer
+	evicting     map[*Conn]struct{}  // connections being detached for eviction; they may have a request that was read
 }
 
-// NewQuota returns a quota of limit descriptors.
+// NewQuota returns a quota that allows up to limit descriptors.
 func (l *Loop) NewQuota(limit int) *Quota {
 	return &Quota{
 		loop:         l,
@@ -27,8 +28,8 @@
 	}
 }
 
-// Resize changes the number of descriptors. Connections beyond it are evicted as far as they may be;
-// the others keep new ones from coming.
+// Resize changes the limit. Excess connections are evicted if their state allows it. The others
+// keep their descriptors, and EnsureFree fails until enough of them have been released.
 func (q *Quota) Resize(limit int) {
 	q.limit = limit
 	q.evictDownTo(limit)
@@ -37,9 +38,11 @@
 	}
 }
 
-// EnsureFree reports whether one more descriptor can be used with at least reserve left after it, and
-// evicts connections for that. Their handlers are notified as if the peer had closed them. What may
-// still hold a request is evicted only once all that was read of it is in: OnFree is called then.
+// EnsureFree reports whether one more descriptor can be used and at least reserve descriptors are
+// free after that, and evicts connections if necessary. The handlers of evicted connections are
+// notified by Disconnected. A connection that may hold a received request is evicted only after
+// everything that was read from it has been handled; EnsureFree returns false until then, and
+// OnFree is called.
 func (q *Quota) EnsureFree(reserve int) bool {
 	if !q.evictDownTo(q.limit - reserve - 1) {
 		return false
@@ -47,17 +50,19 @@
 	return q.used+reserve < q.limit
 }
 
-// Available returns the number of free descriptors, with no connection evicted for them.
+// Available returns the number of free descriptors without evicting a connection. It is negative
+// while more descriptors are in use than the limit allows.
 func (q *Quota) Available() int { return q.limit - q.used }
 
 // Used returns the number of descriptors in use.
 func (q *Quota) Used() int { return q.used }
 
-// AllFlushed reports whether no connection that its owner has closed has bytes left to write, or has
-// just written its last: an end of the program before that could cost its peer an answer.
+// AllFlushed reports whether every connection closed by CloseAfterFlush has written all its bytes
+// and its peer has probably received them. If the process exited earlier, the peer could lose an
+// answer.
 func (q *Quota) AllFlushed() bool { return len(q.flushing) == 0 }
 
-// release gives the connection's descriptor back.
+// release returns the connection's descriptor to the quota.
 func (c *Conn) release() {
 	c.SetState(StateActive)
 	delete(c.quota.flushing, c)
--- a/internal/conn/reader.go
+++ b/internal/conn/reader.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// firstReadSize, in bytes, is the buffer of a connection's first read: thousands may connect and
-	// send nothing, and the ring is for those that do.
+	// firstReadSize is the size of the buffer for a connection's first read, in bytes. Thousands of
+	// peers may connect and send nothing, so the ring buffer is allocated only once bytes arrive.
 	firstReadSize = 256
-	// discardChunk, in bytes, is how much a discarding reader reads at a time.
+	// discardChunk is how many bytes a discarding reader reads at a time.
 	discardChunk = 64 << 10
-	// unpacedBytes is how much a discarding reader throws away without pauses: the peer may have
-	// closed behind what the system holds of it, and that is to be seen at once.
+	// unpacedBytes is how many bytes a discarding reader reads without pauses. It covers what the
+	// kernel may hold, so that a close by the peer after those bytes is seen without delay.
 	unpacedBytes = 32 << 20
-	// unpacedReads is the number of reads for which the same holds.
+	// unpacedReads is how many reads a discarding reader makes without pauses, for the same reason.
 	unpacedReads = 4 << 10
-	// discardPause is the pause after each further read: a peer that sends without end must cost
-	// neither iterations of the loop nor the core.
+	// discardPause is the pause after each further read. A peer that sends without end must not use
+	// up loop iterations or a CPU core.
 	discardPause = time.Millisecond
 )
 
-// discardBuffers are shared by the readers that discard.
+// discardBuffers holds read buffers that are shared by discarding readers.
 var discardBuffers = sync.Pool{New: func() any { return new([discardChunk]byte) }}
 
-// startReader starts the goroutine that reads. It reads once for each buffer that it is given; nil
-// asks it to discard all input.
+// startReader starts the reader goroutine. It reads once into each buffer that it receives; a nil
+// buffer makes it discard all input.
 func (c *Conn) startReader() {
 	c.readRequests = make(chan []byte, 1)
 	go func() {
@@ -41,7 +41,7 @@
 	}()
 }
 
-// serveRead serves one request of the loop in the reader.
+// serveRead serves one read request. It runs on the reader goroutine.
 func (c *Conn) serveRead(b []byte) (int, error) {
 	if b != nil {
 		return c.receive(b)
@@ -51,9 +51,9 @@
 	return 0, err
 }
 
-// startRead gives the reader its next request, unless In is full.
+// startRead sends the reader its next request, unless In is full.
 func (c *Conn) startRead() {
-	var b []byte // nil: discard
+	var b []byte // nil: discard all input
 	switch {
 	case c.closing, c.discarding:
 	case c.In.Empty():
@@ -69,16 +69,16 @@
 	c.readRequests <- b
 }
 
-// DiscardInput throws away whatever is still received, so that the peer's close is seen however much
-// that is.
+// DiscardInput discards the bytes in In and all further input, so that a close by the peer is
+// noticed no matter how much it has sent before.
 func (c *Conn) DiscardInput() {
 	c.discarding = true
 	c.In.Drop(c.In.Len())
 }
 
-// receive waits for bytes in the reader.
+// receive waits for bytes and reads them into b. It runs on the reader goroutine.
 func (c *Conn) receive(b []byte) (n int, err error) {
-	defer c.unseen.mark() // an error that no system call has returned, such as a deadline
+	defer c.unseen.mark() // also marks errors that don't come from a system call, such as a passed deadline
 	raw, ok := rawSocket(c.netConn)
 	if !ok {
 		return c.netConn.Read(b)
@@ -98,7 +98,8 @@
 	return n, nil
 }
 
-// discardAll reads in the reader until the connection ends, by its peer or by us.
+// discardAll reads and discards input until the peer or this side closes the connection. It runs on
+// the reader goroutine.
 func (c *Conn) discardAll() error {
 	b := discardBuffers.Get().(*[discardChunk]byte)
 	defer discardBuffers.Put(b)
--- a/internal/conn/reader_test.go
+++ b/internal/conn/reader_test.go
@@ -11,8 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bytes leave the system only together with the mark that shows them: a reader that is held at any
-// point leaves them to be seen in one of the two.
+// Readable must see received bytes at every point of a read. The read system call and the mark in
+// unseenInput happen under one lock; without it, bytes that the reader has taken from the kernel
+// and not yet marked would be missed.
 func TestReadableWhileBytesAreRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +34,7 @@
 		peek(near, func(_, _ int, err error) { is = !errors.Is(err, unix.EAGAIN) })
 		return is
 	}
-	c.unseen.mu.Lock() // the goroutine is held where it would read
+	c.unseen.mu.Lock() // blocks the reader just before the read system call
 	type outcome struct {
 		n   int
 		err error
@@ -47,35 +48,35 @@
 	io.WriteString(far, "half a l")
 	for end := time.Now().Add(5 * time.Second); !inSystem(); {
 		if time.Now().After(end) {
-			t.Fatal("nothing comes")
+			t.Fatal("no bytes arrived within five seconds")
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
 	if !inSystem() {
-		t.Error("taken from the system, and not marked")
+		t.Error("the reader took bytes from the kernel without marking them")
 	}
 	c.unseen.mu.Unlock()
 	if got := <-ended; got.n != 8 || got.err != nil || !c.Readable() {
-		t.Errorf("%+v, readable: %v", got, c.Readable())
+		t.Errorf("want 8 bytes and Readable true, got %+v and %v", got, c.Readable())
 	}
 	c.unseen.clear()
 	if c.Readable() {
-		t.Error("readable, and all is seen")
+		t.Error("Readable returned true although the handler has seen all input")
 	}
 	go read()
 	far.Close()
 	if got := <-ended; got.err != io.EOF || !c.Readable() {
-		t.Errorf("%+v, readable: %v", got, c.Readable())
+		t.Errorf("want io.EOF and Readable true, got %+v and %v", got, c.Readable())
 	}
 	near.SetReadDeadline(time.Unix(1, 0))
 	go read()
 	if got := <-ended; !errors.Is(got.err, os.ErrDeadlineExceeded) {
-		t.Errorf("%+v", got)
+		t.Errorf("want os.ErrDeadlineExceeded, got %+v", got)
 	}
 }
 
-// A peer that has sent much and closed is seen to have closed as fast as its bytes can be thrown
-// away.
+// A discarding reader must notice without pauses that a peer has sent many bytes and closed. The
+// pause is set to an hour, so a single pause makes the test fail.
 func TestPeerCloseSeenBehindMuchInput(t *testing.T) {
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
@@ -85,7 +86,7 @@
 	c := q.Adopt(near, h)
 	c.DiscardInput()
 	go func() {
-		far.Write(make([]byte, 8<<20)) // what the system may hold
+		far.Write(make([]byte, 8<<20)) // as much as the kernel may hold
 		far.Close()
 	}()
 	runUntil(l, "the end", func() bool { return len(h.events) > 0 })
--- a/internal/conn/send.go
+++ b/internal/conn/send.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Outgoing is a message that may become forbidden before it can be written.
+// Outgoing is a message that may only be sent under conditions, which are checked right before
+// sending.
 type Outgoing struct {
 	Bytes []byte
-	// Until bounds every byte of it, by the loop's clock; 0: nothing does.
+	// Until is a time of the loop's clock at and after which no byte may be written; 0: no limit.
 	Until time.Duration
-	// Allowed is asked directly before the first byte is written. Open allows it, any other reason is
-	// why not. Nil: allowed.
+	// Allowed is called right before the first byte is written. It returns Open to permit the
+	// message, or the reason against it. If nil, the message is permitted.
 	Allowed func() CloseReason
 }
 
-// Send writes a message over a connection that has nothing queued and nothing unread. Open: some of
-// it has been written; any other reason is why nothing was. What the socket does not take at once
-// follows in the background. If that takes until m.Until, the connection ends NotWritten: the last
-// byte is never written.
+// Send writes a message to a connection that has no queued bytes and no unread input. It returns
+// Open if the message was started, and otherwise the reason why no byte of it was written. Bytes
+// that the socket does not accept at once are written in the background. If that is not done by
+// m.Until, the connection ends with NotWritten, and the last byte is never written.
 //
-// The permission is asked and the first bytes are written in one go, as a goroutine of its own may
-// run late.
+// The check of Allowed and the first write happen together on the loop goroutine, because the
+// writer goroutine may be scheduled late, when the message is no longer permitted.
 func (c *Conn) Send(m Outgoing) CloseReason {
 	if c.closed || c.closing || c.Unsent() > 0 {
 		return NotWritten
@@ -33,7 +34,7 @@
 		}
 	}
 	if c.Readable() {
-		return NotWritten // its end, or what would be taken for the response
+		return NotWritten // unread input: the connection's end, or bytes that would be taken for the response
 	}
 	if m.Until > 0 && c.loop.Clock() >= m.Until {
 		return NotSent
@@ -42,7 +43,7 @@
 	if raw, ok := rawSocket(c.netConn); ok {
 		written = writeOnce(raw, m.Bytes)
 		if written == 0 {
-			return NotWritten // it is broken, which its reader will see
+			return NotWritten // the connection is broken; the reader will report that
 		}
 	}
 	c.writeDeadline = c.loop.wallTime(m.Until)
@@ -52,7 +53,8 @@
 	return Open
 }
 
-// writeOnce writes what the socket takes without waiting and returns how much that was.
+// writeOnce makes one write system call, which does not block, and returns the number of bytes
+// written; 0 after an error.
 func writeOnce(raw syscall.RawConn, b []byte) int {
 	written := 0
 	raw.Control(func(fd uintptr) {
@@ -62,7 +64,9 @@
 	return written
 }
 
-// Write queues bytes; what the ring has no room for is kept by reference.
+// Write queues bytes to be written. Those that don't fit into the ring buffer are kept by
+// reference, so the caller must not modify b afterwards. On a closed or closing connection it does
+// nothing.
 func (c *Conn) Write(b []byte) {
 	if c.closed || c.closing {
 		return
@@ -76,7 +80,7 @@
 	c.startIO()
 }
 
-// fillOut moves queued bytes into the ring as far as it has room.
+// fillOut moves bytes from overflow into the ring buffer as far as they fit.
 func (c *Conn) fillOut() {
 	n := c.out.Write(c.overflow)
 	c.overflow = c.overflow[n:]
@@ -85,5 +89,5 @@
 	}
 }
 
-// Unsent returns the number of bytes that are queued and not known to be written.
+// Unsent returns the number of queued bytes that the writer has not reported as written.
 func (c *Conn) Unsent() int { return c.out.Len() + len(c.overflow) }
--- a/internal/conn/state.go
+++ b/internal/conn/state.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// slowRequestGap is how long after its first bytes more of them show that a request is sent slowly,
-// not cut up on its way.
+// slowRequestGap is the time between the first bytes of a request and later ones from which the
+// peer counts as sending slowly. Shorter gaps occur when the network splits a request into packets.
 const slowRequestGap = 20 * time.Millisecond
 
-// State is what a connection is in use for, and so what would be lost if it were evicted.
+// State says what a connection is used for, which determines what would be lost by evicting it.
 type State uint8
 
 // The states of a connection.
 const (
-	StateActive        State = iota // an invocation, or a response
-	StateNew                        // nothing was received, but a request may be on its way
-	StateReading                    // a request that is not whole yet, and so is not admitted
-	StateReadingSlowly              // the same, and more of it came later
-	StateIdle                       // nothing
-	StateFinished                   // nothing, and nothing is to be expected
+	StateActive        State = iota // carries an invocation or a response; never evicted
+	StateNew                        // nothing received yet, but a request may be on its way
+	StateReading                    // part of a request received; it is not admitted before it is complete
+	StateReadingSlowly              // like StateReading, but later parts arrived after slowRequestGap
+	StateIdle                       // not in use; another request may follow
+	StateFinished                   // not in use; no further request is expected
 
 	stateCount
 )
 
-// SetState says what the connection is in use for; it begins with StateActive. StateReading again is
-// progress of the request.
+// SetState sets the connection's state, which is StateActive at first. Setting StateReading again
+// means that more of the request was received: from slowRequestGap on, that changes the state to
+// StateReadingSlowly, and restarts the time in it.
 func (c *Conn) SetState(state State) {
 	if state == StateReading && c.readsSlowly() {
 		state = StateReadingSlowly
@@ -38,7 +39,8 @@
 	c.addEvictable()
 }
 
-// readsSlowly reports whether more bytes of a request make it one that is sent slowly.
+// readsSlowly reports whether a request of which more bytes were just received is being sent
+// slowly.
 func (c *Conn) readsSlowly() bool {
 	switch c.state {
 	case StateReadingSlowly:
@@ -49,15 +51,16 @@
 	return false
 }
 
-// addEvictable enters the connection among those that may be evicted. One that is detached is about
-// to end, or to pass to another process.
+// addEvictable adds the connection to those that may be evicted, unless it is active or detached. A
+// detached connection is about to be closed or passed to another process.
 func (c *Conn) addEvictable() {
 	if c.state != StateActive && c.onDetached == nil {
 		c.quota.evictable[c.state] = append(c.quota.evictable[c.state], c)
 	}
 }
 
-// removeEvictable removes the connection from those that may be evicted.
+// removeEvictable removes the connection from the list of those that may be evicted, if it is in
+// it.
 func (c *Conn) removeEvictable() {
 	conns := &c.quota.evictable[c.state]
 	if i := slices.Index(*conns, c); i >= 0 {
--- a/internal/conn/syscalls.go
+++ b/internal/conn/syscalls.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// SystemCalls are those that connections make by themselves, beside the standard library's. Tests of
-// what happens when they fail replace them.
+// SystemCalls are the system calls that this package makes directly instead of through package net.
+// Tests replace them to simulate failures.
 type SystemCalls struct {
 	Read  func(fd int, b []byte) (int, error)
 	Write func(fd int, b []byte) (int, error)
-	Peek  func(fd int, b []byte) (int, error) // reads without waiting, and leaves the bytes unread
+	Peek  func(fd int, b []byte) (int, error) // reads without blocking; the bytes stay unread in the kernel
 	Poll  func(fds []unix.PollFd, timeout int) (int, error)
 }
 
-// System is the set of system calls that connections use.
+// System holds the system calls that all connections use. Only tests change it.
 var System = SystemCalls{
 	Read:  unix.Read,
 	Write: unix.Write,
@@ -28,7 +28,7 @@
 	Poll: unix.Poll,
 }
 
-// ignoringEINTR repeats a system call for as long as signals interrupt it.
+// ignoringEINTR repeats a system call until it returns a result other than EINTR.
 func ignoringEINTR(call func() (int, error)) (int, error) {
 	for {
 		n, err := call()
@@ -38,7 +38,8 @@
 	}
 }
 
-// rawSocket returns a connection's socket; false: it has none, as a pipe.
+// rawSocket returns access to a connection's socket. It returns false if the connection is not
+// backed by a socket, for example a net.Pipe.
 func rawSocket(netConn net.Conn) (syscall.RawConn, bool) {
 	socket, ok := netConn.(syscall.Conn)
 	if !ok {
--- a/internal/conn/timer.go
+++ b/internal/conn/timer.go
@@ -8,16 +8,16 @@
 // notInHeap is the index of a timer that has fired or was stopped.
 const notInHeap = -1
 
-// Timer calls a function at some time unless it is stopped before.
+// Timer calls a function on the loop goroutine at a given time, unless it is stopped first.
 type Timer struct {
-	due    time.Duration // by the loop's clock
-	index  int           // in the heap, or notInHeap
-	seq    int           // orders timers that are due together, in the order in which they were set
+	due    time.Duration // time of the loop's clock
+	index  int           // index in the heap, or notInHeap
+	seq    int           // makes timers with the same due time fire in the order in which they were set
 	fire   func()
 	timers *timerHeap
 }
 
-// After sets a timer that calls fire in the loop once wait has passed.
+// After sets a timer that calls fire on the loop goroutine once wait has passed since Now.
 func (l *Loop) After(wait time.Duration, fire func()) *Timer {
 	l.timerSeq++
 	t := &Timer{due: l.now + wait, seq: l.timerSeq, fire: fire, timers: &l.timers}
@@ -25,14 +25,15 @@
 	return t
 }
 
-// Stop keeps the timer from firing. One that has fired or was stopped is left alone, as is nil.
+// Stop prevents the timer from firing. It does nothing if the timer is nil, has fired or was
+// stopped.
 func (t *Timer) Stop() {
 	if t != nil && t.index != notInHeap {
 		heap.Remove(t.timers, t.index)
 	}
 }
 
-// untilNextTimer returns how long the loop may wait until a timer is due.
+// untilNextTimer returns how long the loop may wait for tasks until the next timer is due.
 func (l *Loop) untilNextTimer() time.Duration {
 	if len(l.timers) == 0 {
 		return maxWait
@@ -40,7 +41,7 @@
 	return max(0, l.timers[0].due-time.Since(l.start))
 }
 
-// fireTimers fires the timers that are due now.
+// fireTimers calls the functions of all timers that are due, in order.
 func (l *Loop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].due <= l.now {
 		t := heap.Pop(&l.timers).(*Timer)
@@ -48,7 +49,7 @@
 	}
 }
 
-// timerHeap implements heap.Interface, the timer that is due first on top.
+// timerHeap implements heap.Interface; the timer that is due first is at index 0.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/internal/conn/timer_test.go
+++ b/internal/conn/timer_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Timers fire in order, a stopped one not at all, also when it is stopped by another that fires
-// first.
+// Timers fire in the order of their due times. A stopped timer does not fire, even if it is stopped
+// by a timer that fires earlier in the same iteration.
 func ExampleLoop_After() {
 	l := NewLoop(time.Now())
 	var b *Timer
--- a/internal/conn/unseen.go
+++ b/internal/conn/unseen.go
@@ -7,16 +7,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// unseenInput records whether bytes, or an end, were received that the handler of a connection has
-// not seen. They are held by the system, or on their way through the reader and the loop's queue.
-// The lock is held over the system call that takes them out of the one and the mark that shows them
-// in the other: between the two they would be seen in neither.
+// unseenInput records whether bytes, an EOF or an error were received that the handler of a
+// connection has not seen yet. Such input is either still in the kernel, or on its way through the
+// reader and the loop's task queue, which is what marked records. The lock is held during both the
+// read system call and the setting of marked: between the two, the input would be found in neither
+// place.
 type unseenInput struct {
 	mu     sync.Mutex
 	marked bool
 }
 
-// read reads what there is without waiting, and marks it.
+// read reads the available bytes without blocking and marks them as unseen.
 func (u *unseenInput) read(fd int, b []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -25,21 +26,21 @@
 	return n, err
 }
 
-// mark enters that something was received in another way.
+// mark records that input was received other than by read.
 func (u *unseenInput) mark() {
 	u.mu.Lock()
 	u.marked = true
 	u.mu.Unlock()
 }
 
-// clear enters that the handler has what was received.
+// clear records that all received input has been passed to the handler.
 func (u *unseenInput) clear() {
 	u.mu.Lock()
 	u.marked = false
 	u.mu.Unlock()
 }
 
-// present reports whether something is marked, or held by the system as heldBySystem has it.
+// present reports whether there is unseen input: marked, or in the kernel as heldBySystem reports.
 func (u *unseenInput) present(heldBySystem func() bool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/conn/writer.go
+++ b/internal/conn/writer.go
@@ -10,17 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// writeTimeout is how long a peer may take nothing of what is written to it. A slow reader that takes
-// a little now and then gets all of it: cutting an answer short would lose the invocation.
+// writeTimeout is how long a peer may accept no bytes before its connection is closed. A slow peer
+// that accepts some bytes now and then receives everything, because a truncated answer would lose
+// the invocation.
 var writeTimeout = 20 * time.Second
 
-// writeRun is a run of bytes for the writer.
+// writeRun is a contiguous run of bytes for the writer.
 type writeRun struct {
 	bytes    []byte
-	deadline time.Time // no byte is written from then on; zero: nothing bounds it
+	deadline time.Time // no byte is written at or after this time; zero: no deadline
 }
 
-// startWrite gives the writer the next run of bytes, if there are any, and starts it with the first.
+// startWrite passes the next run of queued bytes, if any, to the writer, which is started on first
+// use.
 func (c *Conn) startWrite() {
 	b := c.out.Bytes()
 	if len(b) == 0 {
@@ -33,7 +35,7 @@
 	c.writeRuns <- writeRun{bytes: b, deadline: c.writeDeadline}
 }
 
-// startWriter starts the goroutine that writes.
+// startWriter starts the writer goroutine. It reports to the loop after each run.
 func (c *Conn) startWriter() {
 	c.writeRuns = make(chan writeRun, 1)
 	go func() {
@@ -44,7 +46,8 @@
 	}()
 }
 
-// write writes a run as far as its deadline and the write timeout allow.
+// write writes the run until its deadline or the write timeout passes, and returns the number of
+// bytes written. It returns no error if the write timeout passed after some bytes were written.
 func (r writeRun) write(netConn net.Conn) (written int, err error) {
 	deadline := time.Now().Add(writeTimeout)
 	bounded := !r.deadline.IsZero() && r.deadline.Before(deadline)
@@ -58,13 +61,13 @@
 		written, err = netConn.Write(r.bytes)
 	}
 	if written > 0 && !bounded && errors.Is(err, os.ErrDeadlineExceeded) {
-		err = nil // a slow reader has taken some of it: the rest is given to the writer again
+		err = nil // a slow peer has accepted some bytes; the loop passes the rest to the writer again
 	}
 	return written, err
 }
 
-// writeBeforeDeadline reads the clock before each system call: the writer may run long after the
-// socket has become writable.
+// writeBeforeDeadline writes the run and checks the deadline before each system call, as the writer
+// may be scheduled long after the socket has become writable.
 func (r writeRun) writeBeforeDeadline(raw syscall.RawConn) (written int, err error) {
 	waitErr := raw.Write(func(fd uintptr) (done bool) {
 		for written < len(r.bytes) {
--- a/internal/conn/writer_test.go
+++ b/internal/conn/writer_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A peer that takes a little now and then receives all of it, however long that lasts; the
-// connection of one that takes nothing ends, and the request on it has provably not been written.
+// A peer that reads slowly must receive everything, even if that takes many times the write
+// timeout. The connection of a peer that reads nothing must end with NotWritten, which proves that
+// the request was not written completely.
 func TestSlowPeer(t *testing.T) {
 	defer func(before time.Duration) { writeTimeout = before }(writeTimeout)
 	writeTimeout = 10 * time.Millisecond
@@ -34,13 +35,13 @@
 		return len(got) == 1
 	})
 	if all := <-got; !bytes.Equal(all, want) {
-		t.Errorf("%d bytes of %d came", len(all), len(want))
+		t.Errorf("peer received %d bytes, want %d", len(all), len(want))
 	}
 	near, _ = net.Pipe()
 	h := &recordingHandler{}
 	q.Adopt(near, h).Write(want)
 	runUntil(l, "the end", func() bool { return len(h.events) > 0 })
 	if h.events[0] != NotWritten.String() {
-		t.Errorf("one that takes nothing: %v", h.events)
+		t.Errorf("peer that reads nothing: got events %v, want NotWritten first", h.events)
 	}
 }
