--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -15,7 +15,7 @@
 		n = len(b)
 	}
 	p.pending = append(p.pending, b[:n]...)
-	if len(p.pending) > p.maxLine() {
+	if len(p.pending) > p.maxLineBytes() {
 		return n, parseErrorf(StatusBadRequest, "line too long between chunks")
 	}
 	if newline < 0 {
@@ -26,12 +26,12 @@
 	return n, p.handleLine(line)
 }
 
-// maxLine returns the maximum length of a line in the current state, in bytes.
-func (p *Parser) maxLine() int {
+// maxLineBytes returns the maximum length of a line in the current state, in bytes.
+func (p *Parser) maxLineBytes() int {
 	if p.state == stateTrailer {
-		return maxTrailerLine
+		return maxTrailerLineBytes
 	}
-	return maxChunkLine
+	return maxChunkLineBytes
 }
 
 // handleLine handles a complete line, without its line break, and sets the next state.
@@ -44,7 +44,7 @@
 		p.state = stateChunkSize
 	case stateChunkSize:
 		digits, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
-		size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, lengthBits)
+		size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, lengthBitSize)
 		if err != nil {
 			return parseErrorf(StatusBadRequest, "malformed chunk size")
 		}
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -13,8 +13,8 @@
 	version11 = "HTTP/1.1"
 )
 
-// deleteByte is DEL, the only ASCII control character above the space.
-const deleteByte = 0x7f
+// controlDEL is DEL, the only ASCII control character above the space.
+const controlDEL = 0x7f
 
 // feedHead collects bytes until the head is complete and then parses it. It returns the number of
 // bytes consumed. Blank lines before the head are skipped, as RFC 9112 recommends.
@@ -23,11 +23,11 @@
 		if len(p.pending) == 0 && (c == '\r' || c == '\n') {
 			continue
 		}
-		if forbiddenInHead(c) {
+		if isForbiddenInHead(c) {
 			return n, parseErrorf(StatusBadRequest, "control byte %#x in the head", c)
 		}
-		if len(p.pending) == MaxHead {
-			return n, parseErrorf(StatusHeaderFieldsTooLarge, "head over %d bytes", MaxHead)
+		if len(p.pending) == MaxHeadBytes {
+			return n, parseErrorf(StatusHeaderFieldsTooLarge, "head over %d bytes", MaxHeadBytes)
 		}
 		if c != '\n' && bytes.HasSuffix(p.pending, []byte("\r")) {
 			// Other parsers may take a bare carriage return for the end of a line.
@@ -41,9 +41,9 @@
 	return len(b), nil
 }
 
-// forbiddenInHead reports whether c is a control character other than tab, CR and LF.
-func forbiddenInHead(c byte) bool {
-	return c < ' ' && c != '\r' && c != '\n' && c != '\t' || c == deleteByte
+// isForbiddenInHead reports whether c is a control character other than tab, CR and LF.
+func isForbiddenInHead(c byte) bool {
+	return c < ' ' && c != '\r' && c != '\n' && c != '\t' || c == controlDEL
 }
 
 // endsWithBlankLine reports whether head ends with an empty line, terminated by CRLF or LF.
@@ -86,7 +86,7 @@
 		// Other parsers may ignore Transfer-Encoding in HTTP/1.0.
 		return parseErrorf(StatusBadRequest, "Transfer-Encoding in HTTP/1.0")
 	}
-	return p.frame(m)
+	return p.determineFraming(m)
 }
 
 // parseStartLine parses a status line or request line into m and returns its HTTP version.
@@ -112,13 +112,13 @@
 // parseRequestLine parses the request line into m and returns its HTTP version. Only targets that
 // are a path are accepted.
 func parseRequestLine(m *Message, line string) (version string, err error) {
-	words := strings.Split(line, " ")
-	if len(words) != 3 || !Token(words[0]) || !strings.HasPrefix(words[1], "/") {
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || !Token(parts[0]) || !strings.HasPrefix(parts[1], "/") {
 		return "", parseErrorf(StatusBadRequest, "malformed request line")
 	}
-	m.Method = words[0]
-	m.Target = words[1]
-	return words[2], nil
+	m.Method = parts[0]
+	m.Target = parts[1]
+	return parts[2], nil
 }
 
 // closesConnection reports whether the sender closes the connection after the message: in HTTP/1.1
@@ -143,15 +143,15 @@
 // delimiters and control characters.
 func Token(s string) bool {
 	for _, c := range s {
-		if !tokenRune(c) {
+		if !isTokenRune(c) {
 			return false
 		}
 	}
 	return s != ""
 }
 
-// tokenRune reports whether c may occur in a token.
-func tokenRune(c rune) bool {
+// isTokenRune reports whether c may occur in a token.
+func isTokenRune(c rune) bool {
 	return 'A' <= c && c <= 'Z' || 'a' <= c && c <= 'z' || '0' <= c && c <= '9' ||
 		strings.ContainsRune("!#$%&'*+-.^_`|~", c)
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -8,16 +8,16 @@
 // Limits on how much memory a peer can make a parser use, and on sequences that it could send
 // without end.
 const (
-	// MaxHead is the maximum length of a message's head, in bytes.
-	MaxHead = 16 << 10
-	// MaxBody is the maximum length of the body of a message that is not streamed, in bytes.
-	MaxBody = 64 << 10
-	// maxChunkLine is the maximum length of the line with a chunk's size, in bytes.
-	maxChunkLine = 256
-	// maxTrailerLine is the maximum length of a trailer line, in bytes.
-	maxTrailerLine = 4 << 10
-	// maxInterim is the maximum number of interim responses before a final one.
-	maxInterim = 8
+	// MaxHeadBytes is the maximum length of a message's head, in bytes.
+	MaxHeadBytes = 16 << 10
+	// MaxBodyBytes is the maximum length of the body of a message that is not streamed, in bytes.
+	MaxBodyBytes = 64 << 10
+	// maxChunkLineBytes is the maximum length of the line with a chunk's size, in bytes.
+	maxChunkLineBytes = 256
+	// maxTrailerLineBytes is the maximum length of a trailer line, in bytes.
+	maxTrailerLineBytes = 4 << 10
+	// maxInterimResponses is the maximum number of interim responses before a final one.
+	maxInterimResponses = 8
 )
 
 // Message is a request or a response.
@@ -38,7 +38,7 @@
 }
 
 // Error returns the reason, without the status code.
-func (b *ParseError) Error() string { return b.Reason }
+func (e *ParseError) Error() string { return e.Reason }
 
 // parseErrorf returns a *ParseError with a formatted reason.
 func parseErrorf(status int, format string, args ...any) error {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -47,7 +47,7 @@
 	pending          []byte // incomplete head, or incomplete line between chunks
 	remaining        int    // bytes of the body or chunk still to be received
 	continueReported bool   // Expects has returned true for this message
-	interim          int    // interim responses since the last final one
+	interimResponses int    // interim responses since the last final one
 }
 
 // Started reports whether part of a message has been parsed and the message is not complete.
@@ -147,8 +147,8 @@
 		p.Piece = b
 		return nil
 	}
-	if len(p.Message.Body)+len(b) > MaxBody {
-		return parseErrorf(StatusContentTooLarge, "body over %d bytes", MaxBody)
+	if len(p.Message.Body)+len(b) > MaxBodyBytes {
+		return parseErrorf(StatusContentTooLarge, "body over %d bytes", MaxBodyBytes)
 	}
 	if p.Message.Body == nil && p.state == stateBody {
 		// The body's length is known from the head, but the body is allocated only once its first
--- a/internal/http1/parser_bench_test.go
+++ b/internal/http1/parser_bench_test.go
@@ -12,9 +12,9 @@
 // messages returns the messages of an invocation, a callback and a health check, as a scheduler
 // sends and receives them.
 func messages() []struct {
-	name    string
-	answers bool
-	bytes   []byte
+	name       string
+	isResponse bool
+	bytes      []byte
 } {
 	const host = "10.14.200.31:7000"
 	const id = "job-0000018842-task-0117"
@@ -27,9 +27,9 @@
 			"Content-Length: %d\n\n%s", len(body), body)
 	}
 	return []struct {
-		name    string
-		answers bool
-		bytes   []byte
+		name       string
+		isResponse bool
+		bytes      []byte
 	}{
 		{"invocation", false, format("POST /train/step HTTP/1.1\nHost: 10.0.0.2:8080\nX-Call-Id: %s\n"+
 			"X-Call-Class: train\nX-Budget: 600\nX-Cost-Hint: 122\nIdempotency-Key: 8c1f0a77\n"+
@@ -48,7 +48,7 @@
 func BenchmarkMessage(b *testing.B) {
 	for _, m := range messages() {
 		b.Run(m.name, func(b *testing.B) {
-			p := Parser{ReadsResponses: m.answers}
+			p := Parser{ReadsResponses: m.isResponse}
 			for b.Loop() {
 				if used, step, err := p.Feed(m.bytes); err != nil || step != Whole || used != len(m.bytes) {
 					b.Fatal(used, step, err)
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// feed passes text to the parser in pieces of at most size bytes. It returns a line for each step
-// other than More, and stops after an error.
-func feed(p *Parser, text string, size int) (lines []string) {
+// feed passes text to the parser in pieces of at most pieceSize bytes. It returns a line for each
+// step other than More, and stops after an error.
+func feed(p *Parser, text string, pieceSize int) (lines []string) {
 	for b := []byte(text); len(b) > 0; {
-		piece := b[:min(size, len(b))]
+		piece := b[:min(pieceSize, len(b))]
 		b = b[len(piece):]
 		for more := true; more; {
 			n, step, err := p.Feed(piece)
@@ -35,9 +35,9 @@
 	return lines
 }
 
-// show prints the lines that feed returns.
-func show(p *Parser, text string, size int) {
-	for _, line := range feed(p, text, size) {
+// printSteps prints the lines that feed returns.
+func printSteps(p *Parser, text string, pieceSize int) {
+	for _, line := range feed(p, text, pieceSize) {
 		fmt.Println(line)
 	}
 }
@@ -49,7 +49,7 @@
 		"GET /-/ready HTTP/1.1\r\nConnection: Keep-Alive, Close\r\n\r\n" +
 		"POST /a HTTP/1.1\nTransfer-Encoding: chunked\n\n3;x=y\r\nabc\r\n2\nde\r\n0\r\nTrail: 1\r\n\r\n" +
 		"GET /old HTTP/1.0\r\n\r\n"
-	show(&Parser{}, text, 1000)
+	printSteps(&Parser{}, text, 1000)
 	fmt.Println(slices.Equal(feed(&Parser{}, text, 1000), feed(&Parser{}, text, 1)))
 	// Output:
 	// POST /render/7f?x=1 "0\r\n\r\nabcd" close=false
@@ -63,11 +63,11 @@
 // is closed. A streamed body is returned in pieces.
 func Example_responses() {
 	p := &Parser{ReadsResponses: true}
-	show(p, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"+
+	printSteps(p, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"+
 		"HTTP/1.1 503\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno", 7)
-	show(p, "HTTP/1.1 200 OK\r\n\r\nTEXT x0=1", 5)
+	printSteps(p, "HTTP/1.1 200 OK\r\n\r\nTEXT x0=1", 5)
 	fmt.Println(p.End(), string(p.Message.Body), p.Started())
-	show(&Parser{ReadsResponses: true, Stream: true},
+	printSteps(&Parser{ReadsResponses: true, Stream: true},
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\":\r\n3\r\n1}\n\r\n1\r\n\n\r\n0\r\n\r\n", 1000)
 	// Output:
 	// 202 "" close=false
@@ -105,12 +105,12 @@
 		"POST /a b HTTP/1.1\r\n\r\n",
 		"POST /a HTTP/2.0\r\n\r\n",
 		"\x16\x03\x01\x02\x00\x01",
-		"GET / HTTP/1.1\r\nA: " + strings.Repeat("a", MaxHead) + "\r\n\r\n",
+		"GET / HTTP/1.1\r\nA: " + strings.Repeat("a", MaxHeadBytes) + "\r\n\r\n",
 	} {
-		show(&Parser{}, text, 4096)
+		printSteps(&Parser{}, text, 4096)
 	}
-	show(&Parser{ReadsResponses: true}, "HTTP/1.1 abc\r\n\r\n", 99)
-	show(&Parser{ReadsResponses: true}, "SSH-2.0-thing\r\n\r\n", 99)
+	printSteps(&Parser{ReadsResponses: true}, "HTTP/1.1 abc\r\n\r\n", 99)
+	printSteps(&Parser{ReadsResponses: true}, "SSH-2.0-thing\r\n\r\n", 99)
 	// Output:
 	// 400: more than one length
 	// 400: more than one length
@@ -152,28 +152,28 @@
 }
 
 // FuzzFeed checks that any input is parsed identically however it is split, and that no body
-// exceeds MaxBody.
+// exceeds MaxBodyBytes.
 func FuzzFeed(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET / HTTP/1.1\r\n\r\n", 3, false)
 	f.Add("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", 1, false)
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nrest", 2, true)
-	f.Fuzz(func(t *testing.T, text string, size int, answers bool) {
-		whole, cut := &Parser{ReadsResponses: answers}, &Parser{ReadsResponses: answers}
-		a, b := feed(whole, text, len(text)+1), feed(cut, text, max(1, size))
-		if !slices.Equal(a, b) || whole.End() != cut.End() {
-			t.Errorf("parsed at once: %q, in pieces: %q", a, b)
+	f.Fuzz(func(t *testing.T, text string, pieceSize int, readsResponses bool) {
+		wholeParser, splitParser := &Parser{ReadsResponses: readsResponses}, &Parser{ReadsResponses: readsResponses}
+		linesWhole, linesSplit := feed(wholeParser, text, len(text)+1), feed(splitParser, text, max(1, pieceSize))
+		if !slices.Equal(linesWhole, linesSplit) || wholeParser.End() != splitParser.End() {
+			t.Errorf("parsed at once: %q, in pieces: %q", linesWhole, linesSplit)
 		}
-		if m := whole.Message; m != nil && len(m.Body) > MaxBody {
-			t.Errorf("body of %d bytes exceeds MaxBody", len(m.Body))
+		if m := wholeParser.Message; m != nil && len(m.Body) > MaxBodyBytes {
+			t.Errorf("body of %d bytes exceeds MaxBodyBytes", len(m.Body))
 		}
 	})
 }
 
 // A message split in two at any byte must be parsed as if it had arrived at once.
-func TestEverySplitParsesAlike(t *testing.T) {
+func TestSplitInputParsesIdentically(t *testing.T) {
 	for _, v := range []struct {
-		text    string
-		answers bool
+		text           string
+		readsResponses bool
 	}{
 		{"POST /render/7f?x=1 HTTP/1.1\r\nHost: b\r\nContent-Length: 9\r\n\r\n0\r\n\r\nabcdGET /-/ready HTTP/1.1\r\n\r\n", false},
 		{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nTrail: 1\r\n\r\n", false},
@@ -181,9 +181,9 @@
 		{"POST /a HTTP/1.1\r\nX: a\rb\r\n\r\n", false},
 		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 No Content\r\n\r\n", true},
 	} {
-		whole := feed(&Parser{ReadsResponses: v.answers}, v.text, len(v.text))
+		whole := feed(&Parser{ReadsResponses: v.readsResponses}, v.text, len(v.text))
 		for cut := 1; cut < len(v.text); cut++ {
-			p := &Parser{ReadsResponses: v.answers}
+			p := &Parser{ReadsResponses: v.readsResponses}
 			parts := feed(p, v.text[:cut], cut)
 			if n := len(parts); n == 0 || !strings.Contains(parts[n-1], ": ") { // no error: the parser can continue
 				parts = append(parts, feed(p, v.text[cut:], len(v.text))...)
@@ -195,26 +195,26 @@
 	}
 }
 
-// Up to maxInterim interim responses before each final response are skipped. A larger number is
-// rejected, because a peer could otherwise send them without end.
+// Up to maxInterimResponses interim responses before each final response are skipped. A larger
+// number is rejected, because a peer could otherwise send them without end.
 func Example_interimResponses() {
-	feed := func(n int) {
+	printStatuses := func(interimCount int) {
 		p := Parser{ReadsResponses: true}
-		text := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", n) + "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+		text := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", interimCount) + "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 		for rest := []byte(text + text); len(rest) > 0; {
 			used, step, err := p.Feed(rest)
 			if err != nil {
-				fmt.Println(n, err)
+				fmt.Println(interimCount, err)
 				return
 			}
 			rest = rest[used:]
 			if step == Whole {
-				fmt.Println(n, p.Message.Status)
+				fmt.Println(interimCount, p.Message.Status)
 			}
 		}
 	}
-	feed(maxInterim)
-	feed(maxInterim + 1)
+	printStatuses(maxInterimResponses)
+	printStatuses(maxInterimResponses + 1)
 	// Output:
 	// 8 202
 	// 8 202
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -4,8 +4,8 @@
 
 // Typical lengths of message heads, in bytes, which are allocated in addition to the known lengths.
 const (
-	typicalResponseHead = 160
-	typicalRequestHead  = 240 // without the target
+	typicalResponseHeadBytes = 160
+	typicalRequestHeadBytes  = 240 // without the target
 )
 
 // Field is a header field to write. The value must not contain a line break, and is not checked: it
@@ -18,29 +18,29 @@
 // Answer returns an encoded response. It has a Content-Length header unless the status is
 // StatusNoContent.
 func Answer(status int, body []byte, fields ...Field) []byte {
-	b := make([]byte, 0, typicalResponseHead+len(body))
+	b := make([]byte, 0, typicalResponseHeadBytes+len(body))
 	b = append(b, version11...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
 	b = append(b, reasonPhrases[status]...)
 	b = append(b, "\r\n"...)
-	return appendRest(b, fields, body, status != StatusNoContent)
+	return appendFieldsAndBody(b, fields, body, status != StatusNoContent)
 }
 
 // Request returns an encoded request. It has a Content-Length header if it has a body or its method
 // is POST.
 func Request(method, target, host string, body []byte, fields ...Field) []byte {
-	b := make([]byte, 0, typicalRequestHead+len(target)+len(body))
+	b := make([]byte, 0, typicalRequestHeadBytes+len(target)+len(body))
 	for _, part := range []string{method, " ", target, " ", version11, "\r\nHost: ", host, "\r\n"} {
 		b = append(b, part...)
 	}
-	return appendRest(b, fields, body, method == "POST" || len(body) > 0)
+	return appendFieldsAndBody(b, fields, body, method == "POST" || len(body) > 0)
 }
 
-// appendRest appends the given header fields, a Content-Length header if withLength is set, and the
-// body.
-func appendRest(b []byte, fields []Field, body []byte, withLength bool) []byte {
+// appendFieldsAndBody appends the given header fields, a Content-Length header if withLength is
+// set, and the body.
+func appendFieldsAndBody(b []byte, fields []Field, body []byte, withLength bool) []byte {
 	for _, f := range fields {
 		for _, part := range []string{f.Name, ": ", f.Value, "\r\n"} {
 			b = append(b, part...)
