--- a/internal/conn/capacity_test.go
+++ b/internal/conn/capacity_test.go
@@ -43,9 +43,9 @@
 		b.Fatal(err)
 	}
 	defer l.Close()
-	var near, far []net.Conn
+	var accepted, dialled []net.Conn
 	defer func() {
-		for _, c := range append(near, far...) {
+		for _, c := range append(accepted, dialled...) {
 			c.Close()
 		}
 	}()
@@ -54,35 +54,35 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		far = append(far, c)
+		dialled = append(dialled, c)
 		c, err = l.Accept()
 		if err != nil {
 			b.Fatal(err)
 		}
-		near = append(near, c)
+		accepted = append(accepted, c)
 	}
 	loop := NewLoop(time.Now())
 	h := &discardingHandler{}
 	request := strings.Repeat("x", 900)
 	answer := []byte(strings.Repeat("y", 300))
 	quota := loop.NewQuota(n)
-	all := make([]*Conn, 0, n)
-	before := liveMemory()
-	for _, c := range near {
-		all = append(all, quota.Adopt(c, h))
+	conns := make([]*Conn, 0, n)
+	memoryBefore := liveMemory()
+	for _, c := range accepted {
+		conns = append(conns, quota.Adopt(c, h))
 	}
 	if state != "mute" {
-		for _, c := range far {
+		for _, c := range dialled {
 			io.WriteString(c, request)
 		}
 		runUntil(loop, "all requests", func() bool { return h.read >= n })
 	}
 	if state == "written" {
-		for _, c := range all {
+		for _, c := range conns {
 			c.Write(answer)
 		}
 		runUntil(loop, "all answers", func() bool {
-			for _, c := range all {
+			for _, c := range conns {
 				if c.Unsent() > 0 {
 					return false
 				}
@@ -90,12 +90,12 @@
 			return true
 		})
 	}
-	took := float64(liveMemory()-before) / float64(n)
-	for _, c := range all {
+	perConn := float64(liveMemory()-memoryBefore) / float64(n)
+	for _, c := range conns {
 		c.Close()
 	}
-	runtime.KeepAlive(all)
-	return took
+	runtime.KeepAlive(conns)
+	return perConn
 }
 
 // liveMemory returns the memory of live heap objects and goroutine stacks, in bytes.
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -105,8 +105,8 @@
 		return
 	}
 	unsent := c.Unsent() > 0
-	c.In.Free()
-	c.out.Free()
+	c.In.Release()
+	c.out.Release()
 	handler := c.handler
 	if handler == nil {
 		return
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -21,13 +21,13 @@
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
 	var got []byte
-	over := make(chan struct{})
+	peerDone := make(chan struct{})
 	addr, stop := listenPeer(func(c net.Conn) {
 		c.Write(make([]byte, 10000)) // more than the connection reads before it answers
 		time.Sleep(20 * time.Millisecond)
 		got, _ = io.ReadAll(c)
 		c.Close()
-		close(over)
+		close(peerDone)
 	})
 	defer stop()
 	want := bytes.Repeat([]byte("answer"), 20000)
@@ -35,7 +35,7 @@
 	q.Dial(addr, time.Second, h)
 	runUntil(l, "the end", func() bool {
 		select {
-		case <-over:
+		case <-peerDone:
 			return q.Used() == 0
 		default:
 			l.After(5*time.Millisecond, func() {})
@@ -81,7 +81,7 @@
 // AllFlushed must report false after a last answer until the peer closes the connection or
 // lastAnswerTimeout has passed.
 func TestAllFlushedAwaitsPeerClose(t *testing.T) {
-	for name, closes := range map[string]bool{"its peer ends": true, "its peer stays": false} {
+	for name, peerCloses := range map[string]bool{"its peer ends": true, "its peer stays": false} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLoop(time.Now())
 			q := l.NewQuota(10)
@@ -89,7 +89,7 @@
 			addr, stop := listenPeer(func(c net.Conn) {
 				io.ReadAll(c)
 				<-release
-				if closes {
+				if peerCloses {
 					c.Close()
 				}
 			})
@@ -102,10 +102,10 @@
 				t.Error("AllFlushed returned true right after CloseAfterFlush")
 			}
 			close(release)
-			began := l.Now()
+			start := l.Now()
 			runUntil(l, "the end", func() bool { l.After(time.Millisecond, func() {}); return q.AllFlushed() })
-			if took := l.Now() - began; closes != (q.Used() == 0) || !closes && took < lastAnswerTimeout {
-				t.Errorf("AllFlushed returned true after %v with %d descriptors in use", took, q.Used())
+			if waited := l.Now() - start; peerCloses != (q.Used() == 0) || !peerCloses && waited < lastAnswerTimeout {
+				t.Errorf("AllFlushed returned true after %v with %d descriptors in use", waited, q.Used())
 			}
 			closeAndWait(l, c)
 		})
@@ -114,13 +114,13 @@
 
 // scriptedConn is a net.Conn whose Read and Write block until the test supplies their result.
 type scriptedConn struct {
-	net.Conn // nil: no other method may be called
-	reads    chan error
-	writes   chan int // number of bytes that the next Write accepts
-	closed   chan struct{}
-	once     sync.Once
-	taken    atomic.Int64  // total bytes accepted by Write
-	returns  chan struct{} // Write returns after this is closed, although its bytes are already accepted
+	net.Conn    // nil: no other method may be called
+	reads       chan error
+	writes      chan int // number of bytes that the next Write accepts
+	closed      chan struct{}
+	once        sync.Once
+	written     atomic.Int64  // total bytes accepted by Write
+	writeReturn chan struct{} // Write returns after this is closed, although its bytes are already accepted
 }
 
 func (s *scriptedConn) Read([]byte) (int, error) {
@@ -135,8 +135,8 @@
 func (s *scriptedConn) Write([]byte) (int, error) {
 	select {
 	case n := <-s.writes:
-		s.taken.Add(int64(n))
-		<-s.returns
+		s.written.Add(int64(n))
+		<-s.writeReturn
 		return n, nil
 	case <-s.closed:
 		return 0, net.ErrClosed
@@ -155,72 +155,72 @@
 // notified exactly once, unless the owner closed the connection itself, and with NotWritten if and
 // only if some bytes of the request were not written.
 func TestCloseInEveryOrder(t *testing.T) {
-	for _, taken := range []int{0, 1, closeTestSize - 1, closeTestSize} {
-		for _, end := range []string{"break", "close", "quit"} {
-			for _, order := range closeOrders(end) {
-				for _, together := range []bool{false, true} {
-					closeInOrder(t, order, taken, together)
+	for _, accepted := range []int{0, 1, closeTestRequestSize - 1, closeTestRequestSize} {
+		for _, closeEvent := range []string{"break", "close", "quit"} {
+			for _, order := range closeOrders(closeEvent) {
+				for _, inOneIteration := range []bool{false, true} {
+					runCloseOrder(t, order, accepted, inOneIteration)
 				}
 			}
 		}
 	}
 }
 
-// closeTestSize is the size of the request, in bytes.
-const closeTestSize = 100
+// closeTestRequestSize is the size of the request, in bytes.
+const closeTestRequestSize = 100
 
-// closeOrders returns the event orders to test. end names the event by which the owner closes the
-// connection: "break", "close" or "quit".
-func closeOrders(end string) [][]string {
+// closeOrders returns the event orders to test. closeEvent is the event by which the owner closes
+// the connection: "break", "close" or "quit".
+func closeOrders(closeEvent string) [][]string {
 	return [][]string{
-		{"write", "reset", end},
-		{"write", end, "reset"},
-		{"reset", "write", end},
-		{"reset", end, "write"},
-		{end, "write", "reset"},
-		{end, "reset", "write"},
+		{"write", "reset", closeEvent},
+		{"write", closeEvent, "reset"},
+		{"reset", "write", closeEvent},
+		{"reset", closeEvent, "write"},
+		{closeEvent, "write", "reset"},
+		{closeEvent, "reset", "write"},
 		{"write", "reset"},
 		{"reset", "write"},
-		{"write", end},
-		{end, "write"},
+		{"write", closeEvent},
+		{closeEvent, "write"},
 		{"reset"},
-		{end},
+		{closeEvent},
 		{"write", "reset", "returns"},
-		{"write", end, "returns"},
-		{"write", "reset", end, "returns"},
-		{"write", end, "reset", "returns"},
+		{"write", closeEvent, "returns"},
+		{"write", "reset", closeEvent, "returns"},
+		{"write", closeEvent, "reset", "returns"},
 	}
 }
 
-// closeInOrder runs one order of events, all in one loop iteration if together is set and otherwise
-// one event per iteration, and checks how the handler was notified.
-func closeInOrder(t *testing.T, order []string, taken int, together bool) {
+// runCloseOrder runs one order of events, all in one loop iteration if inOneIteration is set and
+// otherwise one event per iteration, and checks how the handler was notified.
+func runCloseOrder(t *testing.T, order []string, accepted int, inOneIteration bool) {
 	t.Helper()
-	name := fmt.Sprintf("%d taken, %v, in one iteration: %v", taken, order, together)
+	name := fmt.Sprintf("%d taken, %v, in one iteration: %v", accepted, order, inOneIteration)
 	l := NewLoop(time.Now())
 	peer := &scriptedConn{
-		reads:   make(chan error, 1),
-		writes:  make(chan int, 1),
-		closed:  make(chan struct{}),
-		returns: make(chan struct{}),
+		reads:       make(chan error, 1),
+		writes:      make(chan int, 1),
+		closed:      make(chan struct{}),
+		writeReturn: make(chan struct{}),
 	}
 	if !slices.Contains(order, "returns") {
-		close(peer.returns)
+		close(peer.writeReturn)
 	}
 	h := &recordingHandler{}
 	c := l.NewQuota(9).Adopt(peer, h)
-	c.Write(make([]byte, closeTestSize))
+	c.Write(make([]byte, closeTestRequestSize))
 	settle := func() { // runs the loop until the reader and the writer have reported
-		over := false
-		l.After(3*time.Millisecond, func() { over = true })
-		runUntil(l, name, func() bool { return over })
+		settled := false
+		l.After(3*time.Millisecond, func() { settled = true })
+		runUntil(l, name, func() bool { return settled })
 	}
 	for _, event := range order {
 		switch event {
 		case "write":
-			peer.writes <- taken
+			peer.writes <- accepted
 		case "returns":
-			close(peer.returns)
+			close(peer.writeReturn)
 		case "reset":
 			peer.reads <- &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 		case "break":
@@ -230,27 +230,27 @@
 		case "quit":
 			c.CloseAfterFlush()
 		}
-		if !together {
+		if !inOneIteration {
 			settle()
 		}
 	}
 	settle()
 	c.Break()
 	settle()
-	checkNotified(t, name, h.events, order, peer.taken.Load() == closeTestSize)
+	checkNotified(t, name, h.events, order, peer.written.Load() == closeTestRequestSize)
 }
 
-// checkNotified checks the notifications in seen against the events in order. written says whether
+// checkNotified checks the recorded notifications against the events in order. written says whether
 // the whole request was written.
-func checkNotified(t *testing.T, name string, seen, order []string, written bool) {
+func checkNotified(t *testing.T, name string, notifications, order []string, written bool) {
 	t.Helper()
 	if slices.Contains(order, "close") || slices.Contains(order, "quit") {
-		if len(seen) > 1 {
-			t.Error(name, ": want at most one notification, got ", seen)
+		if len(notifications) > 1 {
+			t.Error(name, ": want at most one notification, got ", notifications)
 		}
 		return
 	}
-	if len(seen) != 1 || (seen[0] == NotWritten.String()) == written {
-		t.Error(name, ": want one notification that matches the write, got ", seen, ", written: ", written)
+	if len(notifications) != 1 || (notifications[0] == NotWritten.String()) == written {
+		t.Error(name, ": want one notification that matches the write, got ", notifications, ", written: ", written)
 	}
 }
--- a/internal/conn/closereason_test.go
+++ b/internal/conn/closereason_test.go
@@ -10,8 +10,8 @@
 // Results 2 (Rejected), 4 (Unreachable) and 7 (NotSent) allow a non-idempotent invocation to be
 // sent again, so only reasons that prove that nothing has run may map to them.
 func ExampleCloseReason_Result() {
-	for e := Refused; e <= NotSent; e++ {
-		fmt.Println(e, e.Result())
+	for reason := Refused; reason <= NotSent; reason++ {
+		fmt.Println(reason, reason.Result())
 	}
 	// Output:
 	// refused 4
@@ -39,27 +39,27 @@
 // A request may have run if all of it was written before the connection ended. The close reason
 // must tell such a request from one that was not written completely.
 func Example_closeReasons() {
-	end := func(title, addr string, within time.Duration, size int) {
+	dialAndPrint := func(title, addr string, timeout time.Duration, requestSize int) {
 		l := NewLoop(time.Now())
 		q := l.NewQuota(10)
-		h := &recordingHandler{onConnected: func(c *Conn) { c.Write(make([]byte, size)) }}
-		q.Dial(addr, within, h)
+		h := &recordingHandler{onConnected: func(c *Conn) { c.Write(make([]byte, requestSize)) }}
+		q.Dial(addr, timeout, h)
 		runUntil(l, title, func() bool {
 			return len(h.events) > 0 && h.events[len(h.events)-1] != "up"
 		})
 		fmt.Println(title+":", h.events, "in use:", q.Used())
 	}
 	addr, stop := listenPeer(func(c net.Conn) { io.CopyN(io.Discard, c, 100); c.Close() })
-	end("closed after the whole request", addr, time.Second, 100)
-	end("no time to come up", addr, time.Nanosecond, 100)
+	dialAndPrint("closed after the whole request", addr, time.Second, 100)
+	dialAndPrint("no time to come up", addr, time.Nanosecond, 100)
 	stop()
-	end("nobody listens", addr, time.Second, 100)
+	dialAndPrint("nobody listens", addr, time.Second, 100)
 	addr, stop = listenPeer(func(c net.Conn) {
 		c.(*net.TCPConn).SetLinger(0)
 		io.CopyN(io.Discard, c, 100)
 		c.Close()
 	})
-	end("reset with most of the request unread", addr, time.Second, 64<<20)
+	dialAndPrint("reset with most of the request unread", addr, time.Second, 64<<20)
 	stop()
 	// Output:
 	// closed after the whole request: [up closed] in use: 0
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -37,15 +37,15 @@
 	netConn    net.Conn
 	cancelDial context.CancelFunc
 
-	out           ring.Buffer
-	overflow      []byte // queued bytes for which out has no room yet
-	firstBuffer   []byte // buffer of the first read, used before In has allocated its storage
-	readRequests  chan []byte
-	writeRuns     chan writeRun
-	writeDeadline time.Time // for all queued bytes; zero: none
-	reading       bool      // the reader is serving a read request
-	writing       bool      // the writer is writing a run of bytes
-	unseen        unseenInput
+	out             ring.Buffer
+	overflow        []byte // queued bytes for which out has no room yet
+	firstReadBuffer []byte // buffer of the first read, used before In has allocated its storage
+	readRequests    chan []byte
+	writeRuns       chan writeRun
+	writeDeadline   time.Time // for all queued bytes; zero: none
+	reading         bool      // the reader is serving a read request
+	writing         bool      // the writer is writing a run of bytes
+	unseen          unseenInput
 
 	connected  bool
 	closed     bool
@@ -136,15 +136,15 @@
 // acceptInput adds the n bytes that the reader has received to In and notifies the handler. Input
 // of a connection that is closing is dropped.
 func (c *Conn) acceptInput(n int) {
-	first := c.firstBuffer
-	c.firstBuffer = nil
+	firstRead := c.firstReadBuffer
+	c.firstReadBuffer = nil
 	if n <= 0 || c.closed || c.closing {
 		return
 	}
-	if first != nil {
-		c.In.Write(first[:n])
+	if firstRead != nil {
+		c.In.Write(firstRead[:n])
 	} else {
-		c.In.Add(n)
+		c.In.Commit(n)
 	}
 	c.handler.DataReceived(c)
 }
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -11,8 +11,8 @@
 
 // Dial starts to establish a TCP connection to an address. The handler's Connected is called when
 // it is established, Disconnected if that fails or takes longer than timeout.
-func (q *Quota) Dial(addr string, within time.Duration, handler Handler) *Conn {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func (q *Quota) Dial(addr string, timeout time.Duration, handler Handler) *Conn {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	c := &Conn{loop: q.loop, quota: q, handler: handler, cancelDial: cancel}
 	q.used++
 	go func() {
--- a/internal/conn/dial_test.go
+++ b/internal/conn/dial_test.go
@@ -74,7 +74,7 @@
 // Dial errors reported by the peer or the network must count as Unreachable. Errors caused by a
 // lack of local resources say nothing about the worker and must count as Rejected, which does not
 // eject it.
-func TestLocalDialErrorsAreNotTheWorkers(t *testing.T) {
+func TestLocalDialErrorsDoNotEjectWorker(t *testing.T) {
 	for errno, want := range map[syscall.Errno]dispatch.Result{
 		unix.ECONNREFUSED:  dispatch.Unreachable,
 		unix.ECONNRESET:    dispatch.Unreachable,
--- a/internal/conn/eviction.go
+++ b/internal/conn/eviction.go
@@ -3,17 +3,17 @@
 import "time"
 
 var (
-	// newGrace is the age below which a connection that has sent nothing is evicted only after idle
-	// connections: its first request may have arrived and not been read yet.
-	newGrace = 100 * time.Millisecond
-	// stalledAfter is how long a connection with an incomplete request may receive no bytes before
-	// it is evicted ahead of idle connections.
-	stalledAfter = 700 * time.Millisecond
+	// newConnGrace is the age below which a connection that has sent nothing is evicted only after
+	// idle connections: its first request may have arrived and not been read yet.
+	newConnGrace = 100 * time.Millisecond
+	// stalledRequestAge is how long a connection with an incomplete request may receive no bytes
+	// before it is evicted ahead of idle connections.
+	stalledRequestAge = 700 * time.Millisecond
 )
 
-// newGraceDivisor divides newGrace to give the minimum age of new connections that are evicted
-// after idle ones.
-const newGraceDivisor = 5
+// newConnGraceDivisor divides newConnGrace to give the minimum age of new connections that are
+// evicted after idle ones.
+const newConnGraceDivisor = 5
 
 // evictionRule selects the connections that have been in a state for at least minAge.
 type evictionRule struct {
@@ -27,12 +27,12 @@
 func evictionOrder() [7]evictionRule {
 	return [...]evictionRule{
 		{state: StateFinished},
-		{state: StateNew, minAge: newGrace},
-		{state: StateReading, minAge: stalledAfter},
-		{state: StateReadingSlowly, minAge: stalledAfter},
+		{state: StateNew, minAge: newConnGrace},
+		{state: StateReading, minAge: stalledRequestAge},
+		{state: StateReadingSlowly, minAge: stalledRequestAge},
 		{state: StateIdle},
-		{state: StateNew, minAge: newGrace / newGraceDivisor},
-		{state: StateReading, minAge: newGrace},
+		{state: StateNew, minAge: newConnGrace / newConnGraceDivisor},
+		{state: StateReading, minAge: newConnGrace},
 	}
 }
 
@@ -64,17 +64,17 @@
 			return c
 		}
 	}
-	silent := q.oldest(StateNew)
-	reading := q.oldest(StateReading)
+	oldestNew := q.oldest(StateNew)
+	oldestReading := q.oldest(StateReading)
 	switch {
-	case silent == nil && reading == nil:
+	case oldestNew == nil && oldestReading == nil:
 		return q.oldest(StateReadingSlowly)
-	case reading == nil:
-		return silent
-	case silent != nil && silent.stateSince < reading.stateSince:
-		return silent
+	case oldestReading == nil:
+		return oldestNew
+	case oldestNew != nil && oldestNew.stateSince < oldestReading.stateSince:
+		return oldestNew
 	}
-	return reading
+	return oldestReading
 }
 
 // oldest returns the evictable connection that has been in a state longest, or nil if there is
--- a/internal/conn/eviction_test.go
+++ b/internal/conn/eviction_test.go
@@ -12,12 +12,12 @@
 // still makes progress. An active connection is never evicted. Any received byte counts as
 // progress.
 func Example_evictionOrder() {
-	defer func(grace, after time.Duration) {
-		newGrace = grace
-		stalledAfter = after
-	}(newGrace, stalledAfter)
-	newGrace = 20 * time.Millisecond
-	stalledAfter = 60 * time.Millisecond
+	defer func(savedGrace, savedStalledAge time.Duration) {
+		newConnGrace = savedGrace
+		stalledRequestAge = savedStalledAge
+	}(newConnGrace, stalledRequestAge)
+	newConnGrace = 20 * time.Millisecond
+	stalledRequestAge = 60 * time.Millisecond
 	l := NewLoop(time.Now())
 	q := l.NewQuota(8)
 	addr, stop := listenPeer(func(c net.Conn) { io.Copy(io.Discard, c) })
@@ -33,15 +33,15 @@
 		handlers = append(handlers, h)
 		conns = append(conns, c)
 	}
-	later := false
-	l.After(80*time.Millisecond, func() { later = true })
-	runUntil(l, "some time", func() bool { return later })
+	elapsed := false
+	l.After(80*time.Millisecond, func() { elapsed = true })
+	runUntil(l, "some time", func() bool { return elapsed })
 	conns[5].SetState(StateReading) // more of the request was received
-	newest := &recordingHandler{}
-	c := q.Dial(addr, time.Second, newest)
-	runUntil(l, "the last", func() bool { return len(newest.events) > 0 })
+	newestHandler := &recordingHandler{}
+	c := q.Dial(addr, time.Second, newestHandler)
+	runUntil(l, "the last", func() bool { return len(newestHandler.events) > 0 })
 	c.SetState(StateNew)
-	handlers = append(handlers, newest)
+	handlers = append(handlers, newestHandler)
 	for reserve := range 8 {
 		// A connection is evicted only after the loop has handled everything that was read from it.
 		l.After(0, func() {})
--- a/internal/conn/fixture_test.go
+++ b/internal/conn/fixture_test.go
@@ -40,14 +40,14 @@
 
 // runUntil runs the loop until done returns true after an iteration. It panics after ten seconds
 // with a message that names what was awaited.
-func runUntil(l *Loop, what string, done func() bool) {
-	limit := l.After(10*time.Second, func() { panic("timed out waiting for " + what) })
+func runUntil(l *Loop, awaited string, done func() bool) {
+	timeout := l.After(10*time.Second, func() { panic("timed out waiting for " + awaited) })
 	l.Run(func() {
 		if done() {
 			l.Stop()
 		}
 	})
-	limit.Stop()
+	timeout.Stop()
 }
 
 // closeAndWait closes a connection and waits until its reader has stopped, as the reader would
@@ -76,22 +76,22 @@
 }
 
 // connPair returns both ends of a TCP connection, which are closed when the test ends.
-func connPair(t *testing.T) (near, far net.Conn) {
+func connPair(t *testing.T) (local, remote net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err = net.Dial("tcp", l.Addr().String())
+	remote, err = net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, err = l.Accept()
+	local, err = l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
-	return near, far
+	t.Cleanup(func() { local.Close(); remote.Close() })
+	return local, remote
 }
 
 // replaceSystemCalls applies change to System and restores the previous value when the test ends.
--- a/internal/conn/iterations.go
+++ b/internal/conn/iterations.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// recentBucket is the length of the time buckets for each of which the longest iteration is
+	// recentBucketSpan is the length of the time buckets for each of which the longest iteration is
 	// kept.
-	recentBucket = time.Second
-	// recentBuckets is the number of buckets that count as recent, the current, incomplete one
+	recentBucketSpan = time.Second
+	// recentBucketCount is the number of buckets that count as recent, the current, incomplete one
 	// included.
-	recentBuckets = 11
+	recentBucketCount = 11
 )
 
 // Iterations holds statistics of how long the iterations of a loop took. New tasks and timers wait
@@ -22,34 +22,34 @@
 
 // worstIteration is the longest iteration that ended in one bucket.
 type worstIteration struct {
-	bucket int64 // index of the bucket, counted from the start of the loop's clock
-	took   time.Duration
+	bucket   int64 // index of the bucket, counted from the start of the loop's clock
+	duration time.Duration
 }
 
 // bucketAt returns the index of the bucket that contains a time of the loop's clock.
-func bucketAt(now time.Duration) int64 { return int64(now / recentBucket) }
+func bucketAt(now time.Duration) int64 { return int64(now / recentBucketSpan) }
 
 // recordIteration records an iteration that ends now.
-func (l *Loop) recordIteration(began time.Duration) {
+func (l *Loop) recordIteration(startedAt time.Duration) {
 	now := time.Since(l.start)
-	took := now - began
+	duration := now - startedAt
 	l.iterations.Count++
-	l.iterations.Worst = max(l.iterations.Worst, took)
+	l.iterations.Worst = max(l.iterations.Worst, duration)
 	bucket := bucketAt(now)
-	slot := &l.recentWorst[bucket%recentBuckets]
-	if slot.bucket != bucket {
-		*slot = worstIteration{bucket: bucket}
+	worst := &l.recentWorst[bucket%recentBucketCount]
+	if worst.bucket != bucket {
+		*worst = worstIteration{bucket: bucket}
 	}
-	slot.took = max(slot.took, took)
+	worst.duration = max(worst.duration, duration)
 }
 
 // Iterations returns the statistics of all completed iterations; the current one is not included.
 func (l *Loop) Iterations() Iterations {
 	result := l.iterations
-	oldest := bucketAt(time.Since(l.start)) - recentBuckets
+	oldest := bucketAt(time.Since(l.start)) - recentBucketCount
 	for _, worst := range l.recentWorst {
 		if worst.bucket > oldest {
-			result.WorstRecent = max(result.WorstRecent, worst.took)
+			result.WorstRecent = max(result.WorstRecent, worst.duration)
 		}
 	}
 	return result
--- a/internal/conn/iterations_test.go
+++ b/internal/conn/iterations_test.go
@@ -12,7 +12,7 @@
 }
 
 func (b busyTask) Run() {
-	for began := time.Now(); time.Since(began) < b.span; {
+	for start := time.Now(); time.Since(start) < b.span; {
 	}
 	b.Stop()
 }
@@ -27,7 +27,7 @@
 	if iterations.Count != 1 || iterations.Worst < 20*time.Millisecond || iterations.WorstRecent != iterations.Worst {
 		t.Errorf("one iteration of 20 ms or more: got %+v", iterations)
 	}
-	l.start = l.start.Add(-2 * recentBuckets * recentBucket) // advances the loop's clock
+	l.start = l.start.Add(-2 * recentBucketCount * recentBucketSpan) // advances the loop's clock
 	if later := l.Iterations(); later.WorstRecent != 0 || later.Worst != iterations.Worst {
 		t.Errorf("the worst iteration is no longer recent: got %+v", later)
 	}
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// taskBacklog is the number of tasks that may be queued before Post blocks.
-	taskBacklog = 1024
-	// urgentBacklog is the number of urgent tasks that may be queued before PostUrgent blocks.
-	urgentBacklog = 16
-	// maxWait is how long the loop waits for a task if no timer is set.
-	maxWait = time.Hour
+	// taskQueueSize is the number of tasks that may be queued before Post blocks.
+	taskQueueSize = 1024
+	// urgentQueueSize is the number of urgent tasks that may be queued before PostUrgent blocks.
+	urgentQueueSize = 16
+	// maxIdleWait is how long the loop waits for a task if no timer is set.
+	maxIdleWait = time.Hour
 )
 
 // Task is a unit of work that the loop runs once.
@@ -20,15 +20,15 @@
 
 // Loop runs tasks and timers one at a time, on the goroutine that calls Run.
 type Loop struct {
-	tasks       chan Task
-	urgent      chan Task // run before everything queued in tasks
-	start       time.Time
-	now         time.Duration
-	timers      timerHeap
-	timerSeq    int // sequence number of the timer that was set last
-	stopped     bool
-	iterations  Iterations
-	recentWorst [recentBuckets]worstIteration
+	tasks        chan Task
+	urgent       chan Task // run before everything queued in tasks
+	start        time.Time
+	now          time.Duration
+	timers       timerHeap
+	lastTimerSeq int // sequence number of the timer that was set last
+	stopped      bool
+	iterations   Iterations
+	recentWorst  [recentBucketCount]worstIteration
 
 	// Panicked is called with the panic value when a task, a timer or Run's callback panics. The
 	// panic is recovered and the loop continues. If Panicked is nil, a panic ends the process.
@@ -41,8 +41,8 @@
 // NewLoop returns a loop whose clock counts the time since start.
 func NewLoop(start time.Time) *Loop {
 	return &Loop{
-		tasks:       make(chan Task, taskBacklog),
-		urgent:      make(chan Task, urgentBacklog),
+		tasks:       make(chan Task, taskQueueSize),
+		urgent:      make(chan Task, urgentQueueSize),
 		start:       start,
 		DialContext: new(net.Dialer).DialContext,
 	}
@@ -76,33 +76,33 @@
 func (l *Loop) Stop() { l.stopped = true }
 
 // Run runs tasks and timers until Stop is called. At the end of each iteration, when the queued
-// tasks and due timers have been handled, it calls after.
-func (l *Loop) Run(after func()) {
+// tasks and due timers have been handled, it calls afterIteration.
+func (l *Loop) Run(afterIteration func()) {
 	l.stopped = false
 	wakeUp := time.NewTimer(0)
 	for !l.stopped {
 		wakeUp.Reset(l.untilNextTimer())
-		var began time.Duration
+		var startedAt time.Duration
 		select {
 		case task := <-l.urgent:
-			began = l.runTask(task)
+			startedAt = l.runTask(task)
 		case task := <-l.tasks:
-			began = l.runTask(task)
+			startedAt = l.runTask(task)
 		case <-wakeUp.C:
-			began = time.Since(l.start)
+			startedAt = time.Since(l.start)
 		}
-		l.runWaiting()
+		l.runQueued()
 		l.now = time.Since(l.start)
 		l.fireTimers()
-		l.call(after)
-		l.recordIteration(began)
+		l.call(afterIteration)
+		l.recordIteration(startedAt)
 	}
 }
 
-// runWaiting runs the tasks that are queued when it is called, so that decisions at the end of the
+// runQueued runs the tasks that are queued when it is called, so that decisions at the end of the
 // iteration take all of them into account. Tasks queued later wait for the next iteration:
 // otherwise a flood of tasks could keep timers from firing.
-func (l *Loop) runWaiting() {
+func (l *Loop) runQueued() {
 	for range len(l.tasks) {
 		l.runUrgent()
 		l.runTask(<-l.tasks)
@@ -120,9 +120,9 @@
 // runTask runs a task and returns the time at which it started.
 func (l *Loop) runTask(task Task) time.Duration {
 	l.now = time.Since(l.start)
-	began := l.now
+	startedAt := l.now
 	l.call(task.Run)
-	return began
+	return startedAt
 }
 
 // call calls f. If Panicked is set, it recovers a panic in f and reports it there.
--- a/internal/conn/peek.go
+++ b/internal/conn/peek.go
@@ -23,15 +23,15 @@
 		case n == 0:
 			closed = true
 		default:
-			closed = closedBehindData(fd)
+			closed = closedAfterUnreadData(fd)
 		}
 	})
 	return closed
 }
 
-// closedBehindData reports whether the peer has closed its side after sending bytes that are still
-// unread.
-func closedBehindData(fd int) bool {
+// closedAfterUnreadData reports whether the peer has closed its side after sending bytes that are
+// still unread.
+func closedAfterUnreadData(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	_, err := ignoringEINTR(func() (int, error) { return System.Poll(fds, 0) })
 	return err == nil && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
@@ -50,9 +50,9 @@
 	return readable
 }
 
-// peek calls look with the descriptor and the result of a one-byte read that leaves the byte in the
-// kernel's receive buffer. It does nothing if netConn is not a socket.
-func peek(netConn net.Conn, look func(fd, n int, err error)) {
+// peek calls inspect with the descriptor and the result of a one-byte read that leaves the byte in
+// the kernel's receive buffer. It does nothing if netConn is not a socket.
+func peek(netConn net.Conn, inspect func(fd, n int, err error)) {
 	raw, ok := rawSocket(netConn)
 	if !ok {
 		return
@@ -60,6 +60,6 @@
 	raw.Control(func(fd uintptr) {
 		b := make([]byte, 1)
 		n, err := ignoringEINTR(func() (int, error) { return System.Peek(int(fd), b) })
-		look(int(fd), n, err)
+		inspect(int(fd), n, err)
 	})
 }
--- a/internal/conn/peek_test.go
+++ b/internal/conn/peek_test.go
@@ -15,9 +15,9 @@
 		unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE,
 		unix.ECONNABORTED, unix.ENOTCONN,
 	} {
-		near, _ := connPair(t)
+		local, _ := connPair(t)
 		replaceSystemCalls(t, func(s *SystemCalls) { s.Peek = func(int, []byte) (int, error) { return -1, errno } })
-		if !PeerClosed(near) {
+		if !PeerClosed(local) {
 			t.Errorf("%v: PeerClosed returned false", errno)
 		}
 	}
@@ -49,21 +49,21 @@
 // PeerClosed and Readable must repeat a system call that a signal has interrupted, and must not
 // take EINTR for input or a close.
 func TestPeekRetriesOnEINTR(t *testing.T) {
-	for _, behind := range []string{"", "unread"} {
-		near, far := connPair(t)
-		far.Write([]byte(behind))
-		far.Close()
+	for _, unread := range []string{"", "unread"} {
+		local, remote := connPair(t)
+		remote.Write([]byte(unread))
+		remote.Close()
 		time.Sleep(20 * time.Millisecond)
 		replaceSystemCalls(t, interruptFirst)
-		if !PeerClosed(near) {
-			t.Errorf("PeerClosed returned false for a peer that sent %q and closed", behind)
+		if !PeerClosed(local) {
+			t.Errorf("PeerClosed returned false for a peer that sent %q and closed", unread)
 		}
 	}
-	near, far := connPair(t)
-	far.Write([]byte("an answer"))
+	local, remote := connPair(t)
+	remote.Write([]byte("an answer"))
 	time.Sleep(20 * time.Millisecond)
 	replaceSystemCalls(t, interruptFirst)
-	if c := (&Conn{netConn: near}); !c.Readable() {
+	if c := (&Conn{netConn: local}); !c.Readable() {
 		t.Error("Readable returned false with an answer in the kernel's receive buffer")
 	}
 	replaceSystemCalls(t, interruptFirst)
--- a/internal/conn/reader.go
+++ b/internal/conn/reader.go
@@ -14,20 +14,21 @@
 	// firstReadSize is the size of the buffer for a connection's first read, in bytes. Thousands of
 	// peers may connect and send nothing, so the ring buffer is allocated only once bytes arrive.
 	firstReadSize = 256
-	// discardChunk is how many bytes a discarding reader reads at a time.
-	discardChunk = 64 << 10
-	// unpacedBytes is how many bytes a discarding reader reads without pauses. It covers what the
+	// discardReadSize is how many bytes a discarding reader reads at a time.
+	discardReadSize = 64 << 10
+	// unpausedBytes is how many bytes a discarding reader reads without pauses. It covers what the
 	// kernel may hold, so that a close by the peer after those bytes is seen without delay.
-	unpacedBytes = 32 << 20
-	// unpacedReads is how many reads a discarding reader makes without pauses, for the same reason.
-	unpacedReads = 4 << 10
+	unpausedBytes = 32 << 20
+	// unpausedReads is how many reads a discarding reader makes without pauses, for the same
+	// reason.
+	unpausedReads = 4 << 10
 	// discardPause is the pause after each further read. A peer that sends without end must not use
 	// up loop iterations or a CPU core.
 	discardPause = time.Millisecond
 )
 
 // discardBuffers holds read buffers that are shared by discarding readers.
-var discardBuffers = sync.Pool{New: func() any { return new([discardChunk]byte) }}
+var discardBuffers = sync.Pool{New: func() any { return new([discardReadSize]byte) }}
 
 // startReader starts the reader goroutine. It reads once into each buffer that it receives; a nil
 // buffer makes it discard all input.
@@ -58,9 +59,9 @@
 	case c.closing, c.discarding:
 	case c.In.Empty():
 		b = make([]byte, firstReadSize)
-		c.firstBuffer = b
+		c.firstReadBuffer = b
 	default:
-		b = c.In.Room()
+		b = c.In.FreeSpace()
 		if len(b) == 0 {
 			return
 		}
@@ -101,7 +102,7 @@
 // discardAll reads and discards input until the peer or this side closes the connection. It runs on
 // the reader goroutine.
 func (c *Conn) discardAll() error {
-	b := discardBuffers.Get().(*[discardChunk]byte)
+	b := discardBuffers.Get().(*[discardReadSize]byte)
 	defer discardBuffers.Put(b)
 	total := 0
 	for reads := 1; ; reads++ {
@@ -110,7 +111,7 @@
 			return err
 		}
 		total += n
-		if reads > unpacedReads || total > unpacedBytes {
+		if reads > unpausedReads || total > unpausedBytes {
 			time.Sleep(c.quota.discardPause)
 		}
 	}
--- a/internal/conn/reader_test.go
+++ b/internal/conn/reader_test.go
@@ -20,43 +20,43 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err := net.Dial("tcp", l.Addr().String())
+	remote, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	near, err := l.Accept()
+	defer remote.Close()
+	local, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Conn{netConn: near}
-	inSystem := func() (is bool) {
-		peek(near, func(_, _ int, err error) { is = !errors.Is(err, unix.EAGAIN) })
-		return is
+	c := &Conn{netConn: local}
+	inKernel := func() (found bool) {
+		peek(local, func(_, _ int, err error) { found = !errors.Is(err, unix.EAGAIN) })
+		return found
 	}
 	c.unseen.mu.Lock() // blocks the reader just before the read system call
-	type outcome struct {
+	type readResult struct {
 		n   int
 		err error
 	}
-	ended := make(chan outcome)
+	results := make(chan readResult)
 	read := func() {
 		n, err := c.receive(make([]byte, 9))
-		ended <- outcome{n, err}
+		results <- readResult{n, err}
 	}
 	go read()
-	io.WriteString(far, "half a l")
-	for end := time.Now().Add(5 * time.Second); !inSystem(); {
-		if time.Now().After(end) {
+	io.WriteString(remote, "half a l")
+	for deadline := time.Now().Add(5 * time.Second); !inKernel(); {
+		if time.Now().After(deadline) {
 			t.Fatal("no bytes arrived within five seconds")
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
-	if !inSystem() {
+	if !inKernel() {
 		t.Error("the reader took bytes from the kernel without marking them")
 	}
 	c.unseen.mu.Unlock()
-	if got := <-ended; got.n != 8 || got.err != nil || !c.Readable() {
+	if got := <-results; got.n != 8 || got.err != nil || !c.Readable() {
 		t.Errorf("want 8 bytes and Readable true, got %+v and %v", got, c.Readable())
 	}
 	c.unseen.clear()
@@ -64,13 +64,13 @@
 		t.Error("Readable returned true although the handler has seen all input")
 	}
 	go read()
-	far.Close()
-	if got := <-ended; got.err != io.EOF || !c.Readable() {
+	remote.Close()
+	if got := <-results; got.err != io.EOF || !c.Readable() {
 		t.Errorf("want io.EOF and Readable true, got %+v and %v", got, c.Readable())
 	}
-	near.SetReadDeadline(time.Unix(1, 0))
+	local.SetReadDeadline(time.Unix(1, 0))
 	go read()
-	if got := <-ended; !errors.Is(got.err, os.ErrDeadlineExceeded) {
+	if got := <-results; !errors.Is(got.err, os.ErrDeadlineExceeded) {
 		t.Errorf("want os.ErrDeadlineExceeded, got %+v", got)
 	}
 }
@@ -81,13 +81,13 @@
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
 	q.discardPause = time.Hour
-	near, far := net.Pipe()
+	local, remote := net.Pipe()
 	h := &recordingHandler{}
-	c := q.Adopt(near, h)
+	c := q.Adopt(local, h)
 	c.DiscardInput()
 	go func() {
-		far.Write(make([]byte, 8<<20)) // as much as the kernel may hold
-		far.Close()
+		remote.Write(make([]byte, 8<<20)) // as much as the kernel may hold
+		remote.Close()
 	}()
 	runUntil(l, "the end", func() bool { return len(h.events) > 0 })
 }
--- a/internal/conn/timer.go
+++ b/internal/conn/timer.go
@@ -19,8 +19,8 @@
 
 // After sets a timer that calls fire on the loop goroutine once wait has passed since Now.
 func (l *Loop) After(wait time.Duration, fire func()) *Timer {
-	l.timerSeq++
-	t := &Timer{due: l.now + wait, seq: l.timerSeq, fire: fire, timers: &l.timers}
+	l.lastTimerSeq++
+	t := &Timer{due: l.now + wait, seq: l.lastTimerSeq, fire: fire, timers: &l.timers}
 	heap.Push(&l.timers, t)
 	return t
 }
@@ -36,7 +36,7 @@
 // untilNextTimer returns how long the loop may wait for tasks until the next timer is due.
 func (l *Loop) untilNextTimer() time.Duration {
 	if len(l.timers) == 0 {
-		return maxWait
+		return maxIdleWait
 	}
 	return max(0, l.timers[0].due-time.Since(l.start))
 }
--- a/internal/conn/timer_test.go
+++ b/internal/conn/timer_test.go
@@ -9,13 +9,13 @@
 // by a timer that fires earlier in the same iteration.
 func ExampleLoop_After() {
 	l := NewLoop(time.Now())
-	var b *Timer
+	var stopped *Timer
 	l.After(3*time.Millisecond, func() { fmt.Println("last"); l.Stop() })
-	l.After(time.Millisecond, func() { fmt.Println("first"); b.Stop() })
-	b = l.After(2*time.Millisecond, func() { fmt.Println("stopped") })
+	l.After(time.Millisecond, func() { fmt.Println("first"); stopped.Stop() })
+	stopped = l.After(2*time.Millisecond, func() { fmt.Println("stopped") })
 	l.After(time.Millisecond, func() { fmt.Println("second") })
 	l.Run(func() {})
-	b.Stop()
+	stopped.Stop()
 	// Output:
 	// first
 	// second
--- a/internal/conn/unseen.go
+++ b/internal/conn/unseen.go
@@ -40,9 +40,9 @@
 	u.mu.Unlock()
 }
 
-// present reports whether there is unseen input: marked, or in the kernel as heldBySystem reports.
-func (u *unseenInput) present(heldBySystem func() bool) bool {
+// present reports whether there is unseen input: marked, or in the kernel as reported by inKernel.
+func (u *unseenInput) present(inKernel func() bool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.marked || heldBySystem()
+	return u.marked || inKernel()
 }
--- a/internal/conn/writer_test.go
+++ b/internal/conn/writer_test.go
@@ -15,31 +15,31 @@
 	writeTimeout = 10 * time.Millisecond
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
-	near, far := net.Pipe()
+	local, remote := net.Pipe()
 	want := bytes.Repeat([]byte("answer"), 1000)
-	q.Adopt(near, &recordingHandler{}).Write(want)
+	q.Adopt(local, &recordingHandler{}).Write(want)
 	got := make(chan []byte, 1)
 	go func() {
-		var all []byte
-		for b := make([]byte, 100); len(all) < len(want); time.Sleep(time.Millisecond) {
-			n, err := far.Read(b)
-			all = append(all, b[:n]...)
+		var received []byte
+		for b := make([]byte, 100); len(received) < len(want); time.Sleep(time.Millisecond) {
+			n, err := remote.Read(b)
+			received = append(received, b[:n]...)
 			if err != nil {
 				break
 			}
 		}
-		got <- all
+		got <- received
 	}()
 	runUntil(l, "the answer", func() bool {
 		l.After(time.Millisecond, func() {})
 		return len(got) == 1
 	})
-	if all := <-got; !bytes.Equal(all, want) {
-		t.Errorf("peer received %d bytes, want %d", len(all), len(want))
+	if received := <-got; !bytes.Equal(received, want) {
+		t.Errorf("peer received %d bytes, want %d", len(received), len(want))
 	}
-	near, _ = net.Pipe()
+	local, _ = net.Pipe()
 	h := &recordingHandler{}
-	q.Adopt(near, h).Write(want)
+	q.Adopt(local, h).Write(want)
 	runUntil(l, "the end", func() bool { return len(h.events) > 0 })
 	if h.events[0] != NotWritten.String() {
 		t.Errorf("peer that reads nothing: got events %v, want NotWritten first", h.events)
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -7,37 +7,37 @@
 // open at once; messages that are longer pass through the buffer in parts.
 const Size = 4 << 10
 
-// pool holds the arrays that no Buffer uses, so that idle connections don't occupy any.
-var pool = sync.Pool{New: func() any { return new([Size]byte) }}
+// arrayPool holds the arrays that no Buffer uses, so that idle connections don't occupy any.
+var arrayPool = sync.Pool{New: func() any { return new([Size]byte) }}
 
-// Buffer is a ring buffer. Its zero value is empty. The slices returned by Room and Bytes never
-// overlap, so one goroutine may fill the former or send the latter while the owner of the buffer
-// works on the rest of it. Only the owner may call methods.
+// Buffer is a ring buffer. Its zero value is empty. The slices returned by FreeSpace and Bytes
+// never overlap, so one goroutine may fill the former or send the latter while the owner of the
+// buffer works on the rest of it. Only the owner may call methods.
 type Buffer struct {
-	store  *[Size]byte // nil before the first use and after Free
+	array  *[Size]byte // nil before the first use and after Release
 	start  int         // index of the first byte held
 	length int         // number of bytes held
 }
 
-// Room returns the next contiguous run of free bytes, which is empty if the buffer is full. It
+// FreeSpace returns the next contiguous run of free bytes, which is empty if the buffer is full. It
 // allocates the buffer's array if there is none.
-func (b *Buffer) Room() []byte {
-	if b.store == nil {
-		b.store = pool.Get().(*[Size]byte)
+func (b *Buffer) FreeSpace() []byte {
+	if b.array == nil {
+		b.array = arrayPool.Get().(*[Size]byte)
 	}
 	end := (b.start + b.length) % Size
-	return b.store[end : end+min(Size-end, Size-b.length)]
+	return b.array[end : end+min(Size-end, Size-b.length)]
 }
 
-// Add appends the first n bytes of the slice that Room returned.
-func (b *Buffer) Add(n int) { b.length += n }
+// Commit appends the first n bytes of the slice that FreeSpace returned.
+func (b *Buffer) Commit(n int) { b.length += n }
 
 // Bytes returns the first contiguous run of bytes held, which is empty if the buffer is empty.
 func (b *Buffer) Bytes() []byte {
-	if b.store == nil {
+	if b.array == nil {
 		return nil
 	}
-	return b.store[b.start : b.start+min(Size-b.start, b.length)]
+	return b.array[b.start : b.start+min(Size-b.start, b.length)]
 }
 
 // Drop discards the first n bytes of the slice that Bytes returned.
@@ -48,7 +48,7 @@
 
 // Empty reports whether the buffer has no array allocated. It may return false although the buffer
 // holds no bytes.
-func (b *Buffer) Empty() bool { return b.store == nil }
+func (b *Buffer) Empty() bool { return b.array == nil }
 
 // Len returns the number of bytes held.
 func (b *Buffer) Len() int { return b.length }
@@ -56,21 +56,21 @@
 // Write copies as much of p as fits and returns the number of bytes copied.
 func (b *Buffer) Write(p []byte) (n int) {
 	for n < len(p) {
-		copied := copy(b.Room(), p[n:])
+		copied := copy(b.FreeSpace(), p[n:])
 		if copied == 0 {
 			break
 		}
-		b.Add(copied)
+		b.Commit(copied)
 		n += copied
 	}
 	return n
 }
 
-// Free discards all bytes and returns the array to the pool. No goroutine may use a slice of the
+// Release discards all bytes and returns the array to the pool. No goroutine may use a slice of the
 // buffer any more.
-func (b *Buffer) Free() {
-	if b.store != nil {
-		pool.Put(b.store)
+func (b *Buffer) Release() {
+	if b.array != nil {
+		arrayPool.Put(b.array)
 	}
 	*b = Buffer{}
 }
