--- a/internal/conn/capacity_test.go
+++ b/internal/conn/capacity_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// These benchmarks produce the memory figures per connection in docs/CAPACITY.md, by connection
-// state. Kernel memory is not included.
+// This benchmark produces the figures for connections in docs/CAPACITY.md: the memory of one
+// connection, by what it is used for. Kernel memory is not included.
 
 // discardingHandler drops all input, counts the DataReceived calls, and never closes a connection.
-type discardingHandler struct{ read int }
+type discardingHandler struct{ dataCalls int }
 
 func (h *discardingHandler) Connected(*Conn)                 {}
-func (h *discardingHandler) DataReceived(c *Conn)            { h.read++; c.In.Drop(c.In.Len()) }
+func (h *discardingHandler) DataReceived(c *Conn)            { h.dataCalls++; c.In.Drop(c.In.Len()) }
 func (h *discardingHandler) Flushed(*Conn)                   {}
 func (h *discardingHandler) Disconnected(*Conn, CloseReason) {}
 
@@ -75,7 +75,7 @@
 		for _, c := range dialled {
 			io.WriteString(c, request)
 		}
-		runUntil(loop, "all requests", func() bool { return h.read >= n })
+		runUntil(loop, "all requests", func() bool { return h.dataCalls >= n })
 	}
 	if state == "written" {
 		for _, c := range conns {
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -10,9 +10,9 @@
 	// written. Closing a socket that has unread input resets the connection, and the peer could
 	// lose the answer.
 	lingerTimeout = 2 * time.Second
-	// lastAnswerTimeout is how long AllFlushed waits for the peer to receive the last answer and
-	// close the connection. If the process exited while input from the peer was still unread, the
-	// kernel would reset the connection.
+	// lastAnswerTimeout is how long the peer may take to receive the last answer and close the
+	// connection before AllFlushed stops waiting for it. If the process exited while input from
+	// the peer was still unread, the kernel would reset the connection.
 	lastAnswerTimeout = 100 * time.Millisecond
 )
 
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -33,7 +33,7 @@
 	want := bytes.Repeat([]byte("answer"), 20000)
 	h := &recordingHandler{onData: func(c *Conn) { c.Write(want); c.CloseAfterFlush() }}
 	q.Dial(addr, time.Second, h)
-	runUntil(l, "the end", func() bool {
+	runUntil(l, "the end of the connection", func() bool {
 		select {
 		case <-peerDone:
 			return q.Used() == 0
@@ -72,7 +72,7 @@
 		c.CloseAfterFlush()
 	}}
 	q.Dial(addr, time.Second, h)
-	runUntil(l, "the end", func() bool { iterations++; return q.Used() == 0 })
+	runUntil(l, "the end of the connection", func() bool { iterations++; return q.Used() == 0 })
 	if text := <-got; text != "too large" || iterations > 50 {
 		t.Errorf("peer received %q after %d loop iterations, want \"too large\" and at most 50", text, iterations)
 	}
@@ -81,7 +81,7 @@
 // AllFlushed must report false after a last answer until the peer closes the connection or
 // lastAnswerTimeout has passed.
 func TestAllFlushedAwaitsPeerClose(t *testing.T) {
-	for name, peerCloses := range map[string]bool{"its peer ends": true, "its peer stays": false} {
+	for name, peerCloses := range map[string]bool{"peer closes": true, "peer stays open": false} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLoop(time.Now())
 			q := l.NewQuota(10)
@@ -103,7 +103,7 @@
 			}
 			close(release)
 			start := l.Now()
-			runUntil(l, "the end", func() bool { l.After(time.Millisecond, func() {}); return q.AllFlushed() })
+			runUntil(l, "AllFlushed", func() bool { l.After(time.Millisecond, func() {}); return q.AllFlushed() })
 			if waited := l.Now() - start; peerCloses != (q.Used() == 0) || !peerCloses && waited < lastAnswerTimeout {
 				t.Errorf("AllFlushed returned true after %v with %d descriptors in use", waited, q.Used())
 			}
@@ -196,7 +196,7 @@
 // otherwise one event per iteration, and checks how the handler was notified.
 func runCloseOrder(t *testing.T, order []string, accepted int, inOneIteration bool) {
 	t.Helper()
-	name := fmt.Sprintf("%d taken, %v, in one iteration: %v", accepted, order, inOneIteration)
+	name := fmt.Sprintf("%d bytes accepted, events %v, in one iteration: %v", accepted, order, inOneIteration)
 	l := NewLoop(time.Now())
 	peer := &scriptedConn{
 		reads:       make(chan error, 1),
--- a/internal/conn/dial_test.go
+++ b/internal/conn/dial_test.go
@@ -22,7 +22,7 @@
 	defer stop()
 	h := &recordingHandler{}
 	q.Dial(addr, time.Second, h).Close()
-	runUntil(l, "the descriptor", func() bool { return q.Used() == 0 })
+	runUntil(l, "the release of the descriptor", func() bool { return q.Used() == 0 })
 	if len(h.events) > 0 {
 		t.Errorf("the handler of a closed connection was notified: %v", h.events)
 	}
--- a/internal/conn/eviction_test.go
+++ b/internal/conn/eviction_test.go
@@ -35,11 +35,11 @@
 	}
 	elapsed := false
 	l.After(80*time.Millisecond, func() { elapsed = true })
-	runUntil(l, "some time", func() bool { return elapsed })
+	runUntil(l, "the timer", func() bool { return elapsed })
 	conns[5].SetState(StateReading) // more of the request was received
 	newestHandler := &recordingHandler{}
 	c := q.Dial(addr, time.Second, newestHandler)
-	runUntil(l, "the last", func() bool { return len(newestHandler.events) > 0 })
+	runUntil(l, "the last connection", func() bool { return len(newestHandler.events) > 0 })
 	c.SetState(StateNew)
 	handlers = append(handlers, newestHandler)
 	for reserve := range 8 {
--- a/internal/conn/reader_test.go
+++ b/internal/conn/reader_test.go
@@ -77,7 +77,7 @@
 
 // A discarding reader must notice without pauses that a peer has sent many bytes and closed. The
 // pause is set to an hour, so a single pause makes the test fail.
-func TestPeerCloseSeenBehindMuchInput(t *testing.T) {
+func TestPeerCloseSeenAfterMuchInput(t *testing.T) {
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
 	q.discardPause = time.Hour
@@ -89,5 +89,5 @@
 		remote.Write(make([]byte, 8<<20)) // as much as the kernel may hold
 		remote.Close()
 	}()
-	runUntil(l, "the end", func() bool { return len(h.events) > 0 })
+	runUntil(l, "the end of the connection", func() bool { return len(h.events) > 0 })
 }
--- a/internal/conn/writer_test.go
+++ b/internal/conn/writer_test.go
@@ -40,7 +40,7 @@
 	local, _ = net.Pipe()
 	h := &recordingHandler{}
 	q.Adopt(local, h).Write(want)
-	runUntil(l, "the end", func() bool { return len(h.events) > 0 })
+	runUntil(l, "the end of the connection", func() bool { return len(h.events) > 0 })
 	if h.events[0] != NotWritten.String() {
 		t.Errorf("peer that reads nothing: got events %v, want NotWritten first", h.events)
 	}
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -171,7 +171,7 @@
 
 // A message split in two at any byte must be parsed as if it had arrived at once.
 func TestSplitInputParsesIdentically(t *testing.T) {
-	for _, v := range []struct {
+	for _, test := range []struct {
 		text           string
 		readsResponses bool
 	}{
@@ -181,15 +181,15 @@
 		{"POST /a HTTP/1.1\r\nX: a\rb\r\n\r\n", false},
 		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 No Content\r\n\r\n", true},
 	} {
-		whole := feed(&Parser{ReadsResponses: v.readsResponses}, v.text, len(v.text))
-		for cut := 1; cut < len(v.text); cut++ {
-			p := &Parser{ReadsResponses: v.readsResponses}
-			parts := feed(p, v.text[:cut], cut)
+		whole := feed(&Parser{ReadsResponses: test.readsResponses}, test.text, len(test.text))
+		for cut := 1; cut < len(test.text); cut++ {
+			p := &Parser{ReadsResponses: test.readsResponses}
+			parts := feed(p, test.text[:cut], cut)
 			if n := len(parts); n == 0 || !strings.Contains(parts[n-1], ": ") { // no error: the parser can continue
-				parts = append(parts, feed(p, v.text[cut:], len(v.text))...)
+				parts = append(parts, feed(p, test.text[cut:], len(test.text))...)
 			}
 			if !slices.Equal(parts, whole) {
-				t.Errorf("%.30q split at %d: %q, parsed at once: %q", v.text, cut, parts, whole)
+				t.Errorf("%.30q split at %d: %q, parsed at once: %q", test.text, cut, parts, whole)
 			}
 		}
 	}
