--- a/internal/conn/capacity_test.go
+++ b/internal/conn/capacity_test.go
@@ -10,19 +10,20 @@
 	"time"
 )
 
-// The figures of docs/CAPACITY.md for connections: what one holds in memory, by what it is doing.
-// The kernel's part is not in it.
+// This benchmark produces the figures for connections in docs/CAPACITY.md: the memory of one
+// connection, by what it is used for. Kernel memory is not included.
 
-// discardingHandler drops what is received and leaves a connection as it is.
-type discardingHandler struct{ read int }
+// discardingHandler drops all input, counts the DataReceived calls, and never closes a connection.
+type discardingHandler struct{ dataCalls int }
 
 func (h *discardingHandler) Connected(*Conn)                 {}
-func (h *discardingHandler) DataReceived(c *Conn)            { h.read++; c.In.Drop(c.In.Len()) }
+func (h *discardingHandler) DataReceived(c *Conn)            { h.dataCalls++; c.In.Drop(c.In.Len()) }
 func (h *discardingHandler) Flushed(*Conn)                   {}
 func (h *discardingHandler) Disconnected(*Conn, CloseReason) {}
 
-// BenchmarkConnections adopts so many: mute ones have sent nothing, those in hand have sent a request
-// and wait for its answer, written ones have received one too.
+// BenchmarkConnections measures the memory per connection at several connection counts. On "mute"
+// connections the client has sent nothing, on "in_hand" ones it has sent a request and waits for
+// the answer, on "written" ones it has received the answer too.
 func BenchmarkConnections(b *testing.B) {
 	for _, state := range []string{"mute", "in_hand", "written"} {
 		for _, n := range []int{375, 750, 1500, 3000, 6000} {
@@ -35,16 +36,16 @@
 	}
 }
 
-// bytesPerConn returns the memory that each of n connections holds.
+// bytesPerConn returns the memory, in bytes, that each of n connections in the given state uses.
 func bytesPerConn(b *testing.B, state string, n int) float64 {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer l.Close()
-	var near, far []net.Conn
+	var accepted, dialled []net.Conn
 	defer func() {
-		for _, c := range append(near, far...) {
+		for _, c := range append(accepted, dialled...) {
 			c.Close()
 		}
 	}()
@@ -53,35 +54,35 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		far = append(far, c)
+		dialled = append(dialled, c)
 		c, err = l.Accept()
 		if err != nil {
 			b.Fatal(err)
 		}
-		near = append(near, c)
+		accepted = append(accepted, c)
 	}
 	loop := NewLoop(time.Now())
 	h := &discardingHandler{}
 	request := strings.Repeat("x", 900)
 	answer := []byte(strings.Repeat("y", 300))
 	quota := loop.NewQuota(n)
-	all := make([]*Conn, 0, n)
-	before := liveMemory()
-	for _, c := range near {
-		all = append(all, quota.Adopt(c, h))
+	conns := make([]*Conn, 0, n)
+	memoryBefore := liveMemory()
+	for _, c := range accepted {
+		conns = append(conns, quota.Adopt(c, h))
 	}
 	if state != "mute" {
-		for _, c := range far {
+		for _, c := range dialled {
 			io.WriteString(c, request)
 		}
-		runUntil(loop, "all requests", func() bool { return h.read >= n })
+		runUntil(loop, "all requests", func() bool { return h.dataCalls >= n })
 	}
 	if state == "written" {
-		for _, c := range all {
+		for _, c := range conns {
 			c.Write(answer)
 		}
 		runUntil(loop, "all answers", func() bool {
-			for _, c := range all {
+			for _, c := range conns {
 				if c.Unsent() > 0 {
 					return false
 				}
@@ -89,19 +90,19 @@
 			return true
 		})
 	}
-	took := float64(liveMemory()-before) / float64(n)
-	for _, c := range all {
+	perConn := float64(liveMemory()-memoryBefore) / float64(n)
+	for _, c := range conns {
 		c.Close()
 	}
-	runtime.KeepAlive(all)
-	return took
+	runtime.KeepAlive(conns)
+	return perConn
 }
 
-// liveMemory returns the memory of live objects and of goroutines, in bytes.
+// liveMemory returns the memory of live heap objects and goroutine stacks, in bytes.
 func liveMemory() int64 {
 	var m runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what a pool has kept over the first goes with the second
+	runtime.GC() // objects in a sync.Pool survive one collection and are freed by the second
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc + m.StackInuse)
 }
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -14,27 +14,28 @@
 	"time"
 )
 
-// A long answer passes through the small ring whole, also when the connection is to end with it,
-// and what the peer still sends does not cost it the answer.
+// An answer larger than the ring buffer must reach the peer completely when CloseAfterFlush is
+// called right after Write, even if the peer has sent input that was never read: closing with
+// unread input would reset the connection and lose the rest of the answer.
 func TestCloseAfterFlushDeliversWholeAnswer(t *testing.T) {
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
 	var got []byte
-	over := make(chan struct{})
+	peerDone := make(chan struct{})
 	addr, stop := listenPeer(func(c net.Conn) {
-		c.Write(make([]byte, 10000)) // more than is read before the answer
+		c.Write(make([]byte, 10000)) // more than the connection reads before it answers
 		time.Sleep(20 * time.Millisecond)
 		got, _ = io.ReadAll(c)
 		c.Close()
-		close(over)
+		close(peerDone)
 	})
 	defer stop()
 	want := bytes.Repeat([]byte("answer"), 20000)
 	h := &recordingHandler{onData: func(c *Conn) { c.Write(want); c.CloseAfterFlush() }}
 	q.Dial(addr, time.Second, h)
-	runUntil(l, "the end", func() bool {
+	runUntil(l, "the end of the connection", func() bool {
 		select {
-		case <-over:
+		case <-peerDone:
 			return q.Used() == 0
 		default:
 			l.After(5*time.Millisecond, func() {})
@@ -42,12 +43,12 @@
 		}
 	})
 	if !bytes.Equal(got, want) {
-		t.Errorf("%d bytes of %d came", len(got), len(want))
+		t.Errorf("peer received %d bytes, want %d", len(got), len(want))
 	}
 }
 
-// A peer that sends without end after it was rejected receives its answer whole, costs the loop no
-// iterations, and the connection ends in time.
+// A peer that keeps sending after its request was rejected must receive the whole answer. Its input
+// must be discarded without loop iterations, and the connection must end within the linger timeout.
 func TestCloseAfterFlushDiscardsInput(t *testing.T) {
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
@@ -71,16 +72,16 @@
 		c.CloseAfterFlush()
 	}}
 	q.Dial(addr, time.Second, h)
-	runUntil(l, "the end", func() bool { iterations++; return q.Used() == 0 })
+	runUntil(l, "the end of the connection", func() bool { iterations++; return q.Used() == 0 })
 	if text := <-got; text != "too large" || iterations > 50 {
-		t.Errorf("the peer got %q, the loop took %d iterations", text, iterations)
+		t.Errorf("peer received %q after %d loop iterations, want \"too large\" and at most 50", text, iterations)
 	}
 }
 
-// A last answer counts as not arrived until its peer has closed the connection, for some time at
-// most.
+// AllFlushed must report false after a last answer until the peer closes the connection or
+// lastAnswerTimeout has passed.
 func TestAllFlushedAwaitsPeerClose(t *testing.T) {
-	for name, closes := range map[string]bool{"its peer ends": true, "its peer stays": false} {
+	for name, peerCloses := range map[string]bool{"peer closes": true, "peer stays open": false} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLoop(time.Now())
 			q := l.NewQuota(10)
@@ -88,7 +89,7 @@
 			addr, stop := listenPeer(func(c net.Conn) {
 				io.ReadAll(c)
 				<-release
-				if closes {
+				if peerCloses {
 					c.Close()
 				}
 			})
@@ -98,28 +99,28 @@
 			runUntil(l, "the connection", func() bool { return len(h.events) > 0 })
 			c.CloseAfterFlush()
 			if q.AllFlushed() {
-				t.Error("at once")
+				t.Error("AllFlushed returned true right after CloseAfterFlush")
 			}
 			close(release)
-			began := l.Now()
-			runUntil(l, "the end", func() bool { l.After(time.Millisecond, func() {}); return q.AllFlushed() })
-			if took := l.Now() - began; closes != (q.Used() == 0) || !closes && took < lastAnswerTimeout {
-				t.Errorf("after %v, %d in use", took, q.Used())
+			start := l.Now()
+			runUntil(l, "AllFlushed", func() bool { l.After(time.Millisecond, func() {}); return q.AllFlushed() })
+			if waited := l.Now() - start; peerCloses != (q.Used() == 0) || !peerCloses && waited < lastAnswerTimeout {
+				t.Errorf("AllFlushed returned true after %v with %d descriptors in use", waited, q.Used())
 			}
 			closeAndWait(l, c)
 		})
 	}
 }
 
-// scriptedConn is a connection whose calls return when the test says so, and what it says.
+// scriptedConn is a net.Conn whose Read and Write block until the test supplies their result.
 type scriptedConn struct {
-	net.Conn // nil: nothing else is called
-	reads    chan error
-	writes   chan int // that so many bytes have been taken
-	closed   chan struct{}
-	once     sync.Once
-	taken    atomic.Int64  // bytes
-	returns  chan struct{} // closed: a write returns once its bytes are taken, and is not held before
+	net.Conn    // nil: no other method may be called
+	reads       chan error
+	writes      chan int // number of bytes that the next Write accepts
+	closed      chan struct{}
+	once        sync.Once
+	written     atomic.Int64  // total bytes accepted by Write
+	writeReturn chan struct{} // Write returns after this is closed, although its bytes are already accepted
 }
 
 func (s *scriptedConn) Read([]byte) (int, error) {
@@ -134,8 +135,8 @@
 func (s *scriptedConn) Write([]byte) (int, error) {
 	select {
 	case n := <-s.writes:
-		s.taken.Add(int64(n))
-		<-s.returns
+		s.written.Add(int64(n))
+		<-s.writeReturn
 		return n, nil
 	case <-s.closed:
 		return 0, net.ErrClosed
@@ -148,76 +149,78 @@
 
 func (s *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
-// A request is written in whole, in part or not at all, its peer resets the connection and we end
-// it, in every order, each in an iteration of its own and all in one, also where the writer is
-// held between its bytes and its report of them. The handler is notified once, unless it has
-// closed the connection itself, and that the request was not written if and only if some of it had
-// not been taken.
+// Combines a complete, partial or empty write of a request, a reset by the peer and a close by the
+// owner in every order, with one loop iteration per event and with all events in one iteration.
+// Some orders delay the writer between writing its bytes and reporting them. The handler must be
+// notified exactly once, unless the owner closed the connection itself, and with NotWritten if and
+// only if some bytes of the request were not written.
 func TestCloseInEveryOrder(t *testing.T) {
-	for _, taken := range []int{0, 1, closeTestSize - 1, closeTestSize} {
-		for _, end := range []string{"break", "close", "quit"} {
-			for _, order := range closeOrders(end) {
-				for _, together := range []bool{false, true} {
-					closeInOrder(t, order, taken, together)
+	for _, accepted := range []int{0, 1, closeTestRequestSize - 1, closeTestRequestSize} {
+		for _, closeEvent := range []string{"break", "close", "quit"} {
+			for _, order := range closeOrders(closeEvent) {
+				for _, inOneIteration := range []bool{false, true} {
+					runCloseOrder(t, order, accepted, inOneIteration)
 				}
 			}
 		}
 	}
 }
 
-// closeTestSize, in bytes, is the size of the request.
-const closeTestSize = 100
+// closeTestRequestSize is the size of the request, in bytes.
+const closeTestRequestSize = 100
 
-// closeOrders returns the orders of events, with one way in which we end the connection.
-func closeOrders(end string) [][]string {
+// closeOrders returns the event orders to test. closeEvent is the event by which the owner closes
+// the connection: "break", "close" or "quit".
+func closeOrders(closeEvent string) [][]string {
 	return [][]string{
-		{"write", "reset", end},
-		{"write", end, "reset"},
-		{"reset", "write", end},
-		{"reset", end, "write"},
-		{end, "write", "reset"},
-		{end, "reset", "write"},
+		{"write", "reset", closeEvent},
+		{"write", closeEvent, "reset"},
+		{"reset", "write", closeEvent},
+		{"reset", closeEvent, "write"},
+		{closeEvent, "write", "reset"},
+		{closeEvent, "reset", "write"},
 		{"write", "reset"},
 		{"reset", "write"},
-		{"write", end},
-		{end, "write"},
+		{"write", closeEvent},
+		{closeEvent, "write"},
 		{"reset"},
-		{end},
+		{closeEvent},
 		{"write", "reset", "returns"},
-		{"write", end, "returns"},
-		{"write", "reset", end, "returns"},
-		{"write", end, "reset", "returns"},
+		{"write", closeEvent, "returns"},
+		{"write", "reset", closeEvent, "returns"},
+		{"write", closeEvent, "reset", "returns"},
 	}
 }
 
-// closeInOrder plays one order of events, all of them in one iteration or each in its own.
-func closeInOrder(t *testing.T, order []string, taken int, together bool) {
+// runCloseOrder runs one order of events, all in one loop iteration if inOneIteration is set and
+// otherwise one event per iteration, and checks how the handler was notified.
+func runCloseOrder(t *testing.T, order []string, accepted int, inOneIteration bool) {
 	t.Helper()
-	name := fmt.Sprintf("%d taken, %v, in one iteration: %v", taken, order, together)
+	name := fmt.Sprintf("%d bytes accepted, events %v, in one iteration: %v", accepted, order, inOneIteration)
 	l := NewLoop(time.Now())
 	peer := &scriptedConn{
-		reads:   make(chan error, 1),
-		writes:  make(chan int, 1),
-		closed:  make(chan struct{}),
-		returns: make(chan struct{}),
+		reads:       make(chan error, 1),
+		writes:      make(chan int, 1),
+		closed:      make(chan struct{}),
+		writeReturn: make(chan struct{}),
 	}
 	if !slices.Contains(order, "returns") {
-		close(peer.returns)
+		close(peer.writeReturn)
 	}
 	h := &recordingHandler{}
 	c := l.NewQuota(9).Adopt(peer, h)
-	c.Write(make([]byte, closeTestSize))
-	settle := func() { // until all events of what has happened are in
-		over := false
-		l.After(3*time.Millisecond, func() { over = true })
-		runUntil(l, name, func() bool { return over })
+	c.Write(make([]byte, closeTestRequestSize))
+	settle := func() { // runs the loop until the reader and the writer have reported
+		settled := false
+		l.After(3*time.Millisecond, func() { settled = true })
+		runUntil(l, name, func() bool { return settled })
 	}
 	for _, event := range order {
 		switch event {
 		case "write":
-			peer.writes <- taken
+			peer.writes <- accepted
 		case "returns":
-			close(peer.returns)
+			close(peer.writeReturn)
 		case "reset":
 			peer.reads <- &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 		case "break":
@@ -227,26 +230,27 @@
 		case "quit":
 			c.CloseAfterFlush()
 		}
-		if !together {
+		if !inOneIteration {
 			settle()
 		}
 	}
 	settle()
 	c.Break()
 	settle()
-	checkNotified(t, name, h.events, order, peer.taken.Load() == closeTestSize)
+	checkNotified(t, name, h.events, order, peer.written.Load() == closeTestRequestSize)
 }
 
-// checkNotified holds what the handler was notified of against what has happened.
-func checkNotified(t *testing.T, name string, seen, order []string, written bool) {
+// checkNotified checks the recorded notifications against the events in order. written says whether
+// the whole request was written.
+func checkNotified(t *testing.T, name string, notifications, order []string, written bool) {
 	t.Helper()
 	if slices.Contains(order, "close") || slices.Contains(order, "quit") {
-		if len(seen) > 1 {
-			t.Error(name, ": notified ", seen)
+		if len(notifications) > 1 {
+			t.Error(name, ": want at most one notification, got ", notifications)
 		}
 		return
 	}
-	if len(seen) != 1 || (seen[0] == NotWritten.String()) == written {
-		t.Error(name, ": notified ", seen, ", written: ", written)
+	if len(notifications) != 1 || (notifications[0] == NotWritten.String()) == written {
+		t.Error(name, ": want one notification that matches the write, got ", notifications, ", written: ", written)
 	}
 }
--- a/internal/conn/eviction_test.go
+++ b/internal/conn/eviction_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Connections are evicted in this order: those on which nothing is to come, those that have sent
-// nothing for a while, those that have stopped in the midst of a request, idle ones, those that
-// have begun a request; never one that is active. A byte is progress.
+// Connections are evicted in this order: finished ones, those that have sent nothing for a while,
+// those that have stalled within a request, idle ones, new ones, those with a partial request that
+// still makes progress. An active connection is never evicted. Any received byte counts as
+// progress.
 func Example_evictionOrder() {
-	defer func(grace, after time.Duration) {
-		newGrace = grace
-		stalledAfter = after
-	}(newGrace, stalledAfter)
-	newGrace = 20 * time.Millisecond
-	stalledAfter = 60 * time.Millisecond
+	defer func(savedGrace, savedStalledAge time.Duration) {
+		newConnGrace = savedGrace
+		stalledRequestAge = savedStalledAge
+	}(newConnGrace, stalledRequestAge)
+	newConnGrace = 20 * time.Millisecond
+	stalledRequestAge = 60 * time.Millisecond
 	l := NewLoop(time.Now())
 	q := l.NewQuota(8)
 	addr, stop := listenPeer(func(c net.Conn) { io.Copy(io.Discard, c) })
@@ -32,17 +33,17 @@
 		handlers = append(handlers, h)
 		conns = append(conns, c)
 	}
-	later := false
-	l.After(80*time.Millisecond, func() { later = true })
-	runUntil(l, "some time", func() bool { return later })
-	conns[5].SetState(StateReading) // progress
-	newest := &recordingHandler{}
-	c := q.Dial(addr, time.Second, newest)
-	runUntil(l, "the last", func() bool { return len(newest.events) > 0 })
+	elapsed := false
+	l.After(80*time.Millisecond, func() { elapsed = true })
+	runUntil(l, "the timer", func() bool { return elapsed })
+	conns[5].SetState(StateReading) // more of the request was received
+	newestHandler := &recordingHandler{}
+	c := q.Dial(addr, time.Second, newestHandler)
+	runUntil(l, "the last connection", func() bool { return len(newestHandler.events) > 0 })
 	c.SetState(StateNew)
-	handlers = append(handlers, newest)
+	handlers = append(handlers, newestHandler)
 	for reserve := range 8 {
-		// What is evicted goes once all that was read of it is in.
+		// A connection is evicted only after the loop has handled everything that was read from it.
 		l.After(0, func() {})
 		runUntil(l, "the evictions", func() bool { q.EnsureFree(reserve); return len(q.evicting) == 0 })
 		fmt.Print(q.EnsureFree(reserve), " ", q.Used())
--- a/internal/conn/iterations.go
+++ b/internal/conn/iterations.go
@@ -3,50 +3,53 @@
 import "time"
 
 const (
-	// recentBucket is the span of which one worst iteration is kept.
-	recentBucket = time.Second
-	// recentBuckets is the number of spans that count as recent; the last of them has just begun.
-	recentBuckets = 11
+	// recentBucketSpan is the length of the time buckets for each of which the longest iteration is
+	// kept.
+	recentBucketSpan = time.Second
+	// recentBucketCount is the number of buckets that count as recent, the current, incomplete one
+	// included.
+	recentBucketCount = 11
 )
 
-// Iterations says how long the iterations of a loop took: while one runs, all that comes has to wait.
-// It is real time, so whatever takes the core away shows too.
+// Iterations holds statistics of how long the iterations of a loop took. New tasks and timers wait
+// while an iteration runs. Durations are wall-clock time, so they include time in which the
+// goroutine did not have a core.
 type Iterations struct {
 	Count       int64
-	Worst       time.Duration // since the start
-	WorstRecent time.Duration // in the last ten seconds or a little more
+	Worst       time.Duration // since the start of the loop's clock
+	WorstRecent time.Duration // in the last ten to eleven seconds
 }
 
-// worstIteration is the longest iteration that ended in one span.
+// worstIteration is the longest iteration that ended in one bucket.
 type worstIteration struct {
-	bucket int64 // number of the span since the start
-	took   time.Duration
+	bucket   int64 // index of the bucket, counted from the start of the loop's clock
+	duration time.Duration
 }
 
-// bucketAt returns the number of the span in which a time of the loop lies.
-func bucketAt(now time.Duration) int64 { return int64(now / recentBucket) }
+// bucketAt returns the index of the bucket that contains a time of the loop's clock.
+func bucketAt(now time.Duration) int64 { return int64(now / recentBucketSpan) }
 
-// recordIteration enters an iteration that ends now.
-func (l *Loop) recordIteration(began time.Duration) {
+// recordIteration records an iteration that ends now.
+func (l *Loop) recordIteration(startedAt time.Duration) {
 	now := time.Since(l.start)
-	took := now - began
+	duration := now - startedAt
 	l.iterations.Count++
-	l.iterations.Worst = max(l.iterations.Worst, took)
+	l.iterations.Worst = max(l.iterations.Worst, duration)
 	bucket := bucketAt(now)
-	slot := &l.recentWorst[bucket%recentBuckets]
-	if slot.bucket != bucket {
-		*slot = worstIteration{bucket: bucket}
+	worst := &l.recentWorst[bucket%recentBucketCount]
+	if worst.bucket != bucket {
+		*worst = worstIteration{bucket: bucket}
 	}
-	slot.took = max(slot.took, took)
+	worst.duration = max(worst.duration, duration)
 }
 
-// Iterations returns how long iterations took; the present one is not among them.
+// Iterations returns the statistics of all completed iterations; the current one is not included.
 func (l *Loop) Iterations() Iterations {
 	result := l.iterations
-	oldest := bucketAt(time.Since(l.start)) - recentBuckets
+	oldest := bucketAt(time.Since(l.start)) - recentBucketCount
 	for _, worst := range l.recentWorst {
 		if worst.bucket > oldest {
-			result.WorstRecent = max(result.WorstRecent, worst.took)
+			result.WorstRecent = max(result.WorstRecent, worst.duration)
 		}
 	}
 	return result
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -7,56 +7,57 @@
 )
 
 const (
-	// taskBacklog is how many tasks may wait before Post blocks.
-	taskBacklog = 1024
-	// urgentBacklog is how many urgent tasks may wait before PostUrgent blocks.
-	urgentBacklog = 16
-	// maxWait is how long the loop waits for a task where no timer is set.
-	maxWait = time.Hour
+	// taskQueueSize is the number of tasks that may be queued before Post blocks.
+	taskQueueSize = 1024
+	// urgentQueueSize is the number of urgent tasks that may be queued before PostUrgent blocks.
+	urgentQueueSize = 16
+	// maxIdleWait is how long the loop waits for a task if no timer is set.
+	maxIdleWait = time.Hour
 )
 
-// Task is run by the loop once.
+// Task is a unit of work that the loop runs once.
 type Task interface{ Run() }
 
-// Loop runs tasks and timers in one goroutine, one after the other.
+// Loop runs tasks and timers one at a time, on the goroutine that calls Run.
 type Loop struct {
-	tasks       chan Task
-	urgent      chan Task // run before all that wait in tasks
-	start       time.Time
-	now         time.Duration
-	timers      timerHeap
-	timerSeq    int // of the timer that was set last
-	stopped     bool
-	iterations  Iterations
-	recentWorst [recentBuckets]worstIteration
-
-	// Panicked is called when a task panics: that task is dropped and the loop goes on. Nil: the
-	// panic ends the program.
+	tasks        chan Task
+	urgent       chan Task // run before everything queued in tasks
+	start        time.Time
+	now          time.Duration
+	timers       timerHeap
+	lastTimerSeq int // sequence number of the timer that was set last
+	stopped      bool
+	iterations   Iterations
+	recentWorst  [recentBucketCount]worstIteration
+
+	// Panicked is called with the panic value when a task, a timer or Run's callback panics. The
+	// panic is recovered and the loop continues. If Panicked is nil, a panic ends the process.
 	Panicked func(cause any)
-	// DialContext makes the connections, as net.Dialer does unless it is set. Goroutines call it.
+	// DialContext establishes connections; by default it is that of a zero net.Dialer. It is called
+	// on other goroutines than the loop's.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// NewLoop returns a loop whose clock counts from start.
+// NewLoop returns a loop whose clock counts the time since start.
 func NewLoop(start time.Time) *Loop {
 	return &Loop{
-		tasks:       make(chan Task, taskBacklog),
-		urgent:      make(chan Task, urgentBacklog),
+		tasks:       make(chan Task, taskQueueSize),
+		urgent:      make(chan Task, urgentQueueSize),
 		start:       start,
 		DialContext: new(net.Dialer).DialContext,
 	}
 }
 
-// Now returns the time since the start as it was read before the present task: all that a task
-// causes happens at one moment.
+// Now returns the loop's time as read before the current task, so that everything a task causes has
+// the same time.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Clock reads the time since the start. Tasks and decisions go by Now; this is for what must hold at
-// the very moment of a system call, as a process that gets little of a core may be late by more than
-// a rule allows.
+// Clock reads the loop's clock again. Tasks and decisions use Now. Clock is for checks that must
+// hold at the time of a system call: a process that gets little CPU time may make the call much
+// later than Now, by more than a deadline or rule allows.
 func (l *Loop) Clock() time.Duration { return time.Since(l.start) }
 
-// wallTime returns a time of this loop as package time has it; 0 becomes the zero time.
+// wallTime converts a time of the loop's clock to a time.Time; 0 becomes the zero time.
 func (l *Loop) wallTime(at time.Duration) time.Time {
 	if at == 0 {
 		return time.Time{}
@@ -67,40 +68,41 @@
 // Post queues a task. Any goroutine may call it; it blocks while the queue is full.
 func (l *Loop) Post(task Task) { l.tasks <- task }
 
-// PostUrgent queues a task that runs before all others: its caller waits for a second at most,
-// however full the queue is. Any goroutine may call it.
+// PostUrgent queues a task that runs ahead of those queued by Post. It is for callers that wait at
+// most a second for the task, however full the task queue is. Any goroutine may call it.
 func (l *Loop) PostUrgent(task Task) { l.urgent <- task }
 
-// Stop ends Run after the present task.
+// Stop makes Run return at the end of the current iteration.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run runs tasks and timers until Stop. It calls after whenever all that has happened so far is
-// handled.
-func (l *Loop) Run(after func()) {
+// Run runs tasks and timers until Stop is called. At the end of each iteration, when the queued
+// tasks and due timers have been handled, it calls afterIteration.
+func (l *Loop) Run(afterIteration func()) {
 	l.stopped = false
 	wakeUp := time.NewTimer(0)
 	for !l.stopped {
 		wakeUp.Reset(l.untilNextTimer())
-		var began time.Duration
+		var startedAt time.Duration
 		select {
 		case task := <-l.urgent:
-			began = l.runTask(task)
+			startedAt = l.runTask(task)
 		case task := <-l.tasks:
-			began = l.runTask(task)
+			startedAt = l.runTask(task)
 		case <-wakeUp.C:
-			began = time.Since(l.start)
+			startedAt = time.Since(l.start)
 		}
-		l.runWaiting()
+		l.runQueued()
 		l.now = time.Since(l.start)
 		l.fireTimers()
-		l.call(after)
-		l.recordIteration(began)
+		l.call(afterIteration)
+		l.recordIteration(startedAt)
 	}
 }
 
-// runWaiting runs the tasks that have come meanwhile, as they belong to the same moment for the
-// decisions; no more than these, as a flood of tasks must not keep timers from firing.
-func (l *Loop) runWaiting() {
+// runQueued runs the tasks that are queued when it is called, so that decisions at the end of the
+// iteration take all of them into account. Tasks queued later wait for the next iteration:
+// otherwise a flood of tasks could keep timers from firing.
+func (l *Loop) runQueued() {
 	for range len(l.tasks) {
 		l.runUrgent()
 		l.runTask(<-l.tasks)
@@ -108,22 +110,22 @@
 	l.runUrgent()
 }
 
-// runUrgent runs the urgent tasks that wait.
+// runUrgent runs all queued urgent tasks.
 func (l *Loop) runUrgent() {
 	for len(l.urgent) > 0 {
 		l.runTask(<-l.urgent)
 	}
 }
 
-// runTask runs a task and returns when it began.
+// runTask runs a task and returns the time at which it started.
 func (l *Loop) runTask(task Task) time.Duration {
 	l.now = time.Since(l.start)
-	began := l.now
+	startedAt := l.now
 	l.call(task.Run)
-	return began
+	return startedAt
 }
 
-// call keeps a panic in one function from ending the loop, if that is wanted.
+// call calls f. If Panicked is set, it recovers a panic in f and reports it there.
 func (l *Loop) call(f func()) {
 	if l.Panicked != nil {
 		defer func() {
--- a/internal/conn/reader.go
+++ b/internal/conn/reader.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// firstReadSize, in bytes, is the buffer of a connection's first read: thousands may connect and
-	// send nothing, and the ring is for those that do.
+	// firstReadSize is the size of the buffer for a connection's first read, in bytes. Thousands of
+	// peers may connect and send nothing, so the ring buffer is allocated only once bytes arrive.
 	firstReadSize = 256
-	// discardChunk, in bytes, is how much a discarding reader reads at a time.
-	discardChunk = 64 << 10
-	// unpacedBytes is how much a discarding reader throws away without pauses: the peer may have
-	// closed behind what the system holds of it, and that is to be seen at once.
-	unpacedBytes = 32 << 20
-	// unpacedReads is the number of reads for which the same holds.
-	unpacedReads = 4 << 10
-	// discardPause is the pause after each further read: a peer that sends without end must cost
-	// neither iterations of the loop nor the core.
+	// discardReadSize is how many bytes a discarding reader reads at a time.
+	discardReadSize = 64 << 10
+	// unpausedBytes is how many bytes a discarding reader reads without pauses. It covers what the
+	// kernel may hold, so that a close by the peer after those bytes is seen without delay.
+	unpausedBytes = 32 << 20
+	// unpausedReads is how many reads a discarding reader makes without pauses, for the same
+	// reason.
+	unpausedReads = 4 << 10
+	// discardPause is the pause after each further read. A peer that sends without end must not use
+	// up loop iterations or a CPU core.
 	discardPause = time.Millisecond
 )
 
-// discardBuffers are shared by the readers that discard.
-var discardBuffers = sync.Pool{New: func() any { return new([discardChunk]byte) }}
+// discardBuffers holds read buffers that are shared by discarding readers.
+var discardBuffers = sync.Pool{New: func() any { return new([discardReadSize]byte) }}
 
-// startReader starts the goroutine that reads. It reads once for each buffer that it is given; nil
-// asks it to discard all input.
+// startReader starts the reader goroutine. It reads once into each buffer that it receives; a nil
+// buffer makes it discard all input.
 func (c *Conn) startReader() {
 	c.readRequests = make(chan []byte, 1)
 	go func() {
@@ -41,7 +42,7 @@
 	}()
 }
 
-// serveRead serves one request of the loop in the reader.
+// serveRead serves one read request. It runs on the reader goroutine.
 func (c *Conn) serveRead(b []byte) (int, error) {
 	if b != nil {
 		return c.receive(b)
@@ -51,16 +52,16 @@
 	return 0, err
 }
 
-// startRead gives the reader its next request, unless In is full.
+// startRead sends the reader its next request, unless In is full.
 func (c *Conn) startRead() {
-	var b []byte // nil: discard
+	var b []byte // nil: discard all input
 	switch {
 	case c.closing, c.discarding:
 	case c.In.Empty():
 		b = make([]byte, firstReadSize)
-		c.firstBuffer = b
+		c.firstReadBuffer = b
 	default:
-		b = c.In.Room()
+		b = c.In.FreeSpace()
 		if len(b) == 0 {
 			return
 		}
@@ -69,16 +70,16 @@
 	c.readRequests <- b
 }
 
-// DiscardInput throws away whatever is still received, so that the peer's close is seen however much
-// that is.
+// DiscardInput discards the bytes in In and all further input, so that a close by the peer is
+// noticed no matter how much it has sent before.
 func (c *Conn) DiscardInput() {
 	c.discarding = true
 	c.In.Drop(c.In.Len())
 }
 
-// receive waits for bytes in the reader.
+// receive waits for bytes and reads them into b. It runs on the reader goroutine.
 func (c *Conn) receive(b []byte) (n int, err error) {
-	defer c.unseen.mark() // an error that no system call has returned, such as a deadline
+	defer c.unseen.mark() // also marks errors that don't come from a system call, such as a passed deadline
 	raw, ok := rawSocket(c.netConn)
 	if !ok {
 		return c.netConn.Read(b)
@@ -98,9 +99,10 @@
 	return n, nil
 }
 
-// discardAll reads in the reader until the connection ends, by its peer or by us.
+// discardAll reads and discards input until the peer or this side closes the connection. It runs on
+// the reader goroutine.
 func (c *Conn) discardAll() error {
-	b := discardBuffers.Get().(*[discardChunk]byte)
+	b := discardBuffers.Get().(*[discardReadSize]byte)
 	defer discardBuffers.Put(b)
 	total := 0
 	for reads := 1; ; reads++ {
@@ -109,7 +111,7 @@
 			return err
 		}
 		total += n
-		if reads > unpacedReads || total > unpacedBytes {
+		if reads > unpausedReads || total > unpausedBytes {
 			time.Sleep(c.quota.discardPause)
 		}
 	}
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// feedLine collects a line between chunks, or of the trailer, and handles it once it is complete.
+// feedLine collects a line between chunks or of the trailer, and handles it once it is complete. It
+// returns the number of bytes consumed.
 func (p *Parser) feedLine(b []byte) (int, error) {
 	newline := bytes.IndexByte(b, '\n')
 	n := newline + 1
@@ -14,7 +15,7 @@
 		n = len(b)
 	}
 	p.pending = append(p.pending, b[:n]...)
-	if len(p.pending) > p.maxLine() {
+	if len(p.pending) > p.maxLineBytes() {
 		return n, parseErrorf(StatusBadRequest, "line too long between chunks")
 	}
 	if newline < 0 {
@@ -25,13 +26,15 @@
 	return n, p.handleLine(line)
 }
 
-func (p *Parser) maxLine() int {
+// maxLineBytes returns the maximum length of a line in the current state, in bytes.
+func (p *Parser) maxLineBytes() int {
 	if p.state == stateTrailer {
-		return maxTrailerLine
+		return maxTrailerLineBytes
 	}
-	return maxChunkLine
+	return maxChunkLineBytes
 }
 
+// handleLine handles a complete line, without its line break, and sets the next state.
 func (p *Parser) handleLine(line string) error {
 	switch p.state {
 	case stateChunkEnd:
@@ -40,8 +43,8 @@
 		}
 		p.state = stateChunkSize
 	case stateChunkSize:
-		digits, _, _ := strings.Cut(line, ";") // extensions follow
-		size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, lengthBits)
+		digits, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
+		size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, lengthBitSize)
 		if err != nil {
 			return parseErrorf(StatusBadRequest, "malformed chunk size")
 		}
