--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -12,41 +12,44 @@
 )
 
 const (
-	// cancelTimeout is how long a worker may take to answer a cancel.
+	// cancelTimeout bounds the wait for a worker's response to a cancel request.
 	cancelTimeout = time.Second
-	// lateResponseTimeout is how long the 202 of an attempt may follow the callback that ended it.
+	// lateResponseTimeout bounds the wait for the 202 response of an attempt that a callback has
+	// already ended.
 	lateResponseTimeout = time.Second
-	// minTimeLeft is the least time left to the client that is sent to a worker: the unit of the
-	// X-Budget header.
+	// minTimeLeft is the shortest time left until the client timeout with which an attempt is sent.
+	// It is the resolution of the X-Budget header.
 	minTimeLeft = time.Millisecond
-	// timeBudgetDecimals is the number of decimals of the X-Budget header, which is in seconds.
+	// timeBudgetDecimals is the number of decimal places of the X-Budget header, whose value is in
+	// seconds.
 	timeBudgetDecimals = 3
 )
 
-// attemptKey identifies an attempt as the dispatcher does.
+// attemptKey identifies an attempt by the dispatcher's identifiers: the invocation and the
+// attempt's number within it.
 type attemptKey struct {
 	invocation dispatch.InvocationID
 	number     int
 }
 
-// callbackKey identifies an attempt as callbacks do: the call id alone could be that of a hedged
-// request elsewhere.
+// callbackKey identifies an attempt by the identifiers that a callback carries. The call ID alone
+// is not enough: hedged attempts of one invocation at different workers share it.
 type callbackKey struct {
 	callID    string
 	workerUID string
 }
 
-// attempt is one send of an invocation to a worker.
+// attempt is one try to run an invocation at a worker.
 type attempt struct {
 	invocation       *Invocation
 	number           int
 	worker           *worker
-	exchange         *exchange // nil once the worker has answered
-	written          bool      // some of it may have been written
-	sameWorkerBefore bool      // its worker had the invocation before: a callback may be late and of that attempt
-	accepted         bool      // by a 202: the connection is free, the worker's slot is not
-	started          bool      // its worker has reported so
-	timeout          *conn.Timer
+	exchange         *exchange   // nil once it is done, and for an attempt that another process sent
+	written          bool        // some of the request may have been written
+	sameWorkerBefore bool        // an earlier attempt was written to this worker, so that a late callback may belong to it
+	accepted         bool        // the worker has responded 202: the connection is free again, the worker's slot is not
+	started          bool        // a callback has reported that the work has started
+	timeout          *conn.Timer // fires at the client timeout
 }
 
 func (a *attempt) key() attemptKey {
@@ -57,8 +60,8 @@
 	return callbackKey{callID: a.invocation.ID, workerUID: a.worker.uid}
 }
 
-// Forward begins an attempt, whose end is reported as an event. No byte of it is written from
-// notAfter on, by the loop's clock; 0: the client timeout alone bounds it.
+// Forward starts an attempt. Its end is reported through OnEvent. No byte of it is written at or
+// after notAfter, by the loop's clock; 0 means that only the client timeout bounds it.
 func (t *Transport) Forward(inv *Invocation, number int, to dispatch.WorkerID, notAfter time.Duration) {
 	w := t.workersByID[to]
 	if w == nil || !t.AwaitsAnswer(inv.Number) {
@@ -84,27 +87,27 @@
 	t.startExchange(w, a.exchange)
 }
 
-// target returns the attempt's worker as the endpoint list has it now.
+// target returns the attempt's worker with its current entry in the endpoint list.
 func (a *attempt) target() invariant.Target {
 	return invariant.Target{UID: a.worker.uid, Endpoint: a.worker.endpoint}
 }
 
-// track enters an attempt that is in flight from now on, and bounds it by the client timeout.
+// track registers an attempt as in flight and starts its client timeout.
 func (t *Transport) track(a *attempt) {
 	t.attempts[a.key()] = a
 	t.attemptsByCallback[a.callbackKey()] = a
 	a.timeout = t.loop.After(a.invocation.Deadline-t.loop.Now(), func() { t.endAttempt(a, conn.TimedOut, nil) })
 }
 
-// untrack removes an attempt that is no longer in flight here.
+// untrack removes an attempt that this process no longer has in flight.
 func (t *Transport) untrack(a *attempt) {
 	delete(t.attempts, a.key())
 	delete(t.attemptsByCallback, a.callbackKey())
 	a.timeout.Stop()
 }
 
-// newAttemptExchange returns the exchange that carries an attempt; check describes the attempt as
-// it was decided.
+// newAttemptExchange returns the exchange that carries an attempt. check describes the attempt as
+// the dispatcher decided it.
 func (t *Transport) newAttemptExchange(a *attempt, check invariant.Attempt) *exchange {
 	return &exchange{
 		needsProofNotRun: a.invocation.needsProofNotRun(),
@@ -121,7 +124,8 @@
 	}
 }
 
-// buildAttempt returns the request of an attempt for sending it now.
+// buildAttempt builds the request of an attempt immediately before it is sent, with the time left
+// until the client timeout in its X-Budget header.
 func (t *Transport) buildAttempt(a *attempt, check invariant.Attempt) conn.Outgoing {
 	inv := a.invocation
 	timeLeft := (inv.Deadline - t.loop.Clock()).Seconds()
@@ -134,7 +138,7 @@
 	}
 }
 
-// earlier returns the earlier of two times; a bound of 0 is none.
+// earlier returns the earlier of deadline and bound; a bound of 0 is ignored.
 func earlier(deadline, bound time.Duration) time.Duration {
 	if bound > 0 {
 		return min(deadline, bound)
@@ -142,7 +146,8 @@
 	return deadline
 }
 
-// handleAttemptResponse takes the response to an attempt, or the reason why there is none.
+// handleAttemptResponse processes the response to an attempt. m is nil if there is no response, and
+// reason says why.
 func (t *Transport) handleAttemptResponse(a *attempt, m *http1.Message, reason conn.CloseReason) {
 	a.exchange = nil
 	if m == nil {
@@ -161,13 +166,15 @@
 	}
 	reason = responseReason(m)
 	if reason == conn.Succeeded {
-		// A result comes by callback alone: a response that looks like one is no worker's.
+		// Results arrive only by callback, so a response that looks like a result does not come
+		// from a worker.
 		reason = conn.Malformed
 	}
 	t.endAttempt(a, reason, t.parseLoad(a.worker, m))
 }
 
-// endAttempt ends an attempt and reports it; one that has ended before is left alone.
+// endAttempt ends an attempt and reports its outcome. It does nothing if the attempt has already
+// ended.
 func (t *Transport) endAttempt(a *attempt, reason conn.CloseReason, load *dispatch.LoadReport) {
 	if t.attempts[a.key()] != a {
 		return
@@ -193,8 +200,9 @@
 	})
 }
 
-// mayHaveRun reports whether an attempt may have run though the reason of its end says that it has
-// not: its worker had started it, or may mean an earlier attempt.
+// mayHaveRun reports whether an attempt may have run although the reason of its end claims that it
+// has not: its worker had reported that it started, or the worker's report may refer to an earlier
+// attempt.
 func (a *attempt) mayHaveRun(reason conn.CloseReason) bool {
 	if a.started && reason.ProvesNotRun() {
 		return true
@@ -202,28 +210,28 @@
 	return reason == conn.Returned && a.sameWorkerBefore && a.invocation.needsProofNotRun()
 }
 
-// endExchange ends the exchange of an attempt that ends before its response has come.
+// endExchange ends the exchange of an attempt that has ended before its response arrived.
 func (t *Transport) endExchange(a *attempt, stoppedByUs bool) {
 	x := a.exchange
 	if x == nil {
 		return
 	}
 	if stoppedByUs || !a.written || x.connection.socket.Unsent() > 0 {
-		// Before the 202 an attempt is cancelled by closing its connection. A connection that comes
-		// up now must not send it any more, and the last byte of an attempt that has ended must not
-		// be written.
+		// Before the 202, an attempt is cancelled by closing its connection. A connection that is
+		// still being dialled must not send the request later, and the last byte of an attempt that
+		// has ended must not be written.
 		x.abort()
 		return
 	}
-	// A callback came before the 202, which may still follow.
+	// The final callback arrived before the 202, which may still follow.
 	x.onDone = ignoreResponse
 	x.timeout = t.loop.After(lateResponseTimeout, x.abort)
 }
 
-// ignoreResponse is the onDone of an exchange whose response decides nothing.
+// ignoreResponse is the onDone of an exchange whose response has no effect.
 func ignoreResponse(*http1.Message, conn.CloseReason) {}
 
-// sendCancel asks a worker to stop an attempt that it has accepted.
+// sendCancel asks the worker to stop an attempt that it has accepted. The response is ignored.
 func (t *Transport) sendCancel(a *attempt) {
 	t.Counts.Cancels++
 	request := http1.Request("DELETE", "/jobs/"+a.invocation.ID, a.worker.address, nil)
@@ -233,7 +241,8 @@
 	}
 }
 
-// Cancel cancels an attempt; one that has ended has had its event and is left alone.
+// Cancel ends an attempt as cancelled. It does nothing if the attempt has already ended, as its
+// outcome has then been reported.
 func (t *Transport) Cancel(inv dispatch.InvocationID, number int) {
 	if a := t.attempts[attemptKey{invocation: inv, number: number}]; a != nil {
 		t.endAttempt(a, conn.Cancelled, nil)
--- a/internal/workers/attempt_test.go
+++ b/internal/workers/attempt_test.go
@@ -11,7 +11,8 @@
 	"stoatweir/internal/conn"
 )
 
-// What a response, a break or garbage in the place of a 202 amounts to. A 200 is no result.
+// A rejection, an error, a bad request, a 200 or garbage instead of a 202 ends the attempt with the
+// corresponding result. A 200 is not taken for a result.
 func Example_responseResults() {
 	f := newFixture(
 		rejectedResponse,
@@ -43,8 +44,8 @@
 	// inv 7 attempt 0 ends: 7 closed=true load=false
 }
 
-// An attempt is cancelled by closing the connection before the 202 and by DELETE after it, at the
-// client timeout too.
+// An attempt is cancelled by closing its connection before the 202, and by a DELETE request after
+// it. The same holds at the client timeout.
 func Example_cancelAndTimeout() {
 	f := newFixture("", acceptedResponse, acceptedResponse, acceptedResponse, acceptedResponse)
 	f.Forward(f.newInvocation(1), 0, f.id)
@@ -75,14 +76,14 @@
 	// inv 3 attempt 0 ends: 3 closed=false load=false
 }
 
-// A connection that comes up when its worker is draining, or its attempt has been cancelled, sends
-// nothing.
+// Nothing is sent over a connection that is established after its worker has started draining or
+// its attempt has been cancelled.
 func Example_connectedWhenNoLongerNeeded() {
 	f := newFixture()
 	f.Forward(f.newInvocation(1), 0, f.id)
 	f.setState(dispatch.Draining)
 	f.runUntil(1, 0)
-	f.setState(dispatch.Gone) // closes the connection that was not used
+	f.setState(dispatch.Gone) // closes the unused connection
 	f.runUntil(0, 1)
 	f.setState(dispatch.Ready)
 	f.Forward(f.newInvocation(2), 0, f.id)
@@ -97,12 +98,12 @@
 	// sockets: 0
 }
 
-// Where nobody cancels, a connection may come up for an invocation whose client has left or has its
-// answer: nothing is sent.
+// Without a cancel, a connection may be established for an invocation whose client has left or has
+// its answer. Nothing is sent over it.
 func Example_connectedAfterClientLeft() {
 	f := newFixture()
 	f.Forward(f.newInvocation(1), 0, f.id)
-	f.clientDone[1] = true // before the loop learns that the connection is up
+	f.clientDone[1] = true // before the loop learns that the connection is established
 	f.runUntil(1, 0)
 	f.awaitIdleConnection()
 	fmt.Println("idle:", len(f.worker().idle), "received:", len(f.requests))
@@ -111,14 +112,15 @@
 	// idle: 1 received: 0
 }
 
-// A retry's window passes while its connection comes up, or before it is written: nothing is sent,
-// and it has not run. The connection goes to the pool.
+// The deduplication window of a retry passes before the retry is written, while its connection is
+// being dialled or waits in the pool. Nothing is sent, so the attempt has not run, and the
+// connection goes to the pool.
 func Example_connectedAfterWindow() {
 	f := newFixture(acceptedResponse)
 	f.Transport.Forward(f.newInvocation(1), 1, f.id, time.Nanosecond)
 	f.runUntil(1, 0)
 	fmt.Println("idle:", len(f.worker().idle), "received:", len(f.requests))
-	f.Transport.Forward(f.newInvocation(1), 2, f.id, time.Nanosecond) // over the one in the pool
+	f.Transport.Forward(f.newInvocation(1), 2, f.id, time.Nanosecond) // over the pooled connection
 	f.runUntil(1, 0)
 	f.Transport.Forward(f.newInvocation(2), 1, f.id, f.loop.Now()+time.Hour)
 	f.runUntil(1, 1)
@@ -130,7 +132,8 @@
 	// inv 2 attempt 1: accepted=true started=false done=0
 }
 
-// A worker that moves while a connection to it comes up may have left its old address to another.
+// When a worker moves while a connection to it is being dialled, another worker may have taken over
+// its old address: nothing is sent there.
 func Example_connectedAfterWorkerMoved() {
 	f, other := newFixture(), newFixture(acceptedResponse)
 	f.Forward(f.newInvocation(1), 0, f.id)
@@ -148,8 +151,8 @@
 	// inv 2 attempt 0: accepted=true started=false done=0
 }
 
-// A worker that is in another zone or cell, or has restarted, when a connection to it comes up is
-// not the one that was chosen: what may go there, and how much, has changed.
+// A worker whose zone, cell or incarnation has changed by the time the connection is established is
+// not the worker that was chosen: what may be sent there, and how much, has changed.
 func Example_connectedAfterWorkerChanged() {
 	for _, change := range []func(*dispatch.Endpoint){
 		func(*dispatch.Endpoint) {},
@@ -171,14 +174,14 @@
 	// inv 1 attempt 0 ends: 4 closed=false load=false
 }
 
-// The time left that an attempt sends to its worker is taken when it is written, by the clock and
-// not by the loop's present moment, and nothing is written once that time is over.
+// The X-Budget header holds the time left when the attempt is written, by the clock and not by the
+// time at which the loop's iteration began. Nothing is written once no time is left.
 func Example_timeBudgetHeader() {
 	f := newFixture()
 	inv := f.newInvocation(1)
 	f.Forward(inv, 0, f.id)
 	request := f.attempts[attemptKey{invocation: 1, number: 0}].exchange.buildRequest
-	for _, late := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 0} { // until the connection is up
+	for _, late := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 0} { // delays until the connection is established
 		inv.Deadline -= late
 		most := inv.Deadline - f.loop.Clock()
 		message := request()
--- a/internal/workers/callback.go
+++ b/internal/workers/callback.go
@@ -5,7 +5,7 @@
 	"stoatweir/internal/conn"
 )
 
-// States that a callback may report.
+// The states that a callback may report, as they are on the wire.
 const (
 	callbackStarted  = "started"
 	callbackRunning  = "running"
@@ -15,17 +15,17 @@
 	callbackLost     = "lost"
 )
 
-// Callback is what a worker reports about an attempt that it has accepted.
+// Callback is a worker's report about an attempt that it has accepted.
 type Callback struct {
-	ID, WorkerUID, State string               // the invocation's id, the worker's uid, one of the callback states
-	Progress             float64              // of the work that is done, 0 to 1
-	Result               *string              // the result, with the state done
-	Load                 *dispatch.LoadReport // the worker's load; nil: not reported
+	ID, WorkerUID, State string               // the invocation's ID, the worker's UID, and one of the callback states
+	Progress             float64              // completed fraction of the work, from 0 to 1
+	Result               *string              // the result, if the state is done; nil: none was reported
+	Load                 *dispatch.LoadReport // the worker's load report; nil: none was reported
 }
 
-// HandleCallback applies a callback to its attempt and reports whether the attempt is one of this
-// process. The end of an attempt removes it, so that repeated and late callbacks find none; another
-// process may have sent what is not known here.
+// HandleCallback applies a callback to its attempt and reports whether this process has the
+// attempt. An attempt is removed when it ends, so repeated and late callbacks find none. An attempt
+// that is not found may also have been sent by another process.
 func (t *Transport) HandleCallback(cb Callback) bool {
 	t.Counts.Callbacks++
 	a := t.attemptsByCallback[callbackKey{callID: cb.ID, workerUID: cb.WorkerUID}]
@@ -35,7 +35,7 @@
 	}
 	hasResult := cb.State == callbackDone && cb.Result != nil
 	if !a.written && !hasResult {
-		t.Counts.UnknownCallbacks++ // late, and of an earlier attempt at that worker: nothing of this one has been written
+		t.Counts.UnknownCallbacks++ // late, for an earlier attempt at that worker: no byte of this one has been written
 		return true
 	}
 	cb.Load = a.worker.filterReport(cb.Load, t.deployment.Report.Unknown())
@@ -43,7 +43,7 @@
 	return true
 }
 
-// applyCallback reports the progress of an attempt or ends it.
+// applyCallback reports the progress of an attempt or ends it, depending on the callback's state.
 func (t *Transport) applyCallback(a *attempt, cb Callback) {
 	switch cb.State {
 	case callbackStarted, callbackRunning:
--- a/internal/workers/callback_test.go
+++ b/internal/workers/callback_test.go
@@ -6,8 +6,8 @@
 	"stoatweir/dispatch"
 )
 
-// A 202 frees the connection and ends nothing; a callback does, once, and only from the worker that
-// has the attempt.
+// A 202 frees the connection without ending the attempt. A final callback ends it, once, and only
+// if it comes from the worker that has the attempt.
 func Example_callbacks() {
 	f := newFixture(acceptedResponse, acceptedResponse)
 	f.Forward(f.newInvocation(1), 0, f.id)
@@ -39,14 +39,14 @@
 	// callbacks: 8 strange: 4 dialled: 1 in flight: 0
 }
 
-// A callback may come before the 202, and one that ends the attempt ends it though the response is
-// still to come.
+// A callback may arrive before the 202. A final one ends the attempt although the response is still
+// outstanding.
 func Example_callbackBeforeResponse() {
 	f := newFixture("", acceptedResponse)
 	f.Forward(f.newInvocation(1), 0, f.id)
 	f.runUntil(0, 1)
 	f.callBack("id1", "lost")
-	f.runUntil(1, 1) // the connection whose response does not come is closed
+	f.runUntil(1, 1) // the connection is closed, as its response does not arrive
 	f.Forward(f.newInvocation(2), 0, f.id)
 	f.runUntil(1, 1)
 	f.callBack("id2", "done")
@@ -60,9 +60,9 @@
 	// inv 2 attempt 0 ends: 1 closed=false load=false
 }
 
-// A callback of an earlier attempt at the same worker is repeated while a connection for the next
-// attempt comes up. It ends nothing of which no byte has been written; a result counts all the
-// same, and then nothing is written.
+// A callback for an earlier attempt at the same worker is repeated while the connection for the
+// next attempt is being dialled. It must not end the next attempt, of which no byte has been
+// written. A result counts all the same, and then the next attempt is not written.
 func Example_callbackOfEarlierAttempt() {
 	first := func(f *fixture, inv *Invocation) {
 		f.Forward(inv, 0, f.id)
@@ -102,7 +102,8 @@
 	// in flight: 0 idle: 0
 }
 
-// What its worker has started may have run, whatever the worker or the connection reports later.
+// An attempt that its worker has started counts as having possibly run, whatever the worker or the
+// connection reports later.
 func Example_startedBeforeRejection() {
 	f := newFixture(acceptedResponse, "", "")
 	f.Forward(f.newInvocation(1), 0, f.id)
@@ -110,7 +111,7 @@
 	f.callBack("id1", "started")
 	f.callBack("id1", "returned")
 	f.runUntil(2, 0)
-	f.Forward(f.newInvocation(2), 0, f.id) // the callback comes before the response
+	f.Forward(f.newInvocation(2), 0, f.id) // the callback arrives before the response
 	f.runUntil(0, 1)
 	f.HandleCallback(Callback{ID: "id2", WorkerUID: workerUID, State: "running", Progress: 0.1})
 	f.writeFromWorker(1, rejectedResponse)
@@ -125,9 +126,9 @@
 	// inv 2 attempt 0 ends: 5 closed=false load=true
 }
 
-// A worker that has returned work, has received it again and reports once more that it returns it
-// may mean the first attempt. Non-idempotent work is not free to go on then, and deduplicated work
-// keeps its group and window.
+// A worker has returned an invocation, receives it again, and reports once more that it returns it.
+// The second report may refer to the first attempt. Non-idempotent work must not be retried then,
+// and deduplicated work keeps its group and window.
 func Example_returnedTwice() {
 	for _, effect := range []dispatch.Effect{dispatch.Idempotent, dispatch.Deduplicated, dispatch.NonIdempotent} {
 		f := newFixture(acceptedResponse, acceptedResponse)
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -8,32 +8,32 @@
 	"stoatweir/internal/http1"
 )
 
-// earlyResponseTimeout is how long a response waits for the notice that its request has been
-// written whole.
+// earlyResponseTimeout bounds how long a response that has arrived early waits until its request is
+// known to have been written completely.
 const earlyResponseTimeout = 50 * time.Millisecond
 
-// connection is one to a worker. It carries one request at a time and rests in the worker's pool
-// between them. It implements conn.Handler.
+// connection is a connection to a worker. It carries one request at a time and is idle in the
+// worker's pool between requests. It implements conn.Handler.
 type connection struct {
 	transport     *Transport
 	worker        *worker
-	address       string // that was dialled: a worker may move while the connection comes up
+	address       string // that was dialled; the worker may move while the connection is being established
 	socket        *conn.Conn
 	parser        http1.Parser
-	exchange      *exchange      // that it carries, or is dialled for; nil: idle
-	earlyResponse *http1.Message // that came before the whole request had been written
-	timer         *conn.Timer    // ends an idle connection, or the wait for the end of a write
-	reused        bool           // it has been in the pool
+	exchange      *exchange      // being carried, or waiting for this connection to be established; nil: none
+	earlyResponse *http1.Message // arrived before the whole request had been written
+	timer         *conn.Timer    // closes an idle connection, or ends the wait for the request to be written
+	reused        bool           // has been in the pool
 	idleSince     time.Duration  // when it was last put into the pool, by the loop's clock
 }
 
-// attach gives the connection an exchange to carry.
+// attach makes the connection carry an exchange.
 func (c *connection) attach(x *exchange) {
 	c.exchange = x
 	x.connection = c
 }
 
-// detach takes its exchange from the connection.
+// detach removes the exchange from the connection and returns it.
 func (c *connection) detach() *exchange {
 	x := c.exchange
 	c.exchange = nil
@@ -41,11 +41,12 @@
 	return x
 }
 
-// sendRequest writes the request of the connection's exchange; no request goes to a worker in
-// another way. False: nothing was written, and onDone has been called.
+// sendRequest writes the request of the connection's exchange. Every request to a worker is written
+// here. It returns false if the exchange has ended with nothing written; onDone has then been
+// called.
 func (c *connection) sendRequest() bool {
 	x := c.exchange
-	if c.address != c.worker.address { // another worker may listen there now
+	if c.address != c.worker.address { // another worker may be listening there now
 		c.complete(nil, conn.WorkerUnavailable)
 		c.socket.Close()
 		return false
@@ -69,9 +70,9 @@
 	return true
 }
 
-// retryOnAnother passes the exchange on to another connection, as this one has ended since it was
-// put into the pool, or has received something unasked. One that has just come up is not replaced:
-// the worker is at fault.
+// retryOnAnother moves the exchange to another connection, because this one has ended since it was
+// put into the pool or has received unsolicited bytes. A connection that was never in the pool is
+// not replaced: its failure is the worker's fault.
 func (c *connection) retryOnAnother() bool {
 	if !c.reused {
 		c.complete(nil, conn.NotWritten)
@@ -94,7 +95,7 @@
 	x.onDone(m, reason)
 }
 
-// abort closes the connection; its exchange is notified of nothing more.
+// abort closes the connection without any further call to its exchange.
 func (c *connection) abort() {
 	if c.exchange != nil {
 		x := c.detach()
@@ -105,13 +106,14 @@
 	c.socket.Close()
 }
 
-// Connected sends the request for which the connection was dialled, unless another one has carried
-// it by now.
+// Connected sends the request for which the connection was dialled. If another connection has
+// carried that request by now, the connection is put into the pool, unless its worker has moved or
+// is gone.
 func (c *connection) Connected(*conn.Conn) {
 	x := c.exchange
 	switch {
 	case x != nil:
-		x.releaseDials() // this one too
+		x.releaseDials() // clears the exchange of this connection too
 		c.attach(x)
 		c.sendRequest()
 	case c.address != c.worker.address || c.worker.endpoint.State == dispatch.Gone:
@@ -121,7 +123,7 @@
 	}
 }
 
-// Flushed applies a response that came before the whole request had been written.
+// Flushed completes an exchange whose response arrived before the whole request had been written.
 func (c *connection) Flushed(*conn.Conn) {
 	c.exchange.notifyWritten()
 	if c.earlyResponse != nil {
@@ -130,15 +132,15 @@
 	}
 }
 
-// completeEarly ends the exchange with its early response.
+// completeEarly ends the exchange with the response that arrived early.
 func (c *connection) completeEarly() {
 	m := c.earlyResponse
 	c.earlyResponse = nil
 	c.complete(m, conn.Open)
 }
 
-// completeEarlyAndClose ends the wait for the end of the write. The timer is stopped, as it must
-// not fire afterwards.
+// completeEarlyAndClose ends the exchange with its early response, without waiting any longer for
+// the request to be written. The timer is stopped so that it does not fire afterwards.
 func (c *connection) completeEarlyAndClose() {
 	c.timer.Stop()
 	c.completeEarly()
@@ -155,8 +157,8 @@
 			return
 		}
 		if c.exchange == nil || err != nil {
-			// A response to nothing, or one that can't be read: what follows could be taken for the
-			// response to another request.
+			// An unsolicited response, or one that cannot be parsed: what follows could be taken
+			// for the response to another request.
 			c.closeWith(conn.Malformed)
 			return
 		}
@@ -167,19 +169,22 @@
 	}
 }
 
-// handleResponse ends the exchange with its response as far as its request has been written.
+// handleResponse completes the exchange with its response. If the request has not been written
+// completely, the response is held back, or discarded with the connection where a retry requires
+// proof that the attempt did not run.
 func (c *connection) handleResponse(nc *conn.Conn, m *http1.Message) {
 	switch {
 	case m.Close || nc.In.Len() > 0:
 		c.complete(m, conn.Open)
 		nc.Close()
 	case nc.Unsent() > 0 && c.exchange.needsProofNotRun:
-		// It proves nothing of a request that is still being written, as the last byte may follow.
-		// Now that is never written.
+		// A response proves nothing about a request whose last byte may still be written. Breaking
+		// the connection ensures that it never is.
 		nc.Break()
 	case nc.Unsent() > 0:
-		// The response has overtaken the notice that the request is written, which is awaited
-		// before the connection is used again; or the worker has answered without reading on.
+		// Either the response has overtaken the notification that the request is written, which
+		// must arrive before the connection is reused, or the worker has responded without reading
+		// the whole request.
 		c.earlyResponse = m
 		c.timer = c.transport.loop.After(earlyResponseTimeout, c.completeEarlyAndClose)
 	default:
@@ -188,13 +193,14 @@
 	}
 }
 
-// closeWith closes the connection for a reason of ours, which its exchange receives.
+// closeWith closes the connection and ends its exchange with the given reason.
 func (c *connection) closeWith(reason conn.CloseReason) {
 	c.socket.Close()
 	c.handleClose(reason)
 }
 
-// Disconnected ends the exchange. A response without a length ends with its connection.
+// Disconnected ends the exchange. A response without a length is complete when the worker closes
+// the connection.
 func (c *connection) Disconnected(_ *conn.Conn, reason conn.CloseReason) {
 	if c.earlyResponse != nil {
 		c.completeEarlyAndClose()
@@ -207,8 +213,8 @@
 	c.handleClose(reason)
 }
 
-// handleClose ends the exchange of a connection that has ended, unless another connection is
-// dialled for it.
+// handleClose removes a closed connection from the pool, or ends its exchange unless another
+// connection may still be established for it.
 func (c *connection) handleClose(reason conn.CloseReason) {
 	reason = c.learnFromClose(reason)
 	x := c.exchange
@@ -222,8 +228,8 @@
 	}
 }
 
-// learnFromClose returns the reason as it concerns the exchange, and shortens the time for which
-// connections rest in the pool if this one was closed there.
+// learnFromClose returns the close reason as it applies to the exchange. It shortens the idle
+// timeout if the connection was closed while it was in the pool.
 func (c *connection) learnFromClose(reason conn.CloseReason) conn.CloseReason {
 	if c.parser.Started() {
 		if reason == conn.Closed {
@@ -231,8 +237,8 @@
 		}
 		return reason
 	}
-	// Whoever ends idle connections, the workers or the network, ends others too: those that have
-	// rested as long. A reset with no request sent is a worker's death.
+	// A worker or network device that closes one idle connection also closes others that have been
+	// idle as long. A reset while no request is in progress means that the worker has died.
 	closedInPool := reason == conn.Closed || reason == conn.Reset && c.exchange != nil
 	if !c.reused || !closedInPool {
 		return reason
--- a/internal/workers/connection_test.go
+++ b/internal/workers/connection_test.go
@@ -12,8 +12,9 @@
 	"stoatweir/internal/http1"
 )
 
-// A response overtakes the notice that its request is written, and the connection ends in one of
-// three ways: more bytes come, it breaks, or the notice never comes. The exchange ends once.
+// A response arrives before the notification that its request has been written, and the connection
+// then ends in one of three ways: more bytes arrive, it breaks, or the notification never comes.
+// The exchange must end exactly once.
 func TestResponseBeforeRequestIsFlushed(t *testing.T) {
 	for name, then := range map[string]func(net.Conn){
 		"more bytes":     func(c net.Conn) { c.Write([]byte(rejectedResponse)) },
@@ -22,7 +23,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture()
-			near, far := net.Pipe() // takes nothing that is not read: the request can't go out
+			near, far := net.Pipe() // takes no byte that is not read: the request cannot be written
 			defer far.Close()
 			var ends []string
 			c := &connection{
@@ -42,10 +43,10 @@
 			go func() { far.Write([]byte(rejectedResponse)) }()
 			f.runUntilTrue("the early response", func() bool { return c.earlyResponse != nil })
 			go then(far)
-			f.runUntilTrue("the end", func() bool { return len(ends) > 0 })
-			over := false // a timer that was left would fire by then
+			f.runUntilTrue("the end of the exchange", func() bool { return len(ends) > 0 })
+			over := false // by then a timer that was left running would have fired
 			f.loop.After(2*earlyResponseTimeout, func() { over = true })
-			f.runUntilTrue("any timer", func() bool { return over })
+			f.runUntilTrue("the end of any timer", func() bool { return over })
 			if got := strings.Join(ends, ", "); got != "503 open" || f.quota.Used() != 0 || len(c.worker.idle) > 0 {
 				t.Error(got, "sockets:", f.quota.Used(), "idle:", len(c.worker.idle))
 			}
@@ -53,9 +54,9 @@
 	}
 }
 
-// A response that is truncated in its head, body, a chunk or between chunks says nothing about the
-// request, which may have run; one that never ends is awaited until the client timeout, and its
-// connection ends.
+// A response that is truncated in its head, its body, a chunk or between chunks says nothing about
+// the request, which may have run. A response that never ends is awaited until the client timeout,
+// and its connection is then closed.
 func Example_truncatedResponse() {
 	parts := []string{"HTTP/1.1 20-", "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n-",
 		"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\nhalf-",
--- a/internal/workers/dial.go
+++ b/internal/workers/dial.go
@@ -9,22 +9,25 @@
 	"stoatweir/internal/http1"
 )
 
-// Some connections come up late, and the next one at once. Whichever comes up first has the
-// request; the others go to the pool, as their cost has been paid.
+// Some connections take long to be established although another dial would succeed immediately. The
+// first one that is established carries the request; the others go to the pool, as their cost has
+// already been paid.
 const (
-	// maxDials is the number of connections dialled for one exchange at a time.
+	// maxDials is the maximum number of connections being dialled for one exchange at a time.
 	maxDials = 3
-	// redialDivisor divides the connect timeout: after that part of it without a connection another
-	// one is dialled.
+	// redialDivisor divides the connect timeout: if no connection has been established after that
+	// part of it, another one is dialled.
 	redialDivisor = 5
-	// redialReserve is the number of descriptors that are left for exchanges with no connection
-	// being dialled.
+	// redialReserve is the number of free descriptors that additional dials leave for exchanges
+	// without any dial in progress.
 	redialReserve = 8
-	// localErrorBackoff is the wait before the next dial after one that failed on our own machine.
+	// localErrorBackoff is the wait before the next dial after one that failed on the local
+	// machine.
 	localErrorBackoff = 20 * time.Millisecond
 )
 
-// dial dials one more connection for an exchange. All of them share the time that the first had.
+// dial dials one more connection for an exchange, and schedules another dial for the case that it
+// is not established soon. All dials of an exchange share the deadline of the first.
 func (t *Transport) dial(w *worker, x *exchange) {
 	t.Counts.Dialled++
 	c := &connection{
@@ -46,8 +49,9 @@
 	})
 }
 
-// anotherDial reports whether another connection may still come up for the exchange of one that has
-// failed to, and dials one after a backoff where the failure was our own machine's.
+// anotherDial removes a failed dial and reports whether another connection may still be established
+// for its exchange. If a failure of the local machine ended the last dial, it schedules a new one
+// after a backoff.
 func (t *Transport) anotherDial(failed *connection, reason conn.CloseReason) bool {
 	x := failed.exchange
 	x.dials = slices.DeleteFunc(x.dials, func(c *connection) bool { return c == failed })
@@ -60,8 +64,8 @@
 	return false
 }
 
-// redialAfterBackoff dials once more after a backoff, as a local failure may be over by then.
-// False: the time for dials would be up.
+// redialAfterBackoff schedules one more dial, as a local failure may be over after the backoff. It
+// returns false if the deadline for dials would have passed by then.
 func (t *Transport) redialAfterBackoff(w *worker, x *exchange) bool {
 	if t.loop.Now()+localErrorBackoff >= x.dialDeadline {
 		return false
--- a/internal/workers/dial_test.go
+++ b/internal/workers/dial_test.go
@@ -19,13 +19,13 @@
 	"stoatweir/internal/conn"
 )
 
-// A connection that is slow to come up is not the only one dialled: the next one has the request,
-// once, and the late one goes to the pool.
+// If a connection takes long to be established, another one is dialled. That one carries the
+// request, exactly once, and the late connection goes to the pool.
 func Example_lateConnection() {
 	f := newFixture(acceptedResponse, acceptedResponse)
 	addr, drain := fullBacklog(f)
 	f.moveTo(addr.String())
-	f.deployment.ConnectTimeout = 2500 * time.Millisecond // the kernel tries again after a second
+	f.deployment.ConnectTimeout = 2500 * time.Millisecond // the kernel retries the handshake after a second
 	f.Forward(f.newInvocation(1), 0, f.id)
 	for !dialPending(addr) {
 		time.Sleep(time.Millisecond)
@@ -33,16 +33,16 @@
 	drain()
 	f.runUntil(1, 1)
 	fmt.Println("dialled:", f.Counts.Dialled)
-	f.runUntilTrue("the late one", func() bool { return len(f.worker().idle) == 2 })
+	f.runUntilTrue("the late connection", func() bool { return len(f.worker().idle) == 2 })
 	fmt.Println("sockets:", f.quota.Used(), "received:", len(f.requests), "in flight:", f.InFlight())
-	// Cancelled while none is up: all of them end.
+	// Cancelled while no connection is established: all dials end.
 	addr, _ = fullBacklog(f)
 	f.moveTo(addr.String())
 	f.Forward(f.newInvocation(2), 0, f.id)
 	f.runUntilTrue("more dials", func() bool { return f.Counts.Dialled == 2+maxDials })
 	f.Cancel(2, 0)
 	cancelledAt := f.loop.Now()
-	f.runUntilTrue("sockets", func() bool { return f.quota.Used() == 0 })
+	f.runUntilTrue("sockets to be closed", func() bool { return f.quota.Used() == 0 })
 	f.runUntil(1, 0)
 	fmt.Println("at once:", f.loop.Now()-cancelledAt < time.Second)
 	// Output:
@@ -54,7 +54,7 @@
 	// at once: true
 }
 
-// dialPending reports whether a connection to an address has been requested and is not up.
+// dialPending reports whether a connection to an address is being established (state SYN_SENT).
 func dialPending(to netip.AddrPort) bool {
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
@@ -63,8 +63,8 @@
 	return strings.Contains(string(table), fmt.Sprintf(" 0100007F:%04X 02 ", to.Port()))
 }
 
-// fullBacklog returns an address in front of the fixture's worker at which no connection comes up
-// until the backlog is drained.
+// fullBacklog returns an address that forwards to the fixture's worker and has a full backlog: no
+// connection to it is established until drain is called.
 func fullBacklog(f *fixture) (addr netip.AddrPort, drain func()) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -79,7 +79,7 @@
 	name, _ := unix.Getsockname(fd)
 	addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*unix.SockaddrInet4).Port))
 	workerAddr := f.id.String()
-	if _, err := net.Dial("tcp", addr.String()); err != nil { // it fills the backlog
+	if _, err := net.Dial("tcp", addr.String()); err != nil { // fills the backlog
 		panic(err)
 	}
 	return addr, func() {
@@ -110,8 +110,9 @@
 	}
 }
 
-// Several connections come up in one iteration of the loop, or as their attempt is cancelled, or as the
-// worker moves: at most one of them carries the request.
+// Several connections are established in one iteration of the loop, at the same time as a cancel of
+// their attempt, or at the same time as a move of the worker. At most one of them may carry the
+// request.
 func TestConcurrentDials(t *testing.T) {
 	for name, v := range map[string]struct {
 		meanwhile func(*fixture)
@@ -141,8 +142,8 @@
 				return near, nil
 			}
 			f.Forward(f.newInvocation(1), 0, f.id)
-			f.runUntilTrue("all dials", func() bool { return waiting.Load() == maxDials })
-			f.loop.Post(taskFunc(func() { // all of them come up in one iteration
+			f.runUntilTrue("all dials to start", func() bool { return waiting.Load() == maxDials })
+			f.loop.Post(taskFunc(func() { // all connections are established in one iteration
 				close(open)
 				for connected.Load() < maxDials {
 					time.Sleep(time.Millisecond)
@@ -151,18 +152,18 @@
 				v.meanwhile(f)
 			}))
 			done := false
-			f.runUntilTrue("the connections", func() bool { return connected.Load() == maxDials })
+			f.runUntilTrue("all connections to be established", func() bool { return connected.Load() == maxDials })
 			f.loop.After(50*time.Millisecond, func() { done = true })
-			f.runUntilTrue("a moment", func() bool { return done })
+			f.runUntilTrue("requests to arrive", func() bool { return done })
 			if got := arrived.Load(); got != v.requests {
-				t.Errorf("%d requests arrived, %d wanted", got, v.requests)
+				t.Errorf("%d requests arrived, want %d", got, v.requests)
 			}
 		})
 	}
 }
 
-// Our own machine fails to connect for a moment: no port, no buffer, no descriptor. The attempt
-// waits for that within the connect timeout, and the worker is not at fault.
+// The local machine fails to connect for a moment, without a port, buffer, descriptor or route. The
+// attempt waits within the connect timeout until that is over, and the worker is not blamed.
 func Example_transientLocalDialError() {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.ENETUNREACH} {
 		f := newFixture(acceptedResponse)
@@ -188,8 +189,9 @@
 	// inv 1 attempt 0: accepted=true started=false done=0
 }
 
-// Our own machine fails for longer than that: the attempt has not run, which says nothing about the
-// worker, and the next one is not affected. One whose client gives up meanwhile is not sent.
+// The local machine fails to connect for longer than the connect timeout. The attempt has not run,
+// which says nothing about the worker, and the next attempt is not affected. An attempt whose
+// client gives up in the meantime is not sent.
 func Example_persistentLocalDialError() {
 	f := newFixture(acceptedResponse)
 	real := f.loop.DialContext
@@ -218,8 +220,8 @@
 	// 0 charged to the worker; sockets: 1
 }
 
-// The descriptor that a failed dial gave back is taken by the time of the next one: the attempt has
-// not run, and no descriptor beyond the quota is taken.
+// The descriptor that a failed dial has released is in use again by the time of the next dial. The
+// attempt has not run, and no descriptor beyond the quota is used.
 func Example_noDescriptorForRedial() {
 	f := newFixture(acceptedResponse)
 	f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) {
--- a/internal/workers/exchange.go
+++ b/internal/workers/exchange.go
@@ -9,25 +9,27 @@
 
 // exchange is one request to a worker and its response.
 type exchange struct {
-	// buildRequest is called at the moment of sending.
+	// buildRequest is called immediately before the request is sent.
 	buildRequest func() conn.Outgoing
-	// onFirstByte is called when some of the request has been written, onWritten when all of it
-	// has; both may be nil.
+	// onFirstByte is called when the first bytes of the request have been written, onWritten when
+	// all have been. Either may be nil.
 	onFirstByte, onWritten func()
-	// onDone is called once, with the response or the reason why there is none.
+	// onDone is called once, with the response or the reason why there is none. It is not called
+	// after abort.
 	onDone func(m *http1.Message, reason conn.CloseReason)
-	// needsProofNotRun: another request's response must not be taken for its own.
+	// needsProofNotRun is set if the response to another request must not be taken for the response
+	// to this one.
 	needsProofNotRun bool
 	timeout          *conn.Timer
 
-	connection   *connection   // that carries it; nil while it waits for one
-	dials        []*connection // that are being dialled for it
-	nextDial     *conn.Timer   // dials one more
-	dialDeadline time.Duration // when the time of all dials is up, by the loop's clock
+	connection   *connection   // carries the exchange; nil while none is established
+	dials        []*connection // being dialled for the exchange
+	nextDial     *conn.Timer   // starts another dial
+	dialDeadline time.Duration // when all dials time out, by the loop's clock
 }
 
-// notifyWritten calls onWritten, once, however often it shows that the last byte has been written.
-// A nil exchange does nothing.
+// notifyWritten calls onWritten once, although several events may show that the last byte has been
+// written. It does nothing on a nil exchange.
 func (x *exchange) notifyWritten() {
 	if x != nil && x.onWritten != nil {
 		x.onWritten()
@@ -35,8 +37,8 @@
 	}
 }
 
-// releaseDials ends the dialling, as one connection has the exchange or it is over. The others go
-// to the pool when they come up.
+// releaseDials stops dialling, because a connection carries the exchange or the exchange is over.
+// Connections that are established later go to the pool.
 func (x *exchange) releaseDials() {
 	x.nextDial.Stop()
 	for _, c := range x.dials {
@@ -45,7 +47,7 @@
 	x.dials = nil
 }
 
-// abort ends the exchange and closes its connections; onDone is not called any more.
+// abort ends the exchange and closes its connections without calling onDone.
 func (x *exchange) abort() {
 	x.timeout.Stop()
 	for _, c := range x.dials {
@@ -57,7 +59,7 @@
 	}
 }
 
-// unconditional returns the buildRequest of a request that may be sent at any time.
+// unconditional returns a buildRequest for a request that may be sent at any time.
 func unconditional(request []byte) func() conn.Outgoing {
 	return func() conn.Outgoing { return conn.Outgoing{Bytes: request} }
 }
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	workerUID = "s-1"            // of the fixture's worker
-	testLimit = 10 * time.Second // after which a wait has failed
+	workerUID = "s-1"            // UID of the fixture's worker
+	testLimit = 10 * time.Second // time after which a wait fails
 )
 
 // Responses of the fixture's worker.
@@ -39,16 +39,16 @@
 	*Transport
 	loop        *conn.Loop
 	id          dispatch.WorkerID
-	requests    chan string // received by the worker, and ends of connections
-	events      int         // since the last runUntil
-	lines       []string    // what was reported since then, in order
+	requests    chan string // requests that the worker received, and ends of its connections
+	events      int         // number of events since the last runUntil
+	lines       []string    // texts of what was reported since then, in order
 	mu          sync.Mutex
-	workerConns []net.Conn // the worker's ends, in order of arrival; guarded by mu
-	clientDone  map[dispatch.InvocationID]bool
+	workerConns []net.Conn                     // the worker's ends of connections, in order of arrival; guarded by mu
+	clientDone  map[dispatch.InvocationID]bool // invocations whose client has left or has its answer
 }
 
-// newFixture starts the worker. Each request takes the next response. One that ends in "-" closes
-// the connection after the rest of it, "" sends nothing.
+// newFixture starts the worker. Each request is answered with the next response. After a response
+// that ends in "-" the worker closes the connection; the response "" sends nothing.
 func newFixture(responses ...string) *fixture {
 	deployment, err := settings.ParseDeployment([]byte(`{"Limits": {"Cancel": true, "Probes": true, "ConnIdle": 5, "ConnectTimeout": 0.5},
 		"FamilyInfo": {"ReportX0": "free slots"}, "Report": {"How": "answers", "Names": ["x0"]}}`))
@@ -120,7 +120,7 @@
 	}
 }
 
-// recordEvent counts an event and records its text.
+// recordEvent counts an event and records a text for it.
 func (f *fixture) recordEvent(e dispatch.Event) {
 	switch e := e.(type) {
 	case dispatch.Outcome:
@@ -135,23 +135,24 @@
 	f.events++
 }
 
+// record adds a formatted line to what was reported.
 func (f *fixture) record(format string, args ...any) {
 	f.lines = append(f.lines, fmt.Sprintf(format, args...))
 }
 
-// Forward begins an attempt that the client timeout alone bounds.
+// Forward starts an attempt that only the client timeout bounds.
 func (f *fixture) Forward(inv *Invocation, number int, to dispatch.WorkerID) {
 	f.Transport.Forward(inv, number, to, 0)
 }
 
-// writeFromWorker has the worker write something over its nth connection.
+// writeFromWorker makes the worker write text over its nth connection.
 func (f *fixture) writeFromWorker(n int, text string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	io.WriteString(f.workerConns[n-1], text)
 }
 
-// closeFromWorker has the worker close its nth connection.
+// closeFromWorker makes the worker close its nth connection.
 func (f *fixture) closeFromWorker(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,17 +162,17 @@
 // worker returns the fixture's worker.
 func (f *fixture) worker() *worker { return f.workersByUID[workerUID] }
 
-// setState has discovery report a state of the worker.
+// setState makes discovery report a state of the worker.
 func (f *fixture) setState(state dispatch.EndpointState) {
 	f.applyEndpoint(f.id.String(), dispatch.Endpoint{Worker: f.id, State: state})
 }
 
-// moveTo has discovery report another address of the worker, which is ready.
+// moveTo makes discovery report another address of the worker, which is ready.
 func (f *fixture) moveTo(address string) {
 	f.applyEndpoint(address, dispatch.Endpoint{Worker: f.id, State: dispatch.Ready})
 }
 
-// applyEndpoint has discovery report an address and an endpoint of the worker.
+// applyEndpoint makes discovery report an address and an endpoint of the worker.
 func (f *fixture) applyEndpoint(address string, endpoint dispatch.Endpoint) {
 	f.ApplyUpdate(discovery.Update{
 		Kind:    dispatch.DeltaUpdate,
@@ -179,13 +180,13 @@
 	})
 }
 
-// callBack has the worker report a state of an invocation.
+// callBack makes the worker report a state of an invocation.
 func (f *fixture) callBack(id, state string) {
 	f.HandleCallback(Callback{ID: id, WorkerUID: workerUID, State: state})
 }
 
-// newInvocation returns a request that the invariant checker knows, and lets out as often as a test
-// likes.
+// newInvocation returns a request that the invariant checker knows, without a limit on its
+// attempts.
 func (f *fixture) newInvocation(number dispatch.InvocationID) *Invocation {
 	f.Invariants.RequestAdmitted(number, invariant.RequestLimits{MaxInFlight: math.MaxInt})
 	id := fmt.Sprint("id", number)
@@ -200,11 +201,11 @@
 	}
 }
 
-// runUntil runs the loop until so many events have been reported and so many requests received.
-// What the worker received is printed first, by connection, as the two sides have no order between
-// them.
+// runUntil runs the loop until the given numbers of events have been reported and of requests
+// received. It prints the requests first, ordered by connection, because there is no order between
+// requests and events.
 func (f *fixture) runUntil(events, received int) {
-	limit := f.loop.After(testLimit, func() { panic("waited in vain") })
+	limit := f.loop.After(testLimit, func() { panic("events or requests not reported in time") })
 	var requests []string
 	f.loop.Run(func() {
 		for more := true; more && len(requests) < received; {
@@ -231,9 +232,9 @@
 	f.lines = nil
 }
 
-// runUntilTrue runs the loop until something holds that no event reports.
+// runUntilTrue runs the loop until a condition holds that no event reports.
 func (f *fixture) runUntilTrue(what string, holds func() bool) {
-	limit := f.loop.After(testLimit, func() { panic("waited in vain for " + what) })
+	limit := f.loop.After(testLimit, func() { panic("condition not reached in time: " + what) })
 	f.loop.Run(func() {
 		f.loop.After(time.Millisecond, func() {})
 		if holds() {
@@ -243,7 +244,7 @@
 	limit.Stop()
 }
 
-// awaitIdleConnection waits until the last response is in, also one that is reported to nobody.
+// awaitIdleConnection waits until the last response has arrived, even if it causes no event.
 func (f *fixture) awaitIdleConnection() {
 	f.runUntilTrue("an idle connection", func() bool { return len(f.worker().idle) > 0 })
 }
--- a/internal/workers/healthcheck.go
+++ b/internal/workers/healthcheck.go
@@ -8,11 +8,11 @@
 	"stoatweir/internal/http1"
 )
 
-// healthCheckTimeout is how long a worker may take to answer a health check.
+// healthCheckTimeout bounds the wait for a worker's response to a health check.
 const healthCheckTimeout = 300 * time.Millisecond
 
-// HealthCheck sends a health check to a worker, which returns its load where the deployment has
-// load reports. The result is reported as an event.
+// HealthCheck sends a health check to a worker and reports the result through OnEvent. If the
+// deployment uses load reports, the worker responds with its load.
 func (t *Transport) HealthCheck(id dispatch.WorkerID) {
 	w := t.workersByID[id]
 	if w == nil {
@@ -42,15 +42,16 @@
 		return
 	}
 	x.timeout = t.loop.After(healthCheckTimeout, func() {
-		// The other idle connections may be as dead: an attempt that is sent on a new one that
-		// never comes up has provably not run, and is free to go elsewhere.
+		// The worker's other idle connections may be dead too. An attempt that waits for a new
+		// connection which is never established has provably not run and may go to another worker.
 		x.abort()
 		w.closeIdle()
 		report(conn.Stalled, nil)
 	})
 }
 
-// healthCheckPath returns the path of load reports where the deployment has them.
+// healthCheckPath returns the path of load reports if the deployment uses them, else that of a
+// plain health check.
 func (t *Transport) healthCheckPath() string {
 	if len(t.deployment.Report.Names) > 0 {
 		return "/-/load"
--- a/internal/workers/healthcheck_test.go
+++ b/internal/workers/healthcheck_test.go
@@ -7,7 +7,8 @@
 	"stoatweir/dispatch"
 )
 
-// All zeros are no report until a worker has reported something else, and again after its restart.
+// A report of all zeros is dropped until the worker has reported something else, and again after
+// its restart.
 func Example_blankReports() {
 	const (
 		blank = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=0"
@@ -37,8 +38,8 @@
 	// health check ends: 0 load=false
 }
 
-// Health checks: a report, a rejection, silence. After silence idle connections are not trusted any
-// more.
+// A health check is answered with a report, with a rejection, or not at all. After no answer, idle
+// connections are not used any more.
 func Example_healthChecks() {
 	f := newFixture("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=3", rejectedResponse, "", acceptedResponse)
 	for range 3 {
--- a/internal/workers/invocation.go
+++ b/internal/workers/invocation.go
@@ -7,7 +7,7 @@
 	"stoatweir/internal/http1"
 )
 
-// Invocation is a client's request in the form in which it goes to workers.
+// Invocation is a client's request in the form in which it is sent to workers.
 type Invocation struct {
 	Number             dispatch.InvocationID
 	ID, Method, Target string
@@ -17,10 +17,11 @@
 	Effect             dispatch.Effect
 	Hint               float64 // expected work in seconds; 0: not given
 
-	attemptedOn []*worker // the workers to which it has been written, one entry an attempt
+	attemptedOn []*worker // the workers to which it has been written, one entry per attempt
 }
 
-// needsProofNotRun reports whether a retry depends on proof that the attempts before it did not
-// run. Such a proof must be about that very attempt: taken for an earlier one's, it would let
-// non-idempotent work run twice, and would restart the group and the window of deduplicated work.
+// needsProofNotRun reports whether a retry requires proof that the attempts before it did not run.
+// The proof must concern the very attempt that it is taken for: a proof about an earlier attempt,
+// taken for one about a later attempt, would let non-idempotent work run twice, and would restart
+// the deduplication group and window of deduplicated work.
 func (i *Invocation) needsProofNotRun() bool { return i.Effect != dispatch.Idempotent }
--- a/internal/workers/migration.go
+++ b/internal/workers/migration.go
@@ -2,8 +2,9 @@
 
 import "stoatweir/dispatch"
 
-// AttemptsAccepted reports whether each attempt of an invocation that is in flight, of the first
-// count attempts, has been accepted by its worker: no byte of the invocation is on its way.
+// AttemptsAccepted reports whether every attempt that is in flight, among the first count attempts
+// of an invocation, has been accepted by its worker. No byte of the invocation is then still to be
+// sent.
 func (t *Transport) AttemptsAccepted(inv dispatch.InvocationID, count int) bool {
 	for number := range count {
 		a := t.attempts[attemptKey{invocation: inv, number: number}]
@@ -14,8 +15,8 @@
 	return true
 }
 
-// ReleaseAttempts removes the attempts of an invocation, of the first count attempts, without an
-// event: another process has them from now on.
+// ReleaseAttempts removes the first count attempts of an invocation without reporting an event,
+// because another process takes them over.
 func (t *Transport) ReleaseAttempts(inv dispatch.InvocationID, count int) {
 	for number := range count {
 		if a := t.attempts[attemptKey{invocation: inv, number: number}]; a != nil {
@@ -24,8 +25,8 @@
 	}
 }
 
-// AdoptAttempt enters an attempt that another process has sent and its worker has accepted. The
-// worker must be known here.
+// AdoptAttempt registers an attempt that another process has sent and its worker has accepted. The
+// worker must be known to this transport.
 func (t *Transport) AdoptAttempt(inv *Invocation, number int, to dispatch.WorkerID) {
 	t.track(&attempt{
 		invocation: inv,
@@ -36,7 +37,7 @@
 	})
 }
 
-// MarkAttempted enters that another process has sent an invocation to a worker.
+// MarkAttempted records that another process has sent an invocation to a worker.
 func (t *Transport) MarkAttempted(inv *Invocation, worker dispatch.WorkerID) {
 	inv.attemptedOn = append(inv.attemptedOn, t.workersByID[worker])
 }
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// strayResponseWindow is how late a second response to a request may come. On a connection that
-	// has been idle for as long the next response belongs to the next request.
+	// strayResponseWindow is how late a second response to a request may arrive. On a connection
+	// that has been idle for this long, the next response belongs to the next request.
 	strayResponseWindow = 100 * time.Millisecond
-	// idleTimeoutFraction is the part of the workers' idle timeout for which connections rest in
-	// the pool: a request must not cross the worker's closing.
+	// idleTimeoutFraction is the fraction of the workers' idle timeout for which connections stay
+	// in the pool, so that no request is sent while the worker is closing the connection.
 	idleTimeoutFraction = 0.6
-	// minIdleTimeout is the idle timeout under which connections are not put into the pool at all.
+	// minIdleTimeout is the idle timeout below which connections are closed instead of being put
+	// into the pool.
 	minIdleTimeout = 20 * time.Millisecond
-	// idleTimeoutDoublingPeriod is the time without a break after which the idle timeout doubles.
+	// idleTimeoutDoublingPeriod is how long no idle connection must have broken for the idle
+	// timeout to double.
 	idleTimeoutDoublingPeriod = 5 * time.Second
-	// maxIdleTimeoutDoublings, a count, keeps the doubled timeout from overflowing.
+	// maxIdleTimeoutDoublings is the maximum number of doublings, which keeps the timeout from
+	// overflowing.
 	maxIdleTimeoutDoublings = 30
 )
 
-// startExchange sends a request over an idle connection, or dials one. False: it has failed at
-// once, and onDone has been called.
+// startExchange sends a request over an idle connection, or dials a new one. It returns false if
+// the exchange has failed immediately; onDone has then been called.
 func (t *Transport) startExchange(w *worker, x *exchange) bool {
 	if c := t.takeIdle(w, x.needsProofNotRun); c != nil {
 		c.attach(x)
@@ -38,9 +41,9 @@
 	return true
 }
 
-// takeIdle takes the connection used last out of the pool, as the worker is the least likely to
-// have closed that; nil: there is none. With skipRecent it takes none on which a stray response may
-// still come.
+// takeIdle removes the most recently used connection from the pool, as the worker is least likely
+// to have closed that one. It returns nil if there is none. With skipRecent it skips connections on
+// which a stray response may still arrive.
 func (t *Transport) takeIdle(w *worker, skipRecent bool) *connection {
 	for i := len(w.idle) - 1; i >= 0; i-- {
 		c := w.idle[i]
@@ -60,8 +63,8 @@
 	return nil
 }
 
-// putIdle puts the connection into the pool of its worker, or closes it where connections do not
-// last.
+// putIdle puts the connection into the pool of its worker. It closes the connection instead if idle
+// connections break too soon for a pool to be of use.
 func (c *connection) putIdle() {
 	c.timer.Stop()
 	w := c.worker
@@ -71,7 +74,7 @@
 		return
 	}
 	w.idle = append(w.idle, c)
-	c.socket.SetState(conn.StateFinished) // whatever it receives is no response
+	c.socket.SetState(conn.StateFinished) // anything it receives now is not a response
 	c.reused = true
 	c.idleSince = t.loop.Now()
 	c.timer = t.loop.After(t.idleTimeout(), func() {
@@ -80,7 +83,7 @@
 	})
 }
 
-// removeIdle removes a connection that has ended from the pool.
+// removeIdle removes a closed connection from the pool.
 func (w *worker) removeIdle(c *connection) {
 	i := slices.Index(w.idle, c)
 	if i < 0 {
@@ -99,8 +102,8 @@
 	w.idle = nil
 }
 
-// idleTimeout returns how long connections rest in the pool: a part of the time that the deployment
-// gives, and less while idle connections have been found to end before that.
+// idleTimeout returns how long connections stay in the pool: a fraction of the time that the
+// deployment sets, and less after idle connections have been found closed earlier than that.
 func (t *Transport) idleTimeout() time.Duration {
 	configured := time.Duration(idleTimeoutFraction * float64(t.deployment.ConnectionIdle))
 	quietPeriods := int((t.loop.Now() - t.idleLimitSetAt) / idleTimeoutDoublingPeriod)
@@ -108,8 +111,8 @@
 	return min(configured, t.idleLimit<<doublings)
 }
 
-// shortenIdleTimeout halves the idle timeout to what a connection lasted that has ended in the pool
-// after resting for so long.
+// shortenIdleTimeout lowers the idle timeout to half the time for which a connection had been idle
+// in the pool when it was found closed.
 func (t *Transport) shortenIdleTimeout(lasted time.Duration) {
 	t.idleLimit = min(t.idleTimeout(), max(lasted/2, minIdleTimeout/2))
 	t.idleLimitSetAt = t.loop.Now()
--- a/internal/workers/pool_test.go
+++ b/internal/workers/pool_test.go
@@ -9,8 +9,8 @@
 )
 
 // A reused connection that breaks at its next use says nothing about the worker. The idle timeout
-// is shortened from then on, in the end up to what the deployment allows again. A new one that is
-// closed says that the request is at fault.
+// is shortened then, and grows again up to what the deployment allows. A new connection that the
+// worker closes says that the request is at fault.
 func Example_staleConnection() {
 	f := newFixture(acceptedResponse, "-", "-")
 	f.Forward(f.newInvocation(1), 0, f.id)
@@ -33,9 +33,10 @@
 	// 3s
 }
 
-// A second response to one request, some milliseconds late, is none to the next one: work that it
-// would set free to be retried, or outside the group and the window of its first attempt, goes over
-// a connection that has been idle.
+// A second response to one request arrives some milliseconds late and must not be taken for the
+// response to the next request. Requests that it would free to be retried, or to be retried outside
+// the group and the window of their first attempt, are sent over a connection that has been idle
+// for longer.
 func Example_strayResponse() {
 	for _, effect := range []dispatch.Effect{dispatch.Deduplicated, dispatch.NonIdempotent} {
 		f := newFixture(acceptedResponse, "", acceptedResponse)
@@ -46,11 +47,11 @@
 		f.Forward(inv, 0, f.id)
 		f.runUntil(0, 1)
 		f.writeFromWorker(1, rejectedResponse)
-		f.runUntilTrue("the end of the connection with the stray response", func() bool { return len(f.worker().idle) == 0 })
+		f.runUntilTrue("the close of the connection with the stray response", func() bool { return len(f.worker().idle) == 0 })
 		f.runUntil(0, 1)
 		f.writeFromWorker(2, acceptedResponse)
 		f.runUntil(1, 0)
-		// Idle for long enough, it is used again.
+		// A connection that has been idle for long enough is used again.
 		f.worker().idle[0].idleSince -= strayResponseWindow
 		inv = f.newInvocation(3)
 		inv.Effect = effect
@@ -75,8 +76,8 @@
 }
 
 // An idle connection that its worker has closed, or that has received half a line, is not used,
-// also where nobody has read that yet: the request would be lost, or take the rest of that line for
-// its response.
+// even if the loop has not read that yet. Otherwise the request would be lost, or the rest of the
+// line would be taken for its response.
 func TestUnreadBytesOnReusedConnection(t *testing.T) {
 	for name, act := range map[string]func(*fixture){
 		"an end":      func(f *fixture) { f.closeFromWorker(1) },
@@ -89,22 +90,22 @@
 				if progress, is := e.(dispatch.AttemptProgress); is && progress.Accepted {
 					accepted++
 				} else {
-					t.Errorf("%+v", e)
+					t.Errorf("unexpected event: %+v", e)
 				}
 			}
 			f.Forward(f.newInvocation(1), 0, f.id)
-			f.runUntilTrue("the first", func() bool { return accepted == 1 })
+			f.runUntilTrue("the first 202", func() bool { return accepted == 1 })
 			act(f) // while the loop does not run
 			reused := f.worker().idle[0].socket
 			for end := time.Now().Add(5 * time.Second); !reused.Readable(); {
 				if time.Now().After(end) {
-					t.Fatal("nothing comes")
+					t.Fatal("the bytes or the close did not arrive")
 				}
 			}
 			f.Forward(f.newInvocation(2), 0, f.id)
-			f.runUntilTrue("the second", func() bool { return accepted == 2 })
+			f.runUntilTrue("the second 202", func() bool { return accepted == 2 })
 			if f.Counts.Dialled != 2 {
-				t.Error("dialled: ", f.Counts.Dialled)
+				t.Error("want 2 connections dialled, got", f.Counts.Dialled)
 			}
 		})
 	}
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -8,13 +8,13 @@
 	"stoatweir/internal/discovery"
 )
 
-// worker is one of the endpoint list, with its idle connections.
+// worker is a worker of the endpoint list, with its idle connections.
 type worker struct {
 	uid         string
 	address     string
-	endpoint    dispatch.Endpoint // as the list last had it
-	hasReported bool              // it has reported some load since its start
-	idle        []*connection     // the one used last is the last
+	endpoint    dispatch.Endpoint // its latest entry in the list
+	hasReported bool              // it has sent a load report that is not blank since its start
+	idle        []*connection     // the most recently used one is the last
 }
 
 // stateNames are the keys of Counts.Changes.
@@ -24,8 +24,8 @@
 	dispatch.Draining: "draining",
 }
 
-// ApplyUpdate applies a full or partial endpoint list. A full one removes the workers that it does
-// not name.
+// ApplyUpdate applies a full or delta update of the endpoint list. Workers that a full update
+// leaves out are gone.
 func (t *Transport) ApplyUpdate(update discovery.Update) {
 	listed := map[string]bool{}
 	for _, w := range update.Workers {
@@ -42,7 +42,7 @@
 	}
 }
 
-// applyWorker applies one entry of the endpoint list.
+// applyWorker applies one entry of an endpoint list update.
 func (t *Transport) applyWorker(listed discovery.Worker) {
 	w := t.workersByUID[listed.UID]
 	if w == nil {
@@ -63,7 +63,8 @@
 	w.setState(listed.State)
 }
 
-// countChange counts the change from a worker's former entry to its present one.
+// countChange counts a change of a worker's state, or its restart, between two entries of the
+// endpoint list.
 func (t *Transport) countChange(before, now dispatch.Endpoint) {
 	if before.State != now.State {
 		t.Counts.Changes[stateNames[before.State]+" to "+stateNames[now.State]]++
@@ -74,7 +75,7 @@
 	}
 }
 
-// setState changes the state of a worker; one that is gone keeps no idle connections.
+// setState sets the state of a worker. The idle connections of a worker that is gone are closed.
 func (w *worker) setState(state dispatch.EndpointState) {
 	w.endpoint.State = state
 	if state == dispatch.Gone {
@@ -82,7 +83,8 @@
 	}
 }
 
-// UID returns the name that all schedulers have for a worker; empty: it is not known here.
+// UID returns the identifier of a worker that all schedulers share, or an empty string if the
+// worker is not known.
 func (t *Transport) UID(id dispatch.WorkerID) string {
 	if w := t.workersByID[id]; w != nil {
 		return w.uid
@@ -90,7 +92,8 @@
 	return ""
 }
 
-// ID returns this process's name of a worker, and false if that is not known here.
+// ID returns the identifier that this process uses for a worker, or false if the worker is not
+// known.
 func (t *Transport) ID(uid string) (dispatch.WorkerID, bool) {
 	if w := t.workersByUID[uid]; w != nil {
 		return w.endpoint.Worker, true
@@ -98,7 +101,7 @@
 	return dispatch.WorkerID{}, false
 }
 
-// Endpoints returns the present endpoint list as a full update, sorted by uid.
+// Endpoints returns the current endpoint list as a full update, sorted by UID.
 func (t *Transport) Endpoints() dispatch.EndpointUpdate {
 	update := dispatch.EndpointUpdate{Kind: dispatch.FullUpdate}
 	for _, uid := range slices.Sorted(maps.Keys(t.workersByUID)) {
@@ -110,7 +113,7 @@
 	return update
 }
 
-// EndpointCount returns the number of workers in the list, ready and draining.
+// EndpointCount returns the number of workers in the endpoint list, ready or draining.
 func (t *Transport) EndpointCount() int {
 	count := 0
 	for _, w := range t.workersByUID {
--- a/internal/workers/response.go
+++ b/internal/workers/response.go
@@ -6,7 +6,7 @@
 	"stoatweir/internal/http1"
 )
 
-// Status codes of the workers' protocol.
+// HTTP status codes to which the worker protocol gives a meaning.
 const (
 	statusOK                 = 200
 	statusAccepted           = 202
@@ -16,8 +16,8 @@
 	statusGatewayTimeout     = 504
 )
 
-// responseReason returns what a response amounts to: any to a health check, and any but 202 to an
-// attempt.
+// responseReason classifies a response by its status: any response to a health check, or any
+// response but a 202 to an attempt.
 func responseReason(m *http1.Message) conn.CloseReason {
 	overloaded := m.Status == statusServiceUnavailable || m.Status == statusGatewayTimeout
 	switch {
@@ -31,7 +31,8 @@
 	return conn.WorkerError
 }
 
-// parseLoad returns the load report in a response's header, else in its body; nil: there is none.
+// parseLoad returns the load report from a response's header, or else from its body. It returns nil
+// if there is none.
 func (t *Transport) parseLoad(w *worker, m *http1.Message) *dispatch.LoadReport {
 	if m == nil {
 		return nil
@@ -43,9 +44,10 @@
 	return w.filterReport(load, t.deployment.Report.Unknown())
 }
 
-// filterReport drops blank reports until a worker has made another one. Before it has measured
-// anything a worker reports all zeros: taken literally no slot would be free there, and a scheduler
-// that starts together with the workers would queue everything until their first figures.
+// filterReport drops blank reports until the worker has sent another one. A worker reports all
+// zeros before it has measured anything. Taken literally, that would mean that no slot is free, and
+// a scheduler that starts together with the workers would queue all requests until their first
+// measured reports.
 func (w *worker) filterReport(load *dispatch.LoadReport, blank dispatch.LoadReport) *dispatch.LoadReport {
 	if load == nil || !w.hasReported && *load == blank {
 		return nil
--- a/internal/workers/sendcheck.go
+++ b/internal/workers/sendcheck.go
@@ -5,23 +5,23 @@
 	"stoatweir/internal/invariant"
 )
 
-// Why the check before the first byte stopped an attempt: the keys of Counts.Stopped.
+// Causes for which the check before the first byte stops an attempt: the keys of Counts.Stopped.
 const (
-	stoppedWorker    = "worker"    // it is draining or gone, has restarted or moved since it was chosen
-	stoppedClient    = "client"    // it has left, or has its answer
+	stoppedWorker    = "worker"    // the worker is draining or gone, or has restarted or moved since it was chosen
+	stoppedClient    = "client"    // the client has left or has its answer
 	stoppedTimeout   = "timeout"   // the client timeout has passed
 	stoppedWindow    = "window"    // the deduplication window has passed
-	stoppedViolation = "violation" // the attempt breaks a rule
+	stoppedViolation = "violation" // the attempt would violate an invariant
 )
 
-// stop is how an attempt that may not be sent is counted and ends.
+// stop is the counter key and the close reason of an attempt that the check stops.
 type stop struct {
 	counter string
 	reason  conn.CloseReason
 }
 
-// stopReasons maps what had changed since the decision; any other reason of the checker is a
-// violation.
+// stopReasons maps the checker's reasons that stem from a change since the dispatcher's decision.
+// Any other reason is a violation.
 var stopReasons = map[invariant.Reason]stop{
 	invariant.WorkerUnavailable: {counter: stoppedWorker, reason: conn.WorkerUnavailable},
 	invariant.WorkerRestarted:   {counter: stoppedWorker, reason: conn.WorkerUnavailable},
@@ -31,9 +31,9 @@
 	invariant.WindowPassed:      {counter: stoppedWindow, reason: conn.NotSent},
 }
 
-// checkSend asks the checker directly before the first byte of an attempt is written, as the
-// connection may have taken long to come up and this process long to run. conn.Open allows the
-// send.
+// checkSend asks the invariant checker immediately before the first byte of an attempt is written,
+// because the connection may have taken long to be established and the process may have been
+// paused. It returns conn.Open if the attempt may be sent.
 func (t *Transport) checkSend(a *attempt, check invariant.Attempt) conn.CloseReason {
 	check.Current = a.target()
 	check.Deadline = a.invocation.Deadline
--- a/internal/workers/sendcheck_test.go
+++ b/internal/workers/sendcheck_test.go
@@ -13,21 +13,22 @@
 	"stoatweir/dispatch"
 )
 
-// The tests of this file hold a process or a connection at one point until what was decided may not
-// be carried out any more.
+// The tests of this file pause a process or a connection at one point for so long that an attempt may
+// no longer be sent.
 const (
-	// holdTime is how long it is held.
+	// holdTime is the length of the pause.
 	holdTime = 800 * time.Millisecond
-	// boundTime is when the client timeout or the deduplication window ends meanwhile.
+	// boundTime is the time from the decision until the client timeout or the deduplication window
+	// ends, within the pause.
 	boundTime = 300 * time.Millisecond
 )
 
-// taskFunc is a task of its own in the loop.
+// taskFunc is a function that can be posted to the loop as a task.
 type taskFunc func()
 
 func (t taskFunc) Run() { t() }
 
-// sendBounds are what may pass before a request is written.
+// sendBounds are the bounds that may pass before a request is written.
 var sendBounds = []struct {
 	name  string
 	until func(f *fixture, inv *Invocation) time.Duration
@@ -48,8 +49,9 @@
 	},
 }
 
-// The process is paused between a decision and its first byte: nothing is written, which proves
-// that it has not run, and the connection serves the next attempt.
+// The process is paused between a decision and the first byte of the attempt. Nothing must be
+// written, which proves that the attempt has not run, and the connection is used for the next
+// attempt.
 func TestProcessPausedBeforeSend(t *testing.T) {
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
@@ -70,7 +72,7 @@
 			}))
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
 			if outcomes[0].Result != dispatch.NotSent || f.Counts.Stopped[b.why] != 1 || len(f.requests) > 0 {
-				t.Errorf("%+v, stopped: %v, requests at the worker: %d", outcomes[0], f.Counts.Stopped, len(f.requests))
+				t.Errorf("want a stop before the send, got %+v, stopped: %v, requests: %d", outcomes[0], f.Counts.Stopped, len(f.requests))
 			}
 			f.Forward(f.newInvocation(3), 0, f.id)
 			f.runUntilTrue("the next request", func() bool { return len(f.requests) > 0 })
@@ -81,7 +83,7 @@
 	}
 }
 
-// readAfter reads what has come after some time, and what follows within a second.
+// readAfter waits, then reads what has arrived and what arrives within another second.
 func readAfter(c net.Conn, wait time.Duration) <-chan []byte {
 	arrived := make(chan []byte, 1)
 	go func() {
@@ -93,8 +95,9 @@
 	return arrived
 }
 
-// A writer is paused with the whole of a request: nothing of it is written when it goes on. The
-// connection is a pipe, which takes no byte until its other end reads.
+// The writer goroutine is paused while it holds the whole request. Nothing of the request must be
+// written when the goroutine resumes. The connection is a pipe, which takes no byte until its other
+// end reads.
 func TestWriterPausedBeforeFirstByte(t *testing.T) {
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
@@ -109,14 +112,14 @@
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
 			got := <-arrived
 			if len(got) > 0 || f.quota.Used() > 0 {
-				t.Errorf("%d bytes arrived, ended with %+v, sockets: %d", len(got), outcomes, f.quota.Used())
+				t.Errorf("%d bytes arrived, want 0; ended with %+v, sockets: %d, want 0", len(got), outcomes, f.quota.Used())
 			}
 		})
 	}
 }
 
-// A worker takes a part of a request and reads on when the time is over: the last byte never comes,
-// so that it does not run.
+// A worker reads a part of a request, and reads on when the time is over. The last byte must never
+// be written, so that the request does not run.
 func TestWorkerReadsTooSlowly(t *testing.T) {
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
@@ -152,20 +155,20 @@
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
 			got := <-arrived
 			if len(got) == 0 || len(got) >= len(inv.Body) {
-				t.Errorf("%d bytes of a body of %d arrived", len(got), len(inv.Body))
+				t.Errorf("%d bytes arrived, want some, but fewer than the body of %d", len(got), len(inv.Body))
 			}
-			// At the client timeout two things come together: we stop waiting, and the connection
-			// is cut.
+			// At the client timeout two events coincide: the transport stops waiting, and the
+			// connection is broken.
 			r := outcomes[0].Result
 			if r != dispatch.Unreachable && (b.why == stoppedWindow || r != dispatch.TimedOut) {
-				t.Errorf("%+v", outcomes[0])
+				t.Errorf("unexpected outcome: %+v", outcomes[0])
 			}
 		})
 	}
 }
 
-// A reused connection receives something while the last check of a request is made: the request
-// goes over another one, and does not take it for its response.
+// A reused connection receives bytes during the last check before a request is sent. The request
+// must be sent over another connection, and must not take those bytes for its response.
 func TestStrayBytesDuringSendCheck(t *testing.T) {
 	for name, act := range map[string]func(*fixture){
 		"a rejection": func(f *fixture) { f.writeFromWorker(1, rejectedResponse) },
@@ -194,7 +197,7 @@
 			f.Forward(inv, 0, f.id)
 			f.runUntilTrue("the response", func() bool { return len(events) > 0 })
 			if progress, is := events[0].(dispatch.AttemptProgress); !is || !progress.Accepted || f.Counts.Dialled != 2 {
-				t.Errorf("%+v, dialled: %d", events[0], f.Counts.Dialled)
+				t.Errorf("want a 202 and 2 connections dialled, got %+v, dialled: %d", events[0], f.Counts.Dialled)
 			}
 		})
 	}
--- a/internal/workers/transport.go
+++ b/internal/workers/transport.go
@@ -13,24 +13,25 @@
 type Transport struct {
 	// OnEvent receives the results of attempts and health checks.
 	OnEvent func(dispatch.Event)
-	// Deliver passes a result on to the client, unless that has left or has its answer.
+	// Deliver passes a result to the client, unless the client has left or has its answer.
 	Deliver func(inv dispatch.InvocationID, result string)
 	// AwaitsAnswer reports whether the client still waits for an answer, as far as the loop knows.
 	AwaitsAnswer func(dispatch.InvocationID) bool
-	// ClientWaiting reports the same at the moment of a send, with the kernel asked.
+	// ClientWaiting reports the same at the moment of a send, by asking the kernel.
 	ClientWaiting func(dispatch.InvocationID) bool
-	// OnWritten is called when an attempt has been written whole.
+	// OnWritten is called when an attempt has been written completely.
 	OnWritten func()
-	// Invariants is asked before the first byte of each attempt.
+	// Invariants is consulted before the first byte of each attempt is written.
 	Invariants *invariant.Checker
-	Counts     Counts
+	// Counts holds the totals since the transport was created.
+	Counts Counts
 
 	loop       *conn.Loop
 	deployment settings.Deployment
 	quota      *conn.Quota
 
-	idleLimit      time.Duration // how long an idle connection could be trusted when one last broke
-	idleLimitSetAt time.Duration // when that was, by the loop's clock
+	idleLimit      time.Duration // how long the connection that last broke in the pool could be relied on
+	idleLimitSetAt time.Duration // when idleLimit was set, by the loop's clock
 
 	workersByID        map[dispatch.WorkerID]*worker
 	workersByUID       map[string]*worker
@@ -38,7 +39,7 @@
 	attemptsByCallback map[callbackKey]*attempt
 }
 
-// Counts says what was sent and how it ended.
+// Counts are totals of what was sent and how it ended.
 type Counts struct {
 	Sent             int            `json:"Sent"`     // attempts
 	Probes           int            `json:"Probes"`   // health checks
@@ -46,13 +47,13 @@
 	Callbacks        int            `json:"News"`     // callbacks received
 	UnknownCallbacks int            `json:"Strange"`  // callbacks of unknown attempts or states
 	Dialled          int            `json:"Dialled"`  // connections dialled
-	Ended            map[string]int `json:"Ended"`    // attempts, by how they ended
-	Answered         map[string]int `json:"Answered"` // health checks, by how they ended
-	Changes          map[string]int `json:"Changes"`  // of workers in the endpoint list, such as "ready to draining"
-	Stopped          map[string]int `json:"Stopped"`  // attempts that the check before the first byte stopped, by reason
+	Ended            map[string]int `json:"Ended"`    // attempts, by close reason
+	Answered         map[string]int `json:"Answered"` // health checks, by close reason
+	Changes          map[string]int `json:"Changes"`  // workers that changed in the endpoint list, by change, such as "ready to draining"
+	Stopped          map[string]int `json:"Stopped"`  // attempts that the check before the first byte stopped, by cause
 }
 
-// NewTransport returns a transport that knows no workers yet. Its connections count against quota.
+// NewTransport returns a transport without any workers. Its connections count against quota.
 func NewTransport(loop *conn.Loop, deployment settings.Deployment, quota *conn.Quota) *Transport {
 	t := &Transport{
 		Invariants: invariant.New(loop.Clock),
@@ -75,7 +76,7 @@
 	return t
 }
 
-// Reconfigure applies newer settings to all that begins from now on.
+// Reconfigure applies newer settings to everything that starts after it.
 func (t *Transport) Reconfigure(deployment settings.Deployment) { t.deployment = deployment }
 
 // InFlight returns the number of attempts that have not ended.
