--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -2,12 +2,14 @@
 
 import "time"
 
-// maxCandidateShift bounds how often attempts double the backoff; candidateBackoffMax is reached before.
+// maxCandidateShift bounds how often failed attempts double the backoff, which reaches
+// candidateBackoffMax before that.
 const maxCandidateShift = 8
 
-// ChangeAddress takes the watch to another address of discovery. The current watch holds until one at the new
-// address has received something; the watcher itself dials that address for as long as it takes. Revisions there
-// may be counted in another way, so the whole list is requested.
+// ChangeAddress moves the watch to another address of discovery. The current watch stays open until
+// a watch of the new address has received something. The watcher keeps dialling the new address by
+// itself until it succeeds. It requests the whole list there, as revisions may be counted
+// differently.
 func (w *Watcher) ChangeAddress(addr string) {
 	if addr == w.addr {
 		return
@@ -29,8 +31,8 @@
 
 func (w *Watcher) dialCandidate() { w.candidate = w.open(noRevision, candidateTimeout) }
 
-// candidateFailed schedules the next attempt. Only the first failure of a change is reported, as attempts follow
-// one another quickly.
+// candidateFailed schedules the next attempt to reach the new address. Only the first failure after
+// a change of the address is reported, as attempts follow each other quickly.
 func (w *Watcher) candidateFailed(cause error) {
 	w.candidateAttempts++
 	if w.candidateAttempts == 1 {
@@ -40,7 +42,8 @@
 	w.candidateTimer = w.loop.After(w.jitter(backoff/2, backoff), w.dialCandidate)
 }
 
-// jitter returns a random span from least up to most, or least where there is no source of randomness.
+// jitter returns a random duration from least up to but excluding most, or least if there is no
+// source of randomness.
 func (w *Watcher) jitter(least, most time.Duration) time.Duration {
 	if w.Rand == nil {
 		return least
--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -8,18 +8,20 @@
 )
 
 const (
-	// addressChangeDeadline is updateDeadline for what follows a change of the address.
+	// addressChangeDeadline is the counterpart of updateDeadline after a change of the address.
 	addressChangeDeadline = 4 * time.Second
-	// dispatchGrace is how long a worker may still be sent to after a change counts as known.
+	// dispatchGrace is how long a worker may still be sent to after the deadline for knowing a
+	// change.
 	dispatchGrace = 500 * time.Millisecond
-	// callDuration is what a request takes that discovery serves at once: connection, list, and the loop's turns.
+	// callDuration is the time taken by a request that discovery serves immediately: connecting,
+	// receiving the list, and the loop's iterations.
 	callDuration = 100 * time.Millisecond
 )
 
-// Each sum in the comment of budget.go is below its deadline, with the dispatcher's backoffs for the time to poll
-// that the service sets.
+// Each sum in the comment of budget.go stays below its deadline, with the dispatcher's backoffs for
+// the poll time that the service sets.
 func TestBudget(t *testing.T) {
-	const pollWithin = 5 * time.Second // the service's for lists that are polled
+	const pollWithin = 5 * time.Second // as the service sets it for polled lists
 	const pushedBackoffMax = 2 * time.Second
 	first, longest := dispatch.EndpointBackoff(pollWithin)
 	for name, v := range map[string]struct{ sum, deadline time.Duration }{
@@ -46,7 +48,7 @@
 	} {
 		t.Logf("%s: %v of %v", name, v.sum, v.deadline)
 		if v.sum > v.deadline {
-			t.Errorf("%s: %v is over %v", name, v.sum, v.deadline)
+			t.Errorf("%s: the sum is %v, above the deadline of %v", name, v.sum, v.deadline)
 		}
 	}
 }
--- a/internal/discovery/ids.go
+++ b/internal/discovery/ids.go
@@ -6,9 +6,10 @@
 	"stoatweir/dispatch"
 )
 
-// idTable gives each worker an ID that it keeps for good: its first address, or, where another worker has used
-// that address before or there is none, the address qualified with the UID. An address can pass from one worker
-// to the next and a worker can change its own; what was learned of the one must not count against the other.
+// idTable assigns each worker a permanent ID: its first address or, if another worker has used that
+// address before or the worker has none, the address qualified with the UID. An address can pass
+// from one worker to another, and a worker can change its address; what has been learned about one
+// worker must not be attributed to another.
 type idTable struct {
 	byUID map[string]dispatch.WorkerID
 	used  map[dispatch.WorkerID]bool
@@ -21,6 +22,7 @@
 	}
 }
 
+// idOf returns the ID of a worker. A UID that is not known yet gets one, derived from addr.
 func (t idTable) idOf(uid string, addr netip.AddrPort) dispatch.WorkerID {
 	if id, known := t.byUID[uid]; known {
 		return id
@@ -34,7 +36,7 @@
 	return id
 }
 
-// qualifiedID carries the UID as the zone of an IPv6 address.
+// qualifiedID returns an ID that carries the UID as the zone of an IPv6 address.
 func qualifiedID(uid string, addr netip.AddrPort) dispatch.WorkerID {
 	base := netip.IPv6Unspecified()
 	if addr.IsValid() {
--- a/internal/discovery/nameindex.go
+++ b/internal/discovery/nameindex.go
@@ -1,6 +1,7 @@
 package discovery
 
-// nameIndex gives each name a small index: configured names in their order, then others as they are first seen.
+// nameIndex maps each name to a small index: the configured names in their order, then others in
+// the order in which they are first seen.
 type nameIndex map[string]int
 
 func newNameIndex(configured []string) nameIndex {
@@ -11,6 +12,7 @@
 	return index
 }
 
+// indexOf returns the index of a name, and assigns the next one to a name that is new.
 func (n nameIndex) indexOf(name string) int {
 	index, known := n[name]
 	if !known {
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -9,7 +9,7 @@
 	"stoatweir/dispatch"
 )
 
-// targetList is the whole list, or one change of it, as discovery writes it.
+// targetList is the JSON form of the whole list or of one change.
 type targetList struct {
 	Revision uint64   `json:"Rev"`
 	Full     bool     `json:"All"`
@@ -33,8 +33,9 @@
 	"Gone":        dispatch.Gone,
 }
 
-// Parse decodes the whole list or one change of it, and remembers its revision, from which the next watch goes
-// on. It returns the error of encoding/json where the text is no list; the revision then stays.
+// Parse decodes the whole list or one change, and stores its revision, from which the next watch
+// resumes. If the text is not a valid list, Parse returns the error of encoding/json and keeps the
+// previous revision.
 func (w *Watcher) Parse(text []byte) (Update, error) {
 	var list targetList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -54,11 +55,12 @@
 	return update, nil
 }
 
-// workerOf never fails: one malformed entry must not cost the update of all others.
+// workerOf decodes one entry. It never fails, because one malformed entry must not invalidate the
+// update of all others.
 func (w *Watcher) workerOf(entry target) Worker {
 	state, known := stateByName[entry.State]
 	if !known {
-		state = dispatch.Draining // whatever it means, it does not say that the worker is ready
+		state = dispatch.Draining // an unknown state does not say that the worker is ready
 	}
 	addr, err := netip.ParseAddrPort(entry.Address)
 	if err != nil && state == dispatch.Ready {
@@ -79,8 +81,8 @@
 	return Worker{UID: entry.UID, Address: entry.Address, Endpoint: endpoint}
 }
 
-// incarnation identifies one start of a worker alike at all schedulers, at each of which its address and its
-// start time by the local clock may differ.
+// incarnation returns an identifier of one start of a worker that is the same at all schedulers.
+// The worker's address and its start time by the local clock may differ between them.
 func incarnation(uid string, bootMS float64) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s %.0f", uid, bootMS)
--- a/internal/discovery/parse_bench_test.go
+++ b/internal/discovery/parse_bench_test.go
@@ -10,10 +10,11 @@
 	"stoatweir/internal/conn"
 )
 
-// The figures of docs/CAPACITY.md for the list: what one costs to read, by its entries, and the memory that workers
-// which are gone leave behind.
+// Benchmarks for the figures of docs/CAPACITY.md on the endpoint list: the cost of reading a list by
+// its number of entries, and the memory that is kept for workers that are gone.
 
-// entries writes n entries of a list, the first numbered from.
+// entries returns the JSON of n consecutive entries of a list, the first of which has the number
+// from.
 func entries(from, n int, state string) string {
 	all := make([]string, n)
 	for i := range all {
@@ -24,10 +25,12 @@
 	return strings.Join(all, ",")
 }
 
+// listOf returns the JSON of a list or a change with n entries.
 func listOf(rev, from, n int, full bool, state string) []byte {
 	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, full, entries(from, n, state))
 }
 
+// watcherWith returns a watcher that has parsed a list of n workers.
 func watcherWith(b *testing.B, n int) *Watcher {
 	w := New(conn.NewLoop(time.Now()), "127.0.0.1:1", nil, nil, time.Now())
 	if _, err := w.Parse(listOf(1, 0, n, true, "Ready")); err != nil {
@@ -36,7 +39,8 @@
 	return w
 }
 
-// BenchmarkListWhole reads a whole list from its bytes: finding its end, decoding it, and assigning IDs.
+// BenchmarkListWhole reads a whole list from its bytes: it finds its end, decodes it, and assigns
+// IDs.
 func BenchmarkListWhole(b *testing.B) {
 	for _, n := range []int{60, 240, 950, 1900, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -45,7 +49,7 @@
 			for b.Loop() {
 				var v valueScanner
 				if _, step := v.feed(text); step != scanComplete {
-					b.Fatal("it has no end")
+					b.Fatal("the scanner finds no end of the list")
 				}
 				if list, err := w.Parse(v.text); err != nil || len(list.Workers) != n {
 					b.Fatal(err)
@@ -57,7 +61,8 @@
 	}
 }
 
-// BenchmarkListChange reads the three entries that change with one replacement: one drains, one is gone, one is new.
+// BenchmarkListChange reads the change that replaces a worker, with three entries: one worker
+// drains, one is gone, one is new.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{60, 950, 1900, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -74,7 +79,8 @@
 	}
 }
 
-// BenchmarkListGone measures the memory that replaced workers leave behind, each replaced by one of another UID.
+// BenchmarkListGone measures the memory that is kept for workers that were replaced, each by one
+// with another UID.
 func BenchmarkListGone(b *testing.B) {
 	const workers = 3800
 	for _, replaced := range []int{950, 9500, 19000, 38000} {
@@ -96,6 +102,7 @@
 	}
 }
 
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -7,7 +7,8 @@
 	"stoatweir/dispatch"
 )
 
-// The keys of an endpoint list are matched without regard to case: as discovery writes them, and in any other spelling.
+// The keys of an endpoint list are matched case-insensitively: as discovery writes them, and in
+// other spellings.
 func TestParseMatchesKeysWithoutRegardToCase(t *testing.T) {
 	for _, text := range []string{
 		`{"rev":7,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","az":"site-b","model":"fast","state":"Ready",` +
@@ -33,13 +34,13 @@
 	}
 }
 
-// A value of the wrong type fails the list as a whole.
+// A value of the wrong type makes the whole list invalid.
 func TestParseRejectsWrongTypes(t *testing.T) {
 	for _, text := range []string{`{"rev":"7"}`, `{"all":1}`, `{"targets":[{"uid":5}]}`, `{"targets":[{"boot_ms":"soon"}]}`} {
 		_, w := watcher("")
 		_, err := w.Parse([]byte(text))
 		if _, wrong := err.(*json.UnmarshalTypeError); !wrong {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: want an UnmarshalTypeError, got %v", text, err)
 		}
 		t.Log(err)
 	}
--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -1,24 +1,25 @@
 package discovery
 
-// valueScanner collects one JSON object after the other from a byte stream that is cut anywhere. An object may
-// be on one line or span many. The scanner finds its end only; whether it is valid is for the decoder.
+// valueScanner extracts one JSON object after another from a byte stream that may be split
+// anywhere. An object may be on one line or span several. The scanner only finds the end of an
+// object; the decoder checks whether it is valid.
 type valueScanner struct {
-	text     []byte // of the present value; the caller empties it after scanComplete
+	text     []byte // of the current value; the caller empties it after scanComplete
 	depth    int    // of nested objects and arrays
 	inString bool
-	escaped  bool // the byte before was a backslash inside a string
+	escaped  bool // the previous byte was a backslash inside a string
 }
 
-// scanResult is how far one call of feed has come.
+// scanResult is the outcome of one call of feed.
 type scanResult uint8
 
 const (
-	scanIncomplete scanResult = iota // all bytes are used and the value goes on, or none has begun
-	scanBlankLine                    // a line without a value has ended
-	scanComplete                     // text holds a whole value
+	scanIncomplete scanResult = iota // all bytes are used, and no value or blank line has ended
+	scanBlankLine                    // a blank line has ended
+	scanComplete                     // text holds a complete value
 )
 
-// feed consumes bytes up to the end of a value or of a blank line, and returns how many.
+// feed consumes bytes up to the end of a value or of a blank line, and returns their number.
 func (v *valueScanner) feed(b []byte) (used int, result scanResult) {
 	for n, c := range b {
 		if v.depth == 0 && len(v.text) == 0 {
@@ -39,7 +40,7 @@
 	return len(b), scanIncomplete
 }
 
-// track follows strings and nesting over one more byte.
+// track updates the string and nesting state with one more byte.
 func (v *valueScanner) track(c byte) {
 	switch {
 	case v.escaped:
@@ -56,8 +57,8 @@
 	}
 }
 
-// atEnd reports whether c ends the value. A line that is no object ends with its newline, so that the decoder
-// rejects it at once.
+// atEnd reports whether c ends the value. A line that does not hold an object ends with its
+// newline, so that the decoder rejects it immediately.
 func (v *valueScanner) atEnd(c byte) bool {
 	return v.depth <= 0 && !v.inString && (c == '}' || c == ']' || c == '\n')
 }
--- a/internal/discovery/starts.go
+++ b/internal/discovery/starts.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// minClockStep is the least difference between the wall clock and the loop's clock that counts as a step of the
-// wall clock. Less is drift, or a delay between reading the one and the other.
+// minClockStep is the smallest difference between the wall clock and the loop's clock that counts
+// as a step of the wall clock. A smaller one is drift, or the delay between reading the two clocks.
 const minClockStep = 200 * time.Millisecond
 
-// startTimes converts the start times of workers, which are reported by the wall clock, to the loop's monotonic
-// clock. The wall clock may have been stepped since a start: forward, and a worker that warms up would look
-// warm; back, and a start would lie in the future or before an earlier one. So a start is converted once, when
-// it is first reported, and bounded by what the loop's clock knows: it is not in the future, and one that is new
-// is no earlier than the time within which all changes are reported.
+// startTimes converts the start times of workers, which are reported by the wall clock, to the
+// loop's monotonic clock. The wall clock may have been stepped since a start. After a forward step,
+// a worker that is still warming up would look warm. After a backward step, a start would lie in
+// the future or before an earlier start. A start is therefore converted once, when it is first
+// reported, and bounded by what the loop's clock shows: it does not lie in the future, and a start
+// that is new does not precede the last receipt by more than updateDeadline, within which all
+// changes are reported.
 type startTimes struct {
 	clock      func() time.Duration
 	wallClock  func() time.Time
-	epoch      time.Time     // zero of the loop's clock, by the wall clock as it was after its last step
-	steppedAt  time.Duration // when a step was last seen
-	steps      int           // steps seen
-	receivedAt time.Duration // when a watch last received a list or a keep-alive; 0: never
-	lastStarts map[string]recordedStart
+	epoch      time.Time                // zero of the loop's clock, by the wall clock after its last step
+	steppedAt  time.Duration            // when a step was last seen
+	steps      int                      // number of steps seen
+	receivedAt time.Duration            // when a watch last received a list or a keep-alive; 0: never
+	lastStarts map[string]recordedStart // by UID
 }
 
 // recordedStart is the last reported start of a worker.
 type recordedStart struct {
-	bootMS    float64 // as reported, ms since 1970 by the wall clock
-	startedAt time.Duration
+	bootMS    float64       // as reported, ms since 1970 by the wall clock
+	startedAt time.Duration // by the loop's clock
 }
 
 func newStartTimes(epoch time.Time, clock func() time.Duration, wallClock func() time.Time) *startTimes {
@@ -36,7 +38,8 @@
 	}
 }
 
-// observeClocks records whether the wall clock has been stepped since the last call, and returns the loop's time.
+// observeClocks records whether the wall clock has been stepped since the last call, and returns
+// the time of the loop's clock.
 func (s *startTimes) observeClocks() (now time.Duration) {
 	now = s.clock()
 	epoch := s.wallClock().Round(0).Add(-now)
@@ -51,7 +54,8 @@
 // recordReceived records that a watch has received a list or a keep-alive.
 func (s *startTimes) recordReceived() { s.receivedAt = s.observeClocks() }
 
-// startedAt returns the start of a worker by the loop's clock.
+// startedAt returns the start of a worker by the loop's clock; bootMS is the start by the wall
+// clock, in ms since 1970. A new start of a worker is later than its previous one.
 func (s *startTimes) startedAt(uid string, bootMS float64) time.Duration {
 	last, reported := s.lastStarts[uid]
 	if reported && last.bootMS == bootMS {
@@ -60,7 +64,7 @@
 	now := s.observeClocks()
 	startedAt := time.UnixMilli(int64(bootMS)).Sub(s.epoch)
 	if startedAt > now || s.stepSuspected(startedAt, now) {
-		startedAt = now // the latest start there can be: at worst the worker warms up once more
+		startedAt = now // the latest possible start: at worst the worker warms up once more
 	}
 	if reported {
 		startedAt = max(startedAt, last.startedAt+1)
@@ -69,8 +73,8 @@
 	return startedAt
 }
 
-// stepSuspected reports whether the wall clock may have been stepped between a new start and its report. Before
-// anything was received no start is known to be new.
+// stepSuspected reports whether the wall clock may have been stepped between a new start and its
+// report. Before the first receipt no start is known to be new.
 func (s *startTimes) stepSuspected(startedAt, now time.Duration) bool {
 	if s.steps > 0 && now < s.steppedAt+updateDeadline {
 		return true
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -8,11 +8,12 @@
 	"stoatweir/internal/conn"
 )
 
-// steppedClock is a watcher on a machine whose wall clock is stepped by the test. The loop's clock runs on.
+// steppedClock is a watcher on a machine whose wall clock the test steps. The loop's clock is not
+// affected.
 type steppedClock struct {
 	*Watcher
 	t    *testing.T
-	step time.Duration
+	step time.Duration // by which the wall clock is ahead of the true time
 	rev  int
 }
 
@@ -24,8 +25,8 @@
 	return s
 }
 
-// report parses a list of the one worker, with its last start by the wall clock of then, and returns that start by
-// the loop's clock.
+// report parses a list with the one worker, whose last start is given by the wall clock at that
+// time, and returns the start by the loop's clock.
 func (s *steppedClock) report(full bool, bootMS int64) time.Duration {
 	s.t.Helper()
 	s.rev++
@@ -38,15 +39,16 @@
 	return list.Workers[0].StartedAt
 }
 
-// restart reports a start of the worker at this moment.
+// restart reports that the worker starts now.
 func (s *steppedClock) restart() time.Duration {
 	s.t.Helper()
 	return s.report(false, s.WallClock().UnixMilli())
 }
 
+// startSlack is the largest age at which a start counts as recent.
 const startSlack = 500 * time.Millisecond
 
-// A start that has just happened is recent, however the wall clock was stepped before.
+// A start that has just happened is recent, whatever steps the wall clock made before.
 func TestStartIsRecentAfterClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, -time.Hour, time.Hour, -5 * time.Second, 5 * time.Second} {
 		s := newSteppedClock(t)
@@ -58,7 +60,7 @@
 	}
 }
 
-// A later start stays later, also where the wall clock was stepped back between the two.
+// A later start stays later, even if the wall clock is stepped back between the two.
 func TestLaterStartStaysLaterAfterClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour, -3 * time.Second} {
 		s := newSteppedClock(t)
@@ -71,7 +73,7 @@
 	}
 }
 
-// The same start reported again is the same, whatever the wall clock has done since.
+// A start that is reported again keeps its time, whatever steps the wall clock has made since.
 func TestSameStartIsStableAfterClockStep(t *testing.T) {
 	s := newSteppedClock(t)
 	boot := s.WallClock().UnixMilli()
@@ -79,13 +81,14 @@
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		s.step = step
 		if again := s.report(true, boot); again != first {
-			t.Errorf("clock stepped by %v: %v, before %v", step, again, first)
+			t.Errorf("clock stepped by %v: start at %v, was at %v", step, again, first)
 		}
 	}
 }
 
-// The wall clock is stepped between a start and its report: it can't say how long ago that was. The start counts as
-// just happened, so that no worker passes for warmer than it is.
+// The wall clock is stepped between a start and its report, so that it does not show how long ago
+// the start was. The start counts as just happened, so that no worker is taken for warmer than it
+// is.
 func TestClockStepBetweenStartAndReport(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour, -2 * time.Second, 20 * time.Second} {
 		s := newSteppedClock(t)
@@ -98,8 +101,9 @@
 	}
 }
 
-// A start that is reported late, after an outage of discovery, is where the wall clock has it as long as that was
-// not stepped; one that would lie before what was known when something was last received is not believed.
+// A start that is reported late, after an outage of discovery, is taken as the wall clock gives it
+// if the clock was not stepped. A start is not believed if it is earlier than the starts that must
+// have been known at the last receipt.
 func TestStartReportedLate(t *testing.T) {
 	var now, step time.Duration
 	epoch := time.UnixMilli(1_790_000_000_000)
@@ -107,24 +111,24 @@
 	boot := func(at time.Duration) float64 { return float64(epoch.Add(at).UnixMilli()) }
 	now = 10 * time.Second
 	if at := s.startedAt("s-0", boot(-time.Minute)); at != -time.Minute {
-		t.Error("in the first list: ", at)
+		t.Error("a start in the first list, want 1m0s before zero, got ", at)
 	}
 	s.recordReceived()
 	now = 30 * time.Second
-	for _, want := range []time.Duration{22 * time.Second, 5 * time.Second} { // during the outage, and reported late already before it
+	for _, want := range []time.Duration{22 * time.Second, 5 * time.Second} { // during the outage, and before it but reported late
 		if at := s.startedAt(want.String(), boot(want)); at != want {
 			t.Errorf("reported late: %v, want %v", at, want)
 		}
 	}
 	if at := s.startedAt("s-3", boot(3*time.Second)); at != now {
-		t.Error("before what was known: ", at)
+		t.Error("a start before what was known, want the current time, got ", at)
 	}
 	step = time.Minute
 	if at := s.startedAt("s-4", boot(29*time.Second+step)); at != now {
-		t.Error("right after a step: ", at)
+		t.Error("a start right after a step, want the current time, got ", at)
 	}
 	now = time.Minute
 	if at := s.startedAt("s-5", boot(59*time.Second+step)); at != 59*time.Second {
-		t.Error("long after a step: ", at)
+		t.Error("a start long after a step, want 59s, got ", at)
 	}
 }
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -4,7 +4,7 @@
 
 // Worker is one entry of the endpoint list.
 type Worker struct {
-	UID     string // names the worker for as long as it is listed, whatever its address
+	UID     string // identifies the worker while it is listed, even if its address changes
 	Address string // host:port, as seen from this scheduler
 	dispatch.Endpoint
 }
@@ -12,10 +12,10 @@
 // Update is a change of the endpoint list, the whole list, or the failure of the watch.
 type Update struct {
 	Kind    dispatch.UpdateKind
-	Workers []Worker // the whole list, or the entries that changed; none where the watch has failed
+	Workers []Worker // the whole list, or the entries that changed; empty if the watch failed
 }
 
-// EndpointUpdate returns the part of the update that the dispatcher is given.
+// EndpointUpdate returns the part of the update that is passed to the dispatcher.
 func (u Update) EndpointUpdate() dispatch.EndpointUpdate {
 	update := dispatch.EndpointUpdate{Kind: u.Kind}
 	for _, worker := range u.Workers {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// maxListBytes bounds one list or change of a watch, whatever the peer sends: 3,200 workers have 1,300 bytes
-	// each, several times what an indented entry full of long names takes.
+	// maxListBytes bounds one list or change, whatever the peer sends. It leaves 1,300 bytes for
+	// each of 3,200 workers, several times the size of an indented entry full of long names.
 	maxListBytes = 4 << 20
-	// watchPath is the request for the stream of lists; the revision to go on from follows.
+	// watchPath is the request target of the stream of lists, without the revision at its end from
+	// which the stream resumes.
 	watchPath = "/api/targets?stream=1&index="
 )
 
-// Causes for which a watch fails, beside those of the connection, the parser and the decoder.
+// Causes for which a watch fails, besides those of the connection, the parser and the decoder.
 var (
 	errTimedOut      = errors.New("timed out")
 	errResponseEnded = errors.New("response ended")
 	errListTooLong   = errors.New("list too long")
 )
 
-// watch is one request whose response stays open.
+// watch is one request to discovery whose response stays open.
 type watch struct {
 	watcher     *Watcher
-	conn        *conn.Conn // nil: closed
+	conn        *conn.Conn // nil once closed
 	addr        string
 	parser      http1.Parser
 	scanner     valueScanner
 	revision    uint64 // that was requested
-	established bool   // something was received that is whole: a list, or a keep-alive
+	established bool   // has received a whole list or a keep-alive
 	timeout     *conn.Timer
 }
 
-// close ends the watch without a report; a nil or closed one stays as it is.
+// close closes the watch without reporting a failure. It does nothing on a nil or closed watch.
 func (w *watch) close() {
 	if w == nil || w.conn == nil {
 		return
@@ -48,13 +49,15 @@
 	w.timeout.Stop()
 }
 
+// setTimeout replaces the timeout of the watch by a call of expired after wait.
 func (w *watch) setTimeout(wait time.Duration, expired func()) {
 	w.timeout.Stop()
 	w.timeout = w.watcher.loop.After(wait, expired)
 }
 
-// extendTimeout keeps an established watch open. Before that the timeout runs from dialling: the head of a
-// response, however late, must not buy it more time.
+// extendTimeout restarts the idle timeout of an established watch. Before a watch is established
+// its timeout runs from the dial: the head of a response must not extend it, however late it
+// arrives.
 func (w *watch) extendTimeout() {
 	if w.established {
 		w.setTimeout(idleTimeout, w.timedOut)
@@ -74,18 +77,19 @@
 	c.Write(http1.Request("GET", target, w.addr, nil))
 }
 
-// Flushed has nothing to do.
+// Flushed does nothing, as no action depends on when the request has been written.
 func (w *watch) Flushed(*conn.Conn) {}
 
-// Disconnected fails the watch.
+// Disconnected reports the failure of the watch.
 func (w *watch) Disconnected(c *conn.Conn, reason conn.CloseReason) {
 	if c == w.conn {
 		w.watcher.watchFailed(w, fmt.Errorf("connection ended: %v", reason))
 	}
 }
 
-// DataReceived consumes the response. Only what is whole, a list or a keep-alive, shows that the watch is alive:
-// bytes that never come to an end would keep one open for good that reports nothing.
+// DataReceived consumes the response. Only a whole list or keep-alive shows that the watch is
+// alive. If any bytes did, bytes that never form a list would keep a watch open forever without an
+// update.
 func (w *watch) DataReceived(c *conn.Conn) {
 	for c == w.conn && c.In.Len() > 0 {
 		used, step, err := w.parser.Feed(c.In.Bytes())
@@ -96,13 +100,13 @@
 			w.watcher.watchFailed(w, err)
 			return
 		}
-		if c == w.conn { // OnUpdate may have begun another watch
+		if c == w.conn { // unless OnUpdate has started another watch
 			c.In.Drop(used)
 		}
 	}
 }
 
-// parsed handles what the parser has found in the response.
+// parsed handles one step of the parser through the response.
 func (w *watch) parsed(step http1.Step) error {
 	switch step {
 	case http1.Head:
@@ -117,6 +121,7 @@
 	return nil
 }
 
+// consume scans a piece of the response body and handles each list and keep-alive that ends in it.
 func (w *watch) consume(piece []byte) error {
 	for w.conn != nil && len(piece) > 0 {
 		used, result := w.scanner.feed(piece)
@@ -139,9 +144,10 @@
 	return nil
 }
 
-// receiveKeepAlive handles a blank line: nothing has changed since the known revision. The first one is reported
-// as an update without changes, as the watch would pass for one that was never established. A candidate that has
-// no list yet replaces no current watch.
+// receiveKeepAlive handles a blank line: nothing has changed since the known revision. The first
+// one is reported as an update without changes, as the watch would otherwise look as if it had
+// never been established. A candidate that has received no list yet does not replace a current
+// watch.
 func (w *watch) receiveKeepAlive() {
 	owner := w.watcher
 	owner.startTimes.recordReceived()
@@ -152,8 +158,8 @@
 	}
 }
 
-// receiveList handles a whole list or a change. A change to an older revision is an error: the sender knows less
-// than this scheduler, and its changes could bring back a worker that is gone.
+// receiveList handles the whole list or a change. A change to an older revision is an error: its
+// sender knows less than this scheduler, and its changes could bring back a worker that is gone.
 func (w *watch) receiveList() error {
 	owner := w.watcher
 	before := owner.revision
@@ -162,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	owner.startTimes.recordReceived() // after Parse, which bounds new starts by what was received before
+	owner.startTimes.recordReceived() // after Parse, which bounds new starts by the time of the previous receipt
 	if w != owner.candidate && update.Kind == dispatch.DeltaUpdate && owner.revision < before {
 		return fmt.Errorf("revision went back from %d to %d", before, owner.revision)
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,7 +14,8 @@
 	"stoatweir/dispatch"
 )
 
-// Values are on one line or span many, cut anywhere; what is no object ends with its line.
+// Values may be on one line or span several, and may be split anywhere. Text that is not an object
+// ends with its line.
 func Example_valueScanner() {
 	const text = "\n{\"a\":\"}{\\\"\\\\\",\"b\":[1,{}]}\n\n{\n  \"c\": [\n    {\"d\": 1}\n  ]\n}\r\n oh\n{}{}"
 	read := func(pieces ...string) string {
@@ -45,7 +46,7 @@
 	// cut anywhere the same: true true
 }
 
-// An indented list is read, also with a blank line after it.
+// An indented list is read, even if a blank line follows it.
 func Example_indentedList() {
 	addr, stop := serve("discovery", "{\n  \"rev\": 4,\n  \"all\": true,\n"+
 		"  \"targets\": [\n    {\"uid\": \"s-1\",\n     \"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n")
@@ -60,7 +61,7 @@
 	// update 2: [s-1 127.0.0.1:1 zone 2 kind 1 cell 0 state 1 restarted false]
 }
 
-// Bytes that never reach the end of a head, of a list or of a chunk's frame do not keep a watch alive.
+// Bytes that never complete a head, a list or the frame of a chunk do not keep a watch alive.
 func TestIncompleteBytesDoNotExtendTimeout(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, script := range map[string][2]string{
@@ -108,8 +109,9 @@
 	}
 }
 
-// An established watch times out, and so does the request that follows: a third one still brings the list within
-// 6 s. The short timeout holds for the second request only, as discovery may have many to serve in turn.
+// An established watch times out, and so does the request that follows. A third request still
+// receives the list within 6 s. The short timeout applies to the second request only, as discovery
+// may have many requests to serve one after another.
 func Example_timedOutTwice() {
 	const list = `{"rev":%d,"all":true,"targets":[]}`
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,7 +126,7 @@
 			if err != nil {
 				return
 			}
-			open = append(open, c) // referenced, so that it is not closed as garbage
+			open = append(open, c) // kept reachable, so that the garbage collector does not close it
 			if n != 2 {
 				text := fmt.Sprintf(list, n)
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(text)+1, text)
@@ -160,8 +162,9 @@
 	// timed out twice, and the next has the full timeout: true true
 }
 
-// Discovery takes longer for each response than a request's timeout: the request goes on beside at most one of
-// those that follow it, and its list is used once it is served. The others end.
+// Discovery takes longer for each response than the timeout of a request. A timed-out request stays
+// open besides at most one later request, and its list is used once it arrives. The other requests
+// end.
 func TestOverdueRequestIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const responseTime = 8 * time.Second
@@ -203,7 +206,7 @@
 				return
 			}
 			receivedAt = loop.Now()
-			loop.After(3*time.Second, func() { // nothing else is open
+			loop.After(3*time.Second, func() { // by then no other request is open
 				w.current.close()
 				loop.After(time.Second, loop.Stop)
 			})
@@ -213,12 +216,12 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if receivedAt != responseTime || mostOpen > 2 || open != 0 || w.overdue != nil {
-			t.Errorf("the list came after %v, %d requests at once at most, %d in all, %d left", receivedAt, mostOpen, total, open)
+			t.Errorf("the list arrived after %v, at most %d requests were open at once, %d in all, %d are left open", receivedAt, mostOpen, total, open)
 		}
 	})
 }
 
-// The longest list is read: all workers there may be, indented, with long names.
+// The longest list is read: the maximum number of workers, indented, with long names.
 func TestLongestListIsRead(t *testing.T) {
 	const workers = 3200
 	var targets []string
@@ -244,6 +247,6 @@
 	loop.After(10*time.Second, loop.Stop)
 	loop.Run(func() {})
 	if got != workers {
-		t.Errorf("%d workers of %d", got, workers)
+		t.Errorf("got %d workers, want %d", got, workers)
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	// maxConnections is how many connections a watcher has: the current watch, and one that is overdue or goes to
-	// a new address.
+	// maxConnections is the maximum number of connections of a watcher: the current watch, and one
+	// that is overdue or goes to a new address.
 	maxConnections = 2
-	// noRevision asks discovery for the whole list.
+	// noRevision as the requested revision asks discovery for the whole list.
 	noRevision uint64 = 0
 )
 
-// Watcher holds the watch of the endpoint list. It is not safe for concurrent use: its methods are called, and
-// call back, in the goroutine of its loop.
+// Watcher maintains the watch of the endpoint list. It is not safe for concurrent use: its methods
+// must be called in the goroutine of its loop, in which its callbacks run too.
 type Watcher struct {
-	// OnUpdate is called with each update. A failure of the current watch is an update too, of kind
-	// dispatch.WatchFailed: the callee decides when to call Watch again.
+	// OnUpdate is called with each update. The failure of the current watch is also reported as an
+	// update, of kind dispatch.WatchFailed; the callee decides when to call Watch again.
 	OnUpdate func(Update)
-	// OnFailure is called, before OnUpdate, with the cause of a failure as text for the log, and once for a new
-	// address that can't be reached.
+	// OnFailure is called, before OnUpdate, with the cause of a failure as text for the log. After
+	// a change of the address it is also called once if the new address cannot be reached.
 	OnFailure func(why string)
-	// PollWithin is the time the settings give for polling; 0: changes are pushed.
+	// PollWithin is the time that the settings allow for polling the list; 0 means that changes are
+	// pushed.
 	PollWithin time.Duration
 	// WallClock reads the machine's wall clock, which may be stepped.
 	WallClock func() time.Time
-	// Rand spreads the requests of schedulers that change the address together; nil: there is no jitter.
+	// Rand spreads the requests of schedulers whose address is changed at the same time; nil means
+	// no jitter.
 	Rand *rand.Rand
 	// WatchesStarted counts the requests to discovery.
 	WatchesStarted int
@@ -43,22 +45,22 @@
 	kinds      nameIndex
 	ids        idTable
 	startTimes *startTimes
-	revision   uint64 // of the last list
+	revision   uint64 // of the last list or change
 
-	addr         string // where the next request goes
+	addr         string // for the next request
 	current      *watch // nil: none
-	overdue      *watch // timed out before its first list and may still be served, beside the current one; nil: none
+	overdue      *watch // timed out before its first list and may still be served, besides the current one; nil: none
 	lastTimedOut bool   // the last watch to time out was established
-	failures     int    // watches in a row that failed before their first list
+	failures     int    // number of consecutive failures of watches since anything was received
 
 	changingAddress   bool
-	candidate         *watch // the watch of the new address while that is not established; nil: none
+	candidate         *watch // watch of the new address until it is established; nil: none
 	candidateAttempts int    // failed attempts to reach the new address
 	candidateTimer    *conn.Timer
 }
 
-// New returns a watcher that has sent no request yet. zones and kinds are the configured names in the order of
-// their indices; start is when the loop's clock stood at zero.
+// New returns a watcher that has sent no request yet. zones and kinds are the configured names in
+// the order of their indices; start is the time at which the loop's clock was zero.
 func New(loop *conn.Loop, addr string, zones, kinds []string, start time.Time) *Watcher {
 	w := &Watcher{
 		WallClock: time.Now,
@@ -69,32 +71,34 @@
 		ids:       newIDTable(),
 		addr:      addr,
 	}
-	// WallClock may be replaced later, so it is read with each call.
+	// WallClock may be replaced later, so it is read on each call.
 	w.startTimes = newStartTimes(start, loop.Clock, func() time.Time { return w.WallClock() })
 	return w
 }
 
-// ZoneIndex returns the index of a zone's name; a name not seen before gets the next one.
+// ZoneIndex returns the index of a zone's name; a name not seen before gets the next index.
 func (w *Watcher) ZoneIndex(name string) int { return w.zones.indexOf(name) }
 
-// KindIndex returns the index of the name of a kind of workers; a name not seen before gets the next one.
+// KindIndex returns the index of the name of a kind of workers; a name not seen before gets the
+// next index.
 func (w *Watcher) KindIndex(name string) int { return w.kinds.indexOf(name) }
 
-// Kinds returns the names of all kinds of workers by index.
+// Kinds returns the names of all kinds of workers, in the order of their indices.
 func (w *Watcher) Kinds() []string { return w.kinds.names() }
 
-// Zones returns the names of all zones by index.
+// Zones returns the names of all zones, in the order of their indices.
 func (w *Watcher) Zones() []string { return w.zones.names() }
 
-// ClockSteps returns how often the wall clock was seen to be stepped.
+// ClockSteps returns the number of steps of the wall clock that were seen.
 func (w *Watcher) ClockSteps() int { return w.startTimes.steps }
 
-// Established reports whether a watch is open that has received something.
+// Established reports whether the current watch has received a whole list or a keep-alive.
 func (w *Watcher) Established() bool { return w.current != nil && w.current.established }
 
-// Watch begins a watch from the known revision and closes one that is established. A request that has received
-// nothing yet is left alone: discovery serves requests in turn, and a new one would queue behind all others. So
-// is one that goes to a new address.
+// Watch starts a watch from the known revision, and closes the current one if that is established.
+// A request that has received nothing yet is left alone: discovery serves requests one after
+// another, and a new request would queue behind all others. A request to a new address is left
+// alone too.
 func (w *Watcher) Watch() {
 	if w.changingAddress || w.current != nil && !w.current.established {
 		return
@@ -102,14 +106,15 @@
 	w.current.close()
 	timeout := w.listTimeout()
 	if w.lastTimedOut {
-		// Once only: where many requests queue at discovery, a short timeout each time would have none served.
+		// Applied once only: if many requests queue at discovery and each had a short timeout, none
+		// would be served.
 		timeout = min(timeout, reconnectTimeout)
 	}
 	w.lastTimedOut = false
 	w.current = w.open(w.revision, timeout)
 }
 
-// open sends a request for all that follows a revision; timeout bounds the time to its first list.
+// open requests everything that follows a revision; timeout bounds the time to the first list.
 func (w *Watcher) open(revision uint64, timeout time.Duration) *watch {
 	w.WatchesStarted++
 	opened := &watch{
@@ -123,7 +128,8 @@
 	return opened
 }
 
-// watchFailed ends a watch, or keeps it as the overdue one.
+// watchFailed closes a watch that has failed, or keeps it as the overdue one, and handles the
+// failure according to the role of the watch.
 func (w *Watcher) watchFailed(failed *watch, cause error) {
 	if w.worthKeeping(failed, cause) {
 		w.overdue = failed
@@ -138,7 +144,7 @@
 		w.candidate = nil
 		w.candidateFailed(cause)
 	case failed == w.current && w.changingAddress:
-		w.current = nil // expected: its address goes away, and the next one is being dialled
+		w.current = nil // expected: its address is being replaced, and the next one is being dialled
 	case failed == w.current:
 		w.current = nil
 		w.failures++
@@ -147,16 +153,17 @@
 	}
 }
 
-// worthKeeping reports whether a request that has timed out may go on beside the next one. Discovery serves
-// requests in turn, and where that takes longer than the timeout of one, none would ever be served; the oldest
-// is nearest to its turn.
+// worthKeeping reports whether a request that has timed out may stay open while the next one waits
+// too. Discovery serves requests one after another. If that takes longer than one request's
+// timeout, no request would ever be served; the oldest is the closest to being served.
 func (w *Watcher) worthKeeping(failed *watch, cause error) bool {
 	return errors.Is(cause, errTimedOut) &&
 		failed == w.current && !failed.established && failed.conn.Established() &&
 		!w.changingAddress && w.overdue == nil
 }
 
-// watchReceived reports an update. The watch that brought it becomes the current one, and others end.
+// watchReceived reports an update. The watch that received it becomes the current one, and the
+// other watches are closed.
 func (w *Watcher) watchReceived(from *watch, update Update) {
 	if from == w.candidate || from == w.overdue {
 		w.current.close()
@@ -176,7 +183,8 @@
 	w.OnUpdate(update)
 }
 
-// requireFullList has the next watch request the whole list: changes would apply to an unknown one.
+// requireFullList makes the next watch request the whole list, because it is unknown to which list
+// changes would apply.
 func (w *Watcher) requireFullList() {
 	w.revision = noRevision
 	w.overdue.close()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -11,6 +11,7 @@
 	"stoatweir/internal/conn"
 )
 
+// watcher returns a loop and a watcher that prints its updates and failures.
 func watcher(addr string) (*conn.Loop, *Watcher) {
 	start := time.Now()
 	loop := conn.NewLoop(start)
@@ -20,6 +21,7 @@
 	return loop, w
 }
 
+// show prints an update.
 func show(l Update) {
 	fmt.Printf("update %d:", l.Kind)
 	for _, w := range l.Workers {
@@ -29,7 +31,8 @@
 	fmt.Println()
 }
 
-// A worker keeps its ID when its address changes, and the next worker at that address gets another one.
+// A worker keeps its ID when its address changes, and the next worker at that address gets a
+// different ID.
 func Example_workerIDs() {
 	_, w := watcher("")
 	for _, line := range []string{
@@ -56,9 +59,9 @@
 	// unexpected end of JSON input 9
 }
 
-// A watch goes on from the known revision, reads lines however they are cut up, and is reported as failed when it
-// ends. The first keep-alive is reported as an update without changes, later ones are not. After a line that can't
-// be decoded the next watch requests the whole list.
+// A watch resumes from the known revision, reads lines wherever they are split, and is reported as
+// failed when it ends. The first keep-alive is reported as an update without changes, later ones
+// are not. After a line that cannot be decoded the next watch requests the whole list.
 func Example_watchResumes() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -100,7 +103,7 @@
 		w.Watch()
 	}
 	w.Watch()
-	w.Watch() // while the first waits for its response: there is one request
+	w.Watch() // no second request is sent while the first waits for its response
 	loop.After(10*time.Second, func() { panic("the watch hangs") })
 	loop.Run(func() {})
 	// Output:
@@ -121,8 +124,8 @@
 	// update 0:
 }
 
-// A change to an older revision than the known one is rejected: the whole list is requested, which may be of any
-// revision.
+// A change to an older revision than the known one is rejected. The next watch requests the whole
+// list, which may have any revision.
 func Example_olderRevisionRejected() {
 	addr, stop := serve("discovery", `{"rev":9,"all":true,"targets":[]}`,
 		`{"rev":4,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9001","az":"a","state":"Ready"}]}`)
@@ -155,9 +158,10 @@
 	// update 0:
 }
 
-// A request without a response times out, early enough for another one to bring a change in time.
+// A request without a response times out early enough for another request to receive a change in
+// time.
 func Example_firstListTimeout() {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // the backlog accepts the connection, and nobody ever responds
+	l, err := net.Listen("tcp", "127.0.0.1:0") // the backlog accepts the connection, but no response is ever sent
 	if err != nil {
 		panic(err)
 	}
@@ -175,7 +179,8 @@
 	// true true true
 }
 
-// serve starts a discovery service that sends lines; it prints each request it receives, after its name.
+// serve starts a discovery service that sends lines to each client. It prints each request that it
+// receives, after its name.
 func serve(name string, lines ...string) (addr string, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -205,8 +210,9 @@
 	}
 }
 
-// The watch holds while its address changes, also to one where nobody listens yet; the whole list is requested
-// there, as revisions may be counted in another way. The end of the old watch is no failure, that of the new one is.
+// The watch stays open while its address changes, even to one where no service listens yet. The
+// whole list is requested at the new address, as revisions may be counted differently there. The
+// end of the old watch is not reported as a failure; the end of the new one is.
 func Example_changeAddress() {
 	const list = `{"rev":%d,"all":true,"targets":[{"uid":"%s","endpoint":"127.0.0.1:1","state":"Ready"}]}`
 	first, closeFirst := serve("first", fmt.Sprintf(list, 41, "s-1"))
@@ -233,7 +239,7 @@
 	until(func() bool { return updates == 1 })
 	w.ChangeAddress(dead)
 	until(func() bool { return w.candidateAttempts == 2 })
-	w.ChangeAddress(first) // back again
+	w.ChangeAddress(first) // changes back to the address of the current watch
 	fmt.Println("changing:", w.changingAddress)
 	w.ChangeAddress(dead)
 	until(func() bool { return w.candidateAttempts == 1 })
