--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -11,12 +11,13 @@
 	"stoatweir/internal/conn"
 )
 
-// The figures of docs/CAPACITY.md for messages between schedulers.
+// Benchmarks for the figures of docs/CAPACITY.md on messages between schedulers.
 
 // udpOverhead is the length of the IPv4 and UDP headers, in bytes.
 const udpOverhead = 20 + 8
 
-// BenchmarkSend encodes a message up to the socket, for one or all of so many schedulers, and validates it at one.
+// BenchmarkSend encodes a message up to the socket, for one or for all of the given number of
+// schedulers, and validates it at one receiver.
 func BenchmarkSend(b *testing.B) {
 	for _, schedulers := range []int{4, 8, 15, 30} {
 		for _, to := range []string{"one", "all"} {
@@ -52,9 +53,10 @@
 	}
 }
 
-// BenchmarkSerials measures how often the end of one attempt would be taken for that of another: an entry has the
-// last eight bits of its sender's count, by which the worker's owner knows the attempt. So many attempts of one
-// sender are in flight over 15 owners and end in any order; a model of the encoding alone.
+// BenchmarkSerials measures how often the end of one attempt would be attributed to another: an
+// entry holds the low eight bits of its sender's counter, by which the owner of the worker
+// identifies the attempt. The given number of attempts of one sender are in flight at workers of 15
+// owners and end in random order. It models the encoding alone.
 func BenchmarkSerials(b *testing.B) {
 	for _, inFlight := range []int{25, 50, 100, 200, 400, 800, 1500, 3000, 5900} {
 		b.Run(fmt.Sprint(inFlight), func(b *testing.B) {
@@ -65,11 +67,12 @@
 	}
 }
 
-// misattributed is the part of ends that an owner takes for another attempt, or for none.
+// misattributed returns the fraction of ends that an owner attributes to another attempt, or to
+// none.
 func misattributed(inFlight, owners, ends int) float64 {
 	type attempt struct{ id, owner int }
 	random := rand.New(rand.NewPCG(1, 1))
-	known := make([]map[uint8]int, owners) // by owner: attempt by serial
+	known := make([]map[uint8]int, owners) // by owner, the attempt by its serial
 	for owner := range known {
 		known[owner] = map[uint8]int{}
 	}
--- a/internal/gossip/encode.go
+++ b/internal/gossip/encode.go
@@ -7,20 +7,21 @@
 
 // Offsets of the header fields, in bytes from the start of a datagram. Numbers are big-endian.
 const (
-	senderOffset   = 1                  // uint16, behind the version
+	senderOffset   = 1                  // uint16, after the version
 	epochOffset    = senderOffset + 2   // uint64
 	sequenceOffset = epochOffset + 8    // uint32
 	headerBytes    = sequenceOffset + 4 // the entries follow
 )
 
-// header says who sent a datagram, and its place among all that this sender has sent.
+// header identifies the sender of a datagram and the position of the datagram among all that this
+// sender has sent.
 type header struct {
 	sender   uint16 // number of the scheduler
 	epoch    uint64 // start of the sender by its wall clock, ns since 1970
-	sequence uint32 // of the datagram, counted from the start; wraps around
+	sequence uint32 // number of the datagram since the start of the sender; wraps around
 }
 
-// encode writes a datagram whose entries are encoded already.
+// encode returns a datagram of the header and entries, which are encoded already.
 func (h header) encode(entries []byte) []byte {
 	b := make([]byte, 0, headerBytes+len(entries))
 	b = append(b, version)
@@ -30,8 +31,8 @@
 	return append(b, entries...)
 }
 
-// decodeHeader splits a datagram into its header and its encoded entries; ok is false where it is too short or of
-// another version.
+// decodeHeader splits a datagram into its header and its encoded entries. ok is false if the
+// datagram is too short or of another version.
 func decodeHeader(b []byte) (h header, entries []byte, ok bool) {
 	if len(b) < headerBytes || b[0] != version {
 		return header{}, nil, false
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -7,7 +7,7 @@
 	"stoatweir/dispatch"
 )
 
-// receivedDatagram is a task of the loop: a datagram that the reader has passed on.
+// receivedDatagram is the loop task that processes one datagram from the reader goroutine.
 type receivedDatagram struct {
 	transport *Transport
 	from      netip.AddrPort
@@ -24,8 +24,9 @@
 	}
 }
 
-// validate decodes a datagram; ok is false, and one of the counts rises, where it is malformed, not from the
-// scheduler that it names, or stale. Only a valid one changes the window of its sender.
+// validate decodes a datagram. If the datagram is malformed, stale, or not from the scheduler that
+// it names, validate increments the matching count and returns false. Only a valid datagram changes
+// the window of its sender.
 func (t *Transport) validate(from netip.AddrPort, payload []byte, now time.Duration) (_ dispatch.GossipReceived, ok bool) {
 	h, encoded, ok := decodeHeader(payload)
 	if !ok {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -12,54 +12,58 @@
 )
 
 const (
-	// queuePerScheduler is how many datagrams may wait for each scheduler, each way. More are dropped, as late
-	// reports of attempts are worthless. One to all schedulers, and one from each of them, always fit.
+	// queuePerScheduler is the number of datagrams per scheduler that may be queued in each
+	// direction. Excess datagrams are dropped, as late reports of attempts are worthless. One
+	// datagram to every scheduler, and one from each, always fit.
 	queuePerScheduler = 4
-	// minQueue is the least number of datagrams that may wait, each way.
+	// minQueue is the minimum capacity of the queue in each direction, in datagrams.
 	minQueue = 256
-	// bindRetryInterval is the time between attempts to bind: after a restart another process may still hold the
-	// address. Until then nothing is sent or received, and nothing waits for it.
+	// bindRetryInterval is the time between attempts to bind the socket: after a restart, another
+	// process may still hold the address. Until the socket is bound nothing is sent or received,
+	// and no caller waits for it.
 	bindRetryInterval = time.Second
 )
 
-// Broadcast as the receiver of Send means all other schedulers.
+// Broadcast as the receiver of Send stands for all other schedulers.
 const Broadcast = -1
 
-// Transport is one scheduler's socket for messages to and from the others. Send and OnReceive belong to the
-// goroutine of the loop.
+// Transport is the socket of one scheduler for messages to and from the others. Send must be called
+// in the goroutine of the loop, in which OnReceive is called too.
 type Transport struct {
-	// Counts say what became of datagrams.
+	// Counts are the numbers of datagrams by outcome.
 	Counts Counts
-	// OnReceive is called in the loop with the entries of each valid datagram. It is set before the loop runs.
+	// OnReceive is called in the loop with the entries of each valid datagram. It must be set
+	// before the loop runs.
 	OnReceive func(dispatch.GossipReceived)
 
 	loop       *conn.Loop
-	addrs      []netip.AddrPort // of all schedulers, by number
-	self       int              // number of this scheduler
-	epoch      uint64           // start of this process by the wall clock, ns since 1970
-	sequence   uint32           // of the last datagram sent
-	windows    map[int]sequenceWindow
-	queueLimit int // datagrams that may wait, each way
+	addrs      []netip.AddrPort       // of all schedulers, by their numbers
+	self       int                    // number of this scheduler
+	epoch      uint64                 // start of this process by the wall clock, ns since 1970
+	sequence   uint32                 // of the last datagram sent
+	windows    map[int]sequenceWindow // by the sender's number
+	queueLimit int                    // capacity of the queue in each direction, in datagrams
 	outbox     chan outgoingDatagram
-	inLoop     atomic.Int32 // datagrams that wait for the loop
+	inLoop     atomic.Int32 // datagrams that were passed to the loop and not processed yet
 	closed     chan struct{}
 }
 
+// outgoingDatagram is a datagram that waits to be written.
 type outgoingDatagram struct {
 	to      netip.AddrPort
 	payload []byte
 }
 
-// Open returns a transport that begins to listen at addrs[self], and retries while that address is in use; failed
-// is called once, in another goroutine, if the first attempt fails. started is the time by the wall clock, by which
-// others recognise a restart.
+// Open returns a transport that starts to listen at addrs[self] and retries while that address is
+// in use. If the first attempt fails, failed is called once, in another goroutine. started is the
+// start of this process by the wall clock, by which others recognise a restart.
 func Open(loop *conn.Loop, addrs []netip.AddrPort, self int, started time.Time, failed func(error)) *Transport {
 	t := newTransport(loop, addrs, self, uint64(started.UnixNano()))
 	go t.serve(failed)
 	return t
 }
 
-// newTransport returns one that has no socket yet.
+// newTransport returns a transport without a socket.
 func newTransport(loop *conn.Loop, addrs []netip.AddrPort, self int, epoch uint64) *Transport {
 	queueLimit := max(minQueue, queuePerScheduler*len(addrs))
 	return &Transport{
@@ -74,15 +78,16 @@
 	}
 }
 
-// Close stops sending and receiving; it is called once. A nil Transport has nothing to close.
+// Close stops sending and receiving. It must be called at most once, and does nothing on a nil
+// Transport.
 func (t *Transport) Close() {
 	if t != nil {
 		close(t.closed)
 	}
 }
 
-// Send queues entries for the scheduler numbered to, or for all others where to is negative, as Broadcast is. It
-// never blocks: what does not fit the queue is dropped and counted.
+// Send queues entries for the scheduler with the number to, or for all others if to is negative, as
+// Broadcast is. It never blocks: datagrams that do not fit the queue are dropped and counted.
 func (t *Transport) Send(to int, entries []dispatch.GossipEntry) {
 	for _, encoded := range dispatch.EncodeGossip(entries) {
 		t.sequence++
@@ -105,18 +110,19 @@
 	}
 }
 
-// serve binds the socket; from then on this goroutine writes and another one reads, until Close.
+// serve binds the socket. This goroutine then writes and another one reads, until Close.
 func (t *Transport) serve(failed func(error)) {
 	socket := t.listen(failed)
 	if socket == nil {
 		return
 	}
-	defer socket.Close() // which also ends the reader
+	defer socket.Close() // also ends the reader
 	go t.read(socket)
 	t.write(socket)
 }
 
-// listen binds the own address; nil: the transport was closed before that was free.
+// listen binds this scheduler's address. It returns nil if the transport is closed before the
+// address is free.
 func (t *Transport) listen(failed func(error)) *net.UDPConn {
 	local := net.UDPAddrFromAddrPort(t.addrs[t.self])
 	for attempt := 1; ; attempt++ {
@@ -135,13 +141,14 @@
 	}
 }
 
+// write sends queued datagrams until Close.
 func (t *Transport) write(socket *net.UDPConn) {
 	for {
 		select {
 		case <-t.closed:
 			return
 		case d := <-t.outbox:
-			// An error says at most that the receiver is not there, which is its own business.
+			// An error says at most that the receiver is not there, and delivery is best-effort.
 			if _, err := socket.WriteToUDPAddrPort(d.payload, d.to); err != nil {
 				t.Counts.NotSent.Add(1)
 			} else {
@@ -151,8 +158,9 @@
 	}
 }
 
+// read passes received datagrams to the loop until Close.
 func (t *Transport) read(socket *net.UDPConn) {
-	buffer := make([]byte, headerBytes+dispatch.MaxGossipBytes+1) // one byte more shows what is too long
+	buffer := make([]byte, headerBytes+dispatch.MaxGossipBytes+1) // one more byte makes datagrams that are too long detectable
 	for {
 		n, from, err := socket.ReadFromUDPAddrPort(buffer)
 		select {
@@ -161,7 +169,7 @@
 		default:
 		}
 		if err != nil {
-			continue // such as the ICMP answer that nobody listens at some address
+			continue // for example an ICMP reply that no process listens at a receiver's address
 		}
 		if int(t.inLoop.Load()) >= t.queueLimit {
 			t.Counts.Dropped.Add(1)
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -13,7 +13,7 @@
 	"stoatweir/internal/conn"
 )
 
-// listenLocal opens a socket on loopback for one scheduler.
+// listenLocal opens a loopback socket for one scheduler and returns it with its address.
 func listenLocal(t testing.TB) (*net.UDPConn, netip.AddrPort) {
 	t.Helper()
 	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -24,7 +24,7 @@
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// open returns the running transport of scheduler 0; received collects what it accepts.
+// open starts the transport of scheduler 0. received collects the messages that it accepts.
 func open(t *testing.T, others ...netip.AddrPort) (transport *Transport, received chan dispatch.GossipReceived) {
 	t.Helper()
 	c, own := listenLocal(t)
@@ -46,22 +46,23 @@
 	return transport, received
 }
 
-// stopper is a task that ends its loop.
+// stopper is a task that stops its loop.
 type stopper struct{ *conn.Loop }
 
 func (s stopper) Run() { s.Stop() }
 
-// encodeDatagram writes a datagram independently of the transport's encoder.
+// encodeDatagram returns a datagram, built independently of the transport's encoder.
 func encodeDatagram(number uint16, epoch uint64, sequence uint32, entries ...dispatch.GossipEntry) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{version}, number)
 	b = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(b, epoch), sequence)
 	return append(b, dispatch.EncodeGossip(entries)[0]...)
 }
 
+// attemptStarted is an arbitrary valid entry.
 var attemptStarted = dispatch.GossipEntry{Kind: dispatch.GossipAttemptStarted, Serial: 5, Tag: 77}
 
-// Datagrams that are duplicated, stale, from an unknown sender, cut or garbled are dropped and counted; one that was
-// overtaken on its way is accepted.
+// Datagrams that are duplicated, stale, from an unknown sender, truncated or undecodable are
+// dropped and counted. A datagram that was overtaken in transit is accepted.
 func Example_validate() {
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port) }
 	transport := &Transport{addrs: []netip.AddrPort{at(1), at(2), at(3)}, windows: map[int]sequenceWindow{}}
@@ -113,8 +114,8 @@
 	// map[broken:6 crowded:0 foreign:3 heard:0 old:4 sent:0 unsent:0]
 }
 
-// On loopback: entries reach the scheduler they are for, or all, and are received from others; one that is not there
-// holds up nobody.
+// On loopback, entries reach the scheduler that they are sent to, or all schedulers, and entries
+// from others are received. A scheduler that does not listen delays none of the others.
 func TestSendAndReceive(t *testing.T) {
 	first, a := listenLocal(t)
 	second, b := listenLocal(t)
@@ -170,8 +171,8 @@
 	}
 }
 
-// The own address is in use, as by a process that shuts down: the socket is bound once that is free, and nothing
-// waits for it.
+// This scheduler's address is in use, for example by a process that is shutting down. The socket is
+// bound once the address is free, and no call blocks until then.
 func TestBindRetriesWhileAddressInUse(t *testing.T) {
 	holder, own := listenLocal(t)
 	other, a := listenLocal(t)
@@ -181,13 +182,13 @@
 	select {
 	case <-failed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the address in use is not reported")
+		t.Fatal("the failure to bind the address in use was not reported")
 	}
 	for range 3 * transport.queueLimit {
 		transport.Send(1, []dispatch.GossipEntry{attemptStarted})
 	}
 	if n := transport.Counts.NotSent.Load(); n != uint64(2*transport.queueLimit) {
-		t.Fatal(n, " dropped where ", transport.queueLimit, " may wait")
+		t.Fatal(n, " datagrams dropped, want twice the queue limit of ", transport.queueLimit, " datagrams")
 	}
 	holder.Close()
 	other.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -196,7 +197,8 @@
 	}
 }
 
-// A message to all of 1,024 schedulers fits the queue, and so does one from each of them, while nobody empties it.
+// A message to all of 1,024 schedulers fits the queue, and so does one from each of them, even
+// while nothing is taken from the queue.
 func TestManySchedulers(t *testing.T) {
 	const schedulers = 1024
 	var addrs []netip.AddrPort
--- a/internal/gossip/window.go
+++ b/internal/gossip/window.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// windowBits is how many sequence numbers up to the highest one a window remembers.
+	// windowBits is the number of sequence numbers, up to the highest one, that a window remembers.
 	windowBits = 64
-	// maxAhead is how far ahead of the highest one a sequence number may be; beyond it, modulo 2^32, it is behind.
+	// maxAhead is the largest distance by which a sequence number may be ahead of the highest one;
+	// modulo 2^32, a larger distance means that it is behind.
 	maxAhead uint32 = 1 << 31
-	// epochQuietPeriod is how long a sender must not have been heard before an earlier epoch passes for a later
-	// start. An epoch is a time of the wall clock, which may be stepped back between two starts; no datagram is on
-	// its way for that long.
+	// epochQuietPeriod is how long nothing must have been received from a sender before a lower
+	// epoch is accepted as a later start. An epoch is a time of the wall clock, which may be
+	// stepped back between two starts. No datagram is in transit for that long.
 	epochQuietPeriod = 2 * time.Second
 )
 
-// sequenceWindow is what was last received from one scheduler.
+// sequenceWindow records which datagrams were last received from one scheduler.
 type sequenceWindow struct {
 	epoch      uint64
-	highest    uint32        // sequence number
-	seen       uint64        // bit n: highest-n was received
-	receivedAt time.Duration // by the loop's clock
+	highest    uint32        // highest sequence number received
+	seen       uint64        // bit n is set if highest-n was received
+	receivedAt time.Duration // of the last datagram, by the loop's clock
 }
 
-// accept returns the window after a datagram, or false where that is a duplicate, too old, or from before the
-// sender's last start.
+// accept returns the window as updated by a datagram, or false if the datagram is a duplicate, too
+// old, or from before the sender's last start.
 func (w sequenceWindow) accept(h header, now time.Duration) (sequenceWindow, bool) {
 	if h.epoch < w.epoch && now < w.receivedAt+epochQuietPeriod {
 		return w, false
@@ -40,7 +41,7 @@
 		w.highest = h.sequence
 	case behind >= windowBits || w.seen>>behind&1 == 1:
 		return w, false
-	default: // overtaken on its way
+	default: // overtaken in transit
 		w.seen |= 1 << behind
 	}
 	w.receivedAt = now
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -15,15 +15,15 @@
 	"stoatweir/internal/golden"
 )
 
-// The fields of a header, whose bytes all differ.
+// Header fields of the golden datagrams. All their bytes differ, so that no two can be swapped unnoticed.
 const (
 	goldenSender   = 0x0102
 	goldenEpoch    = 0x030405060708090a
 	goldenSequence = 0x0b0c0d0e
 )
 
-// goldenEntries has each kind of entry with all its fields, by itself, then all kinds in one call, then more than one
-// datagram holds.
+// goldenEntries returns the entries of each call of Send: each kind of entry by itself with all its
+// fields, then all kinds in one call, then more entries than one datagram holds.
 func goldenEntries() (calls [][]dispatch.GossipEntry) {
 	kinds := []dispatch.GossipEntry{
 		{Kind: dispatch.GossipRestarted},
@@ -42,6 +42,7 @@
 	return append(calls, kinds, many)
 }
 
+// goldenAddrs returns the addresses of all schedulers up to goldenSender.
 func goldenAddrs() (addrs []netip.AddrPort) {
 	for n := range goldenSender + 1 {
 		addrs = append(addrs, netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(n+1)))
@@ -49,7 +50,8 @@
 	return addrs
 }
 
-// Datagrams are the same to the byte, and the recorded ones are decoded to the entries that they were encoded from.
+// Encoding yields the recorded datagrams byte for byte, and the recorded datagrams are decoded to
+// the entries from which they were encoded.
 func TestGoldenDatagrams(t *testing.T) {
 	addrs := goldenAddrs()
 	sending := newTransport(conn.NewLoop(time.Time{}), addrs, goldenSender, goldenEpoch)
