--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -41,15 +41,15 @@
 
 // attempt is one try to run an invocation at a worker.
 type attempt struct {
-	invocation       *Invocation
-	number           int
-	worker           *worker
-	exchange         *exchange   // nil once it is done, and for an attempt that another process sent
-	written          bool        // some of the request may have been written
-	sameWorkerBefore bool        // an earlier attempt was written to this worker, so that a late callback may belong to it
-	accepted         bool        // the worker has responded 202: the connection is free again, the worker's slot is not
-	started          bool        // a callback has reported that the work has started
-	timeout          *conn.Timer // fires at the client timeout
+	invocation              *Invocation
+	number                  int
+	worker                  *worker
+	exchange                *exchange   // nil once it is done, and for an attempt that another process sent
+	sendStarted             bool        // some of the request may have been written
+	workerHadEarlierAttempt bool        // an earlier attempt was written to this worker, so that a late callback may belong to it
+	accepted                bool        // the worker has responded 202: the connection is free again, the worker's slot is not
+	started                 bool        // a callback has reported that the work has started
+	timeout                 *conn.Timer // fires at the client timeout
 }
 
 func (a *attempt) key() attemptKey {
@@ -115,12 +115,12 @@
 		onFirstByte: func() {
 			check.Current = a.target()
 			t.Invariants.AttemptStarted(check)
-			a.written = true
-			a.sameWorkerBefore = slices.Contains(a.invocation.attemptedOn, a.worker)
+			a.sendStarted = true
+			a.workerHadEarlierAttempt = slices.Contains(a.invocation.attemptedOn, a.worker)
 			a.invocation.attemptedOn = append(a.invocation.attemptedOn, a.worker)
 		},
 		onWritten: t.OnWritten,
-		onDone:    func(m *http1.Message, reason conn.CloseReason) { t.handleAttemptResponse(a, m, reason) },
+		onDone:    func(response *http1.Message, reason conn.CloseReason) { t.handleAttemptResponse(a, response, reason) },
 	}
 }
 
@@ -146,15 +146,15 @@
 	return deadline
 }
 
-// handleAttemptResponse processes the response to an attempt. m is nil if there is no response, and
+// handleAttemptResponse processes the response to an attempt. response is nil if there is none, and
 // reason says why.
-func (t *Transport) handleAttemptResponse(a *attempt, m *http1.Message, reason conn.CloseReason) {
+func (t *Transport) handleAttemptResponse(a *attempt, response *http1.Message, reason conn.CloseReason) {
 	a.exchange = nil
-	if m == nil {
+	if response == nil {
 		t.endAttempt(a, reason, nil)
 		return
 	}
-	if m.Status == statusAccepted {
+	if response.Status == statusAccepted {
 		a.accepted = true
 		t.OnEvent(dispatch.AttemptProgress{
 			Invocation: a.invocation.Number,
@@ -164,13 +164,13 @@
 		})
 		return
 	}
-	reason = responseReason(m)
+	reason = responseReason(response)
 	if reason == conn.Succeeded {
 		// Results arrive only by callback, so a response that looks like a result does not come
 		// from a worker.
 		reason = conn.Malformed
 	}
-	t.endAttempt(a, reason, t.parseLoad(a.worker, m))
+	t.endAttempt(a, reason, t.parseLoad(a.worker, response))
 }
 
 // endAttempt ends an attempt and reports its outcome. It does nothing if the attempt has already
@@ -183,9 +183,9 @@
 	if a.mayHaveRun(reason) {
 		reason = conn.Lost
 	}
-	stoppedByUs := reason == conn.Cancelled || reason == conn.TimedOut
-	t.endExchange(a, stoppedByUs)
-	if a.accepted && stoppedByUs && t.deployment.Dispatch.Limits.Cancel {
+	stoppedLocally := reason == conn.Cancelled || reason == conn.TimedOut
+	t.endExchange(a, stoppedLocally)
+	if a.accepted && stoppedLocally && t.deployment.Dispatch.Limits.Cancel {
 		t.sendCancel(a)
 	}
 	t.Invariants.AttemptEnded(a.invocation.Number, a.number, reason.String(), !reason.ProvesNotRun())
@@ -207,16 +207,16 @@
 	if a.started && reason.ProvesNotRun() {
 		return true
 	}
-	return reason == conn.Returned && a.sameWorkerBefore && a.invocation.needsProofNotRun()
+	return reason == conn.Returned && a.workerHadEarlierAttempt && a.invocation.needsProofNotRun()
 }
 
 // endExchange ends the exchange of an attempt that has ended before its response arrived.
-func (t *Transport) endExchange(a *attempt, stoppedByUs bool) {
+func (t *Transport) endExchange(a *attempt, stoppedLocally bool) {
 	x := a.exchange
 	if x == nil {
 		return
 	}
-	if stoppedByUs || !a.written || x.connection.socket.Unsent() > 0 {
+	if stoppedLocally || !a.sendStarted || x.connection.socket.Unsent() > 0 {
 		// Before the 202, an attempt is cancelled by closing its connection. A connection that is
 		// still being dialled must not send the request later, and the last byte of an attempt that
 		// has ended must not be written.
--- a/internal/workers/attempt_test.go
+++ b/internal/workers/attempt_test.go
@@ -180,22 +180,22 @@
 	f := newFixture()
 	inv := f.newInvocation(1)
 	f.Forward(inv, 0, f.id)
-	request := f.attempts[attemptKey{invocation: 1, number: 0}].exchange.buildRequest
-	for _, late := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 0} { // delays until the connection is established
-		inv.Deadline -= late
-		most := inv.Deadline - f.loop.Clock()
-		message := request()
-		if why := message.Allowed(); why != conn.Open {
-			fmt.Println(why)
+	buildRequest := f.attempts[attemptKey{invocation: 1, number: 0}].exchange.buildRequest
+	for _, delay := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 0} { // delays until the connection is established
+		inv.Deadline -= delay
+		timeLeftBefore := inv.Deadline - f.loop.Clock()
+		message := buildRequest()
+		if reason := message.Allowed(); reason != conn.Open {
+			fmt.Println(reason)
 			continue
 		}
-		least := inv.Deadline - f.loop.Clock()
+		timeLeftAfter := inv.Deadline - f.loop.Clock()
 		_, text, _ := strings.Cut(string(message.Bytes), "X-Budget: ")
 		text, _, _ = strings.Cut(text, "\r\n")
 		seconds, err := strconv.ParseFloat(text, 64)
-		events := time.Duration(seconds * float64(time.Second))
-		exact := err == nil && events <= most.Round(time.Millisecond) && events >= least.Round(time.Millisecond)
-		fmt.Println(message.Until == inv.Deadline, most.Round(time.Second), exact)
+		sentTimeLeft := time.Duration(seconds * float64(time.Second))
+		exact := err == nil && sentTimeLeft <= timeLeftBefore.Round(time.Millisecond) && sentTimeLeft >= timeLeftAfter.Round(time.Millisecond)
+		fmt.Println(message.Until == inv.Deadline, timeLeftBefore.Round(time.Second), exact)
 	}
 	fmt.Println("stopped:", f.Counts.Stopped)
 	// Output:
--- a/internal/workers/callback.go
+++ b/internal/workers/callback.go
@@ -26,48 +26,48 @@
 // HandleCallback applies a callback to its attempt and reports whether this process has the
 // attempt. An attempt is removed when it ends, so repeated and late callbacks find none. An attempt
 // that is not found may also have been sent by another process.
-func (t *Transport) HandleCallback(cb Callback) bool {
+func (t *Transport) HandleCallback(callback Callback) bool {
 	t.Counts.Callbacks++
-	a := t.attemptsByCallback[callbackKey{callID: cb.ID, workerUID: cb.WorkerUID}]
+	a := t.attemptsByCallback[callbackKey{callID: callback.ID, workerUID: callback.WorkerUID}]
 	if a == nil {
 		t.Counts.UnknownCallbacks++
 		return false
 	}
-	hasResult := cb.State == callbackDone && cb.Result != nil
-	if !a.written && !hasResult {
+	hasResult := callback.State == callbackDone && callback.Result != nil
+	if !a.sendStarted && !hasResult {
 		t.Counts.UnknownCallbacks++ // late, for an earlier attempt at that worker: no byte of this one has been written
 		return true
 	}
-	cb.Load = a.worker.filterReport(cb.Load, t.deployment.Report.Unknown())
-	t.applyCallback(a, cb)
+	callback.Load = a.worker.filterReport(callback.Load, t.deployment.Report.Unknown())
+	t.applyCallback(a, callback)
 	return true
 }
 
 // applyCallback reports the progress of an attempt or ends it, depending on the callback's state.
-func (t *Transport) applyCallback(a *attempt, cb Callback) {
-	switch cb.State {
+func (t *Transport) applyCallback(a *attempt, callback Callback) {
+	switch callback.State {
 	case callbackStarted, callbackRunning:
 		a.started = true
 		t.OnEvent(dispatch.AttemptProgress{
 			Invocation: a.invocation.Number,
 			Worker:     a.worker.endpoint.Worker,
 			Attempt:    a.number,
-			Started:    cb.State == callbackStarted,
-			Done:       cb.Progress,
+			Started:    callback.State == callbackStarted,
+			Done:       callback.Progress,
 		})
 	case callbackDone:
-		if cb.Result == nil {
-			t.endAttempt(a, conn.Malformed, cb.Load)
+		if callback.Result == nil {
+			t.endAttempt(a, conn.Malformed, callback.Load)
 			return
 		}
-		t.Deliver(a.invocation.Number, *cb.Result)
-		t.endAttempt(a, conn.Succeeded, cb.Load)
+		t.Deliver(a.invocation.Number, *callback.Result)
+		t.endAttempt(a, conn.Succeeded, callback.Load)
 	case callbackFailed:
-		t.endAttempt(a, conn.WorkerError, cb.Load)
+		t.endAttempt(a, conn.WorkerError, callback.Load)
 	case callbackReturned:
-		t.endAttempt(a, conn.Returned, cb.Load)
+		t.endAttempt(a, conn.Returned, callback.Load)
 	case callbackLost:
-		t.endAttempt(a, conn.Lost, cb.Load)
+		t.endAttempt(a, conn.Lost, callback.Load)
 	default:
 		t.Counts.UnknownCallbacks++
 	}
--- a/internal/workers/callback_test.go
+++ b/internal/workers/callback_test.go
@@ -12,17 +12,17 @@
 	f := newFixture(acceptedResponse, acceptedResponse)
 	f.Forward(f.newInvocation(1), 0, f.id)
 	f.runUntil(1, 1)
-	f.callBack("id1", "started")
+	f.reportState("id1", "started")
 	f.HandleCallback(Callback{ID: "id1", WorkerUID: workerUID, State: "running", Progress: 0.4})
 	f.HandleCallback(Callback{ID: "id1", WorkerUID: "s-2", State: "done", Result: new("another's")})
-	f.callBack("id9", "failed")
-	f.callBack("id1", "unheard")
+	f.reportState("id9", "failed")
+	f.reportState("id1", "unheard")
 	f.HandleCallback(Callback{ID: "id1", WorkerUID: workerUID, State: "done", Result: new("fine")})
 	f.HandleCallback(Callback{ID: "id1", WorkerUID: workerUID, State: "done", Result: new("again")})
 	f.runUntil(3, 0)
 	f.Forward(f.newInvocation(2), 0, f.id)
 	f.runUntil(1, 1)
-	f.callBack("id2", "returned")
+	f.reportState("id2", "returned")
 	f.runUntil(1, 0)
 	fmt.Println("callbacks:", f.Counts.Callbacks, "strange:", f.Counts.UnknownCallbacks,
 		"dialled:", f.Counts.Dialled, "in flight:", f.InFlight())
@@ -45,11 +45,11 @@
 	f := newFixture("", acceptedResponse)
 	f.Forward(f.newInvocation(1), 0, f.id)
 	f.runUntil(0, 1)
-	f.callBack("id1", "lost")
+	f.reportState("id1", "lost")
 	f.runUntil(1, 1) // the connection is closed, as its response does not arrive
 	f.Forward(f.newInvocation(2), 0, f.id)
 	f.runUntil(1, 1)
-	f.callBack("id2", "done")
+	f.reportState("id2", "done")
 	f.runUntil(1, 0)
 	// Output:
 	// connection 1: POST /render/7f HTTP/1.1 id1 body
@@ -64,23 +64,23 @@
 // next attempt is being dialled. It must not end the next attempt, of which no byte has been
 // written. A result counts all the same, and then the next attempt is not written.
 func Example_callbackOfEarlierAttempt() {
-	first := func(f *fixture, inv *Invocation) {
+	retryAfterReturn := func(f *fixture, inv *Invocation) {
 		f.Forward(inv, 0, f.id)
 		f.runUntil(1, 1)
-		f.callBack(inv.ID, "returned")
+		f.reportState(inv.ID, "returned")
 		f.worker().closeIdle()
 		f.runUntil(1, 1)
 		f.Forward(inv, 1, f.id)
 	}
 	f := newFixture(acceptedResponse, acceptedResponse)
-	first(f, f.newInvocation(1))
+	retryAfterReturn(f, f.newInvocation(1))
 	for _, state := range []string{"started", "returned", "failed", "lost"} {
-		f.callBack("id1", state)
+		f.reportState("id1", state)
 	}
 	f.runUntil(1, 1)
 	fmt.Println("in flight:", f.InFlight(), "strange:", f.Counts.UnknownCallbacks)
 	f = newFixture(acceptedResponse)
-	first(f, f.newInvocation(2))
+	retryAfterReturn(f, f.newInvocation(2))
 	f.HandleCallback(Callback{ID: "id2", WorkerUID: workerUID, State: "done", Result: new("fine")})
 	f.runUntil(1, 0)
 	f.runUntilTrue("no connection", func() bool { return f.quota.Used() == 0 })
@@ -108,8 +108,8 @@
 	f := newFixture(acceptedResponse, "", "")
 	f.Forward(f.newInvocation(1), 0, f.id)
 	f.runUntil(1, 1)
-	f.callBack("id1", "started")
-	f.callBack("id1", "returned")
+	f.reportState("id1", "started")
+	f.reportState("id1", "returned")
 	f.runUntil(2, 0)
 	f.Forward(f.newInvocation(2), 0, f.id) // the callback arrives before the response
 	f.runUntil(0, 1)
@@ -138,7 +138,7 @@
 			f.Forward(inv, number, f.id)
 			f.runUntil(1, 1)
 			f.worker().idle[0].idleSince -= strayResponseWindow
-			f.callBack("id1", "returned")
+			f.reportState("id1", "returned")
 			f.runUntil(1, 0)
 		}
 	}
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -85,14 +85,14 @@
 }
 
 // complete ends the exchange with its response, or with the reason why there is none.
-func (c *connection) complete(m *http1.Message, reason conn.CloseReason) {
+func (c *connection) complete(response *http1.Message, reason conn.CloseReason) {
 	x := c.detach()
 	x.timeout.Stop()
 	x.releaseDials()
-	if m != nil || reason.Written() {
+	if response != nil || reason.Written() {
 		x.notifyWritten()
 	}
-	x.onDone(m, reason)
+	x.onDone(response, reason)
 }
 
 // abort closes the connection without any further call to its exchange.
@@ -134,9 +134,9 @@
 
 // completeEarly ends the exchange with the response that arrived early.
 func (c *connection) completeEarly() {
-	m := c.earlyResponse
+	response := c.earlyResponse
 	c.earlyResponse = nil
-	c.complete(m, conn.Open)
+	c.complete(response, conn.Open)
 }
 
 // completeEarlyAndClose ends the exchange with its early response, without waiting any longer for
@@ -172,10 +172,10 @@
 // handleResponse completes the exchange with its response. If the request has not been written
 // completely, the response is held back, or discarded with the connection where a retry requires
 // proof that the attempt did not run.
-func (c *connection) handleResponse(nc *conn.Conn, m *http1.Message) {
+func (c *connection) handleResponse(nc *conn.Conn, response *http1.Message) {
 	switch {
-	case m.Close || nc.In.Len() > 0:
-		c.complete(m, conn.Open)
+	case response.Close || nc.In.Len() > 0:
+		c.complete(response, conn.Open)
 		nc.Close()
 	case nc.Unsent() > 0 && c.exchange.needsProofNotRun:
 		// A response proves nothing about a request whose last byte may still be written. Breaking
@@ -185,11 +185,11 @@
 		// Either the response has overtaken the notification that the request is written, which
 		// must arrive before the connection is reused, or the worker has responded without reading
 		// the whole request.
-		c.earlyResponse = m
+		c.earlyResponse = response
 		c.timer = c.transport.loop.After(earlyResponseTimeout, c.completeEarlyAndClose)
 	default:
 		c.putIdle()
-		c.complete(m, conn.Open)
+		c.complete(response, conn.Open)
 	}
 }
 
@@ -221,7 +221,7 @@
 	switch {
 	case x == nil:
 		c.worker.removeIdle(c)
-	case x.connection == nil && c.transport.anotherDial(c, reason):
+	case x.connection == nil && c.transport.keepDialling(c, reason):
 		c.exchange = nil
 	default:
 		c.complete(nil, reason)
--- a/internal/workers/connection_test.go
+++ b/internal/workers/connection_test.go
@@ -16,15 +16,15 @@
 // then ends in one of three ways: more bytes arrive, it breaks, or the notification never comes.
 // The exchange must end exactly once.
 func TestResponseBeforeRequestIsFlushed(t *testing.T) {
-	for name, then := range map[string]func(net.Conn){
+	for name, endConnection := range map[string]func(net.Conn){
 		"more bytes":     func(c net.Conn) { c.Write([]byte(rejectedResponse)) },
 		"it breaks":      func(c net.Conn) { c.Close() },
 		"nothing at all": func(net.Conn) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture()
-			near, far := net.Pipe() // takes no byte that is not read: the request cannot be written
-			defer far.Close()
+			local, remote := net.Pipe() // takes no byte that is not read: the request cannot be written
+			defer remote.Close()
 			var ends []string
 			c := &connection{
 				transport: f.Transport,
@@ -38,15 +38,15 @@
 					ends = append(ends, fmt.Sprint(m.Status, " ", reason))
 				},
 			}
-			c.socket = f.quota.Adopt(near, c)
+			c.socket = f.quota.Adopt(local, c)
 			c.sendRequest()
-			go func() { far.Write([]byte(rejectedResponse)) }()
+			go func() { remote.Write([]byte(rejectedResponse)) }()
 			f.runUntilTrue("the early response", func() bool { return c.earlyResponse != nil })
-			go then(far)
+			go endConnection(remote)
 			f.runUntilTrue("the end of the exchange", func() bool { return len(ends) > 0 })
-			over := false // by then a timer that was left running would have fired
-			f.loop.After(2*earlyResponseTimeout, func() { over = true })
-			f.runUntilTrue("the end of any timer", func() bool { return over })
+			timersExpired := false // by then a timer that was left running would have fired
+			f.loop.After(2*earlyResponseTimeout, func() { timersExpired = true })
+			f.runUntilTrue("the end of any timer", func() bool { return timersExpired })
 			if got := strings.Join(ends, ", "); got != "503 open" || f.quota.Used() != 0 || len(c.worker.idle) > 0 {
 				t.Error(got, "sockets:", f.quota.Used(), "idle:", len(c.worker.idle))
 			}
--- a/internal/workers/dial.go
+++ b/internal/workers/dial.go
@@ -49,10 +49,10 @@
 	})
 }
 
-// anotherDial removes a failed dial and reports whether another connection may still be established
-// for its exchange. If a failure of the local machine ended the last dial, it schedules a new one
-// after a backoff.
-func (t *Transport) anotherDial(failed *connection, reason conn.CloseReason) bool {
+// keepDialling removes a failed dial and reports whether another connection may still be
+// established for its exchange. If a failure of the local machine ended the last dial, it schedules
+// a new one after a backoff.
+func (t *Transport) keepDialling(failed *connection, reason conn.CloseReason) bool {
 	x := failed.exchange
 	x.dials = slices.DeleteFunc(x.dials, func(c *connection) bool { return c == failed })
 	switch reason {
--- a/internal/workers/dial_test.go
+++ b/internal/workers/dial_test.go
@@ -90,21 +90,21 @@
 					return
 				}
 				file := os.NewFile(uintptr(client), "accepted")
-				near, err := net.FileConn(file)
+				clientConn, err := net.FileConn(file)
 				file.Close()
 				if err != nil {
 					panic(err)
 				}
 				if first {
-					near.Close()
+					clientConn.Close()
 					continue
 				}
-				far, err := net.Dial("tcp", workerAddr)
+				workerConn, err := net.Dial("tcp", workerAddr)
 				if err != nil {
 					panic(err)
 				}
-				go func() { io.Copy(far, near); far.Close() }()
-				go func() { io.Copy(near, far); near.Close() }()
+				go func() { io.Copy(workerConn, clientConn); workerConn.Close() }()
+				go func() { io.Copy(clientConn, workerConn); clientConn.Close() }()
 			}
 		}()
 	}
@@ -129,17 +129,17 @@
 			f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) {
 				waiting.Add(1)
 				<-open
-				near, far := net.Pipe()
+				local, remote := net.Pipe()
 				go func() {
 					text := make([]byte, 64)
-					for n, err := far.Read(text); err == nil; n, err = far.Read(text) {
+					for n, err := remote.Read(text); err == nil; n, err = remote.Read(text) {
 						if bytes.HasPrefix(text[:n], []byte("POST ")) {
 							arrived.Add(1)
 						}
 					}
 				}()
 				connected.Add(1)
-				return near, nil
+				return local, nil
 			}
 			f.Forward(f.newInvocation(1), 0, f.id)
 			f.runUntilTrue("all dials to start", func() bool { return waiting.Load() == maxDials })
--- a/internal/workers/exchange.go
+++ b/internal/workers/exchange.go
@@ -16,7 +16,7 @@
 	onFirstByte, onWritten func()
 	// onDone is called once, with the response or the reason why there is none. It is not called
 	// after abort.
-	onDone func(m *http1.Message, reason conn.CloseReason)
+	onDone func(response *http1.Message, reason conn.CloseReason)
 	// needsProofNotRun is set if the response to another request must not be taken for the response
 	// to this one.
 	needsProofNotRun bool
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	workerUID = "s-1"            // UID of the fixture's worker
-	testLimit = 10 * time.Second // time after which a wait fails
+	workerUID   = "s-1"            // UID of the fixture's worker
+	testTimeout = 10 * time.Second // time after which a wait fails
 )
 
 // Responses of the fixture's worker.
@@ -180,8 +180,8 @@
 	})
 }
 
-// callBack makes the worker report a state of an invocation.
-func (f *fixture) callBack(id, state string) {
+// reportState makes the worker report a state of an invocation.
+func (f *fixture) reportState(id, state string) {
 	f.HandleCallback(Callback{ID: id, WorkerUID: workerUID, State: state})
 }
 
@@ -205,7 +205,7 @@
 // received. It prints the requests first, ordered by connection, because there is no order between
 // requests and events.
 func (f *fixture) runUntil(events, received int) {
-	limit := f.loop.After(testLimit, func() { panic("events or requests not reported in time") })
+	limit := f.loop.After(testTimeout, func() { panic("events or requests not reported in time") })
 	var requests []string
 	f.loop.Run(func() {
 		for more := true; more && len(requests) < received; {
@@ -233,11 +233,11 @@
 }
 
 // runUntilTrue runs the loop until a condition holds that no event reports.
-func (f *fixture) runUntilTrue(what string, holds func() bool) {
-	limit := f.loop.After(testLimit, func() { panic("condition not reached in time: " + what) })
+func (f *fixture) runUntilTrue(description string, condition func() bool) {
+	limit := f.loop.After(testTimeout, func() { panic("condition not reached in time: " + description) })
 	f.loop.Run(func() {
 		f.loop.After(time.Millisecond, func() {})
-		if holds() {
+		if condition() {
 			f.loop.Stop()
 		}
 	})
--- a/internal/workers/healthcheck.go
+++ b/internal/workers/healthcheck.go
@@ -32,11 +32,11 @@
 	}
 	request := http1.Request("GET", t.healthCheckPath(), w.address, nil)
 	x := &exchange{buildRequest: unconditional(request)}
-	x.onDone = func(m *http1.Message, reason conn.CloseReason) {
-		if m != nil {
-			reason = responseReason(m)
+	x.onDone = func(response *http1.Message, reason conn.CloseReason) {
+		if response != nil {
+			reason = responseReason(response)
 		}
-		report(reason, t.parseLoad(w, m))
+		report(reason, t.parseLoad(w, response))
 	}
 	if !t.startExchange(w, x) {
 		return
--- a/internal/workers/healthcheck_test.go
+++ b/internal/workers/healthcheck_test.go
@@ -11,10 +11,10 @@
 // its restart.
 func Example_blankReports() {
 	const (
-		blank = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=0"
-		some  = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=2"
+		blank    = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=0"
+		nonBlank = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=2"
 	)
-	f := newFixture(blank, some, blank, blank)
+	f := newFixture(blank, nonBlank, blank, blank)
 	for range 3 {
 		f.HealthCheck(f.id)
 		f.runUntil(1, 1)
--- a/internal/workers/migration.go
+++ b/internal/workers/migration.go
@@ -29,11 +29,11 @@
 // worker must be known to this transport.
 func (t *Transport) AdoptAttempt(inv *Invocation, number int, to dispatch.WorkerID) {
 	t.track(&attempt{
-		invocation: inv,
-		number:     number,
-		worker:     t.workersByID[to],
-		written:    true,
-		accepted:   true,
+		invocation:  inv,
+		number:      number,
+		worker:      t.workersByID[to],
+		sendStarted: true,
+		accepted:    true,
 	})
 }
 
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -113,7 +113,7 @@
 
 // shortenIdleTimeout lowers the idle timeout to half the time for which a connection had been idle
 // in the pool when it was found closed.
-func (t *Transport) shortenIdleTimeout(lasted time.Duration) {
-	t.idleLimit = min(t.idleTimeout(), max(lasted/2, minIdleTimeout/2))
+func (t *Transport) shortenIdleTimeout(idleFor time.Duration) {
+	t.idleLimit = min(t.idleTimeout(), max(idleFor/2, minIdleTimeout/2))
 	t.idleLimitSetAt = t.loop.Now()
 }
--- a/internal/workers/pool_test.go
+++ b/internal/workers/pool_test.go
@@ -79,7 +79,7 @@
 // even if the loop has not read that yet. Otherwise the request would be lost, or the rest of the
 // line would be taken for its response.
 func TestUnreadBytesOnReusedConnection(t *testing.T) {
-	for name, act := range map[string]func(*fixture){
+	for name, disturb := range map[string]func(*fixture){
 		"an end":      func(f *fixture) { f.closeFromWorker(1) },
 		"half a line": func(f *fixture) { f.writeFromWorker(1, "HTTP/1.1 20") },
 	} {
@@ -95,7 +95,7 @@
 			}
 			f.Forward(f.newInvocation(1), 0, f.id)
 			f.runUntilTrue("the first 202", func() bool { return accepted == 1 })
-			act(f) // while the loop does not run
+			disturb(f) // while the loop does not run
 			reused := f.worker().idle[0].socket
 			for end := time.Now().Add(5 * time.Second); !reused.Readable(); {
 				if time.Now().After(end) {
--- a/internal/workers/response.go
+++ b/internal/workers/response.go
@@ -18,14 +18,14 @@
 
 // responseReason classifies a response by its status: any response to a health check, or any
 // response but a 202 to an attempt.
-func responseReason(m *http1.Message) conn.CloseReason {
-	overloaded := m.Status == statusServiceUnavailable || m.Status == statusGatewayTimeout
+func responseReason(response *http1.Message) conn.CloseReason {
+	overloaded := response.Status == statusServiceUnavailable || response.Status == statusGatewayTimeout
 	switch {
-	case m.Status == statusOK:
+	case response.Status == statusOK:
 		return conn.Succeeded
-	case overloaded && m.Header.Get("X-Rejected") == "1":
+	case overloaded && response.Header.Get("X-Rejected") == "1":
 		return conn.Rejected
-	case m.Status >= statusBadRequest && m.Status < statusInternalError:
+	case response.Status >= statusBadRequest && response.Status < statusInternalError:
 		return conn.BadRequest
 	}
 	return conn.WorkerError
@@ -33,13 +33,13 @@
 
 // parseLoad returns the load report from a response's header, or else from its body. It returns nil
 // if there is none.
-func (t *Transport) parseLoad(w *worker, m *http1.Message) *dispatch.LoadReport {
-	if m == nil {
+func (t *Transport) parseLoad(w *worker, response *http1.Message) *dispatch.LoadReport {
+	if response == nil {
 		return nil
 	}
-	load := t.deployment.Report.Parse(m.Header.Get("X-Load-Report"))
+	load := t.deployment.Report.Parse(response.Header.Get("X-Load-Report"))
 	if load == nil {
-		load = t.deployment.Report.Parse(string(m.Body))
+		load = t.deployment.Report.Parse(string(response.Body))
 	}
 	return w.filterReport(load, t.deployment.Report.Unknown())
 }
--- a/internal/workers/sendcheck.go
+++ b/internal/workers/sendcheck.go
@@ -14,15 +14,15 @@
 	stoppedViolation = "violation" // the attempt would violate an invariant
 )
 
-// stop is the counter key and the close reason of an attempt that the check stops.
-type stop struct {
+// stopOutcome is the counter key and the close reason of an attempt that the check stops.
+type stopOutcome struct {
 	counter string
 	reason  conn.CloseReason
 }
 
-// stopReasons maps the checker's reasons that stem from a change since the dispatcher's decision.
+// stopOutcomes maps the checker's reasons that stem from a change since the dispatcher's decision.
 // Any other reason is a violation.
-var stopReasons = map[invariant.Reason]stop{
+var stopOutcomes = map[invariant.Reason]stopOutcome{
 	invariant.WorkerUnavailable: {counter: stoppedWorker, reason: conn.WorkerUnavailable},
 	invariant.WorkerRestarted:   {counter: stoppedWorker, reason: conn.WorkerUnavailable},
 	invariant.WorkerMoved:       {counter: stoppedWorker, reason: conn.WorkerUnavailable},
@@ -37,14 +37,14 @@
 func (t *Transport) checkSend(a *attempt, check invariant.Attempt) conn.CloseReason {
 	check.Current = a.target()
 	check.Deadline = a.invocation.Deadline
-	why := t.Invariants.CheckSend(check)
-	if why == "" {
+	checkReason := t.Invariants.CheckSend(check)
+	if checkReason == "" {
 		return conn.Open
 	}
-	s, known := stopReasons[why]
+	outcome, known := stopOutcomes[checkReason]
 	if !known {
-		s = stop{counter: stoppedViolation, reason: conn.NotSent}
+		outcome = stopOutcome{counter: stoppedViolation, reason: conn.NotSent}
 	}
-	t.Counts.Stopped[s.counter]++
-	return s.reason
+	t.Counts.Stopped[outcome.counter]++
+	return outcome.reason
 }
--- a/internal/workers/sendcheck_test.go
+++ b/internal/workers/sendcheck_test.go
@@ -13,14 +13,14 @@
 	"stoatweir/dispatch"
 )
 
-// The tests of this file pause a process or a connection at one point for so long that an attempt may
-// no longer be sent.
+// The tests of this file pause a process or a connection at one point for so long that an attempt
+// may no longer be sent.
 const (
-	// holdTime is the length of the pause.
-	holdTime = 800 * time.Millisecond
-	// boundTime is the time from the decision until the client timeout or the deduplication window
+	// pauseDuration is the length of the pause.
+	pauseDuration = 800 * time.Millisecond
+	// boundDelay is the time from the decision until the client timeout or the deduplication window
 	// ends, within the pause.
-	boundTime = 300 * time.Millisecond
+	boundDelay = 300 * time.Millisecond
 )
 
 // taskFunc is a function that can be posted to the loop as a task.
@@ -28,24 +28,25 @@
 
 func (t taskFunc) Run() { t() }
 
-// sendBounds are the bounds that may pass before a request is written.
+// sendBounds are the bounds that may pass before a request is written. setBound sets one and
+// returns the notAfter of Forward; stopCounter is the key of Counts.Stopped when it has passed.
 var sendBounds = []struct {
-	name  string
-	until func(f *fixture, inv *Invocation) time.Duration
-	why   string
+	name        string
+	setBound    func(f *fixture, inv *Invocation) time.Duration
+	stopCounter string
 }{
 	{
-		name:  "window",
-		until: func(f *fixture, _ *Invocation) time.Duration { return f.loop.Clock() + boundTime },
-		why:   stoppedWindow,
+		name:        "window",
+		setBound:    func(f *fixture, _ *Invocation) time.Duration { return f.loop.Clock() + boundDelay },
+		stopCounter: stoppedWindow,
 	},
 	{
 		name: "client timeout",
-		until: func(f *fixture, inv *Invocation) time.Duration {
-			inv.Deadline = f.loop.Clock() + boundTime
+		setBound: func(f *fixture, inv *Invocation) time.Duration {
+			inv.Deadline = f.loop.Clock() + boundDelay
 			return 0
 		},
-		why: stoppedTimeout,
+		stopCounter: stoppedTimeout,
 	},
 }
 
@@ -66,12 +67,12 @@
 			}
 			f.loop.Post(taskFunc(func() {
 				inv := f.newInvocation(2)
-				until := b.until(f, inv)
-				time.Sleep(holdTime)
+				until := b.setBound(f, inv)
+				time.Sleep(pauseDuration)
 				f.Transport.Forward(inv, 1, f.id, until)
 			}))
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
-			if outcomes[0].Result != dispatch.NotSent || f.Counts.Stopped[b.why] != 1 || len(f.requests) > 0 {
+			if outcomes[0].Result != dispatch.NotSent || f.Counts.Stopped[b.stopCounter] != 1 || len(f.requests) > 0 {
 				t.Errorf("want a stop before the send, got %+v, stopped: %v, requests: %d", outcomes[0], f.Counts.Stopped, len(f.requests))
 			}
 			f.Forward(f.newInvocation(3), 0, f.id)
@@ -102,13 +103,13 @@
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
 			f := newFixture()
-			near, far := net.Pipe()
-			f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) { return near, nil }
+			local, remote := net.Pipe()
+			f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) { return local, nil }
 			var outcomes []dispatch.Outcome
 			f.OnEvent = func(e dispatch.Event) { outcomes = append(outcomes, e.(dispatch.Outcome)) }
 			inv := f.newInvocation(1)
-			f.Transport.Forward(inv, 1, f.id, b.until(f, inv))
-			arrived := readAfter(far, holdTime)
+			f.Transport.Forward(inv, 1, f.id, b.setBound(f, inv))
+			arrived := readAfter(remote, pauseDuration)
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
 			got := <-arrived
 			if len(got) > 0 || f.quota.Used() > 0 {
@@ -124,12 +125,12 @@
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
 			f := newFixture()
-			small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+			listenConfig := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 				return raw.Control(func(fd uintptr) {
 					syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2<<10)
 				})
 			}}
-			l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
+			l, err := listenConfig.Listen(context.Background(), "tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -145,13 +146,13 @@
 			f.OnEvent = func(e dispatch.Event) { outcomes = append(outcomes, e.(dispatch.Outcome)) }
 			inv := f.newInvocation(1)
 			inv.Body = bytes.Repeat([]byte("x"), 60<<10)
-			f.Transport.Forward(inv, 1, f.id, b.until(f, inv))
-			far, err := l.Accept()
+			f.Transport.Forward(inv, 1, f.id, b.setBound(f, inv))
+			workerConn, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer far.Close()
-			arrived := readAfter(far, holdTime)
+			defer workerConn.Close()
+			arrived := readAfter(workerConn, pauseDuration)
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
 			got := <-arrived
 			if len(got) == 0 || len(got) >= len(inv.Body) {
@@ -159,8 +160,8 @@
 			}
 			// At the client timeout two events coincide: the transport stops waiting, and the
 			// connection is broken.
-			r := outcomes[0].Result
-			if r != dispatch.Unreachable && (b.why == stoppedWindow || r != dispatch.TimedOut) {
+			result := outcomes[0].Result
+			if result != dispatch.Unreachable && (b.stopCounter == stoppedWindow || result != dispatch.TimedOut) {
 				t.Errorf("unexpected outcome: %+v", outcomes[0])
 			}
 		})
@@ -170,7 +171,7 @@
 // A reused connection receives bytes during the last check before a request is sent. The request
 // must be sent over another connection, and must not take those bytes for its response.
 func TestStrayBytesDuringSendCheck(t *testing.T) {
-	for name, act := range map[string]func(*fixture){
+	for name, disturb := range map[string]func(*fixture){
 		"a rejection": func(f *fixture) { f.writeFromWorker(1, rejectedResponse) },
 		"an end":      func(f *fixture) { f.closeFromWorker(1) },
 	} {
@@ -180,11 +181,11 @@
 			f.runUntil(1, 1)
 			reused := f.worker().idle[0]
 			reused.idleSince -= strayResponseWindow
-			comes := true
+			pending := true
 			f.ClientWaiting = func(dispatch.InvocationID) bool {
-				if comes {
-					comes = false
-					act(f)
+				if pending {
+					pending = false
+					disturb(f)
 					for end := time.Now().Add(5 * time.Second); !reused.socket.Readable() && time.Now().Before(end); {
 					}
 				}
--- a/internal/workers/transport.go
+++ b/internal/workers/transport.go
@@ -30,7 +30,7 @@
 	deployment settings.Deployment
 	quota      *conn.Quota
 
-	idleLimit      time.Duration // how long the connection that last broke in the pool could be relied on
+	idleLimit      time.Duration // how long idle connections could be relied on when one last broke
 	idleLimitSetAt time.Duration // when idleLimit was set, by the loop's clock
 
 	workersByID        map[dispatch.WorkerID]*worker
