--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxCandidateShift bounds how often failed attempts double the backoff, which reaches
+// maxCandidateDoublings bounds how often failed attempts double the backoff, which reaches
 // candidateBackoffMax before that.
-const maxCandidateShift = 8
+const maxCandidateDoublings = 8
 
 // ChangeAddress moves the watch to another address of discovery. The current watch stays open until
 // a watch of the new address has received something. The watcher keeps dialling the new address by
@@ -38,15 +38,15 @@
 	if w.candidateAttempts == 1 {
 		w.OnFailure("new address: " + cause.Error())
 	}
-	backoff := min(candidateBackoffBase<<min(w.candidateAttempts, maxCandidateShift), candidateBackoffMax)
+	backoff := min(candidateBackoffBase<<min(w.candidateAttempts, maxCandidateDoublings), candidateBackoffMax)
 	w.candidateTimer = w.loop.After(w.jitter(backoff/2, backoff), w.dialCandidate)
 }
 
-// jitter returns a random duration from least up to but excluding most, or least if there is no
-// source of randomness.
-func (w *Watcher) jitter(least, most time.Duration) time.Duration {
+// jitter returns a random duration from low up to but excluding high, or low if there is no source
+// of randomness.
+func (w *Watcher) jitter(low, high time.Duration) time.Duration {
 	if w.Rand == nil {
-		return least
+		return low
 	}
-	return least + time.Duration(w.Rand.Int64N(int64(most-least)))
+	return low + time.Duration(w.Rand.Int64N(int64(high-low)))
 }
--- a/internal/discovery/budget.go
+++ b/internal/discovery/budget.go
@@ -53,8 +53,8 @@
 	candidateTimeout = 1500 * time.Millisecond
 )
 
-// maxFailureShift bounds how often consecutive failures double the timeout for the first list.
-const maxFailureShift = 2
+// maxTimeoutDoublings bounds how often consecutive failures double the timeout for the first list.
+const maxTimeoutDoublings = 2
 
 // listTimeout returns the timeout for the first list of the next request. While there is no watch,
 // requests are admitted by the list known so far for as long as PollWithin, and for four times as
@@ -65,6 +65,6 @@
 	if w.PollWithin == 0 {
 		return firstListTimeout
 	}
-	share := w.PollWithin / 2 << min(w.failures, maxFailureShift)
-	return min(firstListTimeout, max(share, minListTimeout))
+	timeout := w.PollWithin / 2 << min(w.consecutiveFailures, maxTimeoutDoublings)
+	return min(firstListTimeout, max(timeout, minListTimeout))
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,8 +1,8 @@
 // Package discovery follows the list of worker endpoints that the discovery service publishes.
 //
-// A Watcher maintains one long-lived request, the watch, over which discovery streams the whole list,
-// each change of it, and blank lines as keep-alives. The watcher reports updates and failures; its
-// owner decides when to start another watch after a failure.
+// A Watcher maintains one long-lived request, the watch, over which discovery streams the whole
+// list, each change of it, and blank lines as keep-alives. The watcher reports updates and failures;
+// its owner decides when to start another watch after a failure.
 //
 //   - watcher.go: the Watcher and the transitions between its watches
 //   - watch.go: one watch, from the dial to its close
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -49,15 +49,15 @@
 		if entry.UID == "" {
 			continue
 		}
-		update.Workers = append(update.Workers, w.workerOf(entry))
+		update.Workers = append(update.Workers, w.decodeWorker(entry))
 	}
 	w.revision = list.Revision
 	return update, nil
 }
 
-// workerOf decodes one entry. It never fails, because one malformed entry must not invalidate the
-// update of all others.
-func (w *Watcher) workerOf(entry target) Worker {
+// decodeWorker decodes one entry. It never fails, because one malformed entry must not invalidate
+// the update of all others.
+func (w *Watcher) decodeWorker(entry target) Worker {
 	state, known := stateByName[entry.State]
 	if !known {
 		state = dispatch.Draining // an unknown state does not say that the worker is ready
--- a/internal/discovery/parse_bench_test.go
+++ b/internal/discovery/parse_bench_test.go
@@ -13,9 +13,9 @@
 // Benchmarks for the figures of docs/CAPACITY.md on the endpoint list: the cost of reading a list by
 // its number of entries, and the memory that is kept for workers that are gone.
 
-// entries returns the JSON of n consecutive entries of a list, the first of which has the number
-// from.
-func entries(from, n int, state string) string {
+// entriesJSON returns the JSON of n consecutive entries of a list, the first of which has the
+// number from.
+func entriesJSON(from, n int, state string) string {
 	all := make([]string, n)
 	for i := range all {
 		at := from + i
@@ -25,15 +25,15 @@
 	return strings.Join(all, ",")
 }
 
-// listOf returns the JSON of a list or a change with n entries.
-func listOf(rev, from, n int, full bool, state string) []byte {
-	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, full, entries(from, n, state))
+// listJSON returns the JSON of a list or a change with n entries.
+func listJSON(rev, from, n int, full bool, state string) []byte {
+	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, full, entriesJSON(from, n, state))
 }
 
-// watcherWith returns a watcher that has parsed a list of n workers.
-func watcherWith(b *testing.B, n int) *Watcher {
+// newWatcherWith returns a watcher that has parsed a list of n workers.
+func newWatcherWith(b *testing.B, n int) *Watcher {
 	w := New(conn.NewLoop(time.Now()), "127.0.0.1:1", nil, nil, time.Now())
-	if _, err := w.Parse(listOf(1, 0, n, true, "Ready")); err != nil {
+	if _, err := w.Parse(listJSON(1, 0, n, true, "Ready")); err != nil {
 		b.Fatal(err)
 	}
 	return w
@@ -44,7 +44,7 @@
 func BenchmarkListWhole(b *testing.B) {
 	for _, n := range []int{60, 240, 950, 1900, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w, text := watcherWith(b, n), listOf(2, 0, n, true, "Ready")
+			w, text := newWatcherWith(b, n), listJSON(2, 0, n, true, "Ready")
 			b.ResetTimer()
 			for b.Loop() {
 				var v valueScanner
@@ -66,9 +66,9 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{60, 950, 1900, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := watcherWith(b, n)
-			text := fmt.Appendf(nil, `{"rev":3,"all":false,"targets":[%s,%s,%s]}`, entries(0, 1, "Terminating"), entries(1, 1, "Gone"),
-				entries(n, 1, "Ready"))
+			w := newWatcherWith(b, n)
+			text := fmt.Appendf(nil, `{"rev":3,"all":false,"targets":[%s,%s,%s]}`, entriesJSON(0, 1, "Terminating"), entriesJSON(1, 1, "Gone"),
+				entriesJSON(n, 1, "Ready"))
 			for b.Loop() {
 				if _, err := w.Parse(text); err != nil {
 					b.Fatal(err)
@@ -86,12 +86,12 @@
 	for _, replaced := range []int{950, 9500, 19000, 38000} {
 		b.Run(fmt.Sprint(replaced), func(b *testing.B) {
 			for b.Loop() {
-				w, before := watcherWith(b, workers), heapInUse()
+				w, before := newWatcherWith(b, workers), heapInUse()
 				for n := range replaced {
-					if _, err := w.Parse(listOf(2+n, n, 1, false, "Gone")); err != nil {
+					if _, err := w.Parse(listJSON(2+n, n, 1, false, "Gone")); err != nil {
 						b.Fatal(err)
 					}
-					if _, err := w.Parse(listOf(2+n, workers+n, 1, false, "Ready")); err != nil {
+					if _, err := w.Parse(listJSON(2+n, workers+n, 1, false, "Ready")); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -18,7 +18,7 @@
 		`{"REV":7,"ALL":true,"TARGETS":[{"Uid":"s-1","ENDPOINT":"127.0.0.1:1","Az":"site-b","MODEL":"fast","STATE":"Ready",` +
 			`"POD_GROUP":3,"BOOT_MS":1700000000000}]}`,
 	} {
-		_, w := watcher("")
+		_, w := newTestWatcher("")
 		list, err := w.Parse([]byte(text))
 		if err != nil {
 			t.Fatal(text, err)
@@ -37,7 +37,7 @@
 // A value of the wrong type makes the whole list invalid.
 func TestParseRejectsWrongTypes(t *testing.T) {
 	for _, text := range []string{`{"rev":"7"}`, `{"all":1}`, `{"targets":[{"uid":5}]}`, `{"targets":[{"boot_ms":"soon"}]}`} {
-		_, w := watcher("")
+		_, w := newTestWatcher("")
 		_, err := w.Parse([]byte(text))
 		if _, wrong := err.(*json.UnmarshalTypeError); !wrong {
 			t.Errorf("%s: want an UnmarshalTypeError, got %v", text, err)
--- a/internal/discovery/starts.go
+++ b/internal/discovery/starts.go
@@ -14,13 +14,13 @@
 // that is new does not precede the last receipt by more than updateDeadline, within which all
 // changes are reported.
 type startTimes struct {
-	clock      func() time.Duration
-	wallClock  func() time.Time
-	epoch      time.Time                // zero of the loop's clock, by the wall clock after its last step
-	steppedAt  time.Duration            // when a step was last seen
-	steps      int                      // number of steps seen
-	receivedAt time.Duration            // when a watch last received a list or a keep-alive; 0: never
-	lastStarts map[string]recordedStart // by UID
+	clock          func() time.Duration     // time of the loop's clock
+	wallClock      func() time.Time         // may be stepped
+	epoch          time.Time                // zero of the loop's clock, by the wall clock after its last step
+	steppedAt      time.Duration            // when a step was last seen
+	clockSteps     int                      // number of steps seen
+	lastReceivedAt time.Duration            // when a watch last received a list or a keep-alive; 0: never
+	lastStarts     map[string]recordedStart // by UID
 }
 
 // recordedStart is the last reported start of a worker.
@@ -46,13 +46,13 @@
 	if step := epoch.Sub(s.epoch); step.Abs() >= minClockStep {
 		s.epoch = epoch
 		s.steppedAt = now
-		s.steps++
+		s.clockSteps++
 	}
 	return now
 }
 
 // recordReceived records that a watch has received a list or a keep-alive.
-func (s *startTimes) recordReceived() { s.receivedAt = s.observeClocks() }
+func (s *startTimes) recordReceived() { s.lastReceivedAt = s.observeClocks() }
 
 // startedAt returns the start of a worker by the loop's clock; bootMS is the start by the wall
 // clock, in ms since 1970. A new start of a worker is later than its previous one.
@@ -63,7 +63,7 @@
 	}
 	now := s.observeClocks()
 	startedAt := time.UnixMilli(int64(bootMS)).Sub(s.epoch)
-	if startedAt > now || s.stepSuspected(startedAt, now) {
+	if startedAt > now || s.clockStepSuspected(startedAt, now) {
 		startedAt = now // the latest possible start: at worst the worker warms up once more
 	}
 	if reported {
@@ -73,11 +73,11 @@
 	return startedAt
 }
 
-// stepSuspected reports whether the wall clock may have been stepped between a new start and its
-// report. Before the first receipt no start is known to be new.
-func (s *startTimes) stepSuspected(startedAt, now time.Duration) bool {
-	if s.steps > 0 && now < s.steppedAt+updateDeadline {
+// clockStepSuspected reports whether the wall clock may have been stepped between a new start and
+// its report. Before the first receipt no start is known to be new.
+func (s *startTimes) clockStepSuspected(startedAt, now time.Duration) bool {
+	if s.clockSteps > 0 && now < s.steppedAt+updateDeadline {
 		return true
 	}
-	return s.receivedAt > 0 && startedAt < s.receivedAt-updateDeadline
+	return s.lastReceivedAt > 0 && startedAt < s.lastReceivedAt-updateDeadline
 }
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -8,26 +8,26 @@
 	"stoatweir/internal/conn"
 )
 
-// steppedClock is a watcher on a machine whose wall clock the test steps. The loop's clock is not
-// affected.
-type steppedClock struct {
+// steppedClockWatcher is a watcher on a machine whose wall clock the test steps. The loop's clock
+// is not affected.
+type steppedClockWatcher struct {
 	*Watcher
 	t    *testing.T
 	step time.Duration // by which the wall clock is ahead of the true time
 	rev  int
 }
 
-func newSteppedClock(t *testing.T) *steppedClock {
+func newSteppedClockWatcher(t *testing.T) *steppedClockWatcher {
 	start := time.Now()
-	s := &steppedClock{t: t, Watcher: New(conn.NewLoop(start), "127.0.0.1:1", nil, nil, start)}
+	s := &steppedClockWatcher{t: t, Watcher: New(conn.NewLoop(start), "127.0.0.1:1", nil, nil, start)}
 	s.WallClock = func() time.Time { return time.Now().Add(s.step) }
-	s.report(true, 0)
+	s.parseReport(true, 0)
 	return s
 }
 
-// report parses a list with the one worker, whose last start is given by the wall clock at that
-// time, and returns the start by the loop's clock.
-func (s *steppedClock) report(full bool, bootMS int64) time.Duration {
+// parseReport parses a list with the one worker, whose last start is given by the wall clock at
+// that time, and returns the start by the loop's clock.
+func (s *steppedClockWatcher) parseReport(full bool, bootMS int64) time.Duration {
 	s.t.Helper()
 	s.rev++
 	const template = `{"rev":%d,"all":%v,"targets":[{"uid":"s-1","endpoint":"10.0.0.1:1","state":"Ready","boot_ms":%d}]}`
@@ -40,21 +40,21 @@
 }
 
 // restart reports that the worker starts now.
-func (s *steppedClock) restart() time.Duration {
+func (s *steppedClockWatcher) restart() time.Duration {
 	s.t.Helper()
-	return s.report(false, s.WallClock().UnixMilli())
+	return s.parseReport(false, s.WallClock().UnixMilli())
 }
 
-// startSlack is the largest age at which a start counts as recent.
-const startSlack = 500 * time.Millisecond
+// recentStartAge is the largest age at which a start counts as recent.
+const recentStartAge = 500 * time.Millisecond
 
 // A start that has just happened is recent, whatever steps the wall clock made before.
 func TestStartIsRecentAfterClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, -time.Hour, time.Hour, -5 * time.Second, 5 * time.Second} {
-		s := newSteppedClock(t)
+		s := newSteppedClockWatcher(t)
 		s.step = step
 		at, now := s.restart(), s.loop.Clock()
-		if at > now || at < now-startSlack {
+		if at > now || at < now-recentStartAge {
 			t.Errorf("clock stepped by %v: started %v ago", step, now-at)
 		}
 	}
@@ -63,7 +63,7 @@
 // A later start stays later, even if the wall clock is stepped back between the two.
 func TestLaterStartStaysLaterAfterClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour, -3 * time.Second} {
-		s := newSteppedClock(t)
+		s := newSteppedClockWatcher(t)
 		first := s.restart()
 		s.step = step
 		time.Sleep(5 * time.Millisecond)
@@ -75,12 +75,12 @@
 
 // A start that is reported again keeps its time, whatever steps the wall clock has made since.
 func TestSameStartIsStableAfterClockStep(t *testing.T) {
-	s := newSteppedClock(t)
+	s := newSteppedClockWatcher(t)
 	boot := s.WallClock().UnixMilli()
-	first := s.report(false, boot)
+	first := s.parseReport(false, boot)
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		s.step = step
-		if again := s.report(true, boot); again != first {
+		if again := s.parseReport(true, boot); again != first {
 			t.Errorf("clock stepped by %v: start at %v, was at %v", step, again, first)
 		}
 	}
@@ -91,11 +91,11 @@
 // is.
 func TestClockStepBetweenStartAndReport(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour, -2 * time.Second, 20 * time.Second} {
-		s := newSteppedClock(t)
+		s := newSteppedClockWatcher(t)
 		boot := s.WallClock().UnixMilli()
 		s.step = step
-		at, now := s.report(false, boot), s.loop.Clock()
-		if at > now || at < now-startSlack {
+		at, now := s.parseReport(false, boot), s.loop.Clock()
+		if at > now || at < now-recentStartAge {
 			t.Errorf("clock stepped by %v: started %v ago", step, now-at)
 		}
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -60,16 +60,16 @@
 // arrives.
 func (w *watch) extendTimeout() {
 	if w.established {
-		w.setTimeout(idleTimeout, w.timedOut)
+		w.setTimeout(idleTimeout, w.onTimeout)
 	}
 }
 
-func (w *watch) timedOut() {
+func (w *watch) onTimeout() {
 	w.watcher.lastTimedOut = w.established
 	w.watcher.watchFailed(w, errTimedOut)
 }
 
-func (w *watch) overdueTimedOut() { w.watcher.watchFailed(w, errTimedOut) }
+func (w *watch) onOverdueTimeout() { w.watcher.watchFailed(w, errTimedOut) }
 
 // Connected sends the request.
 func (w *watch) Connected(c *conn.Conn) {
@@ -94,7 +94,7 @@
 	for c == w.conn && c.In.Len() > 0 {
 		used, step, err := w.parser.Feed(c.In.Bytes())
 		if err == nil {
-			err = w.parsed(step)
+			err = w.handleStep(step)
 		}
 		if err != nil {
 			w.watcher.watchFailed(w, err)
@@ -106,23 +106,24 @@
 	}
 }
 
-// parsed handles one step of the parser through the response.
-func (w *watch) parsed(step http1.Step) error {
+// handleStep handles one step of the parser through the response.
+func (w *watch) handleStep(step http1.Step) error {
 	switch step {
 	case http1.Head:
 		if status := w.parser.Message.Status; status != http1.StatusOK {
 			return fmt.Errorf("status %d", status)
 		}
 	case http1.Piece:
-		return w.consume(w.parser.Piece)
+		return w.consumeBody(w.parser.Piece)
 	case http1.Whole:
 		return errResponseEnded
 	}
 	return nil
 }
 
-// consume scans a piece of the response body and handles each list and keep-alive that ends in it.
-func (w *watch) consume(piece []byte) error {
+// consumeBody scans a piece of the response body and handles each list and keep-alive that ends in
+// it.
+func (w *watch) consumeBody(piece []byte) error {
 	for w.conn != nil && len(piece) > 0 {
 		used, result := w.scanner.feed(piece)
 		piece = piece[used:]
@@ -152,8 +153,8 @@
 	owner := w.watcher
 	owner.startTimes.recordReceived()
 	w.extendTimeout()
-	replaces := w == owner.current || w == owner.overdue || owner.current == nil
-	if !w.established && replaces {
+	mayReplaceCurrent := w == owner.current || w == owner.overdue || owner.current == nil
+	if !w.established && mayReplaceCurrent {
 		owner.watchReceived(w, Update{Kind: dispatch.DeltaUpdate})
 	}
 }
@@ -162,15 +163,15 @@
 // sender knows less than this scheduler, and its changes could bring back a worker that is gone.
 func (w *watch) receiveList() error {
 	owner := w.watcher
-	before := owner.revision
+	previousRevision := owner.revision
 	update, err := owner.Parse(w.scanner.text)
 	w.scanner.text = w.scanner.text[:0]
 	if err != nil {
 		return err
 	}
 	owner.startTimes.recordReceived() // after Parse, which bounds new starts by the time of the previous receipt
-	if w != owner.candidate && update.Kind == dispatch.DeltaUpdate && owner.revision < before {
-		return fmt.Errorf("revision went back from %d to %d", before, owner.revision)
+	if w != owner.candidate && update.Kind == dispatch.DeltaUpdate && owner.revision < previousRevision {
+		return fmt.Errorf("revision went back from %d to %d", previousRevision, owner.revision)
 	}
 	owner.watchReceived(w, update)
 	return nil
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -35,12 +35,12 @@
 		}
 		return strings.Join(seen, " ")
 	}
-	whole, same := read(text), true
+	want, sameWhenCut := read(text), true
 	for at := range text {
-		same = same && read(text[:at], text[at:]) == whole
+		sameWhenCut = sameWhenCut && read(text[:at], text[at:]) == want
 	}
-	fmt.Println(whole)
-	fmt.Println("cut anywhere the same:", same, read(strings.Split(text, "")...) == whole)
+	fmt.Println(want)
+	fmt.Println("cut anywhere the same:", sameWhenCut, read(strings.Split(text, "")...) == want)
 	// Output:
 	// - "{\"a\":\"}{\\\"\\\\\",\"b\":[1,{}]}" - - "{\"c\":[{\"d\":1}]}" - "oh" "{}" "{}"
 	// cut anywhere the same: true true
@@ -48,11 +48,11 @@
 
 // An indented list is read, even if a blank line follows it.
 func Example_indentedList() {
-	addr, stop := serve("discovery", "{\n  \"rev\": 4,\n  \"all\": true,\n"+
+	addr, stop := startDiscovery("discovery", "{\n  \"rev\": 4,\n  \"all\": true,\n"+
 		"  \"targets\": [\n    {\"uid\": \"s-1\",\n     \"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n")
 	defer stop()
-	loop, w := watcher(addr)
-	w.OnUpdate = func(l Update) { show(l); loop.Stop() }
+	loop, w := newTestWatcher(addr)
+	w.OnUpdate = func(l Update) { printUpdate(l); loop.Stop() }
 	w.Watch()
 	loop.After(10*time.Second, func() { panic("the watch hangs") })
 	loop.Run(func() {})
@@ -94,7 +94,7 @@
 					}()
 				}
 			}()
-			loop, w := watcher(l.Addr().String())
+			loop, w := newTestWatcher(l.Addr().String())
 			why := ""
 			began := time.Now()
 			w.OnFailure = func(s string) { why = s }
@@ -133,10 +133,10 @@
 			}
 		}
 	}()
-	loop, w := watcher(l.Addr().String())
+	loop, w := newTestWatcher(l.Addr().String())
 	var receivedAt time.Duration
 	w.OnUpdate = func(list Update) {
-		show(list)
+		printUpdate(list)
 		switch {
 		case list.Kind == dispatch.WatchFailed:
 			loop.After(375*time.Millisecond, w.Watch) // the dispatcher's longest first backoff
@@ -168,7 +168,7 @@
 func TestOverdueRequestIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const responseTime = 8 * time.Second
-		loop, w := watcher("127.0.0.1:1")
+		loop, w := newTestWatcher("127.0.0.1:1")
 		open := 0
 		mostOpen := 0
 		total := 0
@@ -216,7 +216,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if receivedAt != responseTime || mostOpen > 2 || open != 0 || w.overdue != nil {
-			t.Errorf("the list arrived after %v, at most %d requests were open at once, %d in all, %d are left open", receivedAt, mostOpen, total, open)
+			t.Errorf("the list arrived after %v, at most %d requests were open, %d in all, %d are left", receivedAt, mostOpen, total, open)
 		}
 	})
 }
@@ -237,10 +237,10 @@
             "boot_ms": %d
         }`, n, n>>8, n&255, n%3, n/40, 1_790_000_000_000+n))
 	}
-	addr, stop := serve("discovery", "{\n    \"rev\": 4,\n    \"all\": true,\n    \"targets\": [\n        "+
+	addr, stop := startDiscovery("discovery", "{\n    \"rev\": 4,\n    \"all\": true,\n    \"targets\": [\n        "+
 		strings.Join(targets, ",\n        ")+"\n    ]\n}\n")
 	defer stop()
-	loop, w := watcher(addr)
+	loop, w := newTestWatcher(addr)
 	got := 0
 	w.OnUpdate = func(l Update) { got = len(l.Workers); loop.Stop() }
 	w.Watch()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -26,7 +26,7 @@
 	OnUpdate func(Update)
 	// OnFailure is called, before OnUpdate, with the cause of a failure as text for the log. After
 	// a change of the address it is also called once if the new address cannot be reached.
-	OnFailure func(why string)
+	OnFailure func(cause string)
 	// PollWithin is the time that the settings allow for polling the list; 0 means that changes are
 	// pushed.
 	PollWithin time.Duration
@@ -47,11 +47,11 @@
 	startTimes *startTimes
 	revision   uint64 // of the last list or change
 
-	addr         string // for the next request
-	current      *watch // nil: none
-	overdue      *watch // timed out before its first list and may still be served, besides the current one; nil: none
-	lastTimedOut bool   // the last watch to time out was established
-	failures     int    // number of consecutive failures of watches since anything was received
+	addr                string // for the next request
+	current             *watch // nil: none
+	overdue             *watch // timed out before its first list and may still be served, besides the current one; nil: none
+	lastTimedOut        bool   // the last watch to time out was established
+	consecutiveFailures int    // number of consecutive failures of watches since anything was received
 
 	changingAddress   bool
 	candidate         *watch // watch of the new address until it is established; nil: none
@@ -90,7 +90,7 @@
 func (w *Watcher) Zones() []string { return w.zones.names() }
 
 // ClockSteps returns the number of steps of the wall clock that were seen.
-func (w *Watcher) ClockSteps() int { return w.startTimes.steps }
+func (w *Watcher) ClockSteps() int { return w.startTimes.clockSteps }
 
 // Established reports whether the current watch has received a whole list or a keep-alive.
 func (w *Watcher) Established() bool { return w.current != nil && w.current.established }
@@ -124,16 +124,16 @@
 		parser:   http1.Parser{ReadsResponses: true, Stream: true},
 	}
 	opened.conn = w.quota.Dial(w.addr, connectTimeout, opened)
-	opened.setTimeout(timeout, opened.timedOut)
+	opened.setTimeout(timeout, opened.onTimeout)
 	return opened
 }
 
 // watchFailed closes a watch that has failed, or keeps it as the overdue one, and handles the
 // failure according to the role of the watch.
 func (w *Watcher) watchFailed(failed *watch, cause error) {
-	if w.worthKeeping(failed, cause) {
+	if w.shouldKeepOverdue(failed, cause) {
 		w.overdue = failed
-		failed.setTimeout(overdueTimeout, failed.overdueTimedOut)
+		failed.setTimeout(overdueTimeout, failed.onOverdueTimeout)
 	} else {
 		failed.close()
 	}
@@ -147,16 +147,16 @@
 		w.current = nil // expected: its address is being replaced, and the next one is being dialled
 	case failed == w.current:
 		w.current = nil
-		w.failures++
+		w.consecutiveFailures++
 		w.OnFailure(cause.Error())
 		w.OnUpdate(Update{Kind: dispatch.WatchFailed})
 	}
 }
 
-// worthKeeping reports whether a request that has timed out may stay open while the next one waits
-// too. Discovery serves requests one after another. If that takes longer than one request's
+// shouldKeepOverdue reports whether a request that has timed out may stay open while the next one
+// waits too. Discovery serves requests one after another. If that takes longer than one request's
 // timeout, no request would ever be served; the oldest is the closest to being served.
-func (w *Watcher) worthKeeping(failed *watch, cause error) bool {
+func (w *Watcher) shouldKeepOverdue(failed *watch, cause error) bool {
 	return errors.Is(cause, errTimedOut) &&
 		failed == w.current && !failed.established && failed.conn.Established() &&
 		!w.changingAddress && w.overdue == nil
@@ -177,7 +177,7 @@
 		w.overdue.close()
 	}
 	w.overdue = nil
-	w.failures = 0
+	w.consecutiveFailures = 0
 	from.established = true
 	from.extendTimeout()
 	w.OnUpdate(update)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -11,18 +11,18 @@
 	"stoatweir/internal/conn"
 )
 
-// watcher returns a loop and a watcher that prints its updates and failures.
-func watcher(addr string) (*conn.Loop, *Watcher) {
+// newTestWatcher returns a loop and a watcher that prints its updates and failures.
+func newTestWatcher(addr string) (*conn.Loop, *Watcher) {
 	start := time.Now()
 	loop := conn.NewLoop(start)
 	w := New(loop, addr, []string{"site-a", "site-b"}, []string{"fast"}, start)
-	w.OnUpdate = func(l Update) { show(l) }
+	w.OnUpdate = func(l Update) { printUpdate(l) }
 	w.OnFailure = func(why string) { fmt.Println("failed:", why) }
 	return loop, w
 }
 
-// show prints an update.
-func show(l Update) {
+// printUpdate prints an update.
+func printUpdate(l Update) {
 	fmt.Printf("update %d:", l.Kind)
 	for _, w := range l.Workers {
 		fmt.Printf(" [%s %s zone %d kind %d cell %d state %d restarted %v]", w.UID, w.Worker, w.Zone, w.Kind, w.Cell,
@@ -34,7 +34,7 @@
 // A worker keeps its ID when its address changes, and the next worker at that address gets a
 // different ID.
 func Example_workerIDs() {
-	_, w := watcher("")
+	_, w := newTestWatcher("")
 	for _, line := range []string{
 		`{"rev":7,"all":true,"targets":[
 			{"uid":"s-1","endpoint":"127.0.0.1:1","az":"site-b","model":"fast","pod_group":3,"state":"Ready","boot_ms":0}]}`,
@@ -48,7 +48,7 @@
 		if err != nil {
 			fmt.Println(err)
 		}
-		show(l)
+		printUpdate(l)
 	}
 	_, err := w.Parse([]byte(`{"rev":"x"`))
 	fmt.Println(err, w.revision)
@@ -88,10 +88,10 @@
 			}
 		}
 	}()
-	loop, w := watcher(l.Addr().String())
+	loop, w := newTestWatcher(l.Addr().String())
 	failures := 0
 	w.OnUpdate = func(list Update) {
-		show(list)
+		printUpdate(list)
 		if list.Kind != dispatch.WatchFailed {
 			return
 		}
@@ -127,13 +127,13 @@
 // A change to an older revision than the known one is rejected. The next watch requests the whole
 // list, which may have any revision.
 func Example_olderRevisionRejected() {
-	addr, stop := serve("discovery", `{"rev":9,"all":true,"targets":[]}`,
+	addr, stop := startDiscovery("discovery", `{"rev":9,"all":true,"targets":[]}`,
 		`{"rev":4,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9001","az":"a","state":"Ready"}]}`)
 	defer stop()
-	loop, w := watcher(addr)
+	loop, w := newTestWatcher(addr)
 	failures := 0
 	w.OnUpdate = func(list Update) {
-		show(list)
+		printUpdate(list)
 		if list.Kind != dispatch.WatchFailed {
 			return
 		}
@@ -166,9 +166,9 @@
 		panic(err)
 	}
 	defer l.Close()
-	loop, w := watcher(l.Addr().String())
+	loop, w := newTestWatcher(l.Addr().String())
 	began := time.Now()
-	w.OnUpdate = func(list Update) { show(list); loop.Stop() }
+	w.OnUpdate = func(list Update) { printUpdate(list); loop.Stop() }
 	w.Watch()
 	loop.Run(func() {})
 	took := time.Since(began)
@@ -179,9 +179,9 @@
 	// true true true
 }
 
-// serve starts a discovery service that sends lines to each client. It prints each request that it
-// receives, after its name.
-func serve(name string, lines ...string) (addr string, stop func()) {
+// startDiscovery starts a discovery service that sends lines to each client. It prints each request
+// that it receives, after its name.
+func startDiscovery(name string, lines ...string) (addr string, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -215,17 +215,17 @@
 // end of the old watch is not reported as a failure; the end of the new one is.
 func Example_changeAddress() {
 	const list = `{"rev":%d,"all":true,"targets":[{"uid":"%s","endpoint":"127.0.0.1:1","state":"Ready"}]}`
-	first, closeFirst := serve("first", fmt.Sprintf(list, 41, "s-1"))
-	second, closeSecond := serve("second", fmt.Sprintf(list, 7, "s-2"))
-	dead, closeDead := serve("dead")
-	closeDead()
-	loop, w := watcher(first)
+	first, closeFirst := startDiscovery("first", fmt.Sprintf(list, 41, "s-1"))
+	second, closeSecond := startDiscovery("second", fmt.Sprintf(list, 7, "s-2"))
+	unreachable, closeUnreachable := startDiscovery("dead")
+	closeUnreachable()
+	loop, w := newTestWatcher(first)
 	updates := 0
 	w.OnUpdate = func(l Update) {
-		show(l)
+		printUpdate(l)
 		updates++
 	}
-	until := func(done func() bool) {
+	runUntil := func(done func() bool) {
 		deadline := loop.After(10*time.Second, func() { panic("condition not reached in time") })
 		loop.Run(func() {
 			loop.After(time.Millisecond, func() {})
@@ -236,23 +236,23 @@
 		deadline.Stop()
 	}
 	w.Watch()
-	until(func() bool { return updates == 1 })
-	w.ChangeAddress(dead)
-	until(func() bool { return w.candidateAttempts == 2 })
+	runUntil(func() bool { return updates == 1 })
+	w.ChangeAddress(unreachable)
+	runUntil(func() bool { return w.candidateAttempts == 2 })
 	w.ChangeAddress(first) // changes back to the address of the current watch
 	fmt.Println("changing:", w.changingAddress)
-	w.ChangeAddress(dead)
-	until(func() bool { return w.candidateAttempts == 1 })
+	w.ChangeAddress(unreachable)
+	runUntil(func() bool { return w.candidateAttempts == 1 })
 	closeFirst()
-	until(func() bool { return w.current == nil })
+	runUntil(func() bool { return w.current == nil })
 	w.Watch() // has no effect while the address changes
 	fmt.Println("changing:", w.changingAddress, "updates:", updates)
 	w.ChangeAddress(second)
 	w.ChangeAddress(second)
-	until(func() bool { return updates == 2 })
+	runUntil(func() bool { return updates == 2 })
 	fmt.Println("changing:", w.changingAddress, "revision:", w.revision)
 	closeSecond()
-	until(func() bool { return updates == 3 })
+	runUntil(func() bool { return updates == 3 })
 	// Output:
 	// first receives: GET /api/targets?stream=1&index=0 HTTP/1.1
 	// update 2: [s-1 127.0.0.1:1 zone 2 kind 1 cell 0 state 1 restarted false]
