--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -17,7 +17,7 @@
 // Run validates the datagram and passes its entries to OnReceive.
 func (d receivedDatagram) Run() {
 	t := d.transport
-	t.inLoop.Add(-1)
+	t.pendingInLoop.Add(-1)
 	if received, ok := t.validate(d.from, d.payload, t.loop.Now()); ok {
 		t.Counts.Received.Add(1)
 		t.OnReceive(received)
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -36,16 +36,16 @@
 	// before the loop runs.
 	OnReceive func(dispatch.GossipReceived)
 
-	loop       *conn.Loop
-	addrs      []netip.AddrPort       // of all schedulers, by their numbers
-	self       int                    // number of this scheduler
-	epoch      uint64                 // start of this process by the wall clock, ns since 1970
-	sequence   uint32                 // of the last datagram sent
-	windows    map[int]sequenceWindow // by the sender's number
-	queueLimit int                    // capacity of the queue in each direction, in datagrams
-	outbox     chan outgoingDatagram
-	inLoop     atomic.Int32 // datagrams that were passed to the loop and not processed yet
-	closed     chan struct{}
+	loop          *conn.Loop
+	addrs         []netip.AddrPort       // of all schedulers, by their numbers
+	self          int                    // number of this scheduler
+	epoch         uint64                 // start of this process by the wall clock, ns since 1970
+	sequence      uint32                 // of the last datagram sent
+	windows       map[int]sequenceWindow // by the sender's number
+	queueLimit    int                    // capacity of the queue in each direction, in datagrams
+	outbox        chan outgoingDatagram
+	pendingInLoop atomic.Int32 // datagrams that were passed to the loop and not processed yet
+	closed        chan struct{}
 }
 
 // outgoingDatagram is a datagram that waits to be written.
@@ -55,11 +55,11 @@
 }
 
 // Open returns a transport that starts to listen at addrs[self] and retries while that address is
-// in use. If the first attempt fails, failed is called once, in another goroutine. started is the
-// start of this process by the wall clock, by which others recognise a restart.
-func Open(loop *conn.Loop, addrs []netip.AddrPort, self int, started time.Time, failed func(error)) *Transport {
+// in use. If the first attempt fails, onBindError is called once, in another goroutine. started is
+// the start of this process by the wall clock, by which others recognise a restart.
+func Open(loop *conn.Loop, addrs []netip.AddrPort, self int, started time.Time, onBindError func(error)) *Transport {
 	t := newTransport(loop, addrs, self, uint64(started.UnixNano()))
-	go t.serve(failed)
+	go t.serve(onBindError)
 	return t
 }
 
@@ -111,8 +111,8 @@
 }
 
 // serve binds the socket. This goroutine then writes and another one reads, until Close.
-func (t *Transport) serve(failed func(error)) {
-	socket := t.listen(failed)
+func (t *Transport) serve(onBindError func(error)) {
+	socket := t.listen(onBindError)
 	if socket == nil {
 		return
 	}
@@ -123,7 +123,7 @@
 
 // listen binds this scheduler's address. It returns nil if the transport is closed before the
 // address is free.
-func (t *Transport) listen(failed func(error)) *net.UDPConn {
+func (t *Transport) listen(onBindError func(error)) *net.UDPConn {
 	local := net.UDPAddrFromAddrPort(t.addrs[t.self])
 	for attempt := 1; ; attempt++ {
 		socket, err := net.ListenUDP("udp", local)
@@ -131,7 +131,7 @@
 			return socket
 		}
 		if attempt == 1 {
-			failed(err)
+			onBindError(err)
 		}
 		select {
 		case <-t.closed:
@@ -171,11 +171,11 @@
 		if err != nil {
 			continue // for example an ICMP reply that no process listens at a receiver's address
 		}
-		if int(t.inLoop.Load()) >= t.queueLimit {
+		if int(t.pendingInLoop.Load()) >= t.queueLimit {
 			t.Counts.Dropped.Add(1)
 			continue
 		}
-		t.inLoop.Add(1)
+		t.pendingInLoop.Add(1)
 		t.loop.Post(receivedDatagram{
 			transport: t,
 			from:      netip.AddrPortFrom(from.Addr().Unmap(), from.Port()),
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -24,8 +24,9 @@
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// open starts the transport of scheduler 0. received collects the messages that it accepts.
-func open(t *testing.T, others ...netip.AddrPort) (transport *Transport, received chan dispatch.GossipReceived) {
+// startTransport starts the transport of scheduler 0. received collects the messages that it
+// accepts.
+func startTransport(t *testing.T, others ...netip.AddrPort) (transport *Transport, received chan dispatch.GossipReceived) {
 	t.Helper()
 	c, own := listenLocal(t)
 	c.Close()
@@ -40,16 +41,16 @@
 	}()
 	t.Cleanup(func() {
 		transport.Close()
-		loop.PostUrgent(stopper{loop})
+		loop.PostUrgent(stopLoop{loop})
 		<-ended
 	})
 	return transport, received
 }
 
-// stopper is a task that stops its loop.
-type stopper struct{ *conn.Loop }
+// stopLoop is a task that stops its loop.
+type stopLoop struct{ *conn.Loop }
 
-func (s stopper) Run() { s.Stop() }
+func (s stopLoop) Run() { s.Stop() }
 
 // encodeDatagram returns a datagram, built independently of the transport's encoder.
 func encodeDatagram(number uint16, epoch uint64, sequence uint32, entries ...dispatch.GossipEntry) []byte {
@@ -70,9 +71,9 @@
 		message, ok := transport.validate(at(port), b, 0)
 		fmt.Println(title+":", ok, message.From, len(message.Entries))
 	}
-	good := encodeDatagram(1, 100, 10, attemptStarted)
-	receive("first", 2, good)
-	receive("duplicated", 2, good)
+	valid := encodeDatagram(1, 100, 10, attemptStarted)
+	receive("first", 2, valid)
+	receive("duplicated", 2, valid)
 	receive("next but one", 2, encodeDatagram(1, 100, 12, attemptStarted))
 	receive("overtaken", 2, encodeDatagram(1, 100, 11, attemptStarted))
 	receive("overtaken and duplicated", 2, encodeDatagram(1, 100, 11, attemptStarted))
@@ -84,9 +85,9 @@
 	receive("no such number", 2, encodeDatagram(9, 200, 2, attemptStarted))
 	receive("no content", 2, encodeDatagram(1, 200, 3)[:headerBytes])
 	receive("cut", 2, encodeDatagram(1, 200, 4, attemptStarted)[:headerBytes+2])
-	receive("half a header", 2, good[:headerBytes/2])
+	receive("half a header", 2, valid[:headerBytes/2])
 	receive("empty", 2, nil)
-	receive("another version", 2, append([]byte{9}, good[1:]...))
+	receive("another version", 2, append([]byte{9}, valid[1:]...))
 	receive("too long", 2, append(encodeDatagram(1, 200, 5, attemptStarted), make([]byte, dispatch.MaxGossipBytes)...))
 	receive("sequence wraps around", 3, encodeDatagram(2, 1, 1<<32-1, attemptStarted))
 	receive("and goes on", 3, encodeDatagram(2, 1, 0, attemptStarted))
@@ -117,12 +118,12 @@
 // On loopback, entries reach the scheduler that they are sent to, or all schedulers, and entries
 // from others are received. A scheduler that does not listen delays none of the others.
 func TestSendAndReceive(t *testing.T) {
-	first, a := listenLocal(t)
-	second, b := listenLocal(t)
-	gone, c := listenLocal(t)
-	gone.Close()
-	transport, received := open(t, a, b, c)
-	read := func(s *net.UDPConn) (entries []dispatch.GossipEntry) {
+	first, firstAddr := listenLocal(t)
+	second, secondAddr := listenLocal(t)
+	closed, closedAddr := listenLocal(t)
+	closed.Close()
+	transport, received := startTransport(t, firstAddr, secondAddr, closedAddr)
+	readEntries := func(s *net.UDPConn) (entries []dispatch.GossipEntry) {
 		t.Helper()
 		buffer := make([]byte, 1000)
 		s.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -139,12 +140,12 @@
 	transport.Send(Broadcast, []dispatch.GossipEntry{{Kind: dispatch.GossipRestarted}})
 	transport.Send(2, []dispatch.GossipEntry{attemptStarted, attemptStarted})
 	transport.Send(3, []dispatch.GossipEntry{attemptStarted})
-	if n := read(first); len(n) != 1 || n[0].Kind != dispatch.GossipRestarted {
-		t.Fatal(n)
+	if entries := readEntries(first); len(entries) != 1 || entries[0].Kind != dispatch.GossipRestarted {
+		t.Fatal(entries)
 	}
-	read(second)
-	if n := read(second); !slices.Equal(n, []dispatch.GossipEntry{attemptStarted, attemptStarted}) {
-		t.Fatal(n)
+	readEntries(second)
+	if entries := readEntries(second); !slices.Equal(entries, []dispatch.GossipEntry{attemptStarted, attemptStarted}) {
+		t.Fatal(entries)
 	}
 	for n := range 5 {
 		first.WriteToUDPAddrPort(encodeDatagram(1, 7, uint32(n), attemptStarted), transport.addrs[0])
@@ -174,10 +175,10 @@
 // This scheduler's address is in use, for example by a process that is shutting down. The socket is
 // bound once the address is free, and no call blocks until then.
 func TestBindRetriesWhileAddressInUse(t *testing.T) {
-	holder, own := listenLocal(t)
-	other, a := listenLocal(t)
+	holder, ownAddr := listenLocal(t)
+	other, otherAddr := listenLocal(t)
 	failed := make(chan error, 1)
-	transport := Open(conn.NewLoop(time.Now()), []netip.AddrPort{own, a}, 0, time.Now(), func(err error) { failed <- err })
+	transport := Open(conn.NewLoop(time.Now()), []netip.AddrPort{ownAddr, otherAddr}, 0, time.Now(), func(err error) { failed <- err })
 	defer transport.Close()
 	select {
 	case <-failed:
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -15,7 +15,8 @@
 	"stoatweir/internal/golden"
 )
 
-// Header fields of the golden datagrams. All their bytes differ, so that no two can be swapped unnoticed.
+// Header fields of the golden datagrams. All their bytes differ, so that no two can be swapped
+// unnoticed.
 const (
 	goldenSender   = 0x0102
 	goldenEpoch    = 0x030405060708090a
