--- a/internal/workers/attempt_test.go
+++ b/internal/workers/attempt_test.go
@@ -89,7 +89,7 @@
 	f.Forward(f.newInvocation(2), 0, f.id)
 	f.Cancel(2, 0)
 	f.runUntil(1, 0)
-	f.runUntilTrue("sockets in use", func() bool { return f.quota.Used() == 0 })
+	f.runUntilTrue("all sockets closed", func() bool { return f.quota.Used() == 0 })
 	fmt.Println("sockets:", f.quota.Used())
 	// Output:
 	// inv 1 attempt 0 ends: 4 closed=false load=false
--- a/internal/workers/callback_test.go
+++ b/internal/workers/callback_test.go
@@ -83,7 +83,7 @@
 	retryAfterReturn(f, f.newInvocation(2))
 	f.HandleCallback(Callback{ID: "id2", WorkerUID: workerUID, State: "done", Result: new("fine")})
 	f.runUntil(1, 0)
-	f.runUntilTrue("no connection", func() bool { return f.quota.Used() == 0 })
+	f.runUntilTrue("all connections closed", func() bool { return f.quota.Used() == 0 })
 	fmt.Println("in flight:", f.InFlight(), "idle:", len(f.worker().idle))
 	// Output:
 	// connection 1: POST /render/7f HTTP/1.1 id1 body
--- a/internal/workers/connection_test.go
+++ b/internal/workers/connection_test.go
@@ -17,9 +17,9 @@
 // The exchange must end exactly once.
 func TestResponseBeforeRequestIsFlushed(t *testing.T) {
 	for name, endConnection := range map[string]func(net.Conn){
-		"more bytes":     func(c net.Conn) { c.Write([]byte(rejectedResponse)) },
-		"it breaks":      func(c net.Conn) { c.Close() },
-		"nothing at all": func(net.Conn) {},
+		"more bytes arrive": func(c net.Conn) { c.Write([]byte(rejectedResponse)) },
+		"connection closes": func(c net.Conn) { c.Close() },
+		"no more events":    func(net.Conn) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture()
@@ -46,7 +46,7 @@
 			f.runUntilTrue("the end of the exchange", func() bool { return len(ends) > 0 })
 			timersExpired := false // by then a timer that was left running would have fired
 			f.loop.After(2*earlyResponseTimeout, func() { timersExpired = true })
-			f.runUntilTrue("the end of any timer", func() bool { return timersExpired })
+			f.runUntilTrue("the expiry of timers", func() bool { return timersExpired })
 			if got := strings.Join(ends, ", "); got != "503 open" || f.quota.Used() != 0 || len(c.worker.idle) > 0 {
 				t.Error(got, "sockets:", f.quota.Used(), "idle:", len(c.worker.idle))
 			}
--- a/internal/workers/dial.go
+++ b/internal/workers/dial.go
@@ -18,9 +18,9 @@
 	// redialDivisor divides the connect timeout: if no connection has been established after that
 	// part of it, another one is dialled.
 	redialDivisor = 5
-	// redialReserve is the number of free descriptors that additional dials leave for exchanges
-	// without any dial in progress.
-	redialReserve = 8
+	// redialReserveDescriptors is the number of free descriptors that additional dials leave for
+	// exchanges without any dial in progress.
+	redialReserveDescriptors = 8
 	// localErrorBackoff is the wait before the next dial after one that failed on the local
 	// machine.
 	localErrorBackoff = 20 * time.Millisecond
@@ -43,7 +43,7 @@
 		return
 	}
 	x.nextDial = t.loop.After(t.deployment.ConnectTimeout/redialDivisor, func() {
-		if t.quota.Available() > redialReserve && w.endpoint.State == dispatch.Ready && w.address == c.address {
+		if t.quota.Available() > redialReserveDescriptors && w.endpoint.State == dispatch.Ready && w.address == c.address {
 			t.dial(w, x)
 		}
 	})
--- a/internal/workers/dial_test.go
+++ b/internal/workers/dial_test.go
@@ -39,10 +39,10 @@
 	addr, _ = fullBacklog(f)
 	f.moveTo(addr.String())
 	f.Forward(f.newInvocation(2), 0, f.id)
-	f.runUntilTrue("more dials", func() bool { return f.Counts.Dialled == 2+maxDials })
+	f.runUntilTrue("all further dials", func() bool { return f.Counts.Dialled == 2+maxDials })
 	f.Cancel(2, 0)
 	cancelledAt := f.loop.Now()
-	f.runUntilTrue("sockets to be closed", func() bool { return f.quota.Used() == 0 })
+	f.runUntilTrue("all sockets closed", func() bool { return f.quota.Used() == 0 })
 	f.runUntil(1, 0)
 	fmt.Println("at once:", f.loop.Now()-cancelledAt < time.Second)
 	// Output:
@@ -142,7 +142,7 @@
 				return local, nil
 			}
 			f.Forward(f.newInvocation(1), 0, f.id)
-			f.runUntilTrue("all dials to start", func() bool { return waiting.Load() == maxDials })
+			f.runUntilTrue("all dials started", func() bool { return waiting.Load() == maxDials })
 			f.loop.Post(taskFunc(func() { // all connections are established in one iteration
 				close(open)
 				for connected.Load() < maxDials {
@@ -152,9 +152,9 @@
 				v.meanwhile(f)
 			}))
 			done := false
-			f.runUntilTrue("all connections to be established", func() bool { return connected.Load() == maxDials })
+			f.runUntilTrue("all connections established", func() bool { return connected.Load() == maxDials })
 			f.loop.After(50*time.Millisecond, func() { done = true })
-			f.runUntilTrue("requests to arrive", func() bool { return done })
+			f.runUntilTrue("the time in which requests may arrive", func() bool { return done })
 			if got := arrived.Load(); got != v.requests {
 				t.Errorf("%d requests arrived, want %d", got, v.requests)
 			}
--- a/internal/workers/pool_test.go
+++ b/internal/workers/pool_test.go
@@ -80,8 +80,8 @@
 // line would be taken for its response.
 func TestUnreadBytesOnReusedConnection(t *testing.T) {
 	for name, disturb := range map[string]func(*fixture){
-		"an end":      func(f *fixture) { f.closeFromWorker(1) },
-		"half a line": func(f *fixture) { f.writeFromWorker(1, "HTTP/1.1 20") },
+		"connection closed":     func(f *fixture) { f.closeFromWorker(1) },
+		"partial response line": func(f *fixture) { f.writeFromWorker(1, "HTTP/1.1 20") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(acceptedResponse, acceptedResponse)
--- a/internal/workers/sendcheck_test.go
+++ b/internal/workers/sendcheck_test.go
@@ -172,8 +172,8 @@
 // must be sent over another connection, and must not take those bytes for its response.
 func TestStrayBytesDuringSendCheck(t *testing.T) {
 	for name, disturb := range map[string]func(*fixture){
-		"a rejection": func(f *fixture) { f.writeFromWorker(1, rejectedResponse) },
-		"an end":      func(f *fixture) { f.closeFromWorker(1) },
+		"stray rejection":   func(f *fixture) { f.writeFromWorker(1, rejectedResponse) },
+		"connection closed": func(f *fixture) { f.closeFromWorker(1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(acceptedResponse, acceptedResponse)
