--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -13,9 +13,9 @@
 	// dispatchGrace is how long a worker may still be sent to after the deadline for knowing a
 	// change.
 	dispatchGrace = 500 * time.Millisecond
-	// callDuration is the time taken by a request that discovery serves immediately: connecting,
+	// requestDuration is the time taken by a request that discovery serves immediately: connecting,
 	// receiving the list, and the loop's iterations.
-	callDuration = 100 * time.Millisecond
+	requestDuration = 100 * time.Millisecond
 )
 
 // Each sum in the comment of budget.go stays below its deadline, with the dispatcher's backoffs for
@@ -26,23 +26,23 @@
 	first, longest := dispatch.EndpointBackoff(pollWithin)
 	for name, v := range map[string]struct{ sum, deadline time.Duration }{
 		"a request is lost": {
-			sum:      firstListTimeout + longest + callDuration,
+			sum:      firstListTimeout + longest + requestDuration,
 			deadline: updateDeadline - dispatchGrace,
 		},
 		"a request for a pushed list is lost": {
-			sum:      firstListTimeout + pushedBackoffMax + callDuration,
+			sum:      firstListTimeout + pushedBackoffMax + requestDuration,
 			deadline: updateDeadline - dispatchGrace,
 		},
 		"the first request is lost": {
-			sum:      pollWithin/2 + firstListTimeout + first + callDuration,
+			sum:      pollWithin/2 + firstListTimeout + first + requestDuration,
 			deadline: updateDeadline,
 		},
 		"a watch times out, twice": {
-			sum:      idleTimeout + first + reconnectTimeout + first + callDuration,
+			sum:      idleTimeout + first + reconnectTimeout + first + requestDuration,
 			deadline: updateDeadline - dispatchGrace,
 		},
 		"the address changes, two requests lost": {
-			sum:      addressChangeJitter + 2*candidateTimeout + 6*candidateBackoffBase + callDuration,
+			sum:      addressChangeJitter + 2*candidateTimeout + 6*candidateBackoffBase + requestDuration,
 			deadline: addressChangeDeadline,
 		},
 	} {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -65,10 +65,10 @@
 func TestIncompleteBytesDoNotExtendTimeout(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, script := range map[string][2]string{
-		"a head":  {"HTTP/1.1 200 OK\r\nX-Pad: ", "x"},
-		"a list":  {head + "f\r\n{\"rev\":1, \"x\":\"\r\n", "1\r\nx\r\n"},
-		"a frame": {head + "1;", "x"},
-		"blanks":  {head, "1\r\n \r\n"},
+		"incomplete head":        {"HTTP/1.1 200 OK\r\nX-Pad: ", "x"},
+		"incomplete list":        {head + "f\r\n{\"rev\":1, \"x\":\"\r\n", "1\r\nx\r\n"},
+		"incomplete chunk frame": {head + "1;", "x"},
+		"spaces":                 {head, "1\r\n \r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
