--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -13,8 +13,8 @@
 
 // Benchmarks for the figures of docs/CAPACITY.md on messages between schedulers.
 
-// udpOverhead is the length of the IPv4 and UDP headers, in bytes.
-const udpOverhead = 20 + 8
+// udpOverheadBytes is the length of the IPv4 and UDP headers, in bytes.
+const udpOverheadBytes = 20 + 8
 
 // BenchmarkSend encodes a message up to the socket, for one or for all of the given number of
 // schedulers, and validates it at one receiver.
@@ -39,7 +39,7 @@
 					sending.Send(receiver, entries)
 					for len(sending.outbox) > 0 {
 						d := <-sending.outbox
-						size += len(d.payload) + udpOverhead
+						size += len(d.payload) + udpOverheadBytes
 						if d.to == addrs[receiving.self] {
 							if _, ok := receiving.validate(addrs[0], d.payload, loop.Now()); !ok {
 								b.Fatal("rejected")
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// queuePerScheduler is the number of datagrams per scheduler that may be queued in each
-	// direction. Excess datagrams are dropped, as late reports of attempts are worthless. One
+	// queuedDatagramsPerScheduler is the number of datagrams per scheduler that may be queued in
+	// each direction. Excess datagrams are dropped, as late reports of attempts are worthless. One
 	// datagram to every scheduler, and one from each, always fit.
-	queuePerScheduler = 4
-	// minQueue is the minimum capacity of the queue in each direction, in datagrams.
-	minQueue = 256
+	queuedDatagramsPerScheduler = 4
+	// minQueuedDatagrams is the minimum capacity of the queue in each direction.
+	minQueuedDatagrams = 256
 	// bindRetryInterval is the time between attempts to bind the socket: after a restart, another
 	// process may still hold the address. Until the socket is bound nothing is sent or received,
 	// and no caller waits for it.
@@ -65,7 +65,7 @@
 
 // newTransport returns a transport without a socket.
 func newTransport(loop *conn.Loop, addrs []netip.AddrPort, self int, epoch uint64) *Transport {
-	queueLimit := max(minQueue, queuePerScheduler*len(addrs))
+	queueLimit := max(minQueuedDatagrams, queuedDatagramsPerScheduler*len(addrs))
 	return &Transport{
 		loop:       loop,
 		addrs:      addrs,
--- a/internal/gossip/window.go
+++ b/internal/gossip/window.go
@@ -5,9 +5,9 @@
 const (
 	// windowBits is the number of sequence numbers, up to the highest one, that a window remembers.
 	windowBits = 64
-	// maxAhead is the largest distance by which a sequence number may be ahead of the highest one;
-	// modulo 2^32, a larger distance means that it is behind.
-	maxAhead uint32 = 1 << 31
+	// maxSequenceAhead is the largest distance by which a sequence number may be ahead of the
+	// highest one; modulo 2^32, a larger distance means that it is behind.
+	maxSequenceAhead uint32 = 1 << 31
 	// epochQuietPeriod is how long nothing must have been received from a sender before a lower
 	// epoch is accepted as a later start. An epoch is a time of the wall clock, which may be
 	// stepped back between two starts. No datagram is in transit for that long.
@@ -36,7 +36,7 @@
 	switch {
 	case ahead == 0:
 		return w, false
-	case ahead <= maxAhead:
+	case ahead <= maxSequenceAhead:
 		w.seen = w.seen<<min(ahead, windowBits) | 1
 		w.highest = h.sequence
 	case behind >= windowBits || w.seen>>behind&1 == 1:
