--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -8,45 +8,47 @@
 )
 
 const (
-	// addressChangeDeadline is updateDeadline for what follows a change of the address.
+	// addressChangeDeadline is the counterpart of updateDeadline after a change of the address.
 	addressChangeDeadline = 4 * time.Second
-	// dispatchGrace is how long a worker may still be sent to after a change counts as known.
+	// dispatchGrace is how long a worker may still be sent to after the deadline for knowing a
+	// change.
 	dispatchGrace = 500 * time.Millisecond
-	// callDuration is what a request takes that discovery serves at once: connection, list, and the loop's turns.
-	callDuration = 100 * time.Millisecond
+	// requestDuration is the time taken by a request that discovery serves immediately: connecting,
+	// receiving the list, and the loop's iterations.
+	requestDuration = 100 * time.Millisecond
 )
 
-// Each sum in the comment of budget.go is below its deadline, with the dispatcher's backoffs for the time to poll
-// that the service sets.
+// Each sum in the comment of budget.go stays below its deadline, with the dispatcher's backoffs for
+// the poll time that the service sets.
 func TestBudget(t *testing.T) {
-	const pollWithin = 5 * time.Second // the service's for lists that are polled
+	const pollWithin = 5 * time.Second // as the service sets it for polled lists
 	const pushedBackoffMax = 2 * time.Second
 	first, longest := dispatch.EndpointBackoff(pollWithin)
 	for name, v := range map[string]struct{ sum, deadline time.Duration }{
 		"a request is lost": {
-			sum:      firstListTimeout + longest + callDuration,
+			sum:      firstListTimeout + longest + requestDuration,
 			deadline: updateDeadline - dispatchGrace,
 		},
 		"a request for a pushed list is lost": {
-			sum:      firstListTimeout + pushedBackoffMax + callDuration,
+			sum:      firstListTimeout + pushedBackoffMax + requestDuration,
 			deadline: updateDeadline - dispatchGrace,
 		},
 		"the first request is lost": {
-			sum:      pollWithin/2 + firstListTimeout + first + callDuration,
+			sum:      pollWithin/2 + firstListTimeout + first + requestDuration,
 			deadline: updateDeadline,
 		},
 		"a watch times out, twice": {
-			sum:      idleTimeout + first + reconnectTimeout + first + callDuration,
+			sum:      idleTimeout + first + reconnectTimeout + first + requestDuration,
 			deadline: updateDeadline - dispatchGrace,
 		},
 		"the address changes, two requests lost": {
-			sum:      addressChangeJitter + 2*candidateTimeout + 6*candidateBackoffBase + callDuration,
+			sum:      addressChangeJitter + 2*candidateTimeout + 6*candidateBackoffBase + requestDuration,
 			deadline: addressChangeDeadline,
 		},
 	} {
 		t.Logf("%s: %v of %v", name, v.sum, v.deadline)
 		if v.sum > v.deadline {
-			t.Errorf("%s: %v is over %v", name, v.sum, v.deadline)
+			t.Errorf("%s: the sum is %v, above the deadline of %v", name, v.sum, v.deadline)
 		}
 	}
 }
--- a/internal/discovery/parse_bench_test.go
+++ b/internal/discovery/parse_bench_test.go
@@ -10,11 +10,12 @@
 	"stoatweir/internal/conn"
 )
 
-// The figures of docs/CAPACITY.md for the list: what one costs to read, by its entries, and the memory that workers
-// which are gone leave behind.
+// Benchmarks for the figures of docs/CAPACITY.md on the endpoint list: the cost of reading a list by
+// its number of entries, and the memory that is kept for workers that are gone.
 
-// entries writes n entries of a list, the first numbered from.
-func entries(from, n int, state string) string {
+// entriesJSON returns the JSON of n consecutive entries of a list, the first of which has the
+// number from.
+func entriesJSON(from, n int, state string) string {
 	all := make([]string, n)
 	for i := range all {
 		at := from + i
@@ -24,28 +25,31 @@
 	return strings.Join(all, ",")
 }
 
-func listOf(rev, from, n int, full bool, state string) []byte {
-	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, full, entries(from, n, state))
+// listJSON returns the JSON of a list or a change with n entries.
+func listJSON(rev, from, n int, full bool, state string) []byte {
+	return fmt.Appendf(nil, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, full, entriesJSON(from, n, state))
 }
 
-func watcherWith(b *testing.B, n int) *Watcher {
+// newWatcherWith returns a watcher that has parsed a list of n workers.
+func newWatcherWith(b *testing.B, n int) *Watcher {
 	w := New(conn.NewLoop(time.Now()), "127.0.0.1:1", nil, nil, time.Now())
-	if _, err := w.Parse(listOf(1, 0, n, true, "Ready")); err != nil {
+	if _, err := w.Parse(listJSON(1, 0, n, true, "Ready")); err != nil {
 		b.Fatal(err)
 	}
 	return w
 }
 
-// BenchmarkListWhole reads a whole list from its bytes: finding its end, decoding it, and assigning IDs.
+// BenchmarkListWhole reads a whole list from its bytes: it finds its end, decodes it, and assigns
+// IDs.
 func BenchmarkListWhole(b *testing.B) {
 	for _, n := range []int{60, 240, 950, 1900, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w, text := watcherWith(b, n), listOf(2, 0, n, true, "Ready")
+			w, text := newWatcherWith(b, n), listJSON(2, 0, n, true, "Ready")
 			b.ResetTimer()
 			for b.Loop() {
 				var v valueScanner
 				if _, step := v.feed(text); step != scanComplete {
-					b.Fatal("it has no end")
+					b.Fatal("the scanner finds no end of the list")
 				}
 				if list, err := w.Parse(v.text); err != nil || len(list.Workers) != n {
 					b.Fatal(err)
@@ -57,13 +61,14 @@
 	}
 }
 
-// BenchmarkListChange reads the three entries that change with one replacement: one drains, one is gone, one is new.
+// BenchmarkListChange reads the change that replaces a worker, with three entries: one worker
+// drains, one is gone, one is new.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{60, 950, 1900, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := watcherWith(b, n)
-			text := fmt.Appendf(nil, `{"rev":3,"all":false,"targets":[%s,%s,%s]}`, entries(0, 1, "Terminating"), entries(1, 1, "Gone"),
-				entries(n, 1, "Ready"))
+			w := newWatcherWith(b, n)
+			text := fmt.Appendf(nil, `{"rev":3,"all":false,"targets":[%s,%s,%s]}`, entriesJSON(0, 1, "Terminating"), entriesJSON(1, 1, "Gone"),
+				entriesJSON(n, 1, "Ready"))
 			for b.Loop() {
 				if _, err := w.Parse(text); err != nil {
 					b.Fatal(err)
@@ -74,18 +79,19 @@
 	}
 }
 
-// BenchmarkListGone measures the memory that replaced workers leave behind, each replaced by one of another UID.
+// BenchmarkListGone measures the memory that is kept for workers that were replaced, each by one
+// with another UID.
 func BenchmarkListGone(b *testing.B) {
 	const workers = 3800
 	for _, replaced := range []int{950, 9500, 19000, 38000} {
 		b.Run(fmt.Sprint(replaced), func(b *testing.B) {
 			for b.Loop() {
-				w, before := watcherWith(b, workers), heapInUse()
+				w, before := newWatcherWith(b, workers), heapInUse()
 				for n := range replaced {
-					if _, err := w.Parse(listOf(2+n, n, 1, false, "Gone")); err != nil {
+					if _, err := w.Parse(listJSON(2+n, n, 1, false, "Gone")); err != nil {
 						b.Fatal(err)
 					}
-					if _, err := w.Parse(listOf(2+n, workers+n, 1, false, "Ready")); err != nil {
+					if _, err := w.Parse(listJSON(2+n, workers+n, 1, false, "Ready")); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -96,6 +102,7 @@
 	}
 }
 
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -7,7 +7,7 @@
 	"stoatweir/dispatch"
 )
 
-// receivedDatagram is a task of the loop: a datagram that the reader has passed on.
+// receivedDatagram is the loop task that processes one datagram from the reader goroutine.
 type receivedDatagram struct {
 	transport *Transport
 	from      netip.AddrPort
@@ -17,15 +17,16 @@
 // Run validates the datagram and passes its entries to OnReceive.
 func (d receivedDatagram) Run() {
 	t := d.transport
-	t.inLoop.Add(-1)
+	t.pendingInLoop.Add(-1)
 	if received, ok := t.validate(d.from, d.payload, t.loop.Now()); ok {
 		t.Counts.Received.Add(1)
 		t.OnReceive(received)
 	}
 }
 
-// validate decodes a datagram; ok is false, and one of the counts rises, where it is malformed, not from the
-// scheduler that it names, or stale. Only a valid one changes the window of its sender.
+// validate decodes a datagram. If the datagram is malformed, stale, or not from the scheduler that
+// it names, validate increments the matching count and returns false. Only a valid datagram changes
+// the window of its sender.
 func (t *Transport) validate(from netip.AddrPort, payload []byte, now time.Duration) (_ dispatch.GossipReceived, ok bool) {
 	h, encoded, ok := decodeHeader(payload)
 	if !ok {
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -13,7 +13,7 @@
 	"stoatweir/internal/conn"
 )
 
-// listenLocal opens a socket on loopback for one scheduler.
+// listenLocal opens a loopback socket for one scheduler and returns it with its address.
 func listenLocal(t testing.TB) (*net.UDPConn, netip.AddrPort) {
 	t.Helper()
 	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -24,8 +24,9 @@
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// open returns the running transport of scheduler 0; received collects what it accepts.
-func open(t *testing.T, others ...netip.AddrPort) (transport *Transport, received chan dispatch.GossipReceived) {
+// startTransport starts the transport of scheduler 0. received collects the messages that it
+// accepts.
+func startTransport(t *testing.T, others ...netip.AddrPort) (transport *Transport, received chan dispatch.GossipReceived) {
 	t.Helper()
 	c, own := listenLocal(t)
 	c.Close()
@@ -40,28 +41,29 @@
 	}()
 	t.Cleanup(func() {
 		transport.Close()
-		loop.PostUrgent(stopper{loop})
+		loop.PostUrgent(stopLoop{loop})
 		<-ended
 	})
 	return transport, received
 }
 
-// stopper is a task that ends its loop.
-type stopper struct{ *conn.Loop }
+// stopLoop is a task that stops its loop.
+type stopLoop struct{ *conn.Loop }
 
-func (s stopper) Run() { s.Stop() }
+func (s stopLoop) Run() { s.Stop() }
 
-// encodeDatagram writes a datagram independently of the transport's encoder.
+// encodeDatagram returns a datagram, built independently of the transport's encoder.
 func encodeDatagram(number uint16, epoch uint64, sequence uint32, entries ...dispatch.GossipEntry) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{version}, number)
 	b = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(b, epoch), sequence)
 	return append(b, dispatch.EncodeGossip(entries)[0]...)
 }
 
+// attemptStarted is an arbitrary valid entry.
 var attemptStarted = dispatch.GossipEntry{Kind: dispatch.GossipAttemptStarted, Serial: 5, Tag: 77}
 
-// Datagrams that are duplicated, stale, from an unknown sender, cut or garbled are dropped and counted; one that was
-// overtaken on its way is accepted.
+// Datagrams that are duplicated, stale, from an unknown sender, truncated or undecodable are
+// dropped and counted. A datagram that was overtaken in transit is accepted.
 func Example_validate() {
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port) }
 	transport := &Transport{addrs: []netip.AddrPort{at(1), at(2), at(3)}, windows: map[int]sequenceWindow{}}
@@ -69,9 +71,9 @@
 		message, ok := transport.validate(at(port), b, 0)
 		fmt.Println(title+":", ok, message.From, len(message.Entries))
 	}
-	good := encodeDatagram(1, 100, 10, attemptStarted)
-	receive("first", 2, good)
-	receive("duplicated", 2, good)
+	valid := encodeDatagram(1, 100, 10, attemptStarted)
+	receive("first", 2, valid)
+	receive("duplicated", 2, valid)
 	receive("next but one", 2, encodeDatagram(1, 100, 12, attemptStarted))
 	receive("overtaken", 2, encodeDatagram(1, 100, 11, attemptStarted))
 	receive("overtaken and duplicated", 2, encodeDatagram(1, 100, 11, attemptStarted))
@@ -83,9 +85,9 @@
 	receive("no such number", 2, encodeDatagram(9, 200, 2, attemptStarted))
 	receive("no content", 2, encodeDatagram(1, 200, 3)[:headerBytes])
 	receive("cut", 2, encodeDatagram(1, 200, 4, attemptStarted)[:headerBytes+2])
-	receive("half a header", 2, good[:headerBytes/2])
+	receive("half a header", 2, valid[:headerBytes/2])
 	receive("empty", 2, nil)
-	receive("another version", 2, append([]byte{9}, good[1:]...))
+	receive("another version", 2, append([]byte{9}, valid[1:]...))
 	receive("too long", 2, append(encodeDatagram(1, 200, 5, attemptStarted), make([]byte, dispatch.MaxGossipBytes)...))
 	receive("sequence wraps around", 3, encodeDatagram(2, 1, 1<<32-1, attemptStarted))
 	receive("and goes on", 3, encodeDatagram(2, 1, 0, attemptStarted))
@@ -113,15 +115,15 @@
 	// map[broken:6 crowded:0 foreign:3 heard:0 old:4 sent:0 unsent:0]
 }
 
-// On loopback: entries reach the scheduler they are for, or all, and are received from others; one that is not there
-// holds up nobody.
+// On loopback, entries reach the scheduler that they are sent to, or all schedulers, and entries
+// from others are received. A scheduler that does not listen delays none of the others.
 func TestSendAndReceive(t *testing.T) {
-	first, a := listenLocal(t)
-	second, b := listenLocal(t)
-	gone, c := listenLocal(t)
-	gone.Close()
-	transport, received := open(t, a, b, c)
-	read := func(s *net.UDPConn) (entries []dispatch.GossipEntry) {
+	first, firstAddr := listenLocal(t)
+	second, secondAddr := listenLocal(t)
+	closed, closedAddr := listenLocal(t)
+	closed.Close()
+	transport, received := startTransport(t, firstAddr, secondAddr, closedAddr)
+	readEntries := func(s *net.UDPConn) (entries []dispatch.GossipEntry) {
 		t.Helper()
 		buffer := make([]byte, 1000)
 		s.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -138,12 +140,12 @@
 	transport.Send(Broadcast, []dispatch.GossipEntry{{Kind: dispatch.GossipRestarted}})
 	transport.Send(2, []dispatch.GossipEntry{attemptStarted, attemptStarted})
 	transport.Send(3, []dispatch.GossipEntry{attemptStarted})
-	if n := read(first); len(n) != 1 || n[0].Kind != dispatch.GossipRestarted {
-		t.Fatal(n)
+	if entries := readEntries(first); len(entries) != 1 || entries[0].Kind != dispatch.GossipRestarted {
+		t.Fatal(entries)
 	}
-	read(second)
-	if n := read(second); !slices.Equal(n, []dispatch.GossipEntry{attemptStarted, attemptStarted}) {
-		t.Fatal(n)
+	readEntries(second)
+	if entries := readEntries(second); !slices.Equal(entries, []dispatch.GossipEntry{attemptStarted, attemptStarted}) {
+		t.Fatal(entries)
 	}
 	for n := range 5 {
 		first.WriteToUDPAddrPort(encodeDatagram(1, 7, uint32(n), attemptStarted), transport.addrs[0])
@@ -170,24 +172,24 @@
 	}
 }
 
-// The own address is in use, as by a process that shuts down: the socket is bound once that is free, and nothing
-// waits for it.
+// This scheduler's address is in use, for example by a process that is shutting down. The socket is
+// bound once the address is free, and no call blocks until then.
 func TestBindRetriesWhileAddressInUse(t *testing.T) {
-	holder, own := listenLocal(t)
-	other, a := listenLocal(t)
+	holder, ownAddr := listenLocal(t)
+	other, otherAddr := listenLocal(t)
 	failed := make(chan error, 1)
-	transport := Open(conn.NewLoop(time.Now()), []netip.AddrPort{own, a}, 0, time.Now(), func(err error) { failed <- err })
+	transport := Open(conn.NewLoop(time.Now()), []netip.AddrPort{ownAddr, otherAddr}, 0, time.Now(), func(err error) { failed <- err })
 	defer transport.Close()
 	select {
 	case <-failed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the address in use is not reported")
+		t.Fatal("the failure to bind the address in use was not reported")
 	}
 	for range 3 * transport.queueLimit {
 		transport.Send(1, []dispatch.GossipEntry{attemptStarted})
 	}
 	if n := transport.Counts.NotSent.Load(); n != uint64(2*transport.queueLimit) {
-		t.Fatal(n, " dropped where ", transport.queueLimit, " may wait")
+		t.Fatal(n, " datagrams dropped, want twice the queue limit of ", transport.queueLimit, " datagrams")
 	}
 	holder.Close()
 	other.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -196,7 +198,8 @@
 	}
 }
 
-// A message to all of 1,024 schedulers fits the queue, and so does one from each of them, while nobody empties it.
+// A message to all of 1,024 schedulers fits the queue, and so does one from each of them, even
+// while nothing is taken from the queue.
 func TestManySchedulers(t *testing.T) {
 	const schedulers = 1024
 	var addrs []netip.AddrPort
--- a/internal/workers/connection_test.go
+++ b/internal/workers/connection_test.go
@@ -12,18 +12,19 @@
 	"stoatweir/internal/http1"
 )
 
-// A response overtakes the notice that its request is written, and the connection ends in one of
-// three ways: more bytes come, it breaks, or the notice never comes. The exchange ends once.
+// A response arrives before the notification that its request has been written, and the connection
+// then ends in one of three ways: more bytes arrive, it breaks, or the notification never comes.
+// The exchange must end exactly once.
 func TestResponseBeforeRequestIsFlushed(t *testing.T) {
-	for name, then := range map[string]func(net.Conn){
-		"more bytes":     func(c net.Conn) { c.Write([]byte(rejectedResponse)) },
-		"it breaks":      func(c net.Conn) { c.Close() },
-		"nothing at all": func(net.Conn) {},
+	for name, endConnection := range map[string]func(net.Conn){
+		"more bytes arrive": func(c net.Conn) { c.Write([]byte(rejectedResponse)) },
+		"connection closes": func(c net.Conn) { c.Close() },
+		"no more events":    func(net.Conn) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture()
-			near, far := net.Pipe() // takes nothing that is not read: the request can't go out
-			defer far.Close()
+			local, remote := net.Pipe() // takes no byte that is not read: the request cannot be written
+			defer remote.Close()
 			var ends []string
 			c := &connection{
 				transport: f.Transport,
@@ -37,15 +38,15 @@
 					ends = append(ends, fmt.Sprint(m.Status, " ", reason))
 				},
 			}
-			c.socket = f.quota.Adopt(near, c)
+			c.socket = f.quota.Adopt(local, c)
 			c.sendRequest()
-			go func() { far.Write([]byte(rejectedResponse)) }()
+			go func() { remote.Write([]byte(rejectedResponse)) }()
 			f.runUntilTrue("the early response", func() bool { return c.earlyResponse != nil })
-			go then(far)
-			f.runUntilTrue("the end", func() bool { return len(ends) > 0 })
-			over := false // a timer that was left would fire by then
-			f.loop.After(2*earlyResponseTimeout, func() { over = true })
-			f.runUntilTrue("any timer", func() bool { return over })
+			go endConnection(remote)
+			f.runUntilTrue("the end of the exchange", func() bool { return len(ends) > 0 })
+			timersExpired := false // by then a timer that was left running would have fired
+			f.loop.After(2*earlyResponseTimeout, func() { timersExpired = true })
+			f.runUntilTrue("the expiry of timers", func() bool { return timersExpired })
 			if got := strings.Join(ends, ", "); got != "503 open" || f.quota.Used() != 0 || len(c.worker.idle) > 0 {
 				t.Error(got, "sockets:", f.quota.Used(), "idle:", len(c.worker.idle))
 			}
@@ -53,9 +54,9 @@
 	}
 }
 
-// A response that is truncated in its head, body, a chunk or between chunks says nothing about the
-// request, which may have run; one that never ends is awaited until the client timeout, and its
-// connection ends.
+// A response that is truncated in its head, its body, a chunk or between chunks says nothing about
+// the request, which may have run. A response that never ends is awaited until the client timeout,
+// and its connection is then closed.
 func Example_truncatedResponse() {
 	parts := []string{"HTTP/1.1 20-", "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n-",
 		"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\nhalf-",
--- a/internal/workers/sendcheck_test.go
+++ b/internal/workers/sendcheck_test.go
@@ -13,43 +13,46 @@
 	"stoatweir/dispatch"
 )
 
-// The tests of this file hold a process or a connection at one point until what was decided may not
-// be carried out any more.
+// The tests of this file pause a process or a connection at one point for so long that an attempt
+// may no longer be sent.
 const (
-	// holdTime is how long it is held.
-	holdTime = 800 * time.Millisecond
-	// boundTime is when the client timeout or the deduplication window ends meanwhile.
-	boundTime = 300 * time.Millisecond
+	// pauseDuration is the length of the pause.
+	pauseDuration = 800 * time.Millisecond
+	// boundDelay is the time from the decision until the client timeout or the deduplication window
+	// ends, within the pause.
+	boundDelay = 300 * time.Millisecond
 )
 
-// taskFunc is a task of its own in the loop.
+// taskFunc is a function that can be posted to the loop as a task.
 type taskFunc func()
 
 func (t taskFunc) Run() { t() }
 
-// sendBounds are what may pass before a request is written.
+// sendBounds are the bounds that may pass before a request is written. setBound sets one and
+// returns the notAfter of Forward; stopCounter is the key of Counts.Stopped when it has passed.
 var sendBounds = []struct {
-	name  string
-	until func(f *fixture, inv *Invocation) time.Duration
-	why   string
+	name        string
+	setBound    func(f *fixture, inv *Invocation) time.Duration
+	stopCounter string
 }{
 	{
-		name:  "window",
-		until: func(f *fixture, _ *Invocation) time.Duration { return f.loop.Clock() + boundTime },
-		why:   stoppedWindow,
+		name:        "window",
+		setBound:    func(f *fixture, _ *Invocation) time.Duration { return f.loop.Clock() + boundDelay },
+		stopCounter: stoppedWindow,
 	},
 	{
 		name: "client timeout",
-		until: func(f *fixture, inv *Invocation) time.Duration {
-			inv.Deadline = f.loop.Clock() + boundTime
+		setBound: func(f *fixture, inv *Invocation) time.Duration {
+			inv.Deadline = f.loop.Clock() + boundDelay
 			return 0
 		},
-		why: stoppedTimeout,
+		stopCounter: stoppedTimeout,
 	},
 }
 
-// The process is paused between a decision and its first byte: nothing is written, which proves
-// that it has not run, and the connection serves the next attempt.
+// The process is paused between a decision and the first byte of the attempt. Nothing must be
+// written, which proves that the attempt has not run, and the connection is used for the next
+// attempt.
 func TestProcessPausedBeforeSend(t *testing.T) {
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
@@ -64,13 +67,13 @@
 			}
 			f.loop.Post(taskFunc(func() {
 				inv := f.newInvocation(2)
-				until := b.until(f, inv)
-				time.Sleep(holdTime)
+				until := b.setBound(f, inv)
+				time.Sleep(pauseDuration)
 				f.Transport.Forward(inv, 1, f.id, until)
 			}))
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
-			if outcomes[0].Result != dispatch.NotSent || f.Counts.Stopped[b.why] != 1 || len(f.requests) > 0 {
-				t.Errorf("%+v, stopped: %v, requests at the worker: %d", outcomes[0], f.Counts.Stopped, len(f.requests))
+			if outcomes[0].Result != dispatch.NotSent || f.Counts.Stopped[b.stopCounter] != 1 || len(f.requests) > 0 {
+				t.Errorf("want a stop before the send, got %+v, stopped: %v, requests: %d", outcomes[0], f.Counts.Stopped, len(f.requests))
 			}
 			f.Forward(f.newInvocation(3), 0, f.id)
 			f.runUntilTrue("the next request", func() bool { return len(f.requests) > 0 })
@@ -81,7 +84,7 @@
 	}
 }
 
-// readAfter reads what has come after some time, and what follows within a second.
+// readAfter waits, then reads what has arrived and what arrives within another second.
 func readAfter(c net.Conn, wait time.Duration) <-chan []byte {
 	arrived := make(chan []byte, 1)
 	go func() {
@@ -93,40 +96,41 @@
 	return arrived
 }
 
-// A writer is paused with the whole of a request: nothing of it is written when it goes on. The
-// connection is a pipe, which takes no byte until its other end reads.
+// The writer goroutine is paused while it holds the whole request. Nothing of the request must be
+// written when the goroutine resumes. The connection is a pipe, which takes no byte until its other
+// end reads.
 func TestWriterPausedBeforeFirstByte(t *testing.T) {
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
 			f := newFixture()
-			near, far := net.Pipe()
-			f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) { return near, nil }
+			local, remote := net.Pipe()
+			f.loop.DialContext = func(context.Context, string, string) (net.Conn, error) { return local, nil }
 			var outcomes []dispatch.Outcome
 			f.OnEvent = func(e dispatch.Event) { outcomes = append(outcomes, e.(dispatch.Outcome)) }
 			inv := f.newInvocation(1)
-			f.Transport.Forward(inv, 1, f.id, b.until(f, inv))
-			arrived := readAfter(far, holdTime)
+			f.Transport.Forward(inv, 1, f.id, b.setBound(f, inv))
+			arrived := readAfter(remote, pauseDuration)
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
 			got := <-arrived
 			if len(got) > 0 || f.quota.Used() > 0 {
-				t.Errorf("%d bytes arrived, ended with %+v, sockets: %d", len(got), outcomes, f.quota.Used())
+				t.Errorf("%d bytes arrived, want 0; ended with %+v, sockets: %d, want 0", len(got), outcomes, f.quota.Used())
 			}
 		})
 	}
 }
 
-// A worker takes a part of a request and reads on when the time is over: the last byte never comes,
-// so that it does not run.
+// A worker reads a part of a request, and reads on when the time is over. The last byte must never
+// be written, so that the request does not run.
 func TestWorkerReadsTooSlowly(t *testing.T) {
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
 			f := newFixture()
-			small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+			listenConfig := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 				return raw.Control(func(fd uintptr) {
 					syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2<<10)
 				})
 			}}
-			l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
+			l, err := listenConfig.Listen(context.Background(), "tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -142,34 +146,34 @@
 			f.OnEvent = func(e dispatch.Event) { outcomes = append(outcomes, e.(dispatch.Outcome)) }
 			inv := f.newInvocation(1)
 			inv.Body = bytes.Repeat([]byte("x"), 60<<10)
-			f.Transport.Forward(inv, 1, f.id, b.until(f, inv))
-			far, err := l.Accept()
+			f.Transport.Forward(inv, 1, f.id, b.setBound(f, inv))
+			workerConn, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer far.Close()
-			arrived := readAfter(far, holdTime)
+			defer workerConn.Close()
+			arrived := readAfter(workerConn, pauseDuration)
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
 			got := <-arrived
 			if len(got) == 0 || len(got) >= len(inv.Body) {
-				t.Errorf("%d bytes of a body of %d arrived", len(got), len(inv.Body))
+				t.Errorf("%d bytes arrived, want some, but fewer than the body of %d", len(got), len(inv.Body))
 			}
-			// At the client timeout two things come together: we stop waiting, and the connection
-			// is cut.
-			r := outcomes[0].Result
-			if r != dispatch.Unreachable && (b.why == stoppedWindow || r != dispatch.TimedOut) {
-				t.Errorf("%+v", outcomes[0])
+			// At the client timeout two events coincide: the transport stops waiting, and the
+			// connection is broken.
+			result := outcomes[0].Result
+			if result != dispatch.Unreachable && (b.stopCounter == stoppedWindow || result != dispatch.TimedOut) {
+				t.Errorf("unexpected outcome: %+v", outcomes[0])
 			}
 		})
 	}
 }
 
-// A reused connection receives something while the last check of a request is made: the request
-// goes over another one, and does not take it for its response.
+// A reused connection receives bytes during the last check before a request is sent. The request
+// must be sent over another connection, and must not take those bytes for its response.
 func TestStrayBytesDuringSendCheck(t *testing.T) {
-	for name, act := range map[string]func(*fixture){
-		"a rejection": func(f *fixture) { f.writeFromWorker(1, rejectedResponse) },
-		"an end":      func(f *fixture) { f.closeFromWorker(1) },
+	for name, disturb := range map[string]func(*fixture){
+		"stray rejection":   func(f *fixture) { f.writeFromWorker(1, rejectedResponse) },
+		"connection closed": func(f *fixture) { f.closeFromWorker(1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(acceptedResponse, acceptedResponse)
@@ -177,11 +181,11 @@
 			f.runUntil(1, 1)
 			reused := f.worker().idle[0]
 			reused.idleSince -= strayResponseWindow
-			comes := true
+			pending := true
 			f.ClientWaiting = func(dispatch.InvocationID) bool {
-				if comes {
-					comes = false
-					act(f)
+				if pending {
+					pending = false
+					disturb(f)
 					for end := time.Now().Add(5 * time.Second); !reused.socket.Readable() && time.Now().Before(end); {
 					}
 				}
@@ -194,7 +198,7 @@
 			f.Forward(inv, 0, f.id)
 			f.runUntilTrue("the response", func() bool { return len(events) > 0 })
 			if progress, is := events[0].(dispatch.AttemptProgress); !is || !progress.Accepted || f.Counts.Dialled != 2 {
-				t.Errorf("%+v, dialled: %d", events[0], f.Counts.Dialled)
+				t.Errorf("want a 202 and 2 connections dialled, got %+v, dialled: %d", events[0], f.Counts.Dialled)
 			}
 		})
 	}
