--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -2,92 +2,93 @@
 
 import "time"
 
-// Effect is an operation's effect class: how far an invocation may be sent again once it may have run.
+// Effect is an operation's effect class. It decides whether an invocation may be sent again once an
+// attempt may have run.
 type Effect uint8
 
 // The effect classes.
 const (
 	// Idempotent work may run any number of times.
 	Idempotent Effect = iota
-	// Deduplicated work carries an idempotency key, by which workers drop repeats for a time.
+	// Deduplicated work carries an idempotency key, by which workers drop repeats for a limited time.
 	Deduplicated
 	// NonIdempotent work must not run twice.
 	NonIdempotent
 )
 
-// DedupScope returns which workers drop a repeat of a deduplicated invocation.
+// DedupScope says which workers drop a repeat of a deduplicated invocation.
 type DedupScope uint8
 
 // The scopes of deduplication.
 const (
-	// ScopeAll: every worker drops it.
+	// ScopeAll: every worker.
 	ScopeAll DedupScope = iota
-	// ScopeZone: workers of the first attempt's zone do.
+	// ScopeZone: workers in the zone of the first attempt.
 	ScopeZone
-	// ScopeCell: workers of the first attempt's cell do.
+	// ScopeCell: workers in the cell of the first attempt.
 	ScopeCell
 )
 
 const (
-	// UnknownIndex stands for the number of a scheduler that was not given it.
+	// UnknownIndex is the index of a scheduler that was not given a number.
 	UnknownIndex = -1
-	// AnyKind stands for operations that run on workers of any kind.
+	// AnyKind marks operations that run on workers of every kind.
 	AnyKind = -1
 )
 
-// Config is what a deployment says of itself. All times are spans; work is in seconds on a standard core.
+// Config is a deployment's configuration. Work is measured in seconds on a standard core.
 type Config struct {
-	Schedulers           int // in all, this one included
-	Index                int // this scheduler's number among them, from 0, or UnknownIndex
-	Zone                 int // where this scheduler runs
+	Schedulers           int // total number, including this one
+	Index                int // this scheduler's number, from 0 to Schedulers-1, or UnknownIndex
+	Zone                 int // the zone that this scheduler runs in
 	Operations           []Operation
 	Tenants              []Tenant
-	ExcessValue          float64       // weight of a tenant's work beyond its quota, as a part of the usual one
-	EndpointsPushed      bool          // endpoint updates come unasked; else the list is polled
-	NotifiesStart        bool          // workers report the start of an attempt
-	NotifiesAccepted     bool          // workers' acceptance of an attempt is reported
-	ProgressInterval     time.Duration // between workers' progress reports; 0: none are sent
+	ExcessValue          float64       // weight of a tenant's work beyond its quota, as a fraction of the normal weight
+	EndpointsPushed      bool          // endpoint updates arrive unasked; otherwise the list is polled
+	NotifiesStart        bool          // workers report that an attempt has started
+	NotifiesAccepted     bool          // workers report that they have accepted an attempt
+	ProgressInterval     time.Duration // interval of workers' progress reports; 0: workers send none
 	Limits               Limits
 	Rules                Rules
-	WorstOperationWeight float64 // of the worst served operation beside the whole, as a part of the latter
-	HealthCheckCost      float64 // points of the result for one health check an invocation
-	GossipCost           float64 // points of the result for MaxGossipBytes of gossip an invocation
+	WorstOperationWeight float64 // weight of the worst served operation, as a fraction of the total
+	HealthCheckCost      float64 // points of the overall score that one health check per invocation costs
+	GossipCost           float64 // points of the overall score that MaxGossipBytes of gossip per invocation cost
 }
 
 // Operation is one kind of invocation.
 type Operation struct {
 	PriorityWeight   float64       `json:"BilledValue"`
-	LateWeight       float64       `json:"LateValue"` // of an answer after the objective, as a part of the weight
+	LateWeight       float64       `json:"LateValue"` // weight of an answer after the latency objective, as a fraction of PriorityWeight
 	LatencyObjective time.Duration `json:"LatencyObjective"`
-	Stretch          float64       `json:"Stretch"` // the objective grows by this multiple of an invocation's own work
+	Stretch          float64       `json:"Stretch"` // the objective is extended by this multiple of an invocation's own work
 	Effect           Effect        `json:"Effect"`
 	DedupScope       DedupScope    `json:"Scope"`
-	DedupWindow      time.Duration `json:"DedupWindow"` // in which workers drop repeats
-	WorkerKind       int           `json:"Kind"`        // the one kind of worker that runs it, or AnyKind
+	DedupWindow      time.Duration `json:"DedupWindow"` // how long workers drop repeats
+	WorkerKind       int           `json:"Kind"`        // the only kind of worker that runs it, or AnyKind
 }
 
-// Tenant is one customer's part of the service.
+// Tenant is the configuration of one customer.
 type Tenant struct {
-	QuotaPerSecond float64 // invocations, at all schedulers together; 0: not configured
-	Share          float64 // of all work
+	QuotaPerSecond float64 // invocations per second over all schedulers; 0: not configured
+	Share          float64 // fraction of all work
 }
 
-// Limits say what the deployment permits.
+// Limits holds what the deployment permits.
 type Limits struct {
-	HealthChecks  bool          // workers may be asked for their load
+	HealthChecks  bool          // workers may be asked for load reports
 	Cancel        bool          // attempts may be cancelled
-	Gossip        bool          // schedulers may send messages to one another
-	MaxAttempts   int           // of one invocation
-	MaxInFlight   int           // attempts of one invocation at once
-	MaxRetryAfter time.Duration // that a throttling answer may ask for; 0: none
+	Gossip        bool          // schedulers may send each other messages
+	MaxAttempts   int           // per invocation
+	MaxInFlight   int           // simultaneous attempts per invocation
+	MaxRetryAfter time.Duration // longest retry delay in a throttling answer; 0: none is suggested
 }
 
-// Rules are the figures of the rules that every scheduler keeps.
+// Rules holds the parameters of the rules that every scheduler follows.
 type Rules struct {
-	PollWithin        time.Duration // the endpoint list has to be asked for within this time
-	DrainGrace        time.Duration // for which a draining or gone worker may still be sent to; 0: not configured
-	SlowStartFrom     float64       // part of its capacity that a worker has at its start
-	SlowStartDuration time.Duration // from a worker's start until it has its full capacity
-	OverloadFactor    float64       // multiple of its capacity at which a worker in slow start is overloaded
-	OverloadWindow    time.Duration // over which that is counted
+	PollWithin        time.Duration // the endpoint list must be polled within this time
+	DrainGrace        time.Duration // how long a draining or gone worker may still be sent to; 0: not configured
+	SlowStartFrom     float64       // fraction of its full capacity that a worker has when it starts
+	SlowStartDuration time.Duration // from a worker's start until it reaches its full capacity
+	OverloadFactor    float64       // a worker in slow start is overloaded beyond this multiple of its capacity
+	OverloadWindow    time.Duration // period over which the load is summed to detect an overload
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -5,50 +5,52 @@
 	"time"
 )
 
-// Dispatcher is one scheduler's decisions. It is the registry of workers too, and maps the caller's ids to indices.
+// Dispatcher makes the decisions of one scheduler. It also is the registry of workers, and maps the
+// caller's ids to the indices used inside the package.
 type Dispatcher struct {
 	sharedState
 	mailbox[registryMessage]
 	scheduler scheduler
 
-	schedulers      float64 // in all, as configured
+	schedulers      float64 // total number, as configured
 	invocationIndex map[InvocationID]int
 
-	// The endpoint list.
+	// Endpoint list.
 	records       []workerRecord
 	recordIndex   map[WorkerID]int
-	update        int // counts the updates applied
+	update        int // number of endpoint updates applied
 	polls         bool
-	watching      bool // the watch stands
-	watchFailures int  // in a row
+	watching      bool // a watch of the endpoint list is established
+	watchFailures int  // consecutive
 	pollWithin    time.Duration
-	pollAt        time.Duration // when to ask for the list again if nothing has come by then
-	timerAt       time.Duration // when the caller will wake us
+	pollAt        time.Duration // when to ask for the list again if no update has come by then
+	timerAt       time.Duration // when the caller will send TimerFired
 
-	// Whose turn it is to be health checked.
-	checkOrder      []int // workers, shuffled
+	// Order of health checks.
+	checkOrder      []int // indices of workers, in random order
 	checkTurn       int
 	checksRequested int
 
 	// Gossip.
 	owned           []int // workers whose load data this scheduler owns
 	ownerAnsweredAt time.Duration
-	tagIndex        map[uint32]int        // workers by tag
-	remoteAttempts  map[remoteAttempt]int // the worker that another scheduler's attempt is at
+	tagIndex        map[uint32]int        // worker index by tag
+	remoteAttempts  map[remoteAttempt]int // index of the worker that runs another scheduler's attempt
 }
 
-// sharedState is what all parts share, with the few figures of the configuration that every worker needs.
+// sharedState is the state that all parts use, including the configuration values that every worker
+// needs.
 type sharedState struct {
-	now     time.Duration // of this moment
+	now     time.Duration // of the current moment
 	rng     *rand.Rand
-	actions []Action    // of this moment
-	pending []deliverer // mailboxes with messages in them, oldest first
+	actions []Action    // of the current moment
+	pending []deliverer // mailboxes that hold messages, in the order in which they became non-empty
 	self    int         // this scheduler's number
-	epochs  int         // begun so far
+	epochs  int         // number of epochs begun
 
-	gossips     bool             // schedulers gossip
-	gossipQueue []outgoingGossip // to be sent at the end of this moment
-	serial      uint8            // of our last attempt, for gossip
+	gossips     bool             // gossip with other schedulers is enabled
+	gossipQueue []outgoingGossip // sent at the end of the current moment
+	serial      uint8            // of this scheduler's last attempt, which gossip refers to
 
 	healthChecks      bool
 	notifiesStart     bool
@@ -58,12 +60,12 @@
 	slowStartFrom     float64
 	slowStartDuration time.Duration
 
-	spareViews []*workerView // memory of views that were delivered
+	spareViews []*workerView // memory of delivered views, for reuse
 }
 
 func (s *sharedState) emit(action Action) { s.actions = append(s.actions, action) }
 
-// deliverMessages empties all mailboxes.
+// deliverMessages delivers messages until all mailboxes are empty.
 func (s *sharedState) deliverMessages() {
 	for n := 0; n < len(s.pending); n++ {
 		s.pending[n].deliver()
@@ -71,7 +73,8 @@
 	s.pending = s.pending[:0]
 }
 
-// New starts an instance. The configuration is turned into the figures that decisions use and is not kept.
+// New starts an instance. It derives the values that decisions use from the configuration and does
+// not keep the configuration itself.
 func New(config Config, seed int64) *Dispatcher {
 	d := &Dispatcher{
 		recordIndex:     map[WorkerID]int{},
@@ -87,7 +90,7 @@
 	d.scheduler = newScheduler(d)
 	d.scheduler.handle = func(message schedulerMessage) { message.deliverToScheduler(&d.scheduler) }
 	d.applyConfig(Reconfigured{Config: config})
-	if d.self < 0 { // not configured: one of our own serves as well, others by chance
+	if d.self < 0 { // not configured: a random number serves as well, though others may have it too
 		d.self = d.rng.Intn(max(1, config.Schedulers))
 	}
 	d.sendGossip(allSchedulers, GossipEntry{Kind: GossipRestarted})
@@ -95,8 +98,8 @@
 	return d
 }
 
-// Handle takes the events of one moment and gives back what is to be done, which is valid until the next call. now must
-// not go back.
+// Handle processes the events of one moment and returns the actions to carry out. The returned slice
+// is valid until the next call. now must not decrease from call to call.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
 	d.now = now
 	d.actions = d.actions[:0]
@@ -113,7 +116,8 @@
 	return d.actions
 }
 
-// route finds whom an event is for. What is about an invocation that has been released is dropped.
+// route delivers an event to the worker, the scheduler or the registry. An event about an invocation
+// that has been released is dropped.
 func (d *Dispatcher) route(event Event) {
 	id, worker := event.About()
 	invocation, open := d.invocationIndex[id]
@@ -136,7 +140,7 @@
 	d.deliverMessages()
 }
 
-// opensInvocation reports whether an event brings an invocation.
+// opensInvocation reports whether an event starts an invocation here.
 func opensInvocation(event Event) bool {
 	switch event.(type) {
 	case Arrival, MigratedIn:
@@ -145,7 +149,8 @@
 	return false
 }
 
-// setTimer has the caller wake us at a time, or when the endpoint list has to be asked for, unless it will sooner.
+// setTimer asks the caller for a TimerFired event at a time, or when the endpoint list has to be
+// polled if that comes first. A timer that is already set for an earlier time is kept.
 func (d *Dispatcher) setTimer(at time.Duration) {
 	if d.polls && !d.watching {
 		at = min(at, d.pollAt)
@@ -156,7 +161,7 @@
 	}
 }
 
-// Ejected counts the listed workers that are ejected now.
+// Ejected returns the number of listed workers that are currently ejected.
 func (d *Dispatcher) Ejected() (count int) {
 	for i := range d.records {
 		record := &d.records[i]
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -5,56 +5,58 @@
 	"time"
 )
 
-// InvocationID names an invocation towards the caller. Inside the package an invocation goes by a small index.
+// InvocationID identifies an invocation to the caller. The package itself uses a small index.
 type InvocationID uint64
 
-// WorkerID names a worker towards the caller. An address prints well in log lines; nothing is read from it.
+// WorkerID identifies a worker to the caller. It is an address because that reads well in log lines;
+// the package does not interpret it.
 type WorkerID = netip.AddrPort
 
-// Event is something that has happened; Handle takes those of one moment in the order of arrival.
+// Event reports something that has happened. Handle takes the events of one moment in the order in
+// which they occurred.
 type Event interface {
-	// About names the invocation and the worker that the event is about; zero: none.
+	// About returns the invocation and the worker that the event concerns, or zero values for none.
 	About() (InvocationID, WorkerID)
 }
 
-// About names the invocation.
+// About returns the invocation.
 func (e Arrival) About() (InvocationID, WorkerID) { return e.Invocation, WorkerID{} }
 
-// About names the invocation.
+// About returns the invocation.
 func (e ResponseStarted) About() (InvocationID, WorkerID) { return e.Invocation, WorkerID{} }
 
-// About names the invocation and the worker.
+// About returns the invocation and the worker.
 func (e AttemptProgress) About() (InvocationID, WorkerID) { return e.Invocation, e.Worker }
 
-// About names the invocation and the worker.
+// About returns the invocation and the worker.
 func (e Outcome) About() (InvocationID, WorkerID) { return e.Invocation, e.Worker }
 
-// About names the invocation.
+// About returns the invocation.
 func (e ClientDisconnected) About() (InvocationID, WorkerID) { return e.Invocation, WorkerID{} }
 
-// About names the worker.
+// About returns the worker.
 func (e HealthCheckResult) About() (InvocationID, WorkerID) { return 0, e.Worker }
 
-// About names neither.
+// About returns zero values.
 func (e TimerFired) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
-// About names neither: an update may be about many workers.
+// About returns zero values, as an update may concern many workers.
 func (e EndpointUpdate) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
-// About names neither.
+// About returns zero values.
 func (e Reconfigured) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
-// Arrival is a new invocation, which from now on is owed one final answer.
+// Arrival is a new invocation. From now on it must get exactly one final answer.
 type Arrival struct {
 	Invocation InvocationID  `json:"Inv"`
 	Operation  int           `json:"Operation"`
 	Tenant     int           `json:"Tenant"`
-	Budget     time.Duration `json:"Budget"` // until the client gives up on this request
-	Hint       float64       `json:"Hint"`   // hinted cost in seconds on a standard core; 0: none
-	Slots      float64       `json:"Slots"`  // of a worker, that it takes
+	Budget     time.Duration `json:"Budget"` // time until the client gives up on this request
+	Hint       float64       `json:"Hint"`   // estimated cost in seconds on a standard core; 0: no estimate
+	Slots      float64       `json:"Slots"`  // slots of a worker that it occupies
 }
 
-// ResponseStarted says that the client has begun to receive a streamed response.
+// ResponseStarted reports that the client has begun to receive a streamed response.
 type ResponseStarted struct {
 	Invocation InvocationID
 	Attempt    int
@@ -65,35 +67,37 @@
 	Invocation InvocationID
 	Worker     WorkerID
 	Attempt    int
-	Accepted   bool    // the worker has it, and may not have looked at it yet
-	Started    bool    // it runs; neither: it goes on running
-	Done       float64 // part of the work done, 0 to 1
+	Accepted   bool    // the worker has received it, but may not have read it yet
+	Started    bool    // the attempt has started; if Accepted is false too, it is still running
+	Done       float64 // fraction of the work done, 0 to 1
 }
 
-// Result tells how an attempt or a health check ended.
+// Result is how an attempt or a health check ended.
 type Result uint8
 
-// The results. What proves that nothing has run is Rejected, Unreachable or NotSent; all else may have run.
+// The results. Rejected, Unreachable and NotSent prove that nothing has run; with every other result
+// the attempt may have run.
 const (
-	// Succeeded: the worker's result is there.
+	// Succeeded: the worker returned a result.
 	Succeeded Result = iota
-	// Failed: the worker failed on it.
+	// Failed: the worker reported that running it failed.
 	Failed
 	// Rejected: the worker had no capacity for it.
 	Rejected
-	// TimedOut: nothing came until the client timeout.
+	// TimedOut: no answer came before the client timeout.
 	TimedOut
-	// Unreachable: no connection came up, or it broke before the request had been written.
+	// Unreachable: no connection could be established, or it broke before the request was written.
 	Unreachable
-	// ConnectionBroken: the connection broke under the request.
+	// ConnectionBroken: the connection broke after the request was written.
 	ConnectionBroken
-	// Cancelled: the attempt was given up here.
+	// Cancelled: this scheduler gave up the attempt.
 	Cancelled
-	// NotSent: it could no longer be sent when its turn came.
+	// NotSent: by the time the attempt could be sent, it no longer was allowed to be.
 	NotSent
-	// BadRequest: the worker would not have it, whatever its load.
+	// BadRequest: the worker refused the request itself, independent of its load.
 	BadRequest
-	// ReusedConnectionBroken: an idle connection broke at its next use, as they do; which says nothing of the worker.
+	// ReusedConnectionBroken: an idle connection broke when it was used again. This is normal and
+	// says nothing about the worker.
 	ReusedConnectionBroken
 )
 
@@ -102,92 +106,92 @@
 	return r == Rejected || r == Unreachable || r == NotSent
 }
 
-// Outcome ends an attempt.
+// Outcome reports the end of an attempt.
 type Outcome struct {
 	Invocation InvocationID
 	Worker     WorkerID
 	Attempt    int
 	Result     Result
-	Answered   bool        // the client has its final answer
-	Load       *LoadReport // nil: none came with it
+	Answered   bool        // the client has received its final answer
+	Load       *LoadReport // nil: the outcome carried no load report
 }
 
-// ClientDisconnected says that the client has left: no answer is owed any more.
+// ClientDisconnected reports that the client has disconnected, so no answer is owed any more.
 type ClientDisconnected struct{ Invocation InvocationID }
 
-// HealthCheckResult ends a health check.
+// HealthCheckResult reports the end of a health check.
 type HealthCheckResult struct {
 	Worker  WorkerID
 	Result  Result
 	Latency time.Duration
-	Load    *LoadReport // nil: none came with it
+	Load    *LoadReport // nil: the result carried no load report
 }
 
-// LoadReport is a worker's report on itself.
+// LoadReport is a worker's report of its own load.
 type LoadReport struct {
-	FreeSlots   float64 `json:"FreeSlots"`   // below 0: not configured
-	Queued      float64 `json:"Waiting"`     // invocations that wait there
-	InFlight    float64 `json:"InHand"`      // invocations that it has
-	Busy        float64 `json:"Busy"`        // share of its time, 0 to 1
-	ServiceTime float64 `json:"ServiceTime"` // seconds that an invocation takes
-	ErrorRate   float64 `json:"Errors"`      // a second
+	FreeSlots   float64 `json:"FreeSlots"`   // negative: not configured
+	Queued      float64 `json:"Waiting"`     // invocations queued at the worker
+	InFlight    float64 `json:"InHand"`      // invocations at the worker
+	Busy        float64 `json:"Busy"`        // fraction of time that the worker is busy, 0 to 1
+	ServiceTime float64 `json:"ServiceTime"` // seconds per invocation
+	ErrorRate   float64 `json:"Errors"`      // errors per second
 }
 
-// UnknownLoad is a report without any value: free slots unknown.
+// UnknownLoad is a load report without any values: the number of free slots is unknown.
 var UnknownLoad = LoadReport{FreeSlots: -1}
 
-// TimerFired answers a SetTimer.
+// TimerFired reports that the timer set by SetTimer has fired.
 type TimerFired struct{}
 
-// UpdateKind tells how an endpoint update is to be read.
+// UpdateKind distinguishes full updates, delta updates and failures of the endpoint watch.
 type UpdateKind uint8
 
 // The kinds of updates.
 const (
-	// WatchFailed: the call for the list has failed, or the watch has ended.
+	// WatchFailed: the request for the list failed, or the watch ended.
 	WatchFailed UpdateKind = iota
-	// DeltaUpdate names the endpoints that have changed.
+	// DeltaUpdate lists the endpoints that have changed.
 	DeltaUpdate
-	// FullUpdate names all endpoints: a worker that it leaves out is gone.
+	// FullUpdate lists all endpoints: a worker that is missing from it is gone.
 	FullUpdate
 )
 
-// EndpointUpdate is a change of the endpoint list, or the failure to get one.
+// EndpointUpdate is a change of the endpoint list, or a failure to get the list.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
 }
 
-// EndpointState is what the endpoint list says of a worker.
+// EndpointState is the state of a worker in the endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
-	// Gone workers must get nothing any more, and what they had is lost.
+	// Gone workers must not be sent anything, and their attempts are lost.
 	Gone EndpointState = iota
-	// Ready workers may get invocations.
+	// Ready workers may be sent invocations.
 	Ready
-	// Draining workers must get nothing new, and finish what they have.
+	// Draining workers must not be sent anything new, and finish the attempts that they have.
 	Draining
 )
 
-// Endpoint is one worker of an update.
+// Endpoint is a worker's entry in an endpoint update.
 type Endpoint struct {
 	Worker      WorkerID
 	Zone        int
 	Kind        int
 	Cell        int
 	State       EndpointState
-	StartKnown  bool          // StartedAt is known; else the worker started long ago
-	StartedAt   time.Duration // by this instance's clock; below 0: before it started
-	Incarnation uint64        // names this start of this worker, the same at every scheduler
+	StartKnown  bool          // StartedAt is known; otherwise the worker started long ago
+	StartedAt   time.Duration // on this instance's clock; negative: before the instance started
+	Incarnation uint64        // identifies this start of the worker, identically at every scheduler
 }
 
-// Reconfigured brings a newer configuration. An operation stays at its index for as long as invocations of it are
-// under way.
+// Reconfigured brings a newer configuration. An operation must keep its index while invocations of
+// it are in progress.
 type Reconfigured struct {
 	Config
-	// PreviousOperations names, for each operation, the earlier one whose measurements it goes on with: itself where
-	// it has not changed, below 0 for none.
+	// PreviousOperations holds, for each operation, the index of the earlier operation whose
+	// measurements it continues: its own index if it is unchanged, a negative number for none.
 	PreviousOperations []int
 }
--- a/dispatch/gossip.go
+++ b/dispatch/gossip.go
@@ -2,88 +2,91 @@
 
 import "math"
 
-// Schedulers gossip what they send where. Each worker has one owner among them, which is notified of all attempts
-// at it and asked for its free slots. An entry that is lost, late, foreign or broken leaves its reader with less
-// knowledge, and no more.
+// With gossip, schedulers tell each other about the attempts that they send. Each worker has one
+// owner among the schedulers, which is notified of all attempts at that worker and is asked for its
+// number of free slots. An entry that is lost, late, corrupted or from an unknown sender only leaves
+// the receiver with less information.
 const (
-	// ownerAnswerFreshness is how long an owner's answer counts as recent, and how long a query may go unanswered.
+	// ownerAnswerFreshness is how long an owner's reply counts as recent, and how long a query may
+	// stay unanswered.
 	ownerAnswerFreshness = 10 * tickInterval
-	// queryBytes is what a capacity query and its reply take.
+	// queryBytes is the size of a capacity query and its reply together.
 	queryBytes = 32
-	// queryBudgetPoints is how many points of the result queries may cost.
+	// queryBudgetPoints is how many points of the overall score queries may cost.
 	queryBudgetPoints = 0.006
 	// maxQueries bounds the queries for one invocation.
 	maxQueries = 5
-	// querySpan: those who were notified of the same free slot within this time may take it.
+	// querySpan is how long after a reply its receiver may still take the reported slot.
 	querySpan = 2 * tickInterval
-	// maxToldSlots bounds the free slots that a reply can report.
+	// maxReplySlots bounds the number of free slots that a reply can report.
 	maxReplySlots = 99
 )
 
-// allSchedulers addresses gossip to all others.
+// allSchedulers is the receiver of gossip that goes to all other schedulers.
 const allSchedulers = -1
 
-// GossipEntry is one piece of gossip.
+// GossipEntry is one notification, query or reply in a gossip message.
 type GossipEntry struct {
 	Kind   GossipKind
-	Serial uint8  // names an attempt among its sender's; of a GossipCapacityReply: the free slots, as int8
-	Tag    uint32 // names the worker
+	Serial uint8  // identifies an attempt of the sender; in a GossipCapacityReply the free slots, as int8
+	Tag    uint32 // identifies the worker
 }
 
-// GossipKind is what an entry says.
+// GossipKind is the type of a gossip entry.
 type GossipKind uint8
 
 // The kinds of entries. Their numbers are on the wire.
 const (
-	// GossipRestarted: the scheduler has just started, and knows nothing of its attempts before.
+	// GossipRestarted: the sender has just started, and has no record of its earlier attempts.
 	GossipRestarted GossipKind = iota
-	// GossipAttemptStarted: an attempt is on its way to a worker.
+	// GossipAttemptStarted: the sender has sent an attempt to the worker.
 	GossipAttemptStarted
-	// GossipAttemptEnded: an attempt holds no slot any more.
+	// GossipAttemptEnded: the sender's attempt holds no slot any more.
 	GossipAttemptEnded
-	// GossipCapacityQuery asks how much is free at a worker.
+	// GossipCapacityQuery asks for the number of free slots of the worker.
 	GossipCapacityQuery
-	// GossipCapacityReply answers that.
+	// GossipCapacityReply answers a GossipCapacityQuery.
 	GossipCapacityReply
-	// gossipPacked marks an entry that has been packed already.
+	// gossipPacked marks a queued entry that has already been added to a message.
 	gossipPacked = 255
 )
 
 // SendGossip sends entries to another scheduler.
 type SendGossip struct {
-	To      int // below 0: all
+	To      int // number of the receiver; negative: all other schedulers
 	Entries []GossipEntry
 }
 
-// GossipReceived brings another scheduler's entries, in its order.
+// GossipReceived brings another scheduler's entries, in the order in which it sent them.
 type GossipReceived struct {
-	From    int // its number
+	From    int // number of the sender
 	Entries []GossipEntry
 }
 
-// About names neither: the entries may be about many workers.
+// About returns zero values, as the entries may concern many workers.
 func (e GossipReceived) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
-// outgoingGossip is an entry that is sent at the end of this moment.
+// outgoingGossip is an entry that is sent at the end of the current moment.
 type outgoingGossip struct {
 	to int
 	GossipEntry
 }
 
-// remoteAttempt names an attempt of another scheduler.
+// remoteAttempt identifies an attempt of another scheduler.
 type remoteAttempt struct {
 	scheduler int
 	serial    uint8
 }
 
-// sendGossip queues an entry for one scheduler, or allSchedulers.
+// sendGossip queues an entry for one scheduler, or for allSchedulers.
 func (s *sharedState) sendGossip(to int, entry GossipEntry) {
 	if s.gossips && to != s.self {
 		s.gossipQueue = append(s.gossipQueue, outgoingGossip{to: to, GossipEntry: entry})
 	}
 }
 
-// flushGossip sends what was queued at this moment, all for one scheduler together.
+// flushGossip sends the entries that were queued at this moment, combined into one SendGossip for
+// each receiver.
 func (s *sharedState) flushGossip() {
 	for i, first := range s.gossipQueue {
 		if first.Kind != gossipPacked {
@@ -93,7 +96,7 @@
 	s.gossipQueue = s.gossipQueue[:0]
 }
 
-// packGossip takes the entries for one scheduler out of a queue.
+// packGossip takes all entries for one receiver out of the queue.
 func (s *sharedState) packGossip(queue []outgoingGossip, to int) (entries []GossipEntry) {
 	for i := range queue {
 		queued := &queue[i]
@@ -105,7 +108,7 @@
 	return entries
 }
 
-// ownerOf is the scheduler that owns the load data of a worker.
+// ownerOf returns the number of the scheduler that owns the load data of a worker.
 func (d *Dispatcher) ownerOf(id WorkerID) (owner int) {
 	if !d.gossips {
 		return 0
@@ -121,8 +124,8 @@
 	return owner
 }
 
-// receiveGossip passes what another scheduler reports on to the workers that it is about. Where gossip is not allowed, or
-// there is no such scheduler, it may be anything and is dropped.
+// receiveGossip passes another scheduler's entries on to the workers that they concern. If gossip is
+// disabled or the sender is unknown, the entries cannot be trusted and are dropped.
 func (d *Dispatcher) receiveGossip(received GossipReceived) {
 	from := received.From
 	if !d.gossips || from < 0 || from >= int(d.schedulers) || from == d.self {
@@ -158,11 +161,11 @@
 	}
 }
 
-// receiveGossip enters what another scheduler reports of the worker.
+// receiveGossip applies an entry that another scheduler has sent about this worker.
 func (w *worker) receiveGossip(message gossipMessage) {
 	switch message.Kind {
 	case GossipAttemptStarted:
-		w.remoteAttemptEnded(message) // its end may never be reported, and its start may be reported twice
+		w.remoteAttemptEnded(message) // the end of an earlier one may be lost, and a start may arrive twice
 		w.remoteAttemptStarted(message)
 	case GossipAttemptEnded:
 		w.remoteAttemptEnded(message)
@@ -194,7 +197,8 @@
 	}
 }
 
-// remoteSchedulerRestarted: all attempts of a scheduler that has restarted are soon over.
+// remoteSchedulerRestarted expects all attempts of a restarted scheduler to end within a usual
+// running time.
 func (w *worker) remoteSchedulerRestarted(message gossipMessage) {
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
@@ -204,7 +208,7 @@
 	}
 }
 
-// queryOwner asks the worker's owner for its free slots.
+// queryOwner asks the worker's owner for the number of free slots.
 func (w *worker) queryOwner() {
 	w.queriedAt = w.now
 	w.checkPending = true
@@ -214,8 +218,8 @@
 	w.sendGossip(w.owner, GossipEntry{Kind: GossipCapacityQuery, Tag: w.tag})
 }
 
-// replyCapacity reports to another scheduler how many slots are free. Others who were notified of the same slot just before may
-// take it.
+// replyCapacity tells another scheduler how many slots are free. Schedulers that were told of the
+// same slot shortly before may also take it, so recent queries reduce the number.
 func (w *worker) replyCapacity(to int) {
 	w.recentQueries.add(w.now.Seconds())
 	for w.recentQueries[0] < (w.now - querySpan).Seconds() {
@@ -234,7 +238,7 @@
 	w.sendGossip(to, GossipEntry{Kind: GossipCapacityReply, Serial: uint8(int8(free)), Tag: w.tag})
 }
 
-// receiveCapacityReply enters what the worker's owner reports of its free slots.
+// receiveCapacityReply records the number of free slots that the worker's owner reports.
 func (w *worker) receiveCapacityReply(message gossipMessage) {
 	w.checkPending = false
 	w.unansweredSince = 0
@@ -246,8 +250,9 @@
 	w.recordFreeSlots(w.queriedAt-tickInterval, free)
 }
 
-// gossipEnded notifies the worker's owner of an attempt's end. What a silent worker has may hold its slots for long, however
-// long we wait for it.
+// gossipEnded notifies the worker's owner of the end of an attempt. An attempt that this scheduler
+// gave up at an ejected worker is not reported, because a silent worker may hold its slots for much
+// longer than this scheduler waits.
 func (w *worker) gossipEnded(serial uint8, result Result) {
 	if !w.ejected || result != TimedOut && result != Cancelled {
 		w.sendGossip(w.owner, GossipEntry{Kind: GossipAttemptEnded, Serial: serial})
--- a/dispatch/gossip_codec.go
+++ b/dispatch/gossip_codec.go
@@ -4,13 +4,14 @@
 
 const (
 	gossipVersion = 1
-	// MaxGossipBytes is the most that a message may have.
+	// MaxGossipBytes is the maximum size of a message.
 	MaxGossipBytes = 256
-	// tagBits of a worker's id name it: two of two hundred workers share a tag in one of twenty-five deployments.
+	// tagBits is the size of a worker's tag. With 200 workers, two of them share a tag in one of 25
+	// deployments.
 	tagBits = 19
 )
 
-// The first byte of an entry has the version, the kind and the first bits of the tag.
+// The first byte of an entry holds the version, the kind and the high bits of the tag.
 const (
 	versionShift = 6
 	kindShift    = 3
@@ -20,7 +21,8 @@
 	tagLowBytes  = 2
 )
 
-// entryLayout is how a kind of entry is written. Bytes are paid for, so that an entry has none to spare.
+// entryLayout lists the fields of a kind of entry. Gossip bytes have a cost, so an entry only holds
+// the fields that it needs.
 type entryLayout struct {
 	hasTag    bool
 	hasSerial bool
@@ -45,7 +47,7 @@
 	return size
 }
 
-// EncodeGossip packs entries into messages of at most MaxGossipBytes.
+// EncodeGossip encodes entries into messages of at most MaxGossipBytes.
 func EncodeGossip(entries []GossipEntry) (messages [][]byte) {
 	var message []byte
 	for _, entry := range entries {
@@ -71,7 +73,8 @@
 	return message
 }
 
-// DecodeGossip unpacks a message. Of one of another version, cut short or too long nothing is taken: ok is false.
+// DecodeGossip decodes a message. ok is false, and no entry is returned, if the message has another
+// version, is cut short or is too long.
 func DecodeGossip(message []byte) (entries []GossipEntry, ok bool) {
 	if len(message) == 0 || len(message) > MaxGossipBytes {
 		return nil, false
@@ -87,7 +90,7 @@
 	return entries, true
 }
 
-// decodeEntry reads the first entry of a message and returns its size; 0: it can't be read.
+// decodeEntry decodes the first entry of a message and returns its size, or 0 if it is malformed.
 func decodeEntry(message []byte) (entry GossipEntry, size int) {
 	entry.Kind = GossipKind(message[0] >> kindShift & kindMask)
 	layout, known := gossipLayouts[entry.Kind]
@@ -105,7 +108,8 @@
 	return entry, size
 }
 
-// workerTag names a worker in few bits, the same at every scheduler.
+// workerTag returns the short number that identifies a worker in gossip, identical at every
+// scheduler.
 func workerTag(id WorkerID) uint32 {
 	address := id.Addr().As16()
 	key := binary.LittleEndian.Uint64(address[8:]) ^ uint64(id.Port())<<16
--- a/dispatch/gossip_test.go
+++ b/dispatch/gossip_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// gossipConfig is a deployment whose schedulers may gossip.
+// gossipConfig returns a deployment in which schedulers may gossip.
 func gossipConfig(schedulers, index int) Config {
 	config := testConfig()
 	config.Schedulers = schedulers
@@ -17,7 +17,7 @@
 	return config
 }
 
-// capacityReply is what a worker's owner replies to a capacity query.
+// capacityReply returns a reply to a capacity query, sent by the worker's owner.
 func (h *harness) capacityReply(name byte, slots int) GossipReceived {
 	w := h.dispatcher.workerAt(h.dispatcher.recordIndex[workerID(name)])
 	return GossipReceived{
@@ -30,7 +30,7 @@
 	}
 }
 
-// Bytes that are garbled, cut short, of another version or too long are no message, and nothing of them is used.
+// Messages that are garbled, cut short, of another version or too long are rejected as a whole.
 func Example_gossipCodec() {
 	entries := []GossipEntry{
 		{Kind: GossipRestarted},
@@ -78,8 +78,9 @@
 	// 256 true, 256 true, 256 true, 32 true, true
 }
 
-// Other schedulers notify a worker's owner of their attempts and query it; what is in flight there, by whichever scheduler,
-// is not free. An attempt whose end is never reported counts for 8 s at most, or for a run time after its sender has restarted.
+// The owner of a worker is notified of other schedulers' attempts and answers their capacity queries.
+// Slots in use do not count as free, whichever scheduler uses them. An attempt whose end is never
+// reported counts for at most 8 s, or for one running time after its scheduler has restarted.
 func Example_ownerReplies() {
 	h := newHarness(gossipConfig(3, 1), readyEndpoint('a', 0), readyEndpoint('c', 0))
 	fmt.Println("owners:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
@@ -115,7 +116,8 @@
 	// 1.81s gossips to 2: 3 free at a
 }
 
-// What a scheduler can't see, as another one's attempt fills the worker that its own report shows free, the owner replies.
+// A worker's own report may show free slots that another scheduler's attempts already use. The reply
+// of the worker's owner accounts for them.
 func Example_capacityQueries() {
 	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
 	fmt.Println("owners:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner)
@@ -139,8 +141,8 @@
 	// 410ms gossips to 1: sent 2 to a
 }
 
-// Gossip of any kind, order and number costs quality and breaks no rule: each invocation gets one answer in time, what
-// may run only once is sent once, and a draining worker gets nothing.
+// Arbitrary gossip may lower the quality of decisions but must not break a rule: each invocation gets
+// one answer in time, a non-idempotent one is sent once, and a draining worker gets nothing.
 func TestRulesHoldUnderNoisyGossip(t *testing.T) {
 	rng := rand.New(rand.NewSource(3))
 	dispatcher := New(gossipConfig(4, 2), 9)
@@ -194,7 +196,7 @@
 				repeated := a.Invocation%3 == 2 && sends[a.Invocation] > 1
 				drained := now >= 5*time.Second && a.Worker == drainedWorker
 				if repeated || drained || answers[a.Invocation] > 0 {
-					t.Fatal(now, a)
+					t.Fatal(now, "forward breaks a rule:", a)
 				}
 				inFlight[a.Invocation] = a
 			case Throttle:
@@ -206,16 +208,17 @@
 	}
 	for id := InvocationID(1); id <= 1000; id++ {
 		if answers[id] != 1 {
-			t.Fatal(id, answers[id])
+			t.Fatalf("invocation %d: got %d answers, want 1", id, answers[id])
 		}
 	}
 	if records := len(dispatcher.records); records != 12 {
-		t.Fatal(records)
+		t.Fatalf("got %d records, want 12", records)
 	}
 }
 
-// While owners reply, a worker that none of them has reported on lately gets nothing, however free it looked once; a second
-// round of queries goes out for what is queued. When nobody replies any more, old samples count again.
+// While owners reply, a worker without a recent reply gets nothing, even if it had free slots earlier,
+// and a second round of queries is sent for queued invocations. When no owner replies any more, older
+// samples count again.
 func Example_onlyCurrentReplies() {
 	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
 	h.dispatcher.scheduler.runTimes = samples{0.2, 0.2}
@@ -251,8 +254,8 @@
 	// 1.56s gossips to 0: sent 2 to c
 }
 
-// An owner that leaves queries unanswered, as one that is gone or partitioned, is done without: its workers are health
-// checked, and count by their own reports. Its next message ends that.
+// An owner that leaves queries unanswered (stopped or partitioned) is bypassed: its workers are health
+// checked and judged by their own reports, until the next message from the owner.
 func Example_silentOwner() {
 	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
 	a := h.dispatcher.workerAt(0)
@@ -291,8 +294,8 @@
 	// false false
 }
 
-// The slot that an attempt of ours leaves is free to us at once, before its owner is notified: a queued invocation takes
-// it, and the owner gets both in one message.
+// A slot freed by an attempt of this scheduler can be reused at once, before the owner is notified: a
+// queued invocation takes it, and the owner gets both entries in one message.
 func Example_ownFreedSlot() {
 	h := newHarness(gossipConfig(3, 2), readyEndpoint('a', 0), readyEndpoint('c', 0))
 	h.handleAt(20*ms, arrival(1, 0, 0.1))
@@ -314,8 +317,8 @@
 	// 490ms gossips to 1: ended 1 sent 2 to a
 }
 
-// What is free at a worker that we own is known: with capacity it comes first, whatever other owners replied, and nobody is
-// queried. Once it has none, owners are.
+// The free slots of owned workers are known, so an owned worker with capacity comes first, whatever
+// other owners replied, and no queries are sent. Owners are queried once it has no capacity left.
 func Example_ownedWorkersFirst() {
 	h := newHarness(gossipConfig(3, 0), readyEndpoint('a', 0), readyEndpoint('c', 0))
 	h.reportOften('a', 'c')
--- a/dispatch/mailbox.go
+++ b/dispatch/mailbox.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// The parts of the package (the registry, which Dispatcher is, the scheduler and the workers) talk by messages alone.
-// A message that is sent while another one is handled waits: mailboxes are emptied in the order in which each got the
-// first of its waiting messages, and each mailbox whole. Recorded histories depend on that order.
+// The parts of the package (the registry, which is the Dispatcher itself, the scheduler and the
+// workers) communicate only by messages. A message that is sent while another one is being handled
+// has to wait: mailboxes are emptied in the order in which they became non-empty, and each one is
+// emptied completely before the next. Recorded histories depend on this order.
 
 // registryMessage is a message to the registry.
 type registryMessage interface{ deliverToRegistry(d *Dispatcher) }
@@ -15,18 +16,18 @@
 // workerMessage is a message to one worker.
 type workerMessage interface{ deliverToWorker(w *worker) }
 
-// deliverer is a mailbox with messages in it.
+// deliverer is a mailbox that holds messages.
 type deliverer interface{ deliver() }
 
-// mailbox keeps the messages to one part until they are delivered.
+// mailbox holds the messages to one part of the package until they are delivered.
 type mailbox[M any] struct {
 	*sharedState
 	handle   func(message M)
 	messages []M
-	spare    []M // the memory of messages that were delivered, for the next ones
+	spare    []M // memory of delivered messages, for reuse
 }
 
-// send leaves a message.
+// send adds a message to the mailbox.
 func (m *mailbox[M]) send(message M) {
 	m.messages = append(m.messages, message)
 	if len(m.messages) == 1 {
@@ -34,7 +35,8 @@
 	}
 }
 
-// deliver has all messages handled that wait now. What is sent meanwhile waits for its turn.
+// deliver handles all messages that are in the mailbox now. Messages that are sent meanwhile are
+// left for the next call.
 func (m *mailbox[M]) deliver() {
 	messages := m.messages
 	m.messages = m.spare[:0]
@@ -44,23 +46,25 @@
 	m.spare = messages
 }
 
-// clockTick says that time has passed. The scheduler's tick is in pool.go.
+// clockTick notifies the registry and the scheduler that time has passed. The scheduler's tick is in
+// pool.go.
 type clockTick struct{}
 
 func (clockTick) deliverToRegistry(d *Dispatcher) { d.pollIfDue() }
 func (clockTick) deliverToScheduler(s *scheduler) { s.tick() }
 
-// scheduleNow says that all that has happened at this moment has been delivered.
+// scheduleNow starts the scheduling step, after all events of the moment have been delivered.
 type scheduleNow struct{}
 
 func (scheduleNow) deliverToScheduler(s *scheduler) { s.schedule() }
 
-// eventMessage is an event about an invocation. What a worker has reported goes to the worker first, and from there to the
-// scheduler, with how long the invocation ran.
+// eventMessage is an event about an invocation or a worker. An event reported by a worker is sent to
+// that worker first, which passes outcomes on to the scheduler together with the attempt's running
+// time.
 type eventMessage struct {
 	invocation int
 	event      Event
-	runTime    float64 // seconds; of one that succeeded
+	runTime    float64 // in seconds, of an attempt that succeeded
 }
 
 func (m eventMessage) deliverToWorker(w *worker) {
@@ -91,7 +95,7 @@
 	}
 }
 
-// registryEvent is an event that is about no invocation and no worker that is known.
+// registryEvent is an event about neither an open invocation nor a known worker.
 type registryEvent struct{ event Event }
 
 func (m registryEvent) deliverToRegistry(d *Dispatcher) {
@@ -109,27 +113,28 @@
 	}
 }
 
-// invocationReleased says that nothing more will be reported of an invocation.
+// invocationReleased notifies the registry that no more events will arrive for an invocation.
 type invocationReleased struct{ id InvocationID }
 
 func (m invocationReleased) deliverToRegistry(d *Dispatcher) { delete(d.invocationIndex, m.id) }
 
-// timerRequest says when time alone may change a decision.
+// timerRequest asks the registry for a timer, at the time when a decision may change without any
+// event.
 type timerRequest struct{ at time.Duration }
 
 func (m timerRequest) deliverToRegistry(d *Dispatcher) { d.setTimer(m.at) }
 
-// poolRequest asks for one more worker in the pool that meets requirements.
+// poolRequest asks the registry to add a worker that meets the requirements to the pool.
 type poolRequest struct {
 	requirements
 	workerStats
-	viaGossip bool // its owner is to be asked, not the worker
-	nextEpoch bool // at its turn as an epoch begins, not at once
+	viaGossip bool // ask the worker's owner for its load, not the worker
+	nextEpoch bool // wait for the worker's turn in the next epoch instead of asking at once
 }
 
 func (m poolRequest) deliverToRegistry(d *Dispatcher) { d.extendPool(m) }
 
-// joinPool has a worker join the pool and be asked for its load, itself or by its owner.
+// joinPool makes a worker join the pool, and asks the worker or its owner for its load.
 type joinPool struct {
 	workerStats
 	viaGossip bool
@@ -137,8 +142,8 @@
 
 func (m joinPool) deliverToWorker(w *worker) { w.joinPool(m) }
 
-// orderedCheck is a joinPool that waits for its turn as an epoch begins. Workers for which something is due besides go
-// first.
+// orderedCheck is a joinPool message that waits for the beginning of the next epoch. Workers for
+// which something else is due in that epoch are served first.
 type orderedCheck struct {
 	worker int
 	joinPool
@@ -146,15 +151,16 @@
 
 func (m orderedCheck) deliverToScheduler(s *scheduler) { s.orderedChecks = append(s.orderedChecks, m) }
 
-// refresh begins an epoch. It goes from the scheduler by way of the registry, behind the poolRequests of the same
-// moment, back to the scheduler, and to the workers for which something may be due.
+// refresh begins an epoch. The scheduler sends it to the registry, which returns it behind the
+// poolRequests of the same moment. The scheduler then passes it to the workers for which something
+// may be due.
 type refresh struct{}
 
 func (m refresh) deliverToRegistry(d *Dispatcher) { d.scheduler.send(m) }
 func (refresh) deliverToScheduler(s *scheduler)   { s.beginEpoch() }
 func (refresh) deliverToWorker(w *worker)         { w.checkOverdue() }
 
-// recordChanged notifies a worker of what the registry has on it.
+// recordChanged notifies a worker of its new record in the registry.
 type recordChanged struct {
 	Endpoint
 	lotteryRank int
@@ -163,12 +169,12 @@
 
 func (m recordChanged) deliverToWorker(w *worker) { w.applyRecord(m) }
 
-// attemptSent notifies a worker of an attempt that it gets.
+// attemptSent notifies a worker of an attempt that is sent to it.
 type attemptSent struct{ workerAttempt }
 
 func (m attemptSent) deliverToWorker(w *worker) { w.addAttempt(m.workerAttempt) }
 
-// gossipMessage is what another scheduler reports of a worker.
+// gossipMessage is an entry that another scheduler has sent about a worker.
 type gossipMessage struct {
 	from int
 	GossipEntry
@@ -176,12 +182,12 @@
 
 func (m gossipMessage) deliverToWorker(w *worker) { w.receiveGossip(m) }
 
-// rejectedValidRequest notifies a worker that another one ran what it would not have.
+// rejectedValidRequest notifies a worker that another worker ran a request that it called bad.
 type rejectedValidRequest struct{}
 
 func (rejectedValidRequest) deliverToWorker(w *worker) { w.eject(ejectRejects, false) }
 
-// attemptStalled notifies the scheduler that no answer is to be expected of an attempt in time.
+// attemptStalled notifies the scheduler that an attempt is not expected to be answered in time.
 type attemptStalled struct {
 	invocation int
 	number     int
@@ -189,15 +195,15 @@
 
 func (m attemptStalled) deliverToScheduler(s *scheduler) { s.attemptStalled(m) }
 
-// startObserved reports to the scheduler whether an attempt has started at once: 1, or 0.
+// startObserved tells the scheduler whether an attempt started at once: 1 if it did, 0 if not.
 type startObserved struct{ immediate float64 }
 
 func (m startObserved) deliverToScheduler(s *scheduler) { s.immediateStarts.add(m.immediate) }
 
-// reportPair reports to the scheduler two answers of a worker in a row.
+// reportPair tells the scheduler about two consecutive answers of a worker.
 type reportPair struct {
 	gap     float64 // seconds between them
-	changed float64 // 1: the second one had a new report; else 0
+	changed float64 // 1: the second answer had a new load report; otherwise 0
 }
 
 func (m reportPair) deliverToScheduler(s *scheduler) {
@@ -205,13 +211,14 @@
 	s.reportChanges.add(m.changed)
 }
 
-// freeSlotsObserved is how many slots a load report of a worker past its slow start, and what is reserved there, have
-// shown.
+// freeSlotsObserved is the number of free slots at a worker past its slow start, computed from its
+// load report and the slots reserved there.
 type freeSlotsObserved float64
 
 func (m freeSlotsObserved) deliverToScheduler(s *scheduler) { s.freeSlots.add(float64(m)) }
 
-// viewPublished brings a worker's view as it is now. The memory is used again.
+// viewPublished sends the scheduler a worker's current view. The scheduler returns its memory to
+// spareViews.
 type viewPublished struct{ view *workerView }
 
 func (m viewPublished) deliverToScheduler(s *scheduler) {
--- a/dispatch/migration.go
+++ b/dispatch/migration.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// notYet is the age of what has not happened.
+// notYet is the age of an event that has not happened.
 const notYet = -1
 
-// MigratedOut says that an invocation is another instance's from now on: nothing is cancelled and no answer is owed here.
+// MigratedOut reports that an invocation now belongs to another instance. Nothing is cancelled, and
+// this instance does not owe an answer any more.
 type MigratedOut struct{ Invocation InvocationID }
 
-// MigratedIn brings an invocation that another instance had. Ages count back from now.
+// MigratedIn brings an invocation that belonged to another instance. Ages count back from now.
 type MigratedIn struct {
 	Arrival
-	Waited   time.Duration `json:"Waited"` // since its client's first request arrived
-	Age      time.Duration `json:"Age"`    // since this request arrived
-	Attempts []Attempt     `json:"Tries"`  // in the order sent
+	Waited   time.Duration `json:"Waited"` // since the client's first request arrived
+	Age      time.Duration `json:"Age"`    // since the present request arrived
+	Attempts []Attempt     `json:"Tries"`  // in the order in which they were sent
 }
 
-// Attempt is one attempt of an invocation that migrates.
+// Attempt is one attempt of a migrating invocation.
 type Attempt struct {
 	Worker          WorkerID      `json:"Worker"`
-	Zone            int           `json:"Zone"`  // where the worker was when it was sent
-	Cell            int           `json:"Cell"`  // likewise
-	Age             time.Duration `json:"Age"`   // since it was sent
-	StartedAge      time.Duration `json:"Began"` // since it started; below 0: it has not
-	LastProgressAge time.Duration `json:"Heard"` // since its last progress; below 0: there was none
-	Cost            float64       `json:"Cost"`  // of a slow-start budget
+	Zone            int           `json:"Zone"`  // the worker's zone when the attempt was sent
+	Cell            int           `json:"Cell"`  // the worker's cell when the attempt was sent
+	Age             time.Duration `json:"Age"`   // since the attempt was sent
+	StartedAge      time.Duration `json:"Began"` // since the attempt started; negative: not started
+	LastProgressAge time.Duration `json:"Heard"` // since its last progress report; negative: none came
+	Cost            float64       `json:"Cost"`  // use of a slow-start budget, in seconds
 	InFlight        bool          `json:"Out"`
 	MayHaveRun      bool          `json:"Ran"`
 	Stalled         bool          `json:"Stuck"`
 	BadRequest      bool          `json:"Unfit"`
 }
 
-// About names the invocation.
+// About returns the invocation.
 func (e MigratedOut) About() (InvocationID, WorkerID) { return e.Invocation, WorkerID{} }
 
-// About names the invocation.
+// About returns the invocation.
 func (e MigratedIn) About() (InvocationID, WorkerID) { return e.Invocation, WorkerID{} }
 
-// MigrationRecord is an invocation as another instance would have to have it; false: it is not open here any more.
+// MigrationRecord returns an invocation in the form in which another instance can take it over. open
+// is false if the invocation is not open here any more.
 func (d *Dispatcher) MigrationRecord(id InvocationID) (record MigratedIn, open bool) {
 	index, open := d.invocationIndex[id]
 	if !open || d.scheduler.invocations[index].answered {
@@ -97,7 +99,8 @@
 	return record
 }
 
-// Aged is the record as it is that much later, as it ages on its way: a deduplication window and a client timeout go on.
+// Aged returns the record with all times advanced by the time that the record spent in transit:
+// deduplication windows and client timeouts keep running meanwhile.
 func (e MigratedIn) Aged(by time.Duration) MigratedIn {
 	e.Budget -= by
 	e.Waited += by
@@ -117,7 +120,7 @@
 	}
 }
 
-// attemptMigrated notifies a worker that an attempt of ours is another instance's.
+// attemptMigrated notifies a worker that an attempt now belongs to another instance.
 type attemptMigrated struct {
 	invocation int
 	number     int
@@ -130,7 +133,7 @@
 	}
 }
 
-// migrateOut lets an invocation go to another instance.
+// migrateOut releases an invocation to another instance.
 func (s *scheduler) migrateOut(index int) {
 	s.dequeue(index)
 	v := &s.invocations[index]
@@ -146,7 +149,7 @@
 	s.free(index)
 }
 
-// migrateIn takes an invocation of another instance in.
+// migrateIn takes over an invocation from another instance.
 func (s *scheduler) migrateIn(index int, migrated MigratedIn) {
 	s.admit(index, migrated.Arrival)
 	s.dequeue(index)
@@ -162,7 +165,7 @@
 	s.retry(index)
 }
 
-// adoptAttempt enters an attempt that another instance has sent.
+// adoptAttempt adds an attempt that another instance has sent.
 func (s *scheduler) adoptAttempt(index, number, worker int, migrated Attempt) {
 	v := &s.invocations[index]
 	v.attempts = append(v.attempts, requestAttempt{
@@ -192,7 +195,7 @@
 		sentAt:     max(0, s.now-migrated.Age),
 	}
 	if migrated.StartedAge >= 0 {
-		attempt.startedAt = max(1, s.now-migrated.StartedAge) // 0 would be not started
+		attempt.startedAt = max(1, s.now-migrated.StartedAge) // 0 would mean not started
 	}
 	if migrated.LastProgressAge >= 0 {
 		attempt.progressAt = max(1, s.now-migrated.LastProgressAge)
--- a/dispatch/random_history_test.go
+++ b/dispatch/random_history_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// randomHistory drives one dispatcher with random events. Its actions are compared with the effect classes and limits, which
-// are kept here once more in the plainest way.
+// randomHistory drives one dispatcher with random events. It checks the actions against a second,
+// simple implementation of the effect classes and limits.
 type randomHistory struct {
 	*testing.T
 	rng           *rand.Rand
 	dispatcher    *Dispatcher
 	config        Config
 	now           time.Duration
-	zones         map[WorkerID]int // as listed; the cell is the same
+	zones         map[WorkerID]int // as listed; each worker's cell has the same number
 	states        map[WorkerID]EndpointState
-	pendingChecks []WorkerID // health checks that are in flight
+	pendingChecks []WorkerID // health checks in flight
 	invocations   map[InvocationID]*historyInvocation
-	open          []InvocationID // in order
+	open          []InvocationID // in order of arrival
 	counts        map[string]int
 }
 
-// historyInvocation is what has become of an invocation.
+// historyInvocation is the state of an invocation.
 type historyInvocation struct {
 	operation       int
-	closed          bool // answered, or its client has left
+	closed          bool // answered, or its client has disconnected
 	clientTimeoutAt time.Duration
 	attempts        []historyAttempt
 }
 
-// historyAttempt is what has become of an attempt.
+// historyAttempt is the state of an attempt.
 type historyAttempt struct {
 	worker     WorkerID
 	zone       int
 	sentAt     time.Duration
 	inFlight   bool
-	mayHaveRun bool // it has ended
+	mayHaveRun bool // set when the attempt has ended
 }
 
-// firstThatMayHaveRun is nil where nothing can have run.
+// firstThatMayHaveRun returns the first attempt that may have run, or nil.
 func (v *historyInvocation) firstThatMayHaveRun() *historyAttempt {
 	for n := range v.attempts {
 		if attempt := &v.attempts[n]; attempt.inFlight || attempt.mayHaveRun {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// handle hands over the events of one moment, and checks the actions.
+// handle passes the events of one moment to the dispatcher and checks the actions.
 func (h *randomHistory) handle(events ...Event) {
 	for _, action := range h.dispatcher.Handle(h.now, events) {
 		switch a := action.(type) {
@@ -62,7 +62,7 @@
 			operation := h.config.Operations[inv.operation]
 			repeatable := operation.Effect == Idempotent || operation.Effect == Deduplicated && operation.DedupScope == ScopeAll
 			if inv.firstThatMayHaveRun() != nil && !repeatable {
-				h.Fatal(h.now, a, "throttled, and may have run")
+				h.Fatal(h.now, a, "throttled, though it may have run and must not be repeated")
 			}
 		case Fail:
 			h.answered(a.Invocation)
@@ -74,18 +74,18 @@
 	}
 }
 
-// answered closes an invocation, which may happen once.
+// answered closes an invocation and fails the test if it is closed already.
 func (h *randomHistory) answered(id InvocationID) *historyInvocation {
 	inv := h.invocations[id]
 	if inv.closed {
-		h.Fatal(h.now, id, "is answered a second time, or after its client has left")
+		h.Fatal(h.now, id, "answered twice, or after its client disconnected")
 	}
 	inv.closed = true
 	h.counts["answered"]++
 	return inv
 }
 
-// forward checks an attempt against all rules before it counts as in flight.
+// forward checks an attempt against all rules and then records it as in flight.
 func (h *randomHistory) forward(forward Forward) {
 	inv := h.invocations[forward.Invocation]
 	operation := h.config.Operations[inv.operation]
@@ -96,28 +96,28 @@
 			inFlight++
 		}
 		if attempt.worker == forward.Worker && (attempt.inFlight || attempt.mayHaveRun) {
-			h.Fatal(h.now, forward, "to a worker that it has been sent to")
+			h.Fatal(h.now, forward, "sent to a worker that may already have run it")
 		}
 	}
 	switch {
 	case inv.closed:
-		h.Fatal(h.now, forward, "its client has its answer, or has left")
+		h.Fatal(h.now, forward, "sent after its client was answered or disconnected")
 	case h.now >= inv.clientTimeoutAt:
-		h.Fatal(h.now, forward, "after the client timeout")
+		h.Fatal(h.now, forward, "sent after the client timeout")
 	case h.states[forward.Worker] != Ready:
-		h.Fatal(h.now, forward, "to a worker that is to get nothing")
+		h.Fatal(h.now, forward, "sent to a worker that is not ready")
 	case inFlight >= h.config.Limits.MaxInFlight || len(inv.attempts) >= h.config.Limits.MaxAttempts:
-		h.Fatal(h.now, forward, "beyond the limits")
+		h.Fatal(h.now, forward, "sent beyond the limits on attempts")
 	case first == nil || operation.Effect == Idempotent:
 		if forward.NotAfter != 0 {
-			h.Fatal(h.now, forward, "nothing bounds it")
+			h.Fatal(h.now, forward, "NotAfter is set, but no deduplication window applies")
 		}
 	case operation.Effect == NonIdempotent:
-		h.Fatal(h.now, forward, "may have run")
+		h.Fatal(h.now, forward, "sent again, though non-idempotent and an attempt may have run")
 	case h.now >= first.sentAt+operation.DedupWindow || forward.NotAfter != first.sentAt+operation.DedupWindow:
-		h.Fatal(h.now, forward, "past its window, or until another time:", first.sentAt, operation.DedupWindow)
+		h.Fatal(h.now, forward, "sent after its deduplication window, or with a wrong NotAfter; first attempt and window:", first.sentAt, operation.DedupWindow)
 	case operation.DedupScope != ScopeAll && h.zones[forward.Worker] != first.zone:
-		h.Fatal(h.now, forward, "outside its scope")
+		h.Fatal(h.now, forward, "sent outside its deduplication scope")
 	default:
 		h.counts["repeats"]++
 	}
@@ -130,7 +130,7 @@
 	h.counts["forwards"]++
 }
 
-// outcome ends an attempt.
+// outcome ends an attempt with a result.
 func (h *randomHistory) outcome(id InvocationID, number int, result Result) Outcome {
 	inv := h.invocations[id]
 	attempt := &inv.attempts[number]
@@ -143,7 +143,7 @@
 	return Outcome{Invocation: id, Worker: attempt.worker, Attempt: number, Result: result, Answered: closed || result == Succeeded}
 }
 
-// randomOpen is one of the open invocations; 0: there is none.
+// randomOpen returns the id of a random open invocation, or 0 if there is none.
 func (h *randomHistory) randomOpen() InvocationID {
 	if len(h.open) == 0 {
 		return 0
@@ -157,7 +157,7 @@
 	return id
 }
 
-// step has one random thing happen, and all client timeouts that are due.
+// step performs one random event and expires all client timeouts that are due.
 func (h *randomHistory) step(next *InvocationID) {
 	h.now += time.Duration(h.rng.Intn(30)) * ms
 	names := []byte("abcdef")
@@ -226,7 +226,7 @@
 		}
 	case 11:
 		if id := h.randomOpen(); id > 0 {
-			h.handle(TimerFired{}) // ages count back from the last moment
+			h.handle(TimerFired{}) // the record's ages count back from the last moment handled
 			if record, isOpen := h.dispatcher.MigrationRecord(id); isOpen {
 				h.counts["migrated"]++
 				h.handle(MigratedOut{Invocation: id})
@@ -246,9 +246,10 @@
 	h.handle(TimerFired{})
 }
 
-// Over random histories (outcomes of all kinds, silent workers, draining, changes of zone, limits that change, clients that
-// disconnect, migration) nothing is sent for a client that has disconnected or has its answer, nor against an effect class, a
-// deduplication window or scope, a limit or the endpoint list.
+// Random histories consist of outcomes of all kinds, silent workers, draining, changes of zone and of
+// limits, clients that disconnect, and migration. Nothing may be sent for a client that has
+// disconnected or has its answer, or against an effect class, a deduplication window or scope, a limit
+// or the endpoint list.
 func TestRulesHoldOverRandomHistories(t *testing.T) {
 	counts := map[string]int{}
 	for seed := range int64(60) {
@@ -290,6 +291,6 @@
 	}
 	t.Log(counts)
 	if counts["repeats"] < 100 || counts["left"] < 500 || counts["migrated"] < 500 {
-		t.Error("too little has happened: ", counts)
+		t.Error("too few repeats, disconnects or migrations: ", counts)
 	}
 }
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// operation is one kind of invocation: what the configuration says of it, and what was measured.
+// operation is the configuration of one kind of invocation, and what was measured of it.
 type operation struct {
 	weight      float64
 	stretch     float64
@@ -17,30 +17,31 @@
 	countsLate  bool // an answer after the objective still has a value
 	effect      Effect
 	scope       DedupScope
-	kind        int // of workers, or unrestricted
+	kind        int // kind of the workers that run it, or unrestricted
 
-	arrived       float64       // invocations so far
-	served        samples       // what the last ones brought, as a part of their weight
-	costRatios    samples       // running time over hinted cost, of those that succeeded
-	runTimes      samples       // in seconds, of the same
-	hintErrors    samples       // cost ratios over the worker's pace: how far hints are off
-	longestBudget time.Duration // that a client has been ready to wait
+	arrived       float64       // number of invocations so far
+	served        samples       // of the last invocations: value earned, as a fraction of their weight
+	costRatios    samples       // of successful attempts: running time over hinted cost
+	runTimes      samples       // of successful attempts: running time in seconds
+	hintErrors    samples       // of successful attempts: cost ratio over the worker's pace, the error of the hint
+	longestBudget time.Duration // longest time that a client has been willing to wait
 }
 
-// tenant is one customer: its quota, and what was seen of it.
+// tenant is the configuration of one customer, and its recent arrivals.
 type tenant struct {
 	Tenant
-	arrivals samples // when its last invocations arrived, in seconds
+	arrivals samples // times of its last arrivals, in seconds
 }
 
-// reconfigure follows a newer configuration.
+// reconfigure applies a newer configuration.
 func (d *Dispatcher) reconfigure(newer Reconfigured) {
 	d.scheduler.refreshAll()
 	d.applyConfig(newer)
 	d.reassignOwners()
 }
 
-// applyConfig takes a configuration over. Invocations under way keep the operation under which they arrived.
+// applyConfig applies a configuration. Invocations in progress keep the operation with which they
+// arrived.
 func (d *Dispatcher) applyConfig(newer Reconfigured) {
 	config := &newer.Config
 	d.healthChecks = config.Limits.HealthChecks
@@ -55,14 +56,15 @@
 	if config.Index >= 0 || newer.PreviousOperations == nil {
 		d.self = config.Index
 	}
-	// With too few configured, those with higher numbers leave workers in slow start alone; with none configured, each knows of those before
-	// it.
+	// If more schedulers run than are configured, those with higher numbers do not use workers in
+	// slow start. If the count is not configured, each scheduler assumes that there are only those
+	// with lower numbers besides itself.
 	d.schedulers = float64(cmp.Or(max(0, config.Schedulers), max(1, config.Index+1)))
 	d.gossips = config.Limits.Gossip && d.schedulers > 1 && config.Index >= 0
 	d.scheduler.applyConfig(newer, d.schedulers)
 }
 
-// applyConfig is the scheduler's part of a configuration.
+// applyConfig applies the scheduler's part of a configuration.
 func (s *scheduler) applyConfig(newer Reconfigured, schedulers float64) {
 	config := &newer.Config
 	s.zone = config.Zone
@@ -86,13 +88,14 @@
 	}
 }
 
-// queriesWorth is how many capacity queries an invocation is worth, by what gossip costs.
+// queriesWorth returns how many capacity queries one invocation is worth, given the cost of gossip.
 func queriesWorth(gossipCost float64) int {
 	queryCost := queryBytes * gossipCost / MaxGossipBytes
 	return int(min(maxQueries, queryBudgetPoints/max(queryCost, queryBudgetPoints/maxQueries)))
 }
 
-// operations gives those that have changed or are new what was measured of the ones before.
+// operations returns the configured operations. Those that are new or have changed continue the
+// measurements of their previous operation.
 func (e Reconfigured) operations(older []operation) (all []operation) {
 	for i, configured := range e.Operations {
 		all = append(all, e.operation(i, configured, older))
@@ -127,10 +130,11 @@
 	return newer
 }
 
-// tenants keep their index and what was seen of them: a flood does not end with a newer configuration.
+// tenants returns the configured tenants. They keep their index and their arrivals, so that a
+// reconfiguration does not clear the record of a tenant that exceeds its quota.
 func (e Reconfigured) tenants(older []tenant) (all []tenant) {
 	for i, configured := range e.Tenants {
-		configured.QuotaPerSecond = cmp.Or(configured.QuotaPerSecond, math.Inf(1)) // not configured: nothing is beyond it
+		configured.QuotaPerSecond = cmp.Or(configured.QuotaPerSecond, math.Inf(1)) // not configured: no quota to exceed
 		newer := tenant{Tenant: configured}
 		if i < len(older) {
 			newer.arrivals = older[i].arrivals
@@ -140,17 +144,17 @@
 	return append(all, older[min(len(all), len(older)):]...)
 }
 
-// QuotaUpdate brings the quotas of some tenants, where these change all the time.
+// QuotaUpdate brings new quotas of some tenants, for deployments where quotas change often.
 type QuotaUpdate struct{ Quotas []Quota }
 
-// Quota is what one tenant may send, at all schedulers together.
+// Quota is the quota of one tenant.
 type Quota struct {
 	Tenant         int
 	QuotaPerSecond float64
-	Reassigned     bool // the index is another tenant's now: nothing that was seen under it is its own
+	Reassigned     bool // the index now belongs to another tenant, whose arrivals start at none
 }
 
-// About names neither.
+// About returns zero values.
 func (e QuotaUpdate) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
 func (s *scheduler) applyQuotas(update QuotaUpdate) {
--- a/dispatch/reconfigure_benchmark_test.go
+++ b/dispatch/reconfigure_benchmark_test.go
@@ -8,7 +8,7 @@
 	"stoatweir/dispatch"
 )
 
-// BenchmarkReconfigured has a dispatcher take a newer configuration of so many operations.
+// BenchmarkReconfigured measures a reconfiguration, by the number of operations.
 func BenchmarkReconfigured(b *testing.B) {
 	for _, n := range []int{71, 284, 1136, 2272, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// A reconfiguration allows gossip, and another one forbids it: owners are found, and then nothing more is sent.
+// One reconfiguration enables gossip and a second one disables it: owners are assigned and used, and
+// after the second one no more gossip is sent.
 func Example_reconfiguredGossip() {
 	config := gossipConfig(3, 1)
 	withoutGossip := config
@@ -12,7 +13,7 @@
 	h.handleAt(50*ms, h.outcome(1, 0, Succeeded), Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}})
 	fmt.Println("owners:", h.dispatcher.records[0].owner, h.dispatcher.records[1].owner, "owned here:", h.dispatcher.owned)
 	draining := readyEndpoint('a', 0)
-	draining.State = Draining // else it would come first, as we own it
+	draining.State = Draining // otherwise it would come first, as an owned worker
 	h.handleAt(55*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{draining}})
 	h.handleAt(60*ms, freeSlotsResult('c', 4), arrival(2, 0, 0.1))
 	h.runUntil(90 * ms)
@@ -29,8 +30,9 @@
 	// 110ms 3 to c
 }
 
-// An operation becomes stricter while an invocation of it is in flight: that one may still be retried as when it arrived, a
-// new one may not. What was measured of it goes on with the new one.
+// An operation becomes stricter while an invocation of it is in flight. That invocation may still be
+// retried under the earlier effect class, a new one may not. The new operation continues the
+// measurements of the earlier one.
 func Example_reconfiguredEffect() {
 	config := testConfig()
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
@@ -61,7 +63,8 @@
 	// true
 }
 
-// Fewer attempts are allowed: what has had as many gets no more, whenever it arrived. Cancelling follows as well.
+// After a reconfiguration that allows fewer attempts, an invocation that has already had that many
+// gets no more, even if it arrived earlier. A change of Cancel applies too.
 func Example_reconfiguredLimits() {
 	config := testConfig()
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
@@ -88,7 +91,8 @@
 	// 2 false 7 0
 }
 
-// A reconfiguration comes while a tenant's invocations are queued: its arrivals stay counted, those of a new one start at 0.
+// The arrivals of a tenant with queued invocations stay counted across a reconfiguration. Those of a
+// new tenant start at 0.
 func Example_reconfiguredTenants() {
 	config := testConfig()
 	config.Tenants = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 1000}}
@@ -104,7 +108,7 @@
 	for n := InvocationID(1); n <= 10; n++ {
 		h.handleAt(h.now+10*ms, fromTenant(n, 0))
 	}
-	h.handleAt(h.now+10*ms, fromTenant(13, 2)) // of a tenant that is not known yet
+	h.handleAt(h.now+10*ms, fromTenant(13, 2)) // of a tenant that is not configured yet
 	config.Tenants = append(config.Tenants, Tenant{QuotaPerSecond: 5})
 	h.handleAt(h.now+10*ms, Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}}, fromTenant(11, 2))
 	h.runUntil(h.now + 200*ms)
--- a/dispatch/recorded_history_test.go
+++ b/dispatch/recorded_history_test.go
@@ -14,17 +14,17 @@
 )
 
 var (
-	rewriteRecorded = flag.Bool("record", false, "write the recorded histories anew")
-	printHistory    = flag.String("written", "", "a history, as \"seed workers\", whose actions are written to standard output")
+	rewriteRecorded = flag.Bool("record", false, "record the histories again")
+	printHistory    = flag.String("written", "", "history, as \"seed workers\", whose actions are printed to standard output")
 )
 
-// recordedFile has a line for each history: seed, workers, number of actions, hash.
+// recordedFile holds a line for each history: seed, workers, number of actions, hash.
 const recordedFile = "testdata/histories.txt"
 
-// recordedSpan is how long each history runs.
+// recordedSpan is the duration of each history in virtual time.
 const recordedSpan = 12 * time.Second
 
-// recordedText is an action as the recorded histories have it.
+// recordedText returns the text of an action in the recorded histories.
 func recordedText(action Action) string {
 	if line, isLog := action.(Log); isLog {
 		return recordedName(action) + "{" + recordedLine(line) + "}"
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s%v", recordedName(action), action)
 }
 
-// recordedReasons are the reasons of ejections as the recorded histories have them.
+// recordedReasons holds the texts of ejection reasons in the recorded histories.
 var recordedReasons = map[ejectReason]string{
 	ejectRejects:     "turns away what others take",
 	ejectFails:       "fails what it gets",
@@ -41,7 +41,7 @@
 	ejectSilent:      "silent",
 }
 
-// recordedLine is a log line as the recorded histories have it.
+// recordedLine returns the text of a log line in the recorded histories.
 func recordedLine(line Log) string {
 	switch line.Message {
 	case logWorkerEjected:
@@ -52,7 +52,8 @@
 	return fmt.Sprintf("list call failed or subscription lost, asking again at %v", line.RetryAt)
 }
 
-// recordedName is the name by which the recorded histories have an action. It stays when the type is renamed.
+// recordedName returns the name of an action's type in the recorded histories, which does not change
+// when the type is renamed.
 func recordedName(action Action) string {
 	switch action.(type) {
 	case Forward:
@@ -77,7 +78,8 @@
 	return fmt.Sprintf("%T", action)
 }
 
-// playHistory runs one history, and gives the number of its actions and their hash, with the snapshot at the end.
+// playHistory runs one history. It returns the number of actions, and a hash of the actions and of the
+// snapshot at the end.
 func playHistory(seed int64, workers int, trace *bufio.Writer) (actions int, sum uint64) {
 	s := newSimulation(seed, workers, randomConfig(seed))
 	s.arrivalRate = []float64{3, 15, 60}[seed%3] * float64(workers) / 12
@@ -108,9 +110,11 @@
 	return actions, hash.Sum64()
 }
 
-// The module does what the one before did, action for action, in histories that a seed draws: arrivals, outcomes, progress,
-// load reports, endpoint updates with restarts, draining and departures, gossip, reconfiguration, successors, at small and
-// middling sizes. Where a change is meant to decide otherwise they are recorded anew (-record), and the commit says why.
+// Changes that are not meant to alter decisions must produce the recorded actions, action for action,
+// in histories drawn from a seed: arrivals, outcomes, progress, load reports, endpoint updates with
+// restarts, draining and departures, gossip, reconfiguration and successors, with few to 240 workers.
+// For a change that is meant to alter decisions, record the histories again (-record) and explain why
+// in the commit.
 func TestRecordedHistories(t *testing.T) {
 	if *printHistory != "" {
 		var seed int64
@@ -144,7 +148,7 @@
 	}
 	for n, line := range strings.Split(strings.TrimSpace(string(recorded)), "\n") {
 		if n >= len(lines) || lines[n] != line {
-			t.Errorf("recorded: %s, now: %s", line, lines[min(n, len(lines)-1)])
+			t.Errorf("recorded: %s, got: %s", line, lines[min(n, len(lines)-1)])
 		}
 	}
 }
--- a/dispatch/registry.go
+++ b/dispatch/registry.go
@@ -2,69 +2,76 @@
 
 import "time"
 
-// Polling of the endpoint list. A call may be lost: its caller waits for an answer, then for its next try, and that has
-// to bring the list inside the time to poll within. Package discovery adds this up where discovery is on sockets.
+// Timing of endpoint list polls. A call may be lost, so the timeout of a call and the wait before the
+// next one together must still bring the list within Rules.PollWithin. Package discovery tests this
+// sum for lists that are read from sockets.
 const (
-	// pollBackoffFirst is the wait after a first and a second failure in a row; it doubles with each further one.
+	// pollBackoffFirst is the wait after the first and the second consecutive failure. It doubles with
+	// each further failure.
 	pollBackoffFirst = 250 * time.Millisecond
-	// pollBackoffParts: the longest wait is this part of the time to poll within.
+	// pollBackoffParts divides Rules.PollWithin to give the longest wait.
 	pollBackoffParts = 6
-	// pollBackoffJitter: a wait is drawn from half of it up to this multiple.
+	// pollBackoffJitter is the upper end of the jitter: waits are drawn from 0.5 to 1.5 times the
+	// nominal wait.
 	pollBackoffJitter = 1.5
-	// pollBackoffMin is the shortest wait.
+	// pollBackoffMin is the shortest nominal wait.
 	pollBackoffMin = 50 * time.Millisecond
 	// maxPollDoublings bounds how often the wait doubles.
 	maxPollDoublings = 5
-	// pollTimeoutMin is the shortest time after which a call without any answer counts as lost.
+	// pollTimeoutMin is the shortest time after which an unanswered call counts as lost.
 	pollTimeoutMin = time.Second
-	// firstPollParts: the first call comes within this part of the grace for draining workers; the rest is for its
-	// answer and for our start.
+	// firstPollParts divides the drain grace to give the latest time of the first call. The rest of
+	// the grace is for the answer and for this scheduler's start.
 	firstPollParts = 8
 )
 
-// ownedCheckInterval: of so many requests for one more worker, one goes to workers whose load data others own.
+// ownedCheckInterval: when this scheduler owns workers, every third request for one more pool worker
+// goes to the general check order instead of to an owned worker.
 const ownedCheckInterval = 3
 
-// workerRecord is what the endpoint list says of one worker. There are many workers and a scheduler uses few of them: full
-// state for each would cost memory and time for nothing.
+// workerRecord is a worker's entry in the endpoint list. A scheduler uses few of the many listed
+// workers, so the full state (worker) is only created at the first use, which saves memory and time.
 type workerRecord struct {
 	Endpoint
-	worker       *worker // nil: never used
-	owner        int     // the scheduler that owns its load data
-	lotteryRank  int     // schedulers before this one in the slow-start lottery
+	worker       *worker // nil: not used yet
+	owner        int     // number of the scheduler that owns the worker's load data
+	lotteryRank  int     // number of schedulers before this one in the slow-start lottery
 	inCheckOrder bool
-	update       int // the last one that named it
+	update       int // number of the last update that listed it
 }
 
-// requirements restrict which workers may be used.
+// requirements restrict the workers that may be used.
 type requirements struct {
 	kind int
 	zone int
 	cell int
-	// notAfter is when the deduplication window ends; 0: no window bounds the next attempt.
+	// notAfter is the end of the deduplication window; 0: no window applies to the next attempt.
 	notAfter time.Duration
 }
 
 // unrestricted stands for any kind, zone or cell.
 const unrestricted = -1
 
-// anyWorker restricts nothing.
+// anyWorker matches every worker.
 var anyWorker = requirements{kind: unrestricted, zone: unrestricted, cell: unrestricted}
 
 func (r requirements) matches(kind, zone, cell int) bool {
 	return (r.kind < 0 || r.kind == kind) && (r.zone < 0 || r.zone == zone) && (r.cell < 0 || r.cell == cell)
 }
 
-// EndpointBackoff is the longest wait after the first failed call for the endpoint list, and after any number of them.
+// EndpointBackoff returns the longest wait after the first failed call for the endpoint list, and
+// the longest wait after any number of failures. within is Rules.PollWithin.
 func EndpointBackoff(within time.Duration) (first, longest time.Duration) {
 	jittered := func(wait time.Duration) time.Duration { return time.Duration(pollBackoffJitter * float64(wait)) }
 	longest = max(within/pollBackoffParts, pollBackoffMin)
 	return jittered(min(pollBackoffFirst, longest)), jittered(longest)
 }
 
-// firstPoll is when the list is first asked for. Discovery takes only so many calls at once: the first are spread,
-// inside the stated time. What changed while nobody ran here counts as notified from our first moment, and only the
-// grace is left for it: the list has to come inside that, also where many start together.
+// firstPoll returns the time of the first poll. Discovery only handles a limited number of
+// concurrent calls, so the first calls of all schedulers are spread, within the time that the rules
+// give. A change made before this scheduler started counts as known from its first moment, and only
+// the drain grace is left to follow it. The list must therefore arrive within the grace, even when
+// many schedulers start together.
 func (d *Dispatcher) firstPoll(grace time.Duration) time.Duration {
 	spread := min(float64(d.pollWithin/2), (d.schedulers-1)*float64(tickInterval))
 	if grace > 0 {
@@ -73,7 +80,7 @@
 	return time.Duration(d.rng.Float64() * spread)
 }
 
-// pollIfDue asks for the endpoint list where no watch stands.
+// pollIfDue asks for a watch of the endpoint list if none is established and a poll is due.
 func (d *Dispatcher) pollIfDue() {
 	if d.polls && !d.watching && d.now >= d.pollAt {
 		d.emit(WatchEndpoints{})
@@ -81,27 +88,27 @@
 	}
 }
 
-// watchFailed plans the next call. Not all schedulers call at once, but inside what is left of their time after a call
-// that was lost.
+// watchFailed plans the next call. The jitter keeps schedulers from calling at the same moment, and
+// the wait is short enough for what is left of PollWithin after a lost call.
 func (d *Dispatcher) watchFailed() {
 	wait := pollBackoffFirst << max(min(d.watchFailures, maxPollDoublings+1)-1, 0)
 	wait = max(min(wait, d.pollWithin/pollBackoffParts), pollBackoffMin)
 	d.watching = false
 	d.watchFailures++
 	if !d.polls {
-		return // updates are pushed: there is nothing to ask for
+		return // updates are pushed, so there is nothing to poll
 	}
 	d.pollAt = d.now + wait/2 + time.Duration(d.rng.Int63n(int64(wait)))
 	d.emit(watchRetryLog(d.pollAt))
 }
 
-// applyUpdate follows an endpoint update.
+// applyUpdate applies an endpoint update to the records.
 func (d *Dispatcher) applyUpdate(update EndpointUpdate) {
 	if update.Kind == WatchFailed {
 		d.watchFailed()
 		return
 	}
-	if d.now > 0 { // the first one is only what was cached
+	if d.now > 0 { // the first update is only the cached list
 		d.watching = true
 		d.watchFailures = 0
 	}
@@ -114,7 +121,7 @@
 	}
 }
 
-// removeUnnamed has all workers gone that the last update did not name.
+// removeUnnamed marks all workers as gone that the last update did not list.
 func (d *Dispatcher) removeUnnamed() {
 	for index := range d.records {
 		record := &d.records[index]
@@ -127,7 +134,7 @@
 	}
 }
 
-// recordOf is the index of a worker's record. A worker that is not known gets one.
+// recordOf returns the index of a worker's record, and creates the record of an unknown worker.
 func (d *Dispatcher) recordOf(id WorkerID) int {
 	index, known := d.recordIndex[id]
 	if known {
@@ -141,7 +148,7 @@
 	return index
 }
 
-// applyEndpoint follows what the list says of one worker.
+// applyEndpoint applies a worker's entry in an update to its record.
 func (d *Dispatcher) applyEndpoint(index int, endpoint Endpoint) {
 	record := &d.records[index]
 	restarted := endpoint.StartKnown && endpoint.State == Ready &&
@@ -155,14 +162,15 @@
 		d.addToCheckOrder(index)
 	}
 	d.notifyWorker(index)
-	// At our own start too: whoever knew of the worker's start has forgotten it.
+	// This also applies when this scheduler starts: schedulers that restart have forgotten which
+	// workers are in slow start.
 	slowStart := d.now < endpoint.StartedAt+d.slowStartDuration
 	if restarted && slowStart && record.lotteryRank < slowStartWatchers {
 		d.workerAt(index).send(joinPool{workerStats: workerStats{runTime: 1}})
 	}
 }
 
-// addToCheckOrder puts a worker at a random place among those to be health checked.
+// addToCheckOrder inserts a worker at a random position of the health check order.
 func (d *Dispatcher) addToCheckOrder(index int) {
 	place := d.rng.Intn(len(d.checkOrder) + 1)
 	d.checkOrder = append(d.checkOrder, index)
@@ -171,8 +179,8 @@
 	d.records[index].inCheckOrder = true
 }
 
-// extendPool has one more worker join the pool. Where this scheduler owns the load data of some workers, most of the
-// turns are theirs, as their load is known best.
+// extendPool makes one more worker join the pool. If this scheduler owns the load data of some
+// workers, most requests go to those, because their load is known best.
 func (d *Dispatcher) extendPool(request poolRequest) {
 	d.checksRequested++
 	if request.viaGossip || len(d.owned) == 0 || d.checksRequested%ownedCheckInterval == 0 {
@@ -183,8 +191,8 @@
 	d.orderCheck(index, request, joinPool{workerStats: request.workerStats})
 }
 
-// checkNext asks the worker whose turn it is. The order is random: one order at all schedulers would have them crowd at
-// one worker.
+// checkNext makes the next matching worker of the check order join the pool. The order is random: if
+// all schedulers used the same one, they would all send to the same worker.
 func (d *Dispatcher) checkNext(request poolRequest) {
 	for passed := 0; passed < len(d.checkOrder); {
 		place := (d.checkTurn + passed) % len(d.checkOrder)
@@ -213,7 +221,7 @@
 	d.checkOrder = d.checkOrder[:last]
 }
 
-// orderCheck has a worker join the pool, as an epoch begins or at once.
+// orderCheck makes a worker join the pool, either at once or as the next epoch begins.
 func (d *Dispatcher) orderCheck(index int, request poolRequest, join joinPool) {
 	if request.nextEpoch {
 		d.scheduler.send(orderedCheck{worker: index, joinPool: join})
@@ -222,7 +230,8 @@
 	d.workerAt(index).send(join)
 }
 
-// assignOwner finds the owner of a worker's load data, when it is listed first and when the configuration has changed.
+// assignOwner sets the owner of a worker's load data, when the worker is first listed and when the
+// configuration changes.
 func (d *Dispatcher) assignOwner(index int) {
 	record := &d.records[index]
 	record.owner = d.ownerOf(record.Worker)
@@ -232,7 +241,8 @@
 	d.notifyWorker(index)
 }
 
-// reassignOwners finds all owners anew, and our ranks in the slow-start lottery, which is drawn among all schedulers.
+// reassignOwners sets all owners and this scheduler's slow-start lottery ranks, which both depend on
+// the number of schedulers.
 func (d *Dispatcher) reassignOwners() {
 	d.owned = nil
 	for index := range d.records {
@@ -244,7 +254,7 @@
 	}
 }
 
-// notifyWorker notifies a worker that is in use of its record.
+// notifyWorker sends a worker its record if the worker is in use.
 func (d *Dispatcher) notifyWorker(index int) {
 	record := &d.records[index]
 	if record.worker != nil {
@@ -256,7 +266,7 @@
 	return recordChanged{Endpoint: r.Endpoint, lotteryRank: r.lotteryRank, owner: r.owner}
 }
 
-// workerAt is the state of a worker, which is made at its first use.
+// workerAt returns the state of a worker, which is created at its first use.
 func (d *Dispatcher) workerAt(index int) *worker {
 	record := &d.records[index]
 	if record.worker == nil {
--- a/dispatch/registry_test.go
+++ b/dispatch/registry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A draining worker gets nothing from the moment of the update; what it rejects goes elsewhere.
+// A worker gets nothing more from the moment an update says that it is draining. What it rejects is
+// sent to another worker.
 func Example_draining() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 4), freeSlotsResult('b', 1), arrival(1, 2, 0.2))
@@ -23,8 +24,8 @@
 	// 100ms 1 to a
 }
 
-// Of the known endpoints none is left, and the first list from discovery names only workers that are new: what was sent
-// to the old ones is retried where that does no harm, and nothing more goes to them.
+// The first list from discovery has none of the cached endpoints and names only new workers. What was
+// sent to the old workers is retried where that is safe, and nothing more is sent to them.
 func Example_allKnownWorkersGone() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 4), freeSlotsResult('b', 4), arrival(1, 0, 0.2), arrival(2, 2, 0.2))
@@ -41,7 +42,8 @@
 	// 480ms 4 throttled, retry after 750ms to 1.25s
 }
 
-// The list is polled again after a failure, within the time that the rules give, and not in step with other schedulers.
+// After a failure the list is polled again within the time that the rules give, with jitter so that
+// schedulers do not poll in step.
 func Example_watchRetries() {
 	config := testConfig()
 	config.EndpointsPushed = false
@@ -60,7 +62,7 @@
 	// 890ms watches the endpoint list
 }
 
-// The first polls of the schedulers are spread over the time that the rules give.
+// The first polls of many schedulers are spread over the time that the rules give.
 func Example_pollSpread() {
 	config := testConfig()
 	config.EndpointsPushed = false
@@ -80,8 +82,9 @@
 	// polls in each second: [184 201 198 200 202 15]
 }
 
-// Changes from before a scheduler's start bind it from its first moment: its first poll comes well inside the drain grace,
-// however many schedulers start with it. Without a grace it is spread over half of the time to poll within.
+// Changes made before a scheduler started count from its first moment, so its first poll comes well
+// within the drain grace, however many schedulers start together. Without a drain grace, the first
+// poll is spread over half of PollWithin.
 func Example_firstPoll() {
 	for _, grace := range []time.Duration{0, 500 * ms} {
 		latest := time.Duration(0)
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -6,42 +6,43 @@
 )
 
 const (
-	// maxBadRequests: an invocation that so many workers would not have is at fault itself.
+	// maxBadRequests is the number of workers that must call an invocation a bad request before the
+	// invocation itself is at fault.
 	maxBadRequests = 2
-	// minTimeLeft: with less time left to the client timeout nothing is begun any more.
+	// minTimeLeft is the least time before the client timeout with which an attempt is still begun.
 	minTimeLeft = 2 * tickInterval
-	// maxRetryAfter bounds how long a throttled client is asked to wait.
+	// maxRetryAfter bounds the retry delay suggested to throttled clients.
 	maxRetryAfter = 1250 * time.Millisecond
-	// minTenantBackoff and maxTenantBackoff bound for how long a worker that rejects a tenant's operation gets no more of
-	// it; each further time is twice as long.
+	// minTenantBackoff and maxTenantBackoff bound how long a worker that has rejected a tenant's
+	// operation is sent no more of it. The time doubles with each further rejection.
 	minTenantBackoff = minEjection / 8
 	maxTenantBackoff = maxEjection
 )
 
 const (
-	// noAttempt stands for none: no attempt is spared its Cancel.
+	// noAttempt is passed to complete to cancel all attempts in flight.
 	noAttempt = -1
-	// keepAttempts completes an invocation whose client got a result.
+	// keepAttempts is passed to complete when the client got a result, which then counts as served.
 	keepAttempts = -2
 )
 
-// rejectionKey is a worker and what it has rejected.
+// rejectionKey identifies a worker and the kind of invocation that it has rejected.
 type rejectionKey struct {
 	worker    int
 	operation int
 	tenant    int
 }
 
-// backoff is for how long a worker gets no more of what it has rejected.
+// backoff is the time during which a worker is not sent what it has rejected.
 type backoff struct {
 	until time.Duration
 	span  time.Duration
 }
 
-// Reason is why an invocation was given up. It is for people: nothing is decided by it.
+// Reason says why an invocation was given up. It is informative only: no decision depends on it.
 type Reason string
 
-// The reasons.
+// The reasons for giving up an invocation.
 const (
 	ReasonTimeout  Reason = "the client timeout is near or past"
 	ReasonTooLate  Reason = "an answer would be late and earn nothing"
@@ -51,10 +52,12 @@
 	ReasonWindow   Reason = "the window for repeats has passed"
 )
 
-// RejectionReason returns why an invocation was given up by the last call of Handle; empty: it was not.
+// RejectionReason returns why the last call of Handle gave up an invocation, or an empty Reason if it
+// did not.
 func (d *Dispatcher) RejectionReason(id InvocationID) Reason { return d.scheduler.reasons[id] }
 
-// rejectionReason names the first of the conditions of mayAttempt and cannotMeetDeadline that does not hold.
+// rejectionReason returns the first condition of mayAttempt and cannotMeetDeadline that prevents
+// another attempt.
 func (s *scheduler) rejectionReason(v *invocation) Reason {
 	operation := &s.operations[v.operation]
 	_, first := v.inFlight()
@@ -73,7 +76,7 @@
 	return ReasonTooLate
 }
 
-// inFlight counts the attempts in flight. first is the first one that may have run; nil: none.
+// inFlight counts the attempts in flight. first is the first attempt that may have run, or nil.
 func (v *invocation) inFlight() (count int, first *requestAttempt) {
 	for i := range v.attempts {
 		attempt := &v.attempts[i]
@@ -98,7 +101,7 @@
 		operation.effect == Deduplicated && s.now < first.sentAt+operation.dedupWindow
 }
 
-// retry queues an invocation again of which no answer is to be expected, or gives it up.
+// retry queues an invocation again whose attempts are not expected to be answered, or gives it up.
 func (s *scheduler) retry(index int) {
 	v := &s.invocations[index]
 	awaited := slices.ContainsFunc(v.attempts, func(attempt requestAttempt) bool {
@@ -125,7 +128,8 @@
 	s.retry(stalled.invocation)
 }
 
-// giveUp gives a final answer without a result, unless an attempt is in flight: that may still be answered.
+// giveUp gives a final answer without a result. If an attempt is in flight, it only takes the
+// invocation out of the queue, because the attempt may still be answered.
 func (s *scheduler) giveUp(index int) {
 	v := &s.invocations[index]
 	s.reasons[v.id] = s.rejectionReason(v)
@@ -142,7 +146,7 @@
 	s.complete(index, noAttempt)
 }
 
-// retriableByClient reports whether the client may safely ask again.
+// retriableByClient reports whether the client may safely send the invocation again.
 func (s *scheduler) retriableByClient(v *invocation, first *requestAttempt) bool {
 	if v.badRequests >= maxBadRequests {
 		return false
@@ -152,13 +156,15 @@
 		operation.effect == Deduplicated && operation.scope == ScopeAll
 }
 
-// drawRetryAfter: the clients that many schedulers throttle at one moment must not all come back at one moment.
+// drawRetryAfter returns a retry delay with jitter, so that clients throttled by many schedulers at
+// the same moment do not all return at the same moment.
 func (s *scheduler) drawRetryAfter() time.Duration {
 	return s.retryAfter*3/5 + time.Duration(s.rng.Int63n(int64(s.retryAfter)*2/5+1))
 }
 
-// complete ends an invocation: no answer is owed any more. Attempts in flight are cancelled but for the one that is
-// named, or but for none, or, where the client got a result, as if it were still to be answered.
+// complete ends an invocation: no answer is owed any more. It cancels the attempts in flight except
+// the one numbered spared, which may be noAttempt. With keepAttempts the client got a result, and
+// the invocation counts as served.
 func (s *scheduler) complete(index, spared int) {
 	v := &s.invocations[index]
 	if !v.answered {
@@ -179,7 +185,7 @@
 	}
 }
 
-// servedShare is what the end of an invocation brought, as a part of its weight.
+// servedShare returns the value that an invocation earned by its end, as a fraction of its weight.
 func (s *scheduler) servedShare(v *invocation, operation *operation, spared int) float64 {
 	if spared != keepAttempts {
 		return 0
@@ -190,13 +196,13 @@
 	return 1
 }
 
-// free gives the memory of an invocation back of which nothing more will be reported.
+// free releases the memory of an invocation for which no more events will arrive.
 func (s *scheduler) free(index int) {
 	s.freeInvocations = append(s.freeInvocations, index)
 	s.dispatcher.send(invocationReleased{id: s.invocations[index].id})
 }
 
-// attemptEnded follows the end of an attempt.
+// attemptEnded processes the end of an attempt.
 func (s *scheduler) attemptEnded(message eventMessage, outcome Outcome) {
 	v := &s.invocations[message.invocation]
 	if outcome.Attempt >= len(v.attempts) || !v.attempts[outcome.Attempt].inFlight {
@@ -207,7 +213,7 @@
 	attempt.mayHaveRun = !outcome.Result.provesNotRun()
 	key := rejectionKey{worker: attempt.worker, operation: v.operation, tenant: v.tenant}
 	switch outcome.Result {
-	case BadRequest: // its own fault or the worker's: the next worker's result tells which
+	case BadRequest: // the request or the worker may be at fault: the next worker's result decides
 		attempt.badRequest = true
 		v.badRequests++
 	case Succeeded:
@@ -227,7 +233,8 @@
 	}
 }
 
-// blameRejecters notifies the workers that would not have an invocation that another one ran it.
+// blameRejecters notifies the workers that called an invocation a bad request that another worker
+// ran it.
 func (s *scheduler) blameRejecters(v *invocation) {
 	for _, attempt := range v.attempts {
 		if attempt.badRequest {
@@ -236,14 +243,15 @@
 	}
 }
 
-// backOff keeps what a worker has rejected from it for a while. One that rejects a tenant's work while its health checks
-// show capacity would draw the tenant's first invocation for ever.
+// backOff stops sending a worker, for a while, what it has rejected. Without this, a worker that
+// rejects a tenant's work while its health checks show capacity would keep getting the tenant's
+// first invocation.
 func (s *scheduler) backOff(key rejectionKey) {
 	span := min(max(2*s.rejections[key].span, minTenantBackoff), maxTenantBackoff)
 	s.rejections[key] = backoff{until: s.now + span, span: span}
 }
 
-// learnRun learns from an attempt that succeeded after a running time in seconds.
+// learnRun records the running time, in seconds, of an attempt that succeeded.
 func (s *scheduler) learnRun(v *invocation, worker int, runTime float64) {
 	operation := &s.operations[v.operation]
 	operation.runTimes.add(runTime)
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// What may have run is retried only as its effect class allows; what has not run always may be.
+// An attempt that may have run is retried only as its effect class allows. One that has not run may
+// always be retried.
 func Example_effectClasses() {
 	for operation, name := range []string{"idempotent", "deduplicated by zone", "non-idempotent"} {
 		for result, what := range []string{"", "failed", "rejected", "timed out", "unreachable", "connection broken", "cancelled"} {
@@ -41,7 +42,8 @@
 	// non-idempotent, cancelled: 1 to a; 1 failed
 }
 
-// Many schedulers throttle clients at one moment; each advises a time of its own, up to the longest that is allowed.
+// Schedulers that throttle clients at the same moment suggest different retry delays, up to the longest
+// one allowed.
 func Example_retryAfterJitter() {
 	advised := map[time.Duration]bool{}
 	for seed := range int64(80) {
@@ -58,8 +60,8 @@
 	// 80 schedulers advise more than 30 times, 0.75 to 1.25 s: true
 }
 
-// What can't meet its deadline any more is answered at once, what is in flight is waited for until the client timeout, and
-// an invocation whose client has disconnected is dropped.
+// An invocation that can't meet its deadline any more is answered at once, one in flight is waited for
+// until the client timeout, and one whose client has disconnected is dropped.
 func Example_finalAnswers() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1), arrival(1, 2, 5))
@@ -80,7 +82,8 @@
 	// 14s 5 failed
 }
 
-// What a worker calls a bad request goes to one more: if that accepts it the first worker is at fault, if not the request.
+// An invocation that one worker calls a bad request is sent to a second one. If that one accepts it,
+// the first worker is at fault, otherwise the request.
 func Example_badRequest() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 3), freeSlotsResult('b', 2), freeSlotsResult('c', 1))
@@ -103,7 +106,8 @@
 	// 90ms 3 failed
 }
 
-// An attempt that has started and shows no progress, while its worker reports that of others, is lost: it is retried.
+// An attempt that has started is lost if it shows no progress while its worker reports the progress of
+// others. It is retried.
 func Example_lostAttempt() {
 	config := testConfig()
 	config.NotifiesStart = true
@@ -123,7 +127,8 @@
 	// 2.02s 1 to b
 }
 
-// A lost attempt holds no slot any more: the worker reports that two of three are free, and two are sent.
+// A lost attempt does not hold a slot any more: the worker reports two of three slots free, and two
+// invocations are sent.
 func Example_lostAttemptFreesItsSlot() {
 	config := testConfig()
 	config.NotifiesStart = true
@@ -147,8 +152,9 @@
 	// 2.11s 4 to a
 }
 
-// Where workers report that they have accepted an attempt, one that was not accepted counts as stalled: its connection may be
-// dead, though other work there goes on. What may run only once is waited for. An accepted one waits in the worker's queue.
+// Where workers report that they have accepted an attempt, one that was not accepted counts as stalled,
+// because its connection may be dead even if other work at the worker continues. A non-idempotent
+// invocation is still waited for. An accepted attempt is queued at its worker.
 func Example_attemptNotAccepted() {
 	config := testConfig()
 	config.NotifiesAccepted = true
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -4,18 +4,19 @@
 	"time"
 )
 
-// SnapshotVersion changes whenever a figure of a Snapshot changes its meaning.
+// SnapshotVersion must change whenever the meaning of a value in a Snapshot changes.
 const SnapshotVersion = 2
 
-// Snapshot is what an instance has measured, for another one that takes its place. It holds no decision: what is loaded
-// is used by the same lines as what is measured. Times are ages, or what is left of a span.
+// Snapshot holds what an instance has measured, for the instance that takes its place. It holds no
+// decisions: loaded values are used by the same code as measured ones. Times are ages, or the rest of
+// a span.
 type Snapshot struct {
 	Version           int                       `json:"Version"`
-	RunTimes          []float64                 `json:"Runs"`    // seconds
-	ReportGaps        []float64                 `json:"Gaps"`    // seconds
-	ReportChanges     []float64                 `json:"Changes"` // 1 or 0
+	RunTimes          []float64                 `json:"Runs"`    // running times in seconds
+	ReportGaps        []float64                 `json:"Gaps"`    // seconds between two answers of a worker
+	ReportChanges     []float64                 `json:"Changes"` // 1: the second answer had a new load report; otherwise 0
 	FreeSlots         []float64                 `json:"Slots"`
-	ImmediateStarts   []float64                 `json:"Starts"` // 1 or 0
+	ImmediateStarts   []float64                 `json:"Starts"` // 1: the attempt started at once; otherwise 0
 	Arrivals          []time.Duration           `json:"Arrivals"`
 	Admitted          float64                   `json:"Jobs"`
 	Hedges            float64                   `json:"Clones"`
@@ -26,15 +27,15 @@
 	Workers           []WorkerSnapshot          `json:"Workers"`
 }
 
-// OperationSnapshot is what was measured of one operation.
+// OperationSnapshot holds the measurements of one operation.
 type OperationSnapshot struct {
 	CostRatios    []float64     `json:"Ratios"`
-	RunTimes      []float64     `json:"Sizes"` // seconds
+	RunTimes      []float64     `json:"Sizes"` // running times in seconds
 	HintErrors    []float64     `json:"Rough"`
 	LongestBudget time.Duration `json:"Most"`
 }
 
-// WorkerSnapshot is what was measured of one incarnation of a worker.
+// WorkerSnapshot holds the measurements of one incarnation of a worker.
 type WorkerSnapshot struct {
 	Worker          WorkerID      `json:"Worker"`
 	Incarnation     uint64        `json:"Start"`
@@ -56,19 +57,19 @@
 	BudgetUsed      []BudgetUse   `json:"Spent"`
 }
 
-// BudgetUse is work that was sent to a worker in slow start, has ended, and still counts.
+// BudgetUse is a finished attempt that still counts against the slow-start budget of its worker.
 type BudgetUse struct {
 	Age  time.Duration `json:"Age"`
 	Cost float64       `json:"Cost"`
 }
 
-// SnapshotLoaded brings a snapshot of another instance.
+// SnapshotLoaded brings another instance's snapshot.
 type SnapshotLoaded struct{ Snapshot }
 
-// About names neither.
+// About returns zero values.
 func (e SnapshotLoaded) About() (InvocationID, WorkerID) { return 0, WorkerID{} }
 
-// Snapshot writes down what was measured.
+// Snapshot returns what this instance has measured.
 func (d *Dispatcher) Snapshot() Snapshot {
 	s := &d.scheduler
 	snapshot := Snapshot{
@@ -133,7 +134,7 @@
 		ProbationLeft:   w.probationLeft,
 		Missed:          w.checksMissed,
 	}
-	for i := range w.attempts { // those in flight migrate with their invocations
+	for i := range w.attempts { // attempts in flight migrate with their invocations
 		attempt := &w.attempts[i]
 		ended := attempt.endedAt != 0 && attempt.cost > 0
 		if ended && w.warmUpWeight < 1 && attempt.sentAt+w.overloadWindow > w.now {
@@ -144,7 +145,7 @@
 	return snapshot
 }
 
-// loadSnapshot takes a snapshot in. What was measured here comes after what is loaded.
+// loadSnapshot loads another instance's snapshot. Its samples are placed before those measured here.
 func (d *Dispatcher) loadSnapshot(snapshot Snapshot) {
 	if snapshot.Version != SnapshotVersion {
 		return
@@ -184,7 +185,8 @@
 	}
 }
 
-// loadArrivals: where invocations have arrived here already, these say more of the traffic.
+// loadArrivals loads the arrival times, unless invocations have already arrived here: those describe
+// the traffic better.
 func (s *scheduler) loadArrivals(ages []time.Duration) {
 	if s.admitted > 0 || len(ages) == 0 {
 		return
@@ -203,7 +205,7 @@
 	o.longestBudget = max(o.longestBudget, snapshot.LongestBudget)
 }
 
-// workerSnapshotLoaded brings a worker what another instance has measured of it.
+// workerSnapshotLoaded brings a worker the measurements that another instance made of it.
 type workerSnapshotLoaded struct{ WorkerSnapshot }
 
 func (m workerSnapshotLoaded) deliverToWorker(w *worker) { w.loadSnapshot(m.WorkerSnapshot) }
@@ -228,13 +230,13 @@
 		w.attempts = append(w.attempts, workerAttempt{
 			invocation: noInvocation,
 			sentAt:     sentAt,
-			endedAt:    max(sentAt, 1), // 0 would be in flight
+			endedAt:    max(sentAt, 1), // 0 would mean in flight
 			cost:       use.Cost,
 		})
 	}
 }
 
-// loadHealth takes over what led to an ejection, or to none.
+// loadHealth loads the health of the worker: ejection, probation, and what may lead to an ejection.
 func (w *worker) loadHealth(loaded WorkerSnapshot) {
 	w.lastProgress = max(w.lastProgress, w.now-loaded.LastProgressAge)
 	if loaded.RejectionLeft > 0 {
--- a/dispatch/snapshot_benchmark_test.go
+++ b/dispatch/snapshot_benchmark_test.go
@@ -9,9 +9,10 @@
 	"stoatweir/dispatch"
 )
 
-// The benchmarks of this package give the figures of docs/CAPACITY.md for snapshots and reconfiguration.
+// The benchmarks of this package measure the figures for snapshots and reconfiguration in
+// docs/CAPACITY.md.
 
-// fullUpdateOf lists so many workers in 15 zones.
+// fullUpdateOf returns a full update with the given number of workers in 15 zones.
 func fullUpdateOf(workers int) (update dispatch.EndpointUpdate) {
 	update.Kind = dispatch.FullUpdate
 	for index := range workers {
@@ -27,7 +28,8 @@
 	return update
 }
 
-// snapshotOf is a snapshot of 71 operations and so many workers, with all samples taken.
+// snapshotOf returns a snapshot of 71 operations and the given number of workers, each with all its
+// samples.
 func snapshotOf(workers int) dispatch.Snapshot {
 	snapshot := dispatch.Snapshot{
 		Version:    dispatch.SnapshotVersion,
@@ -58,7 +60,8 @@
 	return snapshot
 }
 
-// BenchmarkSnapshot writes the snapshot of so many workers in parts of 16, as the hand-over does, and has a successor load it.
+// BenchmarkSnapshot measures a snapshot by the number of workers: writing it in parts of 16 workers, as
+// the hand-over does, and loading it into a successor.
 func BenchmarkSnapshot(b *testing.B) {
 	const partSize = 16 // workers
 	for _, workers := range []int{240, 950, 1900, 3800} {
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A successor replaces a scheduler: what was measured, who is ejected, what a worker in slow start was sent, and invocations
-// with their attempts go on as they were. What breaks is retried where it may be, once.
+// A successor takes over from a scheduler. Measurements, ejections, the used slow-start budget, and
+// invocations with their attempts continue unchanged. An attempt whose connection breaks afterwards is
+// retried once, where that is safe.
 func Example_successor() {
 	config := testConfig()
 	config.Schedulers = 1
@@ -34,7 +35,7 @@
 	predecessor.handleAt(9500*ms, predecessor.outcome(25, 0, Succeeded))
 	predecessor.printCollected("the predecessor")
 
-	// The snapshot goes to the other process as text; its clock began later.
+	// The snapshot is passed as JSON to the other process, whose clock started later.
 	const later = 9 * time.Second
 	successor := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	endpoint := starting
--- a/dispatch/virtual_time_test.go
+++ b/dispatch/virtual_time_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// unbounded is an end that no simulation reaches.
+// unbounded is a time later than the end of any simulation.
 const unbounded time.Duration = math.MaxInt64
 
-// virtualTime makes calls at times of its own, those of one moment in the order in which they were scheduled.
+// virtualTime runs scheduled calls at virtual times. Calls for the same time run in the order in which
+// they were scheduled.
 type virtualTime struct {
 	now      time.Duration
 	calls    callQueue
-	sequence int // of the last call
+	sequence int // number of the last call scheduled
 }
 
 // after schedules a call.
@@ -26,7 +27,8 @@
 	})
 }
 
-// callUntil makes all calls up to an end, those that they schedule too. Time stands at the last of them afterwards.
+// callUntil runs all calls up to an end time, including those scheduled meanwhile. now is the time of
+// the last of them afterwards.
 func (v *virtualTime) callUntil(end time.Duration) {
 	for len(v.calls) > 0 && v.calls[0].at <= end {
 		next := heap.Pop(&v.calls).(scheduledCall)
@@ -35,14 +37,14 @@
 	}
 }
 
-// scheduledCall is a call that is still to be made.
+// scheduledCall is a call that has not run yet.
 type scheduledCall struct {
 	at       time.Duration
 	sequence int
 	do       func()
 }
 
-// callQueue is a heap of calls, the next one first.
+// callQueue is a heap of calls, ordered by time and then by the order in which they were scheduled.
 type callQueue []scheduledCall
 
 func (q callQueue) Len() int { return len(q) }
--- a/dispatch/window_test.go
+++ b/dispatch/window_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// dedupConfig is a deployment where workers drop repeats of operation 1 for a second, and late answers have a value.
+// dedupConfig returns a deployment in which workers drop repeats of operation 1 for a second, and late
+// answers have a value.
 func dedupConfig(scope DedupScope) Config {
 	config := testConfig()
 	operation := &config.Operations[1]
@@ -15,7 +16,8 @@
 	return config
 }
 
-// harnessWithQueuedRetry has invocation 1 sent to a at 20 ms, its connection broken, and its retry queued, as b is full.
+// harnessWithQueuedRetry sends invocation 1 to a at 20 ms and breaks its connection. The retry is
+// queued, because b is full.
 func harnessWithQueuedRetry(config Config) *harness {
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 1))
 	h.collects = true
@@ -27,14 +29,15 @@
 	return h
 }
 
-// runWithoutCapacity lets time pass with no worker free.
+// runWithoutCapacity lets time pass while no worker has free slots.
 func (h *harness) runWithoutCapacity(end time.Duration) {
 	for h.now+tickInterval <= end {
 		h.handleAt(h.now+tickInterval, freeSlotsResult('a', 0), freeSlotsResult('b', 0), freeSlotsResult('c', 0))
 	}
 }
 
-// migratedAfterOneAttempt is invocation 1, of operation 1, that was sent to a in zone 0 as it arrived, an age ago.
+// migratedAfterOneAttempt returns invocation 1 of operation 1, which arrived at its predecessor the
+// given time ago and was sent to a in zone 0 at once.
 func migratedAfterOneAttempt(age time.Duration) MigratedIn {
 	return MigratedIn{
 		Arrival: arrival(1, 1, 0.2),
@@ -51,8 +54,8 @@
 	}
 }
 
-// A retry waits for capacity. Once its deduplication window has ended it must not leave, whatever capacity there is: its
-// client is answered at once.
+// A retry waits for capacity. Once its deduplication window has ended it must not be sent even if there
+// is capacity, and the client is answered at once.
 func Example_queuedPastItsWindow() {
 	for _, scope := range []DedupScope{ScopeAll, ScopeZone, ScopeCell} {
 		for _, freeAt := range []time.Duration{900 * ms, 1100 * ms} {
@@ -79,7 +82,8 @@
 	// capacity: nothing
 }
 
-// A later update that moves a worker does not move what may have run there: repeats are dropped where it ran.
+// An update that moves a worker to another zone does not change where repeats are dropped: that remains
+// the zone in which the worker ran the first attempt.
 func Example_queuedWhileItsWorkerChangesZone() {
 	for _, scope := range []DedupScope{ScopeZone, ScopeCell} {
 		h := harnessWithQueuedRetry(dedupConfig(scope))
@@ -100,7 +104,7 @@
 	// capacity where it ran: 1 to b
 }
 
-// A reconfiguration allows fewer attempts, or fewer at once, while a retry is queued.
+// A reconfiguration may reduce the allowed attempts while a retry is queued.
 func Example_queuedWhileLimitsChange() {
 	for _, change := range []func(*Limits){
 		func(*Limits) {},
@@ -120,8 +124,8 @@
 	// capacity: 1 to a; 1 throttled, retry after 750ms to 1.25s
 }
 
-// The predecessor has sent it some time ago, to a worker that this scheduler has sent nothing yet: the window goes on, and
-// the zone stays.
+// The predecessor sent the first attempt some time ago, to a worker that this scheduler has not used.
+// The deduplication window keeps running, and the zone is still that of the first attempt.
 func Example_migratedInItsWindow() {
 	for _, age := range []time.Duration{500 * ms, 900 * ms} {
 		h := newHarness(dedupConfig(ScopeZone), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 1))
@@ -142,7 +146,8 @@
 	// capacity: nothing
 }
 
-// An invocation migrates in after the worker of its first attempt has changed zones: where repeats are dropped has not changed.
+// An invocation migrates in after the worker of its first attempt has moved to another zone. Repeats are
+// still dropped in the earlier zone.
 func Example_migratedAfterItsWorkerChangedZone() {
 	h := newHarness(dedupConfig(ScopeZone), readyEndpoint('a', 1), readyEndpoint('b', 0), readyEndpoint('c', 1))
 	h.collects = true
@@ -155,7 +160,7 @@
 	// migrated in: 1 to b
 }
 
-// A retry carries the time by which it has to leave; what no window bounds carries none.
+// A retry carries the end of its deduplication window. An attempt without a window carries no limit.
 func Example_notAfter() {
 	h := newHarness(dedupConfig(ScopeAll), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
 	h.collects = true
@@ -175,7 +180,8 @@
 	// again: 3 to a; 1 to c until 1.02s; 2 to a
 }
 
-// A migrating invocation ages on its way, also when it returns: its window does not begin anew.
+// A migrating invocation ages in transit, even if it returns to the same scheduler: its deduplication
+// window does not start again.
 func Example_agedOnItsWay() {
 	for _, transit := range []time.Duration{0, 800 * ms} {
 		h := harnessWithQueuedRetry(dedupConfig(ScopeAll))
