--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -16,49 +16,49 @@
 	invocationIndex map[InvocationID]int
 
 	// Endpoint list.
-	records       []workerRecord
-	recordIndex   map[WorkerID]int
-	update        int // number of endpoint updates applied
-	polls         bool
-	watching      bool // a watch of the endpoint list is established
-	watchFailures int  // consecutive
-	pollWithin    time.Duration
-	pollAt        time.Duration // when to ask for the list again if no update has come by then
-	timerAt       time.Duration // when the caller will send TimerFired
+	records        []workerRecord
+	recordIndex    map[WorkerID]int
+	updateCount    int // number of endpoint updates applied
+	pollsEndpoints bool
+	watching       bool // a watch of the endpoint list is established
+	watchFailures  int  // consecutive
+	pollWithin     time.Duration
+	pollAt         time.Duration // when to ask for the list again if no update has come by then
+	timerAt        time.Duration // when the caller will send TimerFired
 
 	// Order of health checks.
 	checkOrder      []int // indices of workers, in random order
-	checkTurn       int
+	nextCheck       int
 	checksRequested int
 
 	// Gossip.
-	owned           []int // workers whose load data this scheduler owns
-	ownerAnsweredAt time.Duration
-	tagIndex        map[uint32]int        // worker index by tag
-	remoteAttempts  map[remoteAttempt]int // index of the worker that runs another scheduler's attempt
+	owned          []int // workers whose load data this scheduler owns
+	ownerRepliedAt time.Duration
+	tagIndex       map[uint32]int        // worker index by tag
+	remoteAttempts map[remoteAttempt]int // index of the worker that runs another scheduler's attempt
 }
 
 // sharedState is the state that all parts use, including the configuration values that every worker
 // needs.
 type sharedState struct {
-	now     time.Duration // of the current moment
-	rng     *rand.Rand
-	actions []Action    // of the current moment
-	pending []deliverer // mailboxes that hold messages, in the order in which they became non-empty
-	self    int         // this scheduler's number
-	epochs  int         // number of epochs begun
-
-	gossips     bool             // gossip with other schedulers is enabled
-	gossipQueue []outgoingGossip // sent at the end of the current moment
-	serial      uint8            // of this scheduler's last attempt, which gossip refers to
-
-	healthChecks      bool
-	notifiesStart     bool
-	notifiesAccepted  bool
-	progressInterval  time.Duration
-	overloadWindow    time.Duration
-	slowStartFrom     float64
-	slowStartDuration time.Duration
+	now               time.Duration // of the current moment
+	rng               *rand.Rand
+	actions           []Action    // of the current moment
+	nonEmptyMailboxes []deliverer // mailboxes that hold messages, in the order in which they became non-empty
+	schedulerIndex    int         // this scheduler's number
+	epochCount        int         // number of epochs begun
+
+	gossipEnabled bool             // gossip with other schedulers is enabled
+	gossipQueue   []outgoingGossip // sent at the end of the current moment
+	lastSerial    uint8            // of this scheduler's last attempt, which gossip refers to
+
+	healthChecks         bool
+	notifiesStart        bool
+	notifiesAccepted     bool
+	progressInterval     time.Duration
+	overloadWindow       time.Duration
+	initialCapacityShare float64
+	slowStartDuration    time.Duration
 
 	spareViews []*workerView // memory of delivered views, for reuse
 }
@@ -67,10 +67,10 @@
 
 // deliverMessages delivers messages until all mailboxes are empty.
 func (s *sharedState) deliverMessages() {
-	for n := 0; n < len(s.pending); n++ {
-		s.pending[n].deliver()
+	for n := 0; n < len(s.nonEmptyMailboxes); n++ {
+		s.nonEmptyMailboxes[n].deliver()
 	}
-	s.pending = s.pending[:0]
+	s.nonEmptyMailboxes = s.nonEmptyMailboxes[:0]
 }
 
 // New starts an instance. It derives the values that decisions use from the configuration and does
@@ -90,11 +90,11 @@
 	d.scheduler = newScheduler(d)
 	d.scheduler.handle = func(message schedulerMessage) { message.deliverToScheduler(&d.scheduler) }
 	d.applyConfig(Reconfigured{Config: config})
-	if d.self < 0 { // not configured: a random number serves as well, though others may have it too
-		d.self = d.rng.Intn(max(1, config.Schedulers))
+	if d.schedulerIndex < 0 { // not configured: a random number serves as well, though others may have it too
+		d.schedulerIndex = d.rng.Intn(max(1, config.Schedulers))
 	}
 	d.sendGossip(allSchedulers, GossipEntry{Kind: GossipRestarted})
-	d.pollAt = d.firstPoll(config.Rules.DrainGrace)
+	d.pollAt = d.firstPollTime(config.Rules.DrainGrace)
 	return d
 }
 
@@ -152,7 +152,7 @@
 // setTimer asks the caller for a TimerFired event at a time, or when the endpoint list has to be
 // polled if that comes first. A timer that is already set for an earlier time is kept.
 func (d *Dispatcher) setTimer(at time.Duration) {
-	if d.polls && !d.watching {
+	if d.pollsEndpoints && !d.watching {
 		at = min(at, d.pollAt)
 	}
 	if at < d.timerAt || d.timerAt <= d.now {
--- a/dispatch/gossip.go
+++ b/dispatch/gossip.go
@@ -7,17 +7,17 @@
 // number of free slots. An entry that is lost, late, corrupted or from an unknown sender only leaves
 // the receiver with less information.
 const (
-	// ownerAnswerFreshness is how long an owner's reply counts as recent, and how long a query may
+	// maxOwnerReplyAge is how long an owner's reply counts as recent, and how long a query may
 	// stay unanswered.
-	ownerAnswerFreshness = 10 * tickInterval
-	// queryBytes is the size of a capacity query and its reply together.
-	queryBytes = 32
+	maxOwnerReplyAge = 10 * tickInterval
+	// capacityQueryBytes is the size of a capacity query and its reply together.
+	capacityQueryBytes = 32
 	// queryBudgetPoints is how many points of the overall score queries may cost.
 	queryBudgetPoints = 0.006
-	// maxQueries bounds the queries for one invocation.
-	maxQueries = 5
-	// querySpan is how long after a reply its receiver may still take the reported slot.
-	querySpan = 2 * tickInterval
+	// maxQueriesPerInvocation bounds the queries for one invocation.
+	maxQueriesPerInvocation = 5
+	// recentQueryWindow is how long after a reply its receiver may still take the reported slot.
+	recentQueryWindow = 2 * tickInterval
 	// maxReplySlots bounds the number of free slots that a reply can report.
 	maxReplySlots = 99
 )
@@ -80,7 +80,7 @@
 
 // sendGossip queues an entry for one scheduler, or for allSchedulers.
 func (s *sharedState) sendGossip(to int, entry GossipEntry) {
-	if s.gossips && to != s.self {
+	if s.gossipEnabled && to != s.schedulerIndex {
 		s.gossipQueue = append(s.gossipQueue, outgoingGossip{to: to, GossipEntry: entry})
 	}
 }
@@ -90,14 +90,14 @@
 func (s *sharedState) flushGossip() {
 	for i, first := range s.gossipQueue {
 		if first.Kind != gossipPacked {
-			s.emit(SendGossip{To: first.to, Entries: s.packGossip(s.gossipQueue[i:], first.to)})
+			s.emit(SendGossip{To: first.to, Entries: s.takeGossipFor(s.gossipQueue[i:], first.to)})
 		}
 	}
 	s.gossipQueue = s.gossipQueue[:0]
 }
 
-// packGossip takes all entries for one receiver out of the queue.
-func (s *sharedState) packGossip(queue []outgoingGossip, to int) (entries []GossipEntry) {
+// takeGossipFor takes all entries for one receiver out of the queue.
+func (s *sharedState) takeGossipFor(queue []outgoingGossip, to int) (entries []GossipEntry) {
 	for i := range queue {
 		queued := &queue[i]
 		if queued.to == to && queued.Kind != gossipPacked {
@@ -110,15 +110,15 @@
 
 // ownerOf returns the number of the scheduler that owns the load data of a worker.
 func (d *Dispatcher) ownerOf(id WorkerID) (owner int) {
-	if !d.gossips {
+	if !d.gossipEnabled {
 		return 0
 	}
-	most := uint64(0)
+	highestHash := uint64(0)
 	for other := range int(d.schedulers) {
 		hash := rendezvousHash(uint64(workerTag(id)), other)
-		if hash > most {
+		if hash > highestHash {
 			owner = other
-			most = hash
+			highestHash = hash
 		}
 	}
 	return owner
@@ -128,7 +128,7 @@
 // disabled or the sender is unknown, the entries cannot be trusted and are dropped.
 func (d *Dispatcher) receiveGossip(received GossipReceived) {
 	from := received.From
-	if !d.gossips || from < 0 || from >= int(d.schedulers) || from == d.self {
+	if !d.gossipEnabled || from < 0 || from >= int(d.schedulers) || from == d.schedulerIndex {
 		return
 	}
 	for _, entry := range received.Entries {
@@ -154,7 +154,7 @@
 		worker, known = d.remoteAttempts[remote]
 		delete(d.remoteAttempts, remote)
 	case GossipCapacityReply:
-		d.ownerAnsweredAt = d.now
+		d.ownerRepliedAt = d.now
 	}
 	if known {
 		d.workerAt(worker).send(message)
@@ -172,7 +172,7 @@
 	case GossipRestarted:
 		w.remoteSchedulerRestarted(message)
 	case GossipCapacityQuery:
-		w.replyCapacity(message.from)
+		w.answerCapacityQuery(message.from)
 	case GossipCapacityReply:
 		w.receiveCapacityReply(message)
 	}
@@ -218,14 +218,14 @@
 	w.sendGossip(w.owner, GossipEntry{Kind: GossipCapacityQuery, Tag: w.tag})
 }
 
-// replyCapacity tells another scheduler how many slots are free. Schedulers that were told of the
+// answerCapacityQuery tells another scheduler how many slots are free. Schedulers that were told of the
 // same slot shortly before may also take it, so recent queries reduce the number.
-func (w *worker) replyCapacity(to int) {
+func (w *worker) answerCapacityQuery(to int) {
 	w.recentQueries.add(w.now.Seconds())
-	for w.recentQueries[0] < (w.now - querySpan).Seconds() {
+	for w.recentQueries[0] < (w.now - recentQueryWindow).Seconds() {
 		w.recentQueries = w.recentQueries[1:]
 	}
-	free := math.Round(w.free - float64(len(w.recentQueries))/maxQueries)
+	free := math.Round(w.free - float64(len(w.recentQueries))/maxQueriesPerInvocation)
 	switch {
 	case w.measured && w.eligible:
 		w.sendCapacityReply(to, max(-maxReplySlots, min(maxReplySlots, free)))
--- a/dispatch/mailbox.go
+++ b/dispatch/mailbox.go
@@ -31,7 +31,7 @@
 func (m *mailbox[M]) send(message M) {
 	m.messages = append(m.messages, message)
 	if len(m.messages) == 1 {
-		m.pending = append(m.pending, m)
+		m.nonEmptyMailboxes = append(m.nonEmptyMailboxes, m)
 	}
 }
 
@@ -142,23 +142,23 @@
 
 func (m joinPool) deliverToWorker(w *worker) { w.joinPool(m) }
 
-// orderedCheck is a joinPool message that waits for the beginning of the next epoch. Workers for
+// deferredCheck is a joinPool message that waits for the beginning of the next epoch. Workers for
 // which something else is due in that epoch are served first.
-type orderedCheck struct {
+type deferredCheck struct {
 	worker int
 	joinPool
 }
 
-func (m orderedCheck) deliverToScheduler(s *scheduler) { s.orderedChecks = append(s.orderedChecks, m) }
+func (m deferredCheck) deliverToScheduler(s *scheduler) { s.orderedChecks = append(s.orderedChecks, m) }
 
-// refresh begins an epoch. The scheduler sends it to the registry, which returns it behind the
+// epochStart begins an epoch. The scheduler sends it to the registry, which returns it behind the
 // poolRequests of the same moment. The scheduler then passes it to the workers for which something
 // may be due.
-type refresh struct{}
+type epochStart struct{}
 
-func (m refresh) deliverToRegistry(d *Dispatcher) { d.scheduler.send(m) }
-func (refresh) deliverToScheduler(s *scheduler)   { s.beginEpoch() }
-func (refresh) deliverToWorker(w *worker)         { w.checkOverdue() }
+func (m epochStart) deliverToRegistry(d *Dispatcher) { d.scheduler.send(m) }
+func (epochStart) deliverToScheduler(s *scheduler)   { s.beginEpoch() }
+func (epochStart) deliverToWorker(w *worker)         { w.checkOverdue() }
 
 // recordChanged notifies a worker of its new record in the registry.
 type recordChanged struct {
--- a/dispatch/migration.go
+++ b/dispatch/migration.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// notYet is the age of an event that has not happened.
-const notYet = -1
+// noAge is the age of an event that has not happened.
+const noAge = -1
 
 // MigratedOut reports that an invocation now belongs to another instance. Nothing is cancelled, and
 // this instance does not owe an answer any more.
@@ -75,8 +75,8 @@
 		Zone:            attempt.zone,
 		Cell:            attempt.cell,
 		Age:             d.now - attempt.sentAt,
-		StartedAge:      notYet,
-		LastProgressAge: notYet,
+		StartedAge:      noAge,
+		LastProgressAge: noAge,
 		InFlight:        attempt.inFlight,
 		MayHaveRun:      attempt.mayHaveRun,
 		Stalled:         attempt.stalled,
@@ -101,21 +101,21 @@
 
 // Aged returns the record with all times advanced by the time that the record spent in transit:
 // deduplication windows and client timeouts keep running meanwhile.
-func (e MigratedIn) Aged(by time.Duration) MigratedIn {
-	e.Budget -= by
-	e.Waited += by
-	e.Age += by
+func (e MigratedIn) Aged(transit time.Duration) MigratedIn {
+	e.Budget -= transit
+	e.Waited += transit
+	e.Age += transit
 	e.Attempts = slices.Clone(e.Attempts)
 	for i := range e.Attempts {
-		e.Attempts[i].addAge(by)
+		e.Attempts[i].addAge(transit)
 	}
 	return e
 }
 
-func (a *Attempt) addAge(by time.Duration) {
+func (a *Attempt) addAge(transit time.Duration) {
 	for _, age := range []*time.Duration{&a.Age, &a.StartedAge, &a.LastProgressAge} {
 		if *age >= 0 {
-			*age += by
+			*age += transit
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	}
 	v.answered = true
 	v.finished = true
-	s.free(index)
+	s.releaseInvocation(index)
 }
 
 // migrateIn takes over an invocation from another instance.
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -72,7 +72,7 @@
 	tracked       []int        // workers with work of ours, or ejected
 	epoch         refreshEpoch // the last one
 	poolEpoch     refreshEpoch // the last one at which something was queued
-	orderedChecks []orderedCheck
+	orderedChecks []deferredCheck
 	refreshedAt   time.Duration
 
 	// What was learned of all workers.
@@ -140,7 +140,7 @@
 		s.updateStats()
 		s.rerankQueue()
 	}
-	s.dispatcher.send(refresh{})
+	s.dispatcher.send(epochStart{})
 }
 
 // paidChecksPerSecond is the rate of health checks that the last invocations pay for.
@@ -215,7 +215,7 @@
 		s.dispatcher.send(poolRequest{
 			requirements: s.requirementsOf(v),
 			workerStats:  s.stats,
-			viaGossip:    s.gossips,
+			viaGossip:    s.gossipEnabled,
 		})
 	}
 }
@@ -224,7 +224,7 @@
 func (s *scheduler) summarizePool() {
 	s.summary = poolSummary{fastestPace: math.Inf(1)}
 	s.candidates = s.candidates[:0]
-	ownersAnswer := s.queriesPerInvocation > 0 && s.now < s.dispatcher.ownerAnsweredAt+ownerAnswerFreshness
+	ownersAnswer := s.queriesPerInvocation > 0 && s.now < s.dispatcher.ownerRepliedAt+maxOwnerReplyAge
 	for _, worker := range s.pool {
 		view := s.currentView(worker)
 		s.summary.add(view)
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -106,7 +106,7 @@
 
 func (s *scheduler) countArrival(operation *operation, tenant int) {
 	s.admitted++
-	operation.arrived++
+	operation.arrivalCount++
 	if tenant < len(s.tenants) {
 		s.tenants[tenant].arrivals.add(s.now.Seconds())
 	}
@@ -151,7 +151,7 @@
 	}
 	weight *= s.quotaWeight(v.tenant)
 	if v.operation == s.worstOperation { // while work is lost it counts twice, by its part
-		weight *= 1 + s.worstOperationWeight/max(minWeightShare, operation.weight*operation.arrived/s.offeredWeight)
+		weight *= 1 + s.worstOperationWeight/max(minWeightShare, operation.weight*operation.arrivalCount/s.offeredWeight)
 	}
 	v.weight = weight
 	v.rank = weight / v.effectiveSize
@@ -186,10 +186,10 @@
 	most := 0.0
 	for index := range s.operations {
 		operation := &s.operations[index]
-		s.offeredWeight += operation.weight * operation.arrived
-		served := operation.served.mean()
+		s.offeredWeight += operation.weight * operation.arrivalCount
+		served := operation.servedShares.mean()
 		most = max(most, served)
-		if len(operation.served) > 0 && served < least {
+		if len(operation.servedShares) > 0 && served < least {
 			least = served
 			s.worstOperation = index
 		}
@@ -218,7 +218,7 @@
 // cannotMeetDeadline: an answer would come after the objective and earn nothing, or not before the client gives up.
 func (s *scheduler) cannotMeetDeadline(v *invocation) bool {
 	left := v.deadline - s.now
-	if left <= minTimeLeft || s.isLate(v, v.arrivedAt) && !s.operations[v.operation].countsLate {
+	if left <= minTimeForAttempt || s.isLate(v, v.arrivedAt) && !s.operations[v.operation].lateHasValue {
 		return true
 	}
 	return s.isLate(v, v.firstRequestAt) && left <= s.fastestRun(v)
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -9,18 +9,18 @@
 
 // operation is the configuration of one kind of invocation, and what was measured of it.
 type operation struct {
-	weight      float64
-	stretch     float64
-	objective   time.Duration
-	dedupWindow time.Duration
-	lateWeight  float64
-	countsLate  bool // an answer after the objective still has a value
-	effect      Effect
-	scope       DedupScope
-	kind        int // kind of the workers that run it, or unrestricted
+	weight       float64
+	stretch      float64
+	objective    time.Duration
+	dedupWindow  time.Duration
+	lateWeight   float64
+	lateHasValue bool // an answer after the objective still has a value
+	effect       Effect
+	scope        DedupScope
+	kind         int // kind of the workers that run it, or unrestricted
 
-	arrived       float64       // number of invocations so far
-	served        samples       // of the last invocations: value earned, as a fraction of their weight
+	arrivalCount  float64       // number of invocations so far
+	servedShares  samples       // of the last invocations: value earned, as a fraction of their weight
 	costRatios    samples       // of successful attempts: running time over hinted cost
 	runTimes      samples       // of successful attempts: running time in seconds
 	hintErrors    samples       // of successful attempts: cost ratio over the worker's pace, the error of the hint
@@ -49,18 +49,18 @@
 	d.notifiesAccepted = config.NotifiesAccepted
 	d.notifiesStart = config.NotifiesStart
 	d.overloadWindow = config.Rules.OverloadWindow
-	d.slowStartFrom = config.Rules.SlowStartFrom
+	d.initialCapacityShare = config.Rules.SlowStartFrom
 	d.slowStartDuration = config.Rules.SlowStartDuration
-	d.polls = !config.EndpointsPushed
+	d.pollsEndpoints = !config.EndpointsPushed
 	d.pollWithin = config.Rules.PollWithin
 	if config.Index >= 0 || newer.PreviousOperations == nil {
-		d.self = config.Index
+		d.schedulerIndex = config.Index
 	}
 	// If more schedulers run than are configured, those with higher numbers do not use workers in
 	// slow start. If the count is not configured, each scheduler assumes that there are only those
 	// with lower numbers besides itself.
 	d.schedulers = float64(cmp.Or(max(0, config.Schedulers), max(1, config.Index+1)))
-	d.gossips = config.Limits.Gossip && d.schedulers > 1 && config.Index >= 0
+	d.gossipEnabled = config.Limits.Gossip && d.schedulers > 1 && config.Index >= 0
 	d.scheduler.applyConfig(newer, d.schedulers)
 }
 
@@ -82,16 +82,16 @@
 	s.worstOperationWeight = config.WorstOperationWeight
 	s.queriesPerInvocation = 0
 	s.staleQueueShare = defaultStaleQueueShare
-	if s.gossips {
+	if s.gossipEnabled {
 		s.staleQueueShare = 0
-		s.queriesPerInvocation = queriesWorth(config.GossipCost)
+		s.queriesPerInvocation = affordableQueries(config.GossipCost)
 	}
 }
 
-// queriesWorth returns how many capacity queries one invocation is worth, given the cost of gossip.
-func queriesWorth(gossipCost float64) int {
-	queryCost := queryBytes * gossipCost / MaxGossipBytes
-	return int(min(maxQueries, queryBudgetPoints/max(queryCost, queryBudgetPoints/maxQueries)))
+// affordableQueries returns how many capacity queries one invocation is worth, given the cost of gossip.
+func affordableQueries(gossipCost float64) int {
+	queryCost := capacityQueryBytes * gossipCost / MaxGossipBytes
+	return int(min(maxQueriesPerInvocation, queryBudgetPoints/max(queryCost, queryBudgetPoints/maxQueriesPerInvocation)))
 }
 
 // operations returns the configured operations. Those that are new or have changed continue the
@@ -112,15 +112,15 @@
 		return older[index]
 	}
 	newer := operation{
-		weight:      cmp.Or(max(0, configured.PriorityWeight), 1),
-		stretch:     configured.Stretch,
-		objective:   configured.LatencyObjective,
-		dedupWindow: configured.DedupWindow,
-		lateWeight:  configured.LateWeight,
-		countsLate:  configured.LateWeight > 0,
-		effect:      configured.Effect,
-		scope:       configured.DedupScope,
-		kind:        configured.WorkerKind,
+		weight:       cmp.Or(max(0, configured.PriorityWeight), 1),
+		stretch:      configured.Stretch,
+		objective:    configured.LatencyObjective,
+		dedupWindow:  configured.DedupWindow,
+		lateWeight:   configured.LateWeight,
+		lateHasValue: configured.LateWeight > 0,
+		effect:       configured.Effect,
+		scope:        configured.DedupScope,
+		kind:         configured.WorkerKind,
 	}
 	if previous >= 0 {
 		newer.costRatios = slices.Clone(older[previous].costRatios)
--- a/dispatch/registry.go
+++ b/dispatch/registry.go
@@ -6,28 +6,28 @@
 // next one together must still bring the list within Rules.PollWithin. Package discovery tests this
 // sum for lists that are read from sockets.
 const (
-	// pollBackoffFirst is the wait after the first and the second consecutive failure. It doubles with
+	// initialPollBackoff is the wait after the first and the second consecutive failure. It doubles with
 	// each further failure.
-	pollBackoffFirst = 250 * time.Millisecond
-	// pollBackoffParts divides Rules.PollWithin to give the longest wait.
-	pollBackoffParts = 6
-	// pollBackoffJitter is the upper end of the jitter: waits are drawn from 0.5 to 1.5 times the
+	initialPollBackoff = 250 * time.Millisecond
+	// maxPollBackoffDivisor divides Rules.PollWithin to give the longest wait.
+	maxPollBackoffDivisor = 6
+	// maxPollBackoffJitter is the upper end of the jitter: waits are drawn from 0.5 to 1.5 times the
 	// nominal wait.
-	pollBackoffJitter = 1.5
-	// pollBackoffMin is the shortest nominal wait.
-	pollBackoffMin = 50 * time.Millisecond
+	maxPollBackoffJitter = 1.5
+	// minPollBackoff is the shortest nominal wait.
+	minPollBackoff = 50 * time.Millisecond
 	// maxPollDoublings bounds how often the wait doubles.
 	maxPollDoublings = 5
-	// pollTimeoutMin is the shortest time after which an unanswered call counts as lost.
-	pollTimeoutMin = time.Second
-	// firstPollParts divides the drain grace to give the latest time of the first call. The rest of
+	// minPollTimeout is the shortest time after which an unanswered call counts as lost.
+	minPollTimeout = time.Second
+	// firstPollGraceDivisor divides the drain grace to give the latest time of the first call. The rest of
 	// the grace is for the answer and for this scheduler's start.
-	firstPollParts = 8
+	firstPollGraceDivisor = 8
 )
 
-// ownedCheckInterval: when this scheduler owns workers, every third request for one more pool worker
+// generalCheckInterval: when this scheduler owns workers, every third request for one more pool worker
 // goes to the general check order instead of to an owned worker.
-const ownedCheckInterval = 3
+const generalCheckInterval = 3
 
 // workerRecord is a worker's entry in the endpoint list. A scheduler uses few of the many listed
 // workers, so the full state (worker) is only created at the first use, which saves memory and time.
@@ -37,7 +37,7 @@
 	owner        int     // number of the scheduler that owns the worker's load data
 	lotteryRank  int     // number of schedulers before this one in the slow-start lottery
 	inCheckOrder bool
-	update       int // number of the last update that listed it
+	lastUpdate   int // number of the last update that listed it
 }
 
 // requirements restrict the workers that may be used.
@@ -62,40 +62,40 @@
 // EndpointBackoff returns the longest wait after the first failed call for the endpoint list, and
 // the longest wait after any number of failures. within is Rules.PollWithin.
 func EndpointBackoff(within time.Duration) (first, longest time.Duration) {
-	jittered := func(wait time.Duration) time.Duration { return time.Duration(pollBackoffJitter * float64(wait)) }
-	longest = max(within/pollBackoffParts, pollBackoffMin)
-	return jittered(min(pollBackoffFirst, longest)), jittered(longest)
+	jittered := func(wait time.Duration) time.Duration { return time.Duration(maxPollBackoffJitter * float64(wait)) }
+	longest = max(within/maxPollBackoffDivisor, minPollBackoff)
+	return jittered(min(initialPollBackoff, longest)), jittered(longest)
 }
 
-// firstPoll returns the time of the first poll. Discovery only handles a limited number of
+// firstPollTime returns the time of the first poll. Discovery only handles a limited number of
 // concurrent calls, so the first calls of all schedulers are spread, within the time that the rules
 // give. A change made before this scheduler started counts as known from its first moment, and only
 // the drain grace is left to follow it. The list must therefore arrive within the grace, even when
 // many schedulers start together.
-func (d *Dispatcher) firstPoll(grace time.Duration) time.Duration {
+func (d *Dispatcher) firstPollTime(grace time.Duration) time.Duration {
 	spread := min(float64(d.pollWithin/2), (d.schedulers-1)*float64(tickInterval))
 	if grace > 0 {
-		spread = min(spread, float64(grace/firstPollParts))
+		spread = min(spread, float64(grace/firstPollGraceDivisor))
 	}
 	return time.Duration(d.rng.Float64() * spread)
 }
 
 // pollIfDue asks for a watch of the endpoint list if none is established and a poll is due.
 func (d *Dispatcher) pollIfDue() {
-	if d.polls && !d.watching && d.now >= d.pollAt {
+	if d.pollsEndpoints && !d.watching && d.now >= d.pollAt {
 		d.emit(WatchEndpoints{})
-		d.pollAt = d.now + max(pollTimeoutMin, d.pollWithin/2)
+		d.pollAt = d.now + max(minPollTimeout, d.pollWithin/2)
 	}
 }
 
 // watchFailed plans the next call. The jitter keeps schedulers from calling at the same moment, and
 // the wait is short enough for what is left of PollWithin after a lost call.
 func (d *Dispatcher) watchFailed() {
-	wait := pollBackoffFirst << max(min(d.watchFailures, maxPollDoublings+1)-1, 0)
-	wait = max(min(wait, d.pollWithin/pollBackoffParts), pollBackoffMin)
+	wait := initialPollBackoff << max(min(d.watchFailures, maxPollDoublings+1)-1, 0)
+	wait = max(min(wait, d.pollWithin/maxPollBackoffDivisor), minPollBackoff)
 	d.watching = false
 	d.watchFailures++
-	if !d.polls {
+	if !d.pollsEndpoints {
 		return // updates are pushed, so there is nothing to poll
 	}
 	d.pollAt = d.now + wait/2 + time.Duration(d.rng.Int63n(int64(wait)))
@@ -112,20 +112,20 @@
 		d.watching = true
 		d.watchFailures = 0
 	}
-	d.update++
+	d.updateCount++
 	for _, endpoint := range update.Endpoints {
-		d.applyEndpoint(d.recordOf(endpoint.Worker), endpoint)
+		d.applyEndpoint(d.findOrAddRecord(endpoint.Worker), endpoint)
 	}
 	if update.Kind == FullUpdate {
-		d.removeUnnamed()
+		d.removeUnlisted()
 	}
 }
 
-// removeUnnamed marks all workers as gone that the last update did not list.
-func (d *Dispatcher) removeUnnamed() {
+// removeUnlisted marks all workers as gone that the last update did not list.
+func (d *Dispatcher) removeUnlisted() {
 	for index := range d.records {
 		record := &d.records[index]
-		if record.update == d.update || record.State == Gone {
+		if record.lastUpdate == d.updateCount || record.State == Gone {
 			continue
 		}
 		gone := record.Endpoint
@@ -134,8 +134,8 @@
 	}
 }
 
-// recordOf returns the index of a worker's record, and creates the record of an unknown worker.
-func (d *Dispatcher) recordOf(id WorkerID) int {
+// findOrAddRecord returns the index of a worker's record, and creates the record of an unknown worker.
+func (d *Dispatcher) findOrAddRecord(id WorkerID) int {
 	index, known := d.recordIndex[id]
 	if known {
 		return index
@@ -154,7 +154,7 @@
 	restarted := endpoint.StartKnown && endpoint.State == Ready &&
 		(!record.StartKnown || endpoint.StartedAt > record.StartedAt)
 	record.Endpoint = endpoint
-	record.update = d.update
+	record.lastUpdate = d.updateCount
 	if restarted {
 		record.lotteryRank = d.lotteryRank(endpoint.Incarnation)
 	}
@@ -172,10 +172,10 @@
 
 // addToCheckOrder inserts a worker at a random position of the health check order.
 func (d *Dispatcher) addToCheckOrder(index int) {
-	place := d.rng.Intn(len(d.checkOrder) + 1)
+	position := d.rng.Intn(len(d.checkOrder) + 1)
 	d.checkOrder = append(d.checkOrder, index)
 	last := len(d.checkOrder) - 1
-	d.checkOrder[place], d.checkOrder[last] = d.checkOrder[last], d.checkOrder[place]
+	d.checkOrder[position], d.checkOrder[last] = d.checkOrder[last], d.checkOrder[position]
 	d.records[index].inCheckOrder = true
 }
 
@@ -183,48 +183,48 @@
 // workers, most requests go to those, because their load is known best.
 func (d *Dispatcher) extendPool(request poolRequest) {
 	d.checksRequested++
-	if request.viaGossip || len(d.owned) == 0 || d.checksRequested%ownedCheckInterval == 0 {
+	if request.viaGossip || len(d.owned) == 0 || d.checksRequested%generalCheckInterval == 0 {
 		d.checkNext(request)
 		return
 	}
 	index := d.owned[d.checksRequested/2%len(d.owned)]
-	d.orderCheck(index, request, joinPool{workerStats: request.workerStats})
+	d.requestCheck(index, request, joinPool{workerStats: request.workerStats})
 }
 
 // checkNext makes the next matching worker of the check order join the pool. The order is random: if
 // all schedulers used the same one, they would all send to the same worker.
 func (d *Dispatcher) checkNext(request poolRequest) {
-	for passed := 0; passed < len(d.checkOrder); {
-		place := (d.checkTurn + passed) % len(d.checkOrder)
-		turn := d.checkTurn % len(d.checkOrder)
-		index := d.checkOrder[place]
+	for skipped := 0; skipped < len(d.checkOrder); {
+		position := (d.nextCheck + skipped) % len(d.checkOrder)
+		nextPosition := d.nextCheck % len(d.checkOrder)
+		index := d.checkOrder[position]
 		record := &d.records[index]
 		switch {
 		case record.State != Ready:
-			d.removeFromCheckOrder(place)
+			d.removeFromCheckOrder(position)
 		case !request.matches(record.Kind, record.Zone, record.Cell):
-			passed++
+			skipped++
 		default:
-			d.checkOrder[place] = d.checkOrder[turn]
-			d.checkOrder[turn] = index
-			d.checkTurn = turn + 1
-			d.orderCheck(index, request, joinPool{workerStats: request.workerStats, viaGossip: request.viaGossip})
+			d.checkOrder[position] = d.checkOrder[nextPosition]
+			d.checkOrder[nextPosition] = index
+			d.nextCheck = nextPosition + 1
+			d.requestCheck(index, request, joinPool{workerStats: request.workerStats, viaGossip: request.viaGossip})
 			return
 		}
 	}
 }
 
-func (d *Dispatcher) removeFromCheckOrder(place int) {
-	d.records[d.checkOrder[place]].inCheckOrder = false
+func (d *Dispatcher) removeFromCheckOrder(position int) {
+	d.records[d.checkOrder[position]].inCheckOrder = false
 	last := len(d.checkOrder) - 1
-	d.checkOrder[place] = d.checkOrder[last]
+	d.checkOrder[position] = d.checkOrder[last]
 	d.checkOrder = d.checkOrder[:last]
 }
 
-// orderCheck makes a worker join the pool, either at once or as the next epoch begins.
-func (d *Dispatcher) orderCheck(index int, request poolRequest, join joinPool) {
+// requestCheck makes a worker join the pool, either at once or as the next epoch begins.
+func (d *Dispatcher) requestCheck(index int, request poolRequest, join joinPool) {
 	if request.nextEpoch {
-		d.scheduler.send(orderedCheck{worker: index, joinPool: join})
+		d.scheduler.send(deferredCheck{worker: index, joinPool: join})
 		return
 	}
 	d.workerAt(index).send(join)
@@ -235,7 +235,7 @@
 func (d *Dispatcher) assignOwner(index int) {
 	record := &d.records[index]
 	record.owner = d.ownerOf(record.Worker)
-	if d.gossips && record.owner == d.self {
+	if d.gossipEnabled && record.owner == d.schedulerIndex {
 		d.owned = append(d.owned, index)
 	}
 	d.notifyWorker(index)
@@ -258,11 +258,11 @@
 func (d *Dispatcher) notifyWorker(index int) {
 	record := &d.records[index]
 	if record.worker != nil {
-		record.worker.send(record.changed())
+		record.worker.send(record.recordChangedMessage())
 	}
 }
 
-func (r *workerRecord) changed() recordChanged {
+func (r *workerRecord) recordChangedMessage() recordChanged {
 	return recordChanged{Endpoint: r.Endpoint, lotteryRank: r.lotteryRank, owner: r.owner}
 }
 
@@ -271,7 +271,7 @@
 	record := &d.records[index]
 	if record.worker == nil {
 		record.worker = newWorker(d, index, record.Worker)
-		record.worker.send(record.changed())
+		record.worker.send(record.recordChangedMessage())
 	}
 	return record.worker
 }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -9,8 +9,8 @@
 	// maxBadRequests is the number of workers that must call an invocation a bad request before the
 	// invocation itself is at fault.
 	maxBadRequests = 2
-	// minTimeLeft is the least time before the client timeout with which an attempt is still begun.
-	minTimeLeft = 2 * tickInterval
+	// minTimeForAttempt is the least time before the client timeout with which an attempt is still begun.
+	minTimeForAttempt = 2 * tickInterval
 	// maxRetryAfter bounds the retry delay suggested to throttled clients.
 	maxRetryAfter = 1250 * time.Millisecond
 	// minTenantBackoff and maxTenantBackoff bound how long a worker that has rejected a tenant's
@@ -22,8 +22,8 @@
 const (
 	// noAttempt is passed to complete to cancel all attempts in flight.
 	noAttempt = -1
-	// keepAttempts is passed to complete when the client got a result, which then counts as served.
-	keepAttempts = -2
+	// resultReturned is passed to complete when the client got a result, which then counts as served.
+	resultReturned = -2
 )
 
 // rejectionKey identifies a worker and the kind of invocation that it has rejected.
@@ -70,7 +70,7 @@
 		return ReasonWindow
 	case len(v.attempts) >= s.maxAttempts:
 		return ReasonAttempts
-	case v.deadline-s.now <= minTimeLeft:
+	case v.deadline-s.now <= minTimeForAttempt:
 		return ReasonTimeout
 	}
 	return ReasonTooLate
@@ -139,7 +139,7 @@
 		return
 	}
 	if s.retriableByClient(v, first) {
-		s.emit(Throttle{Invocation: v.id, RetryAfter: s.drawRetryAfter()})
+		s.emit(Throttle{Invocation: v.id, RetryAfter: s.jitteredRetryAfter()})
 	} else {
 		s.emit(Fail{Invocation: v.id})
 	}
@@ -156,38 +156,38 @@
 		operation.effect == Deduplicated && operation.scope == ScopeAll
 }
 
-// drawRetryAfter returns a retry delay with jitter, so that clients throttled by many schedulers at
+// jitteredRetryAfter returns a retry delay with jitter, so that clients throttled by many schedulers at
 // the same moment do not all return at the same moment.
-func (s *scheduler) drawRetryAfter() time.Duration {
+func (s *scheduler) jitteredRetryAfter() time.Duration {
 	return s.retryAfter*3/5 + time.Duration(s.rng.Int63n(int64(s.retryAfter)*2/5+1))
 }
 
 // complete ends an invocation: no answer is owed any more. It cancels the attempts in flight except
-// the one numbered spared, which may be noAttempt. With keepAttempts the client got a result, and
+// the one numbered keptAttempt, which may be noAttempt. With resultReturned the client got a result, and
 // the invocation counts as served.
-func (s *scheduler) complete(index, spared int) {
+func (s *scheduler) complete(index, keptAttempt int) {
 	v := &s.invocations[index]
 	if !v.answered {
 		operation := &s.operations[v.operation]
-		operation.served.add(s.servedShare(v, operation, spared))
+		operation.servedShares.add(s.servedShare(v, operation, keptAttempt))
 	}
 	s.dequeue(index)
 	v.finished = true
 	for number, attempt := range v.attempts {
-		if attempt.inFlight && !v.answered && number != spared && s.cancels {
+		if attempt.inFlight && !v.answered && number != keptAttempt && s.cancels {
 			s.emit(Cancel{Invocation: v.id, Attempt: number})
 		}
 		v.finished = v.finished && !attempt.inFlight
 	}
 	v.answered = true
 	if v.finished {
-		s.free(index)
+		s.releaseInvocation(index)
 	}
 }
 
 // servedShare returns the value that an invocation earned by its end, as a fraction of its weight.
-func (s *scheduler) servedShare(v *invocation, operation *operation, spared int) float64 {
-	if spared != keepAttempts {
+func (s *scheduler) servedShare(v *invocation, operation *operation, keptAttempt int) float64 {
+	if keptAttempt != resultReturned {
 		return 0
 	}
 	if s.now-v.arrivedAt > operation.objective+seconds(operation.stretch*v.work) {
@@ -196,8 +196,8 @@
 	return 1
 }
 
-// free releases the memory of an invocation for which no more events will arrive.
-func (s *scheduler) free(index int) {
+// releaseInvocation releases the memory of an invocation for which no more events will arrive.
+func (s *scheduler) releaseInvocation(index int) {
 	s.freeInvocations = append(s.freeInvocations, index)
 	s.dispatcher.send(invocationReleased{id: s.invocations[index].id})
 }
@@ -217,15 +217,15 @@
 		attempt.badRequest = true
 		v.badRequests++
 	case Succeeded:
-		s.blameRejecters(v)
+		s.notifyBadRequestWorkers(v)
 		delete(s.rejections, key)
-		s.learnRun(v, attempt.worker, message.runTime)
+		s.recordRun(v, attempt.worker, message.runTime)
 	case Rejected, Unreachable:
 		s.backOff(key)
 	}
 	switch {
 	case v.answered || outcome.Answered || outcome.Result == Succeeded:
-		s.complete(message.invocation, keepAttempts)
+		s.complete(message.invocation, resultReturned)
 	case s.now < v.deadline && outcome.Result != NotSent:
 		s.retry(message.invocation)
 	default:
@@ -233,9 +233,9 @@
 	}
 }
 
-// blameRejecters notifies the workers that called an invocation a bad request that another worker
+// notifyBadRequestWorkers notifies the workers that called an invocation a bad request that another worker
 // ran it.
-func (s *scheduler) blameRejecters(v *invocation) {
+func (s *scheduler) notifyBadRequestWorkers(v *invocation) {
 	for _, attempt := range v.attempts {
 		if attempt.badRequest {
 			s.dispatcher.records[attempt.worker].worker.send(rejectedValidRequest{})
@@ -251,8 +251,8 @@
 	s.rejections[key] = backoff{until: s.now + span, span: span}
 }
 
-// learnRun records the running time, in seconds, of an attempt that succeeded.
-func (s *scheduler) learnRun(v *invocation, worker int, runTime float64) {
+// recordRun records the running time, in seconds, of an attempt that succeeded.
+func (s *scheduler) recordRun(v *invocation, worker int, runTime float64) {
 	operation := &s.operations[v.operation]
 	operation.runTimes.add(runTime)
 	operation.costRatios.add(runTime / v.work)
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -206,7 +206,7 @@
 	return timeLimits{
 		waited: waited,
 		timely: len(v.attempts) == 0 && r.kind < 0 &&
-			(operation.countsLate || waited <= s.slack(v, s.summary.fastestPace)),
+			(operation.lateHasValue || waited <= s.slack(v, s.summary.fastestPace)),
 		latest: operation.objective + seconds(medianHintRatio*operation.stretch*v.work) - waited,
 	}
 }
@@ -215,7 +215,7 @@
 func (s *scheduler) score(v *invocation, view *workerView, limits timeLimits) (score float64, fits bool) {
 	score = s.freeSlotsOf(v, view)
 	left := s.slack(v, view.pace) - limits.waited
-	inTime := s.operations[v.operation].countsLate || left >= 0
+	inTime := s.operations[v.operation].lateHasValue || left >= 0
 	// Stale reports show no slots that have been free for less: work that can wait may queue there.
 	waitable := max(0, min(1, left.Seconds()/s.stats.runTime))
 	capacity := score + s.staleQueueShare*(1-view.confidence)*view.maxFree*waitable
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -36,15 +36,15 @@
 	if !w.startKnown || age >= w.slowStartDuration {
 		return 1
 	}
-	return w.slowStartFrom + (1-w.slowStartFrom)*max(0, age.Seconds()/w.slowStartDuration.Seconds())
+	return w.initialCapacityShare + (1-w.initialCapacityShare)*max(0, age.Seconds()/w.slowStartDuration.Seconds())
 }
 
 // lotteryRank is how many schedulers come before this one for one incarnation of a worker. Left to chance alone, now
 // none and now many would send to it. A scheduler whose number lies beyond the configured number comes last.
 func (d *Dispatcher) lotteryRank(incarnation uint64) (before int) {
-	own := rendezvousHash(incarnation, d.self)
+	own := rendezvousHash(incarnation, d.schedulerIndex)
 	for other := range int(d.schedulers) {
-		if d.self >= int(d.schedulers) || rendezvousHash(incarnation, other) < own {
+		if d.schedulerIndex >= int(d.schedulers) || rendezvousHash(incarnation, other) < own {
 			before++
 		}
 	}
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -125,7 +125,7 @@
 		entry.tracked = true
 	}
 	entry.workerView = *view
-	entry.epoch = s.epochs
+	entry.epoch = s.epochCount
 	if joins || leaves {
 		s.pool = slices.DeleteFunc(s.pool, func(worker int) bool { return worker == view.index })
 		entry.pooled = joins
@@ -147,8 +147,8 @@
 // that the pool is brought to its size; nothing would come of it for the others.
 func (s *scheduler) beginEpoch() {
 	s.dropInactive()
-	s.epochs++
-	s.epoch = refreshEpoch{number: s.epochs, at: s.now, workerStats: s.stats, kindPace: s.kindPace}
+	s.epochCount++
+	s.epoch = refreshEpoch{number: s.epochCount, at: s.now, workerStats: s.stats, kindPace: s.kindPace}
 	queued := len(s.queue) > 0
 	if queued {
 		s.poolEpoch = s.epoch
@@ -193,15 +193,15 @@
 // refreshWorker has a worker look at the time, twice if the epoch counts for it as a tracked and as a pooled one.
 func (s *scheduler) refreshWorker(worker int, queued bool) {
 	w := s.dispatcher.records[worker].worker
-	w.send(refresh{})
+	w.send(epochStart{})
 	if entry := s.views[worker]; queued && entry.tracked && entry.pooled {
-		w.send(refresh{})
+		w.send(epochStart{})
 	}
 	s.deliverChecks(worker)
 }
 
 func (s *scheduler) hasOrderedCheck(worker int) bool {
-	return slices.ContainsFunc(s.orderedChecks, func(check orderedCheck) bool { return check.worker == worker })
+	return slices.ContainsFunc(s.orderedChecks, func(check deferredCheck) bool { return check.worker == worker })
 }
 
 // deliverChecks hands over what was ordered for a worker.
--- a/dispatch/window_test.go
+++ b/dispatch/window_test.go
@@ -47,8 +47,8 @@
 			Worker:          workerID('a'),
 			Zone:            0,
 			Age:             age,
-			StartedAge:      notYet,
-			LastProgressAge: notYet,
+			StartedAge:      noAge,
+			LastProgressAge: noAge,
 			MayHaveRun:      true,
 		}},
 	}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -143,7 +143,7 @@
 func (w *worker) applyRecord(record recordChanged) {
 	w.lotteryRank = record.lotteryRank
 	w.owner = record.owner
-	w.ownedHere = w.gossips && record.owner == w.self
+	w.ownedHere = w.gossipEnabled && record.owner == w.schedulerIndex
 	w.state = record.State
 	if record.State == Gone {
 		w.loseAttempts(w.now)
@@ -180,15 +180,15 @@
 		w.queryOwner()
 	}
 	// Where its owner does not answer it is asked as if it had none.
-	if !join.viaGossip || w.ownerSilent && w.rng.Intn(maxQueries) == 0 {
+	if !join.viaGossip || w.ownerSilent && w.rng.Intn(maxQueriesPerInvocation) == 0 {
 		w.healthCheck()
 	}
 }
 
 // addAttempt enters an attempt that the worker gets.
 func (w *worker) addAttempt(attempt workerAttempt) {
-	w.serial++
-	attempt.serial = w.serial
+	w.lastSerial++
+	attempt.serial = w.lastSerial
 	w.attempts = append(w.attempts, attempt)
 	w.sendGossip(w.owner, GossipEntry{Kind: GossipAttemptStarted, Serial: attempt.serial, Tag: w.tag})
 }
@@ -234,7 +234,7 @@
 	w.onProbation = w.probationLeft > 0
 	w.measured = len(w.freeSamples) > 0
 	w.rejecting = now < w.rejectedUntil
-	w.ownerSilent = w.unansweredSince > 0 && now > w.unansweredSince+ownerAnswerFreshness
+	w.ownerSilent = w.unansweredSince > 0 && now > w.unansweredSince+maxOwnerReplyAge
 	w.reserved = w.reservedAt(now)
 	w.inFlight = w.slotsInFlight()
 	w.estimateFree(now)
@@ -423,7 +423,7 @@
 	w.consecutiveBreaks = 0
 	w.paces.add(runTime / attempt.work * w.warmUpWeight) // past its slow start, which comes on top
 	w.pace = w.paces.quantile(median)
-	if w.gossips && !w.ownedHere {
+	if w.gossipEnabled && !w.ownedHere {
 		w.recordFreeSlots(w.now, 1) // the slot that it leaves is ours at once, before its owner is notified
 	}
 	w.reinstate(true)
