--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// ms keeps the times of examples short.
+// ms abbreviates the unit of the times in examples.
 const ms = time.Millisecond
 
-// harness drives one dispatcher and prints its actions, for traces that people can read. Workers are named by letters.
+// harness drives one dispatcher and prints its actions as a readable trace. Workers are named by
+// letters.
 type harness struct {
 	dispatcher        *Dispatcher
 	now               time.Duration
-	printHealthChecks bool                        // else health checks are left out
-	printNotAfter     bool                        // print until when a forward may leave, where a window bounds it
+	printHealthChecks bool                        // print health checks, which are left out otherwise
+	printNotAfter     bool                        // print NotAfter of forwards that a deduplication window bounds
 	collects          bool                        // collect lines for printCollected instead of printing them
-	deferHealthChecks bool                        // their results are given by the test; else each fails at once
-	lines             []string                    // collected since they were last printed
-	attemptWorkers    map[InvocationID][]WorkerID // by the attempt's number
+	deferHealthChecks bool                        // the test provides health check results; otherwise each check fails at once
+	lines             []string                    // collected since printCollected was last called
+	attemptWorkers    map[InvocationID][]WorkerID // the workers of an invocation's attempts, by attempt number
 }
 
-// newIdleHarness has a dispatcher that has not handled an event yet.
+// newIdleHarness returns a harness whose dispatcher has not handled an event yet.
 func newIdleHarness(config Config, seed int64) *harness {
 	return &harness{
 		dispatcher:     New(config, seed),
@@ -31,31 +32,32 @@
 	}
 }
 
-// newHarness starts a dispatcher with the seed 1, whose first event is a full update with the given workers.
+// newHarness returns a harness with seed 1, whose dispatcher has handled a full update with the
+// given workers.
 func newHarness(config Config, workers ...Endpoint) *harness {
 	h := newIdleHarness(config, 1)
 	h.handleAt(0, EndpointUpdate{Kind: FullUpdate, Endpoints: workers})
 	return h
 }
 
-// workerID is the worker that a letter names.
+// workerID returns the id of the worker with a letter as its name.
 func workerID(name byte) WorkerID {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, name}), 1)
 }
 
-// readyEndpoint is a ready worker of any kind in a zone, and in the cell of the same number.
+// readyEndpoint returns a ready worker of kind 0 in a zone, and in the cell of the same number.
 func readyEndpoint(name byte, zone int) Endpoint {
 	return Endpoint{Worker: workerID(name), Zone: zone, Cell: zone, State: Ready}
 }
 
-// freeSlotsResult is a health check that succeeded, with a report of free slots alone.
+// freeSlotsResult returns a successful health check whose load report has free slots only.
 func freeSlotsResult(name byte, slots float64) HealthCheckResult {
 	load := UnknownLoad
 	load.FreeSlots = slots
 	return HealthCheckResult{Worker: workerID(name), Result: Succeeded, Load: &load}
 }
 
-// arrival is an invocation of one slot with a client timeout of five seconds.
+// arrival returns the arrival of an invocation of one slot with a client timeout of five seconds.
 func arrival(id InvocationID, operation int, hint float64) Arrival {
 	return Arrival{
 		Invocation: id,
@@ -66,7 +68,7 @@
 	}
 }
 
-// outcome is how an attempt ended, at the worker that it was forwarded to.
+// outcome returns the outcome of an attempt at the worker that it was forwarded to.
 func (h *harness) outcome(invocation InvocationID, attempt int, result Result) Outcome {
 	return Outcome{
 		Invocation: invocation,
@@ -77,7 +79,7 @@
 	}
 }
 
-// handleAt hands over the events of one moment, and prints or collects the actions.
+// handleAt passes the events of one moment to the dispatcher, and prints or collects its actions.
 func (h *harness) handleAt(at time.Duration, events ...Event) {
 	h.now = at
 	var lost []Event
@@ -97,30 +99,30 @@
 	}
 }
 
-// reportOften has the workers report so often in a row that recent reports are trusted.
+// reportOften sends so many load reports in a row that the dispatcher trusts recent reports.
 func (h *harness) reportOften(names ...byte) {
 	for n := range 2 * sampleCount {
 		h.handleAt(h.now+2*ms, freeSlotsResult(names[n/2%len(names)], float64(1+n%3)))
 	}
 }
 
-// runUntil lets time pass in ticks.
+// runUntil advances time to an end in steps of tickInterval.
 func (h *harness) runUntil(end time.Duration) {
 	for h.now+tickInterval <= end {
 		h.handleAt(h.now+tickInterval, TimerFired{})
 	}
 }
 
-// printCollected prints the collected lines as one.
+// printCollected prints the collected lines as one line, and discards them.
 func (h *harness) printCollected(title string) {
 	fmt.Printf("%s: %s\n", title, cmp.Or(strings.Join(h.lines, "; "), "nothing"))
 	h.lines = nil
 }
 
-// letter names a worker of workerID.
+// letter returns the name of a worker: the reverse of workerID.
 func letter(id WorkerID) string { return string(rune(id.Addr().As4()[3])) }
 
-// line is an action in words; empty: it is not printed.
+// line returns an action as text, or an empty string if it is not printed.
 func (h *harness) line(action Action) string {
 	switch a := action.(type) {
 	case Forward:
@@ -161,7 +163,7 @@
 	return ""
 }
 
-// gossipText is what an entry says, after a space.
+// gossipText returns an entry as text, with a leading space.
 func (h *harness) gossipText(entry GossipEntry) string {
 	worker := "?"
 	for index := range h.dispatcher.records {
@@ -184,7 +186,8 @@
 	return ""
 }
 
-// testConfig is a deployment with one operation of each effect class, the weights 1, 2 and 4.
+// testConfig returns a configuration with one operation of each effect class, with the weights 1, 2
+// and 4.
 func testConfig() Config {
 	operation := func(weight float64, effect Effect, scope DedupScope) Operation {
 		return Operation{
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	// maxHedgeShare bounds hedged requests, as a part of all invocations.
+	// maxHedgeShare bounds the number of hedged requests, as a share of all invocations.
 	maxHedgeShare = 0.2
-	// hedgeConfidence: stale load reports show free slots that are gone, which hedged requests would fill.
+	// hedgeConfidence is the least confidence in a worker's load with which it gets a hedged
+	// request. Stale load reports show free slots that have been taken since, and hedged requests
+	// would be sent to them.
 	hedgeConfidence = 0.6
 )
 
-// hedge sends second attempts of the running set, by weight, while most pooled workers have free slots and nothing is
-// queued.
+// hedge sends second attempts of the invocations in the running set, in order of weight, as long as
+// the queue is empty and most pooled workers have free slots.
 func (s *scheduler) hedge(running []int) {
 	slices.SortStableFunc(running, func(a, b int) int {
 		return cmp.Compare(s.invocations[b].weight, s.invocations[a].weight)
@@ -31,5 +33,5 @@
 	}
 }
 
-// mayHedge reports whether the limit on hedged requests allows one more.
+// mayHedge reports whether maxHedgeShare allows one more hedged request.
 func (s *scheduler) mayHedge() bool { return s.hedges+1 < maxHedgeShare*s.admitted }
--- a/dispatch/hedge_test.go
+++ b/dispatch/hedge_test.go
@@ -1,6 +1,7 @@
 package dispatch
 
-// Hedged requests use spare capacity where samples are steady, under a fifth of invocations; the loser is cancelled.
+// Hedged requests use spare capacity where load reports are trusted, for less than a fifth of
+// invocations. The attempt that is not answered first is cancelled.
 func Example_hedgedRequests() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
 	h.collects = true
@@ -39,7 +40,8 @@
 	// a fourth would not; and only the running set: 17 to c; 18 to a
 }
 
-// A streamed response that has started belongs to the client: the other attempt is cancelled and nothing more is sent.
+// A streamed response that has started is the client's answer: the other attempt is cancelled and
+// no further one is sent.
 func Example_streamedResponse() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 2), freeSlotsResult('b', 2), arrival(1, 0, 0.3))
--- a/dispatch/log.go
+++ b/dispatch/log.go
@@ -12,12 +12,12 @@
 	logWatchRetry       = "endpoint watch failed, retrying"
 )
 
-// Log is a line for operators: a message that is always the same text, and what it is about.
+// Log is a log line for operators: a fixed message and its fields.
 type Log struct {
 	Message string
-	Worker  WorkerID      // zero: about no worker
-	Reason  string        // empty: none is given
-	RetryAt time.Duration // by this instance's clock; 0: nothing is retried
+	Worker  WorkerID      // zero: the line is about no worker
+	Reason  string        // empty: no reason is given
+	RetryAt time.Duration // time since the instance's start; 0: nothing is retried
 }
 
 func ejectedLog(worker WorkerID, reason ejectReason) Log {
@@ -32,7 +32,7 @@
 	return Log{Message: logWatchRetry, RetryAt: at}
 }
 
-// String is the line as text, for where fields can't be kept apart.
+// String returns the line as text, for outputs without separate fields.
 func (l Log) String() string {
 	text := l.Message
 	if l.Worker.IsValid() {
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -3,35 +3,41 @@
 import "time"
 
 const (
-	// progressTimeout is how long after it was due a sign of progress counts as missing.
+	// progressTimeout is how long after its due time a sign of progress counts as missing.
 	progressTimeout = 300 * time.Millisecond
-	// immediateStartSpan: an attempt that starts within this time has not waited at its worker.
+	// immediateStartSpan bounds the delay with which an attempt still counts as started at once,
+	// that is without waiting in its worker's queue.
 	immediateStartSpan = 2 * tickInterval
-	// fastFailure: a health check that fails sooner may have failed by the network's doing.
+	// fastFailure is the latency below which a failed health check may be a network fault and not the
+	// worker's.
 	fastFailure = progressTimeout / 2
-	// maxRechecks bounds how often such a check is repeated at once.
+	// maxRechecks bounds how many such failures in a row are checked again at once.
 	maxRechecks = 3
 
-	// minEjection and maxEjection bound how long a worker is ejected; each further time is twice as long.
+	// minEjection and maxEjection bound the length of an ejection, which doubles each time.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 8 * time.Second
-	// maxEjections bounds how many ejections are counted.
+	// maxEjections caps the count of recent ejections, which determines the length of the next one
+	// and of the probation after it.
 	maxEjections = 5
-	// reinstateChecks is how many health checks in a row an ejected worker must answer.
+	// reinstateChecks is how many health checks in a row an ejected worker must answer before it is
+	// reinstated.
 	reinstateChecks = 2
-	// probationRuns is how many attempts must succeed, for each ejection of late, before probation ends. So many broken
-	// connections in a row eject a worker.
+	// probationRuns is how many attempts must succeed for each recent ejection before probation
+	// ends. The same number of broken connections in a row ejects a worker.
 	probationRuns = 3
-	// probationGuard is for how long a worker on probation gets no work that must not run twice.
+	// probationGuard is how long after its reinstatement a worker gets no non-idempotent work.
 	probationGuard = 1250 * time.Millisecond
 
-	// overdueRuns is how many usual running times of silence eject a worker.
+	// overdueRuns is the silence that is tolerated before a worker is ejected, in typical running
+	// times.
 	overdueRuns = 3
-	// overdueWork is how often its own work an attempt may take where nothing reports its progress.
+	// overdueWork is the time an attempt may take where its progress is not reported, as a multiple
+	// of its hinted cost.
 	overdueWork = 4
 )
 
-// ejectReason says to operators why a worker was ejected.
+// ejectReason tells operators why a worker was ejected.
 type ejectReason string
 
 const (
@@ -42,7 +48,8 @@
 	ejectSilent      ejectReason = "no sign of progress"
 )
 
-// healthCheck asks the worker for its load, once a moment.
+// healthCheck sends the worker a health check, which asks for its load. It does nothing where health
+// checks are not allowed, the worker is not ready, or a check was already sent in this call of Handle.
 func (w *worker) healthCheck() {
 	if !w.healthChecks || w.state != Ready || w.checkPending && w.checkedAt == w.now {
 		return
@@ -52,13 +59,15 @@
 	w.emit(HealthCheck{Worker: w.id})
 }
 
-// healthCheckEnded takes the end of a health check in.
+// healthCheckEnded processes the result of a health check.
 func (w *worker) healthCheckEnded(check HealthCheckResult) {
 	w.checkPending = false
 	switch check.Result {
 	case Succeeded:
 		w.healthCheckSucceeded(check.Load)
-	case Rejected, ReusedConnectionBroken: // checks are capped, connections break, which tells nothing
+	case Rejected, ReusedConnectionBroken:
+		// Workers cap health checks and idle connections break: neither says anything about the
+		// worker.
 	default:
 		w.healthCheckFailed(check.Latency)
 	}
@@ -78,14 +87,14 @@
 func (w *worker) healthCheckFailed(latency time.Duration) {
 	w.checksAnswered = 0
 	w.checksMissed++
-	// What fails at once may be the network's doing: it is tried again at once before it counts.
+	// A check that fails fast may be a network fault: it is repeated at once before it counts.
 	w.recheck = latency < fastFailure && w.checksMissed < maxRechecks
 	if !w.recheck && (w.checksMissed > 1 || w.lastProgress < w.now-latency) {
 		w.eject(ejectUnanswered, true)
 	}
 }
 
-// unreachable counts an attempt for which no connection came up.
+// unreachable counts an attempt for which no connection could be established.
 func (w *worker) unreachable(sentAt time.Duration) {
 	w.checksMissed++
 	w.recheck = true
@@ -94,8 +103,8 @@
 	}
 }
 
-// eject takes the worker out of use. The span doubles each time, as health checks are not to be spent on the dead where
-// there are few. silent: what it has counts as lost.
+// eject takes the worker out of use. The duration doubles each time, so that a small budget of health
+// checks is not spent on dead workers. With silent set, its attempts in flight count as lost.
 func (w *worker) eject(reason ejectReason, silent bool) {
 	if w.state == Ready && (!w.ejected || silent && w.now >= w.ejectedUntil) {
 		w.emit(ejectedLog(w.id, reason))
@@ -109,7 +118,8 @@
 	}
 }
 
-// reinstate brings an ejected worker back on probation where it has shown that it works and its ejection is over.
+// reinstate returns an ejected worker to use, on probation, if it has shown that it works and its
+// ejection time is over.
 func (w *worker) reinstate(works bool) {
 	if !w.ejected || !works || w.now < w.ejectedUntil {
 		return
@@ -121,7 +131,7 @@
 	w.emit(reinstatedLog(w.id))
 }
 
-// loseAttempts has all attempts count as lost that were sent by a time.
+// loseAttempts marks all attempts in flight that were sent at or before a time as lost.
 func (w *worker) loseAttempts(sentBy time.Duration) {
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
@@ -131,30 +141,33 @@
 	}
 }
 
-// loseAttempt notifies the scheduler, once: after a reinstatement new work is to show how the worker does.
+// loseAttempt marks an attempt as lost and notifies the scheduler, once. A lost attempt is not judged
+// again: after a reinstatement only new work shows whether the worker works.
 func (w *worker) loseAttempt(attempt *workerAttempt) {
 	attempt.lost = true
 	w.scheduler.send(attemptStalled{invocation: attempt.invocation, number: attempt.number})
 }
 
-// acceptanceOverdue: the connection may have gone silent under the request, whatever else the worker reports.
+// acceptanceOverdue reports whether the worker should have accepted the attempt by now. The
+// connection may have gone silent after the request was sent, even if the worker still reports on
+// other attempts.
 func (w *worker) acceptanceOverdue(attempt *workerAttempt) bool {
 	return w.notifiesAccepted && !attempt.accepted && w.now >= attempt.sentAt+progressTimeout
 }
 
-// progressOvertaken: the worker has reported on others since this attempt's progress was due: it has lost this one, or its
-// answer.
+// progressOvertaken reports whether the worker has reported on other attempts since progress of
+// this one was due. It has then lost this attempt or its answer.
 func (w *worker) progressOvertaken(attempt *workerAttempt) bool {
 	return w.progressInterval > 0 && attempt.startedAt > 0 &&
 		w.lastProgress > attempt.progressAt+w.progressInterval+progressTimeout
 }
 
-// waitsToStart: the worker will report when the attempt starts, and has not.
+// waitsToStart reports whether the worker notifies starts and has not yet notified this one.
 func (w *worker) waitsToStart(attempt *workerAttempt) bool {
 	return w.notifiesStart && attempt.startedAt == 0
 }
 
-// progressDue is when a sign of progress of an attempt is due.
+// progressDue returns when the next sign of progress of an attempt is due.
 func (w *worker) progressDue(attempt *workerAttempt) time.Duration {
 	switch {
 	case w.waitsToStart(attempt):
@@ -166,11 +179,12 @@
 	}
 }
 
-// checkOverdue looks for overdue signs of progress. A hung worker shows the most free slots and would draw all work, but
-// a busy one must not lose its place: suspicion asks, silence beyond what waiting explains decides.
+// checkOverdue looks for overdue signs of progress. A hung worker reports the most free slots and
+// would attract all work, but a busy one must not be ejected: a suspected worker is health checked
+// first, and ejected only after a silence longer than queueing explains.
 func (w *worker) checkOverdue() {
 	silence := w.ejectIfSilent()
-	if !w.healthChecks { // nobody may ask it: time alone lets it be tried again
+	if !w.healthChecks { // without health checks, the end of the ejection time alone reinstates it
 		w.reinstate(true)
 	}
 	sinceCheck := w.now - w.checkedAt
@@ -182,7 +196,8 @@
 	}
 }
 
-// ejectIfSilent goes through the attempts in flight, and gives for how long the longest one has been overdue.
+// ejectIfSilent ejects the worker if an attempt in flight has been silent for too long, and returns
+// for how long the longest overdue one has been overdue.
 func (w *worker) ejectIfSilent() (longest time.Duration) {
 	tolerated := seconds(w.toleratedSilence())
 	for i := range w.attempts {
@@ -206,17 +221,18 @@
 	return longest
 }
 
-// toleratedSilence is in seconds.
+// toleratedSilence returns how long, in seconds, progress may be overdue before the worker is ejected.
 func (w *worker) toleratedSilence() float64 {
 	tolerated := overdueRuns * w.stats.runTime * max(1, w.pace)
 	if w.lastReport.FreeSlots <= 0 {
-		// In thin traffic nothing else of ours shows that a full worker works: its queue explains silence.
+		// In thin traffic this scheduler has no other attempts there that show that a full worker
+		// still works. The worker's own queue explains the silence.
 		tolerated *= 2 + w.lastReport.Queued/max(1, w.maxFree)
 	}
 	return tolerated
 }
 
-// noteLateStart notes, once, that an attempt has not started at once.
+// recordLateStart records, once, that an attempt did not start at once.
 func (w *worker) recordLateStart(attempt *workerAttempt) {
 	expected := attempt.sentAt + immediateStartSpan
 	if w.now < expected || w.now >= expected+tickInterval {
@@ -224,11 +240,12 @@
 	}
 	w.scheduler.send(startObserved{immediate: 0})
 	if w.measured {
-		w.recordFreeSlots(w.now, -attempt.slots) // it waits: nothing is free now, whatever the last report says
+		w.recordFreeSlots(w.now, -attempt.slots) // it is queued: nothing is free, whatever the last report says
 	}
 }
 
-// earliestDue is the earliest time at which checkOverdue may have a result; it may be too early, never too late.
+// earliestDue returns the earliest time at which checkOverdue may have an effect. It may be too
+// early, never too late.
 func (w *worker) earliestDue() time.Duration {
 	next := never
 	if w.recheck {
@@ -246,7 +263,7 @@
 	return next
 }
 
-// attemptDue is the earliest time at which checkOverdue may have a result for one attempt.
+// attemptDue returns the earliest time at which checkOverdue may have an effect for one attempt.
 func (w *worker) attemptDue(attempt *workerAttempt) time.Duration {
 	if w.progressOvertaken(attempt) {
 		return 0
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A worker that fails attempts is ejected, reinstated after answered health checks, and gets one attempt at a time at first.
+// A worker that fails attempts is ejected, is reinstated once it has answered health checks, and
+// gets one attempt at a time at first.
 func Example_ejectionAndProbation() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 4), arrival(1, 2, 0.2))
@@ -25,8 +26,9 @@
 	// 570ms worker ejected worker=a reason="fails attempts"
 }
 
-// A hung worker still answers health checks: overdue progress has it checked, and silence beyond what queueing explains
-// ejects it. Its attempts are retried elsewhere, and once it is reinstated new work is to show how it does.
+// A hung worker still answers health checks: overdue progress leads to a health check, and a
+// silence longer than queueing explains to its ejection. Its attempts are retried elsewhere, and
+// after its reinstatement only new work shows whether it works.
 func Example_hungWorker() {
 	config := testConfig()
 	config.ProgressInterval = 500 * ms
@@ -47,7 +49,7 @@
 	// 5.02s 4 to a
 }
 
-// Health checks go unanswered at a worker that reports no progress either.
+// A worker that leaves health checks unanswered and reports no progress either is ejected.
 func Example_unansweredHealthChecks() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 2), freeSlotsResult('b', 2), arrival(1, 0, 0.3), arrival(2, 2, 0.3))
@@ -59,8 +61,10 @@
 	// 200ms worker ejected worker=a reason="health checks unanswered"
 }
 
-// Broken connections and health checks that fail at once may be the network's fault: the worker is checked again at once, and
-// ejected when that fails too, or when all of its attempts break. What could not connect is not retried there at once.
+// Broken connections and health checks that fail at once may be the network's fault: the worker is
+// checked again at once, and is ejected if that fails too, or if the connections of several
+// attempts in a row break. An attempt that could not connect is not retried at the same worker at
+// once.
 func Example_brokenConnections() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.printHealthChecks = true
@@ -87,7 +91,7 @@
 	// 120ms worker ejected worker=a reason="health checks unanswered"
 }
 
-// An ejected worker is counted for as long as it is ejected and listed.
+// Dispatcher.Ejected counts a worker for as long as it is ejected and in the endpoint list.
 func Example_ejectedCount() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.collects = true
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -8,103 +8,106 @@
 )
 
 const (
-	// minPoolSize is how many workers the pool begins with.
+	// minPoolSize is the size, in workers, that the pool starts with and does not shrink below.
 	minPoolSize = 16
-	// poolSpan: the pool holds the workers that can be health checked within this time.
+	// poolSpan limits the size of the pool to the number of workers that can be health checked
+	// within this time.
 	poolSpan = 8 * time.Second
-	// minChecksPerSecond is how often some worker is health checked, whatever the traffic.
+	// minChecksPerSecond is the rate of health checks, of all workers together, without any traffic.
 	minChecksPerSecond = 3
-	// checkBudgetPoints is how many points of the result health checks may cost, for those beyond that rate.
+	// checkBudgetPoints is how many points of the result the health checks beyond that rate may cost.
 	checkBudgetPoints = 0.002
-	// learnInterval is how often what was measured of all workers is brought together, and the queue ranked anew.
+	// statsInterval is how often the statistics of all workers are recomputed and the queue is
+	// ranked anew.
 	statsInterval = 5 * tickInterval
-	// immediateStartShare: where so many of our attempts start at once, there is free capacity somewhere.
+	// immediateStartShare is the share of this scheduler's attempts that start at once above which
+	// there must be free capacity somewhere.
 	immediateStartShare = 0.15
-	// lagFactor is how many times the measured lag a load report may be old.
+	// lagFactor is the assumed age of a received load report, as a multiple of the measured lag.
 	lagFactor = 2
 )
 
-// scheduler keeps the queue and the pool, and chooses a worker for each invocation.
+// scheduler holds the queue and the pool, and selects a worker for each invocation.
 type scheduler struct {
 	mailbox[schedulerMessage]
 	dispatcher *Dispatcher
 
-	// What the configuration says.
+	// From the configuration.
 	zone                 int
-	schedulers           float64 // in all
+	schedulers           float64 // in total
 	operations           []operation
 	tenants              []tenant
 	cancels              bool
 	maxAttempts          int
 	maxInFlight          int
-	retryAfter           time.Duration // the longest wait that a throttled client is asked for
-	overloadBudget       float64       // seconds of a worker's capacity that all schedulers may send it in slow start
+	retryAfter           time.Duration // longest wait that a throttled client is asked for
+	overloadBudget       float64       // work that a worker in slow start may get from all schedulers, in seconds per slot
 	excessWeight         float64
 	worstOperationWeight float64
-	checksPerInvocation  float64 // health checks that an invocation pays for
-	queriesPerInvocation int     // capacity queries that an invocation is worth
+	checksPerInvocation  float64 // health check credit that an invocation adds
+	queriesPerInvocation int     // capacity queries that an arrival may cause
 	staleQueueShare      float64
 
 	// Invocations.
 	invocations     []invocation
 	freeInvocations []int
-	queue           []int // by rank, highest first
-	admitted        float64
-	arrivals        samples // of the last ones, in seconds
-	hedges          float64
+	queue           []int                   // by rank, highest first
+	admitted        float64                 // invocations in total
+	arrivals        samples                 // times of the last arrivals, in seconds
+	hedges          float64                 // hedged requests in total
 	forwardedAt     time.Duration           // when the last attempt or the first health check was sent
-	reasons         map[InvocationID]Reason // of those given up at this moment
+	reasons         map[InvocationID]Reason // of invocations given up in this call of Handle
 	worstOperation  int                     // the operation that is served worst, or noOperation
-	offeredWeight   float64
+	offeredWeight   float64                 // priority weight of all arrivals
 
-	// The pool: the workers that are considered, the one that joined last at the end.
+	// The pool: the workers that are considered, in the order in which they joined.
 	pool             []int
-	poolSize         float64
-	checkCredit      float64 // health checks that are paid for
+	poolSize         float64 // target size
+	checkCredit      float64 // health checks that may be sent now
 	creditedAt       time.Duration
-	arrivedSinceTick bool
+	arrivedSinceTick bool // an invocation has arrived since check credit was last spent
 	summary          poolSummary
 	candidates       []int // pooled workers that may have free slots
 	rejections       map[rejectionKey]backoff
 
 	// Views, see view.go.
 	views         []*viewEntry // by worker; nil: never used
-	tracked       []int        // workers with work of ours, or ejected
+	tracked       []int        // active workers
 	epoch         refreshEpoch // the last one
-	poolEpoch     refreshEpoch // the last one at which something was queued
+	poolEpoch     refreshEpoch // the last one with a non-empty queue
 	orderedChecks []orderedCheck
 	refreshedAt   time.Duration
 
-	// What was learned of all workers.
+	// Measurements of all workers.
 	stats           workerStats
 	statsUpdatedAt  time.Duration
-	runTimes        samples // seconds
-	reportGaps      samples // seconds between two answers of a worker
-	reportChanges   samples // whether the second one had a new report
-	freeSlots       samples // the last free slots of any worker
-	immediateStarts samples // whether attempts started at once
-	kindPace        map[int]float64
-	kindPaces       map[int]samples // of workers past their slow start
+	runTimes        samples         // seconds
+	reportGaps      samples         // seconds between two load reports of a worker
+	reportChanges   samples         // 1 if the second one differed, otherwise 0
+	freeSlots       samples         // free plus reserved slots in the last reports of any worker
+	immediateStarts samples         // 1 for attempts that started at once, otherwise 0
+	kindPace        map[int]float64 // typical pace by kind of worker
+	kindPaces       map[int]samples // paces by kind, of workers past slow start
 }
 
-// workerStats is what was learned of all workers.
+// workerStats holds statistics of all workers.
 type workerStats struct {
-	lag         time.Duration // how old a load report is when it comes
-	runTime     float64       // the usual running time, in seconds
-	usualFree   float64       // slots
-	serviceTime float64       // seconds, by load reports
-	unmeasured  bool          // how often reports are made is not known yet
+	lag         time.Duration // age of a load report when it is received
+	runTime     float64       // typical running time, in seconds
+	usualFree   float64       // typical free plus reserved slots of a worker
+	serviceTime float64       // median of the pooled workers' reports, in seconds
+	unmeasured  bool          // the interval between new load reports is not known yet
 }
 
-// poolSummary is what one look over the pool gives.
+// poolSummary holds sums over the pooled workers.
 type poolSummary struct {
 	pooled           float64 // workers
 	measured         float64 // workers whose free slots were measured
-	withFree         float64 // workers with a free slot; one with a part of a slot counts in part
+	withFree         float64 // workers with at least one free slot
 	free             float64 // slots at measured workers
 	reserved         float64 // slots at all workers
 	reservedMeasured float64 // slots at measured workers
-	fastestPace      float64
+	fastestPace      float64 // running time over hinted cost at the fastest worker
 }
 
 func newScheduler(d *Dispatcher) scheduler {
@@ -121,14 +124,15 @@
 	}
 }
 
-// tick has workers health checked, and begins an epoch when one is due.
+// tick spends health check credit, and begins an epoch when one is due.
 func (s *scheduler) tick() {
 	rate := minChecksPerSecond + s.paidChecksPerSecond()
 	s.poolSize = max(minPoolSize, min(s.poolSize, rate*poolSpan.Seconds()))
 	s.checkCredit += minChecksPerSecond * (s.now - s.creditedAt).Seconds()
 	s.creditedAt = s.now
 	epochDue := s.now >= s.refreshedAt+tickInterval
-	// Best when an invocation arrives, as load reports are worth most while they are young; else a few each second.
+	// Health checks are best sent when an invocation arrives, as load reports are most useful while
+	// they are recent. Without arrivals, a few are sent each second.
 	if s.arrivedSinceTick || s.checkCredit >= minChecksPerSecond {
 		s.spendCheckCredit(epochDue)
 	}
@@ -143,13 +147,13 @@
 	s.dispatcher.send(refresh{})
 }
 
-// paidChecksPerSecond is the rate of health checks that the last invocations pay for.
+// paidChecksPerSecond returns the rate of health checks that the credit of the last arrivals allows.
 func (s *scheduler) paidChecksPerSecond() float64 {
 	span := max(minRateSpan, s.now.Seconds()-s.arrivals[0])
 	return s.checksPerInvocation * float64(len(s.arrivals)) / span
 }
 
-// spendCheckCredit has a worker join the pool for each health check that is paid for.
+// spendCheckCredit requests one more worker in the pool for each health check that the credit allows.
 func (s *scheduler) spendCheckCredit(epochDue bool) {
 	s.arrivedSinceTick = false
 	for ; s.checkCredit >= 1; s.checkCredit-- {
@@ -160,8 +164,8 @@
 	}
 }
 
-// learnFleet brings together what was measured of all workers: of the middle, as the queue of one that hangs would drag
-// a mean along.
+// updateStats recomputes the statistics of all workers. Free slots and service times are medians,
+// as the long queue of one hung worker would distort a mean.
 func (s *scheduler) updateStats() {
 	var service samples
 	for _, worker := range s.pool {
@@ -170,7 +174,8 @@
 			service.add(view.serviceTime)
 		}
 	}
-	// Few reports a second can't show where slots are free: while some of what we send starts at once, there are.
+	// With few reports a second, free slots may be missed: as long as some attempts start at once,
+	// there are free slots.
 	usualFree := s.freeSlots.quantile(median)
 	fewReports := s.queriesPerInvocation == 0 || len(s.freeSlots) < sampleCount
 	if s.immediateStarts.mean() > immediateStartShare && fewReports {
@@ -186,12 +191,13 @@
 	}
 }
 
-// reportLag is how old a load report may be when it comes.
+// reportLag returns how old a load report may be when it is received. It is derived from the
+// mean time between reports that differ.
 func (s *scheduler) reportLag() time.Duration {
 	return seconds(lagFactor * (progressTimeout.Seconds() + s.reportGaps.sum()) / (1 + s.reportChanges.sum()))
 }
 
-// learnKindPace enters the pace of a kind of workers. Epochs that have begun keep the map they were given.
+// learnKindPace records a pace measured at a worker of a kind.
 func (s *scheduler) learnKindPace(kind int, pace float64) {
 	paces := s.kindPaces[kind]
 	paces.add(pace)
@@ -199,12 +205,15 @@
 	s.setKindPace(kind, paces.quantile(median))
 }
 
+// setKindPace sets the typical pace of a kind. The map is copied, as epochs that have begun keep
+// the old one.
 func (s *scheduler) setKindPace(kind int, pace float64) {
 	s.kindPace = maps.Clone(s.kindPace)
 	s.kindPace[kind] = pace
 }
 
-// growPool adds a worker when those of the pool are all busy, ever more rarely, as all workers may be.
+// growPool adds a worker to the pool for an invocation that finds all pooled workers busy. It does
+// so less and less often while the invocation waits, as all workers may be busy.
 func (s *scheduler) growPool(v *invocation) {
 	if s.now < v.growAt {
 		return
@@ -220,7 +229,8 @@
 	}
 }
 
-// summarizePool looks over the pool once for all that is decided at one moment, as time for decisions may be short.
+// summarizePool computes the pool's summary and the candidates once for all decisions of a
+// scheduling step, as there may be little time for each decision.
 func (s *scheduler) summarizePool() {
 	s.summary = poolSummary{fastestPace: math.Inf(1)}
 	s.candidates = s.candidates[:0]
@@ -230,7 +240,7 @@
 		s.summary.add(view)
 		warm := view.warmUpWeight == 1
 		if ownersAnswer && !view.ownerSilent && view.confidence < minConfidence && warm {
-			continue // while owners answer, a worker of which none of them has reported lately counts for nothing
+			continue // while owners answer, a worker without a recent report of its owner is left out
 		}
 		mayHaveFree := !view.measured || view.free+(1-view.confidence)*view.maxFree*s.staleQueueShare >= 1
 		if mayHaveFree && (warm || s.withinSlowStartBudget(0, view)) {
--- a/dispatch/pool_test.go
+++ b/dispatch/pool_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// readyEndpoints are more workers than letters name, in two zones.
+// readyEndpoints returns ready workers in two zones. There may be more of them than letters.
 func readyEndpoints(count int) (endpoints []Endpoint) {
 	for i := range count {
 		endpoints = append(endpoints, readyEndpoint(byte(i+1), i%2))
@@ -15,8 +15,8 @@
 	return endpoints
 }
 
-// A pool starts with few workers of many and is renewed in turns; one more joins when all are busy, within what health
-// checks can keep up with. A draining worker leaves it at once.
+// The pool starts with a few of many workers and is renewed in turns. One more joins when all are
+// busy, within the number that can be health checked. A draining worker leaves the pool at once.
 func Example_poolRenewal() {
 	h := newHarness(testConfig(), readyEndpoints(200)...)
 	h.collects = true
@@ -52,7 +52,8 @@
 	// one drains: 29 of 200
 }
 
-// What an event costs must not grow with the number of workers: those that get messages for it are the same few.
+// The cost of an event must not grow with the number of workers: the number of workers that get
+// messages for it stays the same.
 func Example_eventCostOfLargeFleet() {
 	for _, workers := range []int{50, 250} {
 		h := newHarness(testConfig(), readyEndpoints(workers)...)
@@ -79,8 +80,9 @@
 	// 250 workers, messages that they handle for an invocation: 35
 }
 
-// Many workers start at once beside a small pool: those that the lottery gives us stay in it, and are health checked every
-// 2 s and not whenever another one joins.
+// Many workers start at once while the pool is small. Those that the lottery assigns to this
+// scheduler stay in the pool, and are health checked every 2 s and not whenever another worker
+// joins.
 func Example_manyRestartsBesideSmallPool() {
 	h := newHarness(gossipConfig(3, 0), readyEndpoints(20)...)
 	var starting []Endpoint
@@ -117,8 +119,9 @@
 	// 60 started, health checks in 4 s under 300: true
 }
 
-// What a scheduler does beside its invocations does not grow with the workers that have its work: 950 with 1,800 invocations
-// in flight handle no more messages than 60 with 130.
+// A scheduler's work apart from its invocations does not grow with the number of workers that have
+// its attempts: 950 workers with 1,800 invocations in flight handle at most a quarter more messages
+// than 60 with 130.
 func TestMessagesDoNotGrowWithWorkers(t *testing.T) {
 	messages := func(workers int) (count int) {
 		s := newLoadedSimulation(workers)
@@ -134,6 +137,6 @@
 		return count
 	}
 	if few, many := messages(60), messages(950); many > few*5/4 {
-		t.Errorf("workers handle %d messages at 60, %d at 950", few, many)
+		t.Errorf("60 workers handle %d messages, 950 handle %d: want at most a quarter more", few, many)
 	}
 }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -8,26 +8,30 @@
 )
 
 const (
-	// deviationWeight is the design's r: how many deviations of the running time the effective size counts.
+	// deviationWeight is the r of SRPTMS+C: the number of standard deviations of the running time
+	// that the effective size includes.
 	deviationWeight = 3
-	// lateRankDivisor is how far late work gives way to work in time.
+	// lateRankDivisor divides the weight of late work, so that it ranks behind work that can be in
+	// time.
 	lateRankDivisor = 1000
-	// lateReserve is how many slots must be left beside late work.
+	// lateReserve is how many slots must stay free at a worker that gets late work.
 	lateReserve = 1
-	// wellServedShare: an operation that is served at least so well is not the worst served.
+	// wellServedShare is the served share from which on an operation does not count as the worst
+	// served.
 	wellServedShare = 0.95
-	// servedGap is how far the worst served operation must lie behind the best.
+	// servedGap is how far the served share of the worst served operation must lie below the best one.
 	servedGap = 0.1
-	// minWeightShare bounds how much the worst served operation is raised, by its share of the offered weight.
+	// minWeightShare is a lower bound of the worst served operation's share of the offered weight.
+	// It limits how much the operation's weight is raised.
 	minWeightShare = 0.01
-	// minRateSpan is the shortest span, in seconds, over which a rate of arrivals is counted.
+	// minRateSpan is the shortest span, in seconds, over which an arrival rate is computed.
 	minRateSpan = 0.1
 )
 
-// noOperation stands for none.
+// noOperation is the index that stands for no operation.
 const noOperation = -1
 
-// invocation is an invocation while anything may still be reported of it.
+// invocation is the state of an invocation, which is kept until nothing more can be reported of it.
 type invocation struct {
 	id        InvocationID
 	operation int
@@ -35,37 +39,38 @@
 	slots     float64
 	work      float64 // its hinted cost, in seconds on a standard core
 
-	firstRequestAt time.Duration // when its client's first request arrived, as far as is known
+	firstRequestAt time.Duration // estimated arrival of its client's first request
 	arrivedAt      time.Duration
 	deadline       time.Duration // its client timeout
-	growAt         time.Duration // when the pool may grow again for its sake
+	growAt         time.Duration // when the pool may next grow for this invocation
 
-	budgetCost    float64 // what it uses of a slow-start budget
-	effectiveSize float64 // work, and deviationWeight deviations of it
-	weight        float64 // priority weight as of now
+	budgetCost    float64 // use of a slow-start budget, in seconds
+	effectiveSize float64 // work plus deviationWeight standard deviations of it
+	weight        float64 // current priority weight
 	rank          float64 // weight over effective size
-	reserve       float64 // slots that must be left beside it
+	reserve       float64 // slots that must stay free at the worker that gets it
 
 	attempts    []requestAttempt
-	badRequests int  // workers that would not have it
+	badRequests int  // number of workers that refused it as a bad request
 	answered    bool // no answer is owed any more
-	finished    bool // and no attempt is in flight
+	finished    bool // answered, and no attempt is in flight
 }
 
-// requestAttempt is an attempt as the invocation has it. Zone and cell are where the worker was then: an update that
-// moves it does not move what drops repeats.
+// requestAttempt is the invocation's record of an attempt. Zone and cell are those of the worker
+// when the attempt was sent: an update that moves the worker does not change where repeats are
+// dropped.
 type requestAttempt struct {
 	worker     int
 	zone       int
 	cell       int
 	sentAt     time.Duration
 	inFlight   bool
-	mayHaveRun bool // it has ended, and did not prove that nothing ran
-	stalled    bool // no answer is to be expected in time
-	badRequest bool // the worker would not have it
+	mayHaveRun bool // it has ended with a result that does not prove that nothing ran
+	stalled    bool // no answer is expected in time
+	badRequest bool // the worker refused it as a bad request
 }
 
-// newInvocation gives the index of a free invocation.
+// newInvocation returns the index of an unused invocation record.
 func (s *scheduler) newInvocation() (index int) {
 	if count := len(s.freeInvocations); count > 0 {
 		index = s.freeInvocations[count-1]
@@ -76,7 +81,7 @@
 	return len(s.invocations) - 1
 }
 
-// admit takes a new invocation in.
+// admit adds a new invocation to the queue.
 func (s *scheduler) admit(index int, arrival Arrival) {
 	operation := &s.operations[min(arrival.Operation, len(s.operations)-1)]
 	v := &s.invocations[index]
@@ -90,14 +95,15 @@
 		slots:     max(1, arrival.Slots),
 		attempts:  v.attempts[:0],
 	}
-	// What is left of a client's retry tells how long the client has waited. One that waits for less than others from
-	// the first looks the same: neither is refused for that, both go behind.
+	// The remaining budget of a client's retry shows how long the client has waited. A first
+	// request with a shorter timeout than other clients' looks the same: neither is refused, both
+	// rank lower.
 	operation.longestBudget = max(operation.longestBudget, arrival.Budget)
 	v.firstRequestAt = s.now - (operation.longestBudget - arrival.Budget)
 	s.countArrival(operation, arrival.Tenant)
 	s.queryOwners(v)
 	s.arrivedSinceTick = true
-	// An arrival pays for health checks unless those that come anyway have credit left.
+	// An arrival adds credit for health checks unless the regular rate has left credit for one.
 	if s.queriesPerInvocation == 0 && s.checkCredit+minChecksPerSecond*(s.now-s.creditedAt).Seconds() < 1 {
 		s.checkCredit += s.checksPerInvocation
 	}
@@ -113,7 +119,8 @@
 	s.arrivals.add(s.now.Seconds())
 }
 
-// queryOwners asks the owners of some workers for free capacity, unless we know of some.
+// queryOwners asks the owners of some workers for free capacity, unless a worker that this
+// scheduler owns has some.
 func (s *scheduler) queryOwners(v *invocation) {
 	known := slices.ContainsFunc(s.pool, func(worker int) bool {
 		return s.currentView(worker).hasOwnedCapacity(v)
@@ -126,7 +133,7 @@
 	}
 }
 
-// enqueue puts an invocation into the queue, by its rank.
+// enqueue inserts an invocation into the queue by its rank.
 func (s *scheduler) enqueue(index int) {
 	v := &s.invocations[index]
 	v.effectiveSize = v.work * (1 + deviationWeight*s.operations[v.operation].costRatios.spread())
@@ -140,24 +147,26 @@
 	s.queue = slices.DeleteFunc(s.queue, func(queued int) bool { return queued == index })
 }
 
-// updateRank sets weight over effective size: of what an answer still brings, less once late or beyond its tenant's
-// quota, more while its operation is the worst served.
+// updateRank sets an invocation's current weight and its rank, which is the weight over the
+// effective size. The weight is what an answer is still worth: less once it is late or beyond its
+// tenant's quota, more while its operation is the worst served one.
 func (s *scheduler) updateRank(v *invocation) {
 	operation := &s.operations[v.operation]
 	weight := operation.weight
 	if s.isLate(v, v.firstRequestAt) {
 		weight = weight * cmp.Or(operation.lateWeight, 1) / lateRankDivisor
-		v.reserve = lateReserve // it may have what is left over
+		v.reserve = lateReserve // late work only gets capacity that is left over
 	}
 	weight *= s.quotaWeight(v.tenant)
-	if v.operation == s.worstOperation { // while work is lost it counts twice, by its part
+	if v.operation == s.worstOperation { // while work is lost, this operation's share counts a second time
 		weight *= 1 + s.worstOperationWeight/max(minWeightShare, operation.weight*operation.arrived/s.offeredWeight)
 	}
 	v.weight = weight
 	v.rank = weight / v.effectiveSize
 }
 
-// quotaWeight is what a tenant's work counts for, by how far it is beyond its quota.
+// quotaWeight returns the factor for the weight of a tenant's work: 1 within its quota, and less
+// the further its arrival rate exceeds it.
 func (s *scheduler) quotaWeight(index int) float64 {
 	if index >= len(s.tenants) || len(s.tenants[index].arrivals) == 0 {
 		return 1
@@ -168,7 +177,7 @@
 	return within + (1-within)*s.excessWeight
 }
 
-// rerankQueue finds the worst served operation and orders the queue anew.
+// rerankQueue determines the worst served operation, updates all ranks and sorts the queue by them.
 func (s *scheduler) rerankQueue() {
 	s.findWorstOperation()
 	for _, index := range s.queue {
@@ -179,6 +188,8 @@
 	})
 }
 
+// findWorstOperation sets the offered weight and the worst served operation. It is noOperation
+// where all operations are served well or about equally.
 func (s *scheduler) findWorstOperation() {
 	s.offeredWeight = 0
 	s.worstOperation = noOperation
@@ -199,14 +210,15 @@
 	}
 }
 
-// slack is how long an invocation may wait, from its first request, before a worker of a pace is too late.
+// slack returns how long an invocation may wait, from its first request on, for a worker with a
+// pace to still finish in time.
 func (s *scheduler) slack(v *invocation, pace float64) time.Duration {
 	operation := &s.operations[v.operation]
 	return operation.objective + seconds(waitShare*v.work*(medianHintRatio*operation.stretch-pace))
 }
 
-// isLate reports whether an invocation has waited too long since a time for any worker; not before the plain objective,
-// as paces may be wrong.
+// isLate reports whether an invocation that has waited since a time is too late for any worker. It
+// is never late before its latency objective, as the estimated paces may be wrong.
 func (s *scheduler) isLate(v *invocation, since time.Duration) bool {
 	most := s.operations[v.operation].objective
 	if len(s.pool) > 0 {
@@ -215,7 +227,8 @@
 	return s.now-since > most
 }
 
-// cannotMeetDeadline: an answer would come after the objective and earn nothing, or not before the client gives up.
+// cannotMeetDeadline reports whether an answer would come too late: after the latency objective,
+// where such an answer is worth nothing, or after the client timeout.
 func (s *scheduler) cannotMeetDeadline(v *invocation) bool {
 	left := v.deadline - s.now
 	if left <= minTimeLeft || s.isLate(v, v.arrivedAt) && !s.operations[v.operation].countsLate {
@@ -224,7 +237,7 @@
 	return s.isLate(v, v.firstRequestAt) && left <= s.fastestRun(v)
 }
 
-// fastestRun is how long an invocation runs at the fastest worker of the pool.
+// fastestRun returns how long an invocation runs at the fastest pooled worker.
 func (s *scheduler) fastestRun(v *invocation) time.Duration {
 	return seconds(v.work * s.summary.fastestPace)
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// One slot is free: the rest is queued and released by weight over effective size, whatever came first.
+// With one free slot, the other invocations are queued and released by weight over effective size,
+// not in order of arrival.
 func Example_releaseOrder() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1))
@@ -21,7 +22,7 @@
 	// 90ms 2 to a
 }
 
-// An operation whose running times spread wide has a larger effective size and goes later.
+// An operation with a wide spread of running times has a larger effective size and is released later.
 func Example_runTimeSpread() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0))
 	h.collects = true
@@ -38,8 +39,9 @@
 	// weight 1, hint 0.1, wide (11) against weight 4, hint 0.6 (12): 12 to a
 }
 
-// A client's own retry has less budget left, or a client's timeout is shorter from the first: nothing tells these apart, so
-// it goes last and gets what capacity is left. What can't meet its deadline any more is rejected at once.
+// An invocation with a smaller budget is a client's own retry, or comes from a client with a
+// shorter timeout. The two cannot be told apart, so it ranks last and gets the capacity that is
+// left. An invocation that can no longer meet its deadline is throttled at once.
 func Example_smallerBudget() {
 	for _, slots := range []float64{2, 4} {
 		fmt.Println("slots:", slots)
@@ -66,8 +68,9 @@
 	// 40ms 2 to a
 }
 
-// The queue's order follows what an answer is still worth: what is late gives way, work beyond a tenant's quota counts for
-// less, and while work is shed the operation that is served worst counts again.
+// The queue is ordered by what an answer is still worth: late work ranks lower, work beyond a
+// tenant's quota counts for less, and while work is shed the worst served operation counts a second
+// time.
 func Example_rankByValue() {
 	config := testConfig()
 	config.Operations[0].LateWeight = 0.5
@@ -101,7 +104,8 @@
 	order("a late one last", arrival(1, 0, 3), retried, arrival(2, 0, 2))
 	h := newHarness(config, readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1))
-	h.dispatcher.scheduler.operations[0].longestBudget = retried.Budget + 3*time.Second // as if it had seen first attempts
+	// As if earlier requests had come with the full budget.
+	h.dispatcher.scheduler.operations[0].longestBudget = retried.Budget + 3*time.Second
 	h.handleAt(20*ms, retried)
 	h.runUntil(200 * ms)
 	h.handleAt(300*ms, freeSlotsResult('a', 4))
--- a/dispatch/scheduling_benchmark_test.go
+++ b/dispatch/scheduling_benchmark_test.go
@@ -7,11 +7,13 @@
 	"time"
 )
 
-// newLoadedSimulation runs one of fifteen schedulers: 48 arrivals a second whatever the number of workers, running times that
-// grow with it (so that each worker always has some 23 slots taken by all), load reports, no faults.
+// newLoadedSimulation runs one of fifteen schedulers, without faults. The workers send load
+// reports. There are 48 arrivals a second for any number of workers, and running times grow with
+// that number, so that all schedulers together always take about 23 slots of each worker.
 func newLoadedSimulation(workers int) *simulation { return newLoadedSimulationWithShare(workers, 0.4) }
 
-// newLoadedSimulationWithShare has other schedulers take a part of all slots on average.
+// newLoadedSimulationWithShare is newLoadedSimulation with the average part of all slots that other
+// schedulers take.
 func newLoadedSimulationWithShare(workers int, share float64) *simulation {
 	config := testConfig()
 	config.Schedulers = 15
@@ -27,11 +29,12 @@
 	s.meanHint = 5900.0 / 48 * float64(workers) / 3800
 	s.otherLoad = share
 	for _, worker := range s.workers {
-		worker.slots = 8 // of twenty-four; the others' part comes and goes
+		worker.slots = 8 // of twenty-four; the part that other schedulers take varies
 		worker.pace = 1
 	}
 	s.start()
-	// Fill up with what a long time of such arrivals would leave in flight, and let the first samples come in, before measuring.
+	// Before measuring, extra arrivals bring the invocations in flight to the level that a long run
+	// would reach, and the first samples come in.
 	filling := time.Duration(0)
 	if extraRate := 5900 * float64(workers) / 3800 / 20; extraRate > s.arrivalRate {
 		s.repeat(seconds(1/extraRate), func() {
@@ -45,18 +48,20 @@
 	return s
 }
 
-// measurement is the processor time, longest call of Handle and allocations of the module alone over a span.
+// measurement holds the costs of a simulation over a span. The times and the heap are those of the
+// dispatcher alone; the allocations include the simulation around it.
 type measurement struct {
-	handleTime    time.Duration
+	handleTime    time.Duration // in all calls of Handle
 	longestHandle time.Duration
 	forwards      int
-	handles       int
-	longHandles   int // over 2 ms
+	handles       int // calls of Handle
+	longHandles   int // calls of Handle that took over 2 ms
 	allocations   uint64
 	heap          uint64 // bytes
 }
 
-// measure runs on for a span. The simulation cannot go on afterwards.
+// measure runs the simulation for a span and measures it. It drops the dispatcher, so that the
+// simulation cannot be continued.
 func (s *simulation) measure(span time.Duration) (m measurement) {
 	s.onAction = func(_ time.Duration, a Action) {
 		if _, isForward := a.(Forward); isForward {
@@ -79,7 +84,7 @@
 	s.run(s.now + span)
 	runtime.ReadMemStats(&after)
 	m.allocations = after.Mallocs - before.Mallocs
-	// The module's heap is what is freed when only it is dropped.
+	// The dispatcher's heap is the memory that is freed when only it is dropped.
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	s.dispatcher = nil
@@ -89,7 +94,7 @@
 	return m
 }
 
-// reportMeasurement measures and reports 100 s of a simulation.
+// reportMeasurement measures 100 s of a simulation and reports the results.
 func reportMeasurement(b *testing.B, s *simulation) {
 	const span = 100 // seconds
 	m := s.measure(span * time.Second)
@@ -112,23 +117,25 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkStart measures what a forward costs as the number of workers grows: go test ./dispatch -run - -bench Start
-// -benchtime 1x. The allocations are those of the module and of the simulation around it, which has the same at each size.
+// BenchmarkStart measures the cost of a forward as the number of workers grows: go test ./dispatch
+// -run - -bench Start -benchtime 1x. The allocations include those of the simulation around the
+// dispatcher, which are the same at each size.
 func BenchmarkStart(b *testing.B) {
 	for _, workers := range []int{60, 240, 950, 3800} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { reportMeasurement(b, newLoadedSimulation(workers)) })
 	}
 }
 
-// BenchmarkFull is the same where work is queued again and again, as few workers have capacity.
+// BenchmarkFull measures the same where work is queued repeatedly, as few workers have capacity.
 func BenchmarkFull(b *testing.B) {
 	for _, workers := range []int{60, 240, 950, 3800} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { reportMeasurement(b, newLoadedSimulationWithShare(workers, 0.9)) })
 	}
 }
 
-// BenchmarkStorm has 3,800 workers with, at once or each alone: 20 replacements a second, a full update each second, 250
-// that restart, reports that are frozen.
+// BenchmarkStorm measures 3,800 workers under each of these loads, and under all at once: 20
+// replacements of workers a second, a full update each second, 250 workers that restart, frozen
+// load reports.
 func BenchmarkStorm(b *testing.B) {
 	replacements := func(s *simulation) {
 		s.repeat(50*ms, func() {
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -7,39 +7,45 @@
 )
 
 const (
-	// tickInterval is how often time alone may change a decision.
+	// tickInterval is the interval at which decisions that depend on time alone are reconsidered.
 	tickInterval = 20 * time.Millisecond
-	// runningSetShare is the design's epsilon: the share of the queue's weight that makes up the running set.
+	// runningSetShare is the epsilon of SRPTMS+C: the share of the queue's weight that forms the
+	// running set.
 	runningSetShare = 0.6
-	// defaultStaleQueueShare is which part of a worker's slots may have work queued on stale reports.
+	// defaultStaleQueueShare is the part of a worker's slots for which work may be queued there
+	// while its load report is stale.
 	defaultStaleQueueShare = 0.5
-	// medianHintRatio is running time over hinted cost in the middle of all work.
+	// medianHintRatio is the median ratio of running time to hinted cost over all work.
 	medianHintRatio = 1.4
-	// waitShare is which part of an invocation's slack may be spent waiting.
+	// waitShare is the part of an invocation's slack that it may spend waiting.
 	waitShare = 0.5
-	// surePaceFactor: a worker is surely in time if it is at so many times its pace.
+	// surePaceFactor is the safety margin with which a worker counts as certain to finish in time:
+	// it would do so even if it were slower by this factor.
 	surePaceFactor = 1.5
-	// minConfidence: while owners answer, workers of whose load we are less sure are left out.
+	// minConfidence is the confidence in a worker's load below which it is left out while owners
+	// answer.
 	minConfidence = 0.6
 )
 
-// Preferences among workers with capacity, in slots: each goes before all differences in capacity that are usual.
+// Preferences among workers with capacity, in slots. The two large ones exceed the usual
+// differences in free slots; zonePreference only decides between equals.
 const (
 	surePreference  = minPoolSize * minPoolSize
 	ownedPreference = minPoolSize
 	zonePreference  = 0.5
 )
 
-// noWorker stands for none.
+// noWorker is the index that stands for no worker.
 const noWorker = -1
 
-// selection is the choice of a worker for one invocation.
+// selection is the worker selected for an invocation.
 type selection struct {
 	worker int  // or noWorker
-	roomy  bool // over half of the pooled workers have free slots
+	roomy  bool // more than half of the pooled workers have free slots
 }
 
-// schedule is the design's step: the running set, release in rank order, hedged requests from the capacity that is left.
+// schedule is the scheduling step of SRPTMS+C: it determines the running set, releases invocations
+// in rank order, and sends hedged requests with the remaining capacity.
 func (s *scheduler) schedule() {
 	total := 0.0
 	for _, index := range s.queue {
@@ -69,7 +75,7 @@
 	s.planTimer()
 }
 
-// releaseResult is what came of a queued invocation at its turn.
+// releaseResult is what became of a queued invocation in a scheduling step.
 type releaseResult uint8
 
 const (
@@ -78,10 +84,10 @@
 	givenUp
 )
 
-// release sends a queued invocation to a worker, or gives it up, or leaves it.
+// release forwards a queued invocation to a worker, gives it up, or leaves it in the queue.
 func (s *scheduler) release(index int, checksPending bool) releaseResult {
 	v := &s.invocations[index]
-	// What it was queued for may have passed since, or the limits have changed.
+	// Its deadline may have passed, or the limits may have changed, since it was queued.
 	if !s.mayAttempt(v) || s.cannotMeetDeadline(v) {
 		s.giveUp(index)
 		return givenUp
@@ -98,7 +104,7 @@
 	return forwarded
 }
 
-// planTimer asks to be woken when time alone may change a decision.
+// planTimer requests a timer for when time alone may change a decision.
 func (s *scheduler) planTimer() {
 	next := s.now + seconds(max(0, 1-s.checkCredit/minChecksPerSecond))
 	if len(s.queue) > 0 || s.now < s.forwardedAt+2*tickInterval {
@@ -109,7 +115,8 @@
 	s.dispatcher.send(timerRequest{at: next})
 }
 
-// forward sends an invocation to a worker.
+// forward sends an invocation to a worker. The view is updated at once, for the decisions that
+// follow in this step.
 func (s *scheduler) forward(index, worker int) {
 	v := &s.invocations[index]
 	view := &s.views[worker].workerView
@@ -138,8 +145,8 @@
 	}})
 }
 
-// requirementsOf returns which workers may have an invocation next: its first attempt that may have run fixes where
-// repeats are dropped.
+// requirementsOf returns which workers an invocation may go to next. The first attempt that may
+// have run determines the zone or cell in which workers drop repeats of a deduplicated invocation.
 func (s *scheduler) requirementsOf(v *invocation) requirements {
 	operation := &s.operations[v.operation]
 	r := anyWorker
@@ -158,13 +165,14 @@
 	return r
 }
 
-// candidate is a worker that an invocation may go to.
+// candidate is a worker that an invocation may be sent to.
 type candidate struct {
 	worker int
 	score  float64 // free slots, with preferences
 }
 
-// selectWorker chooses the candidate with the highest score.
+// selectWorker selects the candidate with the highest score, and among equals the fastest one. It
+// starts at a random candidate, so that ties are broken at random.
 func (s *scheduler) selectWorker(v *invocation) selection {
 	selected := selection{worker: noWorker, roomy: 2*s.summary.withFree > s.summary.pooled}
 	if len(s.candidates) == 0 {
@@ -193,11 +201,11 @@
 	return selected
 }
 
-// timeLimits are what an invocation's waiting time leaves to a worker.
+// timeLimits are the limits that the time an invocation has waited sets for the selection of a worker.
 type timeLimits struct {
-	waited time.Duration
-	timely bool          // better queued for a worker that can do it in time than sent to one that can't
-	latest time.Duration // left to the latency objective, for work of usual length
+	waited time.Duration // since its arrival
+	timely bool          // it is better queued for a worker that can finish in time than sent to one that cannot
+	latest time.Duration // time left to the latency objective, assuming the median running time for its hint
 }
 
 func (s *scheduler) timeLimits(v *invocation, r requirements) timeLimits {
@@ -211,49 +219,53 @@
 	}
 }
 
-// score is a worker's free slots, with preferences. False: it has not enough for the invocation.
+// score returns a worker's free slots plus preferences. fits is false if the worker lacks the
+// capacity, or the time, for the invocation.
 func (s *scheduler) score(v *invocation, view *workerView, limits timeLimits) (score float64, fits bool) {
 	score = s.freeSlotsOf(v, view)
 	left := s.slack(v, view.pace) - limits.waited
 	inTime := s.operations[v.operation].countsLate || left >= 0
-	// Stale reports show no slots that have been free for less: work that can wait may queue there.
+	// A stale report does not show the slots that have become free since: work that can wait may
+	// queue there.
 	waitable := max(0, min(1, left.Seconds()/s.stats.runTime))
 	capacity := score + s.staleQueueShare*(1-view.confidence)*view.maxFree*waitable
 	if capacity < v.slots+v.reserve || limits.timely && !inTime {
 		return 0, false
 	}
 	if seconds(v.work*view.pace*surePaceFactor) <= limits.latest {
-		score += surePreference // before those that may be too slow
+		score += surePreference // ahead of workers that may be too slow
 	}
 	if view.hasOwnedCapacity(v) {
-		score += ownedPreference // what others report of theirs may be gone by the time that we are there
+		score += ownedPreference // slots that other owners report may be taken before the attempt arrives
 	}
 	if view.zone == s.zone {
-		score += zonePreference // among equals our own zone, then the faster one
+		score += zonePreference // among equals this scheduler's zone, then the faster worker
 	}
 	return score, true
 }
 
-// freeSlotsOf is how many slots a worker has free, or how many it counts for where that was not measured.
+// freeSlotsOf returns how many free slots a worker has, or an assumed number where they were not
+// measured.
 func (s *scheduler) freeSlotsOf(v *invocation, view *workerView) float64 {
 	summary := &s.summary
 	switch {
 	case summary.measured == 0 && view.rejecting:
 		return 0
-	case summary.measured == 0: // nowhere measured: the workers where we have least, up to the mean
+	case summary.measured == 0: // measured nowhere: workers with the fewest reserved slots, up to the mean
 		return v.slots + math.Floor(summary.reserved/summary.pooled-view.reserved)
-	case !view.measured: // new to the pool: it counts at the mean
+	case !view.measured: // new to the pool: assumed to have the mean capacity
 		return math.Round((summary.free+summary.reservedMeasured)/summary.measured - view.reserved)
 	}
 	return view.free
 }
 
-// hasOwnedCapacity reports whether we know, as its owner, that a worker has capacity for an invocation.
+// hasOwnedCapacity reports whether this scheduler, as the owner of the worker's load data, knows
+// that the worker has capacity for an invocation.
 func (v *workerView) hasOwnedCapacity(j *invocation) bool {
 	return v.ownedHere && v.warmUpWeight == 1 && v.free >= j.slots
 }
 
-// isEligible reports whether a worker may get an invocation, whatever its free slots.
+// isEligible reports whether a worker may get an invocation, regardless of its free slots.
 func (s *scheduler) isEligible(v *invocation, worker int, view *workerView) bool {
 	if len(s.rejections) > 0 {
 		key := rejectionKey{worker: worker, operation: v.operation, tenant: v.tenant}
@@ -273,7 +285,8 @@
 	return view.warmUpWeight == 1 || s.withinSlowStartBudget(v.budgetCost, view)
 }
 
-// guardsProbation: work that must not run twice does not go to a worker that has just been reinstated.
+// guardsProbation reports whether an invocation must not go to a worker because it is not
+// idempotent and the worker has just been reinstated.
 func (s *scheduler) guardsProbation(v *invocation, view *workerView) bool {
 	return s.operations[v.operation].effect == NonIdempotent && s.now < view.reinstatedAt+probationGuard
 }
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// Most free slots less what we have sent come first, the own zone among equals; one new to the pool counts at the mean.
+// The worker with the most free slots, less what this scheduler has sent there, comes first; among
+// equals the scheduler's own zone. A worker that is new to the pool counts as having the mean
+// capacity.
 func Example_workerSelection() {
 	h := newHarness(testConfig(), readyEndpoint('a', 1), readyEndpoint('b', 0), readyEndpoint('c', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 3), freeSlotsResult('b', 2), freeSlotsResult('c', 1))
@@ -23,7 +25,8 @@
 	// 50ms 6 to d
 }
 
-// Without any report of free slots: where we have least in flight, up to the mean, and not where the last one was rejected.
+// Without any report of free slots, invocations go to the workers with the fewest attempts of this
+// scheduler in flight, up to the mean, and not to one that has just rejected an attempt.
 func Example_noLoadReports() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.handleAt(10*ms, arrival(1, 2, 0.2), arrival(2, 2, 0.2), arrival(3, 2, 0.2), arrival(4, 2, 0.2))
@@ -38,7 +41,8 @@
 	// 40ms 1 to a
 }
 
-// A single recent report can't outweigh the last few once it has aged; an attempt that does not start tells more.
+// A single recent report no longer outweighs the last few once it has aged. An attempt that does
+// not start is stronger evidence than a report.
 func Example_agedLoadReports() {
 	config := testConfig()
 	config.NotifiesStart = true
@@ -67,8 +71,9 @@
 	// b had capacity, but 2 has not started there: 3 to b
 }
 
-// In thin traffic workers are health checked when an invocation arrives, and it waits for the result for a tick at most: what
-// is known without it is as old as the last round of health checks.
+// In thin traffic workers are health checked when an invocation arrives, and it waits at most a
+// tick for the results: without them, all load reports are as old as the last round of health
+// checks.
 func Example_waitForHealthCheck() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.printHealthChecks = true
@@ -89,8 +94,9 @@
 	// 6.02s 2 to a
 }
 
-// All were full, and the few reports that have come since show capacity: the old report of one that was not checked again
-// says no more than that all were full then. Counted in full, it would leave that worker without work until its turn.
+// All workers were full, and the few reports since then show capacity. The old report of a worker
+// that was not checked again only shows that all workers were full at that time. At face value, it
+// would leave that worker without work until its next health check.
 func Example_afterOverload() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0), readyEndpoint('d', 0))
 	h.collects = true
@@ -118,7 +124,8 @@
 	// d counts as having 2 free
 }
 
-// A worker that rejects a tenant's operation while its health checks show capacity stays eligible for all else.
+// A worker that rejects a tenant's operation while its health checks show capacity stays eligible
+// for everything else.
 func Example_rejectedTenant() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 4), freeSlotsResult('b', 4), arrival(1, 0, 0.2))
@@ -136,7 +143,8 @@
 	// 100ms 4 to a
 }
 
-// The slots of an invocation and the kind of worker that its operation requires are observed.
+// A worker is selected only if it has the slots that an invocation takes and is of the kind that
+// its operation requires.
 func Example_requirements() {
 	config := testConfig()
 	config.Operations[0].WorkerKind = 1
@@ -154,8 +162,9 @@
 	// 30ms 2 to b
 }
 
-// Where no worker reports, our own counts tell where capacity is, also when an attempt has not started at once; and so they
-// do where reports cease: what was free once tells nothing.
+// Where no worker reports, this scheduler's own counts show where capacity is, also when an attempt
+// has not started at once. The same holds once a worker stops reporting: its former free slots are
+// no longer valid.
 func Example_ownCountsWithoutReports() {
 	config := testConfig()
 	config.NotifiesStart = true
@@ -166,8 +175,8 @@
 	h.runUntil(200 * ms)
 	h = newHarness(config, readyEndpoint('a', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1), arrival(1, 0, 2))
-	h.handleAt(20*ms, AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true}, arrival(2, 2, 2)) // queued: nothing is free
-	h.handleAt(1000*ms, HealthCheckResult{Worker: workerID('a'), Result: Succeeded})                          // it is early yet
+	h.handleAt(20*ms, AttemptProgress{Invocation: 1, Worker: workerID('a'), Started: true}, arrival(2, 2, 2)) // 2 is queued
+	h.handleAt(1000*ms, HealthCheckResult{Worker: workerID('a'), Result: Succeeded})                          // before reportTimeout
 	h.handleAt(1400*ms, HealthCheckResult{Worker: workerID('a'), Result: Succeeded})
 	// Output:
 	// 10ms 1 to b
@@ -178,8 +187,9 @@
 	// 1.4s 2 to a
 }
 
-// Among workers with capacity, those that would complete an invocation in time even half as slow again as usual come before
-// those with more. Where none would, or the deadline is far, most capacity decides.
+// Among workers with capacity, those that would complete an invocation in time even at 1.5 times
+// their pace come before those with more free slots. Where none would, or the deadline is far away,
+// the most free slots decide.
 func Example_paceMargin() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.handleAt(10*ms, freeSlotsResult('a', 1), freeSlotsResult('b', 1))
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// simulation runs one dispatcher against workers, clients and other schedulers that a seed draws: whatever the interface
-// can bring comes in it. It uses the interface alone, so that any implementation of the module can run in it.
+// simulation runs one dispatcher against randomly generated workers, clients and other schedulers,
+// and sends it every kind of event. It uses only the exported interface, so that any implementation
+// of it can be run.
 type simulation struct {
 	virtualTime
 	rng            *rand.Rand
@@ -20,12 +21,12 @@
 	lastInvocation InvocationID
 	timerAt        time.Duration
 	onAction       func(now time.Duration, a Action)
-	aroundHandle   func(do func()) // makes each call of Handle
+	aroundHandle   func(do func()) // wraps each call of Handle, which do makes
 	arrivalRate    float64         // arrivals a second
 	meanHint       float64         // seconds
 	faults         float64         // multiplies the probability of each fault; 0: nothing goes wrong or changes
-	otherLoad      float64         // part of the workers' slots that other schedulers take, on average
-	workersAdded   int
+	otherLoad      float64         // average part of the workers' slots that other schedulers take
+	workersAdded   int             // workers so far, from which addresses, zones, kinds and cells follow
 }
 
 const (
@@ -35,27 +36,27 @@
 	simulatedPort = 9
 )
 
-// simulatedWorker is a worker as it is, whatever the dispatcher knows of it.
+// simulatedWorker is the true state of a worker, which the dispatcher may not know.
 type simulatedWorker struct {
 	Endpoint
 	slots          float64
 	otherSlots     float64 // taken by other schedulers
 	pace           float64 // running time over hinted cost
 	inFlight       int
-	hangs          bool
-	reportsFrozen  bool // it repeats its last report
-	reportsNothing bool
+	hangs          bool // answers nothing any more
+	reportsFrozen  bool // repeats its last report
+	reportsNothing bool // sends no load reports
 	lastReport     LoadReport
 }
 
-// simulatedClient is a client with its one invocation.
+// simulatedClient is a client and its only invocation.
 type simulatedClient struct {
 	arrival  Arrival
 	attempts []*simulatedAttempt
-	answered bool // or the client has left
+	answered bool // also set when the client has left
 }
 
-// simulatedAttempt is an attempt as it is at its worker, reported or not.
+// simulatedAttempt is the true state of an attempt at its worker, whether reported or not.
 type simulatedAttempt struct {
 	worker       *simulatedWorker
 	inFlight     bool
@@ -63,20 +64,20 @@
 	occupiesSlot bool
 }
 
-// handleAfter hands an event over later.
+// handleAfter passes an event to the dispatcher after a span.
 func (s *simulation) handleAfter(span time.Duration, event Event) {
 	s.after(span, func() { s.handle(event) })
 }
 
-// randomSpan draws a span from both bounds and all between.
+// randomSpan returns a random span between two bounds, inclusive.
 func (s *simulation) randomSpan(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.rng.Int63n(int64(most-least)+1))
 }
 
-// chance is true with the given probability.
+// chance returns true with the given probability.
 func (s *simulation) chance(part float64) bool { return s.rng.Float64() < part }
 
-// addWorker adds a ready worker that the next update lists.
+// addWorker adds a ready worker. The dispatcher learns of it by the next endpoint update with it.
 func (s *simulation) addWorker() *simulatedWorker {
 	s.workersAdded++
 	worker := &simulatedWorker{
@@ -97,7 +98,8 @@
 	return worker
 }
 
-// newSimulation has workers and no arrivals; start begins it.
+// newSimulation returns a simulation with workers and without arrivals. start has to be called
+// before run.
 func newSimulation(seed int64, workers int, config Config) *simulation {
 	s := &simulation{
 		rng:          rand.New(rand.NewSource(seed)),
@@ -118,7 +120,7 @@
 	return s
 }
 
-// fullUpdate lists all workers that are not gone.
+// fullUpdate returns an update with all workers that are not gone.
 func (s *simulation) fullUpdate() EndpointUpdate {
 	update := EndpointUpdate{Kind: FullUpdate}
 	for _, worker := range s.workers {
@@ -129,7 +131,7 @@
 	return update
 }
 
-// handle hands events over and carries the actions out.
+// handle passes events to the dispatcher and carries out its actions.
 func (s *simulation) handle(events ...Event) {
 	var actions []Action
 	s.aroundHandle(func() { actions = s.dispatcher.Handle(s.now, events) })
@@ -160,7 +162,7 @@
 	}
 }
 
-// setTimer replaces the timer.
+// setTimer replaces the dispatcher's timer.
 func (s *simulation) setTimer(at time.Duration) {
 	s.timerAt = at
 	s.after(max(0, at-s.now), func() {
@@ -171,7 +173,7 @@
 	})
 }
 
-// loadReport is nil where the worker doesn't report.
+// loadReport returns the worker's load report, or nil if it sends none.
 func (w *simulatedWorker) loadReport() *LoadReport {
 	if w.reportsNothing {
 		return nil
@@ -190,7 +192,8 @@
 	return &load
 }
 
-// healthCheck times out at workers that hang or are gone.
+// healthCheck schedules the result of a health check: a timeout at workers that hang or are gone,
+// sometimes another failure, and success otherwise.
 func (s *simulation) healthCheck(worker *simulatedWorker) {
 	const timeout = 150 * ms
 	switch {
@@ -221,7 +224,7 @@
 	}
 }
 
-// endAttempt ends an attempt after a span, if nothing else has by then.
+// endAttempt ends an attempt after a span, unless it has ended by then.
 func (s *simulation) endAttempt(id InvocationID, number int, span time.Duration, result Result) {
 	c := s.clients[id]
 	attempt := c.attempts[number]
@@ -251,7 +254,7 @@
 	})
 }
 
-// forward has an attempt fail in one of many ways, or run.
+// forward starts an attempt, which runs at its worker or fails in one of many ways.
 func (s *simulation) forward(forward Forward) {
 	c := s.clients[forward.Invocation]
 	worker := s.workersByID[forward.Worker]
@@ -285,7 +288,7 @@
 	}
 }
 
-// runAttempt has an attempt wait and run at its worker, with what it reports of it.
+// runAttempt lets an attempt wait and run at its worker, and schedules the worker's progress reports.
 func (s *simulation) runAttempt(forward Forward, number int) {
 	c := s.clients[forward.Invocation]
 	attempt := c.attempts[number]
@@ -330,7 +333,7 @@
 	s.endAttempt(forward.Invocation, number, wait+runTime, Succeeded)
 }
 
-// newArrival brings an invocation, and perhaps more at the same moment.
+// newArrival sends the dispatcher a new invocation, and sometimes more of them at the same moment.
 func (s *simulation) newArrival() {
 	s.lastInvocation++
 	c := &simulatedClient{arrival: Arrival{
@@ -367,7 +370,7 @@
 	s.handle(events...)
 }
 
-// changeEndpoints changes a few workers, and hands over an endpoint update.
+// changeEndpoints changes a few workers and sends the dispatcher an endpoint update.
 func (s *simulation) changeEndpoints() {
 	var delta []Endpoint
 	for range 1 + s.rng.Intn(3) {
@@ -397,7 +400,7 @@
 	}
 }
 
-// restart has a worker begin anew: what it had is lost.
+// restart restarts a worker with a new incarnation: its attempts are lost.
 func (s *simulation) restart(worker *simulatedWorker, at time.Duration) {
 	worker.State = Ready
 	worker.StartKnown = true
@@ -406,14 +409,15 @@
 	worker.inFlight = 0
 }
 
-// simulatedGossip holds the kinds of gossip, as often as they are to come; the last one is rare.
+// simulatedGossip holds the kinds of gossip entries in proportion to their frequency. The last one
+// is rare.
 var simulatedGossip = []GossipKind{
 	GossipAttemptStarted, GossipAttemptEnded, GossipCapacityQuery, GossipCapacityReply,
 	GossipCapacityReply, GossipAttemptStarted, GossipCapacityQuery, GossipAttemptEnded,
 	GossipRestarted,
 }
 
-// receiveGossip has a message come from another scheduler.
+// receiveGossip sends the dispatcher a gossip message from another scheduler.
 func (s *simulation) receiveGossip() {
 	received := GossipReceived{From: s.rng.Intn(s.config.Schedulers + 1)}
 	for range 1 + s.rng.Intn(4) {
@@ -428,7 +432,7 @@
 	s.handle(received)
 }
 
-// reconfigure brings a configuration with one more operation and other limits.
+// reconfigure sends the dispatcher a configuration with one more operation and other limits.
 func (s *simulation) reconfigure() {
 	config := s.config
 	config.Operations = append([]Operation(nil), s.config.Operations...)
@@ -447,7 +451,8 @@
 	s.handle(Reconfigured{Config: config, PreviousOperations: previous})
 }
 
-// replaceDispatcher has a successor load the snapshot and take all open invocations over.
+// replaceDispatcher replaces the dispatcher with a successor that loads its snapshot and takes over
+// all open invocations.
 func (s *simulation) replaceDispatcher() {
 	predecessor := s.dispatcher
 	snapshot := predecessor.Snapshot()
@@ -460,7 +465,7 @@
 		}
 	}
 	s.handle(events...)
-	s.after(s.randomSpan(ms, 50*ms), func() { // and one migrates out again
+	s.after(s.randomSpan(ms, 50*ms), func() { // one invocation migrates out again
 		for id := s.lastInvocation; id > 0; id-- {
 			if _, isOpen := s.dispatcher.MigrationRecord(id); isOpen {
 				s.clients[id].answered = true
@@ -474,7 +479,7 @@
 	})
 }
 
-// repeat makes a call again and again, at random intervals around a span.
+// repeat makes a call repeatedly, at random intervals whose mean is a span.
 func (s *simulation) repeat(span time.Duration, do func()) {
 	var next func()
 	next = func() {
@@ -484,13 +489,13 @@
 	s.after(s.randomSpan(0, span), next)
 }
 
-// run plays what is scheduled up to an end.
+// run runs the simulation up to an end.
 func (s *simulation) run(end time.Duration) {
 	s.callUntil(end)
 	s.now = end
 }
 
-// start hands over the endpoint list, and schedules all else that may happen to a scheduler.
+// start sends the dispatcher the endpoint list and schedules all other kinds of events.
 func (s *simulation) start() {
 	s.handle(s.fullUpdate())
 	s.after(0, func() { s.handle(TimerFired{}) })
@@ -521,7 +526,7 @@
 	s.repeat(4*time.Second, s.changeZone)
 }
 
-// changeZone has a zone restart, or cease to report.
+// changeZone restarts all workers of a random zone, or stops their load reports.
 func (s *simulation) changeZone() {
 	zone := s.rng.Intn(simulatedZones)
 	reportsCease := s.chance(0.3)
@@ -537,7 +542,7 @@
 	s.handle(EndpointUpdate{Kind: DeltaUpdate, Endpoints: delta})
 }
 
-// randomConfig is a deployment drawn from a seed.
+// randomConfig returns a random configuration for a seed.
 func randomConfig(seed int64) Config {
 	rng := rand.New(rand.NewSource(seed))
 	config := testConfig()
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -7,30 +7,37 @@
 	"time"
 )
 
-// The slow-start budget. A worker that has just started is overloaded if all schedulers together send it more than it
-// bears, and each of them knows only of its own work. So each one keeps a part of the budget by itself, by a rule that
-// all schedulers apply alike: evenly where even parts hold a few usual runs; else the schedulers with the lowest ranks
-// in a lottery share it, which a rendezvous hash of the worker's incarnation draws.
+// The slow-start budget limits the work that all schedulers together send a worker that has just
+// started, so that they do not overload it. Each scheduler knows only its own work and therefore
+// limits itself to a share of the budget, by a rule that is the same at all schedulers: even shares
+// where each of them holds a few typical runs; otherwise only the schedulers with the lowest ranks
+// in a lottery share the budget. The lottery is drawn by a rendezvous hash of the worker's
+// incarnation.
 const (
-	// slowStartWatchers is how many schedulers, by rank, keep a worker in slow start in their pools.
+	// slowStartWatchers is how many schedulers, those with the lowest lottery ranks, keep a worker
+	// in slow start in their pools.
 	slowStartWatchers = 6
-	// lotteryBudgetShare is the part of the budget, by hinted costs, that is shared where few schedulers share it.
+	// lotteryBudgetShare is the part of the budget, in hinted cost, that is handed out where a lottery
+	// decides which schedulers share it.
 	lotteryBudgetShare = 1.25
-	// evenBudgetShare is the same where all schedulers share it.
+	// evenBudgetShare is the part that is handed out where all schedulers share the budget evenly.
 	evenBudgetShare = 0.25
-	// minRunsPerShare is how many usual runs a scheduler's part should hold.
+	// minRunsPerShare is how many typical runs a scheduler's share should hold.
 	minRunsPerShare = 1.5
-	// minSharers is how many schedulers share a budget at least.
+	// minSharers is the least number of schedulers that share a budget by lottery.
 	minSharers = 5
-	// firstSharers have a third of the shared budget each; all others share the last third.
+	// firstSharers is how many schedulers get a third of the shared budget each; the others share
+	// the last third.
 	firstSharers = 2
-	// busyFactor: the schedulers that share a budget send twice as much as would keep the worker busy.
+	// busyFactor is how much work the schedulers that share a budget should have together, as a
+	// multiple of what keeps the worker busy.
 	busyFactor = 2
-	// unmeasuredCostFactor multiplies hinted costs until results tell how far hints are off.
+	// unmeasuredCostFactor multiplies hinted costs until results show how far the hints are off.
 	unmeasuredCostFactor = 3
 )
 
-// warmUpWeightAt is the part of its capacity that a worker has in its slow start; past that, 1.
+// warmUpWeightAt returns the part of its capacity that the worker has at a time: it grows linearly
+// during slow start and is 1 afterwards.
 func (w *worker) warmUpWeightAt(now time.Duration) float64 {
 	age := now - w.startedAt
 	if !w.startKnown || age >= w.slowStartDuration {
@@ -39,8 +46,9 @@
 	return w.slowStartFrom + (1-w.slowStartFrom)*max(0, age.Seconds()/w.slowStartDuration.Seconds())
 }
 
-// lotteryRank is how many schedulers come before this one for one incarnation of a worker. Left to chance alone, now
-// none and now many would send to it. A scheduler whose number lies beyond the configured number comes last.
+// lotteryRank returns how many schedulers come before this one in the lottery for one incarnation
+// of a worker. Independent random draws would let no scheduler send to some workers and many send
+// to others. A scheduler whose index lies beyond the configured number of schedulers comes last.
 func (d *Dispatcher) lotteryRank(incarnation uint64) (before int) {
 	own := rendezvousHash(incarnation, d.self)
 	for other := range int(d.schedulers) {
@@ -51,13 +59,15 @@
 	return before
 }
 
-// rendezvousHash draws a number for one scheduler and one key, which all schedulers draw alike.
+// rendezvousHash returns a pseudo-random number for a key and a scheduler that is the same at all
+// schedulers.
 func rendezvousHash(key uint64, scheduler int) uint64 {
 	return pcg.NewPCG(key, uint64(scheduler)).Uint64()
 }
 
-// expectedCost is what an invocation uses of a slow-start budget. All hints may be far off, which only results show:
-// until there is one of its operation, and no worker has reported how long anything runs, they count several times.
+// expectedCost returns what an invocation uses of a slow-start budget. All hints may be far off,
+// which only results show: until there is a result of its operation or a worker has reported a
+// service time, the hint counts unmeasuredCostFactor times.
 func (s *scheduler) expectedCost(v *invocation) float64 {
 	measured := s.operations[v.operation].hintErrors
 	if len(measured) == 0 && s.stats.serviceTime == 0 {
@@ -66,10 +76,11 @@
 	return v.work * max(1, measured.mean())
 }
 
-// withinSlowStartBudget reports whether a worker in slow start may get work of a cost if all other schedulers send their
-// parts too.
+// withinSlowStartBudget reports whether a worker in slow start stays within its budget if this
+// scheduler sends it work of the given cost and all other schedulers use their shares up.
 func (s *scheduler) withinSlowStartBudget(cost float64, v *workerView) bool {
-	// Its first runs may be quick and it still unable to bear as many: its kind's usual pace is the least.
+	// Fast first runs do not show that it can take as much work as a warm worker. It counts as no
+	// faster than is typical of its kind.
 	capacity := max(1, v.maxFree) / max(v.pace, cmp.Or(s.kindPace[v.kind], 1)/v.warmUpWeight)
 	budget := s.overloadBudget * capacity
 	run := cmp.Or(s.stats.runTime, 1)
@@ -82,16 +93,19 @@
 	return rank < min(sharers, s.schedulers) && v.budgetUsed+cost <= s.budgetPart(budget, run, rank, sharers)
 }
 
-// sharers is how many schedulers share a budget.
+// sharers returns how many schedulers share a budget by lottery.
 func (s *scheduler) sharers(budget, run, capacity float64) float64 {
-	// The work that we get a second, over all our time: a jump of the traffic must not name others in a moment.
+	// The work that arrives here per second, averaged over this scheduler's whole lifetime, so that
+	// a jump in traffic does not change at once which schedulers share the budget.
 	work := run * max(1, s.admitted) / max(poolSpan, s.now).Seconds()
 	needed := min(busyFactor*capacity/work, firstSharers+lotteryBudgetShare*budget/(3*minRunsPerShare*run))
 	return max(minSharers, math.Floor(needed))
 }
 
-// budgetPart is the part of the scheduler with a rank: most work is heavy, and even parts would hold none of it. Of many
-// runs chance bears less in proportion.
+// budgetPart returns the share of the scheduler with a rank. The first ranks get large shares
+// because most of the work is in large invocations, none of which would fit into an even share. The
+// shares together may exceed the budget by a margin for random variation, which grows with the
+// square root of the number of runs and so is smaller in proportion for large budgets.
 func (s *scheduler) budgetPart(budget, run, rank, sharers float64) float64 {
 	third := min(lotteryBudgetShare*budget, budget+math.Sqrt(budget*run)) / 3
 	if rank < firstSharers {
--- a/dispatch/slowstart_simulation_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -14,44 +14,47 @@
 	"time"
 )
 
-// Many schedulers share one endpoint list in virtual time while workers start under a burst. What a worker in slow start
-// gets in any overload window, from all schedulers, is compared with its budget: N + 2 root N + 2 requests of mean work.
+// A simulation in virtual time of many schedulers with the same workers, some of which start during
+// a burst of arrivals. The work that a worker in slow start gets from all schedulers in any
+// overload window is compared with its budget of N + 2 root N + 2 requests of mean work, where N is
+// the number of such requests that it is meant for in the window.
 
 var (
-	slowStartSeeds     = flag.Int("cold.seeds", 1, "seeds of each scenario of TestSlowStartBudget")
-	slowStartFirstSeed = flag.Int("cold.first", 0, "seeds that it skips")
-	slowStartFilter    = flag.String("cold.rows", "", "only scenarios with this in their name and number of schedulers")
+	slowStartSeeds     = flag.Int("cold.seeds", 1, "number of seeds of each scenario of TestSlowStartBudget")
+	slowStartFirstSeed = flag.Int("cold.first", 0, "number of seeds that TestSlowStartBudget skips")
+	slowStartFilter    = flag.String("cold.rows", "", "run only scenarios with this text in their name and number of schedulers")
 )
 
-// slowStartScenario is one kind of fault or deployment.
+// slowStartScenario is a combination of faults and deployment properties.
 type slowStartScenario struct {
 	name         string
 	schedulers   int
 	countFactor  float64 // configured number of schedulers, as a multiple of the true one
-	halfRestart  bool    // half of the schedulers restart as the workers do
-	roughHints   bool    // hints are off by up to ten, either way, each on its own
-	hintFactor   float64 // all hints are off by this
-	startingPace float64 // running time over hinted cost of the workers in slow start; no configuration says it
-	checksLost   bool    // three health checks in ten are lost, the rest come late, with reports 0.5 s old
-	unnumbered   bool    // no scheduler knows its own number
-	gossip       bool    // they may gossip
-	halfRight    bool    // every other one has the true number configured
-	largeWorkers bool    // small requests, large workers: N is large
+	halfRestart  bool    // half of the schedulers restart at the same time as the workers
+	roughHints   bool    // each hint is off by a random factor of up to ten in either direction
+	hintFactor   float64 // factor by which all hints are off; 0: 1
+	startingPace float64 // running time over hinted cost of the workers in slow start, which is not configured; 0: 1
+	checksLost   bool    // three health checks in ten are lost, the others are late, with reports up to 0.5 s old
+	unnumbered   bool    // no scheduler knows its own index
+	gossip       bool    // schedulers may gossip
+	halfRight    bool    // every other scheduler has the true number of schedulers configured
+	largeWorkers bool    // small requests and large workers, so that N is large
 }
 
 const (
-	// frozenReportAge is for how many seconds a worker repeats a report where its reports are frozen.
+	// frozenReportAge is how long, in seconds, a worker with frozen reports repeats a report.
 	frozenReportAge = 1000
-	// leastArrivalRate is how many requests a second the workers are meant for at least.
+	// leastArrivalRate is the least rate, in requests a second, that the number of workers is
+	// chosen for.
 	leastArrivalRate = 200
-	// arrivalsPerScheduler is how many requests a second they are meant for, for each scheduler.
+	// arrivalsPerScheduler is that rate per scheduler, where this gives a larger rate in total.
 	arrivalsPerScheduler = 4
-	// concurrentScenarios is how many scenarios run at once.
+	// concurrentScenarios bounds the number of scenarios that run at the same time.
 	concurrentScenarios = 4
 )
 
-// hardCases are the deployments of the first seeds: N is about 1, 5, 10 and 20; all reports are frozen and most workers
-// are in slow start. The rest is drawn.
+// hardCases are the deployments of the first seeds: N is about 1, 5, 10 and 20, all reports are
+// frozen and most workers are in slow start. The other properties are random.
 var hardCases = []struct {
 	cores int
 	mean  float64 // seconds of work of a request
@@ -62,23 +65,23 @@
 	{cores: 16, mean: 0.25},
 }
 
-// slowStartSend is an attempt that a worker was sent, whatever became of it.
+// slowStartSend is an attempt that was sent to a worker, whatever its result.
 type slowStartSend struct {
 	at   time.Duration
-	work float64
+	work float64 // seconds
 }
 
-// slowStartWorker is a worker as it is, whatever the schedulers know of it.
+// slowStartWorker is the true state of a worker, which the schedulers may not know.
 type slowStartWorker struct {
 	endpoint   Endpoint
-	pace       float64 // times the usual running time
+	pace       float64 // running time as a multiple of the typical one
 	running    int
 	queued     []func()
 	sends      []slowStartSend
 	lastReport LoadReport
 	reportedAt time.Duration
-	served     float64 // attempts
-	runTime    float64 // of them all, in seconds
+	served     float64 // number of completed attempts
+	runTime    float64 // of all completed attempts together, in seconds
 }
 
 // slowStartScheduler is one incarnation of a scheduler.
@@ -86,8 +89,8 @@
 	dispatcher  *Dispatcher
 	startedAt   time.Duration
 	timerAt     time.Duration
-	incarnation int                      // counts its starts
-	work        map[InvocationID]float64 // seconds, of invocations that have no final answer yet
+	incarnation int                      // number of starts so far
+	work        map[InvocationID]float64 // seconds of work of the invocations it was sent and has not throttled or failed
 }
 
 // slowStartSimulation runs all schedulers and workers of one scenario.
@@ -98,17 +101,18 @@
 	config          Config
 	cores           int
 	meanWork        float64       // seconds of a request
-	load            float64       // part of all cores before the burst
-	burst           float64       // multiple of load that begins as the workers start
-	reportAge       time.Duration // for which a worker repeats a report
+	load            float64       // part of all cores in use before the burst
+	burst           float64       // factor by which the load grows when the workers start
+	reportAge       time.Duration // how long a worker repeats a report
 	workers         []*slowStartWorker
 	workersByID     map[WorkerID]*slowStartWorker
 	schedulers      []*slowStartScheduler
 	lastInvocation  InvocationID
-	startingWorkers int // workers that restart
+	startingWorkers int // number of workers that restart
 }
 
-// warmUpWeight is the part of its capacity that a worker has: it starts at the least that the configuration names.
+// warmUpWeight returns the part of its capacity that a worker has at a time. It begins at the
+// configured SlowStartFrom.
 func (s *slowStartSimulation) warmUpWeight(w *slowStartWorker, at time.Duration) float64 {
 	age := at - w.endpoint.StartedAt
 	if !w.endpoint.StartKnown || age >= s.config.Rules.SlowStartDuration {
@@ -118,7 +122,8 @@
 	return from + (1-from)*max(0, age.Seconds()/s.config.Rules.SlowStartDuration.Seconds())
 }
 
-// newSlowStartSimulation has workers that are all warm, and schedulers that have not started.
+// newSlowStartSimulation returns a simulation whose workers are all warm and whose schedulers have
+// not started.
 func newSlowStartSimulation(scenario slowStartScenario, seed int64) *slowStartSimulation {
 	s := &slowStartSimulation{
 		slowStartScenario: scenario,
@@ -152,7 +157,8 @@
 	return s
 }
 
-// chooseDeployment draws what the scenario leaves open, and the part of the workers that restart.
+// chooseDeployment sets the properties that the scenario leaves open at random, and returns the
+// part of the workers that restart.
 func (s *slowStartSimulation) chooseDeployment() (startingPart float64) {
 	choose := func(from ...float64) float64 { return from[s.rng.Intn(len(from))] }
 	s.cores = int(choose(2, 4, 8, 16))
@@ -181,7 +187,7 @@
 	return choose(0, 0.15, 0.35, 0.6)
 }
 
-// addWorker adds a worker that is warm, or starts now.
+// addWorker adds a worker that is warm or, if starting is set, starts now.
 func (s *slowStartSimulation) addWorker(number int, starting bool) {
 	worker := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1)
 	w := &slowStartWorker{
@@ -203,7 +209,7 @@
 	s.workersByID[worker] = w
 }
 
-// startScheduler starts or restarts a scheduler: what it had in flight is forgotten.
+// startScheduler starts or restarts a scheduler. Its invocations in flight are lost.
 func (s *slowStartSimulation) startScheduler(number int) {
 	scheduler := s.schedulers[number]
 	config := s.config
@@ -224,7 +230,7 @@
 	s.handle(number, s.fullUpdate(scheduler))
 }
 
-// fullUpdate is the endpoint list with its times as spans since that scheduler's start.
+// fullUpdate returns the endpoint list with times relative to a scheduler's start.
 func (s *slowStartSimulation) fullUpdate(scheduler *slowStartScheduler) EndpointUpdate {
 	update := EndpointUpdate{Kind: FullUpdate}
 	for _, w := range s.workers {
@@ -235,7 +241,8 @@
 	return update
 }
 
-// deliver hands an event to the same incarnation of a scheduler later; gossip reaches whichever runs then.
+// deliver passes an event to a scheduler after a wait if it has not restarted by then. Gossip is
+// delivered to whichever incarnation runs then.
 func (s *slowStartSimulation) deliver(number int, wait time.Duration, event Event) {
 	incarnation := s.schedulers[number].incarnation
 	s.after(wait, func() {
@@ -245,7 +252,7 @@
 	})
 }
 
-// handle hands an event to a scheduler and carries its actions out.
+// handle passes an event to a scheduler and carries out its actions.
 func (s *slowStartSimulation) handle(number int, event Event) {
 	scheduler := s.schedulers[number]
 	latency := time.Duration(200+s.rng.Intn(800)) * time.Microsecond
@@ -276,7 +283,7 @@
 	}
 }
 
-// healthCheck succeeds, unless the scenario loses it.
+// healthCheck delivers the result of a health check: a success, unless the scenario makes it time out.
 func (s *slowStartSimulation) healthCheck(number int, worker WorkerID, latency time.Duration) {
 	const timeout = 300 * ms
 	if s.checksLost {
@@ -298,7 +305,8 @@
 	})
 }
 
-// loadReport is a worker's report, or its last one again while that is young enough.
+// loadReport returns a worker's load report, which is the previous one while that is younger than
+// reportAge.
 func (s *slowStartSimulation) loadReport(w *slowStartWorker) *LoadReport {
 	if w.reportedAt > 0 && s.now < w.reportedAt+s.reportAge {
 		load := w.lastReport
@@ -317,13 +325,13 @@
 	return &load
 }
 
-// forward has an attempt rejected, queued or run.
+// forward delivers an attempt to its worker, which rejects, queues or runs it.
 func (s *slowStartSimulation) forward(number int, forward Forward, latency time.Duration) {
 	w := s.workersByID[forward.Worker]
 	scheduler := s.schedulers[number]
 	work, known := scheduler.work[forward.Invocation]
 	if !known {
-		panic(fmt.Sprintf("%d was sent after its end", forward.Invocation))
+		panic(fmt.Sprintf("invocation %d was forwarded after its final answer", forward.Invocation))
 	}
 	w.sends = append(w.sends, slowStartSend{at: s.now, work: work})
 	outcome := Outcome{
@@ -362,13 +370,14 @@
 	}
 }
 
-// lastAttempt is the number of an invocation's last attempt.
+// lastAttempt returns the number of an invocation's last attempt.
 func (s *slowStartScheduler) lastAttempt(id InvocationID) int {
 	index := s.dispatcher.invocationIndex[id]
 	return len(s.dispatcher.scheduler.invocations[index].attempts) - 1
 }
 
-// burstArrival brings an invocation to some scheduler, and schedules the next one.
+// burstArrival sends an invocation to a random scheduler and schedules the next arrival. The first
+// arrival after the end stops the simulation.
 func (s *slowStartSimulation) burstArrival(burstAt, end time.Duration) {
 	arrivalRate := s.load * float64(s.cores*len(s.workers)) / s.meanWork
 	if s.now >= burstAt {
@@ -379,10 +388,10 @@
 		s.calls = nil
 		return
 	}
-	const spread = 0.8 // lognormal: the deviation is about the mean
+	const spread = 0.8 // of a lognormal distribution, whose standard deviation is then about its mean
 	work := s.meanWork * math.Exp(spread*s.rng.NormFloat64()-spread*spread/2)
 	hint := work * cmp.Or(s.hintFactor, 1)
-	if s.roughHints { // off by 4.7 times for one in twenty, by ten for one in a hundred
+	if s.roughHints { // off by a factor of 4.7 for one in twenty, of ten for one in a hundred
 		hint *= math.Exp(max(-math.Log(10), min(math.Log(10), 0.85*s.rng.NormFloat64())))
 	}
 	number := s.rng.Intn(len(s.schedulers))
@@ -396,15 +405,16 @@
 	})
 }
 
-// slowStartUse is what workers in slow start got in one run.
+// slowStartUse is the work that workers in slow start got in one run. worst, bound and calls are
+// those of the overload window in which a worker got the most in proportion to its budget.
 type slowStartUse struct {
-	worst float64 // the most that one got in an overload window, by its budget then; requests of mean work
-	bound float64 // the budget then
-	calls float64 // N then
-	used  float64 // what all of them did by the end, as a part of what they could
+	worst float64 // work that the worker got, in requests of mean work
+	bound float64 // its budget, in requests of mean work
+	calls float64 // N
+	used  float64 // work that all of them got by the end, as a part of their capacity
 }
 
-// run plays the scenario, and sums up what the workers that restarted in it got.
+// run runs the scenario, and sums up the work that the workers that restarted in it got.
 func (s *slowStartSimulation) run() slowStartUse {
 	const restartAt = 4 * time.Second
 	const end = restartAt + 3*time.Second
@@ -443,10 +453,11 @@
 	return use
 }
 
-// slowStartBound is how many requests of mean work a worker may get in an overload window in which it is meant for so many.
+// slowStartBound returns how many requests of mean work a worker may get in an overload window in
+// which it is meant for the given number of requests.
 func slowStartBound(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
 
-// simulate has a part of the workers restart as the burst begins.
+// simulate runs all events: a part of the workers restarts as the burst begins.
 func (s *slowStartSimulation) simulate(restartAt, end time.Duration) {
 	for i := range s.schedulers {
 		s.startScheduler(i)
@@ -456,7 +467,7 @@
 		warm := len(s.workers)
 		for i := range s.startingWorkers {
 			s.addWorker(warm+i, true)
-			s.workers[i].endpoint.State = Draining // the starting one takes its place
+			s.workers[i].endpoint.State = Draining // the starting worker replaces it
 		}
 		for i, scheduler := range s.schedulers {
 			if s.halfRestart && i%2 == 1 {
@@ -469,29 +480,31 @@
 	s.callUntil(unbounded)
 }
 
-// biasUnseen is the scenario in which nothing that a scheduler has seen by then shows how far all hints are off.
+// biasUnseen is the scenario in which the restarted schedulers have no measurements yet that show
+// how far all hints are off.
 const biasUnseen = "hints a tenth, half restarted"
 
-// What all schedulers together send a worker in slow start stays within its budget.
+// The work that all schedulers together send a worker in slow start stays within its budget.
 func TestSlowStartBudget(t *testing.T) {
 	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name != biasUnseen })
 }
 
-// So it does where hints are far off and half of the schedulers cannot have seen it.
+// It also stays within its budget where hints are far off and half of the schedulers cannot have
+// measured that.
 func TestSlowStartBudgetWithUnseenHintBias(t *testing.T) {
 	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name == biasUnseen })
 }
 
-// slowStartResult sums up the runs of one scenario.
+// slowStartResult summarizes the runs of one scenario.
 type slowStartResult struct {
-	slowStartUse         // of the run with the largest share; used is the mean of all
-	share        float64 // worst as a part of its bound
-	mean         float64 // of that share in all runs
+	slowStartUse         // of the run with the largest share, but used is the mean of all runs
+	share        float64 // the largest ratio of worst to bound in any run
+	mean         float64 // mean of that ratio over all runs
 	seed         int64   // of the run with the largest share
-	over         int     // runs over the bound
+	over         int     // number of runs that exceeded the bound
 }
 
-// add counts one run in.
+// add adds the result of a run.
 func (r *slowStartResult) add(seed int64, use slowStartUse) {
 	share := use.worst / use.bound
 	r.used += use.used / float64(*slowStartSeeds)
@@ -507,7 +520,8 @@
 	}
 }
 
-// slowStartScenarios are all scenarios of both tests. New ones go to the end, as the seeds follow from their order.
+// slowStartScenarios returns all scenarios of both tests. New ones must be added at the end, as a
+// scenario's seeds depend on its position.
 func slowStartScenarios() (scenarios []slowStartScenario) {
 	add := func(schedulers int, countFactor float64, list ...slowStartScenario) {
 		for _, scenario := range list {
@@ -549,7 +563,8 @@
 	return scenarios
 }
 
-// runSlowStartScenarios runs the scenarios of one test. The seeds of a scenario follow from its place among all.
+// runSlowStartScenarios runs the scenarios of one test. The seeds of a scenario depend on its
+// position among all scenarios.
 func runSlowStartScenarios(t *testing.T, selects func(slowStartScenario) bool) {
 	scenarios := slowStartScenarios()
 	skips := func(r slowStartScenario) bool {
@@ -568,7 +583,8 @@
 			limiter <- struct{}{}
 			defer func() { <-limiter }()
 			for n := range int64(*slowStartSeeds) {
-				seed := n + int64(*slowStartFirstSeed) + int64(i)%max(1, int64(len(hardCases)-*slowStartSeeds+1)) // short runs differ
+				// With few seeds, the scenarios use different hard cases.
+				seed := n + int64(*slowStartFirstSeed) + int64(i)%max(1, int64(len(hardCases)-*slowStartSeeds+1))
 				results[i].add(seed+1, newSlowStartSimulation(scenario, seed+1).run())
 			}
 		}()
@@ -588,6 +604,6 @@
 		}
 	}
 	if !slices.ContainsFunc(results, func(r slowStartResult) bool { return r.used > 0 }) {
-		t.Error("no worker in slow start got anything")
+		t.Error("no worker in slow start got any work")
 	}
 }
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// A worker in slow start gets our share of what it can do now, and one heavy invocation can be too much.
+// A worker in slow start gets this scheduler's share of its current capacity, and a single heavy
+// invocation can exceed that.
 func Example_slowStart() {
 	config := testConfig()
 	config.Schedulers = 2
@@ -32,8 +33,9 @@
 	// 16s 5 to a
 }
 
-// Schedulers that were killed have forgotten which workers in slow start they share: those that the lottery names for one
-// of the known endpoints health check it at once, or nobody uses it until chance brings it into their pools.
+// Schedulers that were killed no longer know which workers in slow start they share. Those that the
+// lottery selects for a worker in the endpoint list health check it as they start. Otherwise no
+// scheduler would use it until it joined a pool by chance.
 func Example_slowStartKnownAtStart() {
 	config := testConfig()
 	config.Schedulers = 80
@@ -61,8 +63,9 @@
 	// warm true: checked by 19 of 80 as they start
 }
 
-// The configured number of schedulers is ten times too small: whose own number lies beyond it knows that, and leaves
-// workers in slow start to the others. Named for one are five of a thousand all the same; without that, fifty would be.
+// If the configured number of schedulers is ten times too small, schedulers whose own index lies
+// beyond it leave workers in slow start to the others. So the lottery still selects five of a
+// thousand schedulers for a worker; without that rule it would select fifty.
 func Example_understatedSchedulerCount() {
 	config := testConfig()
 	for _, config.Schedulers = range []int{1000, 100, 10000} {
@@ -80,9 +83,10 @@
 	// configured 10000: 0 of 1000 are among the first five
 }
 
-// With so many schedulers that an even share of a slow-start budget is less than one invocation, a lottery that all draw
-// alike names the few that share it; how many, and how much they send, grows as the worker warms up. The budget of an
-// overload window is what the rule allows: twice what four slots do by then.
+// With so many schedulers that an even share of a slow-start budget is less than one invocation, a
+// lottery with the same result at all schedulers selects the few that share it. Their number, and
+// how much they send, grows as the worker warms up. The budget is what the overload rule allows in
+// an overload window: twice the work that four slots do at that point of the slow start.
 func Example_slowStartLottery() {
 	config := testConfig()
 	config.Schedulers = 1000
@@ -100,7 +104,7 @@
 			starting.Incarnation = 17
 			h.handleAt(0, EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{readyEndpoint('b', 0)}})
 			n := InvocationID(0)
-			for n < 40 { // one every half second before, each done as hinted
+			for n < 40 { // one every half second before the start, each of which runs as long as hinted
 				n++
 				h.handleAt(time.Duration(n)*500*ms, freeSlotsResult('b', 4), arrival(n, 2, 0.2))
 				h.handleAt(h.now+200*ms, h.outcome(n, 0, Succeeded))
@@ -129,8 +133,9 @@
 	// 19s after its start: 12 of 1000 send, at most 4 each, 3.6 of a budget of 7.6
 }
 
-// Three schedulers share a slow-start budget evenly, whatever the usual run time is: the shares of all stay under a quarter
-// of what the worker bears by hints, as those are far off for some, and each has little of it.
+// Three schedulers share a slow-start budget evenly, whatever the typical running time is. By
+// hinted cost, their shares together stay within a quarter of the budget, as hints are far off for
+// some invocations, and each scheduler's share is small.
 func Example_slowStartFewSchedulers() {
 	for _, runTime := range []float64{0.01, 0.2, 3} {
 		config := testConfig()
@@ -151,7 +156,8 @@
 			sent += len(workers)
 		}
 		budget := 2 * 100 * (0.1 + 0.9*1.1/20)
-		fmt.Printf("usual run %v: at most a twelfth of the budget each: %v, some: %v\n", runTime, float64(sent)*0.1 <= budget/12+0.1, sent > 0)
+		fmt.Printf("usual run %v: at most a twelfth of the budget each: %v, some: %v\n",
+			runTime, float64(sent)*0.1 <= budget/12+0.1, sent > 0)
 	}
 	// Output:
 	// usual run 0.01: at most a twelfth of the budget each: true, some: true
@@ -159,9 +165,10 @@
 	// usual run 3: at most a twelfth of the budget each: true, some: true
 }
 
-// What all schedulers together may send a worker in slow start in an overload window, were there always one more small
-// invocation, stays within N + 2 root N + 2 requests of mean work, whatever number of schedulers is configured, as long as
-// each knows its own number.
+// The work that all schedulers together may send a worker in slow start in an overload window, if
+// each always has another small invocation to send, stays within N + 2 root N + 2 requests of mean
+// work. This holds for any configured number of schedulers, as long as each scheduler knows its own
+// index.
 func TestSlowStartShares(t *testing.T) {
 	t.Logf("%10s %10s %8s %8s %8s %8s %6s", "schedulers", "configured", "N", "worst", "bound", "of it", "over")
 	for _, schedulers := range []int{1, 6, 7, 20, 30, 300} {
@@ -179,14 +186,16 @@
 				}
 				t.Logf("%10d %10v %8v %8.1f %8.1f %8.2f %6d", schedulers, factor, calls, worst, bound, worst/bound, over)
 				if over > 0 {
-					t.Errorf("%d schedulers, %v of them configured, N %v: %.1f may be sent, the budget is %.1f", schedulers, factor, calls, worst, bound)
+					t.Errorf("%d schedulers, configured as %v times as many, N %v: may send %.1f, budget is %.1f",
+						schedulers, factor, calls, worst, bound)
 				}
 			}
 		}
 	}
 }
 
-// slowStartShares sums what each may send, in requests of mean work, by hundredths of one.
+// slowStartShares returns the sum of what each scheduler may send, in requests of mean work,
+// counted in steps of a hundredth of a request.
 func slowStartShares(schedulers, configured int, calls float64, start uint64) (sum float64) {
 	const run = 0.2 // seconds
 	config := testConfig()
@@ -198,12 +207,12 @@
 	return sum
 }
 
-// mostSentInSlowStart is what one scheduler may send in an overload window, were there always one more small invocation, in
-// requests of mean work.
+// mostSentInSlowStart returns what one scheduler may send in an overload window, if it always has
+// another small invocation to send, in requests of mean work.
 func mostSentInSlowStart(s *scheduler, lotteryRank int, calls, run float64) float64 {
 	view := &workerView{pace: 1, warmUpWeight: 1, lotteryRank: lotteryRank}
 	view.maxFree = calls * run / s.overloadBudget
-	view.pace = max(1, 1/view.maxFree) // a worker of less than one slot is a slower one
+	view.pace = max(1, 1/view.maxFree) // a worker of less than one slot counts as a slower one
 	s.stats.runTime = run
 	s.now = 20 * time.Second
 	s.admitted = 20 * calls
@@ -213,7 +222,8 @@
 	return view.budgetUsed / run
 }
 
-// The number of schedulers changes by reconfiguration during a slow start: those that ran before draw among all anew.
+// The budget also holds if the configured number of schedulers changes during a slow start: the
+// schedulers that ran before compute their lottery ranks anew among the new number.
 func TestSlowStartSharesAfterReconfiguration(t *testing.T) {
 	changes := []struct{ before, after int }{
 		{before: 7, after: 30},
@@ -229,13 +239,14 @@
 				worst = max(worst, slowStartSharesAfterReconfiguration(change.before, change.after, calls, start))
 			}
 			if worst > bound {
-				t.Errorf("%d schedulers, then %d, N %v: %.1f may be sent, the budget is %.1f", change.before, change.after, calls, worst, bound)
+				t.Errorf("%d schedulers, then %d, N %v: may send %.1f, budget is %.1f", change.before, change.after, calls, worst, bound)
 			}
 		}
 	}
 }
 
-// slowStartSharesAfterReconfiguration sums what each may send once their number has changed, in requests of mean work.
+// slowStartSharesAfterReconfiguration returns the sum of what each scheduler may send after their
+// number has changed, in requests of mean work.
 func slowStartSharesAfterReconfiguration(before, after int, calls float64, start uint64) (sum float64) {
 	const run = 0.2 // seconds
 	worker := netip.MustParseAddrPort("10.0.0.1:1")
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -6,34 +6,37 @@
 	"time"
 )
 
-// The scheduler sees each worker by a cached view. A view depends on the worker's state, on the time and on what was
-// learned of all workers. The state changes by messages; the other two change for all workers with each epoch. Bringing
-// all views up to date with each epoch would cost as much as there are workers: an epoch is only written down, and a
-// view is brought up to the last epoch that counts for it when somebody reads it, or before the worker's state changes.
-
-// ownedRejoinSpan: a worker in slow start that only few schedulers may use is asked again after this time in the pool.
+// The scheduler reads each worker through a cached view. A view depends on the worker's state, on
+// the time and on the statistics of all workers. The state changes by messages; the time and the
+// statistics change for all workers with each epoch. Refreshing all views in each epoch would cost
+// time in proportion to the number of workers. An epoch is therefore only recorded, and a view is
+// brought up to the last epoch that applies to it when it is read or before the worker's state
+// changes.
+
+// ownedRejoinSpan is how long after it joined the pool a worker in slow start, which only few
+// schedulers may use, is asked for its load again.
 const ownedRejoinSpan = poolSpan / 4
 
-// never is later than all that happens.
+// never is a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
-// refreshEpoch is what all views depend on.
+// refreshEpoch holds the inputs that all views depend on: the time and the statistics of all workers.
 type refreshEpoch struct {
 	number int
 	at     time.Duration
 	workerStats
-	kindPace map[int]float64 // is not written to any more
+	kindPace map[int]float64 // read-only: learnKindPace and setKindPace replace the scheduler's map
 }
 
 // viewEntry is the scheduler's view of one worker.
 type viewEntry struct {
 	workerView
-	epoch   int  // that the view is from
-	tracked bool // all epochs count for it
-	pooled  bool // epochs at which something was queued count for it
+	epoch   int  // number of the epoch that the view was computed for
+	tracked bool // all epochs apply to it
+	pooled  bool // epochs with a non-empty queue apply to it
 }
 
-// entryOf gives a worker's entry, which is made at its first use.
+// entryOf returns a worker's entry, which is created at the first use.
 func (s *scheduler) entryOf(worker int) *viewEntry {
 	if missing := worker + 1 - len(s.views); missing > 0 {
 		s.views = append(s.views, make([]*viewEntry, missing)...)
@@ -44,7 +47,8 @@
 	return s.views[worker]
 }
 
-// currentView is the view of a worker as of the last epoch that counts for it; nil: it was never used.
+// currentView returns the view of a worker as of the last epoch that applies to it, or nil if the
+// worker was never used.
 func (s *scheduler) currentView(worker int) *workerView {
 	if worker >= len(s.views) || s.views[worker] == nil {
 		return nil
@@ -67,8 +71,8 @@
 	return &entry.workerView
 }
 
-// refreshAll brings all views up to date before something changes that all depend on. All workers look at the time once
-// after that.
+// refreshAll brings all views up to date before a change that affects all of them. It also makes
+// the next epoch check every tracked worker for overdue progress.
 func (s *scheduler) refreshAll() {
 	for worker, entry := range s.views {
 		s.currentView(worker)
@@ -78,7 +82,8 @@
 	}
 }
 
-// publishView sends the scheduler a copy of the view as it is now. Copies are used again: there are thousands a second.
+// publishView sends the scheduler a copy of the current view. The copies' memory is reused, as
+// thousands are sent each second.
 func (w *worker) publishView() {
 	w.estimate(w.now)
 	w.dueAt = w.earliestDue()
@@ -97,7 +102,8 @@
 	return view
 }
 
-// updateView stores a view, and keeps the pool within its size.
+// updateView stores a published view. From a pool that exceeds its size it removes the workers that
+// joined first, but for those in slow start that this scheduler has to keep by its lottery rank.
 func (s *scheduler) updateView(view *workerView) {
 	view.estimatePace(s.kindPace, s.stats)
 	s.storeView(view)
@@ -108,14 +114,14 @@
 			continue
 		}
 		place++
-		if s.now > pooled.pooledAt+ownedRejoinSpan { // we are one of few that may use it
+		if s.now > pooled.pooledAt+ownedRejoinSpan { // this is one of the few schedulers that may use it
 			s.dispatcher.records[pooled.index].worker.send(joinPool{workerStats: s.stats})
 		}
 	}
 }
 
-// storeView replaces the view of a worker, which joins or leaves the pool by it. The pool is in the order in which its
-// workers joined last.
+// storeView replaces the view of a worker and updates its membership of the pool. The pool is
+// ordered by when its workers last joined.
 func (s *scheduler) storeView(view *workerView) {
 	entry := s.entryOf(view.index)
 	joins := view.eligible && (view.pooledAt > entry.pooledAt || !entry.eligible)
@@ -135,7 +141,8 @@
 	}
 }
 
-// leavePool takes a worker out of the pool, with its view as it is now: no more epochs count for it there.
+// leavePool removes a worker from the pool. Its view is brought up to date first, as epochs that
+// apply only to pooled workers no longer apply to it.
 func (s *scheduler) leavePool(place int) {
 	worker := s.pool[place]
 	s.currentView(worker)
@@ -143,8 +150,9 @@
 	s.pool = slices.Delete(s.pool, place, place+1)
 }
 
-// beginEpoch writes an epoch down. Only those workers look at the time for which something is due, and the first one, so
-// that the pool is brought to its size; nothing would come of it for the others.
+// beginEpoch records a new epoch. Only workers for which something is due are sent a refresh; for
+// the others it would have no effect. The first one is always sent one, as its view's update keeps
+// the pool within its size.
 func (s *scheduler) beginEpoch() {
 	s.dropInactive()
 	s.epochs++
@@ -166,7 +174,7 @@
 	}
 }
 
-// dropInactive stops tracking workers that have nothing of ours any more.
+// dropInactive stops tracking workers that are no longer active.
 func (s *scheduler) dropInactive() {
 	tracked := s.tracked[:0]
 	for _, worker := range s.tracked {
@@ -180,7 +188,9 @@
 	s.tracked = tracked
 }
 
-// refreshPooled is the pool's part of an epoch at which something is queued.
+// refreshPooled sends a refresh to the pooled workers that are not tracked and have a check
+// ordered, and to the first pooled worker if no worker is tracked. It is called in epochs with a
+// non-empty queue.
 func (s *scheduler) refreshPooled() {
 	for n, worker := range s.pool {
 		first := n == 0 && len(s.tracked) == 0
@@ -190,7 +200,8 @@
 	}
 }
 
-// refreshWorker has a worker look at the time, twice if the epoch counts for it as a tracked and as a pooled one.
+// refreshWorker sends a worker a refresh, and a second one if the epoch applies to it both as a
+// tracked and as a pooled worker, and then the checks that were ordered for it.
 func (s *scheduler) refreshWorker(worker int, queued bool) {
 	w := s.dispatcher.records[worker].worker
 	w.send(refresh{})
@@ -204,7 +215,7 @@
 	return slices.ContainsFunc(s.orderedChecks, func(check orderedCheck) bool { return check.worker == worker })
 }
 
-// deliverChecks hands over what was ordered for a worker.
+// deliverChecks sends a worker the checks that were ordered for it.
 func (s *scheduler) deliverChecks(worker int) {
 	rest := s.orderedChecks[:0]
 	for _, check := range s.orderedChecks {
--- a/dispatch/view_test.go
+++ b/dispatch/view_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A view that is brought up to the last refresh epoch when it is read is the one that its worker would have published then,
-// whatever has come in between; and a check that is skipped before dueAt would have had no result.
+// A view that is brought up to the last refresh epoch when it is read equals the one that its
+// worker would have published in that epoch, whatever has happened in between. A check that is
+// skipped before dueAt would have had no effect.
 func TestViewsAreCurrent(t *testing.T) {
 	for seed := range int64(6) {
 		config := randomConfig(seed)
@@ -20,7 +21,7 @@
 					continue
 				}
 				if scheduler.now >= entry.dueAt && entry.dueAt < scheduler.epoch.at {
-					t.Fatalf("seed %d, %v: something was due at %v and was not checked", seed, s.now, entry.dueAt)
+					t.Fatalf("seed %d, %v: a worker was due at %v and was not checked", seed, s.now, entry.dueAt)
 				}
 				worker := s.dispatcher.records[index].worker
 				savedView := worker.workerView
@@ -32,7 +33,7 @@
 				worker.stats = savedFleet
 				want.estimatePace(scheduler.epoch.kindPace, scheduler.epoch.workerStats)
 				if got := *scheduler.currentView(index); got != want {
-					t.Fatalf("seed %d, %v: view %+v, want %+v", seed, s.now, got, want)
+					t.Fatalf("seed %d, %v: got view %+v, want %+v", seed, s.now, got, want)
 				}
 			}
 		}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -8,72 +8,79 @@
 )
 
 const (
-	// freeSampleCount is how many load reports a worker's estimate of free slots rests on.
+	// freeSampleCount is how many load reports the estimate of a worker's free slots is based on.
 	freeSampleCount = 8
-	// usualSampleWeight is for how many reports what is usual in the pool stands.
+	// usualSampleWeight is the weight of the pool's typical free slots in that estimate, in load
+	// reports.
 	usualSampleWeight = 6
-	// reportPairSpan: two reports that come within this time tell how often reports are made.
+	// reportPairSpan bounds the gap between two load reports of a worker that are compared to find
+	// out how often new reports are made.
 	reportPairSpan = 10 * tickInterval
-	// repeatedReportLags: an unchanged report within so many lags is the same one seen again.
+	// repeatedReportLags is the time, in report lags, within which an unchanged report counts as
+	// the same one received again.
 	repeatedReportLags = 5
-	// reportTimeout: a worker that answers health checks for so long without a load report has ceased to report.
+	// reportTimeout is how long a worker may answer health checks without a load report before it
+	// counts as having stopped reporting.
 	reportTimeout = 1250 * time.Millisecond
-	// minRunTime is the shortest usual running time, in seconds, by which reports age.
+	// minRunTime is the shortest time constant, in seconds, with which the confidence in a report
+	// decays.
 	minRunTime = 0.1
-	// minServiceTime keeps the pace of a worker that reports no service time finite, in seconds.
+	// minServiceTime, in seconds, keeps the pace of a worker finite where no service time is reported.
 	minServiceTime = 1e-6
-	// maxServiceRatio bounds how far a worker's reported service time may lie over the pool's.
+	// maxServiceRatio bounds the ratio of a worker's reported service time to the pool's.
 	maxServiceRatio = 8
-	// slowServiceRatio is from which on a reported service time shows a slow worker.
+	// slowServiceRatio is the ratio to the pool's service time above which a reported one shows a slow
+	// worker.
 	slowServiceRatio = 2
 )
 
-// worker is what this scheduler knows of one worker. Its messages are handled one at a time; after each, its view is
-// published to the scheduler.
+// worker is what this scheduler knows about one worker. Messages to it are handled one at a time;
+// after each, its view is published to the scheduler.
 type worker struct {
 	mailbox[workerMessage]
 	workerView
 	scheduler *scheduler
 	id        WorkerID
-	tag       uint32 // names it in gossip
+	tag       uint32 // identifies it in gossip
 	owner     int    // the scheduler that owns its load data
 
-	// As the endpoint list has it.
+	// As the endpoint list says.
 	state      EndpointState
 	startKnown bool
 	startedAt  time.Duration
 
 	attempts    []workerAttempt
-	stats       workerStats // as of when it was last asked
-	freeSamples samples     // free or ours at the last few reports, less what was usual; the last at freeSampledAt
+	stats       workerStats // as of the last epoch or joinPool message
+	freeSamples samples     // free plus reserved slots at the last reports, as recordFreeSlots describes
 	paces       samples     // running time over hinted cost
 
-	lastReport    LoadReport // as it came
+	lastReport    LoadReport // as received
 	reportedAt    time.Duration
-	freeSampledAt time.Duration
+	freeSampledAt time.Duration // the time that the last of freeSamples refers to
 
 	// Health checks and ejection, see outlier.go.
 	ejected           bool
 	ejectedUntil      time.Duration
-	ejections         int // of late
-	probationLeft     int // successes still wanted on probation
-	recheck           bool
+	ejections         int  // recent ones: each success outside probation removes one
+	probationLeft     int  // successes still needed to end probation
+	recheck           bool // a health check is due at the next tick
 	checkedAt         time.Duration
 	checksAnswered    int // in a row
 	checksMissed      int // in a row
-	consecutiveBreaks int // attempts in a row whose connection broke
+	consecutiveBreaks int // attempts in a row that failed or whose connection broke
 	lastProgress      time.Duration
 	rejectedUntil     time.Duration
 
-	// Gossip with its owner, or with those that ask us as its owner.
+	// Gossip with the worker's owner, or with the schedulers that query this one as its owner.
 	queriedAt       time.Duration
-	unansweredSince time.Duration // the first query to its owner since the last answer; 0: none
-	recentQueries   samples       // when others asked, in seconds
+	unansweredSince time.Duration // time of the first query to its owner since the last reply; 0: none
+	recentQueries   samples       // times of other schedulers' queries, in seconds
 }
 
-// workerView is what the scheduler sees of a worker. The scheduler's copy is brought up to date as view.go tells.
+// workerView is the part of a worker's state that the scheduler reads. view.go describes when the
+// scheduler's copy is refreshed.
 type workerView struct {
-	index int // of its record
+	index int // of its record in the registry
 	zone  int
 	kind  int
 	cell  int
@@ -81,49 +88,50 @@
 	eligible     bool // ready, and not ejected
 	onProbation  bool
 	measured     bool // there are samples of its free slots
-	rejecting    bool // it has rejected an attempt of late
+	rejecting    bool // it has recently rejected an attempt
 	ownedHere    bool // this scheduler owns its load data
-	ownerSilent  bool // its owner does not answer
-	active       bool // it has work of ours, or is ejected: time matters to it
-	checkPending bool
+	ownerSilent  bool // its owner does not answer queries
+	active       bool // it has attempts of this scheduler, is ejected or is to be rechecked: it needs each epoch
+	checkPending bool // a health check or a capacity query is unanswered
 
-	lotteryRank  int           // schedulers before this one in the slow-start lottery
+	lotteryRank  int           // number of schedulers before this one in the slow-start lottery
 	pooledAt     time.Duration // when it last joined the pool
 	reinstatedAt time.Duration
-	dueAt        time.Duration // before that nothing comes of checkOverdue
+	dueAt        time.Duration // before this time checkOverdue has no effect
 
 	free         float64 // estimate of free slots
-	lastFree     float64 // as last reported, with what was reserved then
-	maxFree      float64 // the most that were ever seen free
-	serviceTime  float64 // seconds, by its reports
-	inFlight     float64 // slots of our own attempts
-	reserved     float64 // slots of all attempts that we know of
-	confidence   float64 // how far lastFree still holds: 1 is fully
+	lastFree     float64 // free slots in the last report, plus the slots reserved at that time
+	maxFree      float64 // most slots ever seen free
+	serviceTime  float64 // seconds, from its reports
+	inFlight     float64 // slots of this scheduler's attempts
+	reserved     float64 // slots of all known attempts
+	confidence   float64 // how far lastFree is still valid, from 0 to 1
 	pace         float64 // running time over hinted cost
-	warmUpWeight float64 // part of its capacity in slow start; else 1
-	budgetUsed   float64 // of our part of its slow-start budget, in seconds
+	warmUpWeight float64 // part of its capacity during slow start; otherwise 1
+	budgetUsed   float64 // of this scheduler's share of its slow-start budget, in seconds
 }
 
-// workerAttempt is an attempt as the worker's state has it.
+// workerAttempt is the worker's record of an attempt.
 type workerAttempt struct {
-	invocation int // or remoteInvocation, or noInvocation
-	number     int // of another scheduler's: its serial
+	invocation int // its index, or remoteInvocation, or noInvocation
+	number     int // of the attempt in its invocation; of another scheduler's attempt: its gossip serial
 	slots      float64
 	work       float64 // seconds on a standard core
-	cost       float64 // what it uses of the slow-start budget
+	cost       float64 // use of the slow-start budget, in seconds
 	lost       bool    // no answer is expected any more
-	accepted   bool
-	serial     uint8 // for gossip
+	accepted   bool    // the worker has accepted it, or reported progress of it
+	serial     uint8   // of this attempt in gossip
 	sentAt     time.Duration
 	startedAt  time.Duration // 0: not known to have started
-	progressAt time.Duration
+	progressAt time.Duration // when it last reported a start or progress
 	endedAt    time.Duration // when its slots are free again; 0 while it is in flight
 }
 
-// noInvocation stands for an attempt that uses a budget and is of no invocation here.
+// noInvocation is the invocation of an attempt that uses a slow-start budget but belongs to no
+// invocation of this instance.
 const noInvocation = -1
 
-// remoteInvocation stands for all invocations of another scheduler.
+// remoteInvocation returns the index that stands for all invocations of another scheduler.
 func remoteInvocation(scheduler int) int { return noInvocation - 1 - scheduler }
 
 func newWorker(d *Dispatcher, index int, id WorkerID) *worker {
@@ -132,14 +140,14 @@
 	return w
 }
 
-// handleMessage brings the state up to the last epoch, changes it and publishes it.
+// handleMessage brings the state up to the last epoch, applies the message and publishes the view.
 func (w *worker) handleMessage(message workerMessage) {
 	w.scheduler.currentView(w.index)
 	message.deliverToWorker(w)
 	w.publishView()
 }
 
-// applyRecord follows the worker's record in the registry.
+// applyRecord applies a change of the worker's record in the registry.
 func (w *worker) applyRecord(record recordChanged) {
 	w.lotteryRank = record.lotteryRank
 	w.owner = record.owner
@@ -157,7 +165,7 @@
 	w.cell = record.Cell
 }
 
-// restarted forgets what was measured of the incarnation before.
+// restarted discards what was measured of the previous incarnation.
 func (w *worker) restarted(at time.Duration) {
 	w.startKnown = true
 	w.startedAt = at
@@ -171,7 +179,7 @@
 	w.loseAttempts(at)
 }
 
-// joinPool has the worker asked for its load, itself or by its owner.
+// joinPool adds the worker to the pool and asks for its load, by a health check or through its owner.
 func (w *worker) joinPool(join joinPool) {
 	w.stats = join.workerStats
 	w.pooledAt = w.now
@@ -179,13 +187,14 @@
 	if join.viaGossip && !w.ownedHere && !(w.checkPending && w.queriedAt == w.now) {
 		w.queryOwner()
 	}
-	// Where its owner does not answer it is asked as if it had none.
+	// A worker whose owner does not answer is also asked directly, as if it had no owner, in one of
+	// maxQueries cases.
 	if !join.viaGossip || w.ownerSilent && w.rng.Intn(maxQueries) == 0 {
 		w.healthCheck()
 	}
 }
 
-// addAttempt enters an attempt that the worker gets.
+// addAttempt records an attempt that is sent to the worker, and notifies the worker's owner.
 func (w *worker) addAttempt(attempt workerAttempt) {
 	w.serial++
 	attempt.serial = w.serial
@@ -193,7 +202,7 @@
 	w.sendGossip(w.owner, GossipEntry{Kind: GossipAttemptStarted, Serial: attempt.serial, Tag: w.tag})
 }
 
-// inFlightAttempt finds an attempt of ours that has not ended; nil: there is none.
+// inFlightAttempt returns the attempt of this scheduler with a number if it has not ended, or nil.
 func (w *worker) inFlightAttempt(invocation, number int) *workerAttempt {
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
@@ -204,8 +213,8 @@
 	return nil
 }
 
-// reservedAt is how many slots the attempts that we know of held at a time. What is lost holds nothing: were it to run
-// on, reports would say so.
+// reservedAt returns how many slots the known attempts held at a time. Lost attempts hold none: if
+// they were still running, load reports would show it.
 func (w *worker) reservedAt(at time.Duration) (slots float64) {
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
@@ -217,7 +226,8 @@
 	return slots
 }
 
-// slotsInFlight is how many slots our own attempts hold.
+// slotsInFlight returns how many slots this scheduler's attempts hold. Those of other schedulers
+// are left out: their endedAt is always set.
 func (w *worker) slotsInFlight() (slots float64) {
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
@@ -228,7 +238,7 @@
 	return slots
 }
 
-// estimate computes the view of the worker at a time.
+// estimate computes the worker's view for a time.
 func (w *worker) estimate(now time.Duration) {
 	w.eligible = w.state == Ready && !w.ejected
 	w.onProbation = w.probationLeft > 0
@@ -242,9 +252,9 @@
 	w.estimateActivity(now)
 }
 
-// estimateFree sets how many slots are free, and how far that can be trusted.
+// estimateFree sets the estimate of free slots and the confidence in it.
 func (w *worker) estimateFree(now time.Duration) {
-	if w.ownedHere { // all that is there is known
+	if w.ownedHere { // all attempts at the worker are known
 		w.confidence = 1
 		w.free = math.Round(w.lastFree - w.reserved)
 		return
@@ -253,15 +263,17 @@
 	if count == 0 {
 		return
 	}
-	// All schedulers chase the worker that looked emptiest: the older its last report, the more the mean of the last
-	// few counts, and the fewer there are, the more what is usual anywhere.
+	// All schedulers send to the worker that last looked emptiest. So the older its last report is,
+	// the more the mean of its last reports counts, and the fewer of these there are, the more the
+	// pool's typical value counts.
 	age := max(0, now-w.freeSampledAt).Seconds()
 	w.confidence = math.Exp(-age / max(w.stats.runTime, minRunTime))
 	faded := w.stats.usualFree + w.freeSamples.sum()/float64(count+usualSampleWeight)
 	w.free = math.Round(min(w.confidence*w.lastFree+(1-w.confidence)*faded-w.reserved, w.maxFree))
 }
 
-// estimateActivity sets whether time matters to the worker, and what was used of our part of its slow-start budget.
+// estimateActivity sets whether the worker needs each epoch, and how much of this scheduler's share
+// of its slow-start budget is used.
 func (w *worker) estimateActivity(now time.Duration) {
 	w.active = w.ejected || w.recheck
 	w.budgetUsed = 0
@@ -276,7 +288,8 @@
 	}
 }
 
-// recordReport takes a load report in. One that equals the last and comes soon after is the same one seen again.
+// recordReport processes a load report; nil: none was received. A report that equals the last one
+// and comes soon after it counts as the same report received again.
 func (w *worker) recordReport(load *LoadReport) {
 	if load == nil {
 		return
@@ -296,7 +309,7 @@
 	if !changed && gap < repeatedReportLags*w.stats.lag || load.FreeSlots < 0 {
 		return
 	}
-	// What fails fast leaves its slots free: they are counted as if it had run.
+	// Attempts that fail fast leave their slots free: they count as if they had run.
 	free := math.Round(load.FreeSlots - load.Queued - load.ErrorRate*w.stats.runTime)
 	w.maxFree = max(w.maxFree, free)
 	w.serviceTime = load.ServiceTime
@@ -304,20 +317,22 @@
 	w.forgetAttempts(w.now - max(w.stats.lag, w.overloadWindow))
 }
 
-// forgetAttempts drops attempts that ended before a time.
+// forgetAttempts removes the attempts that ended before a time.
 func (w *worker) forgetAttempts(oldest time.Duration) {
 	w.attempts = slices.DeleteFunc(w.attempts, func(attempt workerAttempt) bool {
 		return attempt.endedAt != 0 && attempt.endedAt < oldest
 	})
 }
 
-// recordFreeSlots enters how many slots were free at a time, beside those that were reserved then.
+// recordFreeSlots records how many slots were free at a time. Together with the slots that were
+// reserved then they are the capacity that is left to the known attempts.
 func (w *worker) recordFreeSlots(at time.Duration, free float64) {
 	capacity := free + w.reservedAt(at)
 	w.lastFree = min(capacity, w.maxFree)
 	w.freeSampledAt = at
 	if !w.ownedHere {
-		// By how much it lies off what is usual: when all have filled or emptied, old reports tell no more.
+		// The sample is the difference from the pool's typical value: once all workers have filled
+		// up or emptied, the absolute values of old reports are no longer valid.
 		w.freeSamples.add(w.lastFree - w.stats.usualFree)
 	} else if w.showsCapacity(capacity, free) {
 		w.freeSamples.add(capacity)
@@ -333,14 +348,15 @@
 	}
 }
 
-// showsCapacity reports whether a report shows the capacity of a worker that we own: a full one may have more queued
-// than it reports.
+// showsCapacity reports whether a load report shows the capacity of a worker whose load data this
+// scheduler owns: a full worker may have more invocations queued than it reports.
 func (w *worker) showsCapacity(capacity, free float64) bool {
 	return w.lastReport.Queued > 0 || free > 0 || len(w.freeSamples) == 0 ||
 		capacity < w.freeSamples.quantile(median)
 }
 
-// forgetReports: the worker has ceased to report, so that what was free once tells nothing; our own counts do.
+// forgetReports discards the load reports of a worker that has stopped reporting. Its former free
+// slots are no longer valid, and this scheduler's own counts are used instead.
 func (w *worker) forgetReports() {
 	w.freeSamples = nil
 	w.free = 0
@@ -348,14 +364,14 @@
 	w.confidence = 0
 }
 
-// attemptProgressed follows a worker's progress report on an attempt.
+// attemptProgressed processes a worker's progress report on an attempt.
 func (w *worker) attemptProgressed(invocation int, progress AttemptProgress) {
 	attempt := w.inFlightAttempt(invocation, progress.Attempt)
 	if attempt == nil {
 		return
 	}
 	attempt.accepted = true
-	if progress.Accepted { // no sign that work goes on: a worker that hangs accepts all it gets
+	if progress.Accepted { // not a sign of progress: a hung worker accepts everything
 		return
 	}
 	w.lastProgress = w.now
@@ -371,7 +387,7 @@
 	w.reinstate(true)
 }
 
-// attemptEnded enters how an attempt has ended, and notifies the scheduler.
+// attemptEnded records how an attempt ended, and passes the event on to the scheduler.
 func (w *worker) attemptEnded(message eventMessage, outcome Outcome) {
 	w.recordReport(outcome.Load)
 	attempt := w.inFlightAttempt(message.invocation, outcome.Attempt)
@@ -385,22 +401,25 @@
 	w.scheduler.send(message)
 }
 
-// applyOutcome changes what is known of the worker by an attempt that has ended, and gives how long it ran, in seconds.
+// applyOutcome updates the worker's state with the result of an attempt, and returns how long the
+// attempt ran, in seconds; 0 if it did not succeed.
 func (w *worker) applyOutcome(attempt *workerAttempt, result Result) (runTime float64) {
 	switch result {
 	case Succeeded:
 		return w.attemptSucceeded(attempt)
 	case Failed, ConnectionBroken:
-		// A worker that fails fast shows the most free slots and would draw all work; the network breaks some.
+		// A worker that fails attempts fast reports the most free slots and would attract all work.
+		// A single broken connection may be the network's fault, so that it only causes a health
+		// check.
 		w.recheck = result == ConnectionBroken
 		w.consecutiveBreaks++
 		if !w.recheck || w.consecutiveBreaks >= probationRuns {
 			w.eject(ejectFails, false)
 		}
-	case Cancelled: // it may go on: its slots stay reserved for as long as it would have run
+	case Cancelled: // it may run on: its slots stay reserved for as long as it would have run
 		attempt.endedAt = max(w.now, attempt.sentAt+seconds(attempt.work*max(0.5, w.pace)))
 	case Rejected:
-		attempt.endedAt = attempt.sentAt // it uses the slow-start budget all the same
+		attempt.endedAt = attempt.sentAt // it still counts against the slow-start budget
 		w.rejectedUntil = w.now + minEjection
 		if w.measured {
 			w.recordFreeSlots(w.now, 0)
@@ -416,15 +435,15 @@
 	return 0
 }
 
-// attemptSucceeded learns the worker's pace, and gives how long the attempt ran, in seconds.
+// attemptSucceeded updates the worker's pace, and returns how long the attempt ran, in seconds.
 func (w *worker) attemptSucceeded(attempt *workerAttempt) (runTime float64) {
 	runTime = (w.now - cmp.Or(attempt.startedAt, attempt.sentAt)).Seconds()
 	w.rejectedUntil = 0
 	w.consecutiveBreaks = 0
-	w.paces.add(runTime / attempt.work * w.warmUpWeight) // past its slow start, which comes on top
+	w.paces.add(runTime / attempt.work * w.warmUpWeight) // the pace of the warm worker
 	w.pace = w.paces.quantile(median)
 	if w.gossips && !w.ownedHere {
-		w.recordFreeSlots(w.now, 1) // the slot that it leaves is ours at once, before its owner is notified
+		w.recordFreeSlots(w.now, 1) // the slot it leaves can be used here at once, before the owner is notified
 	}
 	w.reinstate(true)
 	w.probationLeft = max(0, w.probationLeft-1)
@@ -434,8 +453,9 @@
 	return runTime
 }
 
-// estimatePace sets what the scheduler takes for a worker's pace: its reports may show that it is slow, long before the
-// few results of thin traffic do.
+// estimatePace sets the pace that the scheduler assumes for the worker. Without results, it is
+// estimated from the worker's kind and its reports, which in thin traffic may show a slow worker
+// long before results do.
 func (v *workerView) estimatePace(kindPace map[int]float64, stats workerStats) {
 	if v.pace == 0 {
 		usual := max(stats.serviceTime, v.serviceTime/maxServiceRatio, minServiceTime)
