--- a/dispatch/mailbox.go
+++ b/dispatch/mailbox.go
@@ -179,7 +179,7 @@
 // rejectedValidRequest notifies a worker that another one ran what it would not have.
 type rejectedValidRequest struct{}
 
-func (rejectedValidRequest) deliverToWorker(w *worker) { w.eject(ejectRejects, false) }
+func (rejectedValidRequest) deliverToWorker(w *worker) { w.eject(ejectRejectsValidRequests, false) }
 
 // attemptStalled notifies the scheduler that no answer is to be expected of an attempt in time.
 type attemptStalled struct {
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -5,47 +5,47 @@
 const (
 	// progressTimeout is how long after its due time a sign of progress counts as missing.
 	progressTimeout = 300 * time.Millisecond
-	// immediateStartSpan bounds the delay with which an attempt still counts as started at once,
+	// immediateStartWindow bounds the delay with which an attempt still counts as started at once,
 	// that is without waiting in its worker's queue.
-	immediateStartSpan = 2 * tickInterval
-	// fastFailure is the latency below which a failed health check may be a network fault and not the
+	immediateStartWindow = 2 * tickInterval
+	// fastFailureLatency is the latency below which a failed health check may be a network fault and not the
 	// worker's.
-	fastFailure = progressTimeout / 2
+	fastFailureLatency = progressTimeout / 2
 	// maxRechecks bounds how many such failures in a row are checked again at once.
 	maxRechecks = 3
 
 	// minEjection and maxEjection bound the length of an ejection, which doubles each time.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 8 * time.Second
-	// maxEjections caps the count of recent ejections, which determines the length of the next one
+	// maxCountedEjections caps the count of recent ejections, which determines the length of the next one
 	// and of the probation after it.
-	maxEjections = 5
+	maxCountedEjections = 5
 	// reinstateChecks is how many health checks in a row an ejected worker must answer before it is
 	// reinstated.
 	reinstateChecks = 2
-	// probationRuns is how many attempts must succeed for each recent ejection before probation
+	// probationSuccesses is how many attempts must succeed for each recent ejection before probation
 	// ends. The same number of broken connections in a row ejects a worker.
-	probationRuns = 3
-	// probationGuard is how long after its reinstatement a worker gets no non-idempotent work.
-	probationGuard = 1250 * time.Millisecond
+	probationSuccesses = 3
+	// nonIdempotentHoldoff is how long after its reinstatement a worker gets no non-idempotent work.
+	nonIdempotentHoldoff = 1250 * time.Millisecond
 
-	// overdueRuns is the silence that is tolerated before a worker is ejected, in typical running
+	// toleratedSilentRuns is the silence that is tolerated before a worker is ejected, in typical running
 	// times.
-	overdueRuns = 3
-	// overdueWork is the time an attempt may take where its progress is not reported, as a multiple
+	toleratedSilentRuns = 3
+	// unreportedRunFactor is the time an attempt may take where its progress is not reported, as a multiple
 	// of its hinted cost.
-	overdueWork = 4
+	unreportedRunFactor = 4
 )
 
 // ejectReason tells operators why a worker was ejected.
 type ejectReason string
 
 const (
-	ejectRejects     ejectReason = "rejects what others accept"
-	ejectFails       ejectReason = "fails attempts"
-	ejectUnreachable ejectReason = "unreachable"
-	ejectUnanswered  ejectReason = "health checks unanswered"
-	ejectSilent      ejectReason = "no sign of progress"
+	ejectRejectsValidRequests ejectReason = "rejects what others accept"
+	ejectFailsAttempts        ejectReason = "fails attempts"
+	ejectUnreachable          ejectReason = "unreachable"
+	ejectChecksUnanswered     ejectReason = "health checks unanswered"
+	ejectNoProgress           ejectReason = "no sign of progress"
 )
 
 // healthCheck sends the worker a health check, which asks for its load. It does nothing where health
@@ -88,33 +88,33 @@
 	w.checksAnswered = 0
 	w.checksMissed++
 	// A check that fails fast may be a network fault: it is repeated at once before it counts.
-	w.recheck = latency < fastFailure && w.checksMissed < maxRechecks
+	w.recheck = latency < fastFailureLatency && w.checksMissed < maxRechecks
 	if !w.recheck && (w.checksMissed > 1 || w.lastProgress < w.now-latency) {
-		w.eject(ejectUnanswered, true)
+		w.eject(ejectChecksUnanswered, true)
 	}
 }
 
-// unreachable counts an attempt for which no connection could be established.
-func (w *worker) unreachable(sentAt time.Duration) {
+// attemptUnreachable counts an attempt for which no connection could be established.
+func (w *worker) attemptUnreachable(sentAt time.Duration) {
 	w.checksMissed++
 	w.recheck = true
-	if w.checksMissed > 1 || w.now-sentAt >= fastFailure {
+	if w.checksMissed > 1 || w.now-sentAt >= fastFailureLatency {
 		w.eject(ejectUnreachable, true)
 	}
 }
 
 // eject takes the worker out of use. The duration doubles each time, so that a small budget of health
-// checks is not spent on dead workers. With silent set, its attempts in flight count as lost.
-func (w *worker) eject(reason ejectReason, silent bool) {
-	if w.state == Ready && (!w.ejected || silent && w.now >= w.ejectedUntil) {
+// checks is not spent on dead workers. With attemptsLost set, its attempts in flight count as lost.
+func (w *worker) eject(reason ejectReason, attemptsLost bool) {
+	if w.state == Ready && (!w.ejected || attemptsLost && w.now >= w.ejectedUntil) {
 		w.emit(ejectedLog(w.id, reason))
 		w.ejectedUntil = w.now + min(minEjection<<w.ejections, maxEjection)
 		w.ejected = true
 		w.checksAnswered = 0
-		w.ejections = min(w.ejections+1, maxEjections)
+		w.ejections = min(w.ejections+1, maxCountedEjections)
 	}
-	if silent {
-		w.loseAttempts(w.now)
+	if attemptsLost {
+		w.markAttemptsLost(w.now)
 	}
 }
 
@@ -125,25 +125,25 @@
 		return
 	}
 	w.ejected = false
-	w.probationLeft = probationRuns * max(1, w.ejections)
+	w.probationLeft = probationSuccesses * max(1, w.ejections)
 	w.pooledAt = w.now
 	w.reinstatedAt = w.now
 	w.emit(reinstatedLog(w.id))
 }
 
-// loseAttempts marks all attempts in flight that were sent at or before a time as lost.
-func (w *worker) loseAttempts(sentBy time.Duration) {
+// markAttemptsLost marks all attempts in flight that were sent at or before a time as lost.
+func (w *worker) markAttemptsLost(sentBy time.Duration) {
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
 		if attempt.endedAt == 0 && !attempt.lost && attempt.sentAt <= sentBy {
-			w.loseAttempt(attempt)
+			w.markAttemptLost(attempt)
 		}
 	}
 }
 
-// loseAttempt marks an attempt as lost and notifies the scheduler, once. A lost attempt is not judged
+// markAttemptLost marks an attempt as lost and notifies the scheduler, once. A lost attempt is not judged
 // again: after a reinstatement only new work shows whether the worker works.
-func (w *worker) loseAttempt(attempt *workerAttempt) {
+func (w *worker) markAttemptLost(attempt *workerAttempt) {
 	attempt.lost = true
 	w.scheduler.send(attemptStalled{invocation: attempt.invocation, number: attempt.number})
 }
@@ -162,20 +162,20 @@
 		w.lastProgress > attempt.progressAt+w.progressInterval+progressTimeout
 }
 
-// waitsToStart reports whether the worker notifies starts and has not yet notified this one.
-func (w *worker) waitsToStart(attempt *workerAttempt) bool {
+// awaitsStart reports whether the worker notifies starts and has not yet notified this one.
+func (w *worker) awaitsStart(attempt *workerAttempt) bool {
 	return w.notifiesStart && attempt.startedAt == 0
 }
 
 // progressDue returns when the next sign of progress of an attempt is due.
 func (w *worker) progressDue(attempt *workerAttempt) time.Duration {
 	switch {
-	case w.waitsToStart(attempt):
+	case w.awaitsStart(attempt):
 		return attempt.sentAt
 	case w.progressInterval > 0:
 		return max(attempt.sentAt, attempt.progressAt) + w.progressInterval
 	default:
-		return attempt.sentAt + seconds(overdueWork*attempt.work*max(1, w.pace))
+		return attempt.sentAt + seconds(unreportedRunFactor*attempt.work*max(1, w.pace))
 	}
 }
 
@@ -206,16 +206,16 @@
 			continue
 		}
 		if w.acceptanceOverdue(attempt) || w.progressOvertaken(attempt) {
-			w.loseAttempt(attempt)
+			w.markAttemptLost(attempt)
 			continue
 		}
-		if w.waitsToStart(attempt) {
+		if w.awaitsStart(attempt) {
 			w.recordLateStart(attempt)
 		}
 		silence := w.now - max(w.progressDue(attempt), w.lastProgress) - progressTimeout
 		longest = max(longest, silence)
 		if silence > tolerated {
-			w.eject(ejectSilent, true)
+			w.eject(ejectNoProgress, true)
 		}
 	}
 	return longest
@@ -223,7 +223,7 @@
 
 // toleratedSilence returns how long, in seconds, progress may be overdue before the worker is ejected.
 func (w *worker) toleratedSilence() float64 {
-	tolerated := overdueRuns * w.stats.runTime * max(1, w.pace)
+	tolerated := toleratedSilentRuns * w.stats.runTime * max(1, w.pace)
 	if w.lastReport.FreeSlots <= 0 {
 		// In thin traffic this scheduler has no other attempts there that show that a full worker
 		// still works. The worker's own queue explains the silence.
@@ -234,7 +234,7 @@
 
 // recordLateStart records, once, that an attempt did not start at once.
 func (w *worker) recordLateStart(attempt *workerAttempt) {
-	expected := attempt.sentAt + immediateStartSpan
+	expected := attempt.sentAt + immediateStartWindow
 	if w.now < expected || w.now >= expected+tickInterval {
 		return
 	}
@@ -272,7 +272,7 @@
 	if w.notifiesAccepted && !attempt.accepted {
 		next = min(next, attempt.sentAt+progressTimeout)
 	}
-	if expected := attempt.sentAt + immediateStartSpan; w.waitsToStart(attempt) && w.now < expected+tickInterval {
+	if expected := attempt.sentAt + immediateStartWindow; w.awaitsStart(attempt) && w.now < expected+tickInterval {
 		next = min(next, expected)
 	}
 	return next
--- a/dispatch/recorded_history_test.go
+++ b/dispatch/recorded_history_test.go
@@ -34,11 +34,11 @@
 
 // recordedReasons are the reasons of ejections as the recorded histories have them.
 var recordedReasons = map[ejectReason]string{
-	ejectRejects:     "turns away what others take",
-	ejectFails:       "fails what it gets",
-	ejectUnreachable: "can't be reached",
-	ejectUnanswered:  "probes go unanswered",
-	ejectSilent:      "silent",
+	ejectRejectsValidRequests: "turns away what others take",
+	ejectFailsAttempts:        "fails what it gets",
+	ejectUnreachable:          "can't be reached",
+	ejectChecksUnanswered:     "probes go unanswered",
+	ejectNoProgress:           "silent",
 }
 
 // recordedLine is a log line as the recorded histories have it.
--- a/dispatch/registry.go
+++ b/dispatch/registry.go
@@ -157,7 +157,7 @@
 	d.notifyWorker(index)
 	// At our own start too: whoever knew of the worker's start has forgotten it.
 	slowStart := d.now < endpoint.StartedAt+d.slowStartDuration
-	if restarted && slowStart && record.lotteryRank < slowStartWatchers {
+	if restarted && slowStart && record.lotteryRank < slowStartPoolRanks {
 		d.workerAt(index).send(joinPool{workerStats: workerStats{runTime: 1}})
 	}
 }
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -288,5 +288,5 @@
 // guardsProbation reports whether an invocation must not go to a worker because it is not
 // idempotent and the worker has just been reinstated.
 func (s *scheduler) guardsProbation(v *invocation, view *workerView) bool {
-	return s.operations[v.operation].effect == NonIdempotent && s.now < view.reinstatedAt+probationGuard
+	return s.operations[v.operation].effect == NonIdempotent && s.now < view.reinstatedAt+nonIdempotentHoldoff
 }
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -14,9 +14,9 @@
 // in a lottery share the budget. The lottery is drawn by a rendezvous hash of the worker's
 // incarnation.
 const (
-	// slowStartWatchers is how many schedulers, those with the lowest lottery ranks, keep a worker
+	// slowStartPoolRanks is how many schedulers, those with the lowest lottery ranks, keep a worker
 	// in slow start in their pools.
-	slowStartWatchers = 6
+	slowStartPoolRanks = 6
 	// lotteryBudgetShare is the part of the budget, in hinted cost, that is handed out where a lottery
 	// decides which schedulers share it.
 	lotteryBudgetShare = 1.25
@@ -26,12 +26,12 @@
 	minRunsPerShare = 1.5
 	// minSharers is the least number of schedulers that share a budget by lottery.
 	minSharers = 5
-	// firstSharers is how many schedulers get a third of the shared budget each; the others share
+	// topSharers is how many schedulers get a third of the shared budget each; the others share
 	// the last third.
-	firstSharers = 2
-	// busyFactor is how much work the schedulers that share a budget should have together, as a
+	topSharers = 2
+	// sharerLoadFactor is how much work the schedulers that share a budget should receive together, as a
 	// multiple of what keeps the worker busy.
-	busyFactor = 2
+	sharerLoadFactor = 2
 	// unmeasuredCostFactor multiplies hinted costs until results show how far the hints are off.
 	unmeasuredCostFactor = 3
 )
@@ -78,38 +78,38 @@
 
 // withinSlowStartBudget reports whether a worker in slow start stays within its budget if this
 // scheduler sends it work of the given cost and all other schedulers use their shares up.
-func (s *scheduler) withinSlowStartBudget(cost float64, v *workerView) bool {
+func (s *scheduler) withinSlowStartBudget(cost float64, view *workerView) bool {
 	// Fast first runs do not show that it can take as much work as a warm worker. It counts as no
 	// faster than is typical of its kind.
-	capacity := max(1, v.maxFree) / max(v.pace, cmp.Or(s.kindPace[v.kind], 1)/v.warmUpWeight)
+	capacity := max(1, view.maxFree) / max(view.pace, cmp.Or(s.kindPace[view.kind], 1)/view.warmUpWeight)
 	budget := s.overloadBudget * capacity
-	run := cmp.Or(s.stats.runTime, 1)
-	rank := float64(v.lotteryRank)
-	evenly := s.schedulers <= slowStartWatchers || budget >= minRunsPerShare*run*s.schedulers
+	runTime := cmp.Or(s.stats.runTime, 1)
+	rank := float64(view.lotteryRank)
+	evenly := s.schedulers <= slowStartPoolRanks || budget >= minRunsPerShare*runTime*s.schedulers
 	if rank < s.schedulers && evenly {
-		return s.schedulers*(v.budgetUsed+cost) <= evenBudgetShare*budget
+		return s.schedulers*(view.budgetUsed+cost) <= evenBudgetShare*budget
 	}
-	sharers := s.sharers(budget, run, capacity)
-	return rank < min(sharers, s.schedulers) && v.budgetUsed+cost <= s.budgetPart(budget, run, rank, sharers)
+	sharers := s.sharerCount(budget, runTime, capacity)
+	return rank < min(sharers, s.schedulers) && view.budgetUsed+cost <= s.budgetShare(budget, runTime, rank, sharers)
 }
 
-// sharers returns how many schedulers share a budget by lottery.
-func (s *scheduler) sharers(budget, run, capacity float64) float64 {
-	// The work that arrives here per second, averaged over this scheduler's whole lifetime, so that
+// sharerCount returns how many schedulers share a budget by lottery.
+func (s *scheduler) sharerCount(budget, runTime, capacity float64) float64 {
+	// The work that arrives here, averaged over this scheduler's whole lifetime, so that
 	// a jump in traffic does not change at once which schedulers share the budget.
-	work := run * max(1, s.admitted) / max(poolSpan, s.now).Seconds()
-	needed := min(busyFactor*capacity/work, firstSharers+lotteryBudgetShare*budget/(3*minRunsPerShare*run))
+	workPerSecond := runTime * max(1, s.admitted) / max(poolSpan, s.now).Seconds()
+	needed := min(sharerLoadFactor*capacity/workPerSecond, topSharers+lotteryBudgetShare*budget/(3*minRunsPerShare*runTime))
 	return max(minSharers, math.Floor(needed))
 }
 
-// budgetPart returns the share of the scheduler with a rank. The first ranks get large shares
+// budgetShare returns the share of the scheduler with a rank. The first ranks get large shares
 // because most of the work is in large invocations, none of which would fit into an even share. The
 // shares together may exceed the budget by a margin for random variation, which grows with the
 // square root of the number of runs and so is smaller in proportion for large budgets.
-func (s *scheduler) budgetPart(budget, run, rank, sharers float64) float64 {
-	third := min(lotteryBudgetShare*budget, budget+math.Sqrt(budget*run)) / 3
-	if rank < firstSharers {
+func (s *scheduler) budgetShare(budget, runTime, rank, sharers float64) float64 {
+	third := min(lotteryBudgetShare*budget, budget+math.Sqrt(budget*runTime)) / 3
+	if rank < topSharers {
 		return third
 	}
-	return third / max(1, min(sharers, s.schedulers)-firstSharers)
+	return third / max(1, min(sharers, s.schedulers)-topSharers)
 }
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -109,7 +109,7 @@
 	s.storeView(view)
 	for place := 0; len(s.pool) > int(s.poolSize) && place < len(s.pool); {
 		pooled := s.currentView(s.pool[place])
-		if pooled.lotteryRank >= slowStartWatchers || pooled.warmUpWeight == 1 {
+		if pooled.lotteryRank >= slowStartPoolRanks || pooled.warmUpWeight == 1 {
 			s.leavePool(place)
 			continue
 		}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -154,7 +154,7 @@
 	w.ownedHere = w.gossips && record.owner == w.self
 	w.state = record.State
 	if record.State == Gone {
-		w.loseAttempts(w.now)
+		w.markAttemptsLost(w.now)
 		return
 	}
 	if record.StartKnown && (!w.startKnown || record.StartedAt > w.startedAt) {
@@ -176,7 +176,7 @@
 	w.ejected = false
 	w.probationLeft = 0
 	w.checksMissed = 0
-	w.loseAttempts(at)
+	w.markAttemptsLost(at)
 }
 
 // joinPool adds the worker to the pool and asks for its load, by a health check or through its owner.
@@ -377,7 +377,7 @@
 	w.lastProgress = w.now
 	attempt.progressAt = w.now
 	if progress.Started {
-		if attempt.startedAt == 0 && w.now < attempt.sentAt+immediateStartSpan {
+		if attempt.startedAt == 0 && w.now < attempt.sentAt+immediateStartWindow {
 			w.scheduler.send(startObserved{immediate: 1})
 		}
 		attempt.startedAt = w.now
@@ -413,8 +413,8 @@
 		// check.
 		w.recheck = result == ConnectionBroken
 		w.consecutiveBreaks++
-		if !w.recheck || w.consecutiveBreaks >= probationRuns {
-			w.eject(ejectFails, false)
+		if !w.recheck || w.consecutiveBreaks >= probationSuccesses {
+			w.eject(ejectFailsAttempts, false)
 		}
 	case Cancelled: // it may run on: its slots stay reserved for as long as it would have run
 		attempt.endedAt = max(w.now, attempt.sentAt+seconds(attempt.work*max(0.5, w.pace)))
@@ -427,7 +427,7 @@
 	case Unreachable:
 		attempt.endedAt = attempt.sentAt
 		attempt.cost = 0
-		w.unreachable(attempt.sentAt)
+		w.attemptUnreachable(attempt.sentAt)
 	case NotSent:
 		attempt.endedAt = attempt.sentAt
 		attempt.cost = 0
