--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -122,7 +122,7 @@
 	id, worker := event.About()
 	invocation, open := d.invocationIndex[id]
 	if opensInvocation(event) && !open {
-		invocation = d.scheduler.newInvocation()
+		invocation = d.scheduler.allocateInvocation()
 		open = true
 		d.invocationIndex[id] = invocation
 	}
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -8,10 +8,10 @@
 const (
 	// maxHedgeShare bounds the number of hedged requests, as a share of all invocations.
 	maxHedgeShare = 0.2
-	// hedgeConfidence is the least confidence in a worker's load with which it gets a hedged
+	// minHedgeConfidence is the least confidence in a worker's load with which it gets a hedged
 	// request. Stale load reports show free slots that have been taken since, and hedged requests
 	// would be sent to them.
-	hedgeConfidence = 0.6
+	minHedgeConfidence = 0.6
 )
 
 // hedge sends second attempts of the invocations in the running set, in order of weight, as long as
@@ -23,10 +23,10 @@
 	for _, index := range running {
 		v := &s.invocations[index]
 		selected := s.selectWorker(v)
-		if len(s.queue) > 0 || !selected.roomy || !s.mayHedge() || !s.mayAttempt(v) {
+		if len(s.queue) > 0 || !selected.mostHaveFree || !s.mayHedge() || !s.mayAttempt(v) {
 			return
 		}
-		if selected.worker != noWorker && s.views[selected.worker].confidence > hedgeConfidence {
+		if selected.worker != noWorker && s.views[selected.worker].confidence > minHedgeConfidence {
 			s.hedges++
 			s.forward(index, selected.worker)
 		}
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -8,8 +8,8 @@
 	// immediateStartWindow bounds the delay with which an attempt still counts as started at once,
 	// that is without waiting in its worker's queue.
 	immediateStartWindow = 2 * tickInterval
-	// fastFailureLatency is the latency below which a failed health check may be a network fault and not the
-	// worker's.
+	// fastFailureLatency is the latency below which a failed health check may be a network fault
+	// and not the worker's.
 	fastFailureLatency = progressTimeout / 2
 	// maxRechecks bounds how many such failures in a row are checked again at once.
 	maxRechecks = 3
@@ -17,8 +17,8 @@
 	// minEjection and maxEjection bound the length of an ejection, which doubles each time.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 8 * time.Second
-	// maxCountedEjections caps the count of recent ejections, which determines the length of the next one
-	// and of the probation after it.
+	// maxCountedEjections caps the count of recent ejections, which determines the length of the
+	// next one and of the probation after it.
 	maxCountedEjections = 5
 	// reinstateChecks is how many health checks in a row an ejected worker must answer before it is
 	// reinstated.
@@ -29,11 +29,11 @@
 	// nonIdempotentHoldoff is how long after its reinstatement a worker gets no non-idempotent work.
 	nonIdempotentHoldoff = 1250 * time.Millisecond
 
-	// toleratedSilentRuns is the silence that is tolerated before a worker is ejected, in typical running
-	// times.
+	// toleratedSilentRuns is the silence that is tolerated before a worker is ejected, in typical
+	// running times.
 	toleratedSilentRuns = 3
-	// unreportedRunFactor is the time an attempt may take where its progress is not reported, as a multiple
-	// of its hinted cost.
+	// unreportedRunFactor is the time an attempt may take where its progress is not reported, as a
+	// multiple of its hinted cost.
 	unreportedRunFactor = 4
 )
 
@@ -79,7 +79,7 @@
 	w.rejectedUntil = 0
 	w.recordReport(load)
 	if load == nil && w.now > w.reportedAt+reportTimeout {
-		w.forgetReports()
+		w.discardReports()
 	}
 	w.reinstate(w.checksAnswered >= reinstateChecks)
 }
@@ -141,8 +141,8 @@
 	}
 }
 
-// markAttemptLost marks an attempt as lost and notifies the scheduler, once. A lost attempt is not judged
-// again: after a reinstatement only new work shows whether the worker works.
+// markAttemptLost marks an attempt as lost and notifies the scheduler, once. A lost attempt is not
+// judged again: after a reinstatement only new work shows whether the worker works.
 func (w *worker) markAttemptLost(attempt *workerAttempt) {
 	attempt.lost = true
 	w.scheduler.send(attemptStalled{invocation: attempt.invocation, number: attempt.number})
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -10,9 +10,9 @@
 const (
 	// minPoolSize is the size, in workers, that the pool starts with and does not shrink below.
 	minPoolSize = 16
-	// poolSpan limits the size of the pool to the number of workers that can be health checked
+	// poolCheckWindow limits the size of the pool to the number of workers that can be health checked
 	// within this time.
-	poolSpan = 8 * time.Second
+	poolCheckWindow = 8 * time.Second
 	// minChecksPerSecond is the rate of health checks, of all workers together, without any traffic.
 	minChecksPerSecond = 3
 	// checkBudgetPoints is how many points of the result the health checks beyond that rate may cost.
@@ -20,9 +20,9 @@
 	// statsInterval is how often the statistics of all workers are recomputed and the queue is
 	// ranked anew.
 	statsInterval = 5 * tickInterval
-	// immediateStartShare is the share of this scheduler's attempts that start at once above which
+	// minImmediateStartShare is the share of this scheduler's attempts that start at once above which
 	// there must be free capacity somewhere.
-	immediateStartShare = 0.15
+	minImmediateStartShare = 0.15
 	// lagFactor is the assumed age of a received load report, as a multiple of the measured lag.
 	lagFactor = 2
 )
@@ -94,7 +94,7 @@
 type workerStats struct {
 	lag         time.Duration // age of a load report when it is received
 	runTime     float64       // typical running time, in seconds
-	usualFree   float64       // typical free plus reserved slots of a worker
+	typicalFree float64       // typical free plus reserved slots of a worker
 	serviceTime float64       // median of the pooled workers' reports, in seconds
 	unmeasured  bool          // the interval between new load reports is not known yet
 }
@@ -127,7 +127,7 @@
 // tick spends health check credit, and begins an epoch when one is due.
 func (s *scheduler) tick() {
 	rate := minChecksPerSecond + s.paidChecksPerSecond()
-	s.poolSize = max(minPoolSize, min(s.poolSize, rate*poolSpan.Seconds()))
+	s.poolSize = max(minPoolSize, min(s.poolSize, rate*poolCheckWindow.Seconds()))
 	s.checkCredit += minChecksPerSecond * (s.now - s.creditedAt).Seconds()
 	s.creditedAt = s.now
 	epochDue := s.now >= s.refreshedAt+tickInterval
@@ -176,16 +176,16 @@
 	}
 	// With few reports a second, free slots may be missed: as long as some attempts start at once,
 	// there are free slots.
-	usualFree := s.freeSlots.quantile(median)
+	typicalFree := s.freeSlots.quantile(median)
 	fewReports := s.queriesPerInvocation == 0 || len(s.freeSlots) < sampleCount
-	if s.immediateStarts.mean() > immediateStartShare && fewReports {
-		usualFree = max(1, usualFree)
+	if s.immediateStarts.mean() > minImmediateStartShare && fewReports {
+		typicalFree = max(1, typicalFree)
 	}
 	s.statsUpdatedAt = s.now
 	s.stats = workerStats{
 		runTime:     cmp.Or(s.runTimes.mean(), 1),
 		unmeasured:  len(s.reportGaps) < sampleCount/2,
-		usualFree:   usualFree,
+		typicalFree: typicalFree,
 		serviceTime: service.quantile(median),
 		lag:         s.reportLag(),
 	}
@@ -197,8 +197,8 @@
 	return seconds(lagFactor * (progressTimeout.Seconds() + s.reportGaps.sum()) / (1 + s.reportChanges.sum()))
 }
 
-// learnKindPace records a pace measured at a worker of a kind.
-func (s *scheduler) learnKindPace(kind int, pace float64) {
+// recordKindPace records a pace measured at a worker of a kind.
+func (s *scheduler) recordKindPace(kind int, pace float64) {
 	paces := s.kindPaces[kind]
 	paces.add(pace)
 	s.kindPaces[kind] = paces
@@ -215,10 +215,10 @@
 // growPool adds a worker to the pool for an invocation that finds all pooled workers busy. It does
 // so less and less often while the invocation waits, as all workers may be busy.
 func (s *scheduler) growPool(v *invocation) {
-	if s.now < v.growAt {
+	if s.now < v.growPoolAt {
 		return
 	}
-	v.growAt = s.now + 2*tickInterval + 2*(s.now-v.arrivedAt)
+	v.growPoolAt = s.now + 2*tickInterval + 2*(s.now-v.arrivedAt)
 	s.poolSize++
 	for range max(1, s.queriesPerInvocation/2) {
 		s.dispatcher.send(poolRequest{
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -19,8 +19,9 @@
 	// wellServedShare is the served share from which on an operation does not count as the worst
 	// served.
 	wellServedShare = 0.95
-	// servedGap is how far the served share of the worst served operation must lie below the best one.
-	servedGap = 0.1
+	// minServedGap is how far the served share of the worst served operation must lie below the
+	// best one.
+	minServedGap = 0.1
 	// minWeightShare is a lower bound of the worst served operation's share of the offered weight.
 	// It limits how much the operation's weight is raised.
 	minWeightShare = 0.01
@@ -42,7 +43,7 @@
 	firstRequestAt time.Duration // estimated arrival of its client's first request
 	arrivedAt      time.Duration
 	deadline       time.Duration // its client timeout
-	growAt         time.Duration // when the pool may next grow for this invocation
+	growPoolAt     time.Duration // when the pool may next grow for this invocation
 
 	budgetCost    float64 // use of a slow-start budget, in seconds
 	effectiveSize float64 // work plus deviationWeight standard deviations of it
@@ -70,8 +71,8 @@
 	badRequest bool // the worker refused it as a bad request
 }
 
-// newInvocation returns the index of an unused invocation record.
-func (s *scheduler) newInvocation() (index int) {
+// allocateInvocation returns the index of an unused invocation record.
+func (s *scheduler) allocateInvocation() (index int) {
 	if count := len(s.freeInvocations); count > 0 {
 		index = s.freeInvocations[count-1]
 		s.freeInvocations = s.freeInvocations[:count-1]
@@ -139,8 +140,8 @@
 	v.effectiveSize = v.work * (1 + deviationWeight*s.operations[v.operation].costRatios.spread())
 	v.budgetCost = s.expectedCost(v)
 	s.updateRank(v)
-	place := sort.Search(len(s.queue), func(n int) bool { return s.invocations[s.queue[n]].rank < v.rank })
-	s.queue = slices.Insert(s.queue, place, index)
+	position := sort.Search(len(s.queue), func(n int) bool { return s.invocations[s.queue[n]].rank < v.rank })
+	s.queue = slices.Insert(s.queue, position, index)
 }
 
 func (s *scheduler) dequeue(index int) {
@@ -193,19 +194,19 @@
 func (s *scheduler) findWorstOperation() {
 	s.offeredWeight = 0
 	s.worstOperation = noOperation
-	least := wellServedShare
-	most := 0.0
+	worstServed := wellServedShare
+	bestServed := 0.0
 	for index := range s.operations {
 		operation := &s.operations[index]
 		s.offeredWeight += operation.weight * operation.arrived
 		served := operation.served.mean()
-		most = max(most, served)
-		if len(operation.served) > 0 && served < least {
-			least = served
+		bestServed = max(bestServed, served)
+		if len(operation.served) > 0 && served < worstServed {
+			worstServed = served
 			s.worstOperation = index
 		}
 	}
-	if least > most-servedGap {
+	if worstServed > bestServed-minServedGap {
 		s.worstOperation = noOperation
 	}
 }
@@ -214,17 +215,17 @@
 // pace to still finish in time.
 func (s *scheduler) slack(v *invocation, pace float64) time.Duration {
 	operation := &s.operations[v.operation]
-	return operation.objective + seconds(waitShare*v.work*(medianHintRatio*operation.stretch-pace))
+	return operation.objective + seconds(maxWaitShare*v.work*(medianHintRatio*operation.stretch-pace))
 }
 
 // isLate reports whether an invocation that has waited since a time is too late for any worker. It
 // is never late before its latency objective, as the estimated paces may be wrong.
 func (s *scheduler) isLate(v *invocation, since time.Duration) bool {
-	most := s.operations[v.operation].objective
+	limit := s.operations[v.operation].objective
 	if len(s.pool) > 0 {
-		most = max(most, s.slack(v, s.summary.fastestPace))
+		limit = max(limit, s.slack(v, s.summary.fastestPace))
 	}
-	return s.now-since > most
+	return s.now-since > limit
 }
 
 // cannotMeetDeadline reports whether an answer would come too late: after the latency objective,
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -260,6 +260,6 @@
 	view := s.currentView(worker)
 	operation.hintErrors.add(runTime / (v.work * view.pace))
 	if view.warmUpWeight == 1 {
-		s.learnKindPace(view.kind, runTime/v.work)
+		s.recordKindPace(view.kind, runTime/v.work)
 	}
 }
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -17,11 +17,11 @@
 	defaultStaleQueueShare = 0.5
 	// medianHintRatio is the median ratio of running time to hinted cost over all work.
 	medianHintRatio = 1.4
-	// waitShare is the part of an invocation's slack that it may spend waiting.
-	waitShare = 0.5
-	// surePaceFactor is the safety margin with which a worker counts as certain to finish in time:
+	// maxWaitShare is the part of an invocation's slack that it may spend waiting.
+	maxWaitShare = 0.5
+	// paceSafetyFactor is the safety margin with which a worker counts as certain to finish in time:
 	// it would do so even if it were slower by this factor.
-	surePaceFactor = 1.5
+	paceSafetyFactor = 1.5
 	// minConfidence is the confidence in a worker's load below which it is left out while owners
 	// answer.
 	minConfidence = 0.6
@@ -30,9 +30,9 @@
 // Preferences among workers with capacity, in slots. The two large ones exceed the usual
 // differences in free slots; zonePreference only decides between equals.
 const (
-	surePreference  = minPoolSize * minPoolSize
-	ownedPreference = minPoolSize
-	zonePreference  = 0.5
+	inTimePreference = minPoolSize * minPoolSize
+	ownedPreference  = minPoolSize
+	zonePreference   = 0.5
 )
 
 // noWorker is the index that stands for no worker.
@@ -40,8 +40,8 @@
 
 // selection is the worker selected for an invocation.
 type selection struct {
-	worker int  // or noWorker
-	roomy  bool // more than half of the pooled workers have free slots
+	worker       int  // or noWorker
+	mostHaveFree bool // more than half of the pooled workers have free slots
 }
 
 // schedule is the scheduling step of SRPTMS+C: it determines the running set, releases invocations
@@ -55,16 +55,16 @@
 		s.summarizePool()
 	}
 	checksPending := slices.ContainsFunc(s.pool, func(worker int) bool { return s.views[worker].checkPending })
-	above := 0.0
+	weightAhead := 0.0
 	var running []int
-	for place := 0; place < len(s.queue); {
-		index := s.queue[place]
+	for position := 0; position < len(s.queue); {
+		index := s.queue[position]
 		v := &s.invocations[index]
-		inRunningSet := above < runningSetShare*total
-		above += v.weight
+		inRunningSet := weightAhead < runningSetShare*total
+		weightAhead += v.weight
 		switch s.release(index, checksPending) {
 		case staysQueued:
-			place++
+			position++
 		case forwarded:
 			if inRunningSet && s.operations[v.operation].effect == Idempotent && len(v.attempts) == 1 {
 				running = append(running, index)
@@ -72,7 +72,7 @@
 		}
 	}
 	s.hedge(running)
-	s.planTimer()
+	s.requestTimer()
 }
 
 // releaseResult is what became of a queued invocation in a scheduling step.
@@ -104,8 +104,8 @@
 	return forwarded
 }
 
-// planTimer requests a timer for when time alone may change a decision.
-func (s *scheduler) planTimer() {
+// requestTimer requests a timer for when time alone may change a decision.
+func (s *scheduler) requestTimer() {
 	next := s.now + seconds(max(0, 1-s.checkCredit/minChecksPerSecond))
 	if len(s.queue) > 0 || s.now < s.forwardedAt+2*tickInterval {
 		next = min(next, s.now+tickInterval)
@@ -174,16 +174,16 @@
 // selectWorker selects the candidate with the highest score, and among equals the fastest one. It
 // starts at a random candidate, so that ties are broken at random.
 func (s *scheduler) selectWorker(v *invocation) selection {
-	selected := selection{worker: noWorker, roomy: 2*s.summary.withFree > s.summary.pooled}
+	selected := selection{worker: noWorker, mostHaveFree: 2*s.summary.withFree > s.summary.pooled}
 	if len(s.candidates) == 0 {
 		return selected
 	}
 	r := s.requirementsOf(v)
 	limits := s.timeLimits(v, r)
 	best := candidate{worker: noWorker}
-	from := s.rng.Intn(len(s.candidates))
+	start := s.rng.Intn(len(s.candidates))
 	for n := range s.candidates {
-		worker := s.candidates[(from+n)%len(s.candidates)]
+		worker := s.candidates[(start+n)%len(s.candidates)]
 		view := &s.views[worker].workerView
 		if !r.matches(view.kind, view.zone, view.cell) || !s.isEligible(v, worker, view) {
 			continue
@@ -203,9 +203,9 @@
 
 // timeLimits are the limits that the time an invocation has waited sets for the selection of a worker.
 type timeLimits struct {
-	waited time.Duration // since its arrival
-	timely bool          // it is better queued for a worker that can finish in time than sent to one that cannot
-	latest time.Duration // time left to the latency objective, assuming the median running time for its hint
+	waited       time.Duration // since its arrival
+	mustBeInTime bool          // it is better queued for a worker that can finish in time than sent to one that cannot
+	timeLeft     time.Duration // time left to the latency objective, assuming the median running time for its hint
 }
 
 func (s *scheduler) timeLimits(v *invocation, r requirements) timeLimits {
@@ -213,9 +213,9 @@
 	waited := s.now - v.arrivedAt
 	return timeLimits{
 		waited: waited,
-		timely: len(v.attempts) == 0 && r.kind < 0 &&
+		mustBeInTime: len(v.attempts) == 0 && r.kind < 0 &&
 			(operation.countsLate || waited <= s.slack(v, s.summary.fastestPace)),
-		latest: operation.objective + seconds(medianHintRatio*operation.stretch*v.work) - waited,
+		timeLeft: operation.objective + seconds(medianHintRatio*operation.stretch*v.work) - waited,
 	}
 }
 
@@ -227,13 +227,13 @@
 	inTime := s.operations[v.operation].countsLate || left >= 0
 	// A stale report does not show the slots that have become free since: work that can wait may
 	// queue there.
-	waitable := max(0, min(1, left.Seconds()/s.stats.runTime))
-	capacity := score + s.staleQueueShare*(1-view.confidence)*view.maxFree*waitable
-	if capacity < v.slots+v.reserve || limits.timely && !inTime {
+	queueableShare := max(0, min(1, left.Seconds()/s.stats.runTime))
+	capacity := score + s.staleQueueShare*(1-view.confidence)*view.maxFree*queueableShare
+	if capacity < v.slots+v.reserve || limits.mustBeInTime && !inTime {
 		return 0, false
 	}
-	if seconds(v.work*view.pace*surePaceFactor) <= limits.latest {
-		score += surePreference // ahead of workers that may be too slow
+	if seconds(v.work*view.pace*paceSafetyFactor) <= limits.timeLeft {
+		score += inTimePreference // ahead of workers that may be too slow
 	}
 	if view.hasOwnedCapacity(v) {
 		score += ownedPreference // slots that other owners report may be taken before the attempt arrives
@@ -261,8 +261,8 @@
 
 // hasOwnedCapacity reports whether this scheduler, as the owner of the worker's load data, knows
 // that the worker has capacity for an invocation.
-func (v *workerView) hasOwnedCapacity(j *invocation) bool {
-	return v.ownedHere && v.warmUpWeight == 1 && v.free >= j.slots
+func (view *workerView) hasOwnedCapacity(v *invocation) bool {
+	return view.ownedHere && view.warmUpWeight == 1 && view.free >= v.slots
 }
 
 // isEligible reports whether a worker may get an invocation, regardless of its free slots.
@@ -273,7 +273,7 @@
 			return false
 		}
 	}
-	if view.onProbation && (view.inFlight > 0 || s.guardsProbation(v, view)) {
+	if view.onProbation && (view.inFlight > 0 || s.withheldOnProbation(v, view)) {
 		return false
 	}
 	attempted := slices.ContainsFunc(v.attempts, func(attempt requestAttempt) bool {
@@ -285,8 +285,8 @@
 	return view.warmUpWeight == 1 || s.withinSlowStartBudget(v.budgetCost, view)
 }
 
-// guardsProbation reports whether an invocation must not go to a worker because it is not
+// withheldOnProbation reports whether an invocation must not go to a worker because it is not
 // idempotent and the worker has just been reinstated.
-func (s *scheduler) guardsProbation(v *invocation, view *workerView) bool {
+func (s *scheduler) withheldOnProbation(v *invocation, view *workerView) bool {
 	return s.operations[v.operation].effect == NonIdempotent && s.now < view.reinstatedAt+nonIdempotentHoldoff
 }
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -29,8 +29,8 @@
 	// topSharers is how many schedulers get a third of the shared budget each; the others share
 	// the last third.
 	topSharers = 2
-	// sharerLoadFactor is how much work the schedulers that share a budget should receive together, as a
-	// multiple of what keeps the worker busy.
+	// sharerLoadFactor is how much work the schedulers that share a budget should receive together,
+	// as a multiple of what keeps the worker busy.
 	sharerLoadFactor = 2
 	// unmeasuredCostFactor multiplies hinted costs until results show how far the hints are off.
 	unmeasuredCostFactor = 3
@@ -97,7 +97,7 @@
 func (s *scheduler) sharerCount(budget, runTime, capacity float64) float64 {
 	// The work that arrives here, averaged over this scheduler's whole lifetime, so that
 	// a jump in traffic does not change at once which schedulers share the budget.
-	workPerSecond := runTime * max(1, s.admitted) / max(poolSpan, s.now).Seconds()
+	workPerSecond := runTime * max(1, s.admitted) / max(poolCheckWindow, s.now).Seconds()
 	needed := min(sharerLoadFactor*capacity/workPerSecond, topSharers+lotteryBudgetShare*budget/(3*minRunsPerShare*runTime))
 	return max(minSharers, math.Floor(needed))
 }
--- a/dispatch/stats.go
+++ b/dispatch/stats.go
@@ -11,9 +11,9 @@
 // Quantiles.
 const (
 	median = 0.5
-	// oneDeviation is the quantile that lies one standard deviation above the median of a normal
-	// distribution.
-	oneDeviation = 0.84
+	// oneDeviationAboveMedian is the quantile that lies one standard deviation above the median of
+	// a normal distribution.
+	oneDeviationAboveMedian = 0.84
 )
 
 // samples holds the last sampleCount values of a measurement, oldest first.
@@ -38,17 +38,17 @@
 
 // quantile is 0 where nothing was measured. Quantiles are used where one heavy invocation would
 // distort a mean.
-func (s samples) quantile(part float64) float64 {
+func (s samples) quantile(fraction float64) float64 {
 	var sorted [sampleCount + 1]float64
 	slices.Sort(sorted[:copy(sorted[:], s)])
-	return sorted[int(part*float64(len(s)))]
+	return sorted[int(fraction*float64(len(s)))]
 }
 
 // spread estimates the standard deviation.
-func (s samples) spread() float64 { return s.quantile(oneDeviation) - s.quantile(median) }
+func (s samples) spread() float64 { return s.quantile(oneDeviationAboveMedian) - s.quantile(median) }
 
 // last returns the newest samples, at most the given number of them.
-func (s samples) last(most int) samples { return s[max(0, len(s)-most):] }
+func (s samples) last(count int) samples { return s[max(0, len(s)-count):] }
 
 // joinSamples appends newer samples to older ones and keeps the last sampleCount.
 func joinSamples(older []float64, newer samples) samples {
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -13,9 +13,9 @@
 // brought up to the last epoch that applies to it when it is read or before the worker's state
 // changes.
 
-// ownedRejoinSpan is how long after it joined the pool a worker in slow start, which only few
+// slowStartRecheckInterval is how long after it joined the pool a worker in slow start, which only few
 // schedulers may use, is asked for its load again.
-const ownedRejoinSpan = poolSpan / 4
+const slowStartRecheckInterval = poolCheckWindow / 4
 
 // never is a time that is not reached.
 const never = time.Duration(math.MaxInt64)
@@ -25,7 +25,7 @@
 	number int
 	at     time.Duration
 	workerStats
-	kindPace map[int]float64 // read-only: learnKindPace and setKindPace replace the scheduler's map
+	kindPace map[int]float64 // read-only: recordKindPace and setKindPace replace the scheduler's map
 }
 
 // viewEntry is the scheduler's view of one worker.
@@ -107,14 +107,14 @@
 func (s *scheduler) updateView(view *workerView) {
 	view.estimatePace(s.kindPace, s.stats)
 	s.storeView(view)
-	for place := 0; len(s.pool) > int(s.poolSize) && place < len(s.pool); {
-		pooled := s.currentView(s.pool[place])
+	for position := 0; len(s.pool) > int(s.poolSize) && position < len(s.pool); {
+		pooled := s.currentView(s.pool[position])
 		if pooled.lotteryRank >= slowStartPoolRanks || pooled.warmUpWeight == 1 {
-			s.leavePool(place)
+			s.leavePool(position)
 			continue
 		}
-		place++
-		if s.now > pooled.pooledAt+ownedRejoinSpan { // this is one of the few schedulers that may use it
+		position++
+		if s.now > pooled.pooledAt+slowStartRecheckInterval { // this is one of the few schedulers that may use it
 			s.dispatcher.records[pooled.index].worker.send(joinPool{workerStats: s.stats})
 		}
 	}
@@ -143,11 +143,11 @@
 
 // leavePool removes a worker from the pool. Its view is brought up to date first, as epochs that
 // apply only to pooled workers no longer apply to it.
-func (s *scheduler) leavePool(place int) {
-	worker := s.pool[place]
+func (s *scheduler) leavePool(position int) {
+	worker := s.pool[position]
 	s.currentView(worker)
 	s.views[worker].pooled = false
-	s.pool = slices.Delete(s.pool, place, place+1)
+	s.pool = slices.Delete(s.pool, position, position+1)
 }
 
 // beginEpoch records a new epoch. Only workers for which something is due are sent a refresh; for
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -10,12 +10,12 @@
 const (
 	// freeSampleCount is how many load reports the estimate of a worker's free slots is based on.
 	freeSampleCount = 8
-	// usualSampleWeight is the weight of the pool's typical free slots in that estimate, in load
+	// typicalSampleWeight is the weight of the pool's typical free slots in that estimate, in load
 	// reports.
-	usualSampleWeight = 6
-	// reportPairSpan bounds the gap between two load reports of a worker that are compared to find
+	typicalSampleWeight = 6
+	// reportPairWindow bounds the gap between two load reports of a worker that are compared to find
 	// out how often new reports are made.
-	reportPairSpan = 10 * tickInterval
+	reportPairWindow = 10 * tickInterval
 	// repeatedReportLags is the time, in report lags, within which an unchanged report counts as
 	// the same one received again.
 	repeatedReportLags = 5
@@ -27,11 +27,11 @@
 	minRunTime = 0.1
 	// minServiceTime, in seconds, keeps the pace of a worker finite where no service time is reported.
 	minServiceTime = 1e-6
-	// maxServiceRatio bounds the ratio of a worker's reported service time to the pool's.
-	maxServiceRatio = 8
-	// slowServiceRatio is the ratio to the pool's service time above which a reported one shows a slow
-	// worker.
-	slowServiceRatio = 2
+	// maxServiceTimeRatio bounds the ratio of a worker's reported service time to the pool's.
+	maxServiceTimeRatio = 8
+	// slowServiceTimeRatio is the ratio to the pool's service time above which a reported one shows
+	// a slow worker.
+	slowServiceTimeRatio = 2
 )
 
 // worker is what this scheduler knows about one worker. Messages to it are handled one at a time;
@@ -158,15 +158,15 @@
 		return
 	}
 	if record.StartKnown && (!w.startKnown || record.StartedAt > w.startedAt) {
-		w.restarted(record.StartedAt)
+		w.resetAfterRestart(record.StartedAt)
 	}
 	w.zone = record.Zone
 	w.kind = record.Kind
 	w.cell = record.Cell
 }
 
-// restarted discards what was measured of the previous incarnation.
-func (w *worker) restarted(at time.Duration) {
+// resetAfterRestart discards what was measured of the previous incarnation.
+func (w *worker) resetAfterRestart(at time.Duration) {
 	w.startKnown = true
 	w.startedAt = at
 	w.freeSamples = nil
@@ -268,8 +268,8 @@
 	// pool's typical value counts.
 	age := max(0, now-w.freeSampledAt).Seconds()
 	w.confidence = math.Exp(-age / max(w.stats.runTime, minRunTime))
-	faded := w.stats.usualFree + w.freeSamples.sum()/float64(count+usualSampleWeight)
-	w.free = math.Round(min(w.confidence*w.lastFree+(1-w.confidence)*faded-w.reserved, w.maxFree))
+	decayed := w.stats.typicalFree + w.freeSamples.sum()/float64(count+typicalSampleWeight)
+	w.free = math.Round(min(w.confidence*w.lastFree+(1-w.confidence)*decayed-w.reserved, w.maxFree))
 }
 
 // estimateActivity sets whether the worker needs each epoch, and how much of this scheduler's share
@@ -299,7 +299,7 @@
 	gap := w.now - w.reportedAt
 	w.lastReport = *load
 	w.reportedAt = w.now
-	if gap < reportPairSpan && !first {
+	if gap < reportPairWindow && !first {
 		pair := reportPair{gap: gap.Seconds()}
 		if changed {
 			pair.changed = 1
@@ -314,11 +314,11 @@
 	w.maxFree = max(w.maxFree, free)
 	w.serviceTime = load.ServiceTime
 	w.recordFreeSlots(w.now-w.stats.lag, free)
-	w.forgetAttempts(w.now - max(w.stats.lag, w.overloadWindow))
+	w.pruneAttempts(w.now - max(w.stats.lag, w.overloadWindow))
 }
 
-// forgetAttempts removes the attempts that ended before a time.
-func (w *worker) forgetAttempts(oldest time.Duration) {
+// pruneAttempts removes the attempts that ended before a time.
+func (w *worker) pruneAttempts(oldest time.Duration) {
 	w.attempts = slices.DeleteFunc(w.attempts, func(attempt workerAttempt) bool {
 		return attempt.endedAt != 0 && attempt.endedAt < oldest
 	})
@@ -333,7 +333,7 @@
 	if !w.ownedHere {
 		// The sample is the difference from the pool's typical value: once all workers have filled
 		// up or emptied, the absolute values of old reports are no longer valid.
-		w.freeSamples.add(w.lastFree - w.stats.usualFree)
+		w.freeSamples.add(w.lastFree - w.stats.typicalFree)
 	} else if w.showsCapacity(capacity, free) {
 		w.freeSamples.add(capacity)
 	}
@@ -355,9 +355,9 @@
 		capacity < w.freeSamples.quantile(median)
 }
 
-// forgetReports discards the load reports of a worker that has stopped reporting. Its former free
+// discardReports discards the load reports of a worker that has stopped reporting. Its former free
 // slots are no longer valid, and this scheduler's own counts are used instead.
-func (w *worker) forgetReports() {
+func (w *worker) discardReports() {
 	w.freeSamples = nil
 	w.free = 0
 	w.maxFree = 0
@@ -456,10 +456,10 @@
 // estimatePace sets the pace that the scheduler assumes for the worker. Without results, it is
 // estimated from the worker's kind and its reports, which in thin traffic may show a slow worker
 // long before results do.
-func (v *workerView) estimatePace(kindPace map[int]float64, stats workerStats) {
-	if v.pace == 0 {
-		usual := max(stats.serviceTime, v.serviceTime/maxServiceRatio, minServiceTime)
-		v.pace = cmp.Or(kindPace[v.kind], 1) * max(1, v.serviceTime/usual/slowServiceRatio)
+func (view *workerView) estimatePace(kindPace map[int]float64, stats workerStats) {
+	if view.pace == 0 {
+		typical := max(stats.serviceTime, view.serviceTime/maxServiceTimeRatio, minServiceTime)
+		view.pace = cmp.Or(kindPace[view.kind], 1) * max(1, view.serviceTime/typical/slowServiceTimeRatio)
 	}
-	v.pace /= v.warmUpWeight
+	view.pace /= view.warmUpWeight
 }
