--- a/dispatch/mailbox.go
+++ b/dispatch/mailbox.go
@@ -185,7 +185,7 @@
 // rejectedValidRequest notifies a worker that another worker ran a request that it called bad.
 type rejectedValidRequest struct{}
 
-func (rejectedValidRequest) deliverToWorker(w *worker) { w.eject(ejectRejects, false) }
+func (rejectedValidRequest) deliverToWorker(w *worker) { w.eject(ejectRejectsValidRequests, false) }
 
 // attemptStalled notifies the scheduler that an attempt is not expected to be answered in time.
 type attemptStalled struct {
--- a/dispatch/recorded_history_test.go
+++ b/dispatch/recorded_history_test.go
@@ -34,11 +34,11 @@
 
 // recordedReasons holds the texts of ejection reasons in the recorded histories.
 var recordedReasons = map[ejectReason]string{
-	ejectRejects:     "turns away what others take",
-	ejectFails:       "fails what it gets",
-	ejectUnreachable: "can't be reached",
-	ejectUnanswered:  "probes go unanswered",
-	ejectSilent:      "silent",
+	ejectRejectsValidRequests: "turns away what others take",
+	ejectFailsAttempts:        "fails what it gets",
+	ejectUnreachable:          "can't be reached",
+	ejectChecksUnanswered:     "probes go unanswered",
+	ejectNoProgress:           "silent",
 }
 
 // recordedLine returns the text of a log line in the recorded histories.
--- a/dispatch/registry.go
+++ b/dispatch/registry.go
@@ -165,7 +165,7 @@
 	// This also applies when this scheduler starts: schedulers that restart have forgotten which
 	// workers are in slow start.
 	slowStart := d.now < endpoint.StartedAt+d.slowStartDuration
-	if restarted && slowStart && record.lotteryRank < slowStartWatchers {
+	if restarted && slowStart && record.lotteryRank < slowStartPoolRanks {
 		d.workerAt(index).send(joinPool{workerStats: workerStats{runTime: 1}})
 	}
 }
