--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -44,7 +44,7 @@
 	Operations           []Operation
 	Tenants              []Tenant
 	ExcessValue          float64       // weight of a tenant's work beyond its quota, as a fraction of the normal weight
-	EndpointsPushed      bool          // endpoint updates arrive unasked; otherwise the list is polled
+	EndpointsPushed      bool          // endpoint updates are pushed; otherwise the list is polled
 	NotifiesStart        bool          // workers report that an attempt has started
 	NotifiesAccepted     bool          // workers report that they have accepted an attempt
 	ProgressInterval     time.Duration // interval of workers' progress reports; 0: workers send none
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -28,7 +28,7 @@
 
 	// Order of health checks.
 	checkOrder      []int // indices of workers, in random order
-	nextCheck       int
+	nextCheck       int   // position of the next worker in checkOrder
 	checksRequested int
 
 	// Gossip.
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -15,7 +15,7 @@
 // up with Throttle or Fail.
 //
 // This ordinary path follows the SRPTMS+C algorithm: effective size, rank, running set, release in
-// rank order, hedged requests. The package departs from it in six points, each described in
+// rank order, hedged requests. The package departs from it in six ways, each described in
 // docs/design.md:
 //
 //  1. Ejection and probation: the outcomes of this scheduler's own attempts also decide whether a
--- a/dispatch/gossip.go
+++ b/dispatch/gossip.go
@@ -184,7 +184,7 @@
 		number:     int(message.Serial),
 		slots:      1,
 		sentAt:     w.now,
-		endedAt:    w.now + maxEjection,
+		endedAt:    w.now + maxEjection, // in case its end is never reported
 	})
 }
 
@@ -218,8 +218,8 @@
 	w.sendGossip(w.owner, GossipEntry{Kind: GossipCapacityQuery, Tag: w.tag})
 }
 
-// answerCapacityQuery tells another scheduler how many slots are free. Schedulers that were told of the
-// same slot shortly before may also take it, so recent queries reduce the number.
+// answerCapacityQuery tells another scheduler how many slots are free. Schedulers that were told of
+// the same slot shortly before may also take it, so recent queries reduce the number.
 func (w *worker) answerCapacityQuery(to int) {
 	w.recentQueries.add(w.now.Seconds())
 	for w.recentQueries[0] < (w.now - recentQueryWindow).Seconds() {
--- a/dispatch/gossip_codec.go
+++ b/dispatch/gossip_codec.go
@@ -73,8 +73,8 @@
 	return message
 }
 
-// DecodeGossip decodes a message. ok is false, and no entry is returned, if the message has another
-// version, is cut short or is too long.
+// DecodeGossip decodes a message. ok is false, and no entry is returned, if any part of the message
+// is malformed, has another version or is cut short, or if the message is empty or too long.
 func DecodeGossip(message []byte) (entries []GossipEntry, ok bool) {
 	if len(message) == 0 || len(message) > MaxGossipBytes {
 		return nil, false
--- a/dispatch/gossip_test.go
+++ b/dispatch/gossip_test.go
@@ -55,8 +55,8 @@
 		append(slices.Clone(message), 0xff),
 		make([]byte, MaxGossipBytes+1),
 	}
-	for _, wrong := range malformed {
-		_, ok := DecodeGossip(wrong)
+	for _, message := range malformed {
+		_, ok := DecodeGossip(message)
 		fmt.Print(" ", ok)
 	}
 	fmt.Println()
@@ -64,13 +64,13 @@
 	for n := range many {
 		many[n] = GossipEntry{Kind: GossipAttemptStarted, Serial: uint8(n), Tag: 3}
 	}
-	var back []GossipEntry
+	var decoded []GossipEntry
 	for _, message := range EncodeGossip(many) {
 		part, ok := DecodeGossip(message)
 		fmt.Print(len(message), " ", ok, ", ")
-		back = append(back, part...)
+		decoded = append(decoded, part...)
 	}
-	fmt.Println(slices.Equal(back, many))
+	fmt.Println(slices.Equal(decoded, many))
 	// Output:
 	// 404d34120750075fffff600100fe true true
 	//  0:0 false 1:1 true 2:0 false 3:0 false 4:0 false 5:2 true 6:0 false 7:3 true 8:0 false 9:0 false 10:4 true 11:0 false 12:0 false 13:0 false
--- a/dispatch/mailbox.go
+++ b/dispatch/mailbox.go
@@ -200,10 +200,10 @@
 
 func (m startObserved) deliverToScheduler(s *scheduler) { s.immediateStarts.add(m.immediate) }
 
-// reportPair tells the scheduler about two consecutive answers of a worker.
+// reportPair tells the scheduler about two consecutive load reports of a worker.
 type reportPair struct {
 	gap     float64 // seconds between them
-	changed float64 // 1: the second answer had a new load report; otherwise 0
+	changed float64 // 1: the second report differed from the first; otherwise 0
 }
 
 func (m reportPair) deliverToScheduler(s *scheduler) {
--- a/dispatch/random_history_test.go
+++ b/dispatch/random_history_test.go
@@ -56,16 +56,16 @@
 		case HealthCheck:
 			h.pendingChecks = append(h.pendingChecks, a.Worker)
 		case Forward:
-			h.forward(a)
+			h.checkForward(a)
 		case Throttle:
-			inv := h.answered(a.Invocation)
+			inv := h.closeInvocation(a.Invocation)
 			operation := h.config.Operations[inv.operation]
 			repeatable := operation.Effect == Idempotent || operation.Effect == Deduplicated && operation.DedupScope == ScopeAll
 			if inv.firstThatMayHaveRun() != nil && !repeatable {
 				h.Fatal(h.now, a, "throttled, though it may have run and must not be repeated")
 			}
 		case Fail:
-			h.answered(a.Invocation)
+			h.closeInvocation(a.Invocation)
 		case Cancel:
 			if attempt := &h.invocations[a.Invocation].attempts[a.Attempt]; attempt.inFlight {
 				h.handle(h.outcome(a.Invocation, a.Attempt, Cancelled))
@@ -74,8 +74,8 @@
 	}
 }
 
-// answered closes an invocation and fails the test if it is closed already.
-func (h *randomHistory) answered(id InvocationID) *historyInvocation {
+// closeInvocation closes an invocation and fails the test if it is closed already.
+func (h *randomHistory) closeInvocation(id InvocationID) *historyInvocation {
 	inv := h.invocations[id]
 	if inv.closed {
 		h.Fatal(h.now, id, "answered twice, or after its client disconnected")
@@ -85,8 +85,8 @@
 	return inv
 }
 
-// forward checks an attempt against all rules and then records it as in flight.
-func (h *randomHistory) forward(forward Forward) {
+// checkForward checks an attempt against all rules and then records it as in flight.
+func (h *randomHistory) checkForward(forward Forward) {
 	inv := h.invocations[forward.Invocation]
 	operation := h.config.Operations[inv.operation]
 	first := inv.firstThatMayHaveRun()
@@ -115,7 +115,7 @@
 	case operation.Effect == NonIdempotent:
 		h.Fatal(h.now, forward, "sent again, though non-idempotent and an attempt may have run")
 	case h.now >= first.sentAt+operation.DedupWindow || forward.NotAfter != first.sentAt+operation.DedupWindow:
-		h.Fatal(h.now, forward, "sent after its deduplication window, or with a wrong NotAfter; first attempt and window:", first.sentAt, operation.DedupWindow)
+		h.Fatal(h.now, forward, "sent after its window, or with a wrong NotAfter; first attempt and window:", first.sentAt, operation.DedupWindow)
 	case operation.DedupScope != ScopeAll && h.zones[forward.Worker] != first.zone:
 		h.Fatal(h.now, forward, "sent outside its deduplication scope")
 	default:
--- a/dispatch/recorded_history_test.go
+++ b/dispatch/recorded_history_test.go
@@ -27,9 +27,9 @@
 // recordedText returns the text of an action in the recorded histories.
 func recordedText(action Action) string {
 	if line, isLog := action.(Log); isLog {
-		return recordedName(action) + "{" + recordedLine(line) + "}"
+		return recordedTypeName(action) + "{" + recordedLogLine(line) + "}"
 	}
-	return fmt.Sprintf("%s%v", recordedName(action), action)
+	return fmt.Sprintf("%s%v", recordedTypeName(action), action)
 }
 
 // recordedReasons holds the texts of ejection reasons in the recorded histories.
@@ -41,8 +41,8 @@
 	ejectNoProgress:           "silent",
 }
 
-// recordedLine returns the text of a log line in the recorded histories.
-func recordedLine(line Log) string {
+// recordedLogLine returns the text of a log line in the recorded histories.
+func recordedLogLine(line Log) string {
 	switch line.Message {
 	case logWorkerEjected:
 		return fmt.Sprintf("worker %v is set aside: %s", line.Worker, recordedReasons[ejectReason(line.Reason)])
@@ -52,9 +52,9 @@
 	return fmt.Sprintf("list call failed or subscription lost, asking again at %v", line.RetryAt)
 }
 
-// recordedName returns the name of an action's type in the recorded histories, which does not change
+// recordedTypeName returns the name of an action's type in the recorded histories, which does not change
 // when the type is renamed.
-func recordedName(action Action) string {
+func recordedTypeName(action Action) string {
 	switch action.(type) {
 	case Forward:
 		return "dispatch.Forward"
@@ -78,9 +78,9 @@
 	return fmt.Sprintf("%T", action)
 }
 
-// playHistory runs one history. It returns the number of actions, and a hash of the actions and of the
+// runHistory runs one history. It returns the number of actions, and a hash of the actions and of the
 // snapshot at the end.
-func playHistory(seed int64, workers int, trace *bufio.Writer) (actions int, sum uint64) {
+func runHistory(seed int64, workers int, trace *bufio.Writer) (actions int, sum uint64) {
 	s := newSimulation(seed, workers, randomConfig(seed))
 	s.arrivalRate = []float64{3, 15, 60}[seed%3] * float64(workers) / 12
 	if workers > 100 {
@@ -120,7 +120,7 @@
 		var seed int64
 		var workers int
 		fmt.Sscan(*printHistory, &seed, &workers)
-		playHistory(seed, workers, bufio.NewWriter(os.Stdout))
+		runHistory(seed, workers, bufio.NewWriter(os.Stdout))
 		return
 	}
 	var lines []string
@@ -133,7 +133,7 @@
 	for _, size := range sizes {
 		for seed := range int64(size.seeds) {
 			seed += int64(1000 * size.workers)
-			n, sum := playHistory(seed, size.workers, nil)
+			n, sum := runHistory(seed, size.workers, nil)
 			lines = append(lines, fmt.Sprintf("%d %d: %d actions %016x", seed, size.workers, n, sum))
 		}
 	}
--- a/dispatch/registry.go
+++ b/dispatch/registry.go
@@ -6,8 +6,8 @@
 // next one together must still bring the list within Rules.PollWithin. Package discovery tests this
 // sum for lists that are read from sockets.
 const (
-	// initialPollBackoff is the wait after the first and the second consecutive failure. It doubles with
-	// each further failure.
+	// initialPollBackoff is the wait after the first and the second consecutive failure. It doubles
+	// with each further failure.
 	initialPollBackoff = 250 * time.Millisecond
 	// maxPollBackoffDivisor divides Rules.PollWithin to give the longest wait.
 	maxPollBackoffDivisor = 6
@@ -20,13 +20,13 @@
 	maxPollDoublings = 5
 	// minPollTimeout is the shortest time after which an unanswered call counts as lost.
 	minPollTimeout = time.Second
-	// firstPollGraceDivisor divides the drain grace to give the latest time of the first call. The rest of
-	// the grace is for the answer and for this scheduler's start.
+	// firstPollGraceDivisor divides the drain grace to give the latest time of the first call. The
+	// rest of the grace is for the answer and for this scheduler's start.
 	firstPollGraceDivisor = 8
 )
 
-// generalCheckInterval: when this scheduler owns workers, every third request for one more pool worker
-// goes to the general check order instead of to an owned worker.
+// generalCheckInterval: when this scheduler owns workers, every third request for one more pool
+// worker goes to the general check order instead of to an owned worker.
 const generalCheckInterval = 3
 
 // workerRecord is a worker's entry in the endpoint list. A scheduler uses few of the many listed
--- a/dispatch/registry_test.go
+++ b/dispatch/registry_test.go
@@ -67,7 +67,7 @@
 	config := testConfig()
 	config.EndpointsPushed = false
 	config.Schedulers = 1000
-	var first [6]int
+	var pollsBySecond [6]int
 	for seed := range int64(config.Schedulers) {
 		h := newIdleHarness(config, seed)
 		h.collects = true
@@ -75,9 +75,9 @@
 		for len(h.lines) == 0 {
 			h.handleAt(h.now+100*ms, TimerFired{})
 		}
-		first[h.now/time.Second]++
+		pollsBySecond[h.now/time.Second]++
 	}
-	fmt.Println("polls in each second:", first)
+	fmt.Println("polls in each second:", pollsBySecond)
 	// Output:
 	// polls in each second: [184 201 198 200 202 15]
 }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -22,7 +22,7 @@
 const (
 	// noAttempt is passed to complete to cancel all attempts in flight.
 	noAttempt = -1
-	// resultReturned is passed to complete when the client got a result, which then counts as served.
+	// resultReturned is passed to complete when the client got a result.
 	resultReturned = -2
 )
 
@@ -156,15 +156,15 @@
 		operation.effect == Deduplicated && operation.scope == ScopeAll
 }
 
-// jitteredRetryAfter returns a retry delay with jitter, so that clients throttled by many schedulers at
-// the same moment do not all return at the same moment.
+// jitteredRetryAfter returns a retry delay with jitter, so that clients throttled by many schedulers
+// at the same moment do not all return at the same moment.
 func (s *scheduler) jitteredRetryAfter() time.Duration {
 	return s.retryAfter*3/5 + time.Duration(s.rng.Int63n(int64(s.retryAfter)*2/5+1))
 }
 
 // complete ends an invocation: no answer is owed any more. It cancels the attempts in flight except
-// the one numbered keptAttempt, which may be noAttempt. With resultReturned the client got a result, and
-// the invocation counts as served.
+// the one numbered keptAttempt, which may be noAttempt. resultReturned means that the client got a
+// result, which counts towards the operation's served share.
 func (s *scheduler) complete(index, keptAttempt int) {
 	v := &s.invocations[index]
 	if !v.answered {
@@ -233,8 +233,8 @@
 	}
 }
 
-// notifyBadRequestWorkers notifies the workers that called an invocation a bad request that another worker
-// ran it.
+// notifyBadRequestWorkers tells the workers that called an invocation a bad request that another
+// worker ran it.
 func (s *scheduler) notifyBadRequestWorkers(v *invocation) {
 	for _, attempt := range v.attempts {
 		if attempt.badRequest {
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -12,26 +12,26 @@
 // a span.
 type Snapshot struct {
 	Version           int                       `json:"Version"`
-	RunTimes          []float64                 `json:"Runs"`    // running times in seconds
-	ReportGaps        []float64                 `json:"Gaps"`    // seconds between two answers of a worker
-	ReportChanges     []float64                 `json:"Changes"` // 1: the second answer had a new load report; otherwise 0
-	FreeSlots         []float64                 `json:"Slots"`
-	ImmediateStarts   []float64                 `json:"Starts"` // 1: the attempt started at once; otherwise 0
-	Arrivals          []time.Duration           `json:"Arrivals"`
-	Admitted          float64                   `json:"Jobs"`
-	Hedges            float64                   `json:"Clones"`
-	PoolSize          float64                   `json:"Size"`
-	HealthCheckCredit float64                   `json:"Credit"`
-	KindPaces         map[int][]float64         `json:"Kinds"`
-	Operations        map[int]OperationSnapshot `json:"Operations"`
+	RunTimes          []float64                 `json:"Runs"`       // running times in seconds
+	ReportGaps        []float64                 `json:"Gaps"`       // seconds between two load reports of a worker
+	ReportChanges     []float64                 `json:"Changes"`    // 1: the second report differed from the first; otherwise 0
+	FreeSlots         []float64                 `json:"Slots"`      // free plus reserved slots in the last reports of any worker
+	ImmediateStarts   []float64                 `json:"Starts"`     // 1: the attempt started at once; otherwise 0
+	Arrivals          []time.Duration           `json:"Arrivals"`   // ages of the last arrivals
+	Admitted          float64                   `json:"Jobs"`       // number of invocations
+	Hedges            float64                   `json:"Clones"`     // number of hedged requests
+	PoolSize          float64                   `json:"Size"`       // number of workers
+	HealthCheckCredit float64                   `json:"Credit"`     // number of health checks that may still be spent
+	KindPaces         map[int][]float64         `json:"Kinds"`      // paces by kind of worker
+	Operations        map[int]OperationSnapshot `json:"Operations"` // by index of the operation
 	Workers           []WorkerSnapshot          `json:"Workers"`
 }
 
 // OperationSnapshot holds the measurements of one operation.
 type OperationSnapshot struct {
-	CostRatios    []float64     `json:"Ratios"`
-	RunTimes      []float64     `json:"Sizes"` // running times in seconds
-	HintErrors    []float64     `json:"Rough"`
+	CostRatios    []float64     `json:"Ratios"` // running time over hinted cost
+	RunTimes      []float64     `json:"Sizes"`  // running times in seconds
+	HintErrors    []float64     `json:"Rough"`  // cost ratio over the worker's pace
 	LongestBudget time.Duration `json:"Most"`
 }
 
@@ -39,8 +39,8 @@
 type WorkerSnapshot struct {
 	Worker          WorkerID      `json:"Worker"`
 	Incarnation     uint64        `json:"Start"`
-	Paces           []float64     `json:"Paces"`
-	ServiceTime     float64       `json:"Service"` // seconds
+	Paces           []float64     `json:"Paces"`   // running time over hinted cost
+	ServiceTime     float64       `json:"Service"` // seconds, by its load reports
 	FreeSlots       []float64     `json:"Figures"`
 	LastFreeSlots   float64       `json:"Last"`
 	MaxFreeSlots    float64       `json:"Size"`
@@ -52,8 +52,8 @@
 	EjectionLeft    time.Duration `json:"AsideLeft"`
 	RejectionLeft   time.Duration `json:"FullLeft"`
 	Ejections       int           `json:"Asides"`
-	ProbationLeft   int           `json:"Wanted"`
-	Missed          int           `json:"Missed"`
+	ProbationLeft   int           `json:"Wanted"` // successes still needed
+	Missed          int           `json:"Missed"` // consecutive failed health checks
 	BudgetUsed      []BudgetUse   `json:"Spent"`
 }
 
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -24,22 +24,22 @@
 		predecessor.handleAt(predecessor.now+200*ms, predecessor.outcome(n, 0, Succeeded))
 	}
 	predecessor.handleAt(9*time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{starting}})
-	answerThen := func(at time.Duration, freeAtA float64, events ...Event) {
+	reportFreeSlotsThen := func(at time.Duration, freeAtA float64, events ...Event) {
 		predecessor.handleAt(at, freeSlotsResult('a', freeAtA), freeSlotsResult('b', 3), freeSlotsResult('c', 3))
 		predecessor.handleAt(at+10*ms, events...)
 		predecessor.runUntil(at + 90*ms)
 	}
-	answerThen(9200*ms, 3, arrival(22, 2, 0.1))
-	answerThen(9300*ms, 3, arrival(23, 2, 0.1), arrival(21, 0, 0.1))
-	answerThen(9400*ms, 4, arrival(25, 0, 0.01), predecessor.outcome(21, 0, Failed))
+	reportFreeSlotsThen(9200*ms, 3, arrival(22, 2, 0.1))
+	reportFreeSlotsThen(9300*ms, 3, arrival(23, 2, 0.1), arrival(21, 0, 0.1))
+	reportFreeSlotsThen(9400*ms, 4, arrival(25, 0, 0.01), predecessor.outcome(21, 0, Failed))
 	predecessor.handleAt(9500*ms, predecessor.outcome(25, 0, Succeeded))
 	predecessor.printCollected("the predecessor")
 
-	// The snapshot is passed as JSON to the other process, whose clock started later.
-	const later = 9 * time.Second
+	// The snapshot is passed as JSON to the other process, whose clock started clockOffset.
+	const clockOffset = 9 * time.Second
 	successor := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	endpoint := starting
-	endpoint.StartedAt -= later
+	endpoint.StartedAt -= clockOffset
 	successor.collects = true
 	successor.handleAt(200*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{endpoint}})
 	text, err := json.Marshal(predecessor.dispatcher.Snapshot())
--- a/dispatch/virtual_time_test.go
+++ b/dispatch/virtual_time_test.go
@@ -23,7 +23,7 @@
 	heap.Push(&v.calls, scheduledCall{
 		at:       v.now + span,
 		sequence: v.sequence,
-		do:       do,
+		run:      do,
 	})
 }
 
@@ -33,7 +33,7 @@
 	for len(v.calls) > 0 && v.calls[0].at <= end {
 		next := heap.Pop(&v.calls).(scheduledCall)
 		v.now = max(v.now, next.at)
-		next.do()
+		next.run()
 	}
 }
 
@@ -41,7 +41,7 @@
 type scheduledCall struct {
 	at       time.Duration
 	sequence int
-	do       func()
+	run      func()
 }
 
 // callQueue is a heap of calls, ordered by time and then by the order in which they were scheduled.
