--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -82,10 +82,10 @@
 // handleAt passes the events of one moment to the dispatcher, and prints or collects its actions.
 func (h *harness) handleAt(at time.Duration, events ...Event) {
 	h.now = at
-	var lost []Event
+	var failedChecks []Event
 	for _, action := range h.dispatcher.Handle(at, events) {
 		if check, isCheck := action.(HealthCheck); isCheck && !h.deferHealthChecks {
-			lost = append(lost, HealthCheckResult{Worker: check.Worker, Result: ReusedConnectionBroken})
+			failedChecks = append(failedChecks, HealthCheckResult{Worker: check.Worker, Result: ReusedConnectionBroken})
 		}
 		line := h.line(action)
 		if line != "" && h.collects {
@@ -94,8 +94,8 @@
 			fmt.Printf("%v %s\n", at, line)
 		}
 	}
-	if len(lost) > 0 {
-		h.handleAt(at, lost...)
+	if len(failedChecks) > 0 {
+		h.handleAt(at, failedChecks...)
 	}
 }
 
--- a/dispatch/pool_test.go
+++ b/dispatch/pool_test.go
@@ -87,11 +87,11 @@
 	h := newHarness(gossipConfig(3, 0), readyEndpoints(20)...)
 	var starting []Endpoint
 	for n := range 60 {
-		e := readyEndpoint(byte(100+n), 0)
-		e.StartKnown = true
-		e.StartedAt = time.Second
-		e.Incarnation = uint64(n)
-		starting = append(starting, e)
+		endpoint := readyEndpoint(byte(100+n), 0)
+		endpoint.StartKnown = true
+		endpoint.StartedAt = time.Second
+		endpoint.Incarnation = uint64(n)
+		starting = append(starting, endpoint)
 	}
 	checks := 0
 	handle := func(now time.Duration, events ...Event) {
@@ -100,9 +100,9 @@
 			for _, action := range h.dispatcher.Handle(now, pending) {
 				if check, isCheck := action.(HealthCheck); isCheck {
 					checks++
-					a := freeSlotsResult('a', 4)
-					a.Worker = check.Worker
-					next = append(next, a)
+					result := freeSlotsResult('a', 4)
+					result.Worker = check.Worker
+					next = append(next, result)
 				}
 			}
 			pending = next
--- a/dispatch/scheduling_benchmark_test.go
+++ b/dispatch/scheduling_benchmark_test.go
@@ -167,8 +167,8 @@
 		})
 	}
 	freezeReports := func(s *simulation) {
-		for _, a := range s.workers {
-			a.reportsFrozen = true
+		for _, worker := range s.workers {
+			worker.reportsFrozen = true
 		}
 	}
 	type load func(*simulation)
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -111,8 +111,8 @@
 		h.handleAt(time.Duration(n+1)*time.Second, full...)
 	}
 	for n := range 6 {
-		some := 3 + float64(n%2)
-		h.handleAt(time.Duration(n+7)*time.Second, freeSlotsResult('a', some), freeSlotsResult('b', some), freeSlotsResult('c', some))
+		free := 3 + float64(n%2)
+		h.handleAt(time.Duration(n+7)*time.Second, freeSlotsResult('a', free), freeSlotsResult('b', free), freeSlotsResult('c', free))
 	}
 	h.handleAt(15*time.Second, arrival(1, 2, 0.2))
 	for _, name := range []byte("ad") {
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -70,12 +70,12 @@
 }
 
 // randomSpan returns a random span between two bounds, inclusive.
-func (s *simulation) randomSpan(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.rng.Int63n(int64(most-least)+1))
+func (s *simulation) randomSpan(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(s.rng.Int63n(int64(maximum-minimum)+1))
 }
 
 // chance returns true with the given probability.
-func (s *simulation) chance(part float64) bool { return s.rng.Float64() < part }
+func (s *simulation) chance(probability float64) bool { return s.rng.Float64() < probability }
 
 // addWorker adds a ready worker. The dispatcher learns of it by the next endpoint update with it.
 func (s *simulation) addWorker() *simulatedWorker {
@@ -265,7 +265,7 @@
 	}
 	number := len(c.attempts)
 	c.attempts = append(c.attempts, attempt)
-	fault := func(part float64) bool { return s.chance(part * s.faults) }
+	fault := func(probability float64) bool { return s.chance(probability * s.faults) }
 	switch {
 	case worker.State == Gone && s.chance(0.7), fault(0.01):
 		s.endAttempt(forward.Invocation, number, s.randomSpan(ms, 400*ms), Unreachable)
--- a/dispatch/slowstart_simulation_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -27,26 +27,26 @@
 
 // slowStartScenario is a combination of faults and deployment properties.
 type slowStartScenario struct {
-	name         string
-	schedulers   int
-	countFactor  float64 // configured number of schedulers, as a multiple of the true one
-	halfRestart  bool    // half of the schedulers restart at the same time as the workers
-	roughHints   bool    // each hint is off by a random factor of up to ten in either direction
-	hintFactor   float64 // factor by which all hints are off; 0: 1
-	startingPace float64 // running time over hinted cost of the workers in slow start, which is not configured; 0: 1
-	checksLost   bool    // three health checks in ten are lost, the others are late, with reports up to 0.5 s old
-	unnumbered   bool    // no scheduler knows its own index
-	gossip       bool    // schedulers may gossip
-	halfRight    bool    // every other scheduler has the true number of schedulers configured
-	largeWorkers bool    // small requests and large workers, so that N is large
+	name             string
+	schedulers       int
+	countFactor      float64 // configured number of schedulers, as a multiple of the true one
+	halfRestart      bool    // half of the schedulers restart at the same time as the workers
+	roughHints       bool    // each hint is off by a random factor of up to ten in either direction
+	hintFactor       float64 // factor by which all hints are off; 0: 1
+	startingPace     float64 // running time over hinted cost of the workers in slow start, which is not configured; 0: 1
+	checksLost       bool    // three health checks in ten are lost, the others are late, with reports up to 0.5 s old
+	indexUnknown     bool    // no scheduler knows its own index
+	gossip           bool    // schedulers may gossip
+	halfCorrectCount bool    // every other scheduler has the true number of schedulers configured
+	largeWorkers     bool    // small requests and large workers, so that N is large
 }
 
 const (
 	// frozenReportAge is how long, in seconds, a worker with frozen reports repeats a report.
 	frozenReportAge = 1000
-	// leastArrivalRate is the least rate, in requests a second, that the number of workers is
+	// minArrivalRate is the least rate, in requests a second, that the number of workers is
 	// chosen for.
-	leastArrivalRate = 200
+	minArrivalRate = 200
 	// arrivalsPerScheduler is that rate per scheduler, where this gives a larger rate in total.
 	arrivalsPerScheduler = 4
 	// concurrentScenarios bounds the number of scenarios that run at the same time.
@@ -146,7 +146,7 @@
 		s.config.Rules.OverloadFactor = 2.5
 		s.config.Rules.OverloadWindow = time.Second
 	}
-	workers := max(9, min(150, int(max(leastArrivalRate, arrivalsPerScheduler*float64(scenario.schedulers))*s.meanWork/s.load)/s.cores))
+	workers := max(9, min(150, int(max(minArrivalRate, arrivalsPerScheduler*float64(scenario.schedulers))*s.meanWork/s.load)/s.cores))
 	for n := range workers {
 		s.addWorker(n, false)
 	}
@@ -160,7 +160,7 @@
 // chooseDeployment sets the properties that the scenario leaves open at random, and returns the
 // part of the workers that restart.
 func (s *slowStartSimulation) chooseDeployment() (startingPart float64) {
-	choose := func(from ...float64) float64 { return from[s.rng.Intn(len(from))] }
+	choose := func(options ...float64) float64 { return options[s.rng.Intn(len(options))] }
 	s.cores = int(choose(2, 4, 8, 16))
 	s.meanWork = choose(0.1, 0.25, 0.6)
 	s.load = choose(0.5, 0.65, 0.8)
@@ -215,10 +215,10 @@
 	config := s.config
 	config.Index = number
 	config.Zone = number % 3
-	if s.unnumbered {
+	if s.indexUnknown {
 		config.Index = UnknownIndex
 	}
-	if s.halfRight && number%2 == 0 {
+	if s.halfCorrectCount && number%2 == 0 {
 		config.Schedulers = len(s.schedulers)
 	}
 	*scheduler = slowStartScheduler{
@@ -234,9 +234,9 @@
 func (s *slowStartSimulation) fullUpdate(scheduler *slowStartScheduler) EndpointUpdate {
 	update := EndpointUpdate{Kind: FullUpdate}
 	for _, w := range s.workers {
-		e := w.endpoint
-		e.StartedAt -= scheduler.startedAt
-		update.Endpoints = append(update.Endpoints, e)
+		endpoint := w.endpoint
+		endpoint.StartedAt -= scheduler.startedAt
+		update.Endpoints = append(update.Endpoints, endpoint)
 	}
 	return update
 }
@@ -405,13 +405,13 @@
 	})
 }
 
-// slowStartUse is the work that workers in slow start got in one run. worst, bound and calls are
+// slowStartUse is the work that workers in slow start got in one run. worst, bound and requests are
 // those of the overload window in which a worker got the most in proportion to its budget.
 type slowStartUse struct {
-	worst float64 // work that the worker got, in requests of mean work
-	bound float64 // its budget, in requests of mean work
-	calls float64 // N
-	used  float64 // work that all of them got by the end, as a part of their capacity
+	worst    float64 // work that the worker got, in requests of mean work
+	bound    float64 // its budget, in requests of mean work
+	requests float64 // N
+	used     float64 // work that all of them got by the end, as a part of their capacity
 }
 
 // run runs the scenario, and sums up the work that the workers that restarted in it got.
@@ -420,42 +420,42 @@
 	const end = restartAt + 3*time.Second
 	s.simulate(restartAt, end)
 	var use slowStartUse
-	done := 0.0
-	could := 0.0
+	workSent := 0.0
+	capacity := 0.0
 	for _, w := range s.workers {
 		if !w.endpoint.StartKnown {
 			continue
 		}
 		sum := 0.0
-		from := 0
+		windowStart := 0
 		for _, send := range w.sends {
 			sum += send.work / s.meanWork
-			done += send.work * w.pace
-			for w.sends[from].at <= send.at-s.config.Rules.OverloadWindow {
-				sum -= w.sends[from].work / s.meanWork
-				from++
+			workSent += send.work * w.pace
+			for w.sends[windowStart].at <= send.at-s.config.Rules.OverloadWindow {
+				sum -= w.sends[windowStart].work / s.meanWork
+				windowStart++
 			}
 			cores := float64(s.cores) * s.warmUpWeight(w, send.at) / w.pace
-			calls := s.config.Rules.OverloadFactor * s.config.Rules.OverloadWindow.Seconds() * cores / s.meanWork
-			bound := slowStartBound(calls)
+			requests := s.config.Rules.OverloadFactor * s.config.Rules.OverloadWindow.Seconds() * cores / s.meanWork
+			bound := slowStartBound(requests)
 			if use.bound == 0 || sum/bound > use.worst/use.bound {
 				use.worst = sum
 				use.bound = bound
-				use.calls = calls
+				use.requests = requests
 			}
 		}
 		for at := restartAt; at < end; at += 100 * ms {
-			could += float64(s.cores) * s.warmUpWeight(w, at) * 0.1
+			capacity += float64(s.cores) * s.warmUpWeight(w, at) * 0.1
 		}
 	}
 	use.bound = cmp.Or(use.bound, 1)
-	use.used = done / could
+	use.used = workSent / capacity
 	return use
 }
 
 // slowStartBound returns how many requests of mean work a worker may get in an overload window in
 // which it is meant for the given number of requests.
-func slowStartBound(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
+func slowStartBound(requests float64) float64 { return requests + 2*math.Sqrt(requests) + 2 }
 
 // simulate runs all events: a part of the workers restarts as the burst begins.
 func (s *slowStartSimulation) simulate(restartAt, end time.Duration) {
@@ -480,19 +480,19 @@
 	s.callUntil(unbounded)
 }
 
-// biasUnseen is the scenario in which the restarted schedulers have no measurements yet that show
-// how far all hints are off.
-const biasUnseen = "hints a tenth, half restarted"
+// unmeasuredHintBias is the scenario in which the restarted schedulers have no measurements yet
+// that show how far all hints are off.
+const unmeasuredHintBias = "hints a tenth, half restarted"
 
 // The work that all schedulers together send a worker in slow start stays within its budget.
 func TestSlowStartBudget(t *testing.T) {
-	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name != biasUnseen })
+	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name != unmeasuredHintBias })
 }
 
 // It also stays within its budget where hints are far off and half of the schedulers cannot have
 // measured that.
 func TestSlowStartBudgetWithUnseenHintBias(t *testing.T) {
-	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name == biasUnseen })
+	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name == unmeasuredHintBias })
 }
 
 // slowStartResult summarizes the runs of one scenario.
@@ -546,8 +546,8 @@
 			slowStartScenario{name: "the same, half restarted", startingPace: 2, halfRestart: true},
 			slowStartScenario{name: "hints a tenth", hintFactor: 0.1},
 			slowStartScenario{name: "hints tenfold", hintFactor: 10},
-			slowStartScenario{name: biasUnseen, hintFactor: 0.1, halfRestart: true},
-			slowStartScenario{name: "no own number", unnumbered: true},
+			slowStartScenario{name: unmeasuredHintBias, hintFactor: 0.1, halfRestart: true},
+			slowStartScenario{name: "no own number", indexUnknown: true},
 		)
 	}
 	for _, schedulers := range []int{20, 30, 300} {
@@ -556,7 +556,7 @@
 		}
 		add(schedulers, 0.1,
 			slowStartScenario{name: "configured 0.1, half restarted", roughHints: true, halfRestart: true},
-			slowStartScenario{name: "configured 0.1, every other", halfRight: true},
+			slowStartScenario{name: "configured 0.1, every other", halfCorrectCount: true},
 			slowStartScenario{name: "configured 0.1, gossip", gossip: true},
 		)
 	}
@@ -567,14 +567,14 @@
 // position among all scenarios.
 func runSlowStartScenarios(t *testing.T, selects func(slowStartScenario) bool) {
 	scenarios := slowStartScenarios()
-	skips := func(r slowStartScenario) bool {
+	skipped := func(r slowStartScenario) bool {
 		return !selects(r) || !strings.Contains(fmt.Sprintf("%s, %d schedulers", r.name, r.schedulers), *slowStartFilter)
 	}
 	results := make([]slowStartResult, len(scenarios))
 	var wait sync.WaitGroup
 	limiter := make(chan struct{}, concurrentScenarios)
 	for i, scenario := range scenarios {
-		if skips(scenario) {
+		if skipped(scenario) {
 			continue
 		}
 		wait.Add(1)
@@ -590,13 +590,13 @@
 		}()
 	}
 	wait.Wait()
-	t.Logf("%-26s %10s %8s %8s %8s %8s %5s %6s %5s", "scenario", "schedulers", "worst", "bound", "N", "of it", "over", "mean", "used")
+	t.Logf("%-26s %10s %8s %8s %8s %8s %5s %6s %5s", "scenario", "schedulers", "worst", "bound", "N", "share", "over", "mean", "used")
 	for i, scenario := range scenarios {
 		r := results[i]
-		if skips(scenario) {
+		if skipped(scenario) {
 			continue
 		}
-		t.Logf("%-26s %10d %8.1f %8.1f %8.1f %8.2f %5d %6.2f %5.2f", scenario.name, scenario.schedulers, r.worst, r.bound, r.calls,
+		t.Logf("%-26s %10d %8.1f %8.1f %8.1f %8.2f %5d %6.2f %5.2f", scenario.name, scenario.schedulers, r.worst, r.bound, r.requests,
 			r.share, r.over, r.mean, r.used)
 		if r.share > 1 {
 			t.Errorf("%s, %d schedulers, seed %d: a worker in slow start got %.1f requests of mean work, its budget is %.1f", scenario.name,
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -170,24 +170,24 @@
 // work. This holds for any configured number of schedulers, as long as each scheduler knows its own
 // index.
 func TestSlowStartShares(t *testing.T) {
-	t.Logf("%10s %10s %8s %8s %8s %8s %6s", "schedulers", "configured", "N", "worst", "bound", "of it", "over")
+	t.Logf("%10s %10s %8s %8s %8s %8s %6s", "schedulers", "configured", "N", "worst", "bound", "share", "over")
 	for _, schedulers := range []int{1, 6, 7, 20, 30, 300} {
 		for _, factor := range []float64{0.1, 0.5, 1, 2, 10} {
-			for _, calls := range []float64{2, 10, 30, 100, 300} {
-				bound := slowStartBound(calls)
+			for _, requests := range []float64{2, 10, 30, 100, 300} {
+				bound := slowStartBound(requests)
 				worst := 0.0
 				over := 0
-				for start := range uint64(20) {
-					sum := slowStartShares(schedulers, max(1, int(math.Round(factor*float64(schedulers)))), calls, start)
+				for incarnation := range uint64(20) {
+					sum := slowStartShares(schedulers, max(1, int(math.Round(factor*float64(schedulers)))), requests, incarnation)
 					worst = max(worst, sum)
 					if sum > bound {
 						over++
 					}
 				}
-				t.Logf("%10d %10v %8v %8.1f %8.1f %8.2f %6d", schedulers, factor, calls, worst, bound, worst/bound, over)
+				t.Logf("%10d %10v %8v %8.1f %8.1f %8.2f %6d", schedulers, factor, requests, worst, bound, worst/bound, over)
 				if over > 0 {
 					t.Errorf("%d schedulers, configured as %v times as many, N %v: may send %.1f, budget is %.1f",
-						schedulers, factor, calls, worst, bound)
+						schedulers, factor, requests, worst, bound)
 				}
 			}
 		}
@@ -196,30 +196,30 @@
 
 // slowStartShares returns the sum of what each scheduler may send, in requests of mean work,
 // counted in steps of a hundredth of a request.
-func slowStartShares(schedulers, configured int, calls float64, start uint64) (sum float64) {
-	const run = 0.2 // seconds
+func slowStartShares(schedulers, configured int, requests float64, incarnation uint64) (sum float64) {
+	const meanRunTime = 0.2 // seconds
 	config := testConfig()
 	config.Schedulers = configured
 	for config.Index = range schedulers {
 		dispatcher := New(config, 1)
-		sum += mostSentInSlowStart(&dispatcher.scheduler, dispatcher.lotteryRank(start), calls, run)
+		sum += mostSentInSlowStart(&dispatcher.scheduler, dispatcher.lotteryRank(incarnation), requests, meanRunTime)
 	}
 	return sum
 }
 
 // mostSentInSlowStart returns what one scheduler may send in an overload window, if it always has
 // another small invocation to send, in requests of mean work.
-func mostSentInSlowStart(s *scheduler, lotteryRank int, calls, run float64) float64 {
+func mostSentInSlowStart(s *scheduler, lotteryRank int, requests, runTime float64) float64 {
 	view := &workerView{pace: 1, warmUpWeight: 1, lotteryRank: lotteryRank}
-	view.maxFree = calls * run / s.overloadBudget
+	view.maxFree = requests * runTime / s.overloadBudget
 	view.pace = max(1, 1/view.maxFree) // a worker of less than one slot counts as a slower one
-	s.stats.runTime = run
+	s.stats.runTime = runTime
 	s.now = 20 * time.Second
-	s.admitted = 20 * calls
-	for cost := run / 100; s.withinSlowStartBudget(cost, view) && view.budgetUsed < 3*calls*run; {
+	s.admitted = 20 * requests
+	for cost := runTime / 100; s.withinSlowStartBudget(cost, view) && view.budgetUsed < 3*requests*runTime; {
 		view.budgetUsed += cost
 	}
-	return view.budgetUsed / run
+	return view.budgetUsed / runTime
 }
 
 // The budget also holds if the configured number of schedulers changes during a slow start: the
@@ -232,14 +232,14 @@
 		{before: 6, after: 20},
 	}
 	for _, change := range changes {
-		for _, calls := range []float64{2, 10, 30, 100} {
-			bound := slowStartBound(calls)
+		for _, requests := range []float64{2, 10, 30, 100} {
+			bound := slowStartBound(requests)
 			worst := 0.0
-			for start := range uint64(20) {
-				worst = max(worst, slowStartSharesAfterReconfiguration(change.before, change.after, calls, start))
+			for incarnation := range uint64(20) {
+				worst = max(worst, slowStartSharesAfterReconfiguration(change.before, change.after, requests, incarnation))
 			}
 			if worst > bound {
-				t.Errorf("%d schedulers, then %d, N %v: may send %.1f, budget is %.1f", change.before, change.after, calls, worst, bound)
+				t.Errorf("%d schedulers, then %d, N %v: may send %.1f, budget is %.1f", change.before, change.after, requests, worst, bound)
 			}
 		}
 	}
@@ -247,14 +247,14 @@
 
 // slowStartSharesAfterReconfiguration returns the sum of what each scheduler may send after their
 // number has changed, in requests of mean work.
-func slowStartSharesAfterReconfiguration(before, after int, calls float64, start uint64) (sum float64) {
-	const run = 0.2 // seconds
+func slowStartSharesAfterReconfiguration(before, after int, requests float64, incarnation uint64) (sum float64) {
+	const meanRunTime = 0.2 // seconds
 	worker := netip.MustParseAddrPort("10.0.0.1:1")
 	update := EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{
 		Worker:      worker,
 		State:       Ready,
 		StartKnown:  true,
-		Incarnation: start,
+		Incarnation: incarnation,
 	}}}
 	for index := range after {
 		config := testConfig()
@@ -269,7 +269,7 @@
 			config.Schedulers = after
 			dispatcher.Handle(2*time.Millisecond, []Event{Reconfigured{Config: config, PreviousOperations: []int{0}}})
 		}
-		sum += mostSentInSlowStart(&dispatcher.scheduler, dispatcher.records[0].lotteryRank, calls, run)
+		sum += mostSentInSlowStart(&dispatcher.scheduler, dispatcher.records[0].lotteryRank, requests, meanRunTime)
 	}
 	return sum
 }
--- a/dispatch/view_test.go
+++ b/dispatch/view_test.go
@@ -25,12 +25,12 @@
 				}
 				worker := s.dispatcher.records[index].worker
 				savedView := worker.workerView
-				savedFleet := worker.stats
+				savedStats := worker.stats
 				worker.stats = scheduler.epoch.workerStats
 				worker.estimate(scheduler.epoch.at)
 				want := worker.workerView
 				worker.workerView = savedView
-				worker.stats = savedFleet
+				worker.stats = savedStats
 				want.estimatePace(scheduler.epoch.kindPace, scheduler.epoch.workerStats)
 				if got := *scheduler.currentView(index); got != want {
 					t.Fatalf("seed %d, %v: got view %+v, want %+v", seed, s.now, got, want)
