--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -75,7 +75,7 @@
 	tracked       []int        // active workers
 	epoch         refreshEpoch // the last one
 	poolEpoch     refreshEpoch // the last one with a non-empty queue
-	orderedChecks []orderedCheck
+	orderedChecks []deferredCheck
 	refreshedAt   time.Duration
 
 	// Measurements of all workers.
@@ -144,7 +144,7 @@
 		s.updateStats()
 		s.rerankQueue()
 	}
-	s.dispatcher.send(refresh{})
+	s.dispatcher.send(epochStart{})
 }
 
 // paidChecksPerSecond returns the rate of health checks that the credit of the last arrivals allows.
@@ -224,7 +224,7 @@
 		s.dispatcher.send(poolRequest{
 			requirements: s.requirementsOf(v),
 			workerStats:  s.stats,
-			viaGossip:    s.gossips,
+			viaGossip:    s.gossipEnabled,
 		})
 	}
 }
@@ -234,7 +234,7 @@
 func (s *scheduler) summarizePool() {
 	s.summary = poolSummary{fastestPace: math.Inf(1)}
 	s.candidates = s.candidates[:0]
-	ownersAnswer := s.queriesPerInvocation > 0 && s.now < s.dispatcher.ownerAnsweredAt+ownerAnswerFreshness
+	ownersAnswer := s.queriesPerInvocation > 0 && s.now < s.dispatcher.ownerRepliedAt+maxOwnerReplyAge
 	for _, worker := range s.pool {
 		view := s.currentView(worker)
 		s.summary.add(view)
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -113,7 +113,7 @@
 
 func (s *scheduler) countArrival(operation *operation, tenant int) {
 	s.admitted++
-	operation.arrived++
+	operation.arrivalCount++
 	if tenant < len(s.tenants) {
 		s.tenants[tenant].arrivals.add(s.now.Seconds())
 	}
@@ -160,7 +160,7 @@
 	}
 	weight *= s.quotaWeight(v.tenant)
 	if v.operation == s.worstOperation { // while work is lost, this operation's share counts a second time
-		weight *= 1 + s.worstOperationWeight/max(minWeightShare, operation.weight*operation.arrived/s.offeredWeight)
+		weight *= 1 + s.worstOperationWeight/max(minWeightShare, operation.weight*operation.arrivalCount/s.offeredWeight)
 	}
 	v.weight = weight
 	v.rank = weight / v.effectiveSize
@@ -198,10 +198,10 @@
 	bestServed := 0.0
 	for index := range s.operations {
 		operation := &s.operations[index]
-		s.offeredWeight += operation.weight * operation.arrived
-		served := operation.served.mean()
+		s.offeredWeight += operation.weight * operation.arrivalCount
+		served := operation.servedShares.mean()
 		bestServed = max(bestServed, served)
-		if len(operation.served) > 0 && served < worstServed {
+		if len(operation.servedShares) > 0 && served < worstServed {
 			worstServed = served
 			s.worstOperation = index
 		}
@@ -232,7 +232,7 @@
 // where such an answer is worth nothing, or after the client timeout.
 func (s *scheduler) cannotMeetDeadline(v *invocation) bool {
 	left := v.deadline - s.now
-	if left <= minTimeLeft || s.isLate(v, v.arrivedAt) && !s.operations[v.operation].countsLate {
+	if left <= minTimeForAttempt || s.isLate(v, v.arrivedAt) && !s.operations[v.operation].lateHasValue {
 		return true
 	}
 	return s.isLate(v, v.firstRequestAt) && left <= s.fastestRun(v)
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -214,7 +214,7 @@
 	return timeLimits{
 		waited: waited,
 		mustBeInTime: len(v.attempts) == 0 && r.kind < 0 &&
-			(operation.countsLate || waited <= s.slack(v, s.summary.fastestPace)),
+			(operation.lateHasValue || waited <= s.slack(v, s.summary.fastestPace)),
 		timeLeft: operation.objective + seconds(medianHintRatio*operation.stretch*v.work) - waited,
 	}
 }
@@ -224,7 +224,7 @@
 func (s *scheduler) score(v *invocation, view *workerView, limits timeLimits) (score float64, fits bool) {
 	score = s.freeSlotsOf(v, view)
 	left := s.slack(v, view.pace) - limits.waited
-	inTime := s.operations[v.operation].countsLate || left >= 0
+	inTime := s.operations[v.operation].lateHasValue || left >= 0
 	// A stale report does not show the slots that have become free since: work that can wait may
 	// queue there.
 	queueableShare := max(0, min(1, left.Seconds()/s.stats.runTime))
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -131,7 +131,7 @@
 		entry.tracked = true
 	}
 	entry.workerView = *view
-	entry.epoch = s.epochs
+	entry.epoch = s.epochCount
 	if joins || leaves {
 		s.pool = slices.DeleteFunc(s.pool, func(worker int) bool { return worker == view.index })
 		entry.pooled = joins
@@ -155,8 +155,8 @@
 // the pool within its size.
 func (s *scheduler) beginEpoch() {
 	s.dropInactive()
-	s.epochs++
-	s.epoch = refreshEpoch{number: s.epochs, at: s.now, workerStats: s.stats, kindPace: s.kindPace}
+	s.epochCount++
+	s.epoch = refreshEpoch{number: s.epochCount, at: s.now, workerStats: s.stats, kindPace: s.kindPace}
 	queued := len(s.queue) > 0
 	if queued {
 		s.poolEpoch = s.epoch
@@ -204,15 +204,15 @@
 // tracked and as a pooled worker, and then the checks that were ordered for it.
 func (s *scheduler) refreshWorker(worker int, queued bool) {
 	w := s.dispatcher.records[worker].worker
-	w.send(refresh{})
+	w.send(epochStart{})
 	if entry := s.views[worker]; queued && entry.tracked && entry.pooled {
-		w.send(refresh{})
+		w.send(epochStart{})
 	}
 	s.deliverChecks(worker)
 }
 
 func (s *scheduler) hasOrderedCheck(worker int) bool {
-	return slices.ContainsFunc(s.orderedChecks, func(check orderedCheck) bool { return check.worker == worker })
+	return slices.ContainsFunc(s.orderedChecks, func(check deferredCheck) bool { return check.worker == worker })
 }
 
 // deliverChecks sends a worker the checks that were ordered for it.
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -151,7 +151,7 @@
 func (w *worker) applyRecord(record recordChanged) {
 	w.lotteryRank = record.lotteryRank
 	w.owner = record.owner
-	w.ownedHere = w.gossips && record.owner == w.self
+	w.ownedHere = w.gossipEnabled && record.owner == w.schedulerIndex
 	w.state = record.State
 	if record.State == Gone {
 		w.markAttemptsLost(w.now)
@@ -188,16 +188,16 @@
 		w.queryOwner()
 	}
 	// A worker whose owner does not answer is also asked directly, as if it had no owner, in one of
-	// maxQueries cases.
-	if !join.viaGossip || w.ownerSilent && w.rng.Intn(maxQueries) == 0 {
+	// maxQueriesPerInvocation cases.
+	if !join.viaGossip || w.ownerSilent && w.rng.Intn(maxQueriesPerInvocation) == 0 {
 		w.healthCheck()
 	}
 }
 
 // addAttempt records an attempt that is sent to the worker, and notifies the worker's owner.
 func (w *worker) addAttempt(attempt workerAttempt) {
-	w.serial++
-	attempt.serial = w.serial
+	w.lastSerial++
+	attempt.serial = w.lastSerial
 	w.attempts = append(w.attempts, attempt)
 	w.sendGossip(w.owner, GossipEntry{Kind: GossipAttemptStarted, Serial: attempt.serial, Tag: w.tag})
 }
@@ -244,7 +244,7 @@
 	w.onProbation = w.probationLeft > 0
 	w.measured = len(w.freeSamples) > 0
 	w.rejecting = now < w.rejectedUntil
-	w.ownerSilent = w.unansweredSince > 0 && now > w.unansweredSince+ownerAnswerFreshness
+	w.ownerSilent = w.unansweredSince > 0 && now > w.unansweredSince+maxOwnerReplyAge
 	w.reserved = w.reservedAt(now)
 	w.inFlight = w.slotsInFlight()
 	w.estimateFree(now)
@@ -442,7 +442,7 @@
 	w.consecutiveBreaks = 0
 	w.paces.add(runTime / attempt.work * w.warmUpWeight) // the pace of the warm worker
 	w.pace = w.paces.quantile(median)
-	if w.gossips && !w.ownedHere {
+	if w.gossipEnabled && !w.ownedHere {
 		w.recordFreeSlots(w.now, 1) // the slot it leaves can be used here at once, before the owner is notified
 	}
 	w.reinstate(true)
