--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -5,73 +5,76 @@
 	"time"
 )
 
-// Dispatcher is one scheduler's decisions. It is the registry of workers too, and maps the caller's ids to indices.
+// Dispatcher makes the decisions of one scheduler. It also is the registry of workers, and maps the
+// caller's ids to the indices used inside the package.
 type Dispatcher struct {
 	sharedState
 	mailbox[registryMessage]
 	scheduler scheduler
 
-	schedulers      float64 // in all, as configured
+	schedulers      float64 // total number, as configured
 	invocationIndex map[InvocationID]int
 
-	// The endpoint list.
-	records       []workerRecord
-	recordIndex   map[WorkerID]int
-	update        int // counts the updates applied
-	polls         bool
-	watching      bool // the watch stands
-	watchFailures int  // in a row
-	pollWithin    time.Duration
-	pollAt        time.Duration // when to ask for the list again if nothing has come by then
-	timerAt       time.Duration // when the caller will wake us
-
-	// Whose turn it is to be health checked.
-	checkOrder      []int // workers, shuffled
-	checkTurn       int
+	// Endpoint list.
+	records        []workerRecord
+	recordIndex    map[WorkerID]int
+	updateCount    int // number of endpoint updates applied
+	pollsEndpoints bool
+	watching       bool // a watch of the endpoint list is established
+	watchFailures  int  // consecutive
+	pollWithin     time.Duration
+	pollAt         time.Duration // when to ask for the list again if no update has come by then
+	timerAt        time.Duration // when the caller will send TimerFired
+
+	// Order of health checks.
+	checkOrder      []int // indices of workers, in random order
+	nextCheck       int   // position of the next worker in checkOrder
 	checksRequested int
 
 	// Gossip.
-	owned           []int // workers whose load data this scheduler owns
-	ownerAnsweredAt time.Duration
-	tagIndex        map[uint32]int        // workers by tag
-	remoteAttempts  map[remoteAttempt]int // the worker that another scheduler's attempt is at
+	owned          []int // workers whose load data this scheduler owns
+	ownerRepliedAt time.Duration
+	tagIndex       map[uint32]int        // worker index by tag
+	remoteAttempts map[remoteAttempt]int // index of the worker that runs another scheduler's attempt
 }
 
-// sharedState is what all parts share, with the few figures of the configuration that every worker needs.
+// sharedState is the state that all parts use, including the configuration values that every worker
+// needs.
 type sharedState struct {
-	now     time.Duration // of this moment
-	rng     *rand.Rand
-	actions []Action    // of this moment
-	pending []deliverer // mailboxes with messages in them, oldest first
-	self    int         // this scheduler's number
-	epochs  int         // begun so far
-
-	gossips     bool             // schedulers gossip
-	gossipQueue []outgoingGossip // to be sent at the end of this moment
-	serial      uint8            // of our last attempt, for gossip
-
-	healthChecks      bool
-	notifiesStart     bool
-	notifiesAccepted  bool
-	progressInterval  time.Duration
-	overloadWindow    time.Duration
-	slowStartFrom     float64
-	slowStartDuration time.Duration
-
-	spareViews []*workerView // memory of views that were delivered
+	now               time.Duration // of the current moment
+	rng               *rand.Rand
+	actions           []Action    // of the current moment
+	nonEmptyMailboxes []deliverer // mailboxes that hold messages, in the order in which they became non-empty
+	schedulerIndex    int         // this scheduler's number
+	epochCount        int         // number of epochs begun
+
+	gossipEnabled bool             // gossip with other schedulers is enabled
+	gossipQueue   []outgoingGossip // sent at the end of the current moment
+	lastSerial    uint8            // of this scheduler's last attempt, which gossip refers to
+
+	healthChecks         bool
+	notifiesStart        bool
+	notifiesAccepted     bool
+	progressInterval     time.Duration
+	overloadWindow       time.Duration
+	initialCapacityShare float64
+	slowStartDuration    time.Duration
+
+	spareViews []*workerView // memory of delivered views, for reuse
 }
 
 func (s *sharedState) emit(action Action) { s.actions = append(s.actions, action) }
 
-// deliverMessages empties all mailboxes.
+// deliverMessages delivers messages until all mailboxes are empty.
 func (s *sharedState) deliverMessages() {
-	for n := 0; n < len(s.pending); n++ {
-		s.pending[n].deliver()
+	for n := 0; n < len(s.nonEmptyMailboxes); n++ {
+		s.nonEmptyMailboxes[n].deliver()
 	}
-	s.pending = s.pending[:0]
+	s.nonEmptyMailboxes = s.nonEmptyMailboxes[:0]
 }
 
-// New starts an instance. The configuration is turned into the figures that decisions use and is not kept.
+// New starts an instance. It derives the values that decisions use from the configuration and does
+// not keep the configuration itself.
 func New(config Config, seed int64) *Dispatcher {
 	d := &Dispatcher{
 		recordIndex:     map[WorkerID]int{},
@@ -87,16 +90,16 @@
 	d.scheduler = newScheduler(d)
 	d.scheduler.handle = func(message schedulerMessage) { message.deliverToScheduler(&d.scheduler) }
 	d.applyConfig(Reconfigured{Config: config})
-	if d.self < 0 { // not configured: one of our own serves as well, others by chance
-		d.self = d.rng.Intn(max(1, config.Schedulers))
+	if d.schedulerIndex < 0 { // not configured: a random number serves as well, though others may have it too
+		d.schedulerIndex = d.rng.Intn(max(1, config.Schedulers))
 	}
 	d.sendGossip(allSchedulers, GossipEntry{Kind: GossipRestarted})
-	d.pollAt = d.firstPoll(config.Rules.DrainGrace)
+	d.pollAt = d.firstPollTime(config.Rules.DrainGrace)
 	return d
 }
 
-// Handle takes the events of one moment and gives back what is to be done, which is valid until the next call. now must
-// not go back.
+// Handle processes the events of one moment and returns the actions to carry out. The returned slice
+// is valid until the next call. now must not decrease from call to call.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
 	d.now = now
 	d.actions = d.actions[:0]
@@ -113,12 +116,13 @@
 	return d.actions
 }
 
-// route finds whom an event is for. What is about an invocation that has been released is dropped.
+// route delivers an event to the worker, the scheduler or the registry. An event about an invocation
+// that has been released is dropped.
 func (d *Dispatcher) route(event Event) {
 	id, worker := event.About()
 	invocation, open := d.invocationIndex[id]
 	if opensInvocation(event) && !open {
-		invocation = d.scheduler.newInvocation()
+		invocation = d.scheduler.allocateInvocation()
 		open = true
 		d.invocationIndex[id] = invocation
 	}
@@ -136,7 +140,7 @@
 	d.deliverMessages()
 }
 
-// opensInvocation reports whether an event brings an invocation.
+// opensInvocation reports whether an event starts an invocation here.
 func opensInvocation(event Event) bool {
 	switch event.(type) {
 	case Arrival, MigratedIn:
@@ -145,9 +149,10 @@
 	return false
 }
 
-// setTimer has the caller wake us at a time, or when the endpoint list has to be asked for, unless it will sooner.
+// setTimer asks the caller for a TimerFired event at a time, or when the endpoint list has to be
+// polled if that comes first. A timer that is already set for an earlier time is kept.
 func (d *Dispatcher) setTimer(at time.Duration) {
-	if d.polls && !d.watching {
+	if d.pollsEndpoints && !d.watching {
 		at = min(at, d.pollAt)
 	}
 	if at < d.timerAt || d.timerAt <= d.now {
@@ -156,7 +161,7 @@
 	}
 }
 
-// Ejected counts the listed workers that are ejected now.
+// Ejected returns the number of listed workers that are currently ejected.
 func (d *Dispatcher) Ejected() (count int) {
 	for i := range d.records {
 		record := &d.records[i]
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -3,46 +3,53 @@
 import "time"
 
 const (
-	// progressTimeout is how long after it was due a sign of progress counts as missing.
+	// progressTimeout is how long after its due time a sign of progress counts as missing.
 	progressTimeout = 300 * time.Millisecond
-	// immediateStartSpan: an attempt that starts within this time has not waited at its worker.
-	immediateStartSpan = 2 * tickInterval
-	// fastFailure: a health check that fails sooner may have failed by the network's doing.
-	fastFailure = progressTimeout / 2
-	// maxRechecks bounds how often such a check is repeated at once.
+	// immediateStartWindow bounds the delay with which an attempt still counts as started at once,
+	// that is without waiting in its worker's queue.
+	immediateStartWindow = 2 * tickInterval
+	// fastFailureLatency is the latency below which a failed health check may be a network fault
+	// and not the worker's.
+	fastFailureLatency = progressTimeout / 2
+	// maxRechecks bounds how many such failures in a row are checked again at once.
 	maxRechecks = 3
 
-	// minEjection and maxEjection bound how long a worker is ejected; each further time is twice as long.
+	// minEjection and maxEjection bound the length of an ejection, which doubles each time.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 8 * time.Second
-	// maxEjections bounds how many ejections are counted.
-	maxEjections = 5
-	// reinstateChecks is how many health checks in a row an ejected worker must answer.
+	// maxCountedEjections caps the count of recent ejections, which determines the length of the
+	// next one and of the probation after it.
+	maxCountedEjections = 5
+	// reinstateChecks is how many health checks in a row an ejected worker must answer before it is
+	// reinstated.
 	reinstateChecks = 2
-	// probationRuns is how many attempts must succeed, for each ejection of late, before probation ends. So many broken
-	// connections in a row eject a worker.
-	probationRuns = 3
-	// probationGuard is for how long a worker on probation gets no work that must not run twice.
-	probationGuard = 1250 * time.Millisecond
+	// probationSuccesses is how many attempts must succeed for each recent ejection before probation
+	// ends. The same number of broken connections in a row ejects a worker.
+	probationSuccesses = 3
+	// nonIdempotentHoldoff is how long after its reinstatement a worker gets no non-idempotent work.
+	nonIdempotentHoldoff = 1250 * time.Millisecond
 
-	// overdueRuns is how many usual running times of silence eject a worker.
-	overdueRuns = 3
-	// overdueWork is how often its own work an attempt may take where nothing reports its progress.
-	overdueWork = 4
+	// toleratedSilentRuns is the silence that is tolerated before a worker is ejected, in typical
+	// running times.
+	toleratedSilentRuns = 3
+	// unreportedRunFactor is the time an attempt may take where its progress is not reported, as a
+	// multiple of its hinted cost.
+	unreportedRunFactor = 4
 )
 
-// ejectReason says to operators why a worker was ejected.
+// ejectReason tells operators why a worker was ejected.
 type ejectReason string
 
 const (
-	ejectRejects     ejectReason = "rejects what others accept"
-	ejectFails       ejectReason = "fails attempts"
-	ejectUnreachable ejectReason = "unreachable"
-	ejectUnanswered  ejectReason = "health checks unanswered"
-	ejectSilent      ejectReason = "no sign of progress"
+	ejectRejectsValidRequests ejectReason = "rejects what others accept"
+	ejectFailsAttempts        ejectReason = "fails attempts"
+	ejectUnreachable          ejectReason = "unreachable"
+	ejectChecksUnanswered     ejectReason = "health checks unanswered"
+	ejectNoProgress           ejectReason = "no sign of progress"
 )
 
-// healthCheck asks the worker for its load, once a moment.
+// healthCheck sends the worker a health check, which asks for its load. It does nothing where health
+// checks are not allowed, the worker is not ready, or a check was already sent in this call of Handle.
 func (w *worker) healthCheck() {
 	if !w.healthChecks || w.state != Ready || w.checkPending && w.checkedAt == w.now {
 		return
@@ -52,13 +59,15 @@
 	w.emit(HealthCheck{Worker: w.id})
 }
 
-// healthCheckEnded takes the end of a health check in.
+// healthCheckEnded processes the result of a health check.
 func (w *worker) healthCheckEnded(check HealthCheckResult) {
 	w.checkPending = false
 	switch check.Result {
 	case Succeeded:
 		w.healthCheckSucceeded(check.Load)
-	case Rejected, ReusedConnectionBroken: // checks are capped, connections break, which tells nothing
+	case Rejected, ReusedConnectionBroken:
+		// Workers cap health checks and idle connections break: neither says anything about the
+		// worker.
 	default:
 		w.healthCheckFailed(check.Latency)
 	}
@@ -70,7 +79,7 @@
 	w.rejectedUntil = 0
 	w.recordReport(load)
 	if load == nil && w.now > w.reportedAt+reportTimeout {
-		w.forgetReports()
+		w.discardReports()
 	}
 	w.reinstate(w.checksAnswered >= reinstateChecks)
 }
@@ -78,99 +87,104 @@
 func (w *worker) healthCheckFailed(latency time.Duration) {
 	w.checksAnswered = 0
 	w.checksMissed++
-	// What fails at once may be the network's doing: it is tried again at once before it counts.
-	w.recheck = latency < fastFailure && w.checksMissed < maxRechecks
+	// A check that fails fast may be a network fault: it is repeated at once before it counts.
+	w.recheck = latency < fastFailureLatency && w.checksMissed < maxRechecks
 	if !w.recheck && (w.checksMissed > 1 || w.lastProgress < w.now-latency) {
-		w.eject(ejectUnanswered, true)
+		w.eject(ejectChecksUnanswered, true)
 	}
 }
 
-// unreachable counts an attempt for which no connection came up.
-func (w *worker) unreachable(sentAt time.Duration) {
+// attemptUnreachable counts an attempt for which no connection could be established.
+func (w *worker) attemptUnreachable(sentAt time.Duration) {
 	w.checksMissed++
 	w.recheck = true
-	if w.checksMissed > 1 || w.now-sentAt >= fastFailure {
+	if w.checksMissed > 1 || w.now-sentAt >= fastFailureLatency {
 		w.eject(ejectUnreachable, true)
 	}
 }
 
-// eject takes the worker out of use. The span doubles each time, as health checks are not to be spent on the dead where
-// there are few. silent: what it has counts as lost.
-func (w *worker) eject(reason ejectReason, silent bool) {
-	if w.state == Ready && (!w.ejected || silent && w.now >= w.ejectedUntil) {
+// eject takes the worker out of use. The duration doubles each time, so that a small budget of health
+// checks is not spent on dead workers. With attemptsLost set, its attempts in flight count as lost.
+func (w *worker) eject(reason ejectReason, attemptsLost bool) {
+	if w.state == Ready && (!w.ejected || attemptsLost && w.now >= w.ejectedUntil) {
 		w.emit(ejectedLog(w.id, reason))
 		w.ejectedUntil = w.now + min(minEjection<<w.ejections, maxEjection)
 		w.ejected = true
 		w.checksAnswered = 0
-		w.ejections = min(w.ejections+1, maxEjections)
+		w.ejections = min(w.ejections+1, maxCountedEjections)
 	}
-	if silent {
-		w.loseAttempts(w.now)
+	if attemptsLost {
+		w.markAttemptsLost(w.now)
 	}
 }
 
-// reinstate brings an ejected worker back on probation where it has shown that it works and its ejection is over.
+// reinstate returns an ejected worker to use, on probation, if it has shown that it works and its
+// ejection time is over.
 func (w *worker) reinstate(works bool) {
 	if !w.ejected || !works || w.now < w.ejectedUntil {
 		return
 	}
 	w.ejected = false
-	w.probationLeft = probationRuns * max(1, w.ejections)
+	w.probationLeft = probationSuccesses * max(1, w.ejections)
 	w.pooledAt = w.now
 	w.reinstatedAt = w.now
 	w.emit(reinstatedLog(w.id))
 }
 
-// loseAttempts has all attempts count as lost that were sent by a time.
-func (w *worker) loseAttempts(sentBy time.Duration) {
+// markAttemptsLost marks all attempts in flight that were sent at or before a time as lost.
+func (w *worker) markAttemptsLost(sentBy time.Duration) {
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
 		if attempt.endedAt == 0 && !attempt.lost && attempt.sentAt <= sentBy {
-			w.loseAttempt(attempt)
+			w.markAttemptLost(attempt)
 		}
 	}
 }
 
-// loseAttempt notifies the scheduler, once: after a reinstatement new work is to show how the worker does.
-func (w *worker) loseAttempt(attempt *workerAttempt) {
+// markAttemptLost marks an attempt as lost and notifies the scheduler, once. A lost attempt is not
+// judged again: after a reinstatement only new work shows whether the worker works.
+func (w *worker) markAttemptLost(attempt *workerAttempt) {
 	attempt.lost = true
 	w.scheduler.send(attemptStalled{invocation: attempt.invocation, number: attempt.number})
 }
 
-// acceptanceOverdue: the connection may have gone silent under the request, whatever else the worker reports.
+// acceptanceOverdue reports whether the worker should have accepted the attempt by now. The
+// connection may have gone silent after the request was sent, even if the worker still reports on
+// other attempts.
 func (w *worker) acceptanceOverdue(attempt *workerAttempt) bool {
 	return w.notifiesAccepted && !attempt.accepted && w.now >= attempt.sentAt+progressTimeout
 }
 
-// progressOvertaken: the worker has reported on others since this attempt's progress was due: it has lost this one, or its
-// answer.
+// progressOvertaken reports whether the worker has reported on other attempts since progress of
+// this one was due. It has then lost this attempt or its answer.
 func (w *worker) progressOvertaken(attempt *workerAttempt) bool {
 	return w.progressInterval > 0 && attempt.startedAt > 0 &&
 		w.lastProgress > attempt.progressAt+w.progressInterval+progressTimeout
 }
 
-// waitsToStart: the worker will report when the attempt starts, and has not.
-func (w *worker) waitsToStart(attempt *workerAttempt) bool {
+// awaitsStart reports whether the worker notifies starts and has not yet notified this one.
+func (w *worker) awaitsStart(attempt *workerAttempt) bool {
 	return w.notifiesStart && attempt.startedAt == 0
 }
 
-// progressDue is when a sign of progress of an attempt is due.
+// progressDue returns when the next sign of progress of an attempt is due.
 func (w *worker) progressDue(attempt *workerAttempt) time.Duration {
 	switch {
-	case w.waitsToStart(attempt):
+	case w.awaitsStart(attempt):
 		return attempt.sentAt
 	case w.progressInterval > 0:
 		return max(attempt.sentAt, attempt.progressAt) + w.progressInterval
 	default:
-		return attempt.sentAt + seconds(overdueWork*attempt.work*max(1, w.pace))
+		return attempt.sentAt + seconds(unreportedRunFactor*attempt.work*max(1, w.pace))
 	}
 }
 
-// checkOverdue looks for overdue signs of progress. A hung worker shows the most free slots and would draw all work, but
-// a busy one must not lose its place: suspicion asks, silence beyond what waiting explains decides.
+// checkOverdue looks for overdue signs of progress. A hung worker reports the most free slots and
+// would attract all work, but a busy one must not be ejected: a suspected worker is health checked
+// first, and ejected only after a silence longer than queueing explains.
 func (w *worker) checkOverdue() {
 	silence := w.ejectIfSilent()
-	if !w.healthChecks { // nobody may ask it: time alone lets it be tried again
+	if !w.healthChecks { // without health checks, the end of the ejection time alone reinstates it
 		w.reinstate(true)
 	}
 	sinceCheck := w.now - w.checkedAt
@@ -182,7 +196,8 @@
 	}
 }
 
-// ejectIfSilent goes through the attempts in flight, and gives for how long the longest one has been overdue.
+// ejectIfSilent ejects the worker if an attempt in flight has been silent for too long, and returns
+// for how long the longest overdue one has been overdue.
 func (w *worker) ejectIfSilent() (longest time.Duration) {
 	tolerated := seconds(w.toleratedSilence())
 	for i := range w.attempts {
@@ -191,44 +206,46 @@
 			continue
 		}
 		if w.acceptanceOverdue(attempt) || w.progressOvertaken(attempt) {
-			w.loseAttempt(attempt)
+			w.markAttemptLost(attempt)
 			continue
 		}
-		if w.waitsToStart(attempt) {
+		if w.awaitsStart(attempt) {
 			w.recordLateStart(attempt)
 		}
 		silence := w.now - max(w.progressDue(attempt), w.lastProgress) - progressTimeout
 		longest = max(longest, silence)
 		if silence > tolerated {
-			w.eject(ejectSilent, true)
+			w.eject(ejectNoProgress, true)
 		}
 	}
 	return longest
 }
 
-// toleratedSilence is in seconds.
+// toleratedSilence returns how long, in seconds, progress may be overdue before the worker is ejected.
 func (w *worker) toleratedSilence() float64 {
-	tolerated := overdueRuns * w.stats.runTime * max(1, w.pace)
+	tolerated := toleratedSilentRuns * w.stats.runTime * max(1, w.pace)
 	if w.lastReport.FreeSlots <= 0 {
-		// In thin traffic nothing else of ours shows that a full worker works: its queue explains silence.
+		// In thin traffic this scheduler has no other attempts there that show that a full worker
+		// still works. The worker's own queue explains the silence.
 		tolerated *= 2 + w.lastReport.Queued/max(1, w.maxFree)
 	}
 	return tolerated
 }
 
-// noteLateStart notes, once, that an attempt has not started at once.
+// recordLateStart records, once, that an attempt did not start at once.
 func (w *worker) recordLateStart(attempt *workerAttempt) {
-	expected := attempt.sentAt + immediateStartSpan
+	expected := attempt.sentAt + immediateStartWindow
 	if w.now < expected || w.now >= expected+tickInterval {
 		return
 	}
 	w.scheduler.send(startObserved{immediate: 0})
 	if w.measured {
-		w.recordFreeSlots(w.now, -attempt.slots) // it waits: nothing is free now, whatever the last report says
+		w.recordFreeSlots(w.now, -attempt.slots) // it is queued: nothing is free, whatever the last report says
 	}
 }
 
-// earliestDue is the earliest time at which checkOverdue may have a result; it may be too early, never too late.
+// earliestDue returns the earliest time at which checkOverdue may have an effect. It may be too
+// early, never too late.
 func (w *worker) earliestDue() time.Duration {
 	next := never
 	if w.recheck {
@@ -246,7 +263,7 @@
 	return next
 }
 
-// attemptDue is the earliest time at which checkOverdue may have a result for one attempt.
+// attemptDue returns the earliest time at which checkOverdue may have an effect for one attempt.
 func (w *worker) attemptDue(attempt *workerAttempt) time.Duration {
 	if w.progressOvertaken(attempt) {
 		return 0
@@ -255,7 +272,7 @@
 	if w.notifiesAccepted && !attempt.accepted {
 		next = min(next, attempt.sentAt+progressTimeout)
 	}
-	if expected := attempt.sentAt + immediateStartSpan; w.waitsToStart(attempt) && w.now < expected+tickInterval {
+	if expected := attempt.sentAt + immediateStartWindow; w.awaitsStart(attempt) && w.now < expected+tickInterval {
 		next = min(next, expected)
 	}
 	return next
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A successor replaces a scheduler: what was measured, who is ejected, what a worker in slow start was sent, and invocations
-// with their attempts go on as they were. What breaks is retried where it may be, once.
+// A successor takes over from a scheduler. Measurements, ejections, the used slow-start budget, and
+// invocations with their attempts continue unchanged. An attempt whose connection breaks afterwards is
+// retried once, where that is safe.
 func Example_successor() {
 	config := testConfig()
 	config.Schedulers = 1
@@ -23,22 +24,22 @@
 		predecessor.handleAt(predecessor.now+200*ms, predecessor.outcome(n, 0, Succeeded))
 	}
 	predecessor.handleAt(9*time.Second, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{starting}})
-	answerThen := func(at time.Duration, freeAtA float64, events ...Event) {
+	reportFreeSlotsThen := func(at time.Duration, freeAtA float64, events ...Event) {
 		predecessor.handleAt(at, freeSlotsResult('a', freeAtA), freeSlotsResult('b', 3), freeSlotsResult('c', 3))
 		predecessor.handleAt(at+10*ms, events...)
 		predecessor.runUntil(at + 90*ms)
 	}
-	answerThen(9200*ms, 3, arrival(22, 2, 0.1))
-	answerThen(9300*ms, 3, arrival(23, 2, 0.1), arrival(21, 0, 0.1))
-	answerThen(9400*ms, 4, arrival(25, 0, 0.01), predecessor.outcome(21, 0, Failed))
+	reportFreeSlotsThen(9200*ms, 3, arrival(22, 2, 0.1))
+	reportFreeSlotsThen(9300*ms, 3, arrival(23, 2, 0.1), arrival(21, 0, 0.1))
+	reportFreeSlotsThen(9400*ms, 4, arrival(25, 0, 0.01), predecessor.outcome(21, 0, Failed))
 	predecessor.handleAt(9500*ms, predecessor.outcome(25, 0, Succeeded))
 	predecessor.printCollected("the predecessor")
 
-	// The snapshot goes to the other process as text; its clock began later.
-	const later = 9 * time.Second
+	// The snapshot is passed as JSON to the other process, whose clock started clockOffset.
+	const clockOffset = 9 * time.Second
 	successor := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	endpoint := starting
-	endpoint.StartedAt -= later
+	endpoint.StartedAt -= clockOffset
 	successor.collects = true
 	successor.handleAt(200*ms, EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{endpoint}})
 	text, err := json.Marshal(predecessor.dispatcher.Snapshot())
