--- a/dispatch/mailbox.go
+++ b/dispatch/mailbox.go
@@ -149,7 +149,7 @@
 	joinPool
 }
 
-func (m deferredCheck) deliverToScheduler(s *scheduler) { s.orderedChecks = append(s.orderedChecks, m) }
+func (m deferredCheck) deliverToScheduler(s *scheduler) { s.epochChecks = append(s.epochChecks, m) }
 
 // epochStart begins an epoch. The scheduler sends it to the registry, which returns it behind the
 // poolRequests of the same moment. The scheduler then passes it to the workers for which something
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -20,8 +20,8 @@
 	// statsInterval is how often the statistics of all workers are recomputed and the queue is
 	// ranked anew.
 	statsInterval = 5 * tickInterval
-	// minImmediateStartShare is the share of this scheduler's attempts that start at once above which
-	// there must be free capacity somewhere.
+	// minImmediateStartShare is the share of attempts started at once above which some worker is
+	// assumed to have free capacity.
 	minImmediateStartShare = 0.15
 	// lagFactor is the assumed age of a received load report, as a multiple of the measured lag.
 	lagFactor = 2
@@ -37,20 +37,20 @@
 	schedulers           float64 // in total
 	operations           []operation
 	tenants              []tenant
-	cancels              bool
+	cancelAllowed        bool // attempts may be cancelled
 	maxAttempts          int
 	maxInFlight          int
 	retryAfter           time.Duration // longest wait that a throttled client is asked for
 	overloadBudget       float64       // work that a worker in slow start may get from all schedulers, in seconds per slot
-	excessWeight         float64
-	worstOperationWeight float64
-	checksPerInvocation  float64 // health check credit that an invocation adds
-	queriesPerInvocation int     // capacity queries that an arrival may cause
-	staleQueueShare      float64
+	excessWeight         float64       // of work beyond a tenant's quota, as a part of its usual weight
+	worstOperationWeight float64       // of the worst served operation, as a part of the weight of all
+	checksPerInvocation  float64       // health check credit that an invocation adds
+	queriesPerInvocation int           // capacity queries that an arrival may cause
+	staleQueueShare      float64       // see defaultStaleQueueShare
 
 	// Invocations.
 	invocations     []invocation
-	freeInvocations []int
+	freeInvocations []int                   // unused indices of invocations
 	queue           []int                   // by rank, highest first
 	admitted        float64                 // invocations in total
 	arrivals        samples                 // times of the last arrivals, in seconds
@@ -67,16 +67,16 @@
 	creditedAt       time.Duration
 	arrivedSinceTick bool // an invocation has arrived since check credit was last spent
 	summary          poolSummary
-	candidates       []int // pooled workers that may have free slots
-	rejections       map[rejectionKey]backoff
+	candidates       []int                    // pooled workers that may have free slots
+	rejections       map[rejectionKey]backoff // for work that workers have rejected
 
 	// Views, see view.go.
-	views         []*viewEntry // by worker; nil: never used
-	tracked       []int        // active workers
-	epoch         refreshEpoch // the last one
-	poolEpoch     refreshEpoch // the last one with a non-empty queue
-	orderedChecks []deferredCheck
-	refreshedAt   time.Duration
+	views       []*viewEntry    // by worker; nil: never used
+	tracked     []int           // active workers
+	epoch       refreshEpoch    // the last one
+	poolEpoch   refreshEpoch    // the last one with a non-empty queue
+	epochChecks []deferredCheck // to be sent as the next epoch begins
+	lastEpochAt time.Duration
 
 	// Measurements of all workers.
 	stats           workerStats
@@ -130,7 +130,7 @@
 	s.poolSize = max(minPoolSize, min(s.poolSize, rate*poolCheckWindow.Seconds()))
 	s.checkCredit += minChecksPerSecond * (s.now - s.creditedAt).Seconds()
 	s.creditedAt = s.now
-	epochDue := s.now >= s.refreshedAt+tickInterval
+	epochDue := s.now >= s.lastEpochAt+tickInterval
 	// Health checks are best sent when an invocation arrives, as load reports are most useful while
 	// they are recent. Without arrivals, a few are sent each second.
 	if s.arrivedSinceTick || s.checkCredit >= minChecksPerSecond {
@@ -139,7 +139,7 @@
 	if !epochDue {
 		return
 	}
-	s.refreshedAt = s.now
+	s.lastEpochAt = s.now
 	if s.now >= s.statsUpdatedAt+statsInterval {
 		s.updateStats()
 		s.rerankQueue()
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -16,8 +16,8 @@
 	lateRankDivisor = 1000
 	// lateReserve is how many slots must stay free at a worker that gets late work.
 	lateReserve = 1
-	// wellServedShare is the served share from which on an operation does not count as the worst
-	// served.
+	// wellServedShare is the served share, as a part of an operation's weight, from which on the
+	// operation does not count as the worst served one.
 	wellServedShare = 0.95
 	// minServedGap is how far the served share of the worst served operation must lie below the
 	// best one.
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -69,7 +69,7 @@
 	config := &newer.Config
 	s.zone = config.Zone
 	s.schedulers = schedulers
-	s.cancels = config.Limits.Cancel
+	s.cancelAllowed = config.Limits.Cancel
 	s.maxInFlight = max(1, config.Limits.MaxInFlight)
 	s.maxAttempts = max(1, config.Limits.MaxAttempts)
 	s.retryAfter = min(config.Limits.MaxRetryAfter, maxRetryAfter)
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -78,12 +78,12 @@
 	h.handleAt(40*ms, h.outcome(1, 1, Rejected))
 	h.printCollected("after")
 	s := &h.dispatcher.scheduler
-	fmt.Println(s.maxAttempts, s.cancels, s.schedulers, h.dispatcher.schedulerIndex)
+	fmt.Println(s.maxAttempts, s.cancelAllowed, s.schedulers, h.dispatcher.schedulerIndex)
 	config.Limits.Cancel = false
 	config.Schedulers = 7
 	config.Index = UnknownIndex
 	h.handleAt(50*ms, Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}})
-	fmt.Println(s.maxAttempts, s.cancels, s.schedulers, h.dispatcher.schedulerIndex)
+	fmt.Println(s.maxAttempts, s.cancelAllowed, s.schedulers, h.dispatcher.schedulerIndex)
 	// Output:
 	// before: 1 to c; 1 to a
 	// after: 1 throttled, retry at once
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -174,7 +174,7 @@
 	s.dequeue(index)
 	v.finished = true
 	for number, attempt := range v.attempts {
-		if attempt.inFlight && !v.answered && number != keptAttempt && s.cancels {
+		if attempt.inFlight && !v.answered && number != keptAttempt && s.cancelAllowed {
 			s.emit(Cancel{Invocation: v.id, Attempt: number})
 		}
 		v.finished = v.finished && !attempt.inFlight
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -17,10 +17,10 @@
 	// slowStartPoolRanks is how many schedulers, those with the lowest lottery ranks, keep a worker
 	// in slow start in their pools.
 	slowStartPoolRanks = 6
-	// lotteryBudgetShare is the part of the budget, in hinted cost, that is handed out where a lottery
-	// decides which schedulers share it.
+	// lotteryBudgetShare is the part of the budget, measured in hinted cost, that is handed out where
+	// a lottery decides which schedulers share it.
 	lotteryBudgetShare = 1.25
-	// evenBudgetShare is the part that is handed out where all schedulers share the budget evenly.
+	// evenBudgetShare is the same part where all schedulers share the budget evenly.
 	evenBudgetShare = 0.25
 	// minRunsPerShare is how many typical runs a scheduler's share should hold.
 	minRunsPerShare = 1.5
@@ -95,8 +95,8 @@
 
 // sharerCount returns how many schedulers share a budget by lottery.
 func (s *scheduler) sharerCount(budget, runTime, capacity float64) float64 {
-	// The work that arrives here, averaged over this scheduler's whole lifetime, so that
-	// a jump in traffic does not change at once which schedulers share the budget.
+	// The average over this scheduler's whole lifetime, so that a jump in traffic does not change at
+	// once which schedulers share the budget.
 	workPerSecond := runTime * max(1, s.admitted) / max(poolCheckWindow, s.now).Seconds()
 	needed := min(sharerLoadFactor*capacity/workPerSecond, topSharers+lotteryBudgetShare*budget/(3*minRunsPerShare*runTime))
 	return max(minSharers, math.Floor(needed))
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -92,6 +92,7 @@
 	w.scheduler.send(viewPublished{view})
 }
 
+// spareView returns memory for a view, which is that of a delivered one if there is any.
 func (s *sharedState) spareView() *workerView {
 	count := len(s.spareViews)
 	if count == 0 {
@@ -103,7 +104,7 @@
 }
 
 // updateView stores a published view. From a pool that exceeds its size it removes the workers that
-// joined first, but for those in slow start that this scheduler has to keep by its lottery rank.
+// joined first, except those in slow start that its lottery rank makes this scheduler keep.
 func (s *scheduler) updateView(view *workerView) {
 	view.estimatePace(s.kindPace, s.stats)
 	s.storeView(view)
@@ -150,8 +151,8 @@
 	s.pool = slices.Delete(s.pool, position, position+1)
 }
 
-// beginEpoch records a new epoch. Only workers for which something is due are sent a refresh; for
-// the others it would have no effect. The first one is always sent one, as its view's update keeps
+// beginEpoch records a new epoch. Only workers for which something is due are sent an epochStart;
+// for the others it would have no effect. The first one is always sent one, as its view's update keeps
 // the pool within its size.
 func (s *scheduler) beginEpoch() {
 	s.dropInactive()
@@ -162,15 +163,15 @@
 		s.poolEpoch = s.epoch
 	}
 	for n, worker := range s.tracked {
-		if n == 0 || s.views[worker].dueAt <= s.now || s.hasOrderedCheck(worker) {
+		if n == 0 || s.views[worker].dueAt <= s.now || s.hasDeferredCheck(worker) {
 			s.refreshWorker(worker, queued)
 		}
 	}
-	if queued && (len(s.orderedChecks) > 0 || len(s.tracked) == 0) {
+	if queued && (len(s.epochChecks) > 0 || len(s.tracked) == 0) {
 		s.refreshPooled()
 	}
-	for len(s.orderedChecks) > 0 {
-		s.deliverChecks(s.orderedChecks[0].worker)
+	for len(s.epochChecks) > 0 {
+		s.deliverChecks(s.epochChecks[0].worker)
 	}
 }
 
@@ -188,20 +189,20 @@
 	s.tracked = tracked
 }
 
-// refreshPooled sends a refresh to the pooled workers that are not tracked and have a check
-// ordered, and to the first pooled worker if no worker is tracked. It is called in epochs with a
+// refreshPooled sends an epochStart to the pooled workers that are not tracked and have a deferred
+// check, and to the first pooled worker if no worker is tracked. It is called in epochs with a
 // non-empty queue.
 func (s *scheduler) refreshPooled() {
 	for n, worker := range s.pool {
 		first := n == 0 && len(s.tracked) == 0
-		if !s.views[worker].tracked && (first || s.hasOrderedCheck(worker)) {
+		if !s.views[worker].tracked && (first || s.hasDeferredCheck(worker)) {
 			s.refreshWorker(worker, true)
 		}
 	}
 }
 
-// refreshWorker sends a worker a refresh, and a second one if the epoch applies to it both as a
-// tracked and as a pooled worker, and then the checks that were ordered for it.
+// refreshWorker sends a worker an epochStart, and a second one if the epoch applies to it both as a
+// tracked and as a pooled worker, and then its deferred checks.
 func (s *scheduler) refreshWorker(worker int, queued bool) {
 	w := s.dispatcher.records[worker].worker
 	w.send(epochStart{})
@@ -211,19 +212,19 @@
 	s.deliverChecks(worker)
 }
 
-func (s *scheduler) hasOrderedCheck(worker int) bool {
-	return slices.ContainsFunc(s.orderedChecks, func(check deferredCheck) bool { return check.worker == worker })
+func (s *scheduler) hasDeferredCheck(worker int) bool {
+	return slices.ContainsFunc(s.epochChecks, func(check deferredCheck) bool { return check.worker == worker })
 }
 
-// deliverChecks sends a worker the checks that were ordered for it.
+// deliverChecks sends a worker its deferred checks.
 func (s *scheduler) deliverChecks(worker int) {
-	rest := s.orderedChecks[:0]
-	for _, check := range s.orderedChecks {
+	rest := s.epochChecks[:0]
+	for _, check := range s.epochChecks {
 		if check.worker == worker {
 			s.dispatcher.workerAt(worker).send(check.joinPool)
 		} else {
 			rest = append(rest, check)
 		}
 	}
-	s.orderedChecks = rest
+	s.epochChecks = rest
 }
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -59,17 +59,17 @@
 	freeSampledAt time.Duration // the time that the last of freeSamples refers to
 
 	// Health checks and ejection, see outlier.go.
-	ejected           bool
-	ejectedUntil      time.Duration
-	ejections         int  // recent ones: each success outside probation removes one
-	probationLeft     int  // successes still needed to end probation
-	recheck           bool // a health check is due at the next tick
-	checkedAt         time.Duration
-	checksAnswered    int // in a row
-	checksMissed      int // in a row
-	consecutiveBreaks int // attempts in a row that failed or whose connection broke
-	lastProgress      time.Duration
-	rejectedUntil     time.Duration
+	ejected             bool
+	ejectedUntil        time.Duration
+	ejections           int  // recent ones: each success outside probation removes one
+	probationLeft       int  // successes still needed to end probation
+	recheck             bool // a health check is due at the next tick
+	checkedAt           time.Duration
+	checksAnswered      int // in a row
+	checksMissed        int // in a row
+	consecutiveFailures int // attempts in a row that failed or whose connection broke
+	lastProgress        time.Duration
+	rejectedUntil       time.Duration
 
 	// Gossip with the worker's owner, or with the schedulers that query this one as its owner.
 	queriedAt       time.Duration
@@ -412,8 +412,8 @@
 		// A single broken connection may be the network's fault, so that it only causes a health
 		// check.
 		w.recheck = result == ConnectionBroken
-		w.consecutiveBreaks++
-		if !w.recheck || w.consecutiveBreaks >= probationSuccesses {
+		w.consecutiveFailures++
+		if !w.recheck || w.consecutiveFailures >= probationSuccesses {
 			w.eject(ejectFailsAttempts, false)
 		}
 	case Cancelled: // it may run on: its slots stay reserved for as long as it would have run
@@ -439,7 +439,7 @@
 func (w *worker) attemptSucceeded(attempt *workerAttempt) (runTime float64) {
 	runTime = (w.now - cmp.Or(attempt.startedAt, attempt.sentAt)).Seconds()
 	w.rejectedUntil = 0
-	w.consecutiveBreaks = 0
+	w.consecutiveFailures = 0
 	w.paces.add(runTime / attempt.work * w.warmUpWeight) // the pace of the warm worker
 	w.pace = w.paces.quantile(median)
 	if w.gossipEnabled && !w.ownedHere {
