--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -199,7 +199,7 @@
 // ejectIfSilent ejects the worker if an attempt in flight has been silent for too long, and returns
 // for how long the longest overdue one has been overdue.
 func (w *worker) ejectIfSilent() (longest time.Duration) {
-	tolerated := seconds(w.toleratedSilence())
+	tolerated := seconds(w.toleratedSilenceSeconds())
 	for i := range w.attempts {
 		attempt := &w.attempts[i]
 		if attempt.endedAt != 0 || attempt.lost || w.ejected {
@@ -221,8 +221,8 @@
 	return longest
 }
 
-// toleratedSilence returns how long, in seconds, progress may be overdue before the worker is ejected.
-func (w *worker) toleratedSilence() float64 {
+// toleratedSilenceSeconds returns how long progress may be overdue before the worker is ejected.
+func (w *worker) toleratedSilenceSeconds() float64 {
 	tolerated := toleratedSilentRuns * w.stats.runTime * max(1, w.pace)
 	if w.lastReport.FreeSlots <= 0 {
 		// In thin traffic this scheduler has no other attempts there that show that a full worker
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -149,7 +149,7 @@
 
 // paidChecksPerSecond returns the rate of health checks that the credit of the last arrivals allows.
 func (s *scheduler) paidChecksPerSecond() float64 {
-	span := max(minRateSpan, s.now.Seconds()-s.arrivals[0])
+	span := max(minRateSpanSeconds, s.now.Seconds()-s.arrivals[0])
 	return s.checksPerInvocation * float64(len(s.arrivals)) / span
 }
 
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -25,8 +25,8 @@
 	// minWeightShare is a lower bound of the worst served operation's share of the offered weight.
 	// It limits how much the operation's weight is raised.
 	minWeightShare = 0.01
-	// minRateSpan is the shortest span, in seconds, over which an arrival rate is computed.
-	minRateSpan = 0.1
+	// minRateSpanSeconds is the shortest span over which an arrival rate is computed.
+	minRateSpanSeconds = 0.1
 )
 
 // noOperation is the index that stands for no operation.
@@ -173,7 +173,7 @@
 		return 1
 	}
 	t := &s.tenants[index]
-	rate := s.schedulers * float64(len(t.arrivals)) / max(minRateSpan, s.now.Seconds()-t.arrivals[0])
+	rate := s.schedulers * float64(len(t.arrivals)) / max(minRateSpanSeconds, s.now.Seconds()-t.arrivals[0])
 	within := min(1, t.QuotaPerSecond/rate)
 	return within + (1-within)*s.excessWeight
 }
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -43,7 +43,7 @@
 	otherSlots     float64 // taken by other schedulers
 	pace           float64 // running time over hinted cost
 	inFlight       int
-	hangs          bool // answers nothing any more
+	hangs          bool // answers neither health checks nor new attempts
 	reportsFrozen  bool // repeats its last report
 	reportsNothing bool // sends no load reports
 	lastReport     LoadReport
--- a/dispatch/slowstart_simulation_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -42,8 +42,8 @@
 }
 
 const (
-	// frozenReportAge is how long, in seconds, a worker with frozen reports repeats a report.
-	frozenReportAge = 1000
+	// frozenReportSeconds is how long a worker with frozen reports repeats a report.
+	frozenReportSeconds = 1000
 	// minArrivalRate is the least rate, in requests a second, that the number of workers is
 	// chosen for.
 	minArrivalRate = 200
@@ -137,7 +137,7 @@
 		startingPart = 0.6
 		s.burst = 1.2
 		s.load = 0.8
-		s.reportAge = seconds(frozenReportAge)
+		s.reportAge = seconds(frozenReportSeconds)
 		if !s.largeWorkers {
 			s.cores = hardCase.cores
 			s.meanWork = hardCase.mean
@@ -165,7 +165,7 @@
 	s.meanWork = choose(0.1, 0.25, 0.6)
 	s.load = choose(0.5, 0.65, 0.8)
 	s.burst = choose(1, 1.5, 2)
-	s.reportAge = seconds(choose(0, 0.5, frozenReportAge))
+	s.reportAge = seconds(choose(0, 0.5, frozenReportSeconds))
 	if s.checksLost {
 		s.reportAge = 500 * ms
 	}
@@ -599,8 +599,8 @@
 		t.Logf("%-26s %10d %8.1f %8.1f %8.1f %8.2f %5d %6.2f %5.2f", scenario.name, scenario.schedulers, r.worst, r.bound, r.requests,
 			r.share, r.over, r.mean, r.used)
 		if r.share > 1 {
-			t.Errorf("%s, %d schedulers, seed %d: a worker in slow start got %.1f requests of mean work, its budget is %.1f", scenario.name,
-				scenario.schedulers, r.seed, r.worst, r.bound)
+			t.Errorf("%s, %d schedulers, seed %d: a worker in slow start got %.1f requests of mean work, its budget is %.1f",
+				scenario.name, scenario.schedulers, r.seed, r.worst, r.bound)
 		}
 	}
 	if !slices.ContainsFunc(results, func(r slowStartResult) bool { return r.used > 0 }) {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -239,7 +239,8 @@
 				worst = max(worst, slowStartSharesAfterReconfiguration(change.before, change.after, requests, incarnation))
 			}
 			if worst > bound {
-				t.Errorf("%d schedulers, then %d, N %v: may send %.1f, budget is %.1f", change.before, change.after, requests, worst, bound)
+				t.Errorf("%d schedulers, then %d, N %v: may send %.1f, budget is %.1f",
+					change.before, change.after, requests, worst, bound)
 			}
 		}
 	}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -22,11 +22,11 @@
 	// reportTimeout is how long a worker may answer health checks without a load report before it
 	// counts as having stopped reporting.
 	reportTimeout = 1250 * time.Millisecond
-	// minRunTime is the shortest time constant, in seconds, with which the confidence in a report
+	// minRunTimeSeconds is the shortest time constant with which the confidence in a report
 	// decays.
-	minRunTime = 0.1
-	// minServiceTime, in seconds, keeps the pace of a worker finite where no service time is reported.
-	minServiceTime = 1e-6
+	minRunTimeSeconds = 0.1
+	// minServiceTimeSeconds keeps the pace of a worker finite where no service time is reported.
+	minServiceTimeSeconds = 1e-6
 	// maxServiceTimeRatio bounds the ratio of a worker's reported service time to the pool's.
 	maxServiceTimeRatio = 8
 	// slowServiceTimeRatio is the ratio to the pool's service time above which a reported one shows
@@ -267,7 +267,7 @@
 	// the more the mean of its last reports counts, and the fewer of these there are, the more the
 	// pool's typical value counts.
 	age := max(0, now-w.freeSampledAt).Seconds()
-	w.confidence = math.Exp(-age / max(w.stats.runTime, minRunTime))
+	w.confidence = math.Exp(-age / max(w.stats.runTime, minRunTimeSeconds))
 	decayed := w.stats.typicalFree + w.freeSamples.sum()/float64(count+typicalSampleWeight)
 	w.free = math.Round(min(w.confidence*w.lastFree+(1-w.confidence)*decayed-w.reserved, w.maxFree))
 }
@@ -440,7 +440,7 @@
 	runTime = (w.now - cmp.Or(attempt.startedAt, attempt.sentAt)).Seconds()
 	w.rejectedUntil = 0
 	w.consecutiveFailures = 0
-	w.paces.add(runTime / attempt.work * w.warmUpWeight) // the pace of the warm worker
+	w.paces.add(runTime / attempt.work * w.warmUpWeight) // without slow start, which estimatePace adds
 	w.pace = w.paces.quantile(median)
 	if w.gossipEnabled && !w.ownedHere {
 		w.recordFreeSlots(w.now, 1) // the slot it leaves can be used here at once, before the owner is notified
@@ -458,7 +458,7 @@
 // long before results do.
 func (view *workerView) estimatePace(kindPace map[int]float64, stats workerStats) {
 	if view.pace == 0 {
-		typical := max(stats.serviceTime, view.serviceTime/maxServiceTimeRatio, minServiceTime)
+		typical := max(stats.serviceTime, view.serviceTime/maxServiceTimeRatio, minServiceTimeSeconds)
 		view.pace = cmp.Or(kindPace[view.kind], 1) * max(1, view.serviceTime/typical/slowServiceTimeRatio)
 	}
 	view.pace /= view.warmUpWeight
