--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -16,8 +16,8 @@
 	lateRankDivisor = 1000
 	// lateReserve is how many slots must stay free at a worker that gets late work.
 	lateReserve = 1
-	// wellServedShare is the served share from which on an operation does not count as the worst
-	// served.
+	// wellServedShare is the served share, as a part of an operation's weight, from which on the
+	// operation does not count as the worst served one.
 	wellServedShare = 0.95
 	// minServedGap is how far the served share of the worst served operation must lie below the
 	// best one.
@@ -25,8 +25,8 @@
 	// minWeightShare is a lower bound of the worst served operation's share of the offered weight.
 	// It limits how much the operation's weight is raised.
 	minWeightShare = 0.01
-	// minRateSpan is the shortest span, in seconds, over which an arrival rate is computed.
-	minRateSpan = 0.1
+	// minRateSpanSeconds is the shortest span over which an arrival rate is computed.
+	minRateSpanSeconds = 0.1
 )
 
 // noOperation is the index that stands for no operation.
@@ -173,7 +173,7 @@
 		return 1
 	}
 	t := &s.tenants[index]
-	rate := s.schedulers * float64(len(t.arrivals)) / max(minRateSpan, s.now.Seconds()-t.arrivals[0])
+	rate := s.schedulers * float64(len(t.arrivals)) / max(minRateSpanSeconds, s.now.Seconds()-t.arrivals[0])
 	within := min(1, t.QuotaPerSecond/rate)
 	return within + (1-within)*s.excessWeight
 }
