--- a/internal/takeover/address.go
+++ b/internal/takeover/address.go
@@ -12,55 +12,60 @@
 )
 
 const (
-	// turnTimeout is how long a third process waits for two others to complete their take-over.
-	turnTimeout = 6 * time.Second
-	// turnRetryDelay is the time between its attempts.
-	turnRetryDelay = 200 * time.Millisecond
+	// takeoverWaitTimeout bounds how long a starting process waits while the predecessor completes a
+	// take-over by another successor.
+	takeoverWaitTimeout = 6 * time.Second
+	// takeoverRetryDelay is the time between two attempts to reach the predecessor during that wait.
+	takeoverRetryDelay = 200 * time.Millisecond
 )
 
-// ErrStopped is returned where the process was told to stop while it waited. It has nothing to lose yet.
-var ErrStopped = errors.New("told to stop")
+// ErrStopped is returned if the process is ordered to stop while it still waits to start serving.
+// No connection or request is lost, as it has none yet.
+var ErrStopped = errors.New("stop requested before the process started serving")
 
-// Address is the TCP address that clients use, with the listening socket.
+// Address is the listening socket at the TCP address that clients use, and what is known about the
+// other process at that address.
 type Address struct {
 	// Listener is the listening TCP socket.
 	Listener net.Listener
-	// Shared says that another process listens at the address too.
+	// Shared is true if another process listens at the same address.
 	Shared bool
-	// Predecessor is the process that gave us its socket; nil: none did, and where the address is shared that process can't be
-	// reached.
+	// Predecessor is the process that passed Listener to this one. If it is nil although Shared is true,
+	// the other process could not be reached.
 	Predecessor *handover.Predecessor
-	// socketPath is where a successor finds us; empty: nowhere.
+	// socketPath is the path of the Unix socket at which a successor can connect; empty: it can't.
 	socketPath string
 }
 
-// AddressConfig says which address to acquire, and how.
+// AddressConfig has the parameters of Acquire.
 type AddressConfig struct {
-	// ListenAddress is the TCP address.
+	// ListenAddress is the TCP address that clients use, as host:port.
 	ListenAddress string
-	// ProcessName must be the predecessor's too.
+	// ProcessName is the configured name of this process. The predecessor must have the same name.
 	ProcessName string
-	// Dir is the directory that the processes of an address share.
+	// Dir is the directory of the Unix socket; all processes that serve ListenAddress must use the same one.
 	Dir string
-	// Listen opens a TCP socket that another process may listen at too.
+	// Listen opens a TCP socket at an address where another process may already listen.
 	Listen func(addr string) (net.Listener, error)
-	// Stopped reports whether the process has been told to stop.
+	// Stopped reports whether the process has been ordered to stop.
 	Stopped func() bool
-	// Log is where the outcome goes.
+	// Log receives the outcome.
 	Log *logrus.Entry
 }
 
-// Acquire gets the predecessor's listening socket, or opens one where nobody serves at the address. It returns
-// handover.ErrNameMismatch and handover.ErrTakeoverInProgress where the predecessor rejects this process, and ErrStopped.
+// Acquire gets the listening socket from the predecessor, or opens a new one if there is no
+// predecessor or it can't be reached. It returns handover.ErrNameMismatch or
+// handover.ErrTakeoverInProgress if the predecessor rejects this process, and ErrStopped if the
+// process is ordered to stop during the wait.
 func Acquire(c AddressConfig) (Address, error) {
-	path, found, dialErr := c.dial()
+	path, predecessor, dialErr := c.dialPredecessor()
 	address := Address{socketPath: path}
 	switch {
 	case dialErr == nil:
 		c.Log.WithField("address", c.ListenAddress).Info("taking over from predecessor")
 		address.Shared = true
-		address.Predecessor = found
-		address.Listener = found.Listener
+		address.Predecessor = predecessor
+		address.Listener = predecessor.Listener
 		return address, nil
 	case errors.Is(dialErr, ErrStopped),
 		errors.Is(dialErr, handover.ErrTakeoverInProgress),
@@ -81,19 +86,21 @@
 	return address, err
 }
 
-// dial asks the process at the address for its socket. While that one is busy with another successor it is asked again.
-func (c *AddressConfig) dial() (path string, found *handover.Predecessor, err error) {
+// dialPredecessor asks the process at the address for its listening socket, and retries for up to
+// takeoverWaitTimeout while that process is in a take-over by another successor. path is the Unix
+// socket at which this process can later be found itself; it is empty if there is no valid path.
+func (c *AddressConfig) dialPredecessor() (path string, predecessor *handover.Predecessor, err error) {
 	path, err = handover.SocketPath(c.Dir, c.ListenAddress)
 	if err != nil {
 		return "", nil, err
 	}
-	began := time.Now()
+	start := time.Now()
 	for {
-		found, err = handover.Dial(path, c.ListenAddress, c.ProcessName)
-		if !errors.Is(err, handover.ErrTakeoverInProgress) || time.Since(began) >= turnTimeout {
-			return path, found, err
+		predecessor, err = handover.Dial(path, c.ListenAddress, c.ProcessName)
+		if !errors.Is(err, handover.ErrTakeoverInProgress) || time.Since(start) >= takeoverWaitTimeout {
+			return path, predecessor, err
 		}
-		time.Sleep(turnRetryDelay)
+		time.Sleep(takeoverRetryDelay)
 		if c.Stopped() {
 			return path, nil, ErrStopped
 		}
--- a/internal/takeover/adoption.go
+++ b/internal/takeover/adoption.go
@@ -9,8 +9,9 @@
 	"stoatweir/internal/workers"
 )
 
-// adopt takes a connection over that the predecessor has sent, with the request that waits on it, and reports whether it
-// did. One that can't be served here in the same way stays at the predecessor.
+// adopt takes over the connection in a migrate message of the predecessor, together with the request
+// that waits on it, if any, and reports whether it did. A connection that this process can't serve in
+// the same way as the predecessor is rejected and stays with the predecessor.
 func (m *Manager) adopt(message handover.Message) bool {
 	if message.File == nil || message.Connection == nil {
 		return false
@@ -26,6 +27,7 @@
 	return true
 }
 
+// adoptConnection is adopt for an opened connection, which the caller closes if it is not adopted.
 func (m *Manager) adoptConnection(connection net.Conn, message handover.Message) bool {
 	migrating := clients.MigratingConnection{
 		Buffered:         message.Connection.Buffered,
@@ -41,8 +43,8 @@
 	if json.Unmarshal(message.Connection.Invocation, &migrated) != nil {
 		return false
 	}
-	migrated.ageInTransit(uptime())
-	operation, known := m.resolve(&migrated)
+	migrated.ageInTransit(monotonicNow())
+	operation, known := m.resolveNames(&migrated)
 	if !known || migrated.Remaining <= 0 {
 		return false
 	}
--- a/internal/takeover/callback.go
+++ b/internal/takeover/callback.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// callbackResultTimeout is how long the other process may take to answer for a callback.
+	// callbackResultTimeout bounds the wait for the other process's result of a relayed callback.
 	callbackResultTimeout = 400 * time.Millisecond
-	// ownerUnknownWindow is how long after the start callbacks of unknown requests may be those of a process that can't be
-	// reached.
+	// ownerUnknownWindow is the time after the start of this process during which a callback of an
+	// unknown request may belong to an unreachable process at the same address.
 	ownerUnknownWindow = 8 * time.Second
 )
 
-// pendingCallback is a callback that was relayed and not answered yet.
+// pendingCallback is a callback that was relayed to the other process, which has not answered yet.
 type pendingCallback struct {
 	callback workers.Callback
-	// onResult is called once, with whether the worker is told that the callback is settled.
+	// onResult is called once. settled is false if the worker should send the callback again.
 	onResult func(settled bool)
 	timeout  *conn.Timer
 }
 
-// RelayCallback asks the other process about a callback whose request is not here. It calls onResult later, or returns
-// false where nobody could have the request.
+// RelayCallback relays a callback whose request is not in flight in this process to the other
+// process, and calls onResult later from the event loop. It returns false, and does not call onResult,
+// if no other process can have the request.
 func (m *Manager) RelayCallback(callback workers.Callback, body []byte, onResult func(settled bool)) bool {
 	p := m.peer
 	if p == nil && m.ownerUnknown() {
-		// The worker's next attempt may reach the other process.
+		// The callback is reported as not settled, so that the worker sends it again: that attempt may
+		// reach the other process.
 		m.loop.After(0, func() { onResult(false) })
 		return true
 	}
@@ -51,12 +53,13 @@
 	return true
 }
 
-// ownerUnknown reports whether a process that can't be reached may have requests that are not here.
+// ownerUnknown reports whether a request that is unknown here may be in flight in a process at the
+// same address that can't be reached.
 func (m *Manager) ownerUnknown() bool {
 	return m.address.Shared && m.address.Predecessor == nil && m.loop.Now() < ownerUnknownWindow
 }
 
-// handleCallback answers for a callback that the other process has relayed.
+// handleCallback handles a callback that the other process has relayed, and sends the result.
 func (m *Manager) handleCallback(p *peer, message handover.Message) {
 	callback, err := m.clients.ParseCallback(message.Body)
 	owned := err == nil && m.workers.HandleCallback(callback)
@@ -68,8 +71,10 @@
 	})
 }
 
-// handleCallbackResult settles a callback that was relayed. If neither process had its request, that was migrating one way
-// or the other; it has arrived by now, as the answer was sent after it.
+// handleCallbackResult settles a relayed callback. If neither process found the request, it may have
+// been migrating in either direction when the callback arrived, so it is looked up here again: a
+// request that the other process sent has arrived by now, as messages arrive in order and the result
+// was sent after it.
 func (m *Manager) handleCallbackResult(p *peer, message handover.Message) {
 	pending := p.callbacks[message.Sequence]
 	if pending == nil {
@@ -83,8 +88,9 @@
 	pending.onResult(settled)
 }
 
-// resolveCallbacks settles all callbacks that the other process did not answer before it exited. Nobody waits for those
-// whose request was there; others may have become ours meanwhile.
+// resolveCallbacks settles all callbacks that the other process did not answer before it exited. The
+// clients whose requests were in flight there no longer wait for them; other requests may have become
+// this process's in the meantime, so each callback is looked up here again.
 func (m *Manager) resolveCallbacks(p *peer) {
 	for _, pending := range p.callbacks {
 		pending.timeout.Stop()
--- a/internal/takeover/manager.go
+++ b/internal/takeover/manager.go
@@ -12,10 +12,10 @@
 	"stoatweir/internal/workers"
 )
 
-// maxLoggedKind is how many bytes of an unknown message's kind are logged.
-const maxLoggedKind = 40
+// maxLoggedKindBytes is how much of the kind of an unknown message is logged.
+const maxLoggedKindBytes = 40
 
-// Config has what a Manager works with.
+// Config has the dependencies and settings of a Manager.
 type Config struct {
 	Loop      *conn.Loop
 	Clients   *clients.Server
@@ -24,18 +24,18 @@
 	Service   Service
 	Log       *logrus.Entry
 
-	// ProcessName is the configured name, which a successor must share.
+	// ProcessName is the configured name of this process. A successor with another name is rejected.
 	ProcessName string
 	// ListenAddress is the TCP address that clients use.
 	ListenAddress string
-	// Sockets is the quota of descriptors of this process while it is alone.
+	// Sockets is the descriptor quota of this process while no other process shares its address.
 	Sockets int
-	// MemoryMB is its quota of memory in MiB while it is alone.
+	// MemoryMB is the memory quota in MiB of this process while no other process shares its address.
 	MemoryMB int
 }
 
-// Manager connects this process with its predecessor or its successor, of which it has at most one at a time. The event
-// loop's goroutine owns it.
+// Manager handles the link to the predecessor or the successor of this process; there is at most one
+// such peer at a time. All methods must be called from the event loop's goroutine.
 type Manager struct {
 	loop      *conn.Loop
 	clients   *clients.Server
@@ -44,56 +44,58 @@
 	service   Service
 	log       *logrus.Entry
 
-	// processName, listenAddress, sockets and memoryMB are those of Config.
+	// processName, listenAddress, sockets and memoryMB are copied from Config.
 	processName   string
 	listenAddress string
 	sockets       int
 	memoryMB      int
 
-	// address is set by Start, once.
+	// address is set once, by Start.
 	address Address
-	// accepting says that connections are accepted. It never becomes false again.
+	// accepting is true once connections are accepted, and stays true.
 	accepting bool
-	// snapshotRequested says that the predecessor was asked for its snapshot, which happens once.
+	// snapshotRequested is true once the snapshot has been requested, which is done at most once.
 	snapshotRequested bool
-	// listener is where a successor connects; nil: it can't. It is set at most once, when accepting is.
+	// listener is the Unix socket at which a successor connects; nil: it can't. It is set at most once,
+	// together with accepting.
 	listener *handover.Listener
-	// peer is the other process at our address; nil: there is none that we could talk to.
+	// peer is the other process at the same address; nil: there is none, or it can't be reached.
 	peer *peer
 }
 
-// role is what the other process is to this one.
+// role tells whether a peer is the predecessor or the successor of this process.
 type role uint8
 
 const (
-	// predecessor serves already and is to be replaced by this process.
-	predecessor role = iota + 1
-	// successor replaces this process.
-	successor
+	// rolePredecessor is the role of a process that this one replaces.
+	rolePredecessor role = iota + 1
+	// roleSuccessor is the role of a process that replaces this one.
+	roleSuccessor
 )
 
-// peer is the other process. A link that is closed ends it: what it leaves unanswered is settled by Manager.handleExit.
+// peer is the state of the link with the other process. It ends when the link is closed:
+// Manager.handleExit then settles the callbacks and migrations that the peer has not answered.
 type peer struct {
 	link *handover.Link
-	// role is what the other process is to this one.
 	role role
-	// requestIDs are the requests in flight there.
+	// requestIDs are the IDs of the requests in flight in the peer.
 	requestIDs map[string]bool
-	// sequence is the number of the last message that has an answer.
+	// sequence is the sequence number of the last message sent that requires an answer.
 	sequence uint64
-	// callbacks are those that it was asked about and has not answered, by sequence number.
+	// callbacks are the relayed callbacks that the peer has not answered yet, by sequence number.
 	callbacks map[uint64]*pendingCallback
-	// migrations are connections that it has not answered for yet, by sequence number. At most maxMigrations are offered.
+	// migrations are the connections sent to the peer that it has not answered for yet, by sequence
+	// number; at most maxMigrationsInFlight.
 	migrations map[uint64]*migration
 }
 
-// task is a function that runs on the event loop.
-type task func()
+// taskFunc is a function to be run as a conn.Task on the event loop.
+type taskFunc func()
 
 // Run implements conn.Task.
-func (t task) Run() { t() }
+func (t taskFunc) Run() { t() }
 
-// New returns a Manager of a process that has no address yet.
+// New returns a Manager for a process that has not acquired its address yet. Start provides it.
 func New(c Config) *Manager {
 	return &Manager{
 		loop:          c.Loop,
@@ -109,23 +111,24 @@
 	}
 }
 
-// Start begins to serve at an address: at once where nobody else does, else when this process is ready or its
-// predecessor has exited.
+// Start sets the address, and links with the predecessor that was found there, if any. Connections are
+// accepted immediately if no other process serves the address, otherwise once this process is ready or
+// its predecessor has exited.
 func (m *Manager) Start(address Address) {
 	m.address = address
 	if address.Predecessor != nil {
-		m.connect(address.Predecessor.Link, predecessor)
+		m.startLink(address.Predecessor.Link, rolePredecessor)
 	}
 	if !address.Shared {
-		m.accept()
+		m.startAccepting()
 	}
 }
 
-// Close stops waiting for a successor.
+// Close closes the socket at which a successor can connect.
 func (m *Manager) Close() { m.listener.Close() }
 
-// connect starts a link with the other process.
-func (m *Manager) connect(link *handover.Link, peerRole role) {
+// startLink makes the process at the other end of a link the peer, and starts the link.
+func (m *Manager) startLink(link *handover.Link, peerRole role) {
 	p := &peer{
 		link:       link,
 		role:       peerRole,
@@ -134,13 +137,14 @@
 		migrations: map[uint64]*migration{},
 	}
 	m.peer = p
-	onMessage := func(message handover.Message) { m.loop.Post(task(func() { m.handleMessage(p, message) })) }
-	onClose := func() { m.loop.Post(task(func() { m.handleExit(p) })) }
+	onMessage := func(message handover.Message) { m.loop.Post(taskFunc(func() { m.handleMessage(p, message) })) }
+	onClose := func() { m.loop.Post(taskFunc(func() { m.handleExit(p) })) }
 	link.Start(onMessage, onClose)
 }
 
-// accept accepts connections, and a successor.
-func (m *Manager) accept() {
+// startAccepting starts to accept client connections and to listen for a successor. It does nothing if
+// called again.
+func (m *Manager) startAccepting() {
 	if m.accepting {
 		return
 	}
@@ -155,10 +159,11 @@
 		return
 	}
 	m.listener = listener
-	go listener.Serve(func(h *handover.Handshake) { m.loop.Post(task(func() { m.handleHandshake(h) })) })
+	go listener.Serve(func(h *handover.Handshake) { m.loop.Post(taskFunc(func() { m.handleHandshake(h) })) })
 }
 
-// handleMessage applies a message of the other process. One that came before its exit is ignored after it.
+// handleMessage handles a message of the peer. A message that is still queued when the peer's exit has
+// been handled is ignored.
 func (m *Manager) handleMessage(p *peer, message handover.Message) {
 	if message.File != nil {
 		defer message.File.Close()
@@ -168,7 +173,7 @@
 	}
 	switch message.Kind {
 	case handover.KindReady:
-		if p.role == successor {
+		if p.role == roleSuccessor {
 			m.service.SuccessorServing()
 		}
 	case handover.KindIDsAcquired:
@@ -195,12 +200,12 @@
 	case handover.KindMigrateResult:
 		m.handleMigrateResult(p, message)
 	default:
-		m.log.WithField("kind", fmt.Sprintf("%.*s", maxLoggedKind, message.Kind)).Warn("unknown message ignored")
+		m.log.WithField("kind", fmt.Sprintf("%.*s", maxLoggedKindBytes, message.Kind)).Warn("unknown message ignored")
 	}
 }
 
-// handleExit ends the link: the other process has exited, or hangs. What was on its way to it is ours again, as are its
-// quotas.
+// handleExit handles the close of the link: the peer has exited, or hangs. This process takes back the
+// full quotas, the unanswered migrations and the unanswered callbacks.
 func (m *Manager) handleExit(p *peer) {
 	if m.peer != p {
 		return
@@ -209,9 +214,9 @@
 	m.service.SetQuotas(m.sockets, m.memoryMB)
 	m.failMigrations(p)
 	m.resolveCallbacks(p)
-	if p.role == predecessor {
+	if p.role == rolePredecessor {
 		m.log.Info("predecessor exited")
-		m.accept() // also before we are ready: what is in the accept queue has nobody else
+		m.startAccepting() // even if not ready: no other process serves the connections in the accept queue
 		return
 	}
 	m.log.Info("successor exited")
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -23,7 +23,7 @@
 	"stoatweir/internal/workers"
 )
 
-// fakeService is a Service that records what it is given.
+// fakeService is a Service that records the requests it adopts and the migration records it receives.
 type fakeService struct {
 	deployment settings.Deployment
 	adopted    []Request
@@ -54,7 +54,8 @@
 func (f *fakeService) Migrates() bool              { return false }
 func (f *fakeService) SetQuotas(int, int)          {}
 
-// newTestManager is a Manager of a process that admits requests of one deduplicated operation.
+// newTestManager returns a Manager, with its fake service, of a process that admits requests of one
+// deduplicated operation.
 func newTestManager(t *testing.T) (*Manager, *fakeService) {
 	t.Helper()
 	process, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
@@ -83,8 +84,9 @@
 	}), service
 }
 
-// A migrated request ages while it is in transit: its client waits no longer for that, and its deduplication window does not last
-// longer. One that comes back is as old as it is.
+// The time in transit counts toward a migrated request's client timeout and its deduplication window,
+// whether the successor adopts the request or the predecessor restores it. Were it not counted, the
+// request would be served, or retried, after its client or its worker has given it up.
 func TestRequestsAgeInTransit(t *testing.T) {
 	const transit, remaining, age = 400 * time.Millisecond, 5 * time.Second, 2 * time.Second
 	m, service := newTestManager(t)
@@ -93,69 +95,69 @@
 		Endpoint: dispatch.Endpoint{Worker: worker, State: dispatch.Ready}}}})
 	record := dispatch.MigratedIn{Arrival: dispatch.Arrival{Budget: remaining}, Waited: age, Age: age,
 		Attempts: []dispatch.Attempt{{Worker: worker, Age: age, StartedAge: -1, LastProgressAge: age / 2, InFlight: true}}}
-	aged := record
-	aged.Budget, aged.Waited, aged.Age = remaining-transit, age+transit, age+transit
-	aged.Attempts = []dispatch.Attempt{{Worker: worker, Age: age + transit, StartedAge: -1, LastProgressAge: age/2 + transit, InFlight: true}}
-	near := func(what string, got, want time.Duration) {
+	want := record
+	want.Budget, want.Waited, want.Age = remaining-transit, age+transit, age+transit
+	want.Attempts = []dispatch.Attempt{{Worker: worker, Age: age + transit, StartedAge: -1, LastProgressAge: age/2 + transit, InFlight: true}}
+	checkDuration := func(what string, got, want time.Duration) {
 		t.Helper()
 		if d := (got - want).Abs(); d > transit/2 {
-			t.Error(what, ": ", got, " for ", want)
+			t.Error(what, ": got ", got, ", want ", want)
 		}
 	}
-	alike := func(what string, records []dispatch.MigratedIn) {
+	checkRecord := func(what string, records []dispatch.MigratedIn) {
 		t.Helper()
 		if len(records) != 1 {
 			t.Fatal(what, records)
 		}
 		got := records[0]
-		near(what+", budget", got.Budget, aged.Budget)
-		near(what+", waited", got.Waited, aged.Waited)
-		near(what+", age", got.Age, aged.Age)
+		checkDuration(what+", budget", got.Budget, want.Budget)
+		checkDuration(what+", waited", got.Waited, want.Waited)
+		checkDuration(what+", age", got.Age, want.Age)
 		if len(got.Attempts) != 1 {
 			t.Fatal(what, got.Attempts)
 		}
 		for n, attempt := range got.Attempts {
-			near(what+", attempt", attempt.Age, aged.Attempts[n].Age)
-			near(what+", progress", attempt.LastProgressAge, aged.Attempts[n].LastProgressAge)
+			checkDuration(what+", attempt age", attempt.Age, want.Attempts[n].Age)
+			checkDuration(what+", last progress age", attempt.LastProgressAge, want.Attempts[n].LastProgressAge)
 			if attempt.StartedAge != -1 {
-				t.Error(what, ", started: ", attempt.StartedAge)
+				t.Error(what, ", StartedAge of an attempt that has not started: want -1, got ", attempt.StartedAge)
 			}
 		}
 	}
 	migrate := func(transit time.Duration) (adopted bool) {
-		client, far, err := pipe()
+		client, server, err := tcpPipe()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer client.Close()
-		text, err := json.Marshal(migratedRequest{ID: fmt.Sprint(transit), Method: "POST", Target: "/keyed/k", EncodedAt: uptime() - transit,
+		encoded, err := json.Marshal(migratedRequest{ID: fmt.Sprint(transit), Method: "POST", Target: "/keyed/k", EncodedAt: monotonicNow() - transit,
 			Remaining: remaining, OperationName: "keyed", Operation: service.deployment.Dispatch.Operations[0],
 			Timeout: service.deployment.ClientTimeouts[0], Record: record, AttemptWorkers: []string{"s-1"}, AttemptZones: []string{"a"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return m.adopt(handover.Message{File: far, Connection: &handover.MigratedConnection{Invocation: text}})
+		return m.adopt(handover.Message{File: server, Connection: &handover.MigratedConnection{Invocation: encoded}})
 	}
 	if !migrate(transit) {
-		t.Fatal("not adopted")
+		t.Fatal("request with time left was not adopted")
 	}
-	alike("adopted", service.records)
+	checkRecord("adopted request", service.records)
 	if len(service.adopted) != 1 {
-		t.Fatal("adopted: ", service.adopted)
+		t.Fatal("want one adopted request, got ", service.adopted)
 	}
-	near("until the deadline", service.adopted[0].Deadline-m.loop.Now(), remaining-transit)
+	checkDuration("time until the deadline", service.adopted[0].Deadline-m.loop.Now(), remaining-transit)
 	if migrate(remaining) {
-		t.Error("adopted though its client has stopped waiting")
+		t.Error("request was adopted although its client timeout passed in transit")
 	}
 
 	m, service = newTestManager(t)
 	record.Attempts[0].InFlight = false
-	m.restore(&migration{MigratingConnection: &clients.MigratingConnection{Invocation: 1}, record: record, recordedAt: m.loop.Now() - transit})
-	alike("restored", service.records)
+	m.restoreRequest(&migration{MigratingConnection: &clients.MigratingConnection{Invocation: 1}, record: record, recordedAt: m.loop.Now() - transit})
+	checkRecord("restored request", service.records)
 }
 
-// pipe is a connection of which one side is a file, as it comes from another process.
-func pipe() (client net.Conn, far *os.File, err error) {
+// tcpPipe returns both ends of a TCP connection, the server's as a file, as another process would pass it.
+func tcpPipe() (client net.Conn, server *os.File, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
@@ -169,6 +171,6 @@
 		return nil, nil, err
 	}
 	defer c.Close()
-	far, err = c.(*net.TCPConn).File()
-	return client, far, err
+	server, err = c.(*net.TCPConn).File()
+	return client, server, err
 }
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -4,10 +4,10 @@
 	"stoatweir/internal/handover"
 )
 
-// idsPerMessage keeps a message of request IDs well inside a packet.
-const idsPerMessage = 256
+// requestIDsPerMessage bounds the request IDs in one message, so that it fits in a packet.
+const requestIDsPerMessage = 256
 
-// handleHandshake gives a successor our socket and half of the quotas, or rejects it.
+// handleHandshake passes the listening socket and half of the quotas to a successor, or rejects it.
 func (m *Manager) handleHandshake(h *handover.Handshake) {
 	if h.ProcessName != "" && h.ProcessName != m.processName {
 		reason := handover.ReasonNameMismatch
@@ -27,21 +27,22 @@
 	}
 	m.log.Info("successor accepted")
 	m.service.SetQuotas(m.sockets-quotas.Sockets, m.memoryMB-quotas.MemoryMB)
-	m.connect(link, successor)
+	m.startLink(link, roleSuccessor)
 	m.sendRequestIDs(link)
 }
 
-// sendRequestIDs tells a successor which requests are in flight here.
+// sendRequestIDs sends the IDs of all requests in flight in this process to a successor.
 func (m *Manager) sendRequestIDs(link *handover.Link) {
 	ids := m.clients.IDs()
 	for len(ids) > 0 {
-		n := min(len(ids), idsPerMessage)
+		n := min(len(ids), requestIDsPerMessage)
 		link.Send(handover.Message{Kind: handover.KindIDsAcquired, IDs: ids[:n]})
 		ids = ids[n:]
 	}
 }
 
-// AnnounceOwnership tells the other process, if any, that a request is in flight here, or no longer.
+// AnnounceOwnership informs the peer, if any, that a request is in flight in this process (owned) or no
+// longer is.
 func (m *Manager) AnnounceOwnership(id string, owned bool) {
 	if m.peer == nil {
 		return
@@ -53,5 +54,5 @@
 	m.peer.link.Send(handover.Message{Kind: kind, IDs: []string{id}})
 }
 
-// OwnedByPeer reports whether a request is in flight at the other process.
+// OwnedByPeer reports whether a request is in flight in the other process.
 func (m *Manager) OwnedByPeer(id string) bool { return m.peer != nil && m.peer.requestIDs[id] }
--- a/internal/takeover/record.go
+++ b/internal/takeover/record.go
@@ -9,16 +9,18 @@
 	"stoatweir/internal/http1"
 )
 
-// migratedRequest is a request as it goes from one process to the other: what the client server, the worker transport and
-// the dispatcher know of it. Operations and tenants go by name, workers by UID, times as ages.
+// migratedRequest is the encoding of a request that migrates from one process to the other: the state
+// that the client server, the worker transport and the dispatcher hold for it. As indices and clocks
+// differ between processes, operations and tenants are given by name, workers by UID and times as ages.
 type migratedRequest struct {
 	ID     string        `json:"ID"`
 	Method string        `json:"Method"`
 	Target string        `json:"Target"`
 	Fields []http1.Field `json:"Fields"`
-	// Remaining is the time until its client stops waiting, at EncodedAt.
+	// Remaining is the time that was left at EncodedAt until the client stops waiting.
 	Remaining time.Duration `json:"Left"`
-	// EncodedAt is when the ages held, by the clock that all processes of a machine share; 0: unknown.
+	// EncodedAt is the time at which the ages were current, on the monotonic clock that all processes of
+	// a machine share; 0: unknown.
 	EncodedAt     time.Duration       `json:"At"`
 	OperationName string              `json:"Name"`
 	TenantName    string              `json:"Tenant"`
@@ -27,11 +29,12 @@
 	Record        dispatch.MigratedIn `json:"Record"`
 	// AttemptWorkers are the UIDs of the workers of Record.Attempts, in the same order.
 	AttemptWorkers []string `json:"Workers"`
-	// AttemptZones are the names of their zones. Older builds leave them out.
+	// AttemptZones are the names of those workers' zones at the time of the attempt, in the same order.
+	// Older builds don't send them.
 	AttemptZones []string `json:"Zones"`
 }
 
-// encodeRequest gives a request with its dispatcher's record.
+// encodeRequest returns the encoding of a request and of the dispatcher's record of it.
 func (m *Manager) encodeRequest(request Request, record dispatch.MigratedIn) migratedRequest {
 	deployment := m.service.Deployment()
 	migrated := migratedRequest{
@@ -40,7 +43,7 @@
 		Target:        request.Target,
 		Fields:        request.Fields,
 		Remaining:     request.Deadline - m.loop.Now(),
-		EncodedAt:     uptime(),
+		EncodedAt:     monotonicNow(),
 		OperationName: deployment.Operations[request.Operation],
 		Operation:     deployment.Dispatch.Operations[request.Operation],
 		Timeout:       deployment.ClientTimeouts[request.Operation],
@@ -57,8 +60,9 @@
 	return migrated
 }
 
-// uptime is the machine's monotonic clock, which setting the time does not move; 0 where it can't be read.
-func uptime() time.Duration {
+// monotonicNow returns the machine's monotonic clock, which is not affected when the time of day is
+// set; 0 if it can't be read.
+func monotonicNow() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) != nil {
 		return 0
@@ -66,8 +70,10 @@
 	return time.Duration(t.Nano())
 }
 
-// ageInTransit accounts for the time since the request was encoded: its client timeout and its deduplication window run on
-// meanwhile. A clock that can't be read, or is another machine's, changes nothing.
+// ageInTransit adds the time since the request was encoded to its ages and subtracts it from its
+// remaining time, as the client timeout and the deduplication window go on in transit. It changes
+// nothing if the clock could not be read in either process, or if now is not later than EncodedAt, as
+// may be when the request comes from another machine.
 func (r *migratedRequest) ageInTransit(now time.Duration) {
 	transit := now - r.EncodedAt
 	if r.EncodedAt <= 0 || transit <= 0 {
@@ -77,9 +83,11 @@
 	r.Record = r.Record.Aged(transit)
 }
 
-// resolve gives the operation of a migrated request in this process, and replaces names by indices in its record. The
-// operation must be the same to the letter, and the workers must be known, as both decide where an attempt may go.
-func (m *Manager) resolve(r *migratedRequest) (operation int, known bool) {
+// resolveNames returns the index of a migrated request's operation in this process, and replaces the
+// names in the request's record by the indices of this process. known is false unless the settings of
+// the operation are identical in both processes and all workers of its attempts are known here, as
+// both decide where a further attempt may be sent, and unless the tenant is known here.
+func (m *Manager) resolveNames(r *migratedRequest) (operation int, known bool) {
 	operation, known = m.resolveOperation(r)
 	if !known || !m.resolveAttempts(r) {
 		return 0, false
@@ -88,22 +96,26 @@
 	return operation, known
 }
 
+// resolveOperation returns the index of the request's operation in this process; known is false if the
+// operation does not exist here or has other settings.
 func (m *Manager) resolveOperation(r *migratedRequest) (operation int, known bool) {
 	deployment := m.service.Deployment()
 	operation, known = deployment.OperationIndex[r.OperationName]
 	if !known {
 		return 0, false
 	}
-	same := deployment.Dispatch.Operations[operation] == r.Operation && deployment.ClientTimeouts[operation] == r.Timeout
-	return operation, same
+	identical := deployment.Dispatch.Operations[operation] == r.Operation && deployment.ClientTimeouts[operation] == r.Timeout
+	return operation, identical
 }
 
+// resolveAttempts sets the worker and zone of each attempt in the request's record, and reports whether
+// all of them are known.
 func (m *Manager) resolveAttempts(r *migratedRequest) bool {
 	if len(r.AttemptWorkers) != len(r.Record.Attempts) {
 		return false
 	}
 	if len(r.AttemptZones) < len(r.AttemptWorkers) && r.Operation.Effect == dispatch.Deduplicated {
-		return false // an older build does not say in which zone repeats are deduplicated
+		return false // sent by an older build: the zone in which workers deduplicate retries is unknown
 	}
 	for n, uid := range r.AttemptWorkers {
 		worker, known := m.workers.ID(uid)
--- a/internal/takeover/record_test.go
+++ b/internal/takeover/record_test.go
@@ -7,7 +7,8 @@
 	"stoatweir/dispatch"
 )
 
-// A request ages while it migrates; a clock that can't be read, or is another machine's, changes nothing.
+// The time in transit is added to a request's ages. Nothing changes if the clock did not advance since
+// the encoding or lies before it, as the clock of another machine may.
 func Example_ageInTransit() {
 	for _, now := range []time.Duration{5 * time.Second, 5300 * time.Millisecond, time.Second} {
 		r := migratedRequest{Remaining: 2 * time.Second, EncodedAt: 5 * time.Second, Record: dispatch.MigratedIn{Age: time.Second,
--- a/internal/takeover/service.go
+++ b/internal/takeover/service.go
@@ -6,62 +6,70 @@
 	"stoatweir/internal/workers"
 )
 
-// Request is a request in flight, as the service tracks it.
+// Request is a request in flight that the service tracks.
 type Request struct {
 	*workers.Invocation
-	// Operation is its operation's index in the deployment, which holds for as long as the request is tracked.
+	// Operation is the index of the request's operation in the deployment; it stays valid for as long as
+	// the request is tracked.
 	Operation int
-	// Attempts is how many attempts were made; they are numbered from 0.
+	// Attempts is the number of attempts made so far; they are numbered from 0.
 	Attempts int
 }
 
 // Requests is the service's record of requests in flight.
 type Requests interface {
-	// Request gives a request that is tracked and not migrating.
+	// Request returns a request; false if it is not tracked or is migrating.
 	Request(dispatch.InvocationID) (Request, bool)
-	// BeginMigration takes a request out of the dispatcher and the worker transport. It stays recorded, as its migration
-	// may fail, until FinishMigration or CancelMigration.
+	// BeginMigration removes a request from the dispatcher and the worker transport. The service keeps
+	// its own record of the request until FinishMigration or CancelMigration, as the migration may fail.
 	BeginMigration(dispatch.InvocationID)
-	// FinishMigration forgets a request that the successor has adopted.
+	// FinishMigration deletes the record of a request that the successor has adopted.
 	FinishMigration(dispatch.InvocationID)
-	// CancelMigration restores a request with its migration record, which is aged to now.
+	// CancelMigration restores a request from its migration record, whose ages are those of now.
 	CancelMigration(dispatch.InvocationID, dispatch.MigratedIn)
-	// AdoptRequest tracks a request that the predecessor has migrated. The record's indices are this process's.
+	// AdoptRequest starts to track a request that the predecessor has migrated. The indices in the
+	// record are those of this process.
 	AdoptRequest(Request, dispatch.MigratedIn)
-	// TenantIndex gives a migrated request's tenant by the request's ID and the tenant's name. It fails where tenants
-	// are served and none has that ID's handle.
+	// TenantIndex returns the index of a migrated request's tenant, by the tenant's name and by the
+	// tenant handle in the request's ID. known is false if this process serves tenants and none has that
+	// handle.
 	TenantIndex(requestID, tenantName string) (index int, known bool)
 }
 
 // Dispatcher is the service's dispatcher, which may be replaced while the process runs.
 type Dispatcher interface {
-	// Deployment gives the settings in force. The caller does not change them.
+	// Deployment returns the settings in force, which the caller must not modify.
 	Deployment() *settings.Deployment
-	// Decide has the dispatcher decide on all events so far, and executes what it orders.
+	// Decide runs the dispatcher on all queued events, and executes its decisions.
 	Decide()
 	// Notify queues an event for the next decision.
 	Notify(dispatch.Event)
-	// MigrationRecord gives a request's record, aged to now. It fails unless the dispatcher lets the request migrate.
+	// MigrationRecord returns the dispatcher's record of a request, with the ages of now; false if the
+	// dispatcher does not let the request migrate.
 	MigrationRecord(dispatch.InvocationID) (dispatch.MigratedIn, bool)
-	// Snapshot gives the dispatcher's estimates. The caller may change it.
+	// Snapshot returns the dispatcher's estimates in a copy that the caller may modify.
 	Snapshot() dispatch.Snapshot
 }
 
-// Lifecycle is the state of the process.
+// Lifecycle gets the events of a take-over that change the state of the process, and tells what that
+// state requires.
 type Lifecycle interface {
-	// EndpointsKnown says that nothing more is to be waited for before the process reports that it is ready.
+	// EndpointsKnown records that the process has all it needs to report that it is ready, or that it
+	// waits no longer for the rest.
 	EndpointsKnown()
-	// SuccessorServing says that the successor has reported that it is ready.
+	// SuccessorServing records that the successor has reported that it is ready.
 	SuccessorServing()
-	// SuccessorExited says that the successor is gone, whether or not it served.
+	// SuccessorExited records that the successor has exited or was given up, whether or not it had
+	// reported that it is ready.
 	SuccessorExited()
 	// Migrates reports whether connections are to migrate to the successor now.
 	Migrates() bool
-	// SetQuotas sets how many descriptors and how many MiB of memory this process may use.
+	// SetQuotas sets the number of descriptors and the MiB of memory that this process may use.
 	SetQuotas(sockets, memoryMB int)
 }
 
-// Service is what a Manager needs of the process that it runs in. The event loop's goroutine calls all methods.
+// Service is the interface of the process to its Manager, which calls all methods from the event
+// loop's goroutine.
 type Service interface {
 	Requests
 	Dispatcher
--- a/internal/takeover/snapshot.go
+++ b/internal/takeover/snapshot.go
@@ -8,10 +8,12 @@
 	"stoatweir/internal/handover"
 )
 
-// workersPerPart keeps a part of the snapshot well inside a packet.
-const workersPerPart = 16
+// workersPerSnapshotPart bounds the workers in one part of the snapshot, so that it fits in a packet.
+const workersPerSnapshotPart = 16
 
-// snapshotPart is a part of a snapshot, with names for what goes by indices in one process.
+// snapshotPart is one message's part of a snapshot. Snapshot refers to kinds, operations and workers by
+// the sender's indices or addresses; the other fields have the names by which the receiver finds its
+// own.
 type snapshotPart struct {
 	dispatch.Snapshot
 	// KindNames are the names of worker kinds, by index.
@@ -22,25 +24,26 @@
 	UIDs []string `json:"UIDs"`
 }
 
-// sendSnapshot sends the dispatcher's snapshot in parts. What does not go by worker is in the first part alone.
+// sendSnapshot sends the dispatcher's snapshot in parts, each with the estimates of some workers. The
+// first part also has the estimates that don't belong to a worker.
 func (m *Manager) sendSnapshot(p *peer) {
 	deployment := m.service.Deployment()
 	snapshot := m.service.Snapshot()
 	maps.DeleteFunc(snapshot.Operations, func(operation int, _ dispatch.OperationSnapshot) bool {
-		return deployment.OperationIndex[deployment.Operations[operation]] != operation // removed, or changed
+		return deployment.OperationIndex[deployment.Operations[operation]] != operation // removed or redefined
 	})
-	rest := snapshot.Workers
+	remaining := snapshot.Workers
 	for {
-		n := min(len(rest), workersPerPart)
-		snapshot.Workers = rest[:n]
-		rest = rest[n:]
-		text, err := json.Marshal(m.snapshotPart(snapshot))
+		n := min(len(remaining), workersPerSnapshotPart)
+		snapshot.Workers = remaining[:n]
+		remaining = remaining[n:]
+		encoded, err := json.Marshal(m.snapshotPart(snapshot))
 		if err != nil {
 			m.log.WithError(err).Warn("snapshot encoding failed")
 			break
 		}
-		p.link.Send(handover.Message{Kind: handover.KindSnapshotPart, Version: dispatch.SnapshotVersion, Body: text})
-		if len(rest) == 0 {
+		p.link.Send(handover.Message{Kind: handover.KindSnapshotPart, Version: dispatch.SnapshotVersion, Body: encoded})
+		if len(remaining) == 0 {
 			break
 		}
 		snapshot = dispatch.Snapshot{Version: snapshot.Version}
@@ -48,6 +51,7 @@
 	p.link.Send(handover.Message{Kind: handover.KindSnapshotEnd})
 }
 
+// snapshotPart adds the names of kinds, operations and workers to a part of the snapshot.
 func (m *Manager) snapshotPart(snapshot dispatch.Snapshot) snapshotPart {
 	part := snapshotPart{
 		Snapshot:       snapshot,
@@ -60,8 +64,9 @@
 	return part
 }
 
-// loadSnapshotPart gives a part of the predecessor's snapshot to the dispatcher, without what is unknown here. A part of
-// another version is ignored, as its figures may mean something else.
+// loadSnapshotPart passes a part of the predecessor's snapshot to the dispatcher, without the operations
+// and workers that are unknown here. A part of another snapshot version is ignored, as its values may
+// have another meaning.
 func (m *Manager) loadSnapshotPart(message handover.Message) {
 	var part snapshotPart
 	if message.Version != dispatch.SnapshotVersion || json.Unmarshal(message.Body, &part) != nil {
@@ -75,6 +80,7 @@
 	m.service.Notify(dispatch.SnapshotLoaded{Snapshot: snapshot})
 }
 
+// resolveKinds returns the kinds' estimates by this process's kind indices.
 func (m *Manager) resolveKinds(part snapshotPart) map[int][]float64 {
 	resolved := map[int][]float64{}
 	for kind, paces := range part.KindPaces {
@@ -85,6 +91,8 @@
 	return resolved
 }
 
+// resolveOperations returns the estimates of those operations that exist in this process, by its
+// operation indices.
 func (m *Manager) resolveOperations(part snapshotPart) map[int]dispatch.OperationSnapshot {
 	index := m.service.Deployment().OperationIndex
 	resolved := map[int]dispatch.OperationSnapshot{}
@@ -92,13 +100,15 @@
 		if operation < 0 || operation >= len(part.OperationNames) {
 			continue
 		}
-		if here, known := index[part.OperationNames[operation]]; known {
-			resolved[here] = estimates
+		if localIndex, known := index[part.OperationNames[operation]]; known {
+			resolved[localIndex] = estimates
 		}
 	}
 	return resolved
 }
 
+// resolveWorkers returns the estimates of those workers that are known in this process, by its worker
+// IDs.
 func (m *Manager) resolveWorkers(part snapshotPart) (resolved []dispatch.WorkerSnapshot) {
 	for n, worker := range part.Workers {
 		if n >= len(part.UIDs) {
--- a/internal/takeover/wire_test.go
+++ b/internal/takeover/wire_test.go
@@ -12,36 +12,41 @@
 	"stoatweir/internal/golden"
 )
 
-// The files testdata/*.golden hold the texts that processes of other builds read and write. Go's names of fields must not move them.
+// The files testdata/*.golden hold the JSON that processes of other builds read and write. Renaming a Go
+// field must not change it.
 
-// compareLine holds a text without an end of line to the recorded line, and returns the latter.
-func compareLine(t *testing.T, name string, got []byte) []byte {
+// compareGoldenLine compares a text without a trailing newline with the golden file, and returns the
+// golden text, also without a trailing newline.
+func compareGoldenLine(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
-	recorded := golden.Compare(t, name+".golden", append(bytes.Clone(got), '\n'))
-	return bytes.TrimSuffix(recorded, []byte("\n"))
+	goldenText := golden.Compare(t, name+".golden", append(bytes.Clone(got), '\n'))
+	return bytes.TrimSuffix(goldenText, []byte("\n"))
 }
 
-// roundTrip holds a value's text to the recorded one, and reads the recorded one, as it comes from a process of another build.
-func roundTrip[T any](t *testing.T, name string, written T) {
+// checkGoldenRoundTrip checks that a value is encoded as in the golden file, and that the golden text, as
+// a process of another build would send it, decodes to the same value.
+func checkGoldenRoundTrip[T any](t *testing.T, name string, written T) {
 	t.Helper()
-	text, err := json.Marshal(written)
+	encoded, err := json.Marshal(written)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var read T
-	if err := json.Unmarshal(compareLine(t, name, text), &read); err != nil {
+	if err := json.Unmarshal(compareGoldenLine(t, name, encoded), &read); err != nil {
 		t.Fatal(err)
 	}
-	// A new field is unset in the recorded text and shows here, a lost one in the text.
+	// A field that is missing from the golden text shows here; one that is no longer encoded shows in
+	// the comparison of the texts.
 	if diff := cmp.Diff(written, read, cmp.AllowUnexported(snapshotPart{}, migratedRequest{}), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
-		t.Errorf("read as something else (-written +read):\n%s", diff)
+		t.Errorf("golden text decodes to another value (-written +read):\n%s", diff)
 	}
 }
 
-// What one process sends to the other, with all fields set and with none, as the later parts of a snapshot nearly are.
-func TestEncodedFormsAreAsRecorded(t *testing.T) {
-	roundTrip(t, "part", golden.FilledByLeaf[snapshotPart](t))
-	roundTrip(t, "part_empty", snapshotPart{})
-	roundTrip(t, "legacy", golden.FilledByLeaf[migratedRequest](t))
-	roundTrip(t, "legacy_empty", migratedRequest{})
+// The encodings of a snapshot part and of a migrated request stay as recorded, both with all fields set
+// and with none, to which the later parts of a snapshot come close.
+func TestEncodedFormsMatchGolden(t *testing.T) {
+	checkGoldenRoundTrip(t, "part", golden.FilledByLeaf[snapshotPart](t))
+	checkGoldenRoundTrip(t, "part_empty", snapshotPart{})
+	checkGoldenRoundTrip(t, "legacy", golden.FilledByLeaf[migratedRequest](t))
+	checkGoldenRoundTrip(t, "legacy_empty", migratedRequest{})
 }
