--- a/internal/handover/dial.go
+++ b/internal/handover/dial.go
@@ -9,27 +9,28 @@
 	"time"
 )
 
-// handshakeTimeout is how long each side waits for the other's part of the handshake.
+// handshakeTimeout bounds each side's wait for the other side's message of the handshake.
 const handshakeTimeout = time.Second
 
-// errNoSocket is returned where the predecessor's welcome came without a descriptor.
+// errNoSocket is returned if the predecessor's welcome message came without a descriptor.
 var errNoSocket = errors.New("no socket came with the welcome")
 
-// Predecessor is what Dial gets from the process that is to be replaced.
+// Predecessor is the result of Dial: what the process that is to be replaced has provided.
 type Predecessor struct {
-	// Link is the connection to it, not started yet.
+	// Link is the connection to the predecessor. The caller starts it.
 	Link *Link
-	// Welcome has the quotas that this process may use while both live.
+	// Welcome is the message with the quotas that this process may use while both processes run.
 	Welcome Message
-	// Listener is the listening TCP socket, which both processes have from now on.
+	// Listener is the listening TCP socket, which both processes hold from now on.
 	Listener net.Listener
 }
 
-// Dial asks the process at a socket path for its listening socket. listenAddress is the address that socket must listen
-// at, and processName the caller's configured name.
+// Dial asks the process that listens at a Unix socket path for its listening TCP socket. listenAddress
+// is the address at which that TCP socket must listen, and processName the caller's configured name.
 //
-// The error is ErrNoPredecessor where no process lives there, also where a dead one has left its file, and one of
-// ErrTakeoverInProgress, ErrNameMismatch and *RejectedError where it rejects the caller.
+// The error is ErrNoPredecessor if no process listens at the path, even if a process that has died left
+// its socket file there, and ErrTakeoverInProgress, ErrNameMismatch or a *RejectedError if the process
+// rejects the caller.
 func Dial(path, listenAddress, processName string) (*Predecessor, error) {
 	conn, err := net.DialTimeout("unixpacket", path, handshakeTimeout)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -39,7 +40,7 @@
 		return nil, err
 	}
 	link := newLink(conn.(*net.UnixConn))
-	predecessor, err := link.handshake(listenAddress, processName)
+	predecessor, err := link.requestTakeover(listenAddress, processName)
 	if err != nil {
 		link.Close()
 		return nil, err
@@ -47,13 +48,14 @@
 	return predecessor, nil
 }
 
-// handshake is the successor's side.
-func (l *Link) handshake(listenAddress, processName string) (*Predecessor, error) {
+// requestTakeover carries out the successor's side of the handshake: it sends hello, and expects a
+// welcome with the listening socket.
+func (l *Link) requestTakeover(listenAddress, processName string) (*Predecessor, error) {
 	if err := verifyPeerUser(l.conn); err != nil {
 		return nil, err
 	}
 	l.conn.SetReadDeadline(time.Now().Add(handshakeTimeout))
-	hello := Message{Kind: KindHello, Version: Version, ListenAddress: listenAddress, ProcessName: processName}
+	hello := Message{Kind: KindHello, Version: ProtocolVersion, ListenAddress: listenAddress, ProcessName: processName}
 	if err := l.write(hello, noDescriptor); err != nil {
 		return nil, err
 	}
@@ -65,8 +67,8 @@
 	case err != nil:
 		return nil, err
 	case m.Kind == KindRejected:
-		return nil, m.Reason.err()
-	case m.Kind != KindWelcome || m.Version != Version:
+		return nil, m.Reason.dialError()
+	case m.Kind != KindWelcome || m.Version != ProtocolVersion:
 		return nil, fmt.Errorf("answered %q of version %d", m.Kind, m.Version)
 	case file == nil:
 		return nil, errNoSocket
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,16 +14,18 @@
 	"golang.org/x/sys/unix"
 )
 
-func temporaryDir(t *testing.T) string {
+// socketDir returns a temporary directory with a path short enough for Unix sockets.
+func socketDir(t *testing.T) string {
 	t.Helper()
-	d, err := os.MkdirTemp("", "ho")
+	dir, err := os.MkdirTemp("", "ho")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { os.RemoveAll(d) })
-	return d
+	t.Cleanup(func() { os.RemoveAll(dir) })
+	return dir
 }
 
+// listenTCP returns a listener at a free port, which is closed when the test ends.
 func listenTCP(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,21 +36,22 @@
 	return l.(*net.TCPListener)
 }
 
-// acceptSuccessors listens as a predecessor that accepts every successor, and gives its side of each link.
-func acceptSuccessors(t *testing.T, path string, l net.Listener) chan *Link {
+// acceptSuccessors listens at path as a predecessor that passes listener to every successor that asks for
+// its address. The channel receives the predecessor's side of each link.
+func acceptSuccessors(t *testing.T, path string, listener net.Listener) chan *Link {
 	t.Helper()
-	p, err := Listen(path)
+	predecessor, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.Close)
+	t.Cleanup(predecessor.Close)
 	links := make(chan *Link, 1)
-	go p.Serve(func(n *Handshake) {
-		if n.ListenAddress != l.Addr().String() {
-			n.Reject("another address")
+	go predecessor.Serve(func(handshake *Handshake) {
+		if handshake.ListenAddress != listener.Addr().String() {
+			handshake.Reject("another address")
 			return
 		}
-		link, err := n.Accept(l, Message{Sockets: 100})
+		link, err := handshake.Accept(listener, Message{Sockets: 100})
 		if err == nil {
 			links <- link
 		}
@@ -56,15 +59,16 @@
 	return links
 }
 
-// Connections in the accept queue of the listening socket are served by the successor, whatever becomes of the predecessor.
-// With a socket of one's own at the same address they would be reset: that is why the descriptor is passed.
+// Connections in the accept queue of the listening socket are served by the successor after the predecessor
+// has closed the socket. This is why the descriptor is passed: if the successor opened its own socket at
+// the same address, these connections would be reset.
 func TestPendingConnectionsAreServedBySuccessor(t *testing.T) {
 	for _, passed := range []bool{true, false} {
-		old := listenTCP(t)
-		addr := old.Addr().String()
+		predecessorSocket := listenTCP(t)
+		addr := predecessorSocket.Addr().String()
 		if !passed {
-			old.Close()
-			old = listenShared(t, addr)
+			predecessorSocket.Close()
+			predecessorSocket = listenShared(t, addr)
 		}
 		var pending []net.Conn
 		for range 20 {
@@ -75,27 +79,27 @@
 			defer c.Close()
 			pending = append(pending, c)
 		}
-		next := old
+		successorSocket := predecessorSocket
 		if passed {
-			path, err := SocketPath(temporaryDir(t), addr)
+			path, err := SocketPath(socketDir(t), addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			acceptSuccessors(t, path, old)
+			acceptSuccessors(t, path, predecessorSocket)
 			predecessor, err := Dial(path, addr, "n0")
 			if err != nil || predecessor.Welcome.Sockets != 100 {
 				t.Fatal(predecessor, err)
 			}
 			defer predecessor.Link.Close()
 			defer predecessor.Listener.Close()
-			next = predecessor.Listener.(*net.TCPListener)
+			successorSocket = predecessor.Listener.(*net.TCPListener)
 		} else {
-			next = listenShared(t, addr)
+			successorSocket = listenShared(t, addr)
 		}
-		old.Close()
+		predecessorSocket.Close()
 		go func() {
 			for {
-				c, err := next.Accept()
+				c, err := successorSocket.Accept()
 				if err != nil {
 					return
 				}
@@ -111,11 +115,12 @@
 			}
 		}
 		if passed && served != len(pending) || !passed && served > 0 {
-			t.Error("passed:", passed, "served:", served, "of", len(pending))
+			t.Error("socket passed:", passed, "want all connections served if passed, else none; served:", served, "of", len(pending))
 		}
 	}
 }
 
+// listenShared returns a listener at an address at which another one may already listen.
 func listenShared(t *testing.T, addr string) *net.TCPListener {
 	t.Helper()
 	l, err := ListenReusePort(addr)
@@ -126,31 +131,32 @@
 	return l.(*net.TCPListener)
 }
 
-// A stale socket file, none at all, and a peer that hangs, exits, or speaks another version.
+// Dial returns ErrNoPredecessor if there is no socket file or only a stale one, and an error that tells the
+// cause if the peer hangs, closes the connection, rejects, or sends an invalid welcome.
 func TestDialFailsWithoutUsablePredecessor(t *testing.T) {
-	d := temporaryDir(t)
-	path, err := SocketPath(d, "127.0.0.1:1")
+	dir := socketDir(t)
+	path, err := SocketPath(dir, "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Dial(path, "127.0.0.1:1", "n0"); !errors.Is(err, ErrNoPredecessor) {
-		t.Error("nobody:", err)
+		t.Error("no socket file: want ErrNoPredecessor, got", err)
 	}
-	dead, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
+	stale, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead.SetUnlinkOnClose(false)
-	dead.Close()
+	stale.SetUnlinkOnClose(false)
+	stale.Close()
 	if _, err := Dial(path, "127.0.0.1:1", "n0"); !errors.Is(err, ErrNoPredecessor) {
-		t.Error("a file of the dead:", err)
+		t.Error("stale socket file: want ErrNoPredecessor, got", err)
 	}
 	os.Remove(path)
-	if _, err := SocketPath(filepath.Join(d, strings.Repeat("x", 120)), "127.0.0.1:1"); err == nil {
-		t.Error("a path that no Unix address holds is taken")
+	if _, err := SocketPath(filepath.Join(dir, strings.Repeat("x", 120)), "127.0.0.1:1"); err == nil {
+		t.Error("SocketPath accepted a path that is too long for a Unix socket address")
 	}
-	peer := func(answer func(*Link)) string {
-		path := filepath.Join(temporaryDir(t), "p")
+	listenAsPeer := func(answer func(*Link)) string {
+		path := filepath.Join(socketDir(t), "p")
 		l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 		if err != nil {
 			t.Fatal(err)
@@ -162,43 +168,45 @@
 				return
 			}
 			link := newLink(c)
-			// Held until the test is over: a connection that nothing refers to is closed when memory is collected,
-			// and the peer that hangs would end.
+			// The cleanup keeps the connection referenced until the test ends. Otherwise the garbage
+			// collector would close it, and the hanging peer would close its connection instead.
 			t.Cleanup(link.Close)
 			link.read()
 			answer(link)
 		}()
 		return path
 	}
-	for what, answer := range map[string]func(*Link){
+	for wantError, answer := range map[string]func(*Link){
 		"answered \"welcome\" of version 7": func(l *Link) { l.write(Message{Kind: KindWelcome, Version: 7}, noDescriptor) },
-		"no socket came with the welcome":   func(l *Link) { l.write(Message{Kind: KindWelcome, Version: Version}, noDescriptor) },
+		"no socket came with the welcome":   func(l *Link) { l.write(Message{Kind: KindWelcome, Version: ProtocolVersion}, noDescriptor) },
 		"refused: busy":                     func(l *Link) { l.write(Message{Kind: KindRejected, Reason: "busy"}, noDescriptor) },
 		"EOF":                               func(l *Link) { l.Close() },
 		"i/o timeout":                       func(l *Link) {},
 		"a packet without a head":           func(l *Link) { l.conn.Write([]byte("{}")) },
 		"the socket that came listens at":   func(l *Link) { sendWelcome(t, l) },
 	} {
-		if predecessor, err := Dial(peer(answer), "127.0.0.1:1", "n0"); err == nil || !strings.Contains(err.Error(), what) {
-			t.Error("wanted", what, "got", err, predecessor)
+		if predecessor, err := Dial(listenAsPeer(answer), "127.0.0.1:1", "n0"); err == nil || !strings.Contains(err.Error(), wantError) {
+			t.Error("want error with", wantError, "got", err, predecessor)
 		}
 	}
 }
 
+// sendWelcome sends a welcome with a listener at another address than the successor has asked for.
 func sendWelcome(t *testing.T, l *Link) {
 	raw, err := listenTCP(t).SyscallConn()
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	raw.Control(func(fd uintptr) { l.write(Message{Kind: KindWelcome, Version: Version}, int(fd)) })
+	raw.Control(func(fd uintptr) { l.write(Message{Kind: KindWelcome, Version: ProtocolVersion}, int(fd)) })
 }
 
-// A successor of another version gets a rejection; one that sends nothing does not block the next one for long.
+// A successor with another protocol version is rejected, and one that sends nothing does not block the next
+// one for longer than the handshake timeout.
 func TestHandshakeRejectsOtherVersionsAndSurvivesSilentPeers(t *testing.T) {
-	l := listenTCP(t)
-	path := filepath.Join(temporaryDir(t), "p")
-	links := acceptSuccessors(t, path, l)
+	listener := listenTCP(t)
+	path := filepath.Join(socketDir(t), "p")
+	links := acceptSuccessors(t, path, listener)
 	dial := func() *Link {
 		c, err := net.Dial("unixpacket", path)
 		if err != nil {
@@ -207,27 +215,28 @@
 		t.Cleanup(func() { c.Close() })
 		return newLink(c.(*net.UnixConn))
 	}
-	other := dial()
-	other.write(Message{Kind: KindHello, Version: 7}, noDescriptor)
-	if m, _, err := other.read(); err != nil || m.Kind != KindRejected || m.Reason != `"hello" of version 7, not 1` {
+	otherVersion := dial()
+	otherVersion.write(Message{Kind: KindHello, Version: 7}, noDescriptor)
+	if m, _, err := otherVersion.read(); err != nil || m.Kind != KindRejected || m.Reason != `"hello" of version 7, not 1` {
 		t.Error(m, err)
 	}
-	dial() // silent
+	dial() // sends nothing
 	var err error
-	for began := time.Now(); time.Since(began) < 3*time.Second; {
-		if _, err = Dial(path, l.Addr().String(), "n0"); err == nil {
+	for start := time.Now(); time.Since(start) < 3*time.Second; {
+		if _, err = Dial(path, listener.Addr().String(), "n0"); err == nil {
 			break
 		}
 	}
 	if err != nil {
-		t.Fatal("after a silent one:", err)
+		t.Fatal("no successor was accepted within 3 s after one that sends nothing:", err)
 	}
 	<-links
 }
 
-// A successor's socket replaces the predecessor's at the path, and closing the predecessor's does not remove it.
+// A successor's socket replaces the predecessor's at the path, and closing the predecessor's listener does
+// not remove it. Closing the successor's leaves no file behind.
 func TestListenReplacesSocketWithoutGap(t *testing.T) {
-	path := filepath.Join(temporaryDir(t), "p")
+	path := filepath.Join(socketDir(t), "p")
 	os.WriteFile(path+".new", []byte("left"), 0o600)
 	first, err := Listen(path)
 	if err != nil {
@@ -239,18 +248,18 @@
 	}
 	first.Close()
 	if c, err := net.Dial("unixpacket", path); err != nil {
-		t.Error("the old one's end took the path away:", err)
+		t.Error("closing the replaced listener removed the path of the new one:", err)
 	} else {
 		c.Close()
 	}
 	second.Close()
-	if left, _ := filepath.Glob(path + "*"); len(left) > 0 {
-		t.Error("left behind:", left)
+	if files, _ := filepath.Glob(path + "*"); len(files) > 0 {
+		t.Error("want no files after both listeners are closed, got", files)
 	}
 }
 
-// Messages go both ways whole and in order, the longest too; each side is notified once that the link is closed. The link to a
-// peer that reads nothing is closed without blocking.
+// A link delivers messages of up to 64 KiB complete and in order in both directions, and notifies each side
+// once when it is closed. The link to a peer that does not read is closed, and Send does not block.
 func TestLinkDeliversInOrderAndClosesHungPeers(t *testing.T) {
 	pair := func() (*Link, *Link) {
 		fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
@@ -270,30 +279,30 @@
 		return ends[0], ends[1]
 	}
 	a, b := pair()
-	got, gone := make(chan Message, 10), make(chan string, 2)
-	a.Start(func(m Message) { got <- m }, func() { gone <- "a" })
-	b.Start(func(m Message) { got <- m; b.Send(Message{Kind: KindCallbackResult, Sequence: m.Sequence}) }, func() { gone <- "b" })
+	received, closed := make(chan Message, 10), make(chan string, 2)
+	a.Start(func(m Message) { received <- m }, func() { closed <- "a" })
+	b.Start(func(m Message) { received <- m; b.Send(Message{Kind: KindCallbackResult, Sequence: m.Sequence}) }, func() { closed <- "b" })
 	for n := range uint64(3) {
 		a.Send(Message{Kind: KindCallback, Sequence: n, Body: []byte(strings.Repeat("\n", 64<<10))})
-		m, answer := <-got, <-got
+		m, answer := <-received, <-received
 		if m.Kind != KindCallback || m.Sequence != n || len(m.Body) != 64<<10 || answer.Kind != KindCallbackResult || answer.Sequence != n {
 			t.Error(m.Kind, m.Sequence, len(m.Body), answer)
 		}
 	}
 	b.Close()
-	if ends := []string{<-gone, <-gone}; fmt.Sprint(ends) != "[a b]" && fmt.Sprint(ends) != "[b a]" {
-		t.Error(ends)
+	if closedLinks := []string{<-closed, <-closed}; fmt.Sprint(closedLinks) != "[a b]" && fmt.Sprint(closedLinks) != "[b a]" {
+		t.Error(closedLinks)
 	}
 	c, _ := pair()
-	c.Start(func(Message) {}, func() { gone <- "c" })
-	began := time.Now()
-	for range 4 * outboundCapacity {
+	c.Start(func(Message) {}, func() { closed <- "c" })
+	start := time.Now()
+	for range 4 * outboundQueueCapacity {
 		c.Send(Message{Kind: KindCallback, Body: make([]byte, 64<<10)})
 	}
-	if took := time.Since(began); took > time.Second {
-		t.Error("a hung peer cost", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Error("sending to a peer that does not read: want at most 1 s, took", elapsed)
 	}
-	if <-gone != "c" {
-		t.Error("a hung peer is not given up")
+	if <-closed != "c" {
+		t.Error("the link to a peer that does not read was not closed")
 	}
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// writeTimeout is how long writing one message may take before the peer counts as hung.
+	// writeTimeout bounds the write of one message. A peer that exceeds it is considered hung.
 	writeTimeout = time.Second
-	// outboundCapacity is how many messages may wait to be written: a peer that hangs must cost neither memory nor time.
-	outboundCapacity = 512
-	// maxReceivedFiles is how many descriptors are received with one packet at most; only the first one is kept.
-	maxReceivedFiles = 4
-	// descriptorBytes is the size of a descriptor in a control message.
+	// outboundQueueCapacity is the number of messages that may wait to be written. It is bounded so that a
+	// hung peer costs neither memory nor time.
+	outboundQueueCapacity = 512
+	// maxReceivedDescriptors bounds the descriptors received with one packet; only the first is kept.
+	maxReceivedDescriptors = 4
+	// descriptorBytes is the size of one descriptor in a socket control message.
 	descriptorBytes = 4
-	// noDescriptor stands for a message that goes without a descriptor.
+	// noDescriptor is the value that stands for no descriptor in Link.write.
 	noDescriptor = -1
 )
 
-// errPacketTooLong is returned for a packet that exceeds maxPacketBytes.
-var errPacketTooLong = errors.New("a packet is too long")
+// errPacketTooLong is returned for a received packet that is longer than maxPacketBytes.
+var errPacketTooLong = errors.New("received packet exceeds the packet size limit")
 
-// Link is the connection between the two processes. Messages are written by a goroutine of its own, so that Send never
-// blocks. Its methods may be called from any goroutine.
+// Link is the connection between the two processes. Messages are written by a separate goroutine, so that
+// Send never blocks. Its methods may be called from any goroutine.
 type Link struct {
 	conn      *net.UnixConn
 	outbound  chan Message
@@ -39,13 +40,13 @@
 func newLink(conn *net.UnixConn) *Link {
 	return &Link{
 		conn:     conn,
-		outbound: make(chan Message, outboundCapacity),
+		outbound: make(chan Message, outboundQueueCapacity),
 		closed:   make(chan struct{}),
 	}
 }
 
-// Start reads and writes until the link is closed. It calls onMessage for each message, and then onClose, once and last.
-// Both are called by the goroutine that reads.
+// Start starts to read and write messages. The reading goroutine calls onMessage for each message
+// received, and onClose once, after the last message, when the link is closed.
 func (l *Link) Start(onMessage func(Message), onClose func()) {
 	l.conn.SetDeadline(time.Time{})
 	go l.writeMessages()
@@ -82,7 +83,7 @@
 	}
 }
 
-// Send queues a message. The link to a peer that does not read is closed.
+// Send queues a message. If the queue is full, because the peer does not read, the link is closed.
 func (l *Link) Send(m Message) {
 	select {
 	case l.outbound <- m:
@@ -91,7 +92,7 @@
 	}
 }
 
-// Close ends the link. Messages that were not written are lost.
+// Close closes the link. Queued messages that have not been written are lost.
 func (l *Link) Close() {
 	l.closeOnce.Do(func() {
 		close(l.closed)
@@ -99,7 +100,7 @@
 	})
 }
 
-// writeWithSocket writes a message with its descriptor, if any.
+// writeWithSocket writes a message with the descriptor of its Socket, if any.
 func (l *Link) writeWithSocket(m Message) error {
 	if m.Socket == nil {
 		return l.write(m, noDescriptor)
@@ -115,7 +116,7 @@
 	return writeErr
 }
 
-// write writes a message with a descriptor, unless that is noDescriptor.
+// write writes a message, with a descriptor unless fd is noDescriptor.
 func (l *Link) write(m Message, fd int) error {
 	packet, err := m.encode()
 	if err != nil {
@@ -130,10 +131,11 @@
 	return err
 }
 
-// read waits for the next message. The caller closes the file, which may come with an error too.
+// read waits for the next message, and returns it with the descriptor that came with it, or nil. The
+// caller closes the file, which may be set even if err is not nil.
 func (l *Link) read() (Message, *os.File, error) {
 	packet := make([]byte, maxPacketBytes)
-	rights := make([]byte, unix.CmsgSpace(maxReceivedFiles*descriptorBytes))
+	rights := make([]byte, unix.CmsgSpace(maxReceivedDescriptors*descriptorBytes))
 	packetBytes, rightsBytes, flags, _, err := l.conn.ReadMsgUnix(packet, rights)
 	if err != nil {
 		return Message{}, nil, err
@@ -149,7 +151,7 @@
 	return m, file, err
 }
 
-// receivedFile gives the first descriptor that came with a packet, and closes any other.
+// receivedFile returns the first descriptor in a packet's control messages, or nil, and closes any other.
 func receivedFile(rights []byte) (file *os.File) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
--- a/internal/handover/peeruser.go
+++ b/internal/handover/peeruser.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// verifyPeerUser returns an error unless the peer runs as the same user: anybody else who can reach the directory must
-// neither get our socket nor give us one.
+// verifyPeerUser returns an error unless the peer process runs as the same user as this one. Another user
+// who can access the directory of the Unix socket must neither receive the listening socket nor pass one
+// to this process.
 func verifyPeerUser(c *net.UnixConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -27,7 +28,7 @@
 		return credErr
 	}
 	if int(peer.Uid) != os.Geteuid() {
-		return fmt.Errorf("the peer runs as user %d", peer.Uid)
+		return fmt.Errorf("peer process runs as user ID %d, which is not the user of this process", peer.Uid)
 	}
 	return nil
 }
--- a/internal/handover/rejection.go
+++ b/internal/handover/rejection.go
@@ -2,33 +2,37 @@
 
 import "errors"
 
-// RejectionReason is why a predecessor rejects a successor. Its text is on the wire.
+// RejectionReason is why a predecessor rejects a successor. The text is on the wire, so it must not change.
 type RejectionReason string
 
 const (
-	// ReasonTakeoverInProgress rejects a successor while another one takes over, or one that asks for another address.
+	// ReasonTakeoverInProgress rejects a successor while another one takes over, and one that asks for an
+	// address that the predecessor does not serve.
 	ReasonTakeoverInProgress RejectionReason = "another process is taking over"
-	// ReasonNameMismatch rejects a successor with another configured name: it would take over what is not its own.
+	// ReasonNameMismatch rejects a successor with another configured name, as it would take over the
+	// clients of another scheduler.
 	ReasonNameMismatch RejectionReason = "another scheduler serves there"
 )
 
 var (
-	// ErrNoPredecessor is returned by Dial where no process listens at the socket path.
-	ErrNoPredecessor = errors.New("nobody is there")
-	// ErrTakeoverInProgress is returned by Dial for ReasonTakeoverInProgress; trying again later may succeed.
+	// ErrNoPredecessor is returned by Dial if no process listens at the socket path.
+	ErrNoPredecessor = errors.New("no process listens at the socket path")
+	// ErrTakeoverInProgress is returned by Dial for ReasonTakeoverInProgress; a later retry may succeed.
 	ErrTakeoverInProgress = errors.New(string(ReasonTakeoverInProgress))
-	// ErrNameMismatch is returned by Dial for ReasonNameMismatch; the configuration is wrong.
+	// ErrNameMismatch is returned by Dial for ReasonNameMismatch. The configuration is wrong, so a
+	// retry can't succeed.
 	ErrNameMismatch = errors.New(string(ReasonNameMismatch))
 )
 
-// RejectedError is returned by Dial for any other reason, as builds of another version give it.
+// RejectedError is returned by Dial for any other reason, such as those of builds with another protocol
+// version.
 type RejectedError struct{ Reason RejectionReason }
 
-// Error gives the predecessor's reason.
+// Error returns the predecessor's reason with a fixed prefix.
 func (e *RejectedError) Error() string { return "refused: " + string(e.Reason) }
 
-// err gives the error that Dial returns for a reason.
-func (r RejectionReason) err() error {
+// dialError returns the error with which Dial reports a reason.
+func (r RejectionReason) dialError() error {
 	switch r {
 	case ReasonTakeoverInProgress:
 		return ErrTakeoverInProgress
--- a/internal/handover/tcp.go
+++ b/internal/handover/tcp.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenReusePort listens at a TCP address that another process may listen at too (SO_REUSEPORT). It is what remains
-// where that process's socket can't be had.
+// ListenReusePort listens at a TCP address at which another process may already listen (SO_REUSEPORT).
+// It is the fallback if that process's listening socket can't be obtained.
 func ListenReusePort(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: setReusePort}
 	return config.Listen(context.Background(), "tcp", addr)
@@ -26,13 +26,14 @@
 		return err
 	}
 	if errors.Is(optErr, unix.ENOPROTOOPT) {
-		return nil // a system without the option: no process shares an address
+		return nil // the system has no SO_REUSEPORT, so no process shares an address
 	}
 	return optErr
 }
 
-// AddressFree reports whether no process listens at a TCP address yet, and true where that can't be found out. The
-// socket that finds out never listens, as it would accept connections that nobody serves.
+// AddressFree reports whether no process listens at a TCP address; true if that can't be determined. It
+// only binds a socket and never listens, as the kernel would otherwise accept connections on it that no
+// process serves.
 func AddressFree(addr netip.AddrPort) bool {
 	family, sockaddr := socketAddress(addr)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -40,7 +41,7 @@
 		return true
 	}
 	defer unix.Close(fd)
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // closed connections do not count
+	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // connections in TIME_WAIT don't make the address count as in use
 	return !errors.Is(unix.Bind(fd, sockaddr), unix.EADDRINUSE)
 }
 
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -97,7 +97,8 @@
 		Attempts: []dispatch.Attempt{{Worker: worker, Age: age, StartedAge: -1, LastProgressAge: age / 2, InFlight: true}}}
 	want := record
 	want.Budget, want.Waited, want.Age = remaining-transit, age+transit, age+transit
-	want.Attempts = []dispatch.Attempt{{Worker: worker, Age: age + transit, StartedAge: -1, LastProgressAge: age/2 + transit, InFlight: true}}
+	want.Attempts = []dispatch.Attempt{{Worker: worker, Age: age + transit, StartedAge: -1,
+		LastProgressAge: age/2 + transit, InFlight: true}}
 	checkDuration := func(what string, got, want time.Duration) {
 		t.Helper()
 		if d := (got - want).Abs(); d > transit/2 {
@@ -130,8 +131,8 @@
 			t.Fatal(err)
 		}
 		defer client.Close()
-		encoded, err := json.Marshal(migratedRequest{ID: fmt.Sprint(transit), Method: "POST", Target: "/keyed/k", EncodedAt: monotonicNow() - transit,
-			Remaining: remaining, OperationName: "keyed", Operation: service.deployment.Dispatch.Operations[0],
+		encoded, err := json.Marshal(migratedRequest{ID: fmt.Sprint(transit), Method: "POST", Target: "/keyed/k",
+			EncodedAt: monotonicNow() - transit, Remaining: remaining, OperationName: "keyed", Operation: service.deployment.Dispatch.Operations[0],
 			Timeout: service.deployment.ClientTimeouts[0], Record: record, AttemptWorkers: []string{"s-1"}, AttemptZones: []string{"a"}})
 		if err != nil {
 			t.Fatal(err)
@@ -152,7 +153,8 @@
 
 	m, service = newTestManager(t)
 	record.Attempts[0].InFlight = false
-	m.restoreRequest(&migration{MigratingConnection: &clients.MigratingConnection{Invocation: 1}, record: record, recordedAt: m.loop.Now() - transit})
+	m.restoreRequest(&migration{MigratingConnection: &clients.MigratingConnection{Invocation: 1},
+		record: record, recordedAt: m.loop.Now() - transit})
 	checkRecord("restored request", service.records)
 }
 
--- a/internal/takeover/record_test.go
+++ b/internal/takeover/record_test.go
@@ -11,10 +11,12 @@
 // the encoding or lies before it, as the clock of another machine may.
 func Example_ageInTransit() {
 	for _, now := range []time.Duration{5 * time.Second, 5300 * time.Millisecond, time.Second} {
-		r := migratedRequest{Remaining: 2 * time.Second, EncodedAt: 5 * time.Second, Record: dispatch.MigratedIn{Age: time.Second,
-			Arrival: dispatch.Arrival{Budget: 2 * time.Second}, Attempts: []dispatch.Attempt{{Age: time.Second, StartedAge: -1, LastProgressAge: 0}}}}
+		r := migratedRequest{Remaining: 2 * time.Second, EncodedAt: 5 * time.Second,
+			Record: dispatch.MigratedIn{Age: time.Second, Arrival: dispatch.Arrival{Budget: 2 * time.Second},
+				Attempts: []dispatch.Attempt{{Age: time.Second, StartedAge: -1, LastProgressAge: 0}}}}
 		r.ageInTransit(now)
-		fmt.Println(r.Remaining, r.Record.Budget, r.Record.Age, r.Record.Attempts[0].Age, r.Record.Attempts[0].StartedAge, r.Record.Attempts[0].LastProgressAge)
+		fmt.Println(r.Remaining, r.Record.Budget, r.Record.Age,
+			r.Record.Attempts[0].Age, r.Record.Attempts[0].StartedAge, r.Record.Attempts[0].LastProgressAge)
 	}
 	// Output:
 	// 2s 2s 1s 1s -1ns 0s
--- a/internal/takeover/wire_test.go
+++ b/internal/takeover/wire_test.go
@@ -37,7 +37,8 @@
 	}
 	// A field that is missing from the golden text shows here; one that is no longer encoded shows in
 	// the comparison of the texts.
-	if diff := cmp.Diff(written, read, cmp.AllowUnexported(snapshotPart{}, migratedRequest{}), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
+	if diff := cmp.Diff(written, read, cmp.AllowUnexported(snapshotPart{}, migratedRequest{}),
+		cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
 		t.Errorf("golden text decodes to another value (-written +read):\n%s", diff)
 	}
 }
