--- a/internal/lifecycle/behavior.go
+++ b/internal/lifecycle/behavior.go
@@ -3,32 +3,32 @@
 import "time"
 
 const (
-	// drainCloseDelay is how long clients may go on using their connections after the order to drain: the front takes
-	// 0.3 s to turn them elsewhere.
+	// drainCloseDelay is the time after the order to drain during which clients may continue to use their
+	// connections. The load balancer in front takes 0.3 s to direct them to another scheduler.
 	drainCloseDelay = time.Second
-	// drainAdmitPeriod is how long a draining process admits requests: at 4 s no client may be waiting whose request came
-	// in the last 2 s.
+	// drainAdmitPeriod is the time after the order to drain during which requests are admitted. At 4 s, no
+	// client may be waiting for the answer to a request that arrived in the last 2 s.
 	drainAdmitPeriod = 1900 * time.Millisecond
-	// drainPartialDelay is when connections with a partial request close: at 4 s none may be left without a whole request,
-	// and a close takes a moment.
-	drainPartialDelay = 3400 * time.Millisecond
+	// drainPartialCloseDelay is the time from the order to drain until connections with a partial request
+	// are closed. At 4 s no connection without a complete request may be left, and closing takes a moment.
+	drainPartialCloseDelay = 3400 * time.Millisecond
 )
 
-// Behavior is what the process does and lets through at one moment.
+// Behavior tells what the process does and what it allows clients to do at one moment.
 type Behavior struct {
-	Ready          bool // the address is served: readiness checks succeed
+	Ready          bool // the address is served, so readiness checks succeed
 	Accepts        bool // connections are accepted
 	Admits         bool // new requests are admitted
-	ClosesIdle     bool // idle client connections close, and each answer closes its own connection
-	ClosesPartial  bool // client connections with a partial request close too
+	ClosesIdle     bool // idle client connections are closed, and others after their next answer
+	ClosesPartial  bool // client connections with a partial request are closed too
 	Migrates       bool // connections and the requests that wait on them migrate to the successor
-	KeepsCallbacks bool // connections that bring worker callbacks stay open while others close
-	ExitsWhenIdle  bool // the process exits once no request is outstanding
-	FailsRemaining bool // outstanding requests are failed now, as no time is left
+	KeepsCallbacks bool // connections with worker callbacks stay open while others are closed
+	ExitsWhenIdle  bool // the process exits as soon as no request is outstanding
+	FailsRemaining bool // outstanding requests are failed, as no time is left to serve them
 	Exits          bool // the process exits
 }
 
-// Behavior returns how the process behaves at now.
+// Behavior returns the behavior of the process at time now.
 func (l *Lifecycle) Behavior(now time.Duration) Behavior {
 	switch l.state {
 	case Starting:
@@ -42,17 +42,19 @@
 	}
 }
 
+// drainBehavior returns the behavior in state Standby.
 func (l *Lifecycle) drainBehavior(now time.Duration) Behavior {
-	age := now - l.enteredAt
+	elapsed := now - l.enteredAt
 	return Behavior{
 		Accepts:        true,
-		Admits:         age < drainAdmitPeriod,
-		ClosesIdle:     age >= drainCloseDelay,
-		ClosesPartial:  age >= drainPartialDelay,
+		Admits:         elapsed < drainAdmitPeriod,
+		ClosesIdle:     elapsed >= drainCloseDelay,
+		ClosesPartial:  elapsed >= drainPartialCloseDelay,
 		KeepsCallbacks: true,
 	}
 }
 
+// shutdownBehavior returns the behavior in the states HandingOver and Stopping.
 func (l *Lifecycle) shutdownBehavior(now time.Duration) Behavior {
 	handingOver := l.state == HandingOver
 	closes := now >= l.closeAt
@@ -70,7 +72,8 @@
 	}
 }
 
-// NextChange returns the next time after now at which the behavior changes with no event; false if there is none.
+// NextChange returns the first time after now at which the behavior changes without an event; false if
+// there is none.
 func (l *Lifecycle) NextChange(now time.Duration) (time.Duration, bool) {
 	var changes []time.Duration // ascending
 	switch l.state {
@@ -78,7 +81,7 @@
 		changes = []time.Duration{
 			l.enteredAt + drainCloseDelay,
 			l.enteredAt + drainAdmitPeriod,
-			l.enteredAt + drainPartialDelay,
+			l.enteredAt + drainPartialCloseDelay,
 		}
 	case Stopping, HandingOver:
 		changes = []time.Duration{l.closeAt, l.failAt, l.failAt + exitDelay}
--- a/internal/lifecycle/transitions.go
+++ b/internal/lifecycle/transitions.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	// shutdownCloseDelay is how long clients may go on using their connections after the order to stop. A scheduler that
-	// was restarted before may not be back yet: were the connections closed at once, its clients would find no scheduler.
+	// shutdownCloseDelay is the time after the order to stop during which clients may continue to use their
+	// connections. In a rolling restart, a scheduler that was restarted before this one may not serve yet:
+	// if connections were closed immediately, clients might find no scheduler.
 	shutdownCloseDelay = 1500 * time.Millisecond
-	// migrationPeriod is how long connections may be migrated before the remaining ones close. Migrating all of them takes
-	// a few moments, unless the successor rejects them.
+	// migrationPeriod is the time for which connections may be migrated before the remaining ones are
+	// closed. Migrating all of them takes only a few moments, unless the successor rejects them.
 	migrationPeriod = time.Second
-	// maxClientTimeout bounds the client timeout that the shutdown waits for. The kill comes no sooner than 0.7 s after the
-	// longest client timeout, of which no more than this counts.
+	// maxClientTimeout bounds the client timeout for which the shutdown waits. The process is killed no
+	// earlier than 0.7 s after the longest client timeout, of which at most maxClientTimeout counts.
 	maxClientTimeout = 3 * time.Second
-	// failDelay is how long after that timeout outstanding requests are failed. It leaves half a second before the kill for
-	// the answers to go out and the process to exit.
+	// failDelay is the time from the end of that timeout until outstanding requests are failed. It leaves
+	// 0.5 s before the process is killed to write the answers and to exit.
 	failDelay = 200 * time.Millisecond
-	// exitDelay is the time between the last answers and the exit, and at least that between the closing of idle
-	// connections and the last answers.
+	// exitDelay is the time from the last answers, at failAt, to the exit. It is also the least time from the
+	// closing of idle connections to the last answers.
 	exitDelay = 200 * time.Millisecond
 )
 
-// EndpointsKnown records that there is an endpoint list to serve by, or that the wait for one is over.
+// EndpointsKnown records that the endpoints are known, or that the process no longer waits for them. A
+// starting process becomes ready.
 func (l *Lifecycle) EndpointsKnown(now time.Duration) {
 	l.endpointsKnown = true
 	if l.state == Starting {
@@ -31,7 +33,8 @@
 	}
 }
 
-// Standby is an operator's order to drain. It returns false if the process is shutting down and can't carry it out.
+// Standby carries out an operator's order to drain. It returns false if the process is shutting down, which
+// the order does not change.
 func (l *Lifecycle) Standby(now time.Duration) bool {
 	if l.state >= HandingOver {
 		return false
@@ -40,8 +43,8 @@
 	return true
 }
 
-// Active is an operator's order to serve again, also in the midst of a drain. It returns false if the process is
-// shutting down and can't carry it out.
+// Active carries out an operator's order to serve again, also during a drain. It returns false if the
+// process is shutting down, which the order does not change.
 func (l *Lifecycle) Active(now time.Duration) bool {
 	switch {
 	case l.state >= HandingOver:
@@ -54,11 +57,11 @@
 	return true
 }
 
-// SuccessorChanged records whether another process serves at the same address from now on. A process that is stopping
-// hands over to a successor at once, and goes on alone should the successor exit; the times set by Stop stay, but for
-// an earlier close of the connections.
+// SuccessorChanged records that a successor now serves at the same address (present) or has exited. A
+// stopping process starts to hand over as soon as there is a successor, and continues to stop without one
+// if it exits. The times set by Stop stay, except that closeAt may become earlier.
 func (l *Lifecycle) SuccessorChanged(now time.Duration, present bool) {
-	l.successor = present
+	l.successorServing = present
 	switch {
 	case present && l.state == Stopping:
 		l.state = HandingOver
@@ -68,8 +71,8 @@
 	}
 }
 
-// Stop is the order to shut down. longestTimeout is the longest client timeout, 0 if neither the settings nor a client
-// gives one. A second order changes nothing.
+// Stop carries out the order to shut down. longestTimeout is the longest client timeout; 0 if neither the
+// settings nor a client has specified one. A second order changes nothing.
 func (l *Lifecycle) Stop(now, longestTimeout time.Duration) {
 	if l.state >= HandingOver {
 		return
@@ -77,20 +80,21 @@
 	timeout := min(cmp.Or(longestTimeout, shutdownCloseDelay-failDelay), maxClientTimeout)
 	l.failAt = now + timeout + failDelay
 	l.closeAt = min(l.closeTime(now), l.failAt-exitDelay)
-	if l.successor {
+	if l.successorServing {
 		l.enter(HandingOver, now)
 	} else {
 		l.enter(Stopping, now)
 	}
 }
 
-// closeTime is when client connections close after an order to stop at now.
+// closeTime returns the time at which client connections are closed after an order to stop at now, before
+// Stop makes it earlier for short client timeouts.
 func (l *Lifecycle) closeTime(now time.Duration) time.Duration {
 	switch {
-	case l.successor:
+	case l.successorServing:
 		return now + migrationPeriod
 	case l.state == Standby:
-		// The front has been turning clients elsewhere since the drain began.
+		// The load balancer has directed clients to other schedulers since the start of the drain.
 		return max(now, l.enteredAt+drainCloseDelay)
 	default:
 		return now + shutdownCloseDelay
--- a/internal/lifecycle/transitions_test.go
+++ b/internal/lifecycle/transitions_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// trace prints the behavior of a process at now and at each later moment at which it changes by time alone.
+// trace prints the behavior of a process at now and at each later time at which it changes without an event.
 func trace(l *Lifecycle, now time.Duration) {
 	for {
-		fmt.Printf("%5v %s: %s\n", now, l.State(), strings.Join(flags(l.Behavior(now)), ", "))
-		next, more := l.NextChange(now)
-		if !more {
+		fmt.Printf("%5v %s: %s\n", now, l.State(), strings.Join(behaviorFlagNames(l.Behavior(now)), ", "))
+		next, changes := l.NextChange(now)
+		if !changes {
 			return
 		}
 		now = next
 	}
 }
 
-// flags names what is set in a behavior.
-func flags(b Behavior) []string {
+// behaviorFlagNames returns the names of the flags that are set in a behavior.
+func behaviorFlagNames(b Behavior) []string {
 	names := []string{}
 	for _, flag := range []struct {
 		set  bool
@@ -43,7 +43,8 @@
 	return names
 }
 
-// A drain and its end: the process is ready again at once. A second order does not restart the drain.
+// An order to drain makes the process stop admitting requests step by step; a second order does not restart
+// the drain. The order to serve again makes the process ready immediately.
 func ExampleLifecycle_Standby() {
 	var l Lifecycle
 	trace(&l, 0)
@@ -65,8 +66,8 @@
 	//   11s ready: ready, accepts, admits
 }
 
-// Drained before an endpoint list is known, the process stays drained when the list comes; activated before that, it is
-// starting again.
+// A process that is drained before it has an endpoint list stays drained when the list arrives. If it is
+// activated before that, its state is starting again.
 func ExampleLifecycle_Active() {
 	var l Lifecycle
 	l.Standby(0)
@@ -83,7 +84,8 @@
 	// ready
 }
 
-// The order to stop: no kill comes before 3.7 s. Operators' orders change nothing any more, nor does a second order to stop.
+// After an order to stop, the process exits before it may be killed, here 3.7 s later. Neither operators'
+// orders nor a second order to stop change that.
 func ExampleLifecycle_Stop() {
 	var l Lifecycle
 	l.EndpointsKnown(0)
@@ -91,19 +93,21 @@
 	l.Stop(3*time.Second, 25*time.Second)
 	fmt.Println(l.Standby(4*time.Second), l.Active(4*time.Second))
 	trace(&l, 2*time.Second)
-	// In the midst of a drain the front has turned the clients elsewhere already.
+	// During a drain, connections are closed earlier, as the load balancer has already directed clients to
+	// other schedulers.
 	l = Lifecycle{}
 	l.EndpointsKnown(0)
 	l.Standby(time.Second)
 	l.Stop(1500*time.Millisecond, time.Second)
 	trace(&l, 1500*time.Millisecond)
-	// With a successor clients lose nothing by reconnecting at once.
+	// With a successor, connections are closed earlier, as clients can reconnect to it immediately.
 	l = Lifecycle{}
 	l.EndpointsKnown(0)
 	l.SuccessorChanged(0, true)
 	l.Stop(time.Second, 2*time.Second)
 	trace(&l, time.Second)
-	// The successor exits: the old process accepts clients again for as long as it has. Then another successor starts.
+	// When the successor exits, the stopping process accepts clients again in the time that it has left.
+	// Then another successor starts.
 	l.SuccessorChanged(1500*time.Millisecond, false)
 	trace(&l, 1500*time.Millisecond)
 	l.SuccessorChanged(2*time.Second, true)
@@ -131,8 +135,8 @@
 	//  3.4s handing over: ready, closes idle, keeps callbacks, exits when idle, fails remaining, exits
 }
 
-// However short the client timeouts, the process exits before the kill, 0.7 s after the longest timeout, in a drain too.
-// Where no timeout is known, no client can be answered late.
+// However short the client timeouts are, the process exits before it may be killed, 0.7 s after the longest
+// one, also during a drain. If no timeout is known, no answer can be late.
 func ExampleLifecycle_Stop_short() {
 	for _, longest := range []time.Duration{0, 450 * time.Millisecond, 900 * time.Millisecond, 2 * time.Second} {
 		var l Lifecycle
