--- a/internal/invariant/answer.go
+++ b/internal/invariant/answer.go
@@ -6,55 +6,57 @@
 	"stoatweir/dispatch"
 )
 
-// answerSlack is how long after the client timeout an answer still counts as in time: the time on sockets, and for which a
-// scheduler may be held up before it writes.
+// answerSlack is the time after the client timeout during which an answer still counts as in time. It covers
+// the transfer over sockets, and a scheduler process that is held up before it writes.
 const answerSlack = 200 * time.Millisecond
 
-// Kind says what a final answer is, or how else a request ceased to be owed one.
+// Kind is the kind of a final answer, or the other reason why a request needs none any more.
 type Kind string
 
-// The kinds of final answers, and the other ways in which a request ceases to be owed one.
+// The kinds of final answers, and the other reasons why a request needs none any more.
 const (
 	Succeeded Kind = "succeeded"
 	Refused   Kind = "refused" // the client may safely retry
 	Failed    Kind = "failed"
 	Abandoned Kind = "client left"
-	Migrated  Kind = "handed over" // another process owes it now
+	Migrated  Kind = "handed over" // another process answers it
 )
 
-// CheckAnswer records a final answer with its cause, which may be empty, and returns the kind that may be given: Refused
-// becomes Failed for a request that may have run.
+// CheckAnswer checks and records a final answer with its cause, which may be empty, and returns the kind of
+// answer that may be given. It is Failed in place of Refused if the request may have run and its client
+// can't safely retry.
 func (c *Checker) CheckAnswer(id dispatch.InvocationID, kind Kind, cause string) Kind {
 	if c == nil {
 		return kind
 	}
 	r := c.requests[id]
 	if r == nil || r.answered {
-		c.violate(AnsweredTwice, id, "")
+		c.recordViolation(AnsweredTwice, id, "")
 		return kind
 	}
-	if kind == Refused && !r.refusable() {
-		c.violate(RefusedUnproven, id, "")
+	if kind == Refused && !r.isSafeToRetry() {
+		c.recordViolation(RefusedUnproven, id, "")
 		kind = Failed
 	}
 	if kind.isAnswer() && c.clock() > r.Deadline+answerSlack {
-		c.violate(AnsweredLate, id, "")
+		c.recordViolation(AnsweredLate, id, "")
 	}
 	event := string(kind)
 	if cause != "" {
 		event += ": " + cause
 	}
-	c.record(id, event)
+	c.recordEvent(id, event)
 	r.answered = true
-	c.settle(id, r)
+	c.forgetIfComplete(id, r)
 	return kind
 }
 
-// isAnswer reports whether a client gets an answer of this kind.
+// isAnswer reports whether this kind is an answer to the client.
 func (k Kind) isAnswer() bool { return k != Abandoned && k != Migrated }
 
-// refusable reports whether the client may safely retry.
-func (r *request) refusable() bool {
+// isSafeToRetry reports whether the client may retry the request without the risk of a second execution
+// that has an effect.
+func (r *request) isSafeToRetry() bool {
 	if r.Effect == dispatch.Idempotent || r.Effect == dispatch.Deduplicated && r.Scope == dispatch.ScopeAll {
 		return true
 	}
--- a/internal/invariant/answer_test.go
+++ b/internal/invariant/answer_test.go
@@ -7,8 +7,9 @@
 	"stoatweir/dispatch"
 )
 
-// A final answer is given once, in time, and refuses only what may be retried; a connection that is closed holds no
-// unanswered request.
+// Violations of the invariants that a final answer is given once, in time, and is a refusal only if the
+// request may be retried, that no connection is closed with an unanswered request, and that no worker
+// start lies in the future.
 func ExampleChecker_CheckAnswer() {
 	f := newFixture(RequestLimits{ID: "9b1f", Effect: dispatch.NonIdempotent, Deadline: 2 * time.Second})
 	f.OnViolation = func(v Violation) { fmt.Println(v.ID, v.Reason) }
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -6,49 +6,52 @@
 	"stoatweir/dispatch"
 )
 
-// RequestLimits are the promises made for a request when it was admitted.
+// RequestLimits are the limits to which a request is held. They are set when the request is admitted, and
+// only RaiseLimits changes them.
 type RequestLimits struct {
-	ID          string // given by its client
+	ID          string // chosen by the client
 	Effect      dispatch.Effect
 	Scope       dispatch.DedupScope
-	Window      time.Duration // in which workers drop repeats
-	Deadline    time.Duration // its client timeout, as a time of the Checker's clock
+	Window      time.Duration // since the first attempt that may have run, in which workers deduplicate retries
+	Deadline    time.Duration // when the client timeout ends, on the Checker's clock
 	MaxAttempts int           // 0: any number
-	MaxInFlight int           // attempts in flight at once; less than 1 counts as 1
+	MaxInFlight int           // attempts in flight at a time; less than 1 counts as 1
 }
 
-// Target is a worker at the moment of an attempt.
+// Target is a worker, as the endpoint list has it at one moment.
 type Target struct {
 	UID string // unique among the workers
 	dispatch.Endpoint
 }
 
-// Checker watches the requests of one scheduler. CheckAnswer, CheckClose and MigrateOut check nothing on a nil Checker; the
-// other methods need one made by New. It is not safe for concurrent use.
+// Checker checks the invariants for the requests of one scheduler. CheckAnswer, CheckClose and MigrateOut may
+// be called on a nil Checker, and check nothing then; the other methods require a Checker made by New. It is
+// not safe for concurrent use.
 type Checker struct {
-	ClientWaiting func(dispatch.InvocationID) bool // whether the client waits at this very moment; nil: always
+	ClientWaiting func(dispatch.InvocationID) bool // whether the client still waits at this moment; nil: always
 	OnViolation   func(Violation)                  // nil: violations are only counted
 	Counts        Counts
 
 	clock    func() time.Duration
-	requests map[dispatch.InvocationID]*request // not settled yet
+	requests map[dispatch.InvocationID]*request // those without an answer or with an attempt in flight
 	history  history
 }
 
-// request is the Checker's own record of a request.
+// request is the Checker's own record of a request, independent of the dispatcher's.
 type request struct {
 	RequestLimits
 	answered bool
 	attempts []*attempt
 }
 
+// attempt is an attempt of a request whose first byte has been written.
 type attempt struct {
 	number     int
 	worker     string // its UID
 	zone, cell int
 	sent       time.Duration
 	inFlight   bool
-	mayHaveRun bool   // known once it has ended
+	mayHaveRun bool   // valid once it has ended
 	outcome    string // empty while in flight
 }
 
@@ -71,8 +74,8 @@
 	c.history.add(Transition{At: c.clock(), Request: id, ID: limits.ID, Event: "taken"})
 }
 
-// RaiseLimits raises the limits of all open requests to those of newer settings. What was allowed when a request was
-// admitted stays allowed: no limit is lowered.
+// RaiseLimits raises the limits of all open requests to those of newer settings. No limit is lowered, as what
+// was allowed when a request was admitted stays allowed.
 func (c *Checker) RaiseLimits(maxAttempts, maxInFlight int) {
 	for _, r := range c.requests {
 		r.MaxAttempts = max(r.MaxAttempts, maxAttempts)
@@ -80,11 +83,11 @@
 	}
 }
 
-// OpenRequests counts the requests that are not settled: without an answer, or with an attempt in flight.
+// OpenRequests returns the number of requests without an answer or with an attempt in flight.
 func (c *Checker) OpenRequests() int { return len(c.requests) }
 
-// settle forgets a request that is answered and has no attempt in flight.
-func (c *Checker) settle(id dispatch.InvocationID, r *request) {
+// forgetIfComplete deletes the record of a request that is answered and has no attempt in flight.
+func (c *Checker) forgetIfComplete(id dispatch.InvocationID, r *request) {
 	if !r.answered {
 		return
 	}
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -6,14 +6,14 @@
 	"stoatweir/dispatch"
 )
 
-// fixture is a Checker whose time a test sets, with the violations that it has reported.
+// fixture is a Checker on a clock that the test sets, with the violations that it has reported.
 type fixture struct {
 	*Checker
 	now      time.Duration
 	reported []Violation
 }
 
-// newFixture opens request 1.
+// newFixture returns a fixture at time 1 s in which request 1 has been admitted.
 func newFixture(limits RequestLimits) *fixture {
 	f := &fixture{now: time.Second}
 	f.Checker = New(func() time.Duration { return f.now })
@@ -22,13 +22,14 @@
 	return f
 }
 
+// target returns a ready worker in the given zone.
 func target(worker string, zone int) Target {
 	return Target{UID: worker, Endpoint: dispatch.Endpoint{State: dispatch.Ready, Zone: zone}}
 }
 
-// send checks an attempt for request 1, and starts it if it may be sent.
-func (f *fixture) send(number int, to Target) Reason {
-	a := Attempt{Request: 1, Number: number, Chosen: to, Current: to, Deadline: time.Hour}
+// send checks an attempt of request 1, and records its start if it may be sent.
+func (f *fixture) send(number int, worker Target) Reason {
+	a := Attempt{Request: 1, Number: number, Chosen: worker, Current: worker, Deadline: time.Hour}
 	reason := f.CheckSend(a)
 	if reason == "" {
 		f.AttemptStarted(a)
--- a/internal/invariant/history.go
+++ b/internal/invariant/history.go
@@ -8,20 +8,20 @@
 	"stoatweir/dispatch"
 )
 
-// historyLength is how many transitions are kept, of all requests together.
-const historyLength = 1024
+// historyCapacity is the number of transitions kept, of all requests together.
+const historyCapacity = 1024
 
-// Transition is one step of a request.
+// Transition is one recorded event of a request.
 type Transition struct {
 	At      time.Duration // since the start of the process
 	Request dispatch.InvocationID
-	ID      string // given by its client; only set when the request is admitted
+	ID      string // chosen by the client; only set in the transition that admits the request
 	Attempt int
-	Worker  string // its UID; empty: it concerns no attempt
+	Worker  string // the worker's UID; empty: the transition belongs to no attempt, or to the end of one
 	Event   string
 }
 
-// String formats the transition as a line of a history.
+// String formats the transition as one line of a history.
 func (t Transition) String() string {
 	if t.Worker == "" {
 		return fmt.Sprintf("%.3f %s", t.At.Seconds(), t.Event)
@@ -29,11 +29,11 @@
 	return fmt.Sprintf("%.3f attempt %d at %s: %s", t.At.Seconds(), t.Attempt, t.Worker, t.Event)
 }
 
-// History returns the transitions that are still known of a request, oldest first.
-func (c *Checker) History(id dispatch.InvocationID) []Transition { return c.history.of(id) }
+// History returns the transitions of a request that are still kept, oldest first.
+func (c *Checker) History(id dispatch.InvocationID) []Transition { return c.history.transitionsOf(id) }
 
-// HistoryByID returns the transitions that are still known of the last request to which its client gave that id, oldest
-// first.
+// HistoryByID returns the transitions that are still kept of the last request with the ID that its client
+// chose, oldest first.
 func (c *Checker) HistoryByID(id string) []Transition {
 	request, known := c.history.lastAdmitted(id)
 	if !known {
@@ -42,24 +42,24 @@
 	return c.History(request)
 }
 
-// record adds an event that concerns a request as a whole.
-func (c *Checker) record(id dispatch.InvocationID, event string) {
+// recordEvent adds an event that belongs to a request but to none of its attempts.
+func (c *Checker) recordEvent(id dispatch.InvocationID, event string) {
 	c.history.add(Transition{At: c.clock(), Request: id, Event: event})
 }
 
-// history is a ring of the last transitions.
+// history is a ring buffer of the last transitions.
 type history struct {
 	ring []Transition
-	next int // the oldest, once the ring is full
+	next int // index of the oldest transition, once the ring is full
 }
 
 func (h *history) add(t Transition) {
-	if len(h.ring) < historyLength {
+	if len(h.ring) < historyCapacity {
 		h.ring = append(h.ring, t)
 		return
 	}
 	h.ring[h.next] = t
-	h.next = (h.next + 1) % historyLength
+	h.next = (h.next + 1) % historyCapacity
 }
 
 // all yields the transitions, oldest first.
@@ -73,7 +73,7 @@
 	}
 }
 
-// lastAdmitted finds the last request that was admitted under an id.
+// lastAdmitted returns the last request that was admitted with an ID that its client chose.
 func (h *history) lastAdmitted(id string) (request dispatch.InvocationID, known bool) {
 	if id == "" {
 		return noRequest, false
@@ -87,7 +87,7 @@
 	return request, known
 }
 
-func (h *history) of(id dispatch.InvocationID) []Transition {
+func (h *history) transitionsOf(id dispatch.InvocationID) []Transition {
 	var transitions []Transition
 	for t := range h.all() {
 		if t.Request == id {
--- a/internal/invariant/migration_test.go
+++ b/internal/invariant/migration_test.go
@@ -7,7 +7,8 @@
 	"stoatweir/dispatch"
 )
 
-// A request goes to another process and comes back with what is known of it; what comes from one is held to the same limits.
+// A request that migrates to another process and is rejected there keeps its record of attempts, and a
+// request that another process has migrated is held to the same limits.
 func ExampleChecker_MigrateOut() {
 	f := newFixture(RequestLimits{Effect: dispatch.NonIdempotent})
 	f.send(0, target("s-1", 0))
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -10,41 +10,42 @@
 type Attempt struct {
 	Request     dispatch.InvocationID
 	Number      int
-	Chosen      Target        // the worker as it was when it was chosen
+	Chosen      Target        // the worker as the endpoint list had it when it was chosen
 	Current     Target        // the worker as the endpoint list has it now
-	NotAfter    time.Duration // no byte may go out from then on; 0: the client timeout alone bounds it
-	Deadline    time.Duration // its client timeout
-	MinTimeLeft time.Duration // that must be left until the client timeout
+	NotAfter    time.Duration // from this time on no byte may be written; 0: only the client timeout bounds it
+	Deadline    time.Duration // when the client timeout ends
+	MinTimeLeft time.Duration // least time that must be left until Deadline
 }
 
-// CheckSend returns why an attempt may not be written now; empty: it may. It is to be called directly before the first
-// byte is written.
+// CheckSend returns why an attempt may not be written now; empty: it may. It must be called immediately
+// before the first byte is written.
 func (c *Checker) CheckSend(a Attempt) Reason {
 	if reason := a.workerChange(); reason != "" {
-		return c.stop(reason, a)
+		return c.recordStopped(reason, a)
 	}
 	if c.ClientWaiting != nil && !c.ClientWaiting(a.Request) {
-		return c.stop(ClientGone, a)
+		return c.recordStopped(ClientGone, a)
 	}
 	now := c.clock()
 	r := c.requests[a.Request]
 	switch {
 	case r == nil || r.answered:
-		c.violate(UnknownRequest, a.Request, a.Current.UID)
+		c.recordViolation(UnknownRequest, a.Request, a.Current.UID)
 		return UnknownRequest
 	case a.Deadline-now < a.MinTimeLeft:
-		return c.stop(TimeoutPassed, a)
+		return c.recordStopped(TimeoutPassed, a)
 	case a.NotAfter > 0 && now >= a.NotAfter:
-		return c.stop(WindowPassed, a)
+		return c.recordStopped(WindowPassed, a)
 	}
 	if reason := r.retryViolation(a, now); reason != "" {
-		c.violate(reason, a.Request, a.Current.UID)
+		c.recordViolation(reason, a.Request, a.Current.UID)
 		return reason
 	}
 	return ""
 }
 
-// workerChange returns what has become of the worker since it was chosen; empty: it may still be sent to.
+// workerChange returns the change of the worker since it was chosen that rules out the attempt; empty: there
+// is none.
 func (a Attempt) workerChange() Reason {
 	switch {
 	case a.Current.State != dispatch.Ready:
@@ -96,7 +97,7 @@
 	return ""
 }
 
-// firstThatMayHaveRun is the first attempt that may have run or may yet run; nil: there is none.
+// firstThatMayHaveRun returns the first attempt that may have run or may still run; nil: there is none.
 func (r *request) firstThatMayHaveRun() *attempt {
 	for _, a := range r.attempts {
 		if a.inFlight || a.mayHaveRun {
@@ -106,7 +107,8 @@
 	return nil
 }
 
-func (c *Checker) stop(reason Reason, a Attempt) Reason {
+// recordStopped counts and records an attempt that was stopped, and returns the reason.
+func (c *Checker) recordStopped(reason Reason, a Attempt) Reason {
 	c.Counts.Stopped[reason]++
 	c.history.add(Transition{
 		At:      c.clock(),
@@ -143,7 +145,7 @@
 	})
 }
 
-// countRetry counts an attempt that follows others, by how the last of these has ended.
+// countRetry counts an attempt of a request that has previous attempts, by the outcome of the last of these.
 func (c *Checker) countRetry(r *request) {
 	if len(r.attempts) == 0 {
 		return
@@ -155,7 +157,7 @@
 	c.Counts.Retries[outcome]++
 }
 
-// AttemptEnded records how an attempt has ended and whether it may have run.
+// AttemptEnded records the outcome of an attempt and whether it may have run.
 func (c *Checker) AttemptEnded(id dispatch.InvocationID, number int, outcome string, mayHaveRun bool) {
 	c.history.add(Transition{At: c.clock(), Request: id, Attempt: number, Event: "ended: " + outcome})
 	r := c.requests[id]
@@ -169,5 +171,5 @@
 			a.outcome = outcome
 		}
 	}
-	c.settle(id, r)
+	c.forgetIfComplete(id, r)
 }
--- a/internal/invariant/send_test.go
+++ b/internal/invariant/send_test.go
@@ -7,9 +7,10 @@
 	"stoatweir/dispatch"
 )
 
-// What each effect class allows after an attempt that ended in each way.
+// Each effect class allows a retry only if the first attempt can't have run, or a second execution has no
+// effect.
 func TestRetriesByEffectClass(t *testing.T) {
-	keyed := RequestLimits{Effect: dispatch.Deduplicated, Scope: dispatch.ScopeZone, Window: time.Second}
+	deduplicated := RequestLimits{Effect: dispatch.Deduplicated, Scope: dispatch.ScopeZone, Window: time.Second}
 	for _, c := range []struct {
 		name       string
 		limits     RequestLimits
@@ -21,11 +22,11 @@
 		{"idempotent", RequestLimits{Effect: dispatch.Idempotent}, true, time.Hour / 2, 1, ""},
 		{"non-idempotent that ran", RequestLimits{Effect: dispatch.NonIdempotent}, true, 0, 0, RepeatedUnproven},
 		{"non-idempotent that never ran", RequestLimits{Effect: dispatch.NonIdempotent}, false, 0, 0, ""},
-		{"in its group and window", keyed, true, time.Second - 1, 0, ""},
-		{"outside its group", keyed, true, 0, 1, RepeatedOutOfGroup},
-		{"outside its window", keyed, true, time.Second, 0, RepeatedTooLate},
-		{"never ran, elsewhere and later", keyed, false, time.Minute, 1, ""},
-		{"as often as allowed", RequestLimits{Effect: dispatch.Idempotent, MaxAttempts: 1}, false, 0, 0, TooManyAttempts},
+		{"in its scope and window", deduplicated, true, time.Second - 1, 0, ""},
+		{"outside its scope", deduplicated, true, 0, 1, RepeatedOutOfGroup},
+		{"outside its window", deduplicated, true, time.Second, 0, RepeatedTooLate},
+		{"never ran, outside its scope and window", deduplicated, false, time.Minute, 1, ""},
+		{"attempt limit reached", RequestLimits{Effect: dispatch.Idempotent, MaxAttempts: 1}, false, 0, 0, TooManyAttempts},
 	} {
 		f := newFixture(c.limits)
 		if reason := f.send(0, target("s-1", 0)); reason != "" {
@@ -34,15 +35,16 @@
 		f.AttemptEnded(1, 0, "reset", c.mayHaveRun)
 		f.now += c.later
 		if got := f.send(1, target("s-2", c.zone)); got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: retry got reason %q, want %q", c.name, got, c.want)
 		}
 		if c.want != "" && (f.Counts.Violations[c.want] != 1 || len(f.reported) != 1) {
-			t.Errorf("%s: %v, reported %d", c.name, f.Counts.Violations, len(f.reported))
+			t.Errorf("%s: want 1 violation counted and reported, got counts %v and %d reports", c.name, f.Counts.Violations, len(f.reported))
 		}
 	}
 }
 
-// Two attempts in flight, and two at one worker.
+// A second attempt may not be sent while the first is in flight, unless the limit is raised, and never to the
+// same worker.
 func TestAttemptsInFlight(t *testing.T) {
 	f := newFixture(RequestLimits{})
 	f.send(0, target("s-1", 0))
@@ -58,7 +60,7 @@
 	}
 }
 
-// A change since an attempt was decided on stops it, and is no violation.
+// A change between the decision on an attempt and its sending stops the attempt, and is not a violation.
 func TestChangesSinceTheDecisionStopAnAttempt(t *testing.T) {
 	ready := target("s-1", 0)
 	draining, moved, restarted := ready, ready, ready
@@ -85,7 +87,7 @@
 			c.attempt.Deadline = time.Hour
 		}
 		if got := f.CheckSend(c.attempt); got != c.want || f.Counts.Stopped[c.want] != 1 || len(f.reported) > 0 {
-			t.Errorf("%q, want %q; %v", got, c.want, f.Counts)
+			t.Errorf("got reason %q, want %q and no violation; counts: %v", got, c.want, f.Counts)
 		}
 	}
 }
--- a/internal/invariant/start.go
+++ b/internal/invariant/start.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// CheckStart checks a worker's start as the endpoint list has it: one that lies ahead can't have happened. worker is its
-// UID, at the start as a time of the Checker's clock.
+// CheckStart checks that the start of a worker, as given by the endpoint list, does not lie in the future.
+// worker is the worker's UID, and at the time of its start on the Checker's clock.
 func (c *Checker) CheckStart(worker string, at time.Duration) {
 	if at > c.clock() {
-		c.violate(StartInFuture, noRequest, worker)
+		c.recordViolation(StartInFuture, noRequest, worker)
 	}
 }
--- a/internal/invariant/violations.go
+++ b/internal/invariant/violations.go
@@ -2,10 +2,11 @@
 
 import "stoatweir/dispatch"
 
-// Reason says why an attempt was stopped, or which invariant was violated.
+// Reason is why an attempt was stopped, or which invariant was violated.
 type Reason string
 
-// Reasons to stop an attempt that was decided rightly, and was no longer right when it was to be written.
+// The reasons to stop an attempt. The decision was correct when it was made, but a change since then rules
+// out the attempt.
 const (
 	WorkerUnavailable Reason = "worker unavailable" // draining or gone
 	WorkerRestarted   Reason = "worker restarted"
@@ -15,7 +16,7 @@
 	WindowPassed      Reason = "window passed"
 )
 
-// Violations: what must never be decided at all.
+// The violated invariants. Such a decision is a mistake at any time.
 const (
 	UnknownRequest     Reason = "sent for a request that is not open"
 	TooManyAttempts    Reason = "more attempts than allowed"
@@ -31,33 +32,34 @@
 	StartInFuture      Reason = "a worker's start lies in the future"
 )
 
-// maxReports is how many violations of one reason are reported with their histories; all are counted.
-const maxReports = 16
+// maxReportsPerReason bounds the violations per reason that are reported with their histories. All of them
+// are counted.
+const maxReportsPerReason = 16
 
-// noRequest stands for the request of a violation that concerns none, and of a connection that holds none.
+// noRequest is the ID in a violation that belongs to no request, and of a connection on which none waits.
 const noRequest dispatch.InvocationID = 0
 
 // Violation is the report of one violated invariant.
 type Violation struct {
 	Reason  Reason
-	Request dispatch.InvocationID // 0: it concerns no request
-	ID      string                // given by the request's client; empty if the request is not open
-	Worker  string                // its UID; empty: it concerns no worker
-	History []Transition          // of that request, oldest first
+	Request dispatch.InvocationID // 0: it belongs to no request
+	ID      string                // chosen by the request's client; empty if the request is not open
+	Worker  string                // the worker's UID; empty: it belongs to no worker
+	History []Transition          // of the request, oldest first
 }
 
-// Counts are the stops and violations by reason, and the retries.
+// Counts are the numbers of stopped attempts and violations by reason, and of retries.
 type Counts struct {
 	Stopped    map[Reason]int `json:"Stopped"`
 	Violations map[Reason]int `json:"Violations"`
-	Retries    map[string]int `json:"Retries"` // by how the attempt before had ended
+	Retries    map[string]int `json:"Retries"` // by the outcome of the previous attempt
 }
 
-// violate counts a violation and reports it.
-func (c *Checker) violate(reason Reason, id dispatch.InvocationID, worker string) {
+// recordViolation counts a violation, adds it to the history, and reports it.
+func (c *Checker) recordViolation(reason Reason, id dispatch.InvocationID, worker string) {
 	c.Counts.Violations[reason]++
-	c.record(id, "VIOLATION: "+string(reason))
-	if c.OnViolation == nil || c.Counts.Violations[reason] > maxReports {
+	c.recordEvent(id, "VIOLATION: "+string(reason))
+	if c.OnViolation == nil || c.Counts.Violations[reason] > maxReportsPerReason {
 		return
 	}
 	v := Violation{Reason: reason, Request: id, Worker: worker}
