--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -93,7 +93,7 @@
 	for n, packet := range goldenPackets(t, goldenText, messages) {
 		decoded, err := decode(packet)
 		if diff := cmp.Diff(messages[n], decoded); err != nil || diff != "" {
-			t.Errorf("golden packet of kind %s decodes to another message: %v (-want +got)\n%s", messages[n].Kind, err, diff)
+			t.Errorf("golden packet of kind %s decodes to another message: %v (-written +read)\n%s", messages[n].Kind, err, diff)
 		}
 	}
 }
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -102,7 +102,7 @@
 	checkDuration := func(what string, got, want time.Duration) {
 		t.Helper()
 		if d := (got - want).Abs(); d > transit/2 {
-			t.Error(what, ": got ", got, ", want ", want)
+			t.Error(what, "got", got, "want", want)
 		}
 	}
 	checkRecord := func(what string, records []dispatch.MigratedIn) {
@@ -121,7 +121,7 @@
 			checkDuration(what+", attempt age", attempt.Age, want.Attempts[n].Age)
 			checkDuration(what+", last progress age", attempt.LastProgressAge, want.Attempts[n].LastProgressAge)
 			if attempt.StartedAge != -1 {
-				t.Error(what, ", StartedAge of an attempt that has not started: want -1, got ", attempt.StartedAge)
+				t.Error(what, "StartedAge of an attempt that has not started: want -1, got", attempt.StartedAge)
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 	}
 	checkRecord("adopted request", service.records)
 	if len(service.adopted) != 1 {
-		t.Fatal("want one adopted request, got ", service.adopted)
+		t.Fatal("want one adopted request, got", service.adopted)
 	}
 	checkDuration("time until the deadline", service.adopted[0].Deadline-m.loop.Now(), remaining-transit)
 	if migrate(remaining) {
