--- a/internal/handover/tcp.go
+++ b/internal/handover/tcp.go
@@ -41,7 +41,7 @@
 		return true
 	}
 	defer unix.Close(fd)
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // connections in TIME_WAIT don't make the address count as in use
+	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // ignores connections in TIME_WAIT
 	return !errors.Is(unix.Bind(fd, sockaddr), unix.EADDRINUSE)
 }
 
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -79,7 +79,8 @@
 	return r.effectViolation(a, now)
 }
 
-// effectViolation returns which invariant of the request's effect class one more attempt would violate; empty: none.
+// effectViolation returns which invariant of the request's effect class one more attempt would violate;
+// empty: none.
 func (r *request) effectViolation(a Attempt, now time.Duration) Reason {
 	first := r.firstThatMayHaveRun()
 	switch {
