--- a/internal/settings/capacity_test.go
+++ b/internal/settings/capacity_test.go
@@ -8,25 +8,26 @@
 	"stoatweir/internal/tenants"
 )
 
-// The benchmarks behind docs/CAPACITY.md's figures for configuration: what parsing and applying one
-// costs, by tenants and operations. That page runs them by these names.
+// These benchmarks produce the configuration figures of docs/CAPACITY.md: the cost of parsing and
+// applying a configuration by number of tenants and operations. That page runs them by name.
 
-const operationsPerTeam = 32
+const operationsPerTenant = 32
 
-// teamsText is the configuration of a process with so many tenants of 32 operations each.
-func teamsText(teams int) []byte {
+// processText returns the configuration of a process with the given number of tenants and 32
+// operations for each of them.
+func processText(tenantCount int) []byte {
 	type object = map[string]any
 	var operations []object
 	var quotas []object
-	for team := range teams {
+	for tenant := range tenantCount {
 		quotas = append(quotas, object{
-			"Name":      fmt.Sprint("team-", team),
+			"Name":      fmt.Sprint("team-", tenant),
 			"QuotaPerS": 10,
-			"Fraction":  1 / float64(teams),
+			"Fraction":  1 / float64(tenantCount),
 		})
-		for n := range operationsPerTeam {
+		for n := range operationsPerTenant {
 			operations = append(operations, object{
-				"Name":             fmt.Sprintf("team-%d-operation-%d", team, n),
+				"Name":             fmt.Sprintf("team-%d-operation-%d", tenant, n),
 				"Effect":           "read_like",
 				"LatencyObjective": 10,
 				"ClientTimeout":    600,
@@ -57,12 +58,12 @@
 	return text
 }
 
-// BenchmarkRead parses a configuration and compares it with the running one, as SIGHUP does beside
-// the loop.
+// BenchmarkRead parses a configuration and compares it with the running one, as a reload on SIGHUP
+// does outside of the event loop.
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{18, 36, 71, 142} {
 		b.Run(fmt.Sprint(n, "x32"), func(b *testing.B) {
-			text := teamsText(n)
+			text := processText(n)
 			running, err := ParseProcess(text, emptyEnv)
 			if err != nil {
 				b.Fatal(err)
@@ -81,16 +82,17 @@
 	}
 }
 
-// newTeams returns tenants of 32 operations each, the first ones with another objective, in seconds.
-func newTeams(count, changed int, objective float64) []tenants.Tenant {
+// newTenants returns count tenants with 32 operations each. The operations of the first changed
+// tenants have the given latency objective, in seconds, and all others one of 10 s.
+func newTenants(count, changed int, objective float64) []tenants.Tenant {
 	var all []tenants.Tenant
 	for n := range count {
-		team := tenants.Tenant{
+		tenant := tenants.Tenant{
 			Name:   fmt.Sprint("team-", n),
 			Handle: fmt.Sprintf("t%dmark8bits", n),
 			Spec:   tenants.Spec{Weight: 1},
 		}
-		for o := range operationsPerTeam {
+		for o := range operationsPerTenant {
 			operation := tenants.Operation{
 				Name:              fmt.Sprint("operation-", o),
 				Effect:            tenants.Idempotent,
@@ -101,34 +103,34 @@
 			if n < changed {
 				operation.LatencyObjectiveS = objective
 			}
-			team.Spec.Operations = append(team.Spec.Operations, operation)
+			tenant.Spec.Operations = append(tenant.Spec.Operations, operation)
 		}
-		all = append(all, team)
+		all = append(all, tenant)
 	}
 	return all
 }
 
-// BenchmarkTake is the task of the loop that applies a change of a tenant: its deployment is built
-// anew and merged with the running one. In "all" every operation has changed while everything in
-// flight stays so.
+// BenchmarkTake measures the event loop's task that applies a change of a tenant: it rebuilds the
+// deployment and merges it with the running one. In "one", a single tenant has changed. In "all", every
+// operation has changed while every index is in use by invocations in flight.
 func BenchmarkTake(b *testing.B) {
 	const excessValue = 0.001
-	for _, what := range []string{"one", "all"} {
+	for _, scope := range []string{"one", "all"} {
 		for _, n := range []int{18, 36, 71, 128} {
-			b.Run(fmt.Sprint(what, "/", n, "x32"), func(b *testing.B) {
+			b.Run(fmt.Sprint(scope, "/", n, "x32"), func(b *testing.B) {
 				base, err := ParseDeployment([]byte(`{"PeersTotal": 15, "Operations": []}`))
 				if err != nil {
 					b.Fatal(err)
 				}
 				changed := 1
 				isFree := true
-				if what == "all" {
+				if scope == "all" {
 					changed = n
 					isFree = false
 				}
 				free := func(int) bool { return isFree }
-				running := base.WithTenants(newTeams(n, 0, 0), excessValue)
-				newer := newTeams(n, changed, 20)
+				running := base.WithTenants(newTenants(n, 0, 0), excessValue)
+				newer := newTenants(n, changed, 20)
 				b.ReportAllocs()
 				for b.Loop() {
 					running.Reconfigure(base.WithTenants(newer, excessValue), free)
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -10,38 +10,40 @@
 	"strings"
 )
 
-// decode unmarshals JSON. The error names the key and the wanted form of a value of the wrong form.
-func decode(text []byte, into any) error {
-	err := json.Unmarshal(text, into)
-	var wrongForm *json.UnmarshalTypeError
-	if !errors.As(err, &wrongForm) {
+// decode unmarshals JSON into target. If a value has the wrong type, the error names its key and the
+// expected type.
+func decode(text []byte, target any) error {
+	err := json.Unmarshal(text, target)
+	var typeError *json.UnmarshalTypeError
+	if !errors.As(err, &typeError) {
 		return err
 	}
-	form := describeForm(wrongForm.Type)
-	if wrongForm.Field == "" {
-		return fmt.Errorf("json: cannot unmarshal %s into Go value of type %s", wrongForm.Value, form)
+	wantedType := describeType(typeError.Type)
+	if typeError.Field == "" {
+		return fmt.Errorf("json: cannot unmarshal %s into Go value of type %s", typeError.Value, wantedType)
 	}
-	return fmt.Errorf("%s: a %s is wanted there, not a %s", wrongForm.Field, form, wrongForm.Value)
+	return fmt.Errorf("%s: a %s is wanted there, not a %s", typeError.Field, wantedType, typeError.Value)
 }
 
-// formNames are the names that messages have for whole parts of a configuration.
-var formNames = map[reflect.Type]string{
+// typeNames maps the types of whole configuration sections to the names that error messages use for
+// them.
+var typeNames = map[reflect.Type]string{
 	reflect.TypeFor[deploymentFile](): "settings.site",
 	reflect.TypeFor[tenancyFile]():    "settings.tenancy",
 }
 
-// describeForm describes the form of a value in the syntax of Go types. Messages are held to the
-// byte, whatever the Go types are called here.
-func describeForm(t reflect.Type) string {
-	if name, ok := formNames[t]; ok {
+// describeType returns a type in Go syntax for error messages. It expands named types so that the
+// messages, which tests compare byte for byte, don't depend on the names of Go types.
+func describeType(t reflect.Type) string {
+	if name, ok := typeNames[t]; ok {
 		return name
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		return "*" + describeForm(t.Elem())
+		return "*" + describeType(t.Elem())
 	case reflect.Slice:
 		if t.Name() == "" {
-			return "[]" + describeForm(t.Elem())
+			return "[]" + describeType(t.Elem())
 		}
 	case reflect.Struct:
 		var fields []string
@@ -53,13 +55,13 @@
 	return t.String()
 }
 
-// describeField describes a field by its key. A key that is no exported Go name is described by its
-// tag, behind the name of the Go field.
+// describeField returns the key and type of a field. If the key is not an exported Go name, the
+// result is the name of the Go field, its type and its quoted tag.
 func describeField(field reflect.StructField) string {
 	key := field.Tag.Get("json")
-	form := describeForm(field.Type)
+	fieldType := describeType(field.Type)
 	if token.IsExported(key) {
-		return key + " " + form
+		return key + " " + fieldType
 	}
-	return field.Name + " " + form + " " + strconv.Quote(string(field.Tag))
+	return field.Name + " " + fieldType + " " + strconv.Quote(string(field.Tag))
 }
--- a/internal/settings/deployment.go
+++ b/internal/settings/deployment.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	defaultConnectTimeout = 1  // seconds
-	defaultConnectionIdle = 60 // seconds
+	defaultConnectTimeoutSeconds = 1
+	defaultConnectionIdleSeconds = 60
 
-	noSchedulerIndex = -1 // in dispatch.Config.Index: it is not configured
-	anyWorkerKind    = -1 // in dispatch.Operation.WorkerKind: each kind runs it
+	noSchedulerIndex = -1 // dispatch.Config.Index of a scheduler without a configured index
+	anyWorkerKind    = -1 // dispatch.Operation.WorkerKind of an operation that every kind runs
 
-	attemptsInFlight       = 1 // of one invocation
-	hedgedAttemptsInFlight = 2 // where requests may be hedged
+	maxAttemptsInFlight       = 1 // per invocation, without hedging
+	maxHedgedAttemptsInFlight = 2 // per invocation, with hedging
 )
 
-// Deployment is what all schedulers of a deployment share: the configuration of the dispatcher, and
-// what only the network needs.
+// Deployment is the configuration that all schedulers of a deployment share: that of the dispatcher
+// and that of the networking code.
 type Deployment struct {
 	Dispatch       dispatch.Config
 	Report         Report
@@ -30,19 +30,18 @@
 	Kinds          []string // names, by index
 	ConnectionIdle time.Duration
 	ConnectTimeout time.Duration
-	ClientTimeouts []time.Duration // of the operations, by index; 0: not configured
-	LongestTimeout time.Duration   // of ClientTimeouts
-	// DrainGrace is how long attempts may still be sent to a worker that is draining; 0: not
-	// configured.
+	ClientTimeouts []time.Duration // by index of the operation; 0: not configured
+	LongestTimeout time.Duration   // maximum of ClientTimeouts
+	// DrainGrace is how long attempts may still be sent to a draining worker; 0: not configured.
 	DrainGrace     time.Duration
 	Features       Features
-	OperationIndex map[string]int // of the operations that new requests may have, by name
+	OperationIndex map[string]int // index by name, of the operations that new requests may use
 
-	worstTenant float64 // weight of the worst served tenant in the result
-	discovery   string  // as configured
+	worstTenantWeight float64 // weight of the worst-served tenant in the result
+	discovery         string  // discovery mode, as configured
 }
 
-// ParseDeployment parses and validates the settings text. Keys without a meaning here are ignored.
+// ParseDeployment parses and validates the settings, a JSON text. Unknown keys are ignored.
 func ParseDeployment(text []byte) (Deployment, error) {
 	var file deploymentFile
 	if err := decode(text, &file); err != nil {
@@ -52,17 +51,17 @@
 		return Deployment{}, err
 	}
 	d := Deployment{
-		Dispatch:       file.dispatchConfig(),
-		Report:         file.loadReport(),
-		Zones:          file.Zones,
-		Kinds:          file.Kinds,
-		ConnectionIdle: Duration(cmp.Or(file.Limits.ConnectionIdle, defaultConnectionIdle)),
-		ConnectTimeout: Duration(cmp.Or(file.Limits.ConnectTimeout, defaultConnectTimeout)),
-		DrainGrace:     max(0, Duration(file.Rules.DrainGrace)),
-		Features:       file.features(),
-		OperationIndex: map[string]int{},
-		worstTenant:    file.ResultMix.WorstTenant,
-		discovery:      file.Discovery,
+		Dispatch:          file.dispatchConfig(),
+		Report:            file.loadReport(),
+		Zones:             file.Zones,
+		Kinds:             file.Kinds,
+		ConnectionIdle:    Duration(cmp.Or(file.Limits.ConnectionIdle, defaultConnectionIdleSeconds)),
+		ConnectTimeout:    Duration(cmp.Or(file.Limits.ConnectTimeout, defaultConnectTimeoutSeconds)),
+		DrainGrace:        max(0, Duration(file.Rules.DrainGrace)),
+		Features:          file.features(),
+		OperationIndex:    map[string]int{},
+		worstTenantWeight: file.ResultMix.WorstTenant,
+		discovery:         file.Discovery,
 	}
 	for i := range file.Operations {
 		if err := d.parseOperation(&file, i); err != nil {
@@ -79,7 +78,7 @@
 	return d, nil
 }
 
-// dispatchConfig returns the dispatcher's configuration without operations and tenants.
+// dispatchConfig returns the dispatcher's configuration, without operations and tenants.
 func (f *deploymentFile) dispatchConfig() dispatch.Config {
 	config := dispatch.Config{
 		Schedulers:       f.Schedulers,
@@ -118,10 +117,10 @@
 		HealthChecks: l.HealthChecks,
 		Cancel:       l.Cancel,
 		Gossip:       l.Gossip,
-		MaxInFlight:  attemptsInFlight,
+		MaxInFlight:  maxAttemptsInFlight,
 	}
 	if l.Hedging {
-		limits.MaxInFlight = hedgedAttemptsInFlight
+		limits.MaxInFlight = maxHedgedAttemptsInFlight
 	}
 	if l.MaxAttempts != nil {
 		limits.MaxAttempts = *l.MaxAttempts
@@ -139,7 +138,7 @@
 	return newReport(f.Report.Names, map[string]string{"x0": f.Family.ReportX0, "x1": f.Family.ReportX1})
 }
 
-// parseOperation adds the operation at an index of the file.
+// parseOperation validates the operation at index in the file and adds it to the deployment.
 func (d *Deployment) parseOperation(file *deploymentFile, index int) error {
 	section := &file.Operations[index]
 	prefix := fmt.Sprintf("settings: Operations[%d].", index)
@@ -181,13 +180,13 @@
 	return nil
 }
 
-// dedupWindow returns the window, given in seconds, less the time to connect: whether to retry is
-// decided before the connection is established, and counts as sent once it has gone out.
+// dedupWindow returns a configured window, in seconds, less the connect timeout: a retry is decided on
+// before its connection is established, but counts as sent only once it has gone out.
 func (d *Deployment) dedupWindow(seconds float64) time.Duration {
 	return max(0, Duration(seconds)-d.ConnectTimeout)
 }
 
-// addOperation adds an operation at the next index.
+// addOperation appends an operation. timeout is the client timeout; 0: not configured.
 func (d *Deployment) addOperation(name string, operation dispatch.Operation, timeout time.Duration) {
 	d.OperationIndex[name] = len(d.Operations)
 	d.Operations = append(d.Operations, name)
--- a/internal/settings/deployment_test.go
+++ b/internal/settings/deployment_test.go
@@ -12,7 +12,7 @@
 	"Report": {"How": "probe", "Names": ["x0", "x1", "waiting"]}, "Rules": {"AskWithin": 10},
 	"Tenants": [{"QuotaPerS": 5, "Fraction": 0.4}]}`
 
-// The window in which a retry is deduplicated ends earlier by the time that it may take to connect.
+// The connect timeout is subtracted from the configured deduplication window.
 func ExampleParseDeployment() {
 	d, err := ParseDeployment([]byte(deploymentText))
 	config := d.Dispatch
--- a/internal/settings/deploymentfile.go
+++ b/internal/settings/deploymentfile.go
@@ -2,8 +2,7 @@
 
 import "stoatweir/dispatch"
 
-// deploymentFile is the text of a Deployment, with the keys that have a meaning here; others are
-// ignored. Times are in seconds.
+// deploymentFile is the JSON form of a Deployment. Unknown keys are ignored. Times are in seconds.
 type deploymentFile struct {
 	Discovery      string             `json:"Discovery"` // "ask" or "push"
 	WeightKind     string             `json:"WeightKind"`
@@ -35,14 +34,14 @@
 	ClientTimeout    *float64 `json:"ClientTimeout"`
 }
 
-// familySection has what differs between families of deployments. The lists are by index of the
-// operation.
+// familySection holds the settings that differ between families of deployments. The lists are
+// indexed by operation.
 type familySection struct {
 	OperationKind    []int     `json:"ClassKind"`
 	OperationStretch []float64 `json:"ClassStretch"`
 	ProgressInterval float64   `json:"Progress"`
-	ReportX0         string    `json:"ReportX0"` // the meaning of the load report's value x0
-	ReportX1         string    `json:"ReportX1"`
+	ReportX0         string    `json:"ReportX0"` // meaning of the value x0 in load reports
+	ReportX1         string    `json:"ReportX1"` // meaning of the value x1
 	NotifiesStart    bool      `json:"TellsStart"`
 }
 
@@ -89,7 +88,7 @@
 	Share          float64 `json:"Fraction"`
 }
 
-// Values of keys, and what they mean to the dispatcher.
+// Names of effects and deduplication scopes in the settings.
 var (
 	effectsByName = map[string]dispatch.Effect{
 		"read_like":       dispatch.Idempotent,
@@ -105,7 +104,7 @@
 )
 
 const (
-	discoveryPolled = "ask"
-	discoveryPushed = "push"
-	reportNone      = "none"
+	discoveryPolled = "ask"  // value of Discovery
+	discoveryPushed = "push" // value of Discovery
+	reportNone      = "none" // value of Report.How
 )
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,7 +1,8 @@
-// Package settings is the one place that reads, validates and defaults what operators configure.
+// Package settings reads and validates the configuration and applies defaults.
 //
 // A Process is the configuration of one scheduler: the file that PROXY_CONFIG names, with
-// environment variables for what the file leaves out. It holds the Deployment, which all schedulers
-// share, and the Tenancy. A newer configuration is compared with the running one by MissingKey and
-// StartOnlyChanges and merged into it by Reconfigure. Every error names the key at fault.
+// environment variables as defaults for keys that the file omits. It contains the Deployment, which
+// all schedulers share, and the Tenancy. On a reload, MissingKey and StartOnlyChanges compare the
+// newer configuration with the running one, and Reconfigure merges the two. Each error names the
+// invalid key.
 package settings
--- a/internal/settings/features.go
+++ b/internal/settings/features.go
@@ -6,20 +6,19 @@
 	"strings"
 )
 
-// Features are the kinds of interaction that a deployment has. They follow from the configuration
-// alone.
+// Features are the optional mechanisms that a deployment uses, derived from its configuration.
 type Features struct {
-	EndpointsPushed bool   // discovery pushes changes of the endpoint list
-	Gossip          bool   // schedulers may send messages to one another, and have addresses for it
-	Weights         string // what the endpoint list's weights mean
-	Tenants         int    // that share the service
+	EndpointsPushed bool   // discovery pushes changes of the endpoint list; else it is polled
+	Gossip          bool   // schedulers may send gossip to one another and have addresses for it
+	Weights         string // kind of the weights in the endpoint list; empty: none
+	Tenants         int    // number of tenants in the settings
 }
 
-// String returns the features as one line for operators.
+// String returns a one-line summary for operators.
 func (f Features) String() string {
-	list := "list asked for"
+	discovery := "list asked for"
 	if f.EndpointsPushed {
-		list = "list pushed"
+		discovery = "list pushed"
 	}
 	messages := "no messages"
 	if f.Gossip {
@@ -27,11 +26,11 @@
 	}
 	weights := cmp.Or(f.Weights, "no") + " weights"
 	tenants := fmt.Sprintf("%d tenants", f.Tenants)
-	return strings.Join([]string{list, messages, weights, tenants}, ", ")
+	return strings.Join([]string{discovery, messages, weights, tenants}, ", ")
 }
 
-// features derives the features of a deployment; Gossip depends on addresses, which only a Process
-// has.
+// features returns the features of a deployment. It leaves Gossip unset, which depends on addresses
+// that only a Process has.
 func (f *deploymentFile) features() Features {
 	return Features{
 		EndpointsPushed: f.Discovery == discoveryPushed,
--- a/internal/settings/features_test.go
+++ b/internal/settings/features_test.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// parseWith parses a process with one operation and further settings.
-func parseWith(peers, settings string) (Process, error) {
+// parseProcessWith parses a process with one operation, the given peers and further settings; empty
+// arguments are omitted.
+func parseProcessWith(peers, settings string) (Process, error) {
 	const operations = `"Operations":[{"Name":"render","Effect":"read_like","ClientTimeout":5}]`
 	if peers != "" {
 		peers = `"peers":` + peers + `,`
@@ -17,31 +18,31 @@
 	return ParseProcess([]byte(text), emptyEnv)
 }
 
-// Features follow from the settings. What contradicts itself is rejected by key; what is left out,
-// or means nothing here, is not.
+// Features are derived from the settings. Contradictory settings are rejected with an error that names
+// the key; omitted and unknown keys are accepted.
 func ExampleFeatures() {
-	const two = `["127.0.0.1:9200","127.0.0.1:9201"]`
-	const messages = `"Discovery":"push","PeersTotal":2,"MyNumber":1,"Limits":{"Peers":true}`
+	const twoPeers = `["127.0.0.1:9200","127.0.0.1:9201"]`
+	const gossipEnabled = `"Discovery":"push","PeersTotal":2,"MyNumber":1,"Limits":{"Peers":true}`
 	for _, c := range []struct{ peers, settings string }{
 		{peers: "", settings: ``},
 		{peers: "", settings: `"Discovery":"ask","PeersTotal":5,"WeightKind":"rough","ExcessBilledValue":0.1,"Tenants":[],"Rules":{"AskWithin":10}`},
-		{peers: two, settings: messages + `,"WeightKind":"live","Tenants":[{"Name":"a","Fraction":0.6,"QuotaPerS":20},{"Name":"b","Fraction":0.4}]`},
-		{peers: two, settings: strings.Replace(messages, "push", "ask", 1)},
-		{peers: "", settings: messages},
-		{peers: "[]", settings: messages},
+		{peers: twoPeers, settings: gossipEnabled + `,"WeightKind":"live","Tenants":[{"Name":"a","Fraction":0.6,"QuotaPerS":20},{"Name":"b","Fraction":0.4}]`},
+		{peers: twoPeers, settings: strings.Replace(gossipEnabled, "push", "ask", 1)},
+		{peers: "", settings: gossipEnabled},
+		{peers: "[]", settings: gossipEnabled},
 		{peers: "", settings: `"PeersTotal":2,"MyNumber":7,"Strange":{"Key":1}`},
-		{peers: two, settings: `"PeersTotal":2,"MyNumber":1`},
-		{peers: two, settings: `"PeersTotal":2,"Limits":{"Peers":true}`},
-		{peers: two, settings: strings.Replace(messages, `"PeersTotal":2`, `"PeersTotal":3`, 1)},
-		{peers: two, settings: strings.Replace(messages, `"MyNumber":1`, `"MyNumber":2`, 1)},
-		{peers: `["127.0.0.1:9200","there"]`, settings: messages},
-		{peers: `["127.0.0.1:9200","127.0.0.1:0"]`, settings: messages},
-		{peers: `["127.0.0.1:9200","127.0.0.1:9200"]`, settings: messages},
-		{peers: `"127.0.0.1:9200"`, settings: messages},
+		{peers: twoPeers, settings: `"PeersTotal":2,"MyNumber":1`},
+		{peers: twoPeers, settings: `"PeersTotal":2,"Limits":{"Peers":true}`},
+		{peers: twoPeers, settings: strings.Replace(gossipEnabled, `"PeersTotal":2`, `"PeersTotal":3`, 1)},
+		{peers: twoPeers, settings: strings.Replace(gossipEnabled, `"MyNumber":1`, `"MyNumber":2`, 1)},
+		{peers: `["127.0.0.1:9200","there"]`, settings: gossipEnabled},
+		{peers: `["127.0.0.1:9200","127.0.0.1:0"]`, settings: gossipEnabled},
+		{peers: `["127.0.0.1:9200","127.0.0.1:9200"]`, settings: gossipEnabled},
+		{peers: `"127.0.0.1:9200"`, settings: gossipEnabled},
 		{peers: "", settings: `"Discovery":"pull"`},
 		{peers: "", settings: `"ResultMix":{"WorstTenant":0.1}`},
 	} {
-		p, err := parseWith(c.peers, c.settings)
+		p, err := parseProcessWith(c.peers, c.settings)
 		if err != nil {
 			fmt.Println("rejected:", err)
 			continue
@@ -68,7 +69,7 @@
 	// rejected: settings: ResultMix.WorstTenant: is 0.1, and Tenants names nobody
 }
 
-// The example for a pool that ships with the project is valid.
+// The example configuration in deploy/pool.json is valid.
 func Example_pool() {
 	text, err := os.ReadFile("../../deploy/pool.json")
 	if err != nil {
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -16,74 +16,76 @@
 	"stoatweir/internal/golden"
 )
 
-// respell returns a JSON value with its keys spelt differently.
-func respell(value any, spell func(string) string) any {
+// mapKeys returns a JSON value with all its object keys replaced by mapKey. It modifies lists in place.
+func mapKeys(value any, mapKey func(string) string) any {
 	switch value := value.(type) {
 	case map[string]any:
-		respelt := map[string]any{}
+		mapped := map[string]any{}
 		for key, member := range value {
-			respelt[spell(key)] = respell(member, spell)
+			mapped[mapKey(key)] = mapKeys(member, mapKey)
 		}
-		return respelt
+		return mapped
 	case []any:
 		for i := range value {
-			value[i] = respell(value[i], spell)
+			value[i] = mapKeys(value[i], mapKey)
 		}
 	}
 	return value
 }
 
-// spellings returns a text as it is, and with its keys in lower and in upper case.
-func spellings(t *testing.T, text []byte) [][]byte {
+// keyCaseVariants returns a JSON text unchanged, with lower-case keys and with upper-case keys.
+func keyCaseVariants(t *testing.T, text []byte) [][]byte {
 	t.Helper()
-	all := [][]byte{text}
-	for _, spell := range []func(string) string{strings.ToLower, strings.ToUpper} {
+	variants := [][]byte{text}
+	for _, mapKey := range []func(string) string{strings.ToLower, strings.ToUpper} {
 		var value any
 		if err := json.Unmarshal(text, &value); err != nil {
 			t.Fatal(err)
 		}
-		respelt, err := json.Marshal(respell(value, spell))
+		variant, err := json.Marshal(mapKeys(value, mapKey))
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, respelt)
+		variants = append(variants, variant)
 	}
-	return all
+	return variants
 }
 
-func goldenKeys[T any](t *testing.T, name string) {
+// compareGoldenKeys compares the JSON text of a T with the golden text of the given name, and checks
+// that each case variant of the golden text decodes into the same T.
+func compareGoldenKeys[T any](t *testing.T, name string) {
 	t.Helper()
 	want := golden.Filled[T](t)
 	text, err := json.MarshalIndent(want, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, spelling := range spellings(t, golden.Compare(t, name, text)) {
+	for _, variant := range keyCaseVariants(t, golden.Compare(t, name, text)) {
 		var got T
-		if err := decode(spelling, &got); err != nil {
+		if err := decode(variant, &got); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Error(diff)
+			t.Errorf("decoded value (-want +got):\n%s", diff)
 		}
 	}
 }
 
-// Each key of the settings and of the tenants' part is decoded, in any case, into its recorded
-// place.
+// Each key of the settings and of the tenants section, in any letter case, is decoded into the field
+// that the golden text records.
 func TestGoldenKeys(t *testing.T) {
-	goldenKeys[deploymentFile](t, "site.json")
-	goldenKeys[tenancyFile](t, "tenancy.json")
+	compareGoldenKeys[deploymentFile](t, "site.json")
+	compareGoldenKeys[tenancyFile](t, "tenancy.json")
 }
 
-// Each key of a scheduler's configuration is parsed, in any case, into its recorded place.
+// Each key of a process's configuration, in any letter case, is parsed into the expected field.
 func TestGoldenProcess(t *testing.T) {
 	text, err := os.ReadFile("testdata/node.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, spelling := range spellings(t, text) {
-		got, err := ParseProcess(spelling, emptyEnv)
+	for _, variant := range keyCaseVariants(t, text) {
+		got, err := ParseProcess(variant, emptyEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,31 +117,31 @@
 					{Name: "ops", Operate: true, Hash: strings.Repeat("5a", 32)},
 				},
 			},
-			Text: spelling,
+			Text: variant,
 		}
 		equalAddresses := cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
 		if diff := cmp.Diff(want, got, equalAddresses, cmp.AllowUnexported(Deployment{})); diff != "" {
-			t.Error(diff)
+			t.Errorf("process (-want +got):\n%s", diff)
 		}
-		isKnown := strings.ToLower(endpoints.String()) == `[{"endpoint":"127.0.0.1:1"}]`
-		if !isKnown || got.Deployment.Operations[0] != "render" {
-			t.Error(endpoints.String(), got.Deployment.Operations)
+		endpointsMatch := strings.ToLower(endpoints.String()) == `[{"endpoint":"127.0.0.1:1"}]`
+		if !endpointsMatch || got.Deployment.Operations[0] != "render" {
+			t.Error("cached endpoints or operations:", endpoints.String(), got.Deployment.Operations)
 		}
 	}
 }
 
-// visitWrongForms calls a function with the path of each value, while a value of another form is in
-// its place.
-func visitWrongForms(value any, path string, visit func(path string)) {
+// visitWrongTypes replaces each object member in turn by a value of another type, calls visit with
+// the path of the member and then restores the member.
+func visitWrongTypes(value any, path string, visit func(path string)) {
 	list, _ := value.([]any)
 	for i, entry := range list {
-		visitWrongForms(entry, fmt.Sprintf("%s[%d]", path, i), visit)
+		visitWrongTypes(entry, fmt.Sprintf("%s[%d]", path, i), visit)
 	}
 	object, _ := value.(map[string]any)
 	for _, key := range slices.Sorted(maps.Keys(object)) {
 		memberPath := path + "/" + key
 		member := object[key]
-		visitWrongForms(member, memberPath, visit)
+		visitWrongTypes(member, memberPath, visit)
 		if _, isObject := member.(map[string]any); isObject {
 			object[key] = 3
 		} else {
@@ -150,8 +152,8 @@
 	}
 }
 
-// The error of a value of the wrong form names the key and the wanted form, as recorded.
-func TestGoldenWrongForms(t *testing.T) {
+// The error for a value of the wrong type names the key and the expected type, as in the golden text.
+func TestGoldenWrongTypeErrors(t *testing.T) {
 	parseProcess := func(text []byte) error {
 		_, err := ParseProcess(text, emptyEnv)
 		return err
@@ -176,7 +178,7 @@
 		if err := json.Unmarshal(text, &value); err != nil {
 			t.Fatal(err)
 		}
-		visitWrongForms(value, "", func(path string) {
+		visitWrongTypes(value, "", func(path string) {
 			changed, err := json.Marshal(value)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/settings/gossip.go
+++ b/internal/settings/gossip.go
@@ -5,15 +5,15 @@
 	"net/netip"
 )
 
-// configureGossip takes the addresses that schedulers receive messages at, by index. It rejects
-// what contradicts the deployment's settings alone: addresses that are left out, where the settings
-// would allow messages, only leave a feature unused.
+// configureGossip sets the addresses at which schedulers receive gossip, by index of the scheduler.
+// It returns an error if they contradict the deployment's settings. Settings that allow gossip
+// without any addresses are valid: gossip is then disabled.
 func (p *Process) configureGossip(addresses []string) error {
 	config := &p.Deployment.Dispatch
 	count := len(addresses)
 	switch {
 	case count == 0:
-		config.Limits.Gossip = false // nothing could be sent
+		config.Limits.Gossip = false // there is no address to send to
 		return nil
 	case !config.Limits.Gossip:
 		return fmt.Errorf("peers: names %d addresses, and settings.Limits.Peers does not allow messages", count)
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// parsePeers parses addresses with ports, which must be distinct.
+// parsePeers parses addresses, which must have a port other than 0 and be distinct.
 func parsePeers(addresses []string) ([]netip.AddrPort, error) {
 	var peers []netip.AddrPort
 	seen := map[netip.AddrPort]bool{}
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -10,21 +10,21 @@
 	"stoatweir/dispatch"
 )
 
-// maxLoadValue bounds the values of a load report; a larger one is an error of the worker.
+// maxLoadValue is the exclusive limit of the values in a load report; a larger value is a fault of
+// the worker.
 const maxLoadValue = 1e12
 
-// textPrefix begins a load report that is a text and not JSON.
+// textPrefix begins a load report in text form, as opposed to JSON.
 const textPrefix = "TEXT"
 
-// Report describes the values of a load report: their names and, at the same index, what each
-// means.
+// Report describes the values of a load report: their names and, at the same indexes, their meanings.
 type Report struct {
 	Names    []string
 	Meanings []string
 }
 
-// newReport describes a report whose values have the given meanings, or else mean what they are
-// called.
+// newReport returns a Report with the given names. A name that meanings does not contain is its own
+// meaning.
 func newReport(names []string, meanings map[string]string) Report {
 	var r Report
 	for _, name := range names {
@@ -34,8 +34,7 @@
 	return r
 }
 
-// Field returns the field of a load report that the value at an index is stored in; nil if the
-// value has no meaning here.
+// Field returns the field of load that stores the value at index, or nil if the value is not used.
 func (r Report) Field(load *dispatch.LoadReport, index int) *float64 {
 	if index >= len(r.Meanings) {
 		return nil
@@ -57,7 +56,7 @@
 	return nil
 }
 
-// aliases are names that workers of earlier versions report a value by.
+// aliases maps names that earlier versions of workers send to the current names.
 var aliases = map[string]string{
 	"inflight":   "active",
 	"queue":      "waiting",
@@ -67,9 +66,9 @@
 	"eps":        "err_rps",
 }
 
-// Parse parses a load report, from a text such as TEXT waiting=2, x0=0.5 or from a JSON object. It
-// returns nil for what can't be parsed: a wrong value would draw work to a worker, none merely
-// leaves its load unknown.
+// Parse parses a load report: a text such as "TEXT waiting=2, x0=0.5" or a JSON object. It returns
+// nil if any part of the report is invalid or no value is known, because a wrong value could attract
+// work to the worker, whereas a missing report only leaves its load unknown.
 func (r Report) Parse(text string) *dispatch.LoadReport {
 	values, ok := parseValues(strings.TrimSpace(text))
 	if !ok {
@@ -97,10 +96,10 @@
 	return &load
 }
 
-// isPlausible reports whether a value is a number that a worker may report.
+// isPlausible reports whether the magnitude of a value is below maxLoadValue; NaN is not plausible.
 func isPlausible(value float64) bool { return math.Abs(value) < maxLoadValue }
 
-// parseValues returns the values of a report by name, and whether it has a valid form.
+// parseValues returns the values of a report by name, and whether its syntax is valid.
 func parseValues(text string) (values map[string]float64, ok bool) {
 	values = map[string]float64{}
 	if strings.HasPrefix(text, "{") {
@@ -118,8 +117,8 @@
 	return values, true
 }
 
-// Unknown returns the report that is used until a worker has sent one: all values that it would
-// have are zero.
+// Unknown returns the load report that stands in for that of a worker which has not sent one yet: all
+// values that r names are zero.
 func (r Report) Unknown() dispatch.LoadReport {
 	load := dispatch.UnknownLoad
 	for i := range r.Names {
--- a/internal/settings/loadreport_test.go
+++ b/internal/settings/loadreport_test.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Load reports come as text or JSON, by the deployment's names.
+// Load reports are text or JSON, with the value names that the deployment configures. Invalid reports
+// and those without any known value give none.
 func ExampleReport_Parse() {
 	r := Report{Names: []string{"waiting", "avg_ms", "x0"}, Meanings: []string{"waiting", "avg_ms", "free slots"}}
 	for _, text := range []string{"TEXT waiting=2, avg_ms=614.3, x0=0.5", `{"x0":3,"other":1}`, "TEXT queue=7", "TEXT x0=much",
--- a/internal/settings/missingkey.go
+++ b/internal/settings/missingkey.go
@@ -7,40 +7,42 @@
 	"slices"
 )
 
-// startOnlyKeys are read only at a start, so a newer configuration need not have them.
+// startOnlyKeys are the keys that are read only at startup and may be missing from a newer
+// configuration.
 var startOnlyKeys = map[string]bool{"known": true, "seed": true}
 
-// MissingKey returns an error that names a key which the running configuration has and a newer one
-// does not: the latter was cut short, or written by mistake.
+// MissingKey returns an error that names a key of the running configuration that the newer one lacks,
+// which means that the newer file was truncated or written by mistake. It returns nil if there is no
+// such key.
 func (p Process) MissingKey(newer Process) error {
-	var running, next any
-	if json.Unmarshal(p.Text, &running) != nil || json.Unmarshal(newer.Text, &next) != nil {
-		return nil // what can't be parsed was not accepted; a running one without a text has no keys
+	var runningValue, newerValue any
+	if json.Unmarshal(p.Text, &runningValue) != nil || json.Unmarshal(newer.Text, &newerValue) != nil {
+		return nil // text that can't be parsed was never accepted, and a process without text has no keys
 	}
-	if key := findMissingKey(running, next, ""); key != "" {
+	if key := findMissingKey(runningValue, newerValue, ""); key != "" {
 		return fmt.Errorf("%s: is missing, and the running configuration has it", key)
 	}
 	return nil
 }
 
-// findMissingKey returns the path of a key that a value has and its newer form does not; empty if
-// there is none.
-func findMissingKey(running, next any, path string) string {
+// findMissingKey returns the path of a key of the running value that the newer value lacks; empty: none
+// is missing.
+func findMissingKey(running, newer any, path string) string {
 	switch running := running.(type) {
 	case map[string]any:
-		object, ok := next.(map[string]any)
+		newerObject, ok := newer.(map[string]any)
 		if !ok {
 			return path
 		}
-		return findMissingMember(running, object, path)
+		return findMissingMember(running, newerObject, path)
 	case []any:
-		// Each entry of a list of objects must have what all entries have now.
-		list, ok := next.([]any)
+		// Each object in the new list needs the keys that all objects in the running list have.
+		newerList, ok := newer.([]any)
 		if !ok {
 			return path
 		}
 		required := commonMembers(running)
-		for i, entry := range list {
+		for i, entry := range newerList {
 			if missing := findMissingKey(required, entry, fmt.Sprintf("%s[%d]", path, i)); missing != "" {
 				return missing
 			}
@@ -49,7 +51,7 @@
 	return ""
 }
 
-func findMissingMember(running, next map[string]any, path string) string {
+func findMissingMember(running, newer map[string]any, path string) string {
 	for _, key := range slices.Sorted(maps.Keys(running)) {
 		memberPath := key
 		if path != "" {
@@ -58,7 +60,7 @@
 		if startOnlyKeys[memberPath] {
 			continue
 		}
-		value, ok := next[key]
+		value, ok := newer[key]
 		if !ok {
 			return memberPath
 		}
@@ -69,8 +71,8 @@
 	return ""
 }
 
-// commonMembers returns an object with the keys that all entries of a list have; nil if there are
-// no entries, or some are no objects.
+// commonMembers returns an object with the keys that all entries of a list have; nil if the list is
+// empty or contains anything but objects.
 func commonMembers(list []any) any {
 	var common map[string]any
 	for _, entry := range list {
--- a/internal/settings/missingkey_test.go
+++ b/internal/settings/missingkey_test.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// A file that lacks what the running one has was cut short or is a mistake; what only starts read
-// may be missing.
+// A newer configuration that lacks a key of the running one is rejected, because it was truncated or
+// written by mistake. Keys that are read only at a start may be missing.
 func ExampleProcess_MissingKey() {
 	running := Process{Text: []byte(`{"name": "n", "known": {}, "seed": "1", "settings": {"Limits": {"MostForwards": 3},
 		"Operations": [{"Name": "a", "ClientTimeout": 5, "More": 1}, {"Name": "b", "ClientTimeout": 5}], "Dcs": ["x"]}}`)}
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -14,29 +14,29 @@
 	defaultMemoryMB = 192
 	minMemoryMB     = 16
 	defaultSockets  = 1024
-	minSockets      = 40 // descriptors without which nothing works
+	minSockets      = 40 // file descriptors that a scheduler needs to work at all
 
-	seedBase = 16 // of its digits
+	seedBase = 16 // seeds are hexadecimal
 	seedBits = 64
 )
 
 // Process is the configuration of one scheduler.
 type Process struct {
 	Name            string
-	Listen          string // address for clients
-	Discovery       string // address of discovery
-	Admin           string // address for operators; empty: none
+	Listen          string // address that serves clients
+	Discovery       string // address of the discovery service
+	Admin           string // address that serves operators; empty: none
 	Seed            int64
 	MemoryMB        int
-	Sockets         int              // descriptors
-	CachedEndpoints json.RawMessage  // the endpoint list as last received, in discovery's form
-	Peers           []netip.AddrPort // where each scheduler receives messages, by index; empty: no messages
+	Sockets         int              // limit of file descriptors
+	CachedEndpoints json.RawMessage  // endpoint list as last received, in the format of discovery
+	Peers           []netip.AddrPort // gossip address of each scheduler, by index; empty: no gossip
 	Deployment      Deployment
 	Tenants         Tenancy
-	Text            []byte // as it was read
+	Text            []byte // the configuration file
 }
 
-// processFile is the text of a Process.
+// processFile is the JSON form of a Process.
 type processFile struct {
 	Name      string `json:"Name"`
 	Listen    string `json:"Listen"`
@@ -53,8 +53,8 @@
 	Settings        json.RawMessage `json:"Settings"`
 }
 
-// ReadProcess reads the file that PROXY_CONFIG names; other variables of the environment are
-// defaults for what the file leaves out.
+// ReadProcess reads the configuration file that PROXY_CONFIG names; other environment variables are
+// defaults for keys that the file omits.
 func ReadProcess(env func(string) string) (Process, error) {
 	path := env("PROXY_CONFIG")
 	if path == "" {
@@ -71,7 +71,8 @@
 	return p, nil
 }
 
-// ParseProcess parses and validates the text of that file.
+// ParseProcess parses and validates the text of a configuration file. env looks up the environment
+// variables that provide defaults.
 func ParseProcess(text []byte, env func(string) string) (Process, error) {
 	var file processFile
 	if err := decode(text, &file); err != nil {
@@ -118,7 +119,8 @@
 	return p, nil
 }
 
-// validateAddresses checks what has to be set, and the form of addresses.
+// validateAddresses checks that the name and the addresses are set where required, and that addresses
+// have a port.
 func (p *Process) validateAddresses() error {
 	for _, required := range []struct{ key, value, variable string }{
 		{key: "name", value: p.Name, variable: "PROXY_NAME"},
@@ -144,7 +146,7 @@
 	return nil
 }
 
-// parseSeed parses hexadecimal digits; an empty text gives 0.
+// parseSeed parses a seed in hexadecimal digits; an empty text gives 0.
 func parseSeed(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -158,7 +160,7 @@
 
 func (p *Process) validateLimits() error {
 	if p.MemoryMB < minMemoryMB {
-		return fmt.Errorf("limits.memory_mb: %d is too little", p.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: %d is below the minimum", p.MemoryMB)
 	}
 	if p.Sockets < minSockets {
 		return fmt.Errorf("limits.sockets: %d is too few, %d are the least", p.Sockets, minSockets)
@@ -166,20 +168,21 @@
 	return nil
 }
 
-// validateFeatures rejects settings that contradict one another.
+// validateFeatures rejects an unknown discovery mode and a weight for tenants without tenants.
 func (d *Deployment) validateFeatures() error {
 	switch d.discovery {
 	case "", discoveryPolled, discoveryPushed:
 	default:
 		return fmt.Errorf("settings: Discovery: %q is neither ask nor push", d.discovery)
 	}
-	if d.worstTenant > 0 && d.Features.Tenants == 0 {
-		return fmt.Errorf("settings: ResultMix.WorstTenant: is %v, and Tenants names nobody", d.worstTenant)
+	if d.worstTenantWeight > 0 && d.Features.Tenants == 0 {
+		return fmt.Errorf("settings: ResultMix.WorstTenant: is %v, and Tenants names nobody", d.worstTenantWeight)
 	}
 	return nil
 }
 
-// validateOperations checks that there are operations, and that clients can name them.
+// validateOperations checks that there are operations, unless multi-tenant service is enabled, and
+// that each has a name, by which clients request it.
 func (p *Process) validateOperations() error {
 	operations := p.Deployment.Operations
 	if len(operations) == 0 && !p.Tenants.Enabled() {
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// StartOnlyChanges returns the keys whose changed values in a newer configuration are applied only
+// StartOnlyChanges returns the keys that have changed in the newer configuration but are applied only
 // at the next start.
 func (p Process) StartOnlyChanges(newer Process) []string {
 	var changed []string
--- a/internal/settings/process_test.go
+++ b/internal/settings/process_test.go
@@ -8,7 +8,7 @@
 // emptyEnv is an environment without variables.
 func emptyEnv(string) string { return "" }
 
-// An error names the key at fault, wherever it stands.
+// An error names the invalid key or environment variable.
 func ExampleParseProcess() {
 	env := func(name string) string { return map[string]string{"PROXY_NAME": "n7"}[name] }
 	operations := `"settings":{"Operations":[{"Name":"render","Effect":"read_like","ClientTimeout":5}]}`
@@ -46,8 +46,9 @@
 	// PROXY_CONFIG: names no file
 }
 
-// Changes of anything but discovery and settings are applied at the next start, which the operators
-// are told.
+// Only changes of the discovery address and of settings other than the discovery mode are applied at
+// once. StartOnlyChanges returns the keys of all other changes, so that operators can be told that
+// these need a restart.
 func ExampleProcess_StartOnlyChanges() {
 	text := `{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","limits":{"sockets":300},
 		"settings":{"PeersTotal":1,"Operations":[{"Name":"render","Effect":"read_like"}]}}`
@@ -61,8 +62,8 @@
 	}
 	running := parse()
 	applied := parse("8500", "8501", "render", "sale")
-	waiting := parse("9000", "9001", "300", "301", `"settings":{`, `"settings":{"Discovery":"push",`)
-	fmt.Println(running.StartOnlyChanges(applied), running.StartOnlyChanges(waiting))
+	startOnly := parse("9000", "9001", "300", "301", `"settings":{`, `"settings":{"Discovery":"push",`)
+	fmt.Println(running.StartOnlyChanges(applied), running.StartOnlyChanges(startOnly))
 	// Output:
 	// [] [listen limits settings.Discovery]
 }
--- a/internal/settings/reconfigure.go
+++ b/internal/settings/reconfigure.go
@@ -7,16 +7,17 @@
 	"stoatweir/dispatch"
 )
 
-// noSource, among the sources that Reconfigure returns, is an operation that nothing is known of.
+// noSource marks, in the sources that Reconfigure returns, an operation without earlier estimates.
 const noSource = -1
 
-// Reconfigure returns the deployment once a newer one is applied. Operations are identified by
-// name, whatever their order: one that has not changed keeps its index, any other gets one that is
-// free, and one that is removed keeps its own for what is in flight.
+// Reconfigure returns the result of applying a newer deployment to the running one. Operations are
+// identified by name, whatever their order. An unchanged operation keeps its index; a new or changed
+// one gets the lowest index that is not in the running OperationIndex and that free reports to be
+// unused, or a new index. A removed operation keeps its index while free reports that it is in use.
 //
-// from has, for each index, the index whose estimates continue there: its own, that of the
-// operation before it was changed, or -1 for none.
-func (d Deployment) Reconfigure(newer Deployment, free func(index int) bool) (merged Deployment, from []int) {
+// sources maps each index to the index whose estimates continue there: the same one, that of the
+// operation before its change, or -1 for none.
+func (d Deployment) Reconfigure(newer Deployment, free func(index int) bool) (merged Deployment, sources []int) {
 	merge := newOperationMerge(d)
 	for i, name := range newer.Operations {
 		merge.add(operationSlot{
@@ -31,19 +32,19 @@
 	merged.Operations = slices.Grow([]string(nil), count)
 	merged.ClientTimeouts = slices.Grow([]time.Duration(nil), count)
 	merged.Dispatch.Operations = slices.Grow([]dispatch.Operation(nil), count)
-	from = slices.Grow(from, count)
+	sources = slices.Grow(sources, count)
 	for _, slot := range merge.slots {
 		merged.Operations = append(merged.Operations, slot.name)
 		merged.ClientTimeouts = append(merged.ClientTimeouts, slot.clientTimeout)
 		merged.Dispatch.Operations = append(merged.Dispatch.Operations, slot.operation)
-		// Of those that are removed too, as a shutdown waits for them.
+		// Removed operations count too, because a shutdown waits for their invocations.
 		merged.LongestTimeout = max(merged.LongestTimeout, slot.clientTimeout)
-		from = append(from, slot.source)
+		sources = append(sources, slot.source)
 	}
 	merged.Tenants, merged.Dispatch.Tenants = d.mergeTenants(newer)
-	// Whether changes of the endpoint list are pushed is applied only at a start.
+	// The discovery mode changes only at a start.
 	merged.Dispatch.EndpointsPushed = d.Dispatch.EndpointsPushed
-	return merged, from
+	return merged, sources
 }
 
 // operationSlot is the operation at one index.
@@ -54,12 +55,12 @@
 	source        int // index whose estimates continue here, or noSource
 }
 
-// operationMerge is a merge of operations that is under way.
+// operationMerge is the state of a merge of the operations of two deployments.
 type operationMerge struct {
 	slots        []operationSlot // by index
-	taken        map[int]bool    // indexes that no other operation may get
-	runningIndex map[string]int  // before the merge, by name
-	indexByName  map[string]int
+	taken        map[int]bool    // indexes in runningIndex or already assigned
+	runningIndex map[string]int  // index by name, before the merge
+	indexByName  map[string]int  // index by name, after the merge
 }
 
 func newOperationMerge(running Deployment) *operationMerge {
@@ -83,7 +84,7 @@
 	return m
 }
 
-// add gives an operation of the newer deployment its index.
+// add assigns an index to an operation of the newer deployment.
 func (m *operationMerge) add(newer operationSlot, free func(index int) bool) {
 	newer.source = noSource
 	if running, known := m.runningIndex[newer.name]; known {
@@ -105,8 +106,8 @@
 	m.taken[index] = true
 }
 
-// mergeTenants returns names and settings of tenants by index: those that are removed keep their
-// index, new ones are added behind.
+// mergeTenants returns the names and settings of tenants by index. Removed tenants keep their index;
+// new ones are appended.
 func (d Deployment) mergeTenants(newer Deployment) ([]string, []dispatch.Tenant) {
 	names := slices.Clone(d.Tenants)
 	merged := slices.Clone(d.Dispatch.Tenants)
--- a/internal/settings/reconfigure_test.go
+++ b/internal/settings/reconfigure_test.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// An operation that has not changed keeps its index and all that was learned there, a changed one
-// continues with what was learned before, and one that is removed keeps its index while anything is
-// in flight there.
+// An unchanged operation keeps its index and estimates. A changed operation gets another index and
+// continues with the estimates of the earlier one. A removed operation keeps its index while
+// invocations are in flight there.
 func ExampleDeployment_Reconfigure() {
 	parse := func(operations string) Deployment {
 		d, err := ParseDeployment([]byte(`{"Operations": [` + operations + `]}`))
@@ -13,8 +13,8 @@
 		}
 		return d
 	}
-	show := func(d Deployment, from []int) Deployment {
-		fmt.Println(d.Operations, d.OperationIndex, from, d.LongestTimeout)
+	show := func(d Deployment, sources []int) Deployment {
+		fmt.Println(d.Operations, d.OperationIndex, sources, d.LongestTimeout)
 		return d
 	}
 	inFlight := map[int]bool{}
--- a/internal/settings/tenancy.go
+++ b/internal/settings/tenancy.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// descriptorsPerInvocation is how many descriptors there must be for each invocation that
-	// tenants may have in flight.
-	descriptorsPerInvocation = 4
-	// defaultExcessValue is what the work of a tenant that uses more than its share counts while
-	// not everything can be served: so little that it is queued behind all other, whatever its
-	// size.
+	// fileDescriptorsPerInvocation is how many file descriptors each invocation requires that
+	// tenants may have in flight. The factor leaves a margin, because a tenant that reclaims its
+	// share gets it at once, while others still use that capacity.
+	fileDescriptorsPerInvocation = 4
+	// defaultExcessValue is the relative value of a tenant's work beyond its share during overload.
+	// It is so small that such work is queued behind all other work, whatever its size.
 	defaultExcessValue = 0.001
 )
 
-// Roles of administrators, as the file has them.
+// Roles of administrators, as written in the configuration.
 const (
 	roleRead    = "read"
 	roleOperate = "operate"
 )
 
-// Tenancy configures the service of many tenants. Its zero value is off.
+// Tenancy configures multi-tenant service. The zero value disables it.
 type Tenancy struct {
-	Dir            string  // where the tenants are stored
-	API            string  // address for administrators; empty: changes are made elsewhere
-	MaxInFlight    int     // invocations in flight at this scheduler
-	ExcessValue    float64 // value of work beyond a tenant's share, as a part of the usual
+	Dir            string  // directory of the tenant store
+	API            string  // address of the administrators' API; empty: none, changes are made elsewhere
+	MaxInFlight    int     // limit of tenants' invocations in flight at this scheduler
+	ExcessValue    float64 // value of work beyond a tenant's share, from 0 to 1, relative to other work
 	Administrators []Administrator
 }
 
-// Administrator may call the administrators' API.
+// Administrator is a caller that the administrators' API accepts.
 type Administrator struct {
 	Name    string
-	Operate bool   // may make changes
-	Hash    string // SHA-256 of the token, in hexadecimal digits
+	Operate bool   // may make changes; else read only
+	Hash    string // SHA-256 of the token, in lower-case hexadecimal digits
 }
 
-// Enabled reports whether tenants are served.
+// Enabled reports whether multi-tenant service is configured.
 func (t Tenancy) Enabled() bool { return t.Dir != "" }
 
 func (t Tenancy) equal(other Tenancy) bool {
@@ -53,7 +53,7 @@
 		slices.Equal(t.Administrators, other.Administrators)
 }
 
-// tenancyFile is the text of a Tenancy.
+// tenancyFile is the JSON form of a Tenancy.
 type tenancyFile struct {
 	Dir            string                 `json:"dir"`
 	API            string                 `json:"api"`
@@ -68,33 +68,31 @@
 	SHA256 string `json:"sha256"`
 }
 
-// parse validates the text against the rest of a process's configuration; nil gives the zero
-// Tenancy.
+// parse validates the section, also against the rest of the process's configuration, and returns the
+// Tenancy; nil gives the zero value.
 func (f *tenancyFile) parse(p Process) (Tenancy, error) {
 	if f == nil {
 		return Tenancy{}, nil
 	}
-	mostInFlight := p.Sockets / descriptorsPerInvocation
-	t := Tenancy{Dir: f.Dir, API: f.API, MaxInFlight: mostInFlight, ExcessValue: defaultExcessValue}
+	maxInFlight := p.Sockets / fileDescriptorsPerInvocation
+	t := Tenancy{Dir: f.Dir, API: f.API, MaxInFlight: maxInFlight, ExcessValue: defaultExcessValue}
 	if f.Dir == "" {
 		return Tenancy{}, fmt.Errorf("tenants.dir: is not set")
 	}
 	if p.Deployment.Features.Tenants > 0 {
-		return Tenancy{}, fmt.Errorf("tenants: settings.Tenants names them too; only one of the two can hold")
+		return Tenancy{}, fmt.Errorf("tenants: settings.Tenants is set too, and only one of them is allowed")
 	}
 	if f.MaxInFlight != nil {
-		// A tenant that reclaims its share has it at once, beside those that still use the
-		// capacity; hence the factor.
 		t.MaxInFlight = *f.MaxInFlight
-		if t.MaxInFlight < 1 || t.MaxInFlight > mostInFlight {
-			return Tenancy{}, fmt.Errorf("tenants.room: %d is not from 1 to a quarter of limits.sockets, %d",
-				t.MaxInFlight, mostInFlight)
+		if t.MaxInFlight < 1 || t.MaxInFlight > maxInFlight {
+			return Tenancy{}, fmt.Errorf("tenants.room: %d is not between 1 and a quarter of limits.sockets, %d",
+				t.MaxInFlight, maxInFlight)
 		}
 	}
 	if f.ExcessValue != nil {
 		t.ExcessValue = *f.ExcessValue
-		isPart := t.ExcessValue >= 0 && t.ExcessValue <= 1
-		if !isPart {
+		inRange := t.ExcessValue >= 0 && t.ExcessValue <= 1
+		if !inRange {
 			return Tenancy{}, fmt.Errorf("tenants.excess_value: %v is not between 0 and 1", t.ExcessValue)
 		}
 	}
@@ -117,7 +115,7 @@
 		return fmt.Errorf("tenants.api: %q is no address with a port", f.API)
 	}
 	if len(f.Administrators) == 0 {
-		return fmt.Errorf("tenants.administrators: there are none, and tenants.api is set")
+		return fmt.Errorf("tenants.administrators: is empty, and tenants.api is set")
 	}
 	return nil
 }
@@ -144,7 +142,7 @@
 		administrators = append(administrators, Administrator{
 			Name:    section.Name,
 			Operate: section.Role == roleOperate,
-			Hash:    hex.EncodeToString(hash), // in lower case
+			Hash:    hex.EncodeToString(hash), // normalized to lower case
 		})
 	}
 	return administrators, nil
--- a/internal/settings/tenancy_test.go
+++ b/internal/settings/tenancy_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if !p.Tenants.Enabled() || p.Tenants.MaxInFlight != 80 || !p.Tenants.Administrators[0].Operate {
-		t.Fatal(p.Tenants)
+		t.Fatalf("got tenancy %+v, want it enabled with 80 invocations in flight and an operator", p.Tenants)
 	}
 }
 
@@ -42,12 +42,12 @@
 		},
 	} {
 		if !strings.Contains(tenancyProcess, c.replaced) {
-			t.Fatal(c.replaced)
+			t.Fatalf("the base configuration does not contain %q", c.replaced)
 		}
 		text := strings.Replace(tenancyProcess, c.replaced, c.by, 1)
 		_, err := ParseProcess([]byte(text), emptyEnv)
 		if err == nil || !strings.Contains(err.Error(), c.key) {
-			t.Error(c.key, "not named: ", err)
+			t.Errorf("error does not name %s: %v", c.key, err)
 		}
 	}
 }
@@ -62,6 +62,6 @@
 		t.Fatal(err)
 	}
 	if keys := running.StartOnlyChanges(newer); !slices.Equal(keys, []string{"tenants"}) {
-		t.Error(keys)
+		t.Errorf("got start-only changes %v, want [tenants]", keys)
 	}
 }
--- a/internal/settings/tenantoperations.go
+++ b/internal/settings/tenantoperations.go
@@ -9,53 +9,54 @@
 	"stoatweir/internal/tenants"
 )
 
-// handleSeparator is between a tenant's handle and the name of its operation. It can't be in
-// one part of a path that clients request.
+// handleSeparator separates a tenant's handle from the name of its operation. A single segment of a
+// request path can't contain it, so a client can't request such a name directly.
 const handleSeparator = "/"
 
-var effectsByTenantName = map[string]dispatch.Effect{
+var tenantEffectsByName = map[string]dispatch.Effect{
 	tenants.Idempotent:    dispatch.Idempotent,
 	tenants.Deduplicated:  dispatch.Deduplicated,
 	tenants.NonIdempotent: dispatch.NonIdempotent,
 }
 
-// TenantOperationName returns the name that a tenant's operation has among those of the deployment.
+// TenantOperationName returns the name under which a deployment lists an operation of a tenant.
 func TenantOperationName(handle, operation string) string {
 	return handle + handleSeparator + operation
 }
 
-// IsTenantOperation reports whether a name is that of a tenant's operation.
+// IsTenantOperation reports whether name is one that TenantOperationName returns.
 func IsTenantOperation(name string) bool { return strings.Contains(name, handleSeparator) }
 
-// WithTenants returns the deployment with the operations of tenants added to its own; the receiver
-// stays as it is. excess is the value of work beyond a tenant's share.
-func (d Deployment) WithTenants(all []tenants.Tenant, excess float64) Deployment {
+// WithTenants returns a copy of the deployment with the operations of the hosted tenants added.
+// excessValue is the value of work beyond a tenant's share, relative to other work.
+func (d Deployment) WithTenants(hosted []tenants.Tenant, excessValue float64) Deployment {
 	d.Operations = slices.Clone(d.Operations)
 	d.OperationIndex = maps.Clone(d.OperationIndex)
 	d.ClientTimeouts = slices.Clone(d.ClientTimeouts)
 	d.Dispatch.Operations = slices.Clone(d.Dispatch.Operations)
-	d.Dispatch.ExcessValue = excess
-	for _, tenant := range all {
+	d.Dispatch.ExcessValue = excessValue
+	for _, tenant := range hosted {
 		d.addTenantOperations(tenant)
 	}
 	return d
 }
 
-// addTenantOperations adds a tenant's operations. Its values order its own work: between tenants
-// the shares decide, and not who gives the highest values.
+// addTenantOperations adds a tenant's operations. Their values are scaled by the highest of them, so
+// that they order the tenant's own work only: between tenants, shares decide, and a tenant gains
+// nothing from higher values.
 func (d *Deployment) addTenantOperations(tenant tenants.Tenant) {
-	highest := 0.0
+	highestValue := 0.0
 	for _, operation := range tenant.Spec.Operations {
-		highest = max(highest, operation.BilledValue)
+		highestValue = max(highestValue, operation.BilledValue)
 	}
 	for _, operation := range tenant.Spec.Operations {
 		name := TenantOperationName(tenant.Handle, operation.Name)
 		d.addOperation(name, dispatch.Operation{
-			PriorityWeight:   operation.BilledValue / highest,
+			PriorityWeight:   operation.BilledValue / highestValue,
 			LateWeight:       operation.LateBilledValue,
 			LatencyObjective: Duration(operation.LatencyObjectiveS),
 			Stretch:          operation.Stretch,
-			Effect:           effectsByTenantName[operation.Effect],
+			Effect:           tenantEffectsByName[operation.Effect],
 			DedupScope:       dedupScopesByName[operation.DedupScope],
 			DedupWindow:      d.dedupWindow(operation.DedupWindowS),
 			WorkerKind:       anyWorkerKind,
--- a/internal/settings/tenantoperations_test.go
+++ b/internal/settings/tenantoperations_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-func parseOwn(t *testing.T) Deployment {
+// parseBaseDeployment returns a deployment with one operation and no tenants.
+func parseBaseDeployment(t *testing.T) Deployment {
 	t.Helper()
 	text := `{"Operations": [{"Name": "own", "Effect": "read_like", "LatencyObjective": 1}]}`
 	d, err := ParseDeployment([]byte(text))
@@ -41,36 +42,36 @@
 	return d
 }
 
-// Tenants' operations are added under their handles, and a tenant's values order its own work alone.
+// Tenants' operations are added under the tenants' handles, and values are scaled within each tenant.
 func TestTenantOperationsAreAdded(t *testing.T) {
-	own := parseOwn(t)
-	hosted := own.WithTenants(hostedTenants(), 0.5)
+	base := parseBaseDeployment(t)
+	hosted := base.WithTenants(hostedTenants(), 0.5)
 	index := hosted.OperationIndex["t9/a"]
 	operation := hosted.Dispatch.Operations[index]
 	if operation.DedupWindow != 1500*time.Millisecond {
-		t.Error("the window, less the time to connect:", operation.DedupWindow)
+		t.Errorf("got deduplication window %v, want 2.5 s less the connect timeout of 1 s", operation.DedupWindow)
 	}
 	if operation.Effect != dispatch.Deduplicated || operation.DedupScope != dispatch.ScopeCell || operation.PriorityWeight != 1 {
-		t.Error(operation)
+		t.Errorf("got operation t9/a %+v, want it deduplicated within a cell with weight 1", operation)
 	}
 	if weight := hosted.Dispatch.Operations[hosted.OperationIndex["t1/b"]].PriorityWeight; weight != 0.5 {
-		t.Error(weight)
+		t.Errorf("got weight %v of t1/b, want half of the tenant's highest value: 0.5", weight)
 	}
 	if hosted.ClientTimeouts[index] != Duration(3) {
-		t.Error(hosted.ClientTimeouts)
+		t.Errorf("got client timeouts %v, want 3 s at index %d", hosted.ClientTimeouts, index)
 	}
-	if len(own.Operations) != 1 || len(own.OperationIndex) != 1 || len(own.Dispatch.Operations) != 1 || own.Dispatch.ExcessValue != 1 {
-		t.Error("the receiver has changed: ", own)
+	if len(base.Operations) != 1 || len(base.OperationIndex) != 1 || len(base.Dispatch.Operations) != 1 || base.Dispatch.ExcessValue != 1 {
+		t.Error("WithTenants modified its receiver:", base)
 	}
 }
 
 func TestRemovedTenantKeepsItsIndexWhileInFlight(t *testing.T) {
-	own := parseOwn(t)
-	all := hostedTenants()
-	hosted := own.WithTenants(all, 0.5)
+	base := parseBaseDeployment(t)
+	tenantList := hostedTenants()
+	hosted := base.WithTenants(tenantList, 0.5)
 	free := func(index int) bool { return index != hosted.OperationIndex["t1/a"] }
-	merged, _ := hosted.Reconfigure(own.WithTenants(all[1:], 0.5), free)
+	merged, _ := hosted.Reconfigure(base.WithTenants(tenantList[1:], 0.5), free)
 	if merged.OperationIndex["t9/a"] != hosted.OperationIndex["t9/a"] || merged.Operations[1] != "t1/a" {
-		t.Error(merged.Operations, merged.OperationIndex)
+		t.Error("t9/a was moved or t1/a, still in flight, was dropped:", merged.Operations, merged.OperationIndex)
 	}
 }
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// maxSchedulers is how many schedulers there can be: each start of a worker iterates over
-	// their numbers.
+	// maxSchedulers limits the number of schedulers, because each start of a worker iterates over
+	// all their indexes.
 	maxSchedulers = 1 << 16
-	// maxShareSum lets shares that were rounded add up to a little more than the whole.
+	// maxShareSum allows for rounded shares that add up to slightly more than 1.
 	maxShareSum = 1.01
-	// maxFigure bounds values, prices and quotas.
-	maxFigure = 1e12
+	// maxNumericValue is the limit of values, prices and quotas.
+	maxNumericValue = 1e12
 )
 
-// figure is a number that must be from 0 to a maximum.
-type figure struct {
+// numericSetting is a number that must be between 0 and maximum, inclusive.
+type numericSetting struct {
 	key     string
 	value   float64
 	maximum float64
 }
 
-func (f figure) validate() error {
+func (f numericSetting) validate() error {
 	if f.value < 0 || math.IsNaN(f.value) {
 		return fmt.Errorf("settings: %s: %v is below 0", f.key, f.value)
 	}
@@ -32,22 +32,22 @@
 	return nil
 }
 
-// validate rejects figures that make no sense. What is left out has a default.
+// validate rejects duplicate tenants and numbers out of range. Omitted keys have defaults.
 func (f *deploymentFile) validate() error {
 	if err := f.validateTenantNames(); err != nil {
 		return err
 	}
-	for _, figure := range f.figures() {
-		if err := figure.validate(); err != nil {
+	for _, setting := range f.numericSettings() {
+		if err := setting.validate(); err != nil {
 			return err
 		}
 	}
-	shares := 0.0
+	shareSum := 0.0
 	for _, tenant := range f.Tenants {
-		shares += tenant.Share
+		shareSum += tenant.Share
 	}
-	if shares > maxShareSum {
-		return fmt.Errorf("settings: Tenants: their Fractions add up to %.3g, more than the whole", shares)
+	if shareSum > maxShareSum {
+		return fmt.Errorf("settings: Tenants: their Fractions add up to %.3g, more than the whole", shareSum)
 	}
 	if attempts := f.Limits.MaxAttempts; attempts != nil && *attempts <= 0 {
 		return fmt.Errorf("settings: Limits.MostForwards: %d is not over 0", *attempts)
@@ -66,35 +66,36 @@
 	return nil
 }
 
-// figures are all numbers that are bounded, in the order in which they are reported. A number of
-// schedulers and an index below 0 mean none.
-func (f *deploymentFile) figures() []figure {
-	figures := []figure{
+// numericSettings returns all settings with a range, in the order in which they are checked. A
+// negative number of schedulers or index of this scheduler means that it is not configured, so these
+// two are raised to 0.
+func (f *deploymentFile) numericSettings() []numericSetting {
+	settings := []numericSetting{
 		{key: "PeersTotal", value: max(0, float64(f.Schedulers)), maximum: maxSchedulers},
-		{key: "ResultMix.Whole", value: f.ResultMix.Whole, maximum: maxFigure},
-		{key: "ResultMix.WorstClass", value: f.ResultMix.WorstOperation, maximum: maxFigure},
-		{key: "ResultMix.WorstTenant", value: f.ResultMix.WorstTenant, maximum: maxFigure},
-		{key: "Prices.Peer", value: f.Prices.Gossip, maximum: maxFigure},
-		{key: "Prices.Probe", value: f.Prices.HealthCheck, maximum: maxFigure},
+		{key: "ResultMix.Whole", value: f.ResultMix.Whole, maximum: maxNumericValue},
+		{key: "ResultMix.WorstClass", value: f.ResultMix.WorstOperation, maximum: maxNumericValue},
+		{key: "ResultMix.WorstTenant", value: f.ResultMix.WorstTenant, maximum: maxNumericValue},
+		{key: "Prices.Peer", value: f.Prices.Gossip, maximum: maxNumericValue},
+		{key: "Prices.Probe", value: f.Prices.HealthCheck, maximum: maxNumericValue},
 	}
 	if f.SchedulerIndex != nil {
 		index := max(0, float64(*f.SchedulerIndex))
-		figures = append(figures, figure{key: "MyNumber", value: index, maximum: maxSchedulers - 1})
+		settings = append(settings, numericSetting{key: "MyNumber", value: index, maximum: maxSchedulers - 1})
 	}
 	if f.ExcessValue != nil {
-		figures = append(figures, figure{key: "ExcessBilledValue", value: *f.ExcessValue, maximum: 1})
+		settings = append(settings, numericSetting{key: "ExcessBilledValue", value: *f.ExcessValue, maximum: 1})
 	}
 	for i, operation := range f.Operations {
 		prefix := fmt.Sprintf("Operations[%d].", i)
-		figures = append(figures,
-			figure{key: prefix + "BilledValue", value: operation.BilledValue, maximum: maxFigure},
-			figure{key: prefix + "LateBilledValue", value: operation.LateBilledValue, maximum: 1})
+		settings = append(settings,
+			numericSetting{key: prefix + "BilledValue", value: operation.BilledValue, maximum: maxNumericValue},
+			numericSetting{key: prefix + "LateBilledValue", value: operation.LateBilledValue, maximum: 1})
 	}
 	for i, tenant := range f.Tenants {
 		prefix := fmt.Sprintf("Tenants[%d].", i)
-		figures = append(figures,
-			figure{key: prefix + "Fraction", value: tenant.Share, maximum: 1},
-			figure{key: prefix + "QuotaPerS", value: tenant.QuotaPerSecond, maximum: maxFigure})
+		settings = append(settings,
+			numericSetting{key: prefix + "Fraction", value: tenant.Share, maximum: 1},
+			numericSetting{key: prefix + "QuotaPerS", value: tenant.QuotaPerSecond, maximum: maxNumericValue})
 	}
-	return figures
+	return settings
 }
--- a/internal/settings/validation_test.go
+++ b/internal/settings/validation_test.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Figures that make no sense are rejected, and nothing of their text is used.
-func Example_figures() {
+// Numbers out of range and values of the wrong type are rejected, and no part of such settings is
+// applied.
+func Example_numericSettings() {
 	for _, settings := range []string{
 		`"PeersTotal":1000000000`, `"PeersTotal":-3`, `"MyNumber":70000`, `"PeersTotal":2.5`,
 		`"ExcessBilledValue":-0.1`, `"ExcessBilledValue":2`, `"ResultMix":{"Whole":-1}`, `"ResultMix":{"WorstClass":1e300}`,
