--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -9,7 +9,7 @@
 	"stoatweir/internal/settings"
 )
 
-// reply packs the actions that answer a batch.
+// reply encodes the actions that answer a batch.
 type reply struct{ frameWriter }
 
 func newReply() *reply {
@@ -20,13 +20,13 @@
 
 func (r *reply) begin(code actionCode, scheduler uint32) { r.record(uint8(code), scheduler) }
 
-// action packs one action of a scheduler. It panics at one that the protocol does not have.
+// action encodes one action of a scheduler. It panics if the protocol has no record for it.
 func (r *reply) action(scheduler uint32, e epoch, action dispatch.Action) {
 	switch a := action.(type) {
 	case dispatch.Forward:
 		r.begin(actionForward, scheduler)
 		r.invocation(a.Invocation)
-		r.f64(noLimit)
+		r.f64(noAttemptTimeout)
 		r.worker(a.Worker)
 	case dispatch.Throttle:
 		r.begin(actionNotNow, scheduler)
@@ -60,24 +60,25 @@
 }
 
 func (r *reply) gossip(scheduler uint32, a dispatch.SendGossip) {
-	to := everyPeer
+	recipient := everyPeer
 	if a.To >= 0 {
-		to = uint16(a.To)
+		recipient = uint16(a.To)
 	}
 	for _, message := range dispatch.EncodeGossip(a.Entries) {
 		r.begin(actionMemoTo, scheduler)
-		r.u16(to)
+		r.u16(recipient)
 		r.text(string(message))
 	}
 }
 
-// broken reports that the decision code has failed.
+// broken encodes the report that a scheduler's decision code has failed.
 func (r *reply) broken(scheduler uint32, text string) {
 	r.begin(actionBroken, scheduler)
 	r.text(text)
 }
 
-// action decodes what follows the scheduler in an action of an instance that was started at startedAt.
+// action decodes the rest of an action record, after its code and scheduler. startedAt is when the
+// instance was started, by the clock of the run.
 func (c *cursor) action(code actionCode, startedAt time.Duration) (dispatch.Action, error) {
 	switch code {
 	case actionForward:
@@ -99,10 +100,10 @@
 	case actionJournalLine:
 		return dispatch.Log{Message: string(c.text())}, nil
 	case actionBroken:
-		return nil, fmt.Errorf("the program says: %s", c.text())
+		return nil, fmt.Errorf("the program reported a failure: %s", c.text())
 	case actionFollow:
 		c.u8() // whether to subscribe
 		return dispatch.WatchEndpoints{}, nil
 	}
-	return nil, errors.New("unknown")
+	return nil, errors.New("unknown action code")
 }
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -8,14 +8,14 @@
 	"math"
 )
 
-// batch is one frame from the simulator: the records are still packed.
+// batch is one frame from the simulator, with its records still encoded.
 type batch struct {
-	clock   float64 // in seconds
-	records int
+	clock   float64 // time of the batch by the simulator's clock, in seconds
+	records int     // number of records in body
 	body    []byte
 }
 
-// readBatch reads one frame. At a clean end of input the error is io.EOF.
+// readBatch reads one frame. The error is io.EOF if the input ends before the frame begins.
 func readBatch(r io.Reader) (batch, error) {
 	var length [lengthSize]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -28,10 +28,10 @@
 	if size < batchHeaderSize-lengthSize {
 		return batch{}, fmt.Errorf("frame of %d bytes is too short for its header", size)
 	}
-	if size > maxFrame {
-		return batch{}, fmt.Errorf("frame of %d bytes is over the limit of %d", size, maxFrame)
+	if size > maxFrameSize {
+		return batch{}, fmt.Errorf("frame of %d bytes is over the limit of %d", size, maxFrameSize)
 	}
-	// Grown as the bytes come in, so that a wrong length can't ask for memory that nothing fills.
+	// ReadAll grows the buffer as data arrives, so a wrong length does not allocate memory up front.
 	frame, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil {
 		return batch{}, err
--- a/internal/simwire/event_reader.go
+++ b/internal/simwire/event_reader.go
@@ -9,46 +9,48 @@
 	"stoatweir/internal/settings"
 )
 
-// InstanceStart starts an instance with no state. The endpoint list that it has cached follows in the same batch.
+// InstanceStart starts an instance without any state. Its cached endpoint list follows as an event in
+// the same batch.
 type InstanceStart struct {
 	Seed   uint64
 	Config dispatch.Config
 
-	dialect dialect
+	params decodeParams
 }
 
-// record is one decoded record. At most one of start, stopped and event is set; none is for a record that means nothing to
-// the decisions.
+// record is one decoded record. At most one of start, stopped and event is set; none is set for a
+// record that does not affect decisions.
 type record struct {
 	scheduler uint32
 	start     *InstanceStart
-	stopped   bool // the instance ends at once, with all its state
+	stopped   bool // the instance stops at once and loses its state
 	event     dispatch.Event
 }
 
 // eventReader decodes the records of one batch.
 type eventReader struct {
-	cursor cursor
-	left   int // records
-	clock  float64
+	cursor    cursor
+	remaining int // records not read yet
+	clock     float64
 }
 
 func newEventReader(b batch) *eventReader {
-	return &eventReader{cursor: cursor{rest: b.body}, left: b.records, clock: b.clock}
+	return &eventReader{cursor: cursor{remaining: b.body}, remaining: b.records, clock: b.clock}
 }
 
-// next decodes the next record; false: the batch is at its end. dialectOf gives the dialect of an instance.
-func (r *eventReader) next(dialectOf func(scheduler uint32) dialect) (record, bool, error) {
-	if r.left == 0 {
-		if n := len(r.cursor.rest); n > 0 {
+// next decodes the next record; false: there are no more. paramsOf returns the parameters for decoding
+// the records of an instance.
+func (r *eventReader) next(paramsOf func(scheduler uint32) decodeParams) (record, bool, error) {
+	if r.remaining == 0 {
+		if n := len(r.cursor.remaining); n > 0 {
 			return record{}, false, fmt.Errorf("%d bytes are left over after the last record", n)
 		}
 		return record{}, false, nil
 	}
-	r.left--
+	r.remaining--
 	code := eventCode(r.cursor.u8())
 	scheduler := r.cursor.u32()
-	decoded, err := r.decode(code, dialectOf(scheduler))
+	decoded, err := r.decode(code, paramsOf(scheduler))
 	if r.cursor.err != nil {
 		err = r.cursor.err
 	}
@@ -59,8 +61,8 @@
 	return decoded, true, nil
 }
 
-// decode decodes what follows the scheduler in a record.
-func (r *eventReader) decode(code eventCode, d dialect) (record, error) {
+// decode decodes the rest of a record, after its code and scheduler.
+func (r *eventReader) decode(code eventCode, params decodeParams) (record, error) {
 	switch code {
 	case eventUp:
 		start, err := r.instanceStart()
@@ -68,7 +70,7 @@
 	case eventPowerOff:
 		return record{stopped: true}, nil
 	}
-	event, err := r.cursor.event(code, d)
+	event, err := r.cursor.event(code, params)
 	return record{event: event}, err
 }
 
@@ -84,17 +86,17 @@
 		return nil, err
 	}
 	return &InstanceStart{
-		Seed:    seed,
-		Config:  deployment.Dispatch,
-		dialect: dialect{epoch: epoch(r.clock), report: deployment.Report},
+		Seed:   seed,
+		Config: deployment.Dispatch,
+		params: decodeParams{epoch: epoch(r.clock), report: deployment.Report},
 	}, nil
 }
 
-// event decodes an event of the decisions; nil: it means nothing to them.
-func (c *cursor) event(code eventCode, d dialect) (dispatch.Event, error) {
+// event decodes an event for the decider; nil: it does not affect decisions.
+func (c *cursor) event(code eventCode, params decodeParams) (dispatch.Event, error) {
 	switch code {
 	case eventDirectoryUpdate:
-		return c.endpointUpdate(d.epoch)
+		return c.endpointUpdate(params.epoch)
 	case eventInbound:
 		return c.arrival(), nil
 	case eventBegun:
@@ -102,14 +104,14 @@
 	case eventHeartbeat:
 		return c.attemptProgress(), nil
 	case eventCompleted:
-		return c.outcome(d.report)
+		return c.outcome(params.report)
 	case eventWithdrawn:
 		return dispatch.ClientDisconnected{Invocation: c.invocation()}, nil
 	case eventTickDue:
 		c.u64() // token
 		return dispatch.TimerFired{}, nil
 	case eventHealth:
-		return c.healthCheckResult(d.report)
+		return c.healthCheckResult(params.report)
 	case eventPeer:
 		return c.gossip(), nil
 	}
@@ -126,7 +128,7 @@
 	a.Hint = c.f64()
 	a.Slots = c.f32()
 	c.f32() // memory
-	if marks := c.u16(); marks&hintValid == 0 {
+	if flags := c.u16(); flags&hintValid == 0 {
 		a.Hint = 0
 	}
 	return a
@@ -135,7 +137,7 @@
 func (c *cursor) responseStarted() dispatch.ResponseStarted {
 	var s dispatch.ResponseStarted
 	s.Invocation = c.invocation()
-	c.take(begunSkipped)
+	c.take(begunSkippedSize)
 	s.Attempt = int(c.u8())
 	return s
 }
@@ -200,12 +202,12 @@
 	if !known && c.err == nil {
 		return nil, errors.New("unknown form of list")
 	}
-	n := int(c.u32())
-	if c.err == nil && n > len(c.rest)/endpointSize {
-		return nil, fmt.Errorf("list of %d entries does not fit in %d bytes", n, len(c.rest))
+	entriesLeft := int(c.u32())
+	if c.err == nil && entriesLeft > len(c.remaining)/endpointSize {
+		return nil, fmt.Errorf("list of %d entries does not fit in %d bytes", entriesLeft, len(c.remaining))
 	}
-	update := dispatch.EndpointUpdate{Kind: kind, Endpoints: make([]dispatch.Endpoint, 0, n)}
-	for ; n > 0 && c.err == nil; n-- {
+	update := dispatch.EndpointUpdate{Kind: kind, Endpoints: make([]dispatch.Endpoint, 0, entriesLeft)}
+	for ; entriesLeft > 0 && c.err == nil; entriesLeft-- {
 		endpoint, err := c.endpoint(e)
 		if err != nil {
 			return nil, err
@@ -216,26 +218,26 @@
 }
 
 func (c *cursor) endpoint(e epoch) (dispatch.Endpoint, error) {
-	var p dispatch.Endpoint
-	p.Worker = c.worker()
-	p.Zone = int(c.u8())
-	p.Kind = int(c.u8())
-	p.Cell = int(c.u16())
+	var decoded dispatch.Endpoint
+	decoded.Worker = c.worker()
+	decoded.Zone = int(c.u8())
+	decoded.Kind = int(c.u8())
+	decoded.Cell = int(c.u16())
 	state, known := endpointStateByCode[c.u8()]
 	if !known && c.err == nil {
 		return dispatch.Endpoint{}, errors.New("unknown state of a worker")
 	}
-	p.State = state
+	decoded.State = state
 	c.f32() // rating
-	if startedAt := c.f64(); startedAt != longAgo {
-		p.StartKnown = true
-		p.StartedAt = e.since(startedAt)
-		p.Incarnation = incarnation(p.Worker, startedAt)
+	if startedAt := c.f64(); startedAt != startedBeforeRun {
+		decoded.StartKnown = true
+		decoded.StartedAt = e.since(startedAt)
+		decoded.Incarnation = incarnation(decoded.Worker, startedAt)
 	}
-	return p, nil
+	return decoded, nil
 }
 
-// incarnation tells the starts of a worker apart.
+// incarnation returns an identifier of a start of a worker: a hash of its address and start time.
 func incarnation(worker dispatch.WorkerID, startedAt float64) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, worker, startedAt)
--- a/internal/simwire/event_writer.go
+++ b/internal/simwire/event_writer.go
@@ -8,7 +8,7 @@
 	"stoatweir/internal/settings"
 )
 
-// eventWriter packs the events of a batch.
+// eventWriter encodes the events of a batch.
 type eventWriter struct{ frameWriter }
 
 func newEventWriter() eventWriter {
@@ -19,8 +19,9 @@
 
 func (w *eventWriter) begin(code eventCode, scheduler uint32) { w.record(uint8(code), scheduler) }
 
-// event packs one event of an instance that was started at startedAt. An event that the protocol does not have and nobody
-// misses is left out; any other that it does not have is an error.
+// event encodes one event of an instance that was started at startedAt. The protocol has no record for
+// the acceptance of an attempt, which is omitted because nothing depends on it; any other event without a
+// record is an error.
 func (w *eventWriter) event(scheduler uint32, startedAt time.Duration, report settings.Report, event dispatch.Event) error {
 	switch e := event.(type) {
 	case dispatch.EndpointUpdate:
@@ -54,25 +55,26 @@
 	w.u64(0) // version of the list
 	w.u8(formByUpdateKind[update.Kind])
 	w.u32(uint32(len(update.Endpoints)))
-	for _, p := range update.Endpoints {
-		w.worker(p.Worker)
-		w.u8(uint8(p.Zone))
-		w.u8(uint8(p.Kind))
-		w.u16(uint16(p.Cell))
-		w.u8(codeByEndpointState[p.State])
+	for _, endpoint := range update.Endpoints {
+		w.worker(endpoint.Worker)
+		w.u8(uint8(endpoint.Zone))
+		w.u8(uint8(endpoint.Kind))
+		w.u16(uint16(endpoint.Cell))
+		w.u8(codeByEndpointState[endpoint.State])
 		w.f32(fullRating)
-		w.f64(workerStart(p, startedAt))
+		w.f64(workerStart(endpoint, startedAt))
 	}
 }
 
-// workerStart is when a worker started, as a reading of the clock.
-func workerStart(p dispatch.Endpoint, startedAt time.Duration) float64 {
-	if !p.StartKnown {
-		return longAgo
+// workerStart returns the start time of a worker by the clock of the run, in seconds, or
+// startedBeforeRun if it is unknown.
+func workerStart(endpoint dispatch.Endpoint, startedAt time.Duration) float64 {
+	if !endpoint.StartKnown {
+		return startedBeforeRun
 	}
-	clock := (p.StartedAt + startedAt).Seconds()
-	if clock == longAgo {
-		return nearLongAgo
+	clock := (endpoint.StartedAt + startedAt).Seconds()
+	if clock == startedBeforeRun {
+		return nearZeroStartSeconds
 	}
 	return clock
 }
@@ -87,16 +89,16 @@
 	w.f64(a.Hint)
 	w.f32(a.Slots)
 	w.f32(0) // memory
-	marks := uint16(0)
+	flags := uint16(0)
 	if a.Hint > 0 {
-		marks |= hintValid
+		flags |= hintValid
 	}
-	w.u16(marks)
+	w.u16(flags)
 }
 
 func (w *eventWriter) attemptProgress(scheduler uint32, p dispatch.AttemptProgress) {
 	if p.Accepted {
-		return // the protocol does not have it
+		return // the protocol has no record for it
 	}
 	w.begin(eventHeartbeat, scheduler)
 	w.invocation(p.Invocation)
--- a/internal/simwire/protocol.go
+++ b/internal/simwire/protocol.go
@@ -7,7 +7,7 @@
 	"stoatweir/internal/settings"
 )
 
-// eventCode is the code of a record from the simulator, by the protocol's name.
+// eventCode is the code of a record from the simulator. The constants have the protocol's names.
 type eventCode uint8
 
 const (
@@ -24,7 +24,7 @@
 	eventHeartbeat       eventCode = 11
 )
 
-// actionCode is the code of a record to the simulator, by the protocol's name.
+// actionCode is the code of a record to the simulator. The constants have the protocol's names.
 type actionCode uint8
 
 const (
@@ -41,40 +41,44 @@
 )
 
 const (
-	// lengthSize is the size in bytes of a frame's first field, which counts the bytes after it.
+	// lengthSize is the size in bytes of a frame's first field, which holds the number of bytes
+	// after it.
 	lengthSize = 4
-	// clockOffset is where in a batch the clock is, in bytes.
+	// clockOffset is the offset in bytes of the clock in a batch.
 	clockOffset = 8
-	// batchHeaderSize is the size in bytes of the length, the number of records and the clock.
+	// batchHeaderSize is the size in bytes of a batch's header: the length, the number of records
+	// and the clock.
 	batchHeaderSize = 16
-	// replyHeaderSize is the size in bytes of the length and the number of records.
+	// replyHeaderSize is the size in bytes of a reply's header: the length and the number of records.
 	replyHeaderSize = 8
-	// maxFrame is the longest frame in bytes. It is far above any batch of a run; a larger length means that the stream is
-	// out of step.
-	maxFrame = 1 << 28
-	// bufferSize is the size in bytes of the buffers of a stream.
+	// maxFrameSize is the maximum size of a frame in bytes. It is far above that of any batch of a
+	// run, so a greater length means that reader and writer are out of sync.
+	maxFrameSize = 1 << 28
+	// bufferSize is the size in bytes of each stream's buffer.
 	bufferSize = 1 << 16
-	// endpointSize is the size in bytes of one endpoint in a list.
+	// endpointSize is the size in bytes of one endpoint in an endpoint list.
 	endpointSize = 23
-	// begunSkipped is the size in bytes of the worker and the elapsed time in a begun event.
-	begunSkipped = 14
+	// begunSkippedSize is the size in bytes of the fields of a begun event that are not used: the
+	// worker and the elapsed time.
+	begunSkippedSize = 14
 
-	// hintValid is the bit of an inbound event's marks that says that the hint is valid.
+	// hintValid is the flag of an inbound event that marks its hint as valid.
 	hintValid uint16 = 1
-	// everyPeer addresses a memo to all peers.
+	// everyPeer is the recipient of a memo that goes to all peers.
 	everyPeer uint16 = 0xffff
-	// subscribe is the value of a follow action that subscribes.
+	// subscribe is the value of a follow action that starts an endpoint watch.
 	subscribe uint8 = 1
-	// noToken is the token of events and actions whose token nobody reads.
+	// noToken is the token of timer events and actions; it is not used.
 	noToken = 0
-	// noLimit leaves an attempt without a timeout of its own.
-	noLimit = 0
-	// fullRating is the rating of a worker that the Host writes; readers pass over it.
+	// noAttemptTimeout is the limit of a forward action whose attempt has no timeout of its own.
+	noAttemptTimeout = 0
+	// fullRating is the rating that Host writes for each worker; readers ignore it.
 	fullRating = 1
-	// longAgo is the start time of a worker that has run since before the run began.
-	longAgo = 0
-	// nearLongAgo stands for a start time that would read as longAgo, in seconds.
-	nearLongAgo = 1e-9
+	// startedBeforeRun is the start time of a worker that was started before the run began, at an
+	// unknown time.
+	startedBeforeRun = 0
+	// nearZeroStartSeconds replaces a known start time that would be read as startedBeforeRun.
+	nearZeroStartSeconds = 1e-9
 )
 
 // The kinds of a heartbeat event.
@@ -146,7 +150,7 @@
 	statusMoot:          dispatch.NotSent,
 }
 
-// statusByResult gives a result that the protocol does not have as the nearest that promises less.
+// statusByResult maps a result without a status of its own to the nearest status that guarantees less.
 var statusByResult = map[dispatch.Result]uint16{
 	dispatch.Succeeded:              statusOK,
 	dispatch.Failed:                 statusError,
@@ -160,18 +164,18 @@
 	dispatch.NotSent:                statusMoot,
 }
 
-// epoch is the reading of the simulator's clock, in seconds, when an instance started. The clock begins anywhere; the times
-// of an instance count from its start.
+// epoch is the simulator's clock, in seconds, at the start of an instance. The clock may begin at any
+// value; the times of an instance are relative to its start.
 type epoch float64
 
-// since is the time between the instance's start and a reading of the clock.
+// since returns the time from the instance's start to a clock value in seconds.
 func (e epoch) since(clock float64) time.Duration { return settings.Duration(clock - float64(e)) }
 
-// clock is the reading of the clock at a time of the instance.
+// clock returns the clock value in seconds at a time relative to the instance's start.
 func (e epoch) clock(t time.Duration) float64 { return float64(e) + t.Seconds() }
 
-// dialect is how the records of one instance are to be read.
-type dialect struct {
+// decodeParams are the parameters for decoding the records of one instance.
+type decodeParams struct {
 	epoch  epoch
-	report settings.Report // what the values of a load report mean
+	report settings.Report // meanings of the values in load reports
 }
--- a/internal/simwire/records_test.go
+++ b/internal/simwire/records_test.go
@@ -14,7 +14,7 @@
 	"stoatweir/internal/settings"
 )
 
-func unhex(text string) []byte {
+func decodeHex(text string) []byte {
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
 		panic(err)
@@ -22,17 +22,17 @@
 	return b
 }
 
-// printEvents prints the events of a frame as the decisions get them.
+// printEvents decodes a frame, given in hexadecimal, and prints its events or the error.
 func printEvents(frame string) {
-	b, err := readBatch(bytes.NewReader(unhex(frame)))
+	b, err := readBatch(bytes.NewReader(decodeHex(frame)))
 	if err != nil {
 		fmt.Println("error:", err)
 		return
 	}
-	d := dialect{epoch: epoch(b.clock), report: settings.Report{Meanings: []string{"free slots", "waiting"}}}
+	params := decodeParams{epoch: epoch(b.clock), report: settings.Report{Meanings: []string{"free slots", "waiting"}}}
 	reader := newEventReader(b)
 	for {
-		r, more, err := reader.next(func(uint32) dialect { return d })
+		r, more, err := reader.next(func(uint32) decodeParams { return params })
 		if err != nil {
 			fmt.Println("error:", err)
 			return
@@ -49,7 +49,7 @@
 	}
 }
 
-// The worked examples of the protocol note, byte for byte.
+// The frames are the examples of the protocol's specification, byte for byte.
 func Example_events() {
 	printEvents("0c000000 00000000 508d976e12d32040")
 	printEvents(`59000000 03000000 508d976e12d32040
@@ -72,6 +72,7 @@
 	// 1 dispatch.HealthCheckResult{Worker:10.18.74.7:5003 Result:0 Latency:1ms Load:<nil>}
 }
 
+// Replies are encoded as frames; an empty reply consists of its header.
 func Example_actions() {
 	r := newReply()
 	fmt.Println(hex.EncodeToString(r.frame()))
@@ -94,7 +95,7 @@
 	// 0903000000110074776f20776f726b657273206b6e6f776e
 }
 
-// What can't be read gives one plain error and no guess.
+// A malformed frame gives an error that tells the fault, and no event in place of the bad record.
 func Example_malformed() {
 	printEvents("0c00")
 	printEvents("04000000 00000000")
@@ -121,6 +122,6 @@
 
 func TestEndOfInput(t *testing.T) {
 	if _, err := readBatch(strings.NewReader("")); err != io.EOF {
-		t.Errorf("clean end of input: %v, want io.EOF", err)
+		t.Errorf("at the end of input: got error %v, want io.EOF", err)
 	}
 }
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -12,23 +12,25 @@
 
 // Decider makes the decisions of one scheduler.
 type Decider interface {
-	// Handle takes the events of one moment, as time since the instance's start, and returns the actions that follow.
+	// Handle processes the events of one batch and returns the resulting actions. now is the time
+	// since the instance's start.
 	Handle(now time.Duration, events []dispatch.Event) []dispatch.Action
 }
 
-// StartFunc makes the Decider of an instance that starts.
+// StartFunc returns a new Decider for an instance that starts.
 type StartFunc func(InstanceStart) (Decider, error)
 
-// instance is one scheduler.
+// instance is the state of one scheduler.
 type instance struct {
-	start   *InstanceStart // nil once the decider is made
-	dialect dialect
-	decider Decider          // nil until it is made, and after a stop
-	events  []dispatch.Event // of the present batch; nil: it has no record of this instance
+	start   *InstanceStart // nil once the decider has been created
+	params  decodeParams
+	decider Decider          // nil until it is created, after a stop and after a panic
+	events  []dispatch.Event // of the current batch; nil: it has no record of this instance
 }
 
-// Serve answers batches until the end of the input. The instances share no state: each gets its own events, and the reply
-// holds its actions. The error is that of a frame that can't be read or written, or of start.
+// Serve answers batches until the end of input. Instances share no state: each processes its own
+// events, and the reply contains the actions of all. Serve returns an error if a frame can't be read,
+// decoded or written, or if start fails.
 func Serve(in io.Reader, out io.Writer, start StartFunc) error {
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
@@ -61,18 +63,19 @@
 	}
 }
 
-// distribute hands the batch's events to their instances, and returns the ids of these in the order of their first event.
+// distribute adds the records of a batch to their instances and returns the ids of these instances, in
+// the order of their first records.
 func distribute(b batch, instances map[uint32]*instance) ([]uint32, error) {
 	var order []uint32
-	dialectOf := func(id uint32) dialect {
+	paramsOf := func(id uint32) decodeParams {
 		if in := instances[id]; in != nil {
-			return in.dialect
+			return in.params
 		}
-		return dialect{}
+		return decodeParams{}
 	}
 	reader := newEventReader(b)
 	for {
-		decoded, more, err := reader.next(dialectOf)
+		decoded, more, err := reader.next(paramsOf)
 		if err != nil {
 			return nil, err
 		}
@@ -93,12 +96,12 @@
 	}
 }
 
-// add applies a record to the instance. A start or a stop voids the events before it.
+// add applies a record to the instance. A start or stop discards the events before it.
 func (in *instance) add(r record) {
 	switch {
 	case r.start != nil:
 		in.start = r.start
-		in.dialect = r.start.dialect
+		in.params = r.start.params
 		in.events = in.events[:0]
 	case r.stopped:
 		in.start = nil
@@ -109,7 +112,8 @@
 	}
 }
 
-// run lets one instance decide on its events. A panic of the decisions is reported in the reply, which ends the run.
+// run passes the instance's events to its decider and adds the actions to the reply. A panic of the
+// decider is reported in the reply, and the simulator then ends its run.
 func (in *instance) run(id uint32, clock float64, reply *reply, start StartFunc) (err error) {
 	events := in.events
 	in.events = nil
@@ -130,8 +134,8 @@
 	if in.decider == nil {
 		return nil
 	}
-	for _, action := range in.decider.Handle(in.dialect.epoch.since(clock), events) {
-		reply.action(id, in.dialect.epoch, action)
+	for _, action := range in.decider.Handle(in.params.epoch.since(clock), events) {
+		reply.action(id, in.params.epoch, action)
 	}
 	return nil
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -8,15 +8,15 @@
 	"stoatweir/internal/settings"
 )
 
-// frameWriter packs records into a frame. The frame begins with its length and the number of its records, which frame fills
-// in, and what else the header of its kind holds.
+// frameWriter encodes records into a frame. The header begins with the length of the frame and the
+// number of records, which the method frame fills in; any other header fields are up to the caller.
 type frameWriter struct {
-	headerSize int
-	body       []byte // with the header
-	records    uint32
+	headerSize int    // in bytes
+	body       []byte // including the header
+	records    uint32 // number of records in body
 }
 
-// reset empties the frame.
+// reset removes all records from the frame.
 func (w *frameWriter) reset() {
 	w.body = append(w.body[:0], make([]byte, w.headerSize)...)
 	w.records = 0
@@ -52,7 +52,7 @@
 	}
 }
 
-// text writes a string behind its length, cut to the longest that this can tell.
+// text writes a string after its length, truncated to the greatest length that the field can hold.
 func (w *frameWriter) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	w.u16(uint16(len(s)))
@@ -67,7 +67,7 @@
 	w.u16(id.Port())
 }
 
-// load writes a load report; nil: there is none.
+// load writes a load report; for nil it writes that there is none.
 func (w *frameWriter) load(load *dispatch.LoadReport, report settings.Report) {
 	if load == nil {
 		w.u8(0)
