--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,9 +1,10 @@
-// Package golden holds marshalled forms against recorded texts. It is test support: only _test.go files import it, which
-// internal/structure checks.
+// Package golden compares marshalled values with golden texts. It is test support: only _test.go files
+// import it, which internal/structure checks.
 //
-// A recorded text stands in the testdata directory of the package that is tested. A text that differs is a broken form, for
-// another build or a file on disk can no longer be read: the code is to be mended, not the record. Only a form that was changed on
-// purpose is recorded anew, with the -update flag, and read by a person before it is committed.
+// Golden texts are files in the testdata directory of the package under test. A difference means that
+// an encoding has changed in an incompatible way: data of another build, or on disk, can no longer be
+// read. Fix the code then, not the golden text. Record a golden text again, with the -update flag, only
+// if the encoding was changed on purpose, and have a person review it before it is committed.
 package golden
 
 import (
@@ -19,29 +20,31 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// directory is where a package keeps its recorded texts, below its own sources, in which go test runs.
+// directory contains the golden texts of a package. It is relative to the package's source directory, in
+// which go test runs.
 const directory = "testdata"
 
-var update = flag.Bool("update", false, "record the golden texts anew, for a person to read and approve")
+var update = flag.Bool("update", false, "record the golden texts again, for a person to review")
 
-// Compare fails the test when got is not the text that is recorded under name in testdata. It returns the recorded text, so that the
-// caller can read it back.
+// Compare fails the test if got differs from the golden text in the file name below testdata. It
+// returns the golden text, so that the caller can decode it. With the -update flag it records got first.
 func Compare(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	file := filepath.Join(directory, name)
 	if *update {
 		record(t, file, got)
 	}
-	recorded, err := os.ReadFile(file)
+	golden, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(string(recorded), string(got)); diff != "" {
-		t.Errorf("%s (-recorded +written):\n%s", file, diff)
+	if diff := cmp.Diff(string(golden), string(got)); diff != "" {
+		t.Errorf("%s (-golden +got):\n%s", file, diff)
 	}
-	return recorded
+	return golden
 }
 
+// record writes a golden text.
 func record(t *testing.T, file string, text []byte) {
 	t.Helper()
 	if err := os.MkdirAll(directory, 0o755); err != nil {
@@ -52,8 +55,9 @@
 	}
 }
 
-// Filled returns a T whose every exported field is set, also within fields, to a value of its own where the type allows that. The
-// values depend on the order of the fields alone. A type that it has no value for fails the test.
+// Filled returns a T in which every exported field, also of nested values, is set, to a distinct value
+// where the type allows that. The values depend only on the order of the fields. It fails the test for
+// a type that it has no value for.
 func Filled[T any](t *testing.T) T {
 	t.Helper()
 	var value T
@@ -62,8 +66,9 @@
 	return value
 }
 
-// FilledByLeaf is Filled with the leaves numbered from 1: structs, lists, maps and flags are not counted. Records of the take-over
-// and of the counts were written so, and a record is not renewed for its helper.
+// FilledByLeaf is like Filled, but derives values from the number of leaves, counted from 1: structs,
+// lists, maps and booleans are not counted. The golden texts of the take-over and of the counts were
+// recorded with these values and must not change only because this helper does.
 func FilledByLeaf[T any](t *testing.T) T {
 	t.Helper()
 	var value T
@@ -72,20 +77,21 @@
 	return value
 }
 
-// filler sets values, each drawn from the number of values that were visited.
+// filler sets values, each derived from the number of values visited so far.
 type filler struct {
 	t       *testing.T
-	visited int
-	byLeaf  bool // only leaves are counted
+	visited int  // number of values, or of leaves, visited so far
+	byLeaf  bool // count only leaves
 }
 
-// countLeaf counts a leaf where values in general are not counted.
+// countLeaf counts a leaf if only leaves are counted; otherwise fill has counted it already.
 func (f *filler) countLeaf() {
 	if f.byLeaf {
 		f.visited++
 	}
 }
 
+// fill sets v, including all exported fields and elements in it.
 func (f *filler) fill(v reflect.Value) {
 	f.t.Helper()
 	if !f.byLeaf {
@@ -141,7 +147,7 @@
 	}
 }
 
-// fillMap gives the map one entry.
+// fillMap sets a map with one entry.
 func (f *filler) fillMap(v reflect.Value) {
 	f.t.Helper()
 	key := reflect.New(v.Type().Key()).Elem()
@@ -169,16 +175,17 @@
 	case v.CanFloat():
 		v.SetFloat(float64(f.visited) + 0.5)
 	default:
-		f.t.Fatal("no value for a " + v.Type().String())
+		f.t.Fatal("golden.Filled has no value for type " + v.Type().String())
 	}
 }
 
-// fillUint fails where the type has no room for the number: it would be cut off, to zero at worst.
+// fillUint fails the test if the number overflows the type, because it would be truncated, possibly to
+// zero.
 func (f *filler) fillUint(v reflect.Value) {
 	f.t.Helper()
 	number := uint64(f.visited)
 	if v.OverflowUint(number) {
-		f.t.Fatal("too many values for a " + v.Type().String())
+		f.t.Fatal("golden.Filled has visited too many values for type " + v.Type().String())
 	}
 	v.SetUint(number)
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -27,7 +27,7 @@
 	Address netip.AddrPort
 }
 
-// The recorded forms depend on these values: they follow from the order of the fields alone.
+// Golden texts contain these values, which must depend only on the order of the fields.
 func TestFilledSetsEveryExportedField(t *testing.T) {
 	want := outer{
 		Text:    "text 2",
@@ -42,7 +42,7 @@
 	}
 	got := Filled[outer](t)
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(inner{}), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
-		t.Error(diff)
+		t.Errorf("filled value (-want +got):\n%s", diff)
 	}
 	if got.Pointer.hidden != 0 {
 		t.Error("an unexported field was set")
@@ -63,12 +63,12 @@
 	}
 	got := FilledByLeaf[outer](t)
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(inner{}), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
-		t.Error(diff)
+		t.Errorf("filled value (-want +got):\n%s", diff)
 	}
 }
 
-func TestCompareReturnsTheRecordedText(t *testing.T) {
+func TestCompareReturnsTheGoldenText(t *testing.T) {
 	if got := Compare(t, "same.txt", []byte("one\ntwo\n")); string(got) != "one\ntwo\n" {
-		t.Errorf("got %q", got)
+		t.Errorf("got %q, want the golden text %q", got, "one\ntwo\n")
 	}
 }
