--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -26,8 +26,8 @@
 
 var update = flag.Bool("update", false, "record the golden texts again, for a person to review")
 
-// Compare fails the test if got differs from the golden text in the file name below testdata. It
-// returns the golden text, so that the caller can decode it. With the -update flag it records got first.
+// Compare fails the test if got differs from the golden text in the named file of testdata. It returns
+// the golden text, so that the caller can decode it. With the -update flag, it records got first.
 func Compare(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	file := filepath.Join(directory, name)
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -32,7 +32,7 @@
 	reflect.TypeFor[tenancyFile]():    "settings.tenancy",
 }
 
-// describeType returns a type in Go syntax for error messages. It expands named types so that the
+// describeType returns a type in Go syntax for error messages. It expands named structs, so that the
 // messages, which tests compare byte for byte, don't depend on the names of Go types.
 func describeType(t reflect.Type) string {
 	if name, ok := typeNames[t]; ok {
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -10,8 +10,8 @@
 	"stoatweir/dispatch"
 )
 
-// maxLoadValue is the exclusive limit of the values in a load report; a larger value is a fault of
-// the worker.
+// maxLoadValue is the exclusive limit of the magnitude of values in a load report. A larger value is a
+// fault of the worker.
 const maxLoadValue = 1e12
 
 // textPrefix begins a load report in text form, as opposed to JSON.
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -168,7 +168,8 @@
 	return nil
 }
 
-// validateFeatures rejects an unknown discovery mode and a weight for tenants without tenants.
+// validateFeatures rejects an unknown discovery mode, and a weight of the worst-served tenant if there
+// are no tenants.
 func (d *Deployment) validateFeatures() error {
 	switch d.discovery {
 	case "", discoveryPolled, discoveryPushed:
--- a/internal/settings/tenantoperations.go
+++ b/internal/settings/tenantoperations.go
@@ -10,7 +10,7 @@
 )
 
 // handleSeparator separates a tenant's handle from the name of its operation. A single segment of a
-// request path can't contain it, so a client can't request such a name directly.
+// request path can't contain it.
 const handleSeparator = "/"
 
 var tenantEffectsByName = map[string]dispatch.Effect{
--- a/internal/simwire/event_writer.go
+++ b/internal/simwire/event_writer.go
@@ -20,8 +20,8 @@
 func (w *eventWriter) begin(code eventCode, scheduler uint32) { w.record(uint8(code), scheduler) }
 
 // event encodes one event of an instance that was started at startedAt. The protocol has no record for
-// the acceptance of an attempt, which is omitted because nothing depends on it; any other event without a
-// record is an error.
+// the acceptance of an attempt, which is omitted because nothing depends on it. Any other event without
+// a record is an error.
 func (w *eventWriter) event(scheduler uint32, startedAt time.Duration, report settings.Report, event dispatch.Event) error {
 	switch e := event.(type) {
 	case dispatch.EndpointUpdate:
--- a/internal/structure/structure_test.go
+++ b/internal/structure/structure_test.go
@@ -1,5 +1,6 @@
-// Package structure holds how the code is laid out: which package may import which, and how long functions and files may be. It has
-// tests alone, which read the sources as text, so that files behind build tags count too.
+// Package structure checks the layout of the code: which packages may import which, and the length of
+// functions and files. It contains only tests. They parse the sources directly, so that files excluded
+// by build tags are checked too.
 package structure
 
 import (
@@ -19,80 +20,86 @@
 )
 
 const (
-	// module is the path that go.mod gives, before each import of our own.
-	module = "stoatweir/"
-	// root is the top of the checkout, seen from this package's directory, in which go test runs.
-	root = "../.."
-	// maxFunctionLines counts from the line of func to that of the closing brace; the doc comment is not counted.
+	// modulePrefix is the prefix of the import paths of this module's packages.
+	modulePrefix = "stoatweir/"
+	// rootDirectory is the root of the repository, relative to this package's directory, in which
+	// go test runs.
+	rootDirectory = "../.."
+	// maxFunctionLines is the maximum length of a function, from the line of func to that of the
+	// closing brace. The doc comment does not count.
 	maxFunctionLines = 60
-	// maxFileLines counts all lines of a file.
+	// maxFileLines is the maximum length of a file, with all of its lines.
 	maxFileLines = 500
 )
 
 var update = flag.Bool("update", false,
-	"bring the lists of exceptions up to date: entries may go, shrink or change their name, none is added")
+	"update the lists of exceptions: entries may be removed, shortened or renamed, but not added")
 
-// sources are the directories with code; journal has records of older sources.
-var sources = []string{"dispatch", "internal", "cmd"}
+// sourceDirectories are the directories that contain code. journal is not among them, because it
+// contains snapshots of older sources.
+var sourceDirectories = []string{"dispatch", "internal", "cmd"}
 
-// layer is packages that may import those of layers before their own, and not one another.
+// layer is a set of packages that may import packages of lower layers, but not one another.
 type layer struct {
 	name     string
 	packages []string
 }
 
-// layers has every package with code outside tests, the lowest first.
+// layers lists every package that contains code other than tests, the lowest layer first.
 var layers = []layer{
-	{name: "foundations", packages: []string{
+	{name: "base", packages: []string{
 		"dispatch", "internal/accounting", "internal/admin", "internal/golden", "internal/handover", "internal/http1",
 		"internal/lifecycle", "internal/ring", "internal/tenants",
 	}},
 	{name: "connections, settings and state", packages: []string{
 		"internal/conn", "internal/invariant", "internal/settings", "internal/tenants/store",
 	}},
-	{name: "protocols with others", packages: []string{
+	{name: "protocols", packages: []string{
 		"internal/discovery", "internal/gossip", "internal/simwire", "internal/tenants/api",
 	}},
 	{name: "workers", packages: []string{"internal/workers"}},
 	{name: "clients", packages: []string{"internal/clients"}},
 	{name: "take-over", packages: []string{"internal/takeover"}},
-	{name: "laboratory: scenarios and tools", packages: []string{
+	{name: "lab: scenarios and tools", packages: []string{
 		"internal/lab/baseline", "internal/lab/eventqueue", "internal/lab/scenario", "internal/lab/soak",
 	}},
-	{name: "laboratory: model", packages: []string{"internal/lab/model", "internal/lab/scale"}},
-	{name: "laboratory: virtual time and reports", packages: []string{
+	{name: "lab: model", packages: []string{"internal/lab/model", "internal/lab/scale"}},
+	{name: "lab: virtual time and reports", packages: []string{
 		"internal/lab/report", "internal/lab/trace", "internal/lab/virtual",
 	}},
-	{name: "laboratory: load", packages: []string{"internal/lab/load"}},
-	{name: "laboratory: real processes", packages: []string{"internal/lab/loopback"}},
+	{name: "lab: load", packages: []string{"internal/lab/load"}},
+	{name: "lab: real processes", packages: []string{"internal/lab/loopback"}},
 	{name: "commands", packages: []string{"cmd/baseline", "cmd/simadapter", "cmd/stoatweir"}},
 }
 
-// testSupport is what only tests import. A path stands for the packages below it too.
+// testSupport lists packages that only tests may import. A path includes the packages below it.
 var testSupport = []string{
-	"testing", "github.com/google/go-cmp", module + "internal/golden", soak,
+	"testing", "github.com/google/go-cmp", modulePrefix + "internal/golden", soakPackage,
 }
 
-// soak is the package of the soak test, which files of its own build may import too.
-const soak = module + "internal/lab/soak"
+// soakPackage is the package of the soak test. Files with soakBuildTag may import it too.
+const soakPackage = modulePrefix + "internal/lab/soak"
 
-// soakTag is the build tag of the binary that the soak test builds with faults to inject: the service itself is built without it.
-const soakTag = "//go:build soak\n"
+// soakBuildTag is the first line of files that belong only to the binary for the soak test, which can
+// inject faults. The service is built without them.
+const soakBuildTag = "//go:build soak\n"
 
-// labFiles match the files outside the laboratory that may import it.
+// labFiles are patterns of the files outside of internal/lab that may import its packages.
 var labFiles = []string{"cmd/baseline/*.go", "cmd/stoatweir/lab*.go"}
 
-// sourceFile is a parsed file of code, no test.
+// sourceFile is a parsed Go file other than a test.
 type sourceFile struct {
-	name     string // path below the root, with slashes
-	syntax   *ast.File
-	set      *token.FileSet
-	numLines int
-	isSoak   bool // built for the soak test alone
+	name       string // path relative to the root, with slashes
+	syntax     *ast.File
+	set        *token.FileSet
+	numLines   int
+	isSoakOnly bool // begins with soakBuildTag
 }
 
+// pkg returns the path of the file's package, without modulePrefix.
 func (f *sourceFile) pkg() string { return path.Dir(f.name) }
 
+// imports returns the import paths of the file.
 func (f *sourceFile) imports(t *testing.T) []string {
 	t.Helper()
 	var paths []string
@@ -106,18 +113,18 @@
 	return paths
 }
 
-// lines is how many lines a node takes, its first and last one among them.
+// lines returns the number of lines from the first to the last line of a node, inclusive.
 func (f *sourceFile) lines(node ast.Node) int {
 	return f.set.Position(node.End()).Line - f.set.Position(node.Pos()).Line + 1
 }
 
-// readSources parses every file of code below the sources but tests.
+// readSources parses all Go files in sourceDirectories except tests.
 func readSources(t *testing.T) []*sourceFile {
 	t.Helper()
 	set := token.NewFileSet()
 	var files []*sourceFile
-	for _, directory := range sources {
-		err := filepath.WalkDir(filepath.Join(root, directory), func(name string, entry fs.DirEntry, err error) error {
+	for _, directory := range sourceDirectories {
+		err := filepath.WalkDir(filepath.Join(rootDirectory, directory), func(name string, entry fs.DirEntry, err error) error {
 			if err != nil {
 				return err
 			}
@@ -139,7 +146,7 @@
 		}
 	}
 	if len(files) == 0 {
-		t.Fatal("no sources found")
+		t.Fatal("no Go sources found in sourceDirectories")
 	}
 	return files
 }
@@ -153,27 +160,28 @@
 	if err != nil {
 		return nil, err
 	}
-	below, err := filepath.Rel(root, name)
+	relativeName, err := filepath.Rel(rootDirectory, name)
 	if err != nil {
 		return nil, err
 	}
 	return &sourceFile{
-		name:     filepath.ToSlash(below),
-		syntax:   syntax,
-		set:      set,
-		numLines: strings.Count(string(text), "\n"),
-		isSoak:   strings.HasPrefix(string(text), soakTag),
+		name:       filepath.ToSlash(relativeName),
+		syntax:     syntax,
+		set:        set,
+		numLines:   strings.Count(string(text), "\n"),
+		isSoakOnly: strings.HasPrefix(string(text), soakBuildTag),
 	}, nil
 }
 
-// layerNumbers is the place of each package in layers.
+// layerNumbers returns the index in layers of each package's layer. It fails the test if a package is
+// listed twice.
 func layerNumbers(t *testing.T) map[string]int {
 	t.Helper()
 	numbers := map[string]int{}
 	for number, l := range layers {
 		for _, pkg := range l.packages {
 			if _, twice := numbers[pkg]; twice {
-				t.Errorf("%s stands twice in layers: keep one", pkg)
+				t.Errorf("%s is listed twice in layers: remove one", pkg)
 			}
 			numbers[pkg] = number
 		}
@@ -182,45 +190,45 @@
 }
 
 func TestLayersNameEveryPackage(t *testing.T) {
-	unseen := layerNumbers(t)
+	packagesLeft := layerNumbers(t)
 	numbers := layerNumbers(t)
 	for _, file := range readSources(t) {
-		delete(unseen, file.pkg())
+		delete(packagesLeft, file.pkg())
 		if _, known := numbers[file.pkg()]; !known {
-			t.Errorf("%s is in no layer: add its package to layers, above all that it imports", file.name)
+			t.Errorf("%s is in no layer: add its package to layers, above all packages that it imports", file.name)
 		}
 	}
-	for pkg := range unseen {
-		t.Errorf("%s is in layers and has no code: remove it there", pkg)
+	for pkg := range packagesLeft {
+		t.Errorf("%s is in layers but contains no code: remove it from layers", pkg)
 	}
 }
 
-// Imports that all lead to a lower layer have no cycle.
-func TestImportsLeadDownwards(t *testing.T) {
+// Imports of lower layers only can't form a cycle.
+func TestImportsLeadToLowerLayers(t *testing.T) {
 	numbers := layerNumbers(t)
 	for _, file := range readSources(t) {
 		for _, imported := range file.imports(t) {
-			pkg := strings.TrimPrefix(imported, module)
+			pkg := strings.TrimPrefix(imported, modulePrefix)
 			from, fromKnown := numbers[file.pkg()]
 			to, toKnown := numbers[pkg]
 			if fromKnown && toKnown && to >= from {
-				t.Errorf("%s (layer %q) imports %s (layer %q): imports lead to lower layers only; move what both need below them, "+
-					"or have the upper package hand it in as a value, function or interface",
+				t.Errorf("%s (layer %q) imports %s (layer %q): packages may import lower layers only; move shared code to a layer "+
+					"below both, or have the upper package pass in a value, function or interface",
 					file.name, layers[from].name, pkg, layers[to].name)
 			}
 		}
 	}
 }
 
-// The simulator and the service run the same decisions because the module that makes them knows neither.
-func TestDispatchImportsNothingOfTheModule(t *testing.T) {
+// The simulator and the service can run the same decision code because dispatch depends on neither.
+func TestDispatchImportsNoPackageOfThisModule(t *testing.T) {
 	for _, file := range readSources(t) {
 		if file.pkg() != "dispatch" {
 			continue
 		}
 		for _, imported := range file.imports(t) {
-			if strings.HasPrefix(imported, module) {
-				t.Errorf("%s imports %s: dispatch decides from its events alone; put what it needs into an event or its Config", file.name, imported)
+			if strings.HasPrefix(imported, modulePrefix) {
+				t.Errorf("%s imports %s: dispatch may depend only on its events and Config; add what it needs to one of them", file.name, imported)
 			}
 		}
 	}
@@ -228,37 +236,38 @@
 
 func TestCodeImportsNoTestSupport(t *testing.T) {
 	for _, file := range readSources(t) {
-		if isWithin(module+file.pkg(), testSupport) {
+		if isWithin(modulePrefix+file.pkg(), testSupport) {
 			continue
 		}
 		for _, imported := range file.imports(t) {
-			if isWithin(imported, testSupport) && !(file.isSoak && imported == soak) {
-				t.Errorf("%s imports %s, which is for tests: move what uses it to a _test.go file", file.name, imported)
+			if isWithin(imported, testSupport) && !(file.isSoakOnly && imported == soakPackage) {
+				t.Errorf("%s imports %s, which only tests may import: move the code that uses it to a _test.go file", file.name, imported)
 			}
 		}
 	}
 }
 
-func TestServiceImportsNoLaboratory(t *testing.T) {
-	laboratory := []string{module + "internal/lab"}
+func TestServiceImportsNoLab(t *testing.T) {
+	labPackages := []string{modulePrefix + "internal/lab"}
 	for _, file := range readSources(t) {
-		if isWithin(module+file.pkg(), laboratory) || matchesAny(t, file.name, labFiles) {
+		if isWithin(modulePrefix+file.pkg(), labPackages) || matchesAny(t, file.name, labFiles) {
 			continue
 		}
 		for _, imported := range file.imports(t) {
-			if isWithin(imported, laboratory) && !(file.isSoak && imported == soak) {
-				t.Errorf("%s imports %s: only the laboratory and its commands do (labFiles); move what both need out of internal/lab",
+			if isWithin(imported, labPackages) && !(file.isSoakOnly && imported == soakPackage) {
+				t.Errorf("%s imports %s: only packages in internal/lab and labFiles may; move shared code out of internal/lab",
 					file.name, imported)
 			}
 		}
 	}
 }
 
-// isWithin tells whether a package is one of those at paths, or below one.
+// isWithin reports whether a package is one of paths or below one of them.
 func isWithin(pkg string, paths []string) bool {
 	return slices.ContainsFunc(paths, func(p string) bool { return pkg == p || strings.HasPrefix(pkg, p+"/") })
 }
 
+// matchesAny reports whether a file name matches one of the patterns.
 func matchesAny(t *testing.T, name string, patterns []string) bool {
 	t.Helper()
 	for _, pattern := range patterns {
@@ -277,18 +286,20 @@
 	lengths := map[string]int{}
 	for _, file := range readSources(t) {
 		for name, length := range functionLengths(file) {
-			// Files behind build tags, and several init, have a name twice: the longest counts.
+			// A name can occur more than once: in files with different build tags, and for init
+			// functions. The longest one counts.
 			lengths[name] = max(lengths[name], length)
 		}
 	}
-	holdToLimit(t, limit{
-		list: "long_functions.txt", lines: maxFunctionLines, what: "function", advice: "split it by what it does",
-		parent: func(name string) string { return path.Dir(name) + "/" + strings.Split(path.Base(name), ".")[0] },
+	checkLimit(t, limit{
+		exceptionFile: "long_functions.txt", maxLines: maxFunctionLines, subject: "function", advice: "split it by what it does",
+		parentOf: func(name string) string { return path.Dir(name) + "/" + strings.Split(path.Base(name), ".")[0] },
 	}, lengths)
 }
 
-// functionLengths has the functions of a file by name, "path/of/package.Type.Method". A function in a variable counts by the
-// variable's name.
+// functionLengths returns the lengths of a file's functions by name, such as
+// "path/of/package.Type.Method". A function literal in a package variable is listed under the name of
+// the variable.
 func functionLengths(file *sourceFile) map[string]int {
 	lengths := map[string]int{}
 	add := func(name string, length int) {
@@ -298,7 +309,7 @@
 	for _, declaration := range file.syntax.Decls {
 		switch d := declaration.(type) {
 		case *ast.FuncDecl:
-			// The node's position is that of func, behind the doc comment.
+			// The position of the node is that of func, after the doc comment.
 			add(functionName(d), file.lines(d))
 		case *ast.GenDecl:
 			for _, spec := range d.Specs {
@@ -311,7 +322,8 @@
 	return lengths
 }
 
-// functionName is Function, or Type.Method whether the receiver is a pointer or not.
+// functionName returns "Function" for a function and "Type.Method" for a method, whether or not the
+// receiver is a pointer.
 func functionName(f *ast.FuncDecl) string {
 	if f.Recv == nil {
 		return f.Name.Name
@@ -333,6 +345,7 @@
 	}
 }
 
+// longestLiteral returns the length of the longest function literal in a node; 0: there is none.
 func longestLiteral(file *sourceFile, node ast.Node) int {
 	longest := 0
 	ast.Inspect(node, func(n ast.Node) bool {
@@ -349,92 +362,95 @@
 	for _, file := range readSources(t) {
 		lengths[file.name] = file.numLines
 	}
-	holdToLimit(t, limit{
-		list: "long_files.txt", lines: maxFileLines, what: "file", advice: "split it by concern, a file each",
-		parent: path.Dir,
+	checkLimit(t, limit{
+		exceptionFile: "long_files.txt", maxLines: maxFileLines, subject: "file", advice: "split it into files by concern",
+		parentOf: path.Dir,
 	}, lengths)
 }
 
-// limit is how long something may be.
+// limit is the maximum length of functions or files.
 type limit struct {
-	list   string // file below testdata that lists the exceptions, with their lengths
-	lines  int
-	what   string // what is measured, for failures
-	advice string // what to do about one that is too long
-	parent func(name string) string
+	exceptionFile string // file in testdata that lists the exceptions, with their lengths
+	maxLines      int
+	subject       string // what the limit applies to, for failure messages
+	advice        string // how to shorten one that is too long
+	parentOf      func(name string) string
 }
 
-// exception is an entry of a list: something that is over the limit, with its present length.
+// exception is an entry of a list of exceptions: a function or file over the limit.
 type exception struct {
 	name   string
-	length int
+	length int // in lines, when it was listed
 }
 
-// holdToLimit fails the test for whatever is over the limit and not listed with just that length, and for entries that are not needed
-// any more, so that the list only gets shorter.
-func holdToLimit(t *testing.T, l limit, lengths map[string]int) {
+// checkLimit fails the test for everything over the limit that is not listed with exactly its length,
+// and for entries that are no longer needed, so that the list can only get shorter.
+func checkLimit(t *testing.T, l limit, lengths map[string]int) {
 	t.Helper()
-	listed := readExceptions(t, l.list)
+	exceptions := readExceptions(t, l.exceptionFile)
 	if *update {
-		listed = shorten(l, listed, lengths)
-		writeExceptions(t, l.list, listed)
+		exceptions = updatedExceptions(l, exceptions, lengths)
+		writeExceptions(t, l.exceptionFile, exceptions)
 	}
 	byName := map[string]int{}
-	for _, e := range listed {
+	for _, e := range exceptions {
 		byName[e.name] = e.length
 	}
-	const renew = "run go test ./internal/structure -update"
+	const updateCommand = "run go test ./internal/structure -update"
 	for name, length := range lengths {
-		allowed, isListed := byName[name]
+		listedLength, isListed := byName[name]
 		switch {
-		case length <= l.lines && isListed:
-			t.Errorf("%s has %d lines, no longer over %d: remove it from testdata/%s (%s)", name, length, l.lines, l.list, renew)
-		case length > l.lines && !isListed:
-			t.Errorf("%s %s has %d lines, over %d: %s; if it was only renamed, %s", l.what, name, length, l.lines, l.advice, renew)
-		case isListed && length > allowed:
-			t.Errorf("%s %s has grown from %d lines to %d, over %d: %s", l.what, name, allowed, length, l.lines, l.advice)
-		case isListed && length < allowed:
-			t.Errorf("%s has %d lines now: put that into testdata/%s in place of %d (%s)", name, length, l.list, allowed, renew)
+		case length <= l.maxLines && isListed:
+			t.Errorf("%s has %d lines, not over %d any more: remove it from testdata/%s (%s)",
+				name, length, l.maxLines, l.exceptionFile, updateCommand)
+		case length > l.maxLines && !isListed:
+			t.Errorf("%s %s has %d lines, over %d: %s; if it was only renamed, %s", l.subject, name, length, l.maxLines, l.advice, updateCommand)
+		case isListed && length > listedLength:
+			t.Errorf("%s %s has grown from %d lines to %d, over %d: %s", l.subject, name, listedLength, length, l.maxLines, l.advice)
+		case isListed && length < listedLength:
+			t.Errorf("%s has %d lines now: update testdata/%s, which has %d (%s)", name, length, l.exceptionFile, listedLength, updateCommand)
 		}
 	}
 	for name := range byName {
 		if _, exists := lengths[name]; !exists {
-			t.Errorf("%s is gone: remove it from testdata/%s (%s)", name, l.list, renew)
+			t.Errorf("%s does not exist any more: remove it from testdata/%s (%s)", name, l.exceptionFile, updateCommand)
 		}
 	}
 }
 
-// shorten is the list with present lengths, without entries that are not needed. None grows. The entry of a name that is gone may go
-// to another one of the same parent that is not longer, as that may be the same code renamed.
-func shorten(l limit, listed []exception, lengths map[string]int) []exception {
-	var kept, gone []exception
-	needed := map[string]int{}
+// updatedExceptions returns the list with current lengths and without entries that are not needed. No
+// entry grows. An entry whose name does not exist any more can pass to another name with the same parent
+// that is not longer, because that may be the same code after a rename.
+func updatedExceptions(l limit, listed []exception, lengths map[string]int) []exception {
+	var kept, obsolete []exception
+	remaining := map[string]int{}
 	for name, length := range lengths {
-		if length > l.lines {
-			needed[name] = length
+		if length > l.maxLines {
+			remaining[name] = length
 		}
 	}
 	for _, e := range listed {
-		length, isNeeded := needed[e.name]
-		if isNeeded {
+		length, isRemaining := remaining[e.name]
+		if isRemaining {
 			kept = append(kept, exception{name: e.name, length: min(length, e.length)})
-			delete(needed, e.name)
+			delete(remaining, e.name)
 		} else if _, exists := lengths[e.name]; !exists {
-			gone = append(gone, e)
+			obsolete = append(obsolete, e)
 		}
 	}
-	for _, e := range longestFirst(needed) {
-		place := slices.IndexFunc(gone, func(g exception) bool {
-			return l.parent(g.name) == l.parent(e.name) && g.length >= e.length
+	for _, e := range longestFirst(remaining) {
+		position := slices.IndexFunc(obsolete, func(g exception) bool {
+			return l.parentOf(g.name) == l.parentOf(e.name) && g.length >= e.length
 		})
-		if place >= 0 {
+		if position >= 0 {
 			kept = append(kept, e)
-			gone = slices.Delete(gone, place, place+1)
+			obsolete = slices.Delete(obsolete, position, position+1)
 		}
 	}
 	return kept
 }
 
+// longestFirst returns lengths as exceptions, sorted by decreasing length and then by name.
 func longestFirst(lengths map[string]int) []exception {
 	var all []exception
 	for name, length := range lengths {
@@ -449,10 +465,10 @@
 	return all
 }
 
-// readExceptions reads a list: a name and a length in each line.
-func readExceptions(t *testing.T, list string) []exception {
+// readExceptions reads a file of exceptions from testdata. Each line contains a name and a length.
+func readExceptions(t *testing.T, file string) []exception {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", list))
+	text, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -461,27 +477,28 @@
 		name, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
 		length, err := strconv.Atoi(digits)
 		if err != nil {
-			t.Fatalf("testdata/%s: %q is not a name and a length", list, line)
+			t.Fatalf("testdata/%s: %q is not a name and a length", file, line)
 		}
 		all = append(all, exception{name: name, length: length})
 	}
 	return all
 }
 
-func writeExceptions(t *testing.T, list string, all []exception) {
+// writeExceptions writes a file of exceptions to testdata, sorted by name.
+func writeExceptions(t *testing.T, file string, all []exception) {
 	t.Helper()
 	slices.SortFunc(all, func(a, b exception) int { return strings.Compare(a.name, b.name) })
 	var text strings.Builder
 	for _, e := range all {
 		fmt.Fprintf(&text, "%s %d\n", e.name, e.length)
 	}
-	if err := os.WriteFile(filepath.Join("testdata", list), []byte(text.String()), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join("testdata", file), []byte(text.String()), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestShortenNeverAddsOrGrows(t *testing.T) {
-	l := limit{lines: 60, parent: path.Dir}
+func TestUpdatedExceptionsNeverAddOrGrow(t *testing.T) {
+	l := limit{maxLines: 60, parentOf: path.Dir}
 	listed := []exception{
 		{name: "p/gone", length: 99},
 		{name: "p/grown", length: 70},
@@ -492,12 +509,12 @@
 	lengths := map[string]int{
 		"p/grown":   75,
 		"p/mended":  60,
-		"p/new":     100, // longer than any that is gone
-		"p/renamed": 65,  // may be p/old
+		"p/new":     100, // longer than any removed entry
+		"p/renamed": 65,  // may be p/old renamed
 		"p/shrunk":  61,
-		"q/new":     61, // of another parent
+		"q/new":     61, // has another parent
 	}
-	got := shorten(l, listed, lengths)
+	got := updatedExceptions(l, listed, lengths)
 	slices.SortFunc(got, func(a, b exception) int { return strings.Compare(a.name, b.name) })
 	want := []exception{
 		{name: "p/grown", length: 70},
