--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	thinkTime       = 200 * time.Millisecond // usual time between two requests of a client
-	dialTimeout     = time.Second            // of a client
-	redialAfter     = 50 * time.Millisecond  // pause after a connection that could not be made
-	shortBudgetOf   = 8                      // one of so many requests has little time left
-	shortBudgetFrom = 20                     // ms, the least of these budgets
-	shortBudgetSpan = 300                    // ms, how far they spread
-	splitWriteOf    = 12                     // one of so many requests is written in two pieces
-	splitPauseMost  = 40                     // ms between the two pieces
-	disconnectMost  = 150                    // ms after which a client disconnects that does
-	keys            = 7                      // resources that the requests name
-
-	leastWork = 0.3 // of the mean; the rest of a request's work is drawn
+	meanThinkTime            = 200 * time.Millisecond // mean time that a client waits between two requests
+	clientDialTimeout        = time.Second            // for a client's connection to a scheduler
+	redialDelay              = 50 * time.Millisecond  // pause of a client after a failed connection attempt
+	shortBudgetOneIn         = 8                      // one request in this many, on average, has a short budget
+	minShortBudgetMillis     = 20                     // the shortest of these budgets
+	shortBudgetRangeMillis   = 300                    // width of the range above it that they are drawn from
+	splitWriteOneIn          = 12                     // one request in this many, on average, is written in two parts
+	maxSplitPauseMillis      = 40                     // upper limit of the pause between the two parts
+	maxDisconnectDelayMillis = 150                    // upper limit of the time after which a disconnecting client disconnects
+	resourceCount            = 7                      // number of distinct resources that the requests name
+
+	minWorkFraction = 0.3 // fixed part of a request's work, as a fraction of the mean; the rest is random
 )
 
-// client sends requests to one scheduler, one after the other, and disconnects from some of them.
+// client sends requests to one scheduler, one at a time, and disconnects shortly after sending some
+// of them.
 type client struct {
 	harness   *harness
 	name      string
@@ -38,7 +39,8 @@
 	reader    *bufio.Reader
 }
 
-// startClients starts the clients; stop waits until each has the answer to its last request.
+// startClients starts all clients. The returned function stops them and waits until each has
+// finished its last request.
 func (h *harness) startClients() (stop func()) {
 	var stopping atomic.Bool
 	for _, s := range h.schedulers {
@@ -69,13 +71,13 @@
 		c.harness.mu.Lock()
 		factor := c.harness.thinkFactor
 		c.harness.mu.Unlock()
-		time.Sleep(time.Duration(c.rng.ExpFloat64() * factor * float64(thinkTime)))
+		time.Sleep(time.Duration(c.rng.ExpFloat64() * factor * float64(meanThinkTime)))
 	}
 }
 
-// millisUpTo draws a time below so many milliseconds.
-func millisUpTo(rng *rand.Rand, most int) time.Duration {
-	return time.Duration(rng.Intn(most)) * time.Millisecond
+// millisUpTo returns a random whole number of milliseconds, from 0 to below limit.
+func millisUpTo(rng *rand.Rand, limit int) time.Duration {
+	return time.Duration(rng.Intn(limit)) * time.Millisecond
 }
 
 func (c *client) closeConn() {
@@ -85,64 +87,65 @@
 	}
 }
 
-// sendRequest sends a request and records its outcome. It is sent again once where its connection
-// had ended before it was read.
+// sendRequest sends the client's n-th request and records its outcome. If the scheduler had closed
+// the reused connection before it read the request, the request is sent once more.
 func (c *client) sendRequest(n int) {
-	q := c.drawRequest(n)
-	text := requestText(q, n)
-	c.harness.observed.addRequest(q)
+	req := c.drawRequest(n)
+	text := requestText(req, n)
+	c.harness.observed.addRequest(req)
 	c.harness.mu.Lock()
 	disconnects := c.rng.Float64() < c.harness.disconnectRate
 	c.harness.mu.Unlock()
 	if disconnects {
-		c.sendAndDisconnect(q, text)
+		c.sendAndDisconnect(req, text)
 		return
 	}
-	if c.exchange(q, text) == outcomeClosedIdle {
-		c.exchange(q, text)
+	if c.exchange(req, text) == outcomeClosedIdle {
+		c.exchange(req, text)
 	}
 }
 
 func (c *client) drawRequest(n int) *request {
 	class := requestClasses[c.rng.Intn(len(requestClasses))]
 	budget := class.timeout
-	if c.rng.Intn(shortBudgetOf) == 0 { // a later attempt of the client, with little time left
-		budget = millisUpTo(c.rng, shortBudgetSpan) + shortBudgetFrom*time.Millisecond
+	if c.rng.Intn(shortBudgetOneIn) == 0 { // stands for a client's retry, which has little time left
+		budget = millisUpTo(c.rng, shortBudgetRangeMillis) + minShortBudgetMillis*time.Millisecond
 	}
 	return &request{
 		id:        fmt.Sprintf("%s-%s-%d", class.name, c.name, n),
 		class:     class,
 		scheduler: c.scheduler,
 		budget:    budget,
-		work:      time.Duration((leastWork + (1-leastWork)*c.rng.ExpFloat64()) * float64(meanWork)),
+		work:      time.Duration((minWorkFraction + (1-minWorkFraction)*c.rng.ExpFloat64()) * float64(meanWork)),
 	}
 }
 
-func requestText(q *request, n int) string {
+func requestText(req *request, n int) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "POST /%s/k%d HTTP/1.1\r\nHost: soak\r\n", q.class.name, n%keys)
-	fmt.Fprintf(&text, "X-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %.3f\r\n", q.id, q.class.name, q.budget.Seconds())
-	if q.class.effect == effectKeyed {
-		fmt.Fprintf(&text, "Idempotency-Key: %s\r\n", q.id)
+	fmt.Fprintf(&text, "POST /%s/k%d HTTP/1.1\r\nHost: soak\r\n", req.class.name, n%resourceCount)
+	fmt.Fprintf(&text, "X-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %.3f\r\n", req.id, req.class.name, req.budget.Seconds())
+	if req.class.effect == effectKeyed {
+		fmt.Fprintf(&text, "Idempotency-Key: %s\r\n", req.id)
 	}
-	fmt.Fprintf(&text, "Content-Length: %d\r\n\r\n%s", len(q.id), q.id)
+	fmt.Fprintf(&text, "Content-Length: %d\r\n\r\n%s", len(req.id), req.id)
 	return text.String()
 }
 
-// connect opens a connection where there is none. False: nobody is there, which is counted.
+// connect opens a connection unless there is one, and reports whether there is one now. A failure
+// is counted as an outcome.
 func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
 	}
 	if !c.scheduler.routed.Load() {
-		c.harness.countOutcome("not dealt to")
-		time.Sleep(redialAfter)
+		c.harness.countOutcome("not routed")
+		time.Sleep(redialDelay)
 		return false
 	}
-	conn, err := net.DialTimeout("tcp", c.scheduler.address, dialTimeout)
+	conn, err := net.DialTimeout("tcp", c.scheduler.address, clientDialTimeout)
 	if err != nil {
-		c.harness.countOutcome("nobody there")
-		time.Sleep(redialAfter)
+		c.harness.countOutcome("connect failed")
+		time.Sleep(redialDelay)
 		return false
 	}
 	c.conn = conn
@@ -150,15 +153,15 @@
 	return true
 }
 
-// sendAndDisconnect sends a request and disconnects soon, by a reset or in order.
-func (c *client) sendAndDisconnect(q *request, text string) {
+// sendAndDisconnect sends a request and disconnects shortly after, with a reset or an orderly close.
+func (c *client) sendAndDisconnect(req *request, text string) {
 	if !c.connect() {
 		return
 	}
 	io.WriteString(c.conn, text)
-	q.markSent(time.Now())
-	time.Sleep(millisUpTo(c.rng, disconnectMost))
-	q.markDisconnected(time.Now())
+	req.markSent(time.Now())
+	time.Sleep(millisUpTo(c.rng, maxDisconnectDelayMillis))
+	req.markDisconnected(time.Now())
 	if c.rng.Intn(2) == 0 {
 		abort(c.conn)
 		c.conn = nil
@@ -166,50 +169,51 @@
 	c.closeConn()
 }
 
-// Outcomes of a request that has no status.
+// Outcomes of a request that got no status code.
 const (
 	outcomeUnanswered = "unanswered"
 	outcomeClosedIdle = "closed between two requests"
 	outcomeNotSent    = ""
 )
 
-// exchange sends a request, awaits its answer, and counts and returns the outcome: a status or one
-// of the constants.
-func (c *client) exchange(q *request, text string) (outcome string) {
-	isNew := c.conn == nil
+// exchange sends a request, waits for its answer, and counts and returns the outcome: a status code
+// or one of the outcome constants.
+func (c *client) exchange(req *request, text string) (outcome string) {
+	isNewConn := c.conn == nil
 	if !c.connect() {
 		return outcomeNotSent
 	}
-	c.conn.SetDeadline(time.Now().Add(q.budget + unansweredAfter))
+	c.conn.SetDeadline(time.Now().Add(req.budget + clientGiveUpDelay))
 	err := c.write(text)
-	q.markSent(time.Now())
+	req.markSent(time.Now())
 	var answer *http.Response
 	var body []byte
 	if err == nil {
 		answer, body, err = c.readAnswer()
 	}
 	if err == nil {
-		q.markAnswered(time.Now(), answer.StatusCode, string(body))
+		req.markAnswered(time.Now(), answer.StatusCode, string(body))
 		if answer.Close {
 			c.closeConn()
 		}
 		outcome = fmt.Sprint(answer.StatusCode)
 	} else {
-		outcome = c.exchangeFailed(q, err, isNew)
+		outcome = c.exchangeFailed(req, err, isNewConn)
 	}
 	c.harness.countOutcome(outcome)
 	return outcome
 }
 
+// write sends a request's text, sometimes in two parts with a pause between them.
 func (c *client) write(text string) error {
-	half := len(text)
-	if c.rng.Intn(splitWriteOf) == 0 {
-		half = c.rng.Intn(len(text))
+	splitAt := len(text)
+	if c.rng.Intn(splitWriteOneIn) == 0 {
+		splitAt = c.rng.Intn(len(text))
 	}
-	_, err := io.WriteString(c.conn, text[:half])
-	if half < len(text) && err == nil {
-		time.Sleep(millisUpTo(c.rng, splitPauseMost))
-		_, err = io.WriteString(c.conn, text[half:])
+	_, err := io.WriteString(c.conn, text[:splitAt])
+	if splitAt < len(text) && err == nil {
+		time.Sleep(millisUpTo(c.rng, maxSplitPauseMillis))
+		_, err = io.WriteString(c.conn, text[splitAt:])
 	}
 	return err
 }
@@ -224,17 +228,18 @@
 	return answer, body, err
 }
 
-func (c *client) exchangeFailed(q *request, err error, isNew bool) (outcome string) {
+// exchangeFailed records why an exchange got no answer, and returns its outcome.
+func (c *client) exchangeFailed(req *request, err error, isNewConn bool) (outcome string) {
 	now := time.Now()
 	c.closeConn()
 	switch {
 	case isTimeout(err):
-		q.markUnanswered(now, "no answer")
-	case !isNew:
-		q.clearSent()
+		req.markUnanswered(now, "no answer")
+	case !isNewConn:
+		req.clearSent()
 		return outcomeClosedIdle
 	default:
-		q.markUnanswered(now, "closed: "+err.Error())
+		req.markUnanswered(now, "closed: "+err.Error())
 	}
 	return outcomeUnanswered
 }
--- a/internal/lab/soak/endpoint_list.go
+++ b/internal/lab/soak/endpoint_list.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	unknownRevision = 0 // of a scheduler that has no list yet
-	firstRevision   = 1
-	indentedOf      = 3 // one of so many revisions is written over many lines
+	noRevision    = 0 // what a scheduler asks with that has no list yet
+	firstRevision = 1
+	indentedEvery = 3 // one revision in this many is written as indented JSON on several lines
 )
 
-// endpointList is the discovery service of all schedulers. Each reaches it through a server and a
-// proxy of its own, so that it shows which scheduler was sent what.
+// endpointList emulates the discovery service. Each scheduler reaches it through a separate server
+// and proxy, so that the updates sent to each scheduler can be told apart.
 type endpointList struct {
 	harness *harness
-	servers []*listServer // by scheduler
+	servers []*listServer // by scheduler number
 
 	mu         sync.Mutex
 	revision   int
-	entries    map[string]endpoint // by uid
-	revisionOf map[string]int      // of an entry's last change
-	changed    chan struct{}       // closed at publish
+	entries    map[string]endpoint // by worker UID
+	revisionOf map[string]int      // of an entry's last change, by worker UID
+	changed    chan struct{}       // closed and replaced by publish
 	delay      time.Duration       // before each answer
-	down       bool                // answers by an error
-	outages    []interval          // when it could not be reached, or not in time
+	down       bool                // every request is answered with an error
+	outages    []interval          // when the list could not be reached, or was slow
 }
 
-// endpoint is a worker of the list.
+// endpoint is a worker's entry in the endpoint list.
 type endpoint struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
@@ -36,7 +36,7 @@
 	Model    string `json:"model"`
 	PodGroup int    `json:"pod_group"`
 	State    string `json:"state"`
-	BootMS   int64  `json:"boot_ms"` // Unix milliseconds of its start; 0: long ago
+	BootMS   int64  `json:"boot_ms"` // start time in Unix milliseconds; 0: started long ago
 }
 
 // States of an endpoint.
@@ -72,7 +72,7 @@
 	}
 }
 
-// put changes an entry; no watch is notified until publish.
+// put stores an entry under a new revision. Watches send it only after publish.
 func (l *endpointList) put(e endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +82,7 @@
 	l.harness.observed.addStateChange(e)
 }
 
-// publish notifies all watches.
+// publish wakes all watches, which then send what has changed.
 func (l *endpointList) publish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,15 +90,15 @@
 	l.changed = make(chan struct{})
 }
 
-// endpointUpdate is an update on the wire.
+// endpointUpdate is the JSON form of an update.
 type endpointUpdate struct {
-	All     bool       `json:"all"` // a full update
+	All     bool       `json:"all"` // a full update, not a delta
 	Rev     int        `json:"rev"`
 	Targets []endpoint `json:"targets"`
 }
 
 func (u endpointUpdate) marshal() (text []byte) {
-	if u.Rev%indentedOf == 0 {
+	if u.Rev%indentedEvery == 0 {
 		text, _ = json.MarshalIndent(u, "", "  ")
 	} else {
 		text, _ = json.Marshal(u)
@@ -106,23 +106,23 @@
 	return text
 }
 
-// listUpdate is what a scheduler is to be sent.
+// listUpdate is an update that is ready to be sent to a scheduler.
 type listUpdate struct {
-	text      []byte // empty: nothing has changed
+	text      []byte // JSON; empty: nothing has changed
 	endpoints []endpoint
 	revision  int
-	changed   <-chan struct{} // closed when there is more
+	changed   <-chan struct{} // closed when the list is published again
 }
 
-// updateSince is the update for a scheduler that has a revision; a full one where it has none, or
-// one that this list never had.
-func (l *endpointList) updateSince(known int) listUpdate {
+// updateSince returns the update for a scheduler that has a given revision. It is a full update if
+// the scheduler has none, or one that this list never had.
+func (l *endpointList) updateSince(knownRevision int) listUpdate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	update := listUpdate{revision: l.revision, changed: l.changed}
-	full := known == unknownRevision || known > l.revision
+	full := knownRevision == noRevision || knownRevision > l.revision
 	for uid, e := range l.entries {
-		if full && e.State != stateGone || !full && l.revisionOf[uid] > known {
+		if full && e.State != stateGone || !full && l.revisionOf[uid] > knownRevision {
 			update.endpoints = append(update.endpoints, e)
 		}
 	}
@@ -132,7 +132,8 @@
 	return update
 }
 
-// causeOutage makes the list unreachable in one way for a while.
+// causeOutage calls begin, which makes the list unreachable or slow, and after length calls end. It
+// records the outage.
 func (l *endpointList) causeOutage(begin, end func(), length time.Duration) {
 	from := time.Now()
 	begin()
@@ -143,6 +144,8 @@
 	l.mu.Unlock()
 }
 
+// setDown has every request for the list answered with an error, or ends that. Going down resets
+// all connections.
 func (l *endpointList) setDown(down bool) {
 	l.mu.Lock()
 	l.down = down
@@ -160,30 +163,31 @@
 	l.mu.Unlock()
 }
 
-// setProxies sets the mode of all proxies to the list.
-func (l *endpointList) setProxies(m proxyMode) {
+// setProxyMode sets the mode of all schedulers' proxies to the list.
+func (l *endpointList) setProxyMode(mode proxyMode) {
 	for _, s := range l.servers {
-		s.proxy.setMode(m)
+		s.proxy.setMode(mode)
 	}
 }
 
-// countsAsNotified is when a change counts as notified, whatever was written: the list could be
-// reached for pollInterval on end or, where changes are pushed, at all.
-func (l *endpointList) countsAsNotified(at time.Time) time.Time {
+// notificationDeadline returns when all schedulers count as notified of a change, whatever they were
+// sent: when the list has been reachable for maxPollDelay without a break or, if changes are pushed,
+// as soon as it is reachable.
+func (l *endpointList) notificationDeadline(at time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	within := pollInterval
+	reachableFor := maxPollDelay
 	if l.harness.endpointsPushed() {
-		within = 0
+		reachableFor = 0
 	}
-	for again := true; again; {
-		again = false
-		for _, o := range l.outages {
-			if !o.from.After(at.Add(within)) && o.to.After(at) {
-				at = o.to
-				again = true
+	for extended := true; extended; {
+		extended = false
+		for _, outage := range l.outages {
+			if !outage.from.After(at.Add(reachableFor)) && outage.to.After(at) {
+				at = outage.to
+				extended = true
 			}
 		}
 	}
-	return at.Add(within)
+	return at.Add(reachableFor)
 }
--- a/internal/lab/soak/fault_schedule.go
+++ b/internal/lab/soak/fault_schedule.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	faultInterval = 600 * time.Millisecond // at least, from one group of overlapping faults to the next; twice that at most
-	faultSpread   = 250 * time.Millisecond // in which the faults of one group begin
-	leastOverlap  = 2                      // faults of a group
-	overlapSpread = 2                      // how many sizes of a group there are
+	minFaultInterval  = 600 * time.Millisecond // from one group of overlapping faults to the next; at most twice this
+	maxFaultDelay     = 250 * time.Millisecond // the faults of a group start within this time
+	minGroupSize      = 2                      // fewest faults in a group
+	groupSizeVariants = 2                      // number of possible group sizes, from minGroupSize up
 )
 
-// faultKind is one kind of fault. inject injects the fault, waits and undoes it, and returns its
-// targets.
+// faultKind is a kind of fault. inject injects the fault, waits, undoes it, and returns the names of
+// its targets.
 type faultKind struct {
 	name   string
 	inject func(h *harness, rng *rand.Rand) (targets string)
 }
 
-// faultKinds are all kinds, in one order, as a seed draws them by their place.
+// faultKinds lists all kinds of faults. Their order is fixed, as a seed selects them by index.
 var faultKinds = slices.Concat(schedulerFaults, workerFaults, listFaults, clientFaults, systemFaults)
 
-// selectedFaults are the kinds that this run may inject.
+// selectedFaults returns the kinds of faults that this run may inject.
 func (h *harness) selectedFaults() []faultKind {
 	kinds := slices.Clone(faultKinds)
-	if h.endpointsPushed() { // when a change counts as notified behind a change of address is another rule, which is not checked
+	// With pushed updates, another rule says when a change counts as notified after the list has
+	// changed its address. The soak doesn't check that rule.
+	if h.endpointsPushed() {
 		kinds = slices.DeleteFunc(kinds, func(k faultKind) bool { return k.name == faultMove })
 	}
 	if len(h.Only) > 0 {
@@ -35,59 +37,61 @@
 	return kinds
 }
 
-// injectFaults begins groups of overlapping faults until the span is over.
+// injectFaults starts groups of overlapping faults until Config.Span has passed.
 func (h *harness) injectFaults() {
 	kinds := h.selectedFaults()
 	for end := time.Now().Add(h.Span); time.Now().Before(end); {
 		order := h.rng.Perm(len(kinds))
-		size := min(len(order), leastOverlap+h.rng.Intn(overlapSpread))
+		size := min(len(order), minGroupSize+h.rng.Intn(groupSizeVariants))
 		for _, n := range order[:size] {
 			kind := kinds[n]
-			rng := childSource(h.rng)
-			delay := time.Duration(h.rng.Int63n(int64(faultSpread)))
+			rng := childRand(h.rng)
+			delay := time.Duration(h.rng.Int63n(int64(maxFaultDelay)))
 			h.faultsRunning.Go(func() {
 				time.Sleep(delay)
 				h.injectFault(kind, rng)
 			})
 		}
-		time.Sleep(faultInterval + time.Duration(h.rng.Int63n(int64(faultInterval))))
+		time.Sleep(minFaultInterval + time.Duration(h.rng.Int63n(int64(minFaultInterval))))
 	}
 }
 
+// injectFault injects a fault, waits until it is undone, and records it.
 func (h *harness) injectFault(kind faultKind, rng *rand.Rand) {
-	at := h.sinceLoadBegan()
+	startedAt := h.sinceLoadStarted()
 	targets := kind.inject(h, rng)
 	h.mu.Lock()
-	h.injected = append(h.injected, InjectedFault{At: toMillis(at), Name: kind.name, On: targets})
+	h.injectedFaults = append(h.injectedFaults, InjectedFault{At: roundToMillis(startedAt), Name: kind.name, On: targets})
 	h.mu.Unlock()
 }
 
-// childSource is a random source of its own, which a source draws the seed of.
-func childSource(rng *rand.Rand) *rand.Rand { return rand.New(rand.NewSource(rng.Int63())) }
+// childRand returns a new random source, whose seed is drawn from rng.
+func childRand(rng *rand.Rand) *rand.Rand { return rand.New(rand.NewSource(rng.Int63())) }
 
-// faultTarget is what a fault is injected into; one that is claimed for a fault is spared by others.
+// faultTarget is a scheduler or worker that faults are injected into. While it is claimed for one
+// fault, other faults leave it out.
 type faultTarget interface {
 	claim() bool
 	unclaim()
 	label() string
 }
 
-func (s *scheduler) claim() bool   { return s.faulted.CompareAndSwap(false, true) }
-func (s *scheduler) unclaim()      { s.faulted.Store(false) }
+func (s *scheduler) claim() bool   { return s.claimed.CompareAndSwap(false, true) }
+func (s *scheduler) unclaim()      { s.claimed.Store(false) }
 func (s *scheduler) label() string { return s.name() }
 
-func (w *worker) claim() bool   { return w.faulted.CompareAndSwap(false, true) }
-func (w *worker) unclaim()      { w.faulted.Store(false) }
+func (w *worker) claim() bool   { return w.claimed.CompareAndSwap(false, true) }
+func (w *worker) unclaim()      { w.claimed.Store(false) }
 func (w *worker) label() string { return w.uid }
 
-// injectInto injects a fault into a part of the targets at once, at least one, and returns the
-// labels of those that were not claimed.
-func injectInto[T faultTarget](targets []T, part float64, rng *rand.Rand, inject func(T, *rand.Rand)) (labels string) {
+// injectInto picks a random fraction of the targets, at least one, injects a fault into all of them
+// at once except those that are claimed already, and returns the labels of the affected ones.
+func injectInto[T faultTarget](targets []T, fraction float64, rng *rand.Rand, inject func(T, *rand.Rand)) (labels string) {
 	var injections []func()
-	size := max(1, int(part*float64(len(targets))))
-	for _, n := range rng.Perm(len(targets))[:size] {
+	count := max(1, int(fraction*float64(len(targets))))
+	for _, n := range rng.Perm(len(targets))[:count] {
 		target := targets[n]
-		child := childSource(rng)
+		child := childRand(rng)
 		if !target.claim() {
 			continue
 		}
--- a/internal/lab/soak/harness.go
+++ b/internal/lab/soak/harness.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	schedulerNet = 96  // second byte of the schedulers' addresses in 127.0.0.0/8
-	peerNet      = 160 // second byte of everybody else's addresses
-	zones        = 3   // availability zones; schedulers and workers are dealt over them in turn
+	schedulerOctet = 96  // lowest second byte of the schedulers' address in 127.0.0.0/8
+	peerOctet      = 160 // lowest second byte of the address of all other listeners
+	zoneCount      = 3   // availability zones, assigned to schedulers and workers in rotation
 
-	usualDisconnectRate = 0.05 // part of the requests whose client disconnects
-	usualThinkFactor    = 1.0  // of thinkTime
+	defaultDisconnectRate = 0.05 // fraction of the requests whose client disconnects
+	defaultThinkFactor    = 1.0  // multiple of meanThinkTime
 )
 
 // harness is the state of one run.
@@ -28,16 +28,16 @@
 	endpoints      *endpointList
 	workers        []*worker
 	schedulers     []*scheduler
-	loadBegan      time.Time
+	loadStartedAt  time.Time
 	clientsRunning sync.WaitGroup
 	faultsRunning  sync.WaitGroup
 
 	mu             sync.Mutex
-	wallStep       time.Duration // by which the wall clock of the machine has been stepped
-	injected       []InjectedFault
+	wallOffset     time.Duration // by which the emulated wall clock has been stepped
+	injectedFaults []InjectedFault
 	outcomes       map[string]int
-	disconnectRate float64 // part of the requests whose client disconnects
-	thinkFactor    float64 // multiple of the usual time between two requests of a client
+	disconnectRate float64 // fraction of the requests whose client disconnects
+	thinkFactor    float64 // multiple of meanThinkTime that clients wait between two requests
 }
 
 func newHarness(ctx context.Context, c Config) *harness {
@@ -47,13 +47,13 @@
 		rng:            rand.New(rand.NewSource(c.Seed)),
 		observed:       newObservations(),
 		outcomes:       map[string]int{},
-		disconnectRate: usualDisconnectRate,
-		thinkFactor:    usualThinkFactor,
+		disconnectRate: defaultDisconnectRate,
+		thinkFactor:    defaultThinkFactor,
 	}
 }
 
-// open starts the endpoint list, the workers and the schedulers. What it started before an error is
-// left to close.
+// open starts the endpoint list, the workers and the schedulers. After an error, the caller must
+// call close to end those that were started.
 func (h *harness) open() error {
 	var err error
 	h.endpoints, err = newEndpointList(h)
@@ -93,6 +93,8 @@
 	}
 }
 
+// awaitReady waits until all schedulers are ready, and returns the longest time that one took from
+// its start.
 func (h *harness) awaitReady() (longest time.Duration) {
 	for _, s := range h.schedulers {
 		longest = max(longest, s.awaitReady(h))
@@ -108,7 +110,8 @@
 	concurrently(stops)
 }
 
-// discoveryMode is the setting Discovery: every other seed has endpoint updates pushed.
+// discoveryMode returns the setting Discovery: endpoint updates are pushed with even seeds and polled
+// with odd ones.
 func (h *harness) discoveryMode() string {
 	if h.endpointsPushed() {
 		return "push"
@@ -118,13 +121,14 @@
 
 func (h *harness) endpointsPushed() bool { return h.Seed%2 == 0 }
 
-func (h *harness) sinceLoadBegan() time.Duration { return time.Since(h.loadBegan) }
+func (h *harness) sinceLoadStarted() time.Duration { return time.Since(h.loadStartedAt) }
 
-// wallClockMillis is the wall clock of the machine, in Unix milliseconds, as workers report it.
+// wallClockMillis returns the time of the emulated wall clock in Unix milliseconds, as workers report
+// it.
 func (h *harness) wallClockMillis() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return time.Now().Add(h.wallStep).UnixMilli()
+	return time.Now().Add(h.wallOffset).UnixMilli()
 }
 
 func (h *harness) countOutcome(outcome string) {
@@ -133,24 +137,24 @@
 	h.mu.Unlock()
 }
 
-// updateLoad changes how the clients behave, under the lock.
+// updateLoad calls change, which sets how the clients behave, while holding the lock.
 func (h *harness) updateLoad(change func()) {
 	h.mu.Lock()
 	change()
 	h.mu.Unlock()
 }
 
-// openLog opens the file that a process of a scheduler logs to; the caller closes it.
+// openLog opens the log file of a scheduler's process for appending. The caller closes it.
 func (h *harness) openLog(name string) (*os.File, error) {
 	return os.OpenFile(filepath.Join(h.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// loopbackHost is a loopback address of this process, one for schedulers and one for all others: a
-// scheduler listens at its port only while it runs, and nobody else may be given that port
-// meanwhile.
-func loopbackHost(net int) string {
+// loopbackHost returns a loopback address that is derived from this process's ID. Schedulers have an
+// address apart from all other listeners: a scheduler listens at its port only while it runs, and no
+// other listener may be assigned that port in the meantime.
+func loopbackHost(baseOctet int) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", net+pid>>16&31, pid>>8&255, max(1, pid&255))
+	return fmt.Sprintf("127.%d.%d.%d", baseOctet+pid>>16&31, pid>>8&255, max(1, pid&255))
 }
 
 // concurrently runs all functions at once and waits for them.
--- a/internal/lab/soak/list_server.go
+++ b/internal/lab/soak/list_server.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// watchKeepAlive is the interval of the empty lines by which a watch shows that it is alive.
-const watchKeepAlive = 2 * time.Second
+// watchKeepAliveInterval is the time between the empty lines that show that an idle watch is alive.
+const watchKeepAliveInterval = 2 * time.Second
 
-// listServer is where one scheduler watches the endpoint list.
+// listServer serves the watches of one scheduler on the endpoint list.
 type listServer struct {
 	list      *endpointList
-	scheduler int
+	scheduler int // its number
 	listener  net.Listener
 	proxy     *proxy
 
@@ -25,7 +25,7 @@
 }
 
 func newListServer(l *endpointList, scheduler int) (*listServer, error) {
-	listener, err := net.Listen("tcp", loopbackHost(peerNet)+":0")
+	listener, err := net.Listen("tcp", loopbackHost(peerOctet)+":0")
 	if err != nil {
 		return nil, err
 	}
@@ -77,9 +77,9 @@
 	if err != nil {
 		return
 	}
-	known, err := strconv.Atoi(request.URL.Query().Get("index"))
+	knownRevision, err := strconv.Atoi(request.URL.Query().Get("index"))
 	if err != nil {
-		known = unknownRevision
+		knownRevision = noRevision
 	}
 	s.list.mu.Lock()
 	delay := s.list.delay
@@ -91,23 +91,23 @@
 		return
 	}
 	fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	s.watch(c, known)
+	s.watch(c, knownRevision)
 }
 
-// watch sends updates, and empty lines between them, until the connection or the run ends.
-func (s *listServer) watch(c net.Conn, known int) {
+// watch sends updates, and empty lines while there are none, until the connection or the run ends.
+func (s *listServer) watch(c net.Conn, knownRevision int) {
 	for first := true; ; first = false {
-		update := s.list.updateSince(known)
+		update := s.list.updateSince(knownRevision)
 		if len(update.text) > 0 || first {
 			if _, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(update.text)+1, update.text); err != nil {
 				return
 			}
 			s.recordSent(update)
 		}
-		known = update.revision
+		knownRevision = update.revision
 		select {
 		case <-update.changed:
-		case <-time.After(watchKeepAlive):
+		case <-time.After(watchKeepAliveInterval):
 			if _, err := fmt.Fprint(c, "1\r\n\n\r\n"); err != nil {
 				return
 			}
@@ -117,7 +117,7 @@
 	}
 }
 
-// recordSent records an update that was written, unless the proxy may delay it.
+// recordSent records that an update was sent, unless the proxy may still delay it.
 func (s *listServer) recordSent(update listUpdate) {
 	if mode, _ := s.proxy.currentMode(); mode == proxyForward {
 		s.list.harness.observed.addUpdateSent(s.scheduler, update.endpoints, time.Now())
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	malformedTimeout = 4 * time.Second // the scheduler has to close a connection without a whole request by then
-	malformedKinds   = 5
-	longText         = 200 // bytes from which a text may be answered and its connection stay open
+	malformedTimeout = 4 * time.Second // a scheduler must close a connection without a complete request within this time
+	malformedKinds   = 5               // kinds of malformed input
+	longTextBytes    = 200             // input of at least this length may get an answer, and its connection may stay open
 )
 
-// malformedText draws what a malformed client sends: a request that breaks off in its body, one
-// that breaks off anywhere, garbage, many requests at once, or nothing.
+// malformedText returns random input of a malformed client: a request that is cut off in its body,
+// one that is cut off anywhere, garbage, many requests at once, or nothing.
 func malformedText(rng *rand.Rand) string {
 	text := "POST /render/k HTTP/1.1\r\nHost: soak\r\nX-Call-Id: bad\r\nX-Call-Class: render\r\n" +
 		"X-Budget: 1.0\r\nContent-Length: 40\r\n\r\nhalf"
@@ -34,25 +34,25 @@
 	}
 }
 
-// sendMalformed is a client that breaks the protocol and waits, or disconnects at once. A scheduler
-// has to close its connection.
+// sendMalformed opens a connection, sends malformed input, and either disconnects at once or waits.
+// It records a violation if the scheduler doesn't close the connection in time.
 func (h *harness) sendMalformed(s *scheduler, rng *rand.Rand) {
-	conn, err := net.DialTimeout("tcp", s.address, dialTimeout)
+	conn, err := net.DialTimeout("tcp", s.address, clientDialTimeout)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(malformedTimeout))
 	text := malformedText(rng)
-	began := time.Now()
+	startedAt := time.Now()
 	io.WriteString(conn, text)
 	if rng.Intn(3) == 0 {
 		return
 	}
 	_, err = io.Copy(io.Discard, conn)
-	if !isTimeout(err) || s.frozenFor(began, time.Now()) > 0 || len(text) >= longText {
+	if !isTimeout(err) || s.frozenFor(startedAt, time.Now()) > 0 || len(text) >= longTextBytes {
 		return
 	}
-	detail := fmt.Sprintf("no end after %v of %q", toMillis(time.Since(began)), text[:min(20, len(text))])
+	detail := fmt.Sprintf("connection still open %v after %q", roundToMillis(time.Since(startedAt)), text[:min(20, len(text))])
 	h.observed.addViolation("F4 bad client", s.name(), detail)
 }
--- a/internal/lab/soak/observations.go
+++ b/internal/lab/soak/observations.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// observations are what the peers of the schedulers have seen. The lock guards the requests and
-// attempts too.
+// observations holds what the peers of the schedulers have seen. Its lock also guards the fields of
+// the requests and attempts.
 type observations struct {
 	mu           sync.Mutex
-	requests     map[string]*request // by call id
-	order        []*request
-	stateChanges map[string][]stateChange        // by worker's uid, oldest first
-	updatesSent  map[int]map[string][]updateSent // by scheduler and worker's uid
-	starts       map[string][]time.Time          // by worker's uid
+	requests     map[string]*request             // by ID
+	order        []*request                      // oldest first
+	stateChanges map[string][]stateChange        // by worker UID, oldest first
+	updatesSent  map[int]map[string][]updateSent // by scheduler number and worker UID
+	starts       map[string][]time.Time          // by worker UID
 	violations   []Violation
 }
 
@@ -23,14 +23,14 @@
 	at    time.Time
 }
 
-// updateSent is an entry that was written to a scheduler.
+// updateSent is an entry of the endpoint list that was sent to a scheduler.
 type updateSent struct {
 	state  string
 	bootMS int64
 	at     time.Time
 }
 
-// request is what is known of a client's request.
+// request is a client's request, with what was observed of it.
 type request struct {
 	observed  *observations
 	id        string
@@ -39,9 +39,9 @@
 	budget    time.Duration
 	work      time.Duration
 
-	sentAt         time.Time // for the last time, where its connection had ended; zero: not sent
-	disconnectedAt time.Time // zero: its client stayed
-	answeredAt     time.Time // or when the client gave up
+	sentAt         time.Time // the last time, if it was sent again as its connection was closed; zero: not sent
+	disconnectedAt time.Time // zero: its client did not disconnect
+	answeredAt     time.Time // when the client got the answer or gave up
 	status         int
 	body           string
 	failure        string // why there was no answer; empty: there was one
@@ -53,9 +53,9 @@
 	request        *request
 	worker         *worker
 	receivedAt     time.Time
-	budget         time.Duration // that the worker was sent
+	budget         time.Duration // that the scheduler sent with it
 	provedNotRunAt time.Time     // zero: it may have run
-	endedAt        time.Time     // when it ended or was cancelled; zero: not that the worker knows
+	endedAt        time.Time     // when it ended or was cancelled; zero: neither, as far as the worker knows
 }
 
 func newObservations() *observations {
@@ -73,12 +73,12 @@
 	o.mu.Unlock()
 }
 
-func (o *observations) addRequest(q *request) {
+func (o *observations) addRequest(req *request) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	q.observed = o
-	o.requests[q.id] = q
-	o.order = append(o.order, q)
+	req.observed = o
+	o.requests[req.id] = req
+	o.order = append(o.order, req)
 }
 
 func (o *observations) addStart(uid string, at time.Time) {
@@ -96,47 +96,48 @@
 func (o *observations) addUpdateSent(scheduler int, endpoints []endpoint, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	byWorker := o.updatesSent[scheduler]
-	if byWorker == nil {
-		byWorker = map[string][]updateSent{}
-		o.updatesSent[scheduler] = byWorker
+	updatesByWorker := o.updatesSent[scheduler]
+	if updatesByWorker == nil {
+		updatesByWorker = map[string][]updateSent{}
+		o.updatesSent[scheduler] = updatesByWorker
 	}
 	for _, e := range endpoints {
-		byWorker[e.UID] = append(byWorker[e.UID], updateSent{state: e.State, bootMS: e.BootMS, at: at})
+		updatesByWorker[e.UID] = append(updatesByWorker[e.UID], updateSent{state: e.State, bootMS: e.BootMS, at: at})
 	}
 }
 
-// addAttempt adds an attempt that a worker received; nil: no client has sent a request of that id,
-// which is a violation.
+// addAttempt records an attempt that a worker received. If no client has sent a request with that
+// ID, it records a violation and returns nil.
 func (o *observations) addAttempt(id string, w *worker, budget time.Duration, at time.Time) *attempt {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	q := o.requests[id]
-	if q == nil {
+	req := o.requests[id]
+	if req == nil {
 		o.violations = append(o.violations, Violation{Rule: "A4 request", Request: id, Detail: "no client has sent it"})
 		return nil
 	}
-	a := &attempt{request: q, worker: w, receivedAt: at, budget: budget}
-	q.attempts = append(q.attempts, a)
+	a := &attempt{request: req, worker: w, receivedAt: at, budget: budget}
+	req.attempts = append(req.attempts, a)
 	return a
 }
 
-// attemptCancelled records that a scheduler has cancelled a request's attempts at a worker.
+// attemptCancelled records that a scheduler has cancelled a request's attempts at a worker, which
+// end with that.
 func (o *observations) attemptCancelled(id, uid string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	q := o.requests[id]
-	if q == nil {
+	req := o.requests[id]
+	if req == nil {
 		return
 	}
-	for _, a := range q.attempts {
+	for _, a := range req.attempts {
 		if a.worker.uid == uid && a.endedAt.IsZero() {
 			a.endedAt = time.Now()
 		}
 	}
 }
 
-// markNotRun records that the scheduler is notified that the attempt has not run and will not.
+// markNotRun records that the scheduler is being told that the attempt has not run and never will.
 func (a *attempt) markNotRun() {
 	o := a.request.observed
 	o.mu.Lock()
@@ -154,36 +155,36 @@
 	o.mu.Unlock()
 }
 
-func (q *request) markSent(at time.Time) {
-	q.observed.mu.Lock()
-	q.sentAt = at
-	q.observed.mu.Unlock()
+func (req *request) markSent(at time.Time) {
+	req.observed.mu.Lock()
+	req.sentAt = at
+	req.observed.mu.Unlock()
 }
 
-// clearSent takes the sending back: the connection had ended before the request was read.
-func (q *request) clearSent() {
-	q.observed.mu.Lock()
-	q.sentAt = time.Time{}
-	q.observed.mu.Unlock()
+// clearSent marks the request as not sent: the connection was closed before the request was read.
+func (req *request) clearSent() {
+	req.observed.mu.Lock()
+	req.sentAt = time.Time{}
+	req.observed.mu.Unlock()
 }
 
-func (q *request) markDisconnected(at time.Time) {
-	q.observed.mu.Lock()
-	q.disconnectedAt = at
-	q.observed.mu.Unlock()
+func (req *request) markDisconnected(at time.Time) {
+	req.observed.mu.Lock()
+	req.disconnectedAt = at
+	req.observed.mu.Unlock()
 }
 
-func (q *request) markAnswered(at time.Time, status int, body string) {
-	q.observed.mu.Lock()
-	q.answeredAt = at
-	q.status = status
-	q.body = body
-	q.observed.mu.Unlock()
+func (req *request) markAnswered(at time.Time, status int, body string) {
+	req.observed.mu.Lock()
+	req.answeredAt = at
+	req.status = status
+	req.body = body
+	req.observed.mu.Unlock()
 }
 
-func (q *request) markUnanswered(at time.Time, why string) {
-	q.observed.mu.Lock()
-	q.answeredAt = at
-	q.failure = why
-	q.observed.mu.Unlock()
+func (req *request) markUnanswered(at time.Time, reason string) {
+	req.observed.mu.Lock()
+	req.answeredAt = at
+	req.failure = reason
+	req.observed.mu.Unlock()
 }
--- a/internal/lab/soak/peer_faults.go
+++ b/internal/lab/soak/peer_faults.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Targets of faults that are not injected into a part of the schedulers or workers.
+// Target names of faults that are not injected into single schedulers or workers.
 const (
 	targetAll     = "all"
 	targetClients = "clients"
@@ -19,18 +19,21 @@
 	{name: "watches reset", inject: resetWatches},
 }
 
+// failEndpointList has the list answer requests with an error for a while.
 func failEndpointList(h *harness, rng *rand.Rand) string {
 	l := h.endpoints
 	l.causeOutage(func() { l.setDown(true) }, func() { l.setDown(false) }, 500*time.Millisecond+millisUpTo(rng, 2500))
 	return targetAll
 }
 
+// silenceEndpointList freezes the connections to the list for a while.
 func silenceEndpointList(h *harness, rng *rand.Rand) string {
 	l := h.endpoints
-	l.causeOutage(func() { l.setProxies(proxyFreeze) }, func() { l.setProxies(proxyForward) }, 500*time.Millisecond+millisUpTo(rng, 4000))
+	l.causeOutage(func() { l.setProxyMode(proxyFreeze) }, func() { l.setProxyMode(proxyForward) }, 500*time.Millisecond+millisUpTo(rng, 4000))
 	return targetAll
 }
 
+// slowEndpointList delays the list's answers for a while.
 func slowEndpointList(h *harness, rng *rand.Rand) string {
 	l := h.endpoints
 	l.causeOutage(func() { l.setDelay(200*time.Millisecond + millisUpTo(rng, 1500)) }, func() { l.setDelay(0) }, 2*time.Second)
@@ -46,29 +49,31 @@
 
 var clientFaults = []faultKind{
 	{name: "leave", inject: disconnectClients},
-	{name: "burst", inject: burstOfRequests},
-	schedulerFault("bad clients", 0.5, malformedClients),
+	{name: "burst", inject: raiseRequestRate},
+	schedulerFault("bad clients", 0.5, startMalformedClients),
 }
 
+// disconnectClients has more clients than usual disconnect for a second.
 func disconnectClients(h *harness, _ *rand.Rand) string {
 	const highDisconnectRate = 0.6
 	h.updateLoad(func() { h.disconnectRate = highDisconnectRate })
 	time.Sleep(time.Second)
-	h.updateLoad(func() { h.disconnectRate = usualDisconnectRate })
+	h.updateLoad(func() { h.disconnectRate = defaultDisconnectRate })
 	return targetClients
 }
 
-func burstOfRequests(h *harness, _ *rand.Rand) string {
+// raiseRequestRate has clients wait less between requests for a second.
+func raiseRequestRate(h *harness, _ *rand.Rand) string {
 	const burstThinkFactor = 0.4
 	h.updateLoad(func() { h.thinkFactor = burstThinkFactor })
 	time.Sleep(time.Second)
-	h.updateLoad(func() { h.thinkFactor = usualThinkFactor })
+	h.updateLoad(func() { h.thinkFactor = defaultThinkFactor })
 	return targetClients
 }
 
-func malformedClients(h *harness, s *scheduler, rng *rand.Rand) {
+func startMalformedClients(h *harness, s *scheduler, rng *rand.Rand) {
 	for range 8 {
-		child := childSource(rng)
+		child := childRand(rng)
 		h.faultsRunning.Go(func() { h.sendMalformed(s, child) })
 	}
 }
@@ -78,22 +83,23 @@
 	schedulerFault("calls fail", 0.4, failSystemCalls),
 }
 
-// stepWallClock steps the machine's wall clock by up to an hour, forth or back.
+// stepWallClock steps the emulated wall clock by up to an hour, forward or backward.
 func stepWallClock(h *harness, rng *rand.Rand) string {
-	by := time.Duration(1+rng.Intn(3600)) * time.Second
+	offset := time.Duration(1+rng.Intn(3600)) * time.Second
 	if rng.Intn(2) == 0 {
-		by = -by
+		offset = -offset
 	}
-	h.stepClock(by)
-	return fmt.Sprint(targetAll, ", by ", by)
+	h.stepClock(offset)
+	return fmt.Sprint(targetAll, ", by ", offset)
 }
 
+// failSystemCalls has connects, accepts and polls of a scheduler fail for a while.
 func failSystemCalls(h *harness, s *scheduler, rng *rand.Rand) {
-	h.setShims(s, Faults{
+	h.setSystemFaults(s, Faults{
 		Connect:     connectErrors[rng.Intn(len(connectErrors))],
 		Accept:      acceptErrors[rng.Intn(len(acceptErrors))],
 		Interrupted: 0.3,
 	})
 	time.Sleep(300*time.Millisecond + millisUpTo(rng, 900))
-	h.setShims(s, Faults{})
+	h.setSystemFaults(s, Faults{})
 }
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// process is one process of a scheduler; the scheduler's lock guards its times and its error.
+// process is one operating system process of a scheduler. The scheduler's lock guards its times and
+// its error.
 type process struct {
-	cmd           *exec.Cmd
-	began         time.Time
-	killed        time.Time     // when the harness killed it; zero: it did not
-	stopRequested time.Time     // when the harness sent SIGTERM; zero: it did not
-	exited        chan struct{} // closed at its exit
-	err           error         // of its exit
-	log           string        // path of its log
+	cmd             *exec.Cmd
+	startedAt       time.Time
+	killedAt        time.Time     // when the harness killed it; zero: it did not
+	stopRequestedAt time.Time     // when the harness sent SIGTERM; zero: it did not
+	exited          chan struct{} // closed at its exit
+	err             error         // result of its exit
+	log             string        // path of its log
 }
 
-// interval is a stretch of time.
+// interval is a span of time.
 type interval struct {
 	from time.Time
-	to   time.Time // zero: it has no end
+	to   time.Time // zero: it is open-ended
 }
 
 func (i interval) overlaps(from, to time.Time) bool {
@@ -33,12 +34,12 @@
 
 func (s *scheduler) requestStop(p *process) {
 	s.mu.Lock()
-	p.stopRequested = time.Now()
+	p.stopRequestedAt = time.Now()
 	s.mu.Unlock()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// stop has the current process shut down gracefully, and kills it where it does not.
+// stop shuts the current process down gracefully, and kills it if it doesn't exit in time.
 func (s *scheduler) stop(h *harness) {
 	p := s.current()
 	select {
@@ -47,7 +48,7 @@
 	default:
 	}
 	s.requestStop(p)
-	time.AfterFunc(frontDelay, func() {
+	time.AfterFunc(routingDelay, func() {
 		if s.current() == p {
 			s.routed.Store(false)
 		}
@@ -55,17 +56,18 @@
 	s.awaitExit(h, p)
 }
 
-// awaitExit waits for a process that was asked to stop, and kills one that is late.
+// awaitExit waits for the exit of a process that was asked to stop. If the process is late, it
+// records a violation and kills the process.
 func (s *scheduler) awaitExit(h *harness, p *process) {
 	select {
 	case <-p.exited:
 	case <-time.After(stopWithin):
-		h.observed.addViolation("F2 stop", s.name(), fmt.Sprintf("still there %v after SIGTERM", stopWithin))
+		h.observed.addViolation("F2 stop", s.name(), fmt.Sprintf("still running %v after SIGTERM", stopWithin))
 		s.killProcess(p)
 	}
 }
 
-// kill kills all processes that are left.
+// kill kills all processes that are still running.
 func (s *scheduler) kill() {
 	s.mu.Lock()
 	processes := s.processes
@@ -81,13 +83,13 @@
 
 func (s *scheduler) killProcess(p *process) {
 	s.mu.Lock()
-	p.killed = time.Now()
+	p.killedAt = time.Now()
 	s.mu.Unlock()
 	p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// freeze stops the current process for a while.
+// freeze suspends the current process for a while.
 func (s *scheduler) freeze(length time.Duration) {
 	p := s.current()
 	from := time.Now()
@@ -99,34 +101,34 @@
 	s.mu.Unlock()
 }
 
-// frozenFor returns the length of the freezes that overlap an interval.
+// frozenFor returns the total length of all freezes that overlap an interval.
 func (s *scheduler) frozenFor(from, to time.Time) (length time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, f := range s.freezes {
-		if f.overlaps(from, to) {
-			length += f.to.Sub(f.from)
+	for _, freeze := range s.freezes {
+		if freeze.overlaps(from, to) {
+			length += freeze.to.Sub(freeze.from)
 		}
 	}
 	return length
 }
 
-// frozenTooLong says whether it was frozen for longer than a scheduler has to tolerate; the lock is
+// frozenTooLong reports whether a freeze was longer than a scheduler has to tolerate. The lock must be
 // held.
 func (s *scheduler) frozenTooLong() bool {
-	return slices.ContainsFunc(s.freezes, func(f interval) bool { return f.to.Sub(f.from) > pauseTolerated })
+	return slices.ContainsFunc(s.freezes, func(freeze interval) bool { return freeze.to.Sub(freeze.from) > maxToleratedPause })
 }
 
-// wasKilled says whether a process that began before an interval was killed before its end.
+// wasKilled reports whether a process that started before the time from was killed before the time to.
 func (s *scheduler) wasKilled(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.processes {
-		if p.killed.IsZero() || !p.began.Before(from) {
+		if p.killedAt.IsZero() || !p.startedAt.Before(from) {
 			continue
 		}
-		dead := interval{from: p.killed}
-		if dead.overlaps(from, to) {
+		afterKill := interval{from: p.killedAt}
+		if afterKill.overlaps(from, to) {
 			return true
 		}
 	}
@@ -135,24 +137,24 @@
 
 const ruleCrash = "G4 crash"
 
-// processViolations are the violations that the logs and the exits of the processes show.
+// processViolations returns the violations that the logs and the exits of the processes show.
 func (s *scheduler) processViolations() (violations []Violation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n, p := range s.processes {
 		name := s.processName(n)
-		if p.killed.IsZero() && p.err != nil {
+		if p.killedAt.IsZero() && p.err != nil {
 			violations = append(violations, Violation{Rule: ruleCrash, Request: name, Detail: p.err.Error()})
 		}
-		if p.killed.IsZero() && p.stopRequested.IsZero() {
-			violations = append(violations, Violation{Rule: ruleCrash, Request: name, Detail: "it ended by itself"})
+		if p.killedAt.IsZero() && p.stopRequestedAt.IsZero() {
+			violations = append(violations, Violation{Rule: ruleCrash, Request: name, Detail: "exited without a request to stop"})
 		}
 		violations = append(violations, s.logViolations(name, p.log)...)
 	}
 	return violations
 }
 
-// logViolations are the violations that one log shows; the lock is held.
+// logViolations returns the violations that one log shows. The lock must be held.
 func (s *scheduler) logViolations(name, path string) (violations []Violation) {
 	text, _ := os.ReadFile(path)
 	for line := range strings.Lines(string(text)) {
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// proxyMode is what a proxy does with connections.
+// proxyMode is how a proxy treats connections.
 type proxyMode uint8
 
 const (
 	proxyForward proxyMode = iota
-	proxyFreeze            // nothing is forwarded, and connections stay open
+	proxyFreeze            // nothing is forwarded, but connections stay open
 	proxyRefuse            // new connections are reset
 	proxyDelay             // the first bytes of new connections are delayed
 )
 
 const (
-	connectDelay = 300 * time.Millisecond // in proxyDelay
-	copyBuffer   = 8 << 10                // bytes
+	connectDelay    = 300 * time.Millisecond // in proxyDelay
+	copyBufferBytes = 8 << 10
 )
 
-// proxy forwards connections of schedulers to a peer of theirs, and injects faults of the network.
+// proxy forwards connections from schedulers to one of their peers, and injects network faults.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -32,11 +32,11 @@
 	mode       proxyMode
 	changed    chan struct{} // closed when the mode changes
 	conns      map[net.Conn]struct{}
-	receivedAt map[string]time.Time // of the last bytes from the scheduler, by the address that the target sees
+	receivedAt map[string]time.Time // time of the last bytes from the scheduler, by the peer address that the target sees
 }
 
 func newProxy(target string) (*proxy, error) {
-	l, err := net.Listen("tcp", loopbackHost(peerNet)+":0")
+	l, err := net.Listen("tcp", loopbackHost(peerOctet)+":0")
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-// abort closes a connection by a reset.
+// abort closes a connection with a reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -101,15 +101,15 @@
 	}
 }
 
-func (p *proxy) serve(near net.Conn) {
+func (p *proxy) serve(downstream net.Conn) {
 	mode, _ := p.currentMode()
 	if mode == proxyRefuse {
-		abort(near)
+		abort(downstream)
 		return
 	}
-	far, err := net.Dial("tcp", p.target)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
-		abort(near)
+		abort(downstream)
 		return
 	}
 	var delay time.Duration
@@ -117,32 +117,32 @@
 		delay = connectDelay
 	}
 	p.mu.Lock()
-	p.conns[near] = struct{}{}
-	p.conns[far] = struct{}{}
+	p.conns[downstream] = struct{}{}
+	p.conns[upstream] = struct{}{}
 	p.mu.Unlock()
-	name := far.LocalAddr().String()
+	peer := upstream.LocalAddr().String()
 	var copying sync.WaitGroup
-	copying.Go(func() { p.copyOneWay(near, far, delay, func() { p.markReceived(name) }) })
-	copying.Go(func() { p.copyOneWay(far, near, 0, func() {}) })
+	copying.Go(func() { p.copyOneWay(downstream, upstream, delay, func() { p.markReceived(peer) }) })
+	copying.Go(func() { p.copyOneWay(upstream, downstream, 0, func() {}) })
 	copying.Wait()
-	near.Close()
-	far.Close()
+	downstream.Close()
+	upstream.Close()
 	p.mu.Lock()
-	delete(p.conns, near)
-	delete(p.conns, far)
-	delete(p.receivedAt, name)
+	delete(p.conns, downstream)
+	delete(p.conns, upstream)
+	delete(p.receivedAt, peer)
 	p.mu.Unlock()
 }
 
-func (p *proxy) markReceived(name string) {
+func (p *proxy) markReceived(peer string) {
 	p.mu.Lock()
-	p.receivedAt[name] = time.Now()
+	p.receivedAt[peer] = time.Now()
 	p.mu.Unlock()
 }
 
-// lastReceived is when the last bytes were received that were forwarded over a connection, which
-// the target knows by its peer's address. The proxy may have delayed them since. It is now where
-// the connection has ended meanwhile.
+// lastReceived returns when the proxy last received bytes to forward over a connection, which the
+// target knows by its peer address. The proxy may have delayed them since then. If the connection has
+// ended, it returns the current time.
 func (p *proxy) lastReceived(peer net.Addr) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,21 +152,21 @@
 	return time.Now()
 }
 
-// copyOneWay forwards one way until that ends for whatever reason, the first bytes after a delay. A
-// reset is forwarded as a reset. received is called when bytes have been read, before they are
-// delayed.
+// copyOneWay forwards one direction of a connection until it ends or fails, and delays the first
+// bytes. A reset is forwarded as a reset. received is called when bytes have been read, before they
+// are delayed.
 func (p *proxy) copyOneWay(from, to net.Conn, delay time.Duration, received func()) {
-	b := make([]byte, copyBuffer)
+	buffer := make([]byte, copyBufferBytes)
 	for {
-		n, err := from.Read(b)
+		n, err := from.Read(buffer)
 		if n > 0 {
 			received()
 		}
 		time.Sleep(delay)
 		delay = 0
-		p.awaitThaw()
+		p.awaitUnfrozen()
 		if n > 0 {
-			if _, failed := to.Write(b[:n]); failed != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				abort(from)
 				return
 			}
@@ -178,8 +178,8 @@
 	}
 }
 
-// awaitThaw waits until the proxy is not frozen.
-func (p *proxy) awaitThaw() {
+// awaitUnfrozen waits until the proxy is not frozen.
+func (p *proxy) awaitUnfrozen() {
 	for {
 		mode, changed := p.currentMode()
 		if mode != proxyFreeze {
@@ -189,7 +189,8 @@
 	}
 }
 
-// forwardClose closes one direction as the other side's was: in order at its end, by a reset otherwise.
+// forwardClose ends one direction as the other side ended it: with an orderly close after an EOF,
+// with a reset after any other error.
 func forwardClose(to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if ok && errors.Is(err, io.EOF) {
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	socketSlack     = 50 * time.Millisecond  // that the rules grant on sockets
-	pauseTolerated  = 150 * time.Millisecond // a scheduler that pauses for longer can't keep to its deadlines
-	disconnectSlack = 100 * time.Millisecond // an attempt may begin so long after its client has disconnected
-	budgetSlack     = 150 * time.Millisecond // of the deadline that an attempt is sent
-	// observationSlack is how late this process may see things, as it shares the machine with all
-	// schedulers.
+	socketSlack       = 50 * time.Millisecond  // tolerance that the rules grant for socket operations
+	maxToleratedPause = 150 * time.Millisecond // a scheduler that is paused for longer can't meet its deadlines
+	disconnectSlack   = 100 * time.Millisecond // an attempt may start this long after its client has disconnected
+	budgetSlack       = 150 * time.Millisecond // tolerance for the budget that is sent with an attempt
+	// observationSlack is how late this process may observe an event, as it shares the machine with
+	// all schedulers.
 	observationSlack = 150 * time.Millisecond
-	// unansweredAfter is the time after a client's deadline at which it gives up.
-	unansweredAfter = 500*time.Millisecond + observationSlack
+	// clientGiveUpDelay is how long after its deadline a client gives up waiting for an answer.
+	clientGiveUpDelay = 500*time.Millisecond + observationSlack
 )
 
-// check checks what was seen against the rules, and reports it.
+// check checks the observations against the rules, and adds counts and violations to the report.
 func (o *observations) check(h *harness, report *Report) {
 	for _, s := range h.schedulers {
 		report.Violations = append(report.Violations, s.processViolations()...)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, q := range o.order {
-		report.Attempts += len(q.attempts)
-		if !q.disconnectedAt.IsZero() {
+	for _, req := range o.order {
+		report.Attempts += len(req.attempts)
+		if !req.disconnectedAt.IsZero() {
 			report.Disconnects++
 		}
-		o.checkAnswer(q)
-		for n, a := range q.attempts {
+		o.checkAnswer(req)
+		for n, a := range req.attempts {
 			o.checkClientWaits(a)
 			o.checkBudget(a)
-			o.checkRetry(q, n)
+			o.checkRetry(req, n)
 			o.checkDrain(h, a)
 		}
 	}
@@ -44,105 +44,106 @@
 	report.Violations = append(report.Violations, o.violations...)
 }
 
-// requestViolation adds a violation at a request; the lock is held.
-func (o *observations) requestViolation(rule string, q *request, format string, args ...any) {
+// addRequestViolation records that a rule was violated at a request. The lock must be held.
+func (o *observations) addRequestViolation(rule string, req *request, format string, args ...any) {
 	o.violations = append(o.violations, Violation{
 		Rule:    rule,
-		Request: fmt.Sprintf("%s at %s", q.id, q.scheduler.name()),
+		Request: fmt.Sprintf("%s at %s", req.id, req.scheduler.name()),
 		Detail:  fmt.Sprintf(format, args...),
 	})
 }
 
-func toMillis(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+func roundToMillis(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// checkAnswer: a request gets one final answer in time, that of a worker, and is rejected only
-// where a retry is harmless.
-func (o *observations) checkAnswer(q *request) {
-	if !q.disconnectedAt.IsZero() || q.sentAt.IsZero() {
+// checkAnswer checks that a request got a final answer in time, that a result is the worker's, and
+// that the request was rejected only if a retry is harmless.
+func (o *observations) checkAnswer(req *request) {
+	if !req.disconnectedAt.IsZero() || req.sentAt.IsZero() {
 		return
 	}
-	if q.failure != "" {
-		o.checkUnanswered(q)
+	if req.failure != "" {
+		o.checkUnanswered(req)
 		return
 	}
-	took := q.answeredAt.Sub(q.sentAt)
+	took := req.answeredAt.Sub(req.sentAt)
 	switch {
-	case q.status == http.StatusOK && q.body != resultOf(q.id):
-		o.requestViolation("A4 result", q, "got %q", q.body)
-	case q.status == http.StatusConflict || q.status == http.StatusBadRequest || q.status == http.StatusNotFound:
-		o.requestViolation("A2 read", q, "answered %d", q.status)
-	case took > q.budget+socketSlack+observationSlack+q.frozenFor():
-		o.requestViolation("A1 late", q, "answered %d after %v of %v", q.status, toMillis(took), q.budget)
-	case q.status == http.StatusServiceUnavailable || q.status == http.StatusTooManyRequests:
-		o.checkRejection(q)
+	case req.status == http.StatusOK && req.body != resultOf(req.id):
+		o.addRequestViolation("A4 result", req, "got %q", req.body)
+	case req.status == http.StatusConflict || req.status == http.StatusBadRequest || req.status == http.StatusNotFound:
+		o.addRequestViolation("A2 read", req, "answered %d", req.status)
+	case took > req.budget+socketSlack+observationSlack+req.frozenFor():
+		o.addRequestViolation("A1 late", req, "answered %d after %v, budget %v", req.status, roundToMillis(took), req.budget)
+	case req.status == http.StatusServiceUnavailable || req.status == http.StatusTooManyRequests:
+		o.checkRejection(req)
 	}
 }
 
-// checkUnanswered: only a scheduler that was killed or frozen may fail to answer.
-func (o *observations) checkUnanswered(q *request) {
-	if q.frozenFor() > pauseTolerated || q.scheduler.wasKilled(q.sentAt, q.answeredAt) {
+// checkUnanswered checks that the scheduler of an unanswered request was killed or frozen.
+func (o *observations) checkUnanswered(req *request) {
+	if req.frozenFor() > maxToleratedPause || req.scheduler.wasKilled(req.sentAt, req.answeredAt) {
 		return
 	}
-	took := q.answeredAt.Sub(q.sentAt)
-	o.requestViolation("A1 answer", q, "%s after %v of %v, %d attempts", q.failure, toMillis(took), q.budget, len(q.attempts))
+	took := req.answeredAt.Sub(req.sentAt)
+	o.addRequestViolation("A1 answer", req, "%s after %v, budget %v, %d attempts", req.failure, roundToMillis(took), req.budget, len(req.attempts))
 }
 
-// frozenFor is how long the scheduler was frozen while it had the request.
-func (q *request) frozenFor() time.Duration {
-	return q.scheduler.frozenFor(q.sentAt.Add(-observationSlack), q.answeredAt)
+// frozenFor returns how long the scheduler was frozen while it had the request.
+func (req *request) frozenFor() time.Duration {
+	return req.scheduler.frozenFor(req.sentAt.Add(-observationSlack), req.answeredAt)
 }
 
-// checkRejection: a request is rejected only where none of its attempts may have run, or where it
-// may run again anywhere.
-func (o *observations) checkRejection(q *request) {
-	if q.class.effect == effectReadLike || q.class.dedupScope == scopeAll {
+// checkRejection checks that a rejected request may run again anywhere, or that none of its attempts
+// may have run.
+func (o *observations) checkRejection(req *request) {
+	if req.class.effect == effectReadLike || req.class.dedupScope == scopeAll {
 		return
 	}
-	for _, a := range q.attempts {
+	for _, a := range req.attempts {
 		if a.provedNotRunAt.IsZero() {
-			o.requestViolation("A5 refusal", q, "refused, and %s may have run it", a.worker.uid)
+			o.addRequestViolation("A5 refusal", req, "rejected, though %s may have run it", a.worker.uid)
 		}
 	}
 }
 
-// checkClientWaits: no attempt begins after the client has disconnected or has its answer.
+// checkClientWaits checks that an attempt didn't start after its client had disconnected or had its
+// answer.
 func (o *observations) checkClientWaits(a *attempt) {
-	q := a.request
+	req := a.request
 	const slack = disconnectSlack + observationSlack
-	late := a.receivedAt.Sub(q.disconnectedAt)
-	if !q.disconnectedAt.IsZero() && late > slack {
-		o.requestViolation("A3 left", q, "sent to %s %v after its client had left", a.worker.uid, toMillis(late))
+	late := a.receivedAt.Sub(req.disconnectedAt)
+	if !req.disconnectedAt.IsZero() && late > slack {
+		o.addRequestViolation("A3 left", req, "sent to %s %v after its client had disconnected", a.worker.uid, roundToMillis(late))
 	}
-	late = a.receivedAt.Sub(q.answeredAt)
-	if !q.answeredAt.IsZero() && q.failure == "" && late > slack {
-		o.requestViolation("A3 answered", q, "sent to %s %v after its answer", a.worker.uid, toMillis(late))
+	late = a.receivedAt.Sub(req.answeredAt)
+	if !req.answeredAt.IsZero() && req.failure == "" && late > slack {
+		o.addRequestViolation("A3 answered", req, "sent to %s %v after its answer", a.worker.uid, roundToMillis(late))
 	}
 }
 
-// checkBudget: an attempt is sent what is left of the client's budget at most.
+// checkBudget checks that the budget sent with an attempt is at most what is left of the client's.
 func (o *observations) checkBudget(a *attempt) {
-	q := a.request
-	if q.sentAt.IsZero() {
+	req := a.request
+	if req.sentAt.IsZero() {
 		return
 	}
-	left := q.sentAt.Add(q.budget).Sub(a.receivedAt)
-	if a.budget > left+budgetSlack+observationSlack+q.scheduler.frozenFor(q.sentAt, a.receivedAt) {
-		o.requestViolation("E1 deadline", q, "%s was sent %v and %v was left", a.worker.uid, toMillis(a.budget), toMillis(left))
+	left := req.sentAt.Add(req.budget).Sub(a.receivedAt)
+	if a.budget > left+budgetSlack+observationSlack+req.scheduler.frozenFor(req.sentAt, a.receivedAt) {
+		o.addRequestViolation("E1 deadline", req, "%s was sent %v, but only %v was left", a.worker.uid, roundToMillis(a.budget), roundToMillis(left))
 	}
 }
 
-// checkRetry: the n-th attempt keeps to what the effect class, the deduplication window and scope,
-// and the limit on copies allow.
-func (o *observations) checkRetry(q *request, n int) {
-	a := q.attempts[n]
-	var first *attempt // that may have run
-	for _, before := range q.attempts[:n] {
-		if first == nil && before.mayHaveRunAt(a.receivedAt) {
-			first = before
+// checkRetry checks that the effect class and the deduplication window and scope of the request allow
+// its n-th attempt, and that no earlier attempt is in flight at the same worker.
+func (o *observations) checkRetry(req *request, n int) {
+	a := req.attempts[n]
+	var first *attempt // the first that may have run
+	for _, earlier := range req.attempts[:n] {
+		if first == nil && earlier.mayHaveRunAt(a.receivedAt) {
+			first = earlier
 		}
-		if before.worker == a.worker && before.isInFlight(a.receivedAt.Add(observationSlack)) {
-			after := a.receivedAt.Sub(before.receivedAt)
-			o.requestViolation("B3 one worker", q, "sent to %s again %v later, with the first one out", a.worker.uid, toMillis(after))
+		if earlier.worker == a.worker && earlier.isInFlight(a.receivedAt.Add(observationSlack)) {
+			after := a.receivedAt.Sub(earlier.receivedAt)
+			o.addRequestViolation("B3 one worker", req, "sent to %s again after %v, with an attempt in flight there", a.worker.uid, roundToMillis(after))
 		}
 	}
 	if first != nil {
@@ -150,7 +151,7 @@
 	}
 }
 
-// mayHaveRunAt says whether it was not known at a moment that the attempt has not run.
+// mayHaveRunAt reports whether, at a given time, nothing had proved that the attempt had not run.
 func (a *attempt) mayHaveRunAt(at time.Time) bool {
 	return a.provedNotRunAt.IsZero() || a.provedNotRunAt.After(at)
 }
@@ -159,19 +160,20 @@
 	return a.endedAt.IsZero() || a.endedAt.After(at)
 }
 
-// checkRetryAfter: attempt a of the same request is allowed after the first that may have run.
+// checkRetryAfter checks that attempt a is allowed after first, the first attempt of the same request
+// that may have run.
 func (o *observations) checkRetryAfter(first, a *attempt) {
-	q := a.request
+	req := a.request
 	after := a.receivedAt.Sub(first.receivedAt)
-	switch q.class.effect {
+	switch req.class.effect {
 	case effectNonIdempotent:
-		o.requestViolation("B1 once", q, "sent to %s %v after %s may have run it", a.worker.uid, toMillis(after), first.worker.uid)
+		o.addRequestViolation("B1 once", req, "sent to %s %v after %s may have run it", a.worker.uid, roundToMillis(after), first.worker.uid)
 	case effectKeyed:
 		if first.worker.zone != a.worker.zone {
-			o.requestViolation("B2 group", q, "sent to %s, outside the zone of %s", a.worker.uid, first.worker.uid)
+			o.addRequestViolation("B2 group", req, "sent to %s, outside the zone of %s", a.worker.uid, first.worker.uid)
 		}
 		if after > dedupWindow+socketSlack {
-			o.requestViolation("B2 window", q, "sent to %s %v after %s", a.worker.uid, toMillis(after), first.worker.uid)
+			o.addRequestViolation("B2 window", req, "sent to %s %v after %s", a.worker.uid, roundToMillis(after), first.worker.uid)
 		}
 	}
 }
--- a/internal/lab/soak/scheduler.go
+++ b/internal/lab/soak/scheduler.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	frontDelay        = 300 * time.Millisecond // new connections go on coming for so long after an order to stop
-	schedulerCallTime = time.Second            // timeout of a call to a scheduler's operators' paths
-	readyPollInterval = 10 * time.Millisecond
+	routingDelay         = 300 * time.Millisecond // clients open new connections for this long after a request to stop
+	schedulerCallTimeout = time.Second            // timeout of a request to a scheduler's operator paths
+	readyPollInterval    = 10 * time.Millisecond
 )
 
-// scheduler is one address, and the processes that serve there in turn.
+// scheduler is the address of a scheduler and the processes that serve it, one after another.
 type scheduler struct {
 	number          int
 	address         string
 	dir             string
 	client          *http.Client
 	settingsVariant int
-	routed          atomic.Bool // new connections are sent to it
-	faulted         atomic.Bool // a fault is being injected into it
+	routed          atomic.Bool // clients open new connections to it
+	claimed         atomic.Bool // a fault is being injected into it
 
 	mu        sync.Mutex
-	processes []*process
+	processes []*process // oldest first
 	freezes   []interval
 
-	shims Faults // guarded by the harness's lock
+	systemFaults Faults // guarded by the harness's lock
 }
 
 func newScheduler(h *harness, number int) (*scheduler, error) {
-	l, err := net.Listen("tcp", loopbackHost(schedulerNet)+":0")
+	l, err := net.Listen("tcp", loopbackHost(schedulerOctet)+":0")
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close() // the address stays reserved, as nobody else listens at this host
+	defer l.Close() // the port stays free, as only schedulers listen at this host
 	s := &scheduler{
 		number:  number,
 		address: l.Addr().String(),
-		client:  &http.Client{Timeout: schedulerCallTime, Transport: &http.Transport{DisableKeepAlives: true}},
+		client:  &http.Client{Timeout: schedulerCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	s.dir = filepath.Join(h.Dir, s.name())
 	return s, os.MkdirAll(s.tempDir(), 0o700)
@@ -57,7 +57,7 @@
 
 func (s *scheduler) processName(n int) string { return fmt.Sprintf("%s-%d", s.name(), n) }
 
-// start starts one more process at the address.
+// start starts a further process at the scheduler's address.
 func (s *scheduler) start(h *harness) error {
 	if err := s.configure(h, h.endpoints.servers[s.number].proxy.addr()); err != nil {
 		return err
@@ -69,11 +69,11 @@
 		return err
 	}
 	defer log.Close()
-	p := &process{cmd: exec.Command(h.Program), began: time.Now(), exited: make(chan struct{}), log: log.Name()}
+	p := &process{cmd: exec.Command(h.Program), startedAt: time.Now(), exited: make(chan struct{}), log: log.Name()}
 	p.cmd.Env = []string{
 		"PROXY_CONFIG=" + s.configPath(),
 		"TMPDIR=" + s.tempDir(),
-		ShimsVariable + "=" + h.shimsFile(s.number),
+		ShimsVariable + "=" + h.systemFaultsFile(s.number),
 	}
 	p.cmd.Stderr = log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// awaitProcess records how a process exits; the harness's close kills those that are left.
+// awaitProcess waits until a process exits, and records the result. harness.close kills the processes
+// that are still running then.
 func (s *scheduler) awaitProcess(p *process) {
 	err := p.cmd.Wait()
 	s.mu.Lock()
@@ -94,7 +95,7 @@
 	close(p.exited)
 }
 
-// current is the process that was started last; nil before the first.
+// current returns the process that was started last, and nil before the first.
 func (s *scheduler) current() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,24 +105,25 @@
 	return s.processes[len(s.processes)-1]
 }
 
-// awaitReady waits until the scheduler is ready, and returns how long that took from the start of
-// its process.
+// awaitReady waits until the scheduler is ready, and returns the time since the start of its process.
+// A scheduler that is late is recorded as a violation.
 func (s *scheduler) awaitReady(h *harness) time.Duration {
-	began := s.current().began
-	for time.Since(began) < 2*readyWithin {
+	startedAt := s.current().startedAt
+	for time.Since(startedAt) < 2*readyWithin {
 		if s.isReady() {
 			s.routed.Store(true)
 			break
 		}
 		time.Sleep(readyPollInterval)
 	}
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	if took > readyWithin {
 		h.observed.addViolation("F1 ready", s.name(), fmt.Sprintf("not ready after %v", took.Round(time.Millisecond)))
 	}
 	return took
 }
 
+// isReady reports whether the scheduler answers its readiness check with 200.
 func (s *scheduler) isReady() bool {
 	response, err := s.client.Get("http://" + s.address + "/-/ready")
 	if err != nil {
@@ -140,15 +142,16 @@
 	s.awaitReady(h)
 }
 
-// replace has a second process take over the address, and stops the first.
+// replace starts a second process, which takes over the address, and then stops the first.
 func (s *scheduler) replace(h *harness) {
-	before := s.current()
+	predecessor := s.current()
 	s.startAndAwaitReady(h)
-	s.requestStop(before)
-	s.awaitExit(h, before)
+	s.requestStop(predecessor)
+	s.awaitExit(h, predecessor)
 }
 
-// reload writes the configuration with an address of the list and has the process read it.
+// reload writes the configuration with a given address of the endpoint list, and has the current
+// process read it.
 func (s *scheduler) reload(h *harness, discovery string) {
 	if s.configure(h, discovery) != nil {
 		return
--- a/internal/lab/soak/scheduler_config.go
+++ b/internal/lab/soak/scheduler_config.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	drainGrace     = 500 * time.Millisecond  // in which attempts may still go to a worker that is known to drain
-	pollInterval   = 6 * time.Second         // a change of a list that can be reached for so long counts as notified
-	longestTimeout = 2 * time.Second         // the longest client timeout of all classes
-	dedupWindow    = 1500 * time.Millisecond // deduplication window of the workers
-	connectTimeout = 250 * time.Millisecond  // for connections to workers
-	connIdle       = time.Second             // after which a connection to a worker is closed
-	maxRetryAfter  = 500 * time.Millisecond  // longest Retry-After of a rejection
-	askWithin      = 10                      // seconds within which the list is polled
+	drainGrace        = 500 * time.Millisecond  // attempts may go to a worker for this long after it is known to drain
+	maxPollDelay      = 6 * time.Second         // once the list has been reachable for this long, a change counts as notified
+	longestTimeout    = 2 * time.Second         // the longest client timeout of all classes
+	dedupWindow       = 1500 * time.Millisecond // deduplication window of the workers
+	connectTimeout    = 250 * time.Millisecond  // for connections to workers
+	connIdleTimeout   = time.Second             // an idle connection to a worker is closed after this time
+	maxRetryAfter     = 500 * time.Millisecond  // longest Retry-After of a rejection
+	pollWithinSeconds = 10                      // the list is polled at least once in this time
 
 	memoryLimitMB = 64  // limits.memory_mb of a scheduler
 	socketLimit   = 256 // limits.sockets of a scheduler
 
-	// settingsVariant chooses among these.
-	objectiveFrom     = 0.4 // s, the shortest latency objective
-	objectiveStep     = 0.1 // s between two variants of it
-	objectiveVariants = 3
-	cancelVariants    = 4 // one of so many variants forbids cancellation
-	leastForwards     = 3 // attempts of a request
-	forwardVariants   = 2
+	// The settings that scheduler.settingsVariant varies.
+	minObjectiveSeconds  = 0.4 // the shortest latency objective
+	objectiveStepSeconds = 0.1 // difference between two variants of the latency objective
+	objectiveVariants    = 3
+	cancelVariants       = 4 // one variant in this many forbids cancellation
+	minForwards          = 3 // the lowest limit on the attempts of a request
+	forwardVariants      = 2 // number of such limits, from minForwards up
 )
 
-// Values of effect and dedup scope that the rules look at.
+// Values of the settings Effect and DedupScope that the rules distinguish.
 const (
 	effectReadLike      = "read_like"
 	effectKeyed         = "idempotency_key"
@@ -39,12 +39,12 @@
 	scopeAll            = "all"
 )
 
-// requestClass is one kind of request.
+// requestClass is a kind of request, with the settings of its operation.
 type requestClass struct {
 	name       string
 	effect     string
 	dedupScope string
-	timeout    time.Duration // of its clients
+	timeout    time.Duration // client timeout
 }
 
 var requestClasses = []requestClass{
@@ -69,7 +69,7 @@
 	Sockets  int `json:"sockets"`
 }
 
-// schedulerSettings are the settings of the decisions; durations are in seconds.
+// schedulerSettings holds the deployment settings. Durations are in seconds.
 type schedulerSettings struct {
 	Discovery  string
 	PeersTotal int
@@ -125,7 +125,7 @@
 	Fall              float64
 }
 
-// configure writes the configuration file, which names the address of the endpoint list.
+// configure writes the configuration file with a given address of the endpoint list.
 func (s *scheduler) configure(h *harness, discovery string) error {
 	text, err := json.Marshal(schedulerConfig{
 		Name:      s.name(),
@@ -133,7 +133,7 @@
 		Discovery: discovery,
 		Seed:      fmt.Sprintf("%016x", uint64(h.Seed)<<16|uint64(s.number)),
 		Limits:    processLimits{MemoryMB: memoryLimitMB, Sockets: socketLimit},
-		Known:     h.endpoints.updateSince(unknownRevision).text,
+		Known:     h.endpoints.updateSince(noRevision).text,
 		Settings:  s.settings(h),
 	})
 	if err != nil {
@@ -149,7 +149,7 @@
 		Discovery:  h.discoveryMode(),
 		PeersTotal: h.Schedulers,
 		MyNumber:   s.number,
-		MyZone:     s.number % zones,
+		MyZone:     s.number % zoneCount,
 		Dcs:        []string{zoneName(0), zoneName(1), zoneName(2)},
 		Kinds:      []string{workerModel},
 		Operations: s.operations(),
@@ -159,16 +159,16 @@
 		Limits: limitSettings{
 			Probes:         true,
 			Cancel:         s.settingsVariant%cancelVariants != cancelVariants-1,
-			MostForwards:   leastForwards + s.settingsVariant%forwardVariants,
+			MostForwards:   minForwards + s.settingsVariant%forwardVariants,
 			RetryAfter:     true,
 			MaxRetryAfter:  maxRetryAfter.Seconds(),
 			ConnectTimeout: connectTimeout.Seconds(),
-			ConnIdle:       connIdle.Seconds(),
+			ConnIdle:       connIdleTimeout.Seconds(),
 		},
 		Rules: ruleSettings{
-			AskWithin:         askWithin,
+			AskWithin:         pollWithinSeconds,
 			StopSendingWithin: drainGrace.Seconds(),
-			ColdFrom:          slowStartFrom,
+			ColdFrom:          slowStartInitialCapacity,
 			WarmAfter:         slowStartDuration.Seconds(),
 			FallMultiple:      overloadFactor,
 			Fall:              overloadWindow.Seconds(),
@@ -184,7 +184,7 @@
 			Effect:           c.effect,
 			DedupScope:       c.dedupScope,
 			DedupWindow:      dedupWindow.Seconds(),
-			LatencyObjective: objectiveFrom + objectiveStep*float64((s.settingsVariant+n)%objectiveVariants),
+			LatencyObjective: minObjectiveSeconds + objectiveStepSeconds*float64((s.settingsVariant+n)%objectiveVariants),
 			LateBilledValue:  0.5,
 			ClientTimeout:    c.timeout.Seconds(),
 			BilledValue:      1,
@@ -195,11 +195,11 @@
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-// replaceFile writes a file so that a reader sees the old text or the new one, never a part.
+// replaceFile replaces a file atomically: a reader sees the old content or the new one, never a part.
 func replaceFile(path string, text []byte) error {
-	fresh := path + ".new"
-	if err := os.WriteFile(fresh, text, 0o600); err != nil {
+	tempPath := path + ".new"
+	if err := os.WriteFile(tempPath, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(fresh, path)
+	return os.Rename(tempPath, path)
 }
--- a/internal/lab/soak/scheduler_faults.go
+++ b/internal/lab/soak/scheduler_faults.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-const faultMove = "move" // the endpoint list changes its address
+const faultMove = "move" // the address of the endpoint list changes
 
-// schedulerFault is a kind of fault that is injected into a part of the schedulers.
-func schedulerFault(name string, part float64, inject func(*harness, *scheduler, *rand.Rand)) faultKind {
+// schedulerFault returns a kind of fault that is injected into a fraction of the schedulers.
+func schedulerFault(name string, fraction float64, inject func(*harness, *scheduler, *rand.Rand)) faultKind {
 	return faultKind{name: name, inject: func(h *harness, rng *rand.Rand) string {
-		return injectInto(h.schedulers, part, rng, func(s *scheduler, rng *rand.Rand) { inject(h, s, rng) })
+		return injectInto(h.schedulers, fraction, rng, func(s *scheduler, rng *rand.Rand) { inject(h, s, rng) })
 	}}
 }
 
@@ -37,6 +37,7 @@
 	s.startAndAwaitReady(h)
 }
 
+// reloadSettings has a scheduler read changed settings, up to three times in quick succession.
 func reloadSettings(h *harness, s *scheduler, rng *rand.Rand) {
 	for range 1 + rng.Intn(3) {
 		s.settingsVariant++
@@ -45,7 +46,7 @@
 	}
 }
 
-// moveEndpointList has a scheduler reach the list without the proxy for a while.
+// moveEndpointList configures a scheduler to reach the endpoint list without the proxy for a while.
 func moveEndpointList(h *harness, s *scheduler, rng *rand.Rand) {
 	server := h.endpoints.servers[s.number]
 	s.reload(h, server.listener.Addr().String())
@@ -53,10 +54,11 @@
 	s.reload(h, server.proxy.addr())
 }
 
-// pauseShortly freezes a scheduler several times, each for less than it has to tolerate.
+// pauseShortly freezes a scheduler several times, each time for less than the pause that a scheduler
+// has to tolerate.
 func pauseShortly(_ *harness, s *scheduler, rng *rand.Rand) {
 	for range 4 {
-		s.freeze(time.Duration(rng.Intn(int(pauseTolerated))))
+		s.freeze(time.Duration(rng.Intn(int(maxToleratedPause))))
 		time.Sleep(millisUpTo(rng, 150))
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,6 +1,7 @@
 // Package soak runs a few dozen real schedulers on loopback, with emulated workers, clients and an
-// endpoint list, while faults that a seed draws overlap in time. What the peers see of each request
-// is checked against the rules, and so is what the schedulers' own invariant checkers log.
+// endpoint list, and injects faults that overlap in time and are drawn from a seed. It checks what the
+// schedulers' peers see of each request against the rules, and searches the schedulers' logs for
+// crashes and for violations that their own invariant checkers have found.
 package soak
 
 import (
@@ -14,18 +15,18 @@
 type Config struct {
 	Program    string        // path of the scheduler's binary, built with the tag soak
 	Dir        string        // folder for logs and configurations
-	Seed       int64         // of all draws; an even one has endpoint updates pushed
-	Schedulers int           // processes; at least one
-	Workers    int           // emulated workers; at least one a zone
-	Clients    int           // clients of each scheduler
-	Span       time.Duration // for how long faults begin; the start and the end come on top
+	Seed       int64         // of all random choices; endpoint updates are pushed if it is even, and polled if it is odd
+	Schedulers int           // number of scheduler addresses; at least 1
+	Workers    int           // number of emulated workers; at least one per zone
+	Clients    int           // number of clients of each scheduler
+	Span       time.Duration // time in which faults start; the start and the end of the run take extra time
 	Only       []string      // names of the faults that may be injected; empty: all
 }
 
-// Violation is one broken rule with its evidence.
+// Violation is one violation of a rule, with its evidence.
 type Violation struct {
-	Rule    string // its short name, such as "A1 answer"
-	Request string // the request, process or worker that it was seen at
+	Rule    string // short name of the rule, such as "A1 answer"
+	Request string // the request, process or worker that violated it
 	Detail  string // what was seen
 }
 
@@ -36,36 +37,37 @@
 type Report struct {
 	Seed        int64
 	Faults      []InjectedFault
-	Answers     map[string]int // requests by status or other outcome
-	Attempts    int            // that reached a worker
-	Disconnects int            // requests whose client disconnected
-	Ready       time.Duration  // the longest time from the start of a scheduler to its readiness
+	Answers     map[string]int // number of requests by status code or other outcome
+	Attempts    int            // number of attempts that reached a worker
+	Disconnects int            // number of requests whose client disconnected
+	Ready       time.Duration  // longest time from the start of a scheduler to its readiness
 	Violations  []Violation
 }
 
 // InjectedFault is a fault that a run injected.
 type InjectedFault struct {
-	At   time.Duration // since the clients began
+	At   time.Duration // since the clients started
 	Name string
-	On   string // its targets
+	On   string // names of its targets
 }
 
 const (
-	// settleTime passes before the first fault and after the last.
+	// settleTime is how long the clients run before the first fault and after the last.
 	settleTime = time.Second
 	// stopWithin is the time that a scheduler has to exit after SIGTERM: the longest client timeout
-	// and 0.7 s.
+	// plus 0.7 s.
 	stopWithin = longestTimeout + 700*time.Millisecond
 	// readyWithin is the time that a scheduler has to become ready after its start.
 	readyWithin = 10 * time.Second
 )
 
-var errTooSmall = errors.New("a run needs a scheduler, and a worker for each zone")
+var errTooFew = errors.New("a run needs at least one scheduler, and at least one worker for each zone")
 
-// Run plays one seed. An error says that the run could not be set up; broken rules are in the report.
+// Run runs the schedulers with the faults of one seed. It returns an error if the run could not be set
+// up; violated rules are in the report.
 func Run(ctx context.Context, c Config) (*Report, error) {
-	if c.Schedulers < 1 || c.Workers < zones {
-		return nil, errTooSmall
+	if c.Schedulers < 1 || c.Workers < zoneCount {
+		return nil, errTooFew
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -75,7 +77,7 @@
 		return nil, err
 	}
 	ready := h.awaitReady()
-	h.loadBegan = time.Now()
+	h.loadStartedAt = time.Now()
 	stopClients := h.startClients()
 	time.Sleep(settleTime)
 	h.injectFaults()
@@ -84,7 +86,7 @@
 	stopClients()
 	h.stopSchedulers()
 	h.close()
-	report := &Report{Seed: c.Seed, Faults: h.injected, Answers: h.outcomes, Ready: ready}
+	report := &Report{Seed: c.Seed, Faults: h.injectedFaults, Answers: h.outcomes, Ready: ready}
 	h.observed.check(h, report)
 	return report, nil
 }
--- a/internal/lab/soak/worker.go
+++ b/internal/lab/soak/worker.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	slots             = 2                     // requests that a worker runs at once
-	queueCapacity     = 4                     // requests that wait at a worker
-	meanWork          = 80 * time.Millisecond // of a request
-	slowStartFrom     = 0.13                  // part of its capacity that a worker has at its start
-	slowStartDuration = 4 * time.Second       // in which its capacity grows to the whole
-	overloadFactor    = 2.5                   // multiple of its capacity that overloads a worker
-	overloadWindow    = time.Second           // for so long
+	slots                    = 2                     // requests that a worker runs at once
+	queueCapacity            = 4                     // requests that can wait at a worker
+	meanWork                 = 80 * time.Millisecond // mean work of a request
+	slowStartInitialCapacity = 0.13                  // fraction of its capacity that a worker has when it starts
+	slowStartDuration        = 4 * time.Second       // time in which its capacity grows to the full one
+	overloadFactor           = 2.5                   // multiple of its capacity that overloads a worker
+	overloadWindow           = time.Second           // time over which such a load overloads it
 
-	workerModel     = "m"
-	usualOddRate    = 0.06        // part of the requests that a worker answers oddly
-	callbackTimeout = time.Second // of a call to a scheduler
-	callbackIdle    = 2           // connections to a scheduler that are reused
+	workerModel          = "m"
+	defaultUnusualRate   = 0.06        // fraction of the requests that a worker answers in an unusual way
+	callbackTimeout      = time.Second // for one call to a scheduler, and for an idle connection
+	maxIdleCallbackConns = 2           // idle connections to a scheduler that are kept for reuse
 )
 
-// worker is an emulated machine with a few slots.
+// worker emulates a machine that runs a few requests at once.
 type worker struct {
 	harness *harness
 	uid     string
 	zone    int
 	proxy   *proxy
 	client  *http.Client // for callbacks
-	faulted atomic.Bool  // a fault is being injected into it
+	claimed atomic.Bool  // a fault is being injected into it
 
 	mu          sync.Mutex
 	rng         *rand.Rand
@@ -40,16 +40,16 @@
 	conns       map[net.Conn]struct{}
 	incarnation int // counts its starts
 	started     time.Time
-	slowStart   bool
-	running     int
-	waiting     []chan struct{}
-	hangs       bool
-	bootMS      int64   // Unix milliseconds of its start by the wall clock of then; 0: long ago
-	oddRate     float64 // part of the requests that it answers oddly
+	slowStart   bool            // its capacity grows from its start
+	running     int             // slots in use
+	waiting     []chan struct{} // queue for a slot, oldest first; closed when the slot is granted
+	hangs       bool            // reads requests and answers none
+	bootMS      int64           // start time in Unix milliseconds, by the wall clock at that time; 0: started long ago
+	unusualRate float64         // fraction of the requests that it answers in an unusual way
 }
 
 func newWorker(h *harness, n int) (*worker, error) {
-	l, err := net.Listen("tcp", loopbackHost(peerNet)+":0")
+	l, err := net.Listen("tcp", loopbackHost(peerOctet)+":0")
 	if err != nil {
 		return nil, err
 	}
@@ -59,21 +59,22 @@
 		return nil, err
 	}
 	w := &worker{
-		harness:  h,
-		uid:      fmt.Sprintf("s-%02d", n),
-		zone:     n % zones,
-		proxy:    proxy,
-		client:   newCallbackClient(),
-		rng:      rand.New(rand.NewSource(h.Seed<<8 + int64(n))),
-		listener: l,
-		conns:    map[net.Conn]struct{}{},
-		oddRate:  usualOddRate,
+		harness:     h,
+		uid:         fmt.Sprintf("s-%02d", n),
+		zone:        n % zoneCount,
+		proxy:       proxy,
+		client:      newCallbackClient(),
+		rng:         rand.New(rand.NewSource(h.Seed<<8 + int64(n))),
+		listener:    l,
+		conns:       map[net.Conn]struct{}{},
+		unusualRate: defaultUnusualRate,
 	}
 	go w.accept()
 	h.endpoints.put(w.endpoint(stateReady, 0))
 	return w, nil
 }
 
+// endpoint returns the worker's entry in the endpoint list.
 func (w *worker) endpoint(state string, bootMS int64) endpoint {
 	return endpoint{
 		UID:      w.uid,
@@ -94,14 +95,15 @@
 	w.proxy.close()
 }
 
-// resetConns resets all connections; the lock is held.
+// resetConns resets all connections. The lock must be held.
 func (w *worker) resetConns() {
 	for c := range w.conns {
 		abort(c)
 	}
 }
 
-// restart ends the incarnation with all that it has, and starts the next, which is slow at first.
+// restart ends the incarnation with its connections and requests, and starts the next one, which has
+// a reduced capacity at first.
 func (w *worker) restart() {
 	w.mu.Lock()
 	w.resetConns()
@@ -117,34 +119,34 @@
 	w.publish(stateReady, bootMS)
 }
 
-// publish changes its entry in the endpoint list and notifies the schedulers.
+// publish changes the worker's entry in the endpoint list and notifies the schedulers.
 func (w *worker) publish(state string, bootMS int64) {
 	w.harness.endpoints.put(w.endpoint(state, bootMS))
 	w.harness.endpoints.publish()
 }
 
-// lastBootMS is when it last started, in Unix milliseconds; 0: long ago.
+// lastBootMS returns when the worker last started, in Unix milliseconds; 0: long ago.
 func (w *worker) lastBootMS() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.bootMS
 }
 
-// update changes its state under the lock.
+// update calls change, which sets the worker's state, while holding the lock.
 func (w *worker) update(change func()) {
 	w.mu.Lock()
 	change()
 	w.mu.Unlock()
 }
 
-// drawOdd draws whether the next request is answered oddly.
-func (w *worker) drawOdd() bool {
+// drawUnusual returns a random decision whether the next request is answered in an unusual way.
+func (w *worker) drawUnusual() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rng.Float64() < w.oddRate
+	return w.rng.Float64() < w.unusualRate
 }
 
-// capacityAt is the part of its capacity that a worker has at an age.
+// capacityAt returns the fraction of its capacity that a worker of a given age has.
 func capacityAt(age time.Duration) float64 {
-	return min(1, slowStartFrom+(1-slowStartFrom)*age.Seconds()/slowStartDuration.Seconds())
+	return min(1, slowStartInitialCapacity+(1-slowStartInitialCapacity)*age.Seconds()/slowStartDuration.Seconds())
 }
--- a/internal/lab/soak/worker_execution.go
+++ b/internal/lab/soak/worker_execution.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	callbackAttempts   = 10                     // calls to a scheduler with one callback
-	callbackRetryAfter = 100 * time.Millisecond // pause between two of them
+	maxCallbackAttempts = 10                     // attempts to deliver one callback
+	callbackRetryDelay  = 100 * time.Millisecond // pause between two attempts
 )
 
-// callbackState is the state of an attempt that a worker notifies its scheduler of.
+// callbackState is the state of an attempt in a worker's callback to the scheduler.
 type callbackState string
 
 const (
@@ -22,7 +22,8 @@
 	stateFailed   callbackState = "failed"
 )
 
-// execute does the work once there is a slot, unless the incarnation has ended.
+// execute runs an attempt once there is a slot, and notifies its scheduler, unless the incarnation has
+// ended.
 func (w *worker) execute(a *attempt, incarnation int) {
 	if !w.acquireSlot(incarnation) {
 		return
@@ -35,14 +36,14 @@
 	w.mu.Unlock()
 	w.notify(a, stateStarted)
 	time.Sleep(took)
-	if w.release(incarnation) {
+	if w.releaseSlot(incarnation) {
 		a.markEnded()
 		w.notify(a, stateDone)
 	}
 }
 
-// acquireSlot waits for a slot. False: the incarnation has ended, or nobody waits for the result
-// any more.
+// acquireSlot waits for a slot and reports whether it got one. It doesn't if the incarnation has ended,
+// or after longestTimeout, when no client waits for the result any more.
 func (w *worker) acquireSlot(incarnation int) bool {
 	w.mu.Lock()
 	if w.incarnation != incarnation {
@@ -54,30 +55,31 @@
 		w.mu.Unlock()
 		return true
 	}
-	turn := make(chan struct{})
-	w.waiting = append(w.waiting, turn)
+	granted := make(chan struct{})
+	w.waiting = append(w.waiting, granted)
 	w.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return true
 	case <-time.After(longestTimeout):
-		go w.passTurn(turn, incarnation)
+		go w.releaseAbandonedSlot(granted, incarnation)
 		return false
 	}
 }
 
-// passTurn gives the slot back that a place in the queue gets whose request nobody waits for.
-func (w *worker) passTurn(turn <-chan struct{}, incarnation int) {
+// releaseAbandonedSlot waits until a place in the queue whose request was abandoned is granted a slot,
+// and releases that slot.
+func (w *worker) releaseAbandonedSlot(granted <-chan struct{}, incarnation int) {
 	select {
-	case <-turn:
-		w.release(incarnation)
+	case <-granted:
+		w.releaseSlot(incarnation)
 	case <-w.harness.ctx.Done():
 	}
 }
 
-// release gives a slot to the next in the queue. False: the incarnation that had it has ended, or
-// hangs.
-func (w *worker) release(incarnation int) bool {
+// releaseSlot hands a slot to the next request in the queue, or frees it. It reports whether the
+// result may be sent: not if the incarnation that had the slot has ended, or the worker hangs.
+func (w *worker) releaseSlot(incarnation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.incarnation != incarnation {
@@ -92,10 +94,10 @@
 	return !w.hangs
 }
 
-// resultOf is the result of a request.
+// resultOf returns the result that a worker makes for a request.
 func resultOf(id string) string { return "made " + id }
 
-// workerCallback is the body of a callback.
+// workerCallback is the JSON body of a callback.
 type workerCallback struct {
 	ID     string        `json:"id"`
 	From   string        `json:"from"`
@@ -106,11 +108,12 @@
 func newCallbackClient() *http.Client {
 	return &http.Client{
 		Timeout:   callbackTimeout,
-		Transport: &http.Transport{MaxIdleConnsPerHost: callbackIdle, IdleConnTimeout: callbackTimeout},
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleCallbackConns, IdleConnTimeout: callbackTimeout},
 	}
 }
 
-// notify calls the scheduler back until it has answered, or for callbackAttempts.
+// notify sends a callback to the attempt's scheduler until it is accepted, at most maxCallbackAttempts
+// times.
 func (w *worker) notify(a *attempt, state callbackState) {
 	callback := workerCallback{ID: a.request.id, From: w.uid, State: state}
 	if state == stateDone {
@@ -120,20 +123,20 @@
 	if err != nil {
 		return
 	}
-	for range callbackAttempts {
-		if w.post(a.request.scheduler, text) {
+	for range maxCallbackAttempts {
+		if w.postCallback(a.request.scheduler, text) {
 			return
 		}
 		select {
-		case <-time.After(callbackRetryAfter):
+		case <-time.After(callbackRetryDelay):
 		case <-w.harness.ctx.Done():
 			return
 		}
 	}
 }
 
-// post says whether a scheduler has taken a callback.
-func (w *worker) post(s *scheduler, text []byte) bool {
+// postCallback sends a callback once, and reports whether the scheduler accepted it.
+func (w *worker) postCallback(s *scheduler, text []byte) bool {
 	response, err := w.client.Post("http://"+s.address+"/_jobs/news", "application/json", bytes.NewReader(text))
 	if err != nil {
 		return false
--- a/internal/lab/soak/worker_faults.go
+++ b/internal/lab/soak/worker_faults.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// workerFault is a kind of fault that is injected into a part of the workers.
-func workerFault(name string, part float64, inject func(*worker, *rand.Rand)) faultKind {
+// workerFault returns a kind of fault that is injected into a fraction of the workers.
+func workerFault(name string, fraction float64, inject func(*worker, *rand.Rand)) faultKind {
 	return faultKind{name: name, inject: func(h *harness, rng *rand.Rand) string {
-		return injectInto(h.workers, part, rng, inject)
+		return injectInto(h.workers, fraction, rng, inject)
 	}}
 }
 
@@ -20,9 +20,10 @@
 	workerFault("reset", 0.6, resetConnections),
 	workerFault("refuse", 0.3, refuseConnections),
 	workerFault("late", 0.5, delayConnections),
-	workerFault("odd", 0.6, answerOftenOddly),
+	workerFault("odd", 0.6, raiseUnusualRate),
 }
 
+// drainAndRestart takes a worker through draining and removal from the list to its next incarnation.
 func drainAndRestart(w *worker, rng *rand.Rand) {
 	w.publish(stateDraining, w.lastBootMS())
 	time.Sleep(800*time.Millisecond + millisUpTo(rng, 1500))
@@ -31,14 +32,14 @@
 	w.restart()
 }
 
-// hang has a worker read requests and answer none.
+// hang has a worker read requests and answer none for a while.
 func hang(w *worker, rng *rand.Rand) {
 	w.update(func() { w.hangs = true })
 	time.Sleep(500*time.Millisecond + millisUpTo(rng, 1500))
 	w.update(func() { w.hangs = false })
 }
 
-// vanish freezes the network to a worker.
+// vanish freezes all connections to a worker for a while.
 func vanish(w *worker, rng *rand.Rand) {
 	w.proxy.setMode(proxyFreeze)
 	time.Sleep(300*time.Millisecond + millisUpTo(rng, 1500))
@@ -52,6 +53,7 @@
 	}
 }
 
+// refuseConnections resets a worker's connections, and new ones for a while.
 func refuseConnections(w *worker, rng *rand.Rand) {
 	w.proxy.setMode(proxyRefuse)
 	w.proxy.resetConns()
@@ -59,6 +61,7 @@
 	w.proxy.setMode(proxyForward)
 }
 
+// delayConnections resets a worker's connections, and delays the first bytes of new ones for a while.
 func delayConnections(w *worker, _ *rand.Rand) {
 	w.proxy.setMode(proxyDelay)
 	w.proxy.resetConns()
@@ -66,9 +69,9 @@
 	w.proxy.setMode(proxyForward)
 }
 
-func answerOftenOddly(w *worker, _ *rand.Rand) {
-	const oftenOddRate = 0.5
-	w.update(func() { w.oddRate = oftenOddRate })
+func raiseUnusualRate(w *worker, _ *rand.Rand) {
+	const highUnusualRate = 0.5
+	w.update(func() { w.unusualRate = highUnusualRate })
 	time.Sleep(time.Second)
-	w.update(func() { w.oddRate = usualOddRate })
+	w.update(func() { w.unusualRate = defaultUnusualRate })
 }
--- a/internal/lab/soak/worker_server.go
+++ b/internal/lab/soak/worker_server.go
@@ -18,8 +18,8 @@
 	badRequestResponse = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
 	noContentResponse  = "HTTP/1.1 204 No Content\r\n\r\n"
 
-	brokenOffAt         = 20                   // bytes of a response that breaks off
-	secondResponseAfter = 5 * time.Millisecond // of a worker that answers twice
+	truncatedBytes      = 20                   // length at which a response is cut off
+	secondResponseDelay = 5 * time.Millisecond // of a worker that sends two responses
 )
 
 func (w *worker) accept() {
@@ -57,7 +57,7 @@
 	}
 }
 
-// handle handles a request. False: its connection ends.
+// handle handles a request, and reports whether its connection stays open.
 func (w *worker) handle(c net.Conn, request *http.Request) bool {
 	w.mu.Lock()
 	hangs := w.hangs
@@ -75,13 +75,14 @@
 	return true
 }
 
+// loadReport returns the text of the worker's load report.
 func (w *worker) loadReport() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return fmt.Sprintf("TEXT x0=%d, waiting=%d, avg_ms=%d", slots-w.running, len(w.waiting), meanWork.Milliseconds())
 }
 
-// handleAttempt handles an attempt. False: its connection ends.
+// handleAttempt handles an attempt, and reports whether its connection stays open.
 func (w *worker) handleAttempt(c net.Conn, request *http.Request, hangs bool) bool {
 	id := request.Header.Get("X-Call-Id")
 	seconds, err := strconv.ParseFloat(request.Header.Get("X-Budget"), 64)
@@ -95,9 +96,9 @@
 		fmt.Fprint(c, badRequestResponse)
 		return true
 	case hangs:
-		return true // no response ever
-	case w.drawOdd():
-		return w.answerOddly(c, a)
+		return true // the attempt never gets a response
+	case w.drawUnusual():
+		return w.respondUnusually(c, a)
 	}
 	w.mu.Lock()
 	full := w.running >= slots && len(w.waiting) >= queueCapacity
@@ -113,56 +114,57 @@
 	return true
 }
 
-// oddAnswer is a way to answer that is allowed and rare.
-type oddAnswer int
+// unusualResponse is a way to answer an attempt that is allowed but rare.
+type unusualResponse int
 
 const (
-	oddRejection      oddAnswer = iota
-	oddSecondResponse           // a late rejection behind the acceptance
-	oddReset                    // before any response
-	oddReturned                 // accepted, then returned without having run
-	oddFailed                   // accepted, then failed
-	oddBrokenOff                // the response breaks off
-	oddEarlyResult              // the result comes before the acceptance
-	oddLost                     // accepted, and nothing is ever heard of it
-	oddAnswers                  // how many there are
+	unusualRejection      unusualResponse = iota
+	unusualSecondResponse                 // accepted, then rejected after a delay
+	unusualReset                          // reset before any response
+	unusualReturned                       // accepted, then returned without having run
+	unusualFailed                         // accepted, then failed
+	unusualTruncated                      // the response is cut off
+	unusualEarlyResult                    // the result comes before the acceptance
+	unusualLost                           // accepted, and never followed by a callback
+	unusualResponseCount                  // number of unusual responses
 )
 
-// answerOddly answers in a way that is allowed and rare. False: the connection ends.
-func (w *worker) answerOddly(c net.Conn, a *attempt) bool {
+// respondUnusually answers an attempt in a random unusual way, and reports whether the connection stays
+// open.
+func (w *worker) respondUnusually(c net.Conn, a *attempt) bool {
 	w.mu.Lock()
-	answer := oddAnswer(w.rng.Intn(int(oddAnswers)))
+	response := unusualResponse(w.rng.Intn(int(unusualResponseCount)))
 	incarnation := w.incarnation
 	w.mu.Unlock()
-	switch answer {
-	case oddRejection:
+	switch response {
+	case unusualRejection:
 		a.markNotRun()
 		fmt.Fprint(c, rejectedResponse)
-	case oddSecondResponse:
+	case unusualSecondResponse:
 		fmt.Fprint(c, acceptedResponse)
-		time.AfterFunc(secondResponseAfter, func() { fmt.Fprint(c, rejectedResponse) })
+		time.AfterFunc(secondResponseDelay, func() { fmt.Fprint(c, rejectedResponse) })
 		go w.execute(a, incarnation)
-	case oddReset:
+	case unusualReset:
 		a.markEnded()
 		abort(c)
 		return false
-	case oddReturned:
+	case unusualReturned:
 		fmt.Fprint(c, acceptedResponse)
 		a.markNotRun()
 		go w.notify(a, stateReturned)
-	case oddFailed:
+	case unusualFailed:
 		fmt.Fprint(c, acceptedResponse)
 		a.markEnded()
 		go w.notify(a, stateFailed)
-	case oddBrokenOff:
+	case unusualTruncated:
 		a.markEnded()
-		fmt.Fprint(c, acceptedResponse[:brokenOffAt])
+		fmt.Fprint(c, acceptedResponse[:truncatedBytes])
 		return false
-	case oddEarlyResult:
+	case unusualEarlyResult:
 		w.notify(a, stateDone)
 		a.markEnded()
 		fmt.Fprint(c, acceptedResponse)
-	case oddLost:
+	case unusualLost:
 		fmt.Fprint(c, acceptedResponse)
 	}
 	return true
