--- a/internal/lab/model/attempt.go
+++ b/internal/lab/model/attempt.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// Attempt is one attempt of a scheduler at a machine.
+// Attempt is one execution of a request that a scheduler has forwarded to a machine.
 type Attempt struct {
 	Scheduler int
 	Request   *Request
-	Number    int // among the attempts of the request
+	Number    int // index among the attempts of the request, from 0
 	Machine   int
 
-	workLeft   float64       // of the request's cost
-	progressAt time.Duration // of its start or last progress callback
+	workLeft   float64       // part of the request's cost that is still to be done, in seconds at speed 1
+	progressAt time.Duration // when it started or last reported progress
 	state      attemptState
 }
 
-// attemptState is where an attempt is.
+// attemptState is the stage of an attempt at its machine.
 type attemptState uint8
 
 const (
-	attemptNew attemptState = iota // not yet at its machine
+	attemptNew attemptState = iota // not received by its machine
 	attemptQueued
 	attemptRunning
-	attemptOver
+	attemptEnded
 )
 
-// Response is what comes back at once from a machine that is connected to or sent an attempt.
+// Response is a machine's immediate response to a connection attempt, an attempt or a health check.
 type Response uint8
 
-// The responses.
+// The immediate responses of a machine.
 const (
 	Accepted          Response = iota
-	Rejected                   // its queue is full: the attempt does not run
-	FailedAtOnce               // an error; it may have run
-	ConnectionReset            // after the attempt has got through: it may run
-	ConnectionRefused          // no process listens
+	Rejected                   // the queue is full, or the attempt needs more slots than there are: it does not run
+	FailedAtOnce               // an immediate error; the attempt may have run
+	ConnectionReset            // the connection broke after the machine received the attempt: it may run
+	ConnectionRefused          // no process accepts the connection
 	NoResponse
 )
 
-// Callback is what a machine calls back about an attempt.
+// Callback is a machine's asynchronous notification about an attempt that it accepted.
 type Callback uint8
 
-// The callbacks.
+// The callbacks of a machine.
 const (
 	Started Callback = iota
 	Progress
 	Completed
 	Failed
-	Returned // not started
-	Lost     // with the process that had it
+	Returned // given back without having started
+	Lost     // the process that held the attempt has exited
 )
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -8,41 +8,43 @@
 )
 
 const (
-	// A fifth of each burst period has three times the base rate, the rest half of it.
+	// With the bursts shape, the first fifth of each period has three times the base rate, and the
+	// rest has half of it.
 	burstPeriod = 5 * time.Second
 	burstShare  = 0.2
 	burstFactor = 3
 	lullFactor  = 0.5
-	// roughHintCV is the coefficient of variation of a rough hint.
+	// roughHintCV is the coefficient of variation of the error of a rough hint.
 	roughHintCV = 0.4
-	// zeroRateStep is how far the arrivals of a constant load advance while its rate is 0.
+	// zeroRateStep is how far a constant load advances its clock at a time while the rate is 0.
 	zeroRateStep = 10 * time.Millisecond
-	// minCost is the least cost of a request, in seconds.
+	// minCost is the minimum cost of a request, in seconds.
 	minCost = 1e-6
-	// retryBits are the low bits of a request's ID, which number the requests of its invocation.
-	retryBits = 8
-	// maxRetries fits into retryBits.
+	// retryNumberBits is the number of low bits of a request's ID that hold its retry number.
+	retryNumberBits = 8
+	// maxRetries is the maximum number of retries of an invocation; it fits into retryNumberBits.
 	maxRetries = 250
 )
 
-// Clients generate the load: an open loop, in which each invocation has its time whatever becomes of those before. It is a
-// Source. What its clients do with replies is in retry.go.
+// Clients generates the load as an open loop: the arrival times of invocations don't depend on how
+// earlier ones ended. It implements Source. How clients route requests and react to replies is in
+// retry.go.
 type Clients struct {
-	scenario        scenario.Scenario
-	arrivalRand     *rand.Rand
-	requestRand     *rand.Rand
-	baseRate        float64 // invocations a second, without steps and bursts
-	peakRate        float64 // at least the highest rate of the run
-	lastArrival     time.Duration
-	lastInvocation  int64
-	extraRetries    int       // by faults; they come at once
-	operationShares []float64 // running sums
-	tenantShares    []float64 // running sums
-	heavyFaults     []scenario.Fault
-	rateSteps       []scenario.Step // also those of faults
+	scenario         scenario.Scenario
+	arrivalRand      *rand.Rand
+	requestRand      *rand.Rand
+	baseRate         float64 // invocations per second, before steps and bursts
+	peakRate         float64 // upper bound of the rate over the run, in invocations per second
+	lastArrival      time.Duration
+	lastInvocationID int64
+	extraRetries     int       // additional retries per invocation during retry storms
+	operationShares  []float64 // cumulative, by operation
+	tenantShares     []float64 // cumulative, by tenant
+	heavyFaults      []scenario.Fault
+	rateSteps        []scenario.Step // of the load and of burst faults
 
-	replied       map[int64]bool // requests whose end their clients know, while it may come again
-	repliedExpiry []repliedRequest
+	replied       map[int64]bool   // by request ID: the client has got a reply; kept while another one may come
+	repliedExpiry []repliedRequest // the entries of replied, oldest first
 }
 
 func newClients(s scenario.Scenario, capacity float64) *Clients {
@@ -53,7 +55,7 @@
 		replied:     map[int64]bool{},
 	}
 	shares := 0.0
-	work := 0.0 // mean of an invocation, times shares
+	work := 0.0 // mean work of an invocation in slot seconds, times the sum of the shares
 	for _, o := range s.Operations {
 		shares += o.Share
 		c.operationShares = append(c.operationShares, shares)
@@ -72,7 +74,7 @@
 	return c
 }
 
-// addSteps collects what changes the rate and the requests, and finds the peak rate.
+// addSteps collects the rate steps and the faults that change the load, and computes the peak rate.
 func (c *Clients) addSteps() {
 	c.rateSteps = append(c.rateSteps, c.scenario.Load.Steps...)
 	for _, f := range c.scenario.Faults {
@@ -92,7 +94,7 @@
 	}
 }
 
-// Rate returns the intended rate at a time, in invocations a second.
+// Rate returns the intended rate at a time, in invocations per second.
 func (c *Clients) Rate(at time.Duration) float64 {
 	rate := c.baseRate
 	for _, step := range c.rateSteps {
@@ -110,7 +112,7 @@
 	return rate
 }
 
-// Next returns the first request of the next invocation; false: the run's load is over.
+// Next returns the first request of the next invocation, or false when the run's load has ended.
 func (c *Clients) Next() (Request, bool) {
 	if c.peakRate <= 0 {
 		return Request{}, false
@@ -131,7 +133,8 @@
 	}
 }
 
-// stepConstant advances to the next arrival at a constant rate; false: the rate is 0.
+// stepConstant advances to the next arrival at a constant rate. It returns false if the rate is 0
+// and there is no arrival.
 func (c *Clients) stepConstant() bool {
 	rate := c.Rate(c.lastArrival)
 	if rate <= 0 {
@@ -142,8 +145,8 @@
 	return true
 }
 
-// stepPoisson advances to the next arrival of a Poisson process at the peak rate; false: it is thinned out, as the present
-// rate is lower.
+// stepPoisson advances to the next arrival of a Poisson process at the peak rate. It returns false
+// if the arrival is dropped: thinning reduces the peak rate to the current rate.
 func (c *Clients) stepPoisson() bool {
 	c.lastArrival += time.Duration(c.arrivalRand.ExpFloat64() / c.peakRate * float64(time.Second))
 	if c.lastArrival >= c.scenario.Length.D() {
@@ -152,7 +155,8 @@
 	return c.arrivalRand.Float64()*c.peakRate < c.Rate(c.lastArrival)
 }
 
-// drawRequest draws a request of the scenario's operations and tenants.
+// drawRequest draws a request that arrives now: its operation, cost, tenant and zone, and whether
+// its client disconnects.
 func (c *Clients) drawRequest() Request {
 	rng := c.requestRand
 	operation := pickByShare(c.operationShares, rng)
@@ -173,13 +177,14 @@
 	return r
 }
 
-// NewRequest returns the first request of a new invocation of a known operation, time and cost, which is in seconds.
+// NewRequest returns the first request of a new invocation of the given operation, arrival time and
+// cost in seconds. It draws from rng only for a rough hint.
 func (c *Clients) NewRequest(operation int, at time.Duration, cost float64, rng *rand.Rand) Request {
 	o := c.scenario.Operations[operation]
-	c.lastInvocation++
+	c.lastInvocationID++
 	r := Request{
-		ID:         c.lastInvocation << retryBits,
-		Invocation: c.lastInvocation,
+		ID:         c.lastInvocationID << retryNumberBits,
+		Invocation: c.lastInvocationID,
 		Operation:  operation,
 		Cost:       max(cost, minCost),
 		Slots:      o.Slots,
--- a/internal/lab/model/cluster.go
+++ b/internal/lab/model/cluster.go
@@ -11,16 +11,19 @@
 )
 
 const (
-	// warmUpStep is how long the rate of a warming machine is taken as constant.
+	// warmUpStep is the longest time for which the speed of a warming machine is treated as constant.
 	warmUpStep = 250 * time.Millisecond
-	// minWorkLeft is the work below which an attempt is complete, in seconds: sums of parts are a little off.
+	// minWorkLeft is the remaining work, in seconds, up to which an attempt counts as complete. It
+	// absorbs rounding errors.
 	minWorkLeft = 1e-8
 )
 
-// Cluster is all machines of a run, also those that come and go.
+// Cluster holds all machines of a run, including successors started during it and machines that are
+// gone.
 type Cluster struct {
 	Machines []*Machine
-	// OnCallback is called with what machines call back; share is how much of the attempt is done.
+	// OnCallback is called for each callback of a machine; share is the completed share of the
+	// attempt.
 	OnCallback func(now time.Duration, a *Attempt, callback Callback, share float64)
 	// OnChange is called when a machine has started or stopped, or its state has changed.
 	OnChange func(now time.Duration, machine int)
@@ -32,15 +35,16 @@
 	timers       eventqueue.Queue[machineTimer]
 	rand         *rand.Rand
 
-	// By active faults.
-	reportDelay         time.Duration
-	reportsAbsentFaults int
-	resetShares         []float64 // of attempts
-	refuseShares        []float64 // of connections
-	lossShares          []float64 // of callbacks
+	// Effects of active faults.
+	reportDelay         time.Duration // added to the delay of load reports
+	reportsAbsentFaults int           // active faults that suppress load reports
+	resetShares         []float64     // shares of attempts whose connection is reset, one entry per fault
+	refuseShares        []float64     // shares of connections that are refused, one entry per fault
+	lossShares          []float64     // shares of callbacks that are lost, one entry per fault
 }
 
-// machineTimer is when something happens at a machine next. Only the machine's last timer counts.
+// machineTimer is an entry of the timer queue. It is stale unless its number is the timerNumber of
+// the machine.
 type machineTimer struct{ machine, number int }
 
 func machineUID(index int) string { return fmt.Sprintf("w-%05d", index) }
@@ -61,7 +65,7 @@
 			if group.Zone != "" {
 				zone = slices.Index(s.Zones, group.Zone)
 			}
-			startedAt := longAgo
+			startedAt := longBeforeRun
 			if group.StartsCold {
 				startedAt = 0
 			}
@@ -79,7 +83,8 @@
 	return m
 }
 
-// Capacity is what the ready machines can do when warm, in slot seconds at speed 1 a second.
+// Capacity is the total throughput of the ready machines when warm, in slot seconds of work at
+// speed 1 per second.
 func (c *Cluster) Capacity() float64 {
 	sum := 0.0
 	for _, m := range c.Machines {
@@ -90,23 +95,25 @@
 	return sum
 }
 
-// settle does the work of the time since the machine was settled last.
-func (c *Cluster) settle(m *Machine, now time.Duration) {
-	if now > m.settledAt {
-		done := m.rate * (now - m.settledAt).Seconds()
+// advanceWork applies the work done since the machine's last update to its running attempts, and
+// recomputes its rate.
+func (c *Cluster) advanceWork(m *Machine, now time.Duration) {
+	if now > m.workDoneUntil {
+		done := m.rate * (now - m.workDoneUntil).Seconds()
 		for _, a := range m.running {
 			part := min(done, a.workLeft)
 			a.workLeft -= part
 			c.statistics.workDone += part * float64(a.Request.Slots)
 		}
-		m.settledAt = now
+		m.workDoneUntil = now
 	}
 	m.rate = m.slotRate(now)
 }
 
-// update brings a machine up to date: attempts complete, report progress and start.
+// update advances a machine to now: attempts complete, report progress and start, and the next
+// timer is set.
 func (c *Cluster) update(m *Machine, now time.Duration) {
-	c.settle(m, now)
+	c.advanceWork(m, now)
 	if m.rate > 0 {
 		c.completeAttempts(m, now)
 		c.startAttempts(m, now)
@@ -119,13 +126,13 @@
 		a := m.running[i]
 		if a.workLeft <= minWorkLeft {
 			m.remove(a)
-			m.observe(time.Duration(a.Request.Cost / m.rate * float64(time.Second)))
-			c.callBack(now, a, Completed, 1)
+			m.recordServiceTime(time.Duration(a.Request.Cost / m.rate * float64(time.Second)))
+			c.sendCallback(now, a, Completed, 1)
 			continue
 		}
 		if interval := c.scenario.Notifications.Progress.D(); interval > 0 && now >= a.progressAt+interval {
 			a.progressAt = now
-			c.callBack(now, a, Progress, 1-a.workLeft/a.Request.Cost)
+			c.sendCallback(now, a, Progress, 1-a.workLeft/a.Request.Cost)
 		}
 		i++
 	}
@@ -141,18 +148,19 @@
 		a.progressAt = now
 		c.statistics.runStarted(a)
 		if c.scenario.Notifications.Start {
-			c.callBack(now, a, Started, 0)
+			c.sendCallback(now, a, Started, 0)
 		}
 	}
 }
 
-// setTimer sets the machine's timer to its next completion, progress or step of its warm-up.
+// setTimer schedules the machine's next completion, progress callback or warm-up step, whichever
+// comes first.
 func (c *Cluster) setTimer(m *Machine, now time.Duration) {
-	m.timer++
+	m.timerNumber++
 	at := Never
 	if m.rate > 0 {
 		for _, a := range m.running {
-			// Rounded up, so that no work is left when the time has come.
+			// Rounded up by 1 ns, so that no work is left when the timer fires.
 			at = min(at, now+time.Duration(a.workLeft/m.rate*float64(time.Second))+1)
 			if interval := c.scenario.Notifications.Progress.D(); interval > 0 {
 				at = min(at, a.progressAt+interval)
@@ -163,56 +171,58 @@
 		}
 	}
 	if at < Never {
-		c.timers.Push(max(at, now), machineTimer{machine: m.index, number: m.timer})
+		c.timers.Push(max(at, now), machineTimer{machine: m.index, number: m.timerNumber})
 	}
 }
 
-// nextTime is the time of the next timer that counts. It drops those before it.
+// nextTime returns the time of the next timer that is not stale, or Never. It discards stale timers
+// before it.
 func (c *Cluster) nextTime() time.Duration {
 	for {
 		at, timer, more := c.timers.Peek()
 		if !more {
 			return Never
 		}
-		if c.Machines[timer.machine].timer == timer.number {
+		if c.Machines[timer.machine].timerNumber == timer.number {
 			return at
 		}
 		c.timers.Pop()
 	}
 }
 
-// step handles the next timer, which nextTime has found.
+// step handles the next timer. nextTime must have been called, so that the timer is not stale.
 func (c *Cluster) step(now time.Duration) {
 	_, timer, _ := c.timers.Peek()
 	c.update(c.Machines[timer.machine], now)
 }
 
-// callBack calls back, unless a fault loses the callback.
-func (c *Cluster) callBack(now time.Duration, a *Attempt, callback Callback, share float64) {
-	if happens(c.rand, c.lossShares) {
+// sendCallback calls OnCallback unless a fault loses the callback.
+func (c *Cluster) sendCallback(now time.Duration, a *Attempt, callback Callback, share float64) {
+	if drawAny(c.rand, c.lossShares) {
 		return
 	}
 	c.OnCallback(now, a, callback, share)
 }
 
-// stopProcess ends a machine's process with all its attempts.
+// stopProcess ends a machine's process. All its attempts are lost, which is reported unless the
+// machine is silent.
 func (c *Cluster) stopProcess(now time.Duration, m *Machine) {
-	c.settle(m, now)
+	c.advanceWork(m, now)
 	m.down = true
 	lost := m.removeAll()
-	m.forgetLoad()
+	m.resetLoad()
 	for _, a := range lost {
-		a.state = attemptOver
+		a.state = attemptEnded
 		if m.silentFaults == 0 {
-			c.callBack(now, a, Lost, 0)
+			c.sendCallback(now, a, Lost, 0)
 		}
 	}
 	c.update(m, now)
 }
 
-// startProcess starts a machine's process, which is cold.
+// startProcess starts a machine's process, which begins cold and warms up.
 func (c *Cluster) startProcess(now time.Duration, m *Machine) {
-	c.settle(m, now)
+	c.advanceWork(m, now)
 	m.down = false
 	m.StartedAt = now
 	m.warmingUp = true
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -7,33 +7,35 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// maxQueryWait is how long a query may wait in the queue.
+// maxQueryWait is the maximum time a query spends in the queue, including its own service time,
+// before it fails.
 const maxQueryWait = 3 * time.Second
 
-// Endpoint is what the list says of a machine.
+// Endpoint is a machine's entry in the endpoint list.
 type Endpoint struct {
 	Machine   int
 	State     MachineState
 	StartedAt time.Duration
 }
 
-// Discovery is the service that has the endpoint list. It learns of changes with a delay, and serves queries one at a time.
+// Discovery is the service that publishes the endpoint list. It learns of changes with a delay, and
+// serves queries one at a time.
 type Discovery struct {
-	OnChange func(now time.Duration, version int) // the list has changed
-	OnOutage func(now time.Duration)              // all watches end
-	Queries  int
+	OnChange func(now time.Duration, version int) // called when the list has changed, unless discovery is down
+	OnOutage func(now time.Duration)              // called when discovery goes down, which ends all watches
+	Queries  int                                  // queries received, failed ones included
 
 	scenario   scenario.Scenario
 	cluster    *Cluster
 	rules      *RuleChecker
-	log        []Endpoint                 // by version: the endpoint that it changed
-	endpoints  []Endpoint                 // by machine, as they are now
-	listed     []bool                     // by machine
-	pending    eventqueue.Queue[Endpoint] // changes that it will learn of
-	extraDelay time.Duration              // of changes, by faults
-	slowdown   float64                    // of queries, by faults
-	downFaults int                        // active faults by which it answers no query
-	busyUntil  time.Duration              // when all queries so far are served
+	changes    []Endpoint                 // entry v-1 is the endpoint that version v changed
+	endpoints  []Endpoint                 // by machine: the current entry
+	listed     []bool                     // by machine: whether endpoints has an entry for it
+	pending    eventqueue.Queue[Endpoint] // changes that discovery has not learned of yet
+	extraDelay time.Duration              // added by faults to the time until it learns of a change
+	slowdown   float64                    // factor by which faults reduce the query rate; 1: none
+	downFaults int                        // active faults during which it answers no query
+	busyUntil  time.Duration              // when all queries received so far will have been served
 }
 
 func newDiscovery(s scenario.Scenario, cluster *Cluster) *Discovery {
@@ -51,7 +53,7 @@
 	return d
 }
 
-// apply makes a change a new version of the list.
+// apply adds a change to the list as a new version.
 func (d *Discovery) apply(e Endpoint) {
 	for len(d.endpoints) <= e.Machine {
 		d.endpoints = append(d.endpoints, Endpoint{})
@@ -59,10 +61,11 @@
 	}
 	d.endpoints[e.Machine] = e
 	d.listed[e.Machine] = true
-	d.log = append(d.log, e)
+	d.changes = append(d.changes, e)
 }
 
-// machineChanged is called at the moment of a change; silently: the machine could not tell of it.
+// machineChanged schedules the change of a machine to reach the list. A silent change, which the
+// machine could not announce, takes SilentChangeDelay instead of ChangeDelay.
 func (d *Discovery) machineChanged(now time.Duration, machine int, silently bool) {
 	m := d.cluster.Machines[machine]
 	e := Endpoint{Machine: machine, State: m.State, StartedAt: m.StartedAt}
@@ -78,11 +81,11 @@
 
 func (d *Discovery) nextTime() time.Duration { return d.pending.NextTime(Never) }
 
-// step learns of the next change.
+// step applies the next pending change to the list.
 func (d *Discovery) step(now time.Duration) {
 	e := d.pending.Pop()
-	// What has changed again meanwhile is pending too, but a machine that was back before it was missed has never been
-	// gone.
+	// A later change of the machine has its own pending entry. A machine that is reachable again by
+	// the time discovery would notice its absence is never listed as gone.
 	if m := d.cluster.Machines[e.Machine]; e.State == Gone && m.Reachable() {
 		return
 	}
@@ -92,33 +95,34 @@
 	d.apply(e)
 	d.rules.endpointChanged(now, e)
 	if !d.Down() {
-		d.OnChange(now, len(d.log))
+		d.OnChange(now, len(d.changes))
 	}
 }
 
-// Version is the present version of the list.
-func (d *Discovery) Version() int { return len(d.log) }
+// Version is the current version of the list; it grows by 1 with each change.
+func (d *Discovery) Version() int { return len(d.changes) }
 
-// Down reports whether it answers no query.
+// Down reports whether a fault stops discovery from answering queries and sending updates.
 func (d *Discovery) Down() bool { return d.downFaults > 0 }
 
-// Since returns what has changed after a version: each machine once, in the order of their last changes.
+// Since returns the endpoints that have changed after a version: each machine once, in the order of
+// their last changes.
 func (d *Discovery) Since(version int) []Endpoint {
 	from := max(0, version)
 	lastChange := map[int]int{}
-	for v := from; v < len(d.log); v++ {
-		lastChange[d.log[v].Machine] = v
+	for v := from; v < len(d.changes); v++ {
+		lastChange[d.changes[v].Machine] = v
 	}
 	var changed []Endpoint
-	for v := from; v < len(d.log); v++ {
-		if lastChange[d.log[v].Machine] == v {
-			changed = append(changed, d.log[v])
+	for v := from; v < len(d.changes); v++ {
+		if lastChange[d.changes[v].Machine] == v {
+			changed = append(changed, d.changes[v])
 		}
 	}
 	return changed
 }
 
-// Snapshot returns the whole list.
+// Snapshot returns the current list, without machines that are gone.
 func (d *Discovery) Snapshot() []Endpoint {
 	var all []Endpoint
 	for machine, e := range d.endpoints {
@@ -129,17 +133,17 @@
 	return all
 }
 
-// Query queues a query and returns when it ends, and whether with an answer.
+// Query queues a query and returns when it ends and whether it is answered.
 func (d *Discovery) Query(now time.Duration) (at time.Duration, answered bool) {
 	d.Queries++
 	if d.Down() {
 		return now + d.scenario.Discovery.CallDuration.D(), false
 	}
-	each := time.Duration(d.slowdown / d.scenario.Discovery.CallsPerSecond * float64(time.Second))
+	serviceTime := time.Duration(d.slowdown / d.scenario.Discovery.CallsPerSecond * float64(time.Second))
 	d.busyUntil = max(d.busyUntil, now)
-	if d.busyUntil-now+each > maxQueryWait {
+	if d.busyUntil-now+serviceTime > maxQueryWait {
 		return now + maxQueryWait, false
 	}
-	d.busyUntil += each
+	d.busyUntil += serviceTime
 	return d.busyUntil + d.scenario.Discovery.CallDuration.D(), true
 }
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -8,39 +8,42 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// minFailShare is the share below which no attempt fails, as sums of shares are a little off.
+// minFailShare is the share below which no attempt fails. It absorbs the rounding errors of adding
+// and subtracting shares.
 const minFailShare = 1e-9
 
-// activeFault is a fault of the scenario with what it hits.
-type activeFault struct {
+// targetedFault is a fault of the scenario with the machines and schedulers that it affects.
+type targetedFault struct {
 	scenario.Fault
 	machines   []int
 	schedulers []int
 }
 
-// start and end are when the fault holds.
-func (f *activeFault) start() time.Duration { return f.Start.D() }
-func (f *activeFault) end() time.Duration   { return f.Start.D() + f.Duration.D() }
+// start and end are the times at which the fault begins and ends.
+func (f *targetedFault) start() time.Duration { return f.Start.D() }
+func (f *targetedFault) end() time.Duration   { return f.Start.D() + f.Duration.D() }
 
-// change is what a fault changes at one time.
-type change struct {
+// scheduledChange is a change to the model that a fault makes at one time.
+type scheduledChange struct {
 	at    time.Duration
 	apply func(now time.Duration)
 }
 
-// planFaults draws what all faults hit beforehand, each with a random source of its own, so that no decision can move them.
+// planFaults draws the targets of all faults and schedules their effects. This happens before the
+// run and with a separate random source for each fault, so that the decisions under test cannot
+// influence the faults.
 func (m *Model) planFaults() {
 	for i, fault := range m.scenario.Faults {
 		purpose := "trouble " + fault.Kind + string(rune('0'+i%10)) + string(rune('a'+i/10))
 		rng := newRand(m.scenario.Seed, purpose)
 		machines := sample(rng, m.machinesIn(fault.Zone), machineShare(fault))
 		schedulers := sample(rng, m.schedulersIn(fault.Zone), fault.Share)
-		m.planFault(&activeFault{Fault: fault, machines: machines, schedulers: schedulers})
+		m.planFault(&targetedFault{Fault: fault, machines: machines, schedulers: schedulers})
 	}
-	slices.SortStableFunc(m.changes, func(a, b change) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(m.changes, func(a, b scheduledChange) int { return cmp.Compare(a.at, b.at) })
 }
 
-// machineShare is the share of the machines that a fault hits.
+// machineShare is the share of the machines that a fault affects.
 func machineShare(f scenario.Fault) float64 {
 	switch f.Kind {
 	case scenario.MachinesFailing:
@@ -71,37 +74,40 @@
 	return all
 }
 
-// schedule adds a change.
+// schedule adds a change that is applied at the given time.
 func (m *Model) schedule(at time.Duration, apply func(now time.Duration)) {
-	m.changes = append(m.changes, change{at: at, apply: apply})
+	m.changes = append(m.changes, scheduledChange{at: at, apply: apply})
 }
 
-// during schedules what a fault changes when it begins and when it is over. Faults of one kind may overlap, one inside the
-// other: the first end must not lift both.
-func (m *Model) during(f *activeFault, begin, end func(now time.Duration)) {
+// scheduleBeginAndEnd schedules the changes at a fault's begin and end. Faults of one kind may overlap or
+// be nested: end must undo only what begin did, so that the first end does not lift the other
+// fault.
+func (m *Model) scheduleBeginAndEnd(f *targetedFault, begin, end func(now time.Duration)) {
 	m.schedule(f.start(), begin)
 	m.schedule(f.end(), end)
 }
 
-// duringOnMachines does the same for each machine that the fault hits.
-func (m *Model) duringOnMachines(f *activeFault, begin, end func(now time.Duration, machine *Machine)) {
-	m.during(f,
+// scheduleOnMachines schedules the changes that a fault makes to each machine it affects, at its
+// begin and its end.
+func (m *Model) scheduleOnMachines(f *targetedFault, begin, end func(now time.Duration, machine *Machine)) {
+	m.scheduleBeginAndEnd(f,
 		func(now time.Duration) { m.Fleet.updateEach(now, f.machines, begin) },
 		func(now time.Duration) { m.Fleet.updateEach(now, f.machines, end) })
 }
 
-// duringShare adds the fault's share to those in effect.
-func (m *Model) duringShare(f *activeFault, shares *[]float64) {
-	m.during(f,
+// scheduleShare schedules that the fault's share is an element of shares while the fault is active.
+func (m *Model) scheduleShare(f *targetedFault, shares *[]float64) {
+	m.scheduleBeginAndEnd(f,
 		func(time.Duration) { *shares = append(*shares, f.Share) },
 		func(time.Duration) {
-			at := slices.Index(*shares, f.Share)
-			*shares = slices.Delete(*shares, at, at+1)
+			index := slices.Index(*shares, f.Share)
+			*shares = slices.Delete(*shares, index, index+1)
 		})
 }
 
-// planFault schedules what a fault changes.
-func (m *Model) planFault(f *activeFault) {
+// planFault schedules the changes that a fault makes. Burst and HeavyRequests are
+// absent: Clients applies them.
+func (m *Model) planFault(f *targetedFault) {
 	switch f.Kind {
 	case scenario.MachinesSilent, scenario.ZoneLost, scenario.MachinesHung, scenario.MachinesSlow, scenario.MachinesFailing:
 		m.planMachineFault(f)
@@ -114,47 +120,47 @@
 	case scenario.DiscoveryStale, scenario.DiscoveryOverloaded, scenario.DiscoveryDown:
 		m.planDiscoveryFault(f)
 	case scenario.ConnectionsRefused:
-		m.duringShare(f, &m.Fleet.refuseShares)
+		m.scheduleShare(f, &m.Fleet.refuseShares)
 	case scenario.AttemptsReset:
-		m.duringShare(f, &m.Fleet.resetShares)
+		m.scheduleShare(f, &m.Fleet.resetShares)
 	case scenario.CallbacksLost:
-		m.duringShare(f, &m.Fleet.lossShares)
+		m.scheduleShare(f, &m.Fleet.lossShares)
 	case scenario.SchedulersKilled:
 		m.planKill(f)
 	case scenario.RetryStorm:
-		m.during(f,
+		m.scheduleBeginAndEnd(f,
 			func(time.Duration) { m.Clients.extraRetries += int(f.Factor) },
 			func(time.Duration) { m.Clients.extraRetries -= int(f.Factor) })
 	}
 }
 
-func (m *Model) planReportFault(f *activeFault) {
+func (m *Model) planReportFault(f *targetedFault) {
 	c := m.Fleet
 	switch f.Kind {
 	case scenario.ReportsLate:
-		m.during(f,
+		m.scheduleBeginAndEnd(f,
 			func(time.Duration) { c.reportDelay += f.Delay.D() },
 			func(time.Duration) { c.reportDelay -= f.Delay.D() })
 	case scenario.ReportsAbsent:
-		m.during(f,
+		m.scheduleBeginAndEnd(f,
 			func(time.Duration) { c.reportsAbsentFaults++ },
 			func(time.Duration) { c.reportsAbsentFaults-- })
 	}
 }
 
-func (m *Model) planDiscoveryFault(f *activeFault) {
+func (m *Model) planDiscoveryFault(f *targetedFault) {
 	d := m.Discovery
 	switch f.Kind {
 	case scenario.DiscoveryStale:
-		m.during(f,
+		m.scheduleBeginAndEnd(f,
 			func(time.Duration) { d.extraDelay += f.Delay.D() },
 			func(time.Duration) { d.extraDelay -= f.Delay.D() })
 	case scenario.DiscoveryOverloaded:
-		m.during(f,
+		m.scheduleBeginAndEnd(f,
 			func(time.Duration) { d.slowdown *= f.Factor },
 			func(time.Duration) { d.slowdown /= f.Factor })
 	case scenario.DiscoveryDown:
-		m.during(f,
+		m.scheduleBeginAndEnd(f,
 			func(now time.Duration) {
 				d.downFaults++
 				if d.downFaults == 1 {
@@ -165,7 +171,7 @@
 	}
 }
 
-func (m *Model) planKill(f *activeFault) {
+func (m *Model) planKill(f *targetedFault) {
 	for _, n := range f.schedulers {
 		m.schedule(f.start(), func(now time.Duration) {
 			m.Rules.SchedulerKilled(now, n)
--- a/internal/lab/model/machine.go
+++ b/internal/lab/model/machine.go
@@ -7,7 +7,7 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// MachineState is the state of a machine, in truth or by the endpoint list.
+// MachineState is the state of a machine: the actual one, or the one in the endpoint list.
 type MachineState uint8
 
 // The states of a machine.
@@ -18,100 +18,104 @@
 )
 
 const (
-	// longAgo is the start time of machines that were warm when the run began.
-	longAgo = -time.Hour
-	// serviceTimeWindow is how many attempts the running mean of service times spans, roughly.
+	// longBeforeRun is the start time of machines that are warm when the run begins. As the initial
+	// time of the last load report, it makes the first health check produce a report.
+	longBeforeRun = -time.Hour
+	// serviceTimeWindow is the approximate number of attempts that the running mean of service
+	// times covers.
 	serviceTimeWindow = 8
 )
 
-// LoadReport is what a machine reports of its load.
+// LoadReport is the load that a machine reports with a health check.
 type LoadReport struct {
 	FreeSlots float64
-	Waiting   float64 // attempts in its queue
-	Active    float64 // attempts in its queue and running
-	ServiceMs float64 // recent mean
+	Waiting   float64 // attempts in the queue
+	Active    float64 // attempts in the queue or running
+	ServiceMs float64 // exponentially weighted mean of recent service times, in milliseconds
 }
 
-// pendingReport is a load report that is not visible yet.
+// pendingReport is a load report that is not published yet.
 type pendingReport struct {
 	at     time.Duration // when it was made
 	report LoadReport
 }
 
-// arrival is an attempt that a warming machine was sent.
+// arrival is an attempt that a machine has received while it warms up.
 type arrival struct {
 	at   time.Duration
 	work float64 // slot seconds at speed 1
 }
 
-// Machine is what one worker runs on. It serves its queue in order, as slots become free.
+// Machine is a machine that runs one worker process. It serves its queue in order, as slots become
+// free.
 type Machine struct {
 	UID       string
-	Kind      int // index of its group
+	Kind      int // index of its worker group
 	Zone      int
-	StartedAt time.Duration // below zero: before the run
-	State     MachineState  // in truth
+	StartedAt time.Duration // of the process; negative: before the run
+	State     MachineState  // the actual state, whatever the endpoint list has
 
 	index        int
 	slots        int
 	queueLimit   int
 	speed        float64
-	coldFrom     float64 // share of its capacity right after a start
+	coldFrom     float64 // share of its capacity that it has right after a start
 	warmUp       time.Duration
 	cancellation string
 
-	queue     []*Attempt
-	running   []*Attempt
-	usedSlots int
-	settledAt time.Duration // up to when the running attempts' work is done
-	rate      float64       // of a slot since then; 1: speed 1
-	timer     int           // number of the timer that counts
+	queue         []*Attempt
+	running       []*Attempt
+	usedSlots     int
+	workDoneUntil time.Duration // the time up to which workLeft and rate are current
+	rate          float64       // work per slot from then on, in seconds at speed 1 per second
+	timerNumber   int           // number of the current timer; timers with another number are stale
 
 	warmingUp       bool
-	down            bool // its process does not run
-	silentFaults    int  // active faults of that kind
-	hungFaults      int  // active faults of that kind
-	slowdown        float64
-	failShare       float64 // of attempts, which fail at once
+	down            bool    // its process is not running
+	silentFaults    int     // active faults that take it off the network
+	hungFaults      int     // active faults during which it is hung
+	slowdown        float64 // factor by which faults slow it down; 1: none
+	failShare       float64 // share of its attempts that fail at once
 	meanServiceTime time.Duration
 	recentArrivals  []arrival // within the overload window, while warming up
 
 	pendingReports []pendingReport
 	visibleReport  LoadReport
-	hasReport      bool          // a report is visible
-	reportedAt     time.Duration // when the last report was made
+	hasReport      bool          // visibleReport is set
+	reportedAt     time.Duration // start of the report interval in which the last report was made
 }
 
 func newMachine(index, kind, zone int, group scenario.WorkerGroup, speed float64, startedAt time.Duration) *Machine {
 	m := &Machine{
-		UID:          machineUID(index),
-		Kind:         kind,
-		Zone:         zone,
-		StartedAt:    startedAt,
-		State:        Ready,
-		index:        index,
-		slots:        group.Slots,
-		queueLimit:   group.QueueLimit,
-		speed:        speed,
-		coldFrom:     group.ColdFrom,
-		warmUp:       group.WarmUp.D(),
-		cancellation: group.Cancellation,
-		slowdown:     1,
-		settledAt:    max(0, startedAt),
-		warmingUp:    startedAt >= 0,
-		reportedAt:   longAgo,
+		UID:           machineUID(index),
+		Kind:          kind,
+		Zone:          zone,
+		StartedAt:     startedAt,
+		State:         Ready,
+		index:         index,
+		slots:         group.Slots,
+		queueLimit:    group.QueueLimit,
+		speed:         speed,
+		coldFrom:      group.ColdFrom,
+		warmUp:        group.WarmUp.D(),
+		cancellation:  group.Cancellation,
+		slowdown:      1,
+		workDoneUntil: max(0, startedAt),
+		warmingUp:     startedAt >= 0,
+		reportedAt:    longBeforeRun,
 	}
-	m.rate = m.slotRate(m.settledAt)
+	m.rate = m.slotRate(m.workDoneUntil)
 	return m
 }
 
-// Reachable reports whether there is a process on the machine that the network reaches.
+// Reachable reports whether the machine's process is running and can be reached over the network.
 func (m *Machine) Reachable() bool { return !m.down && m.State != Gone && m.silentFaults == 0 }
 
-// Silent reports whether the machine has vanished from the network.
+// Silent reports whether a fault has taken the machine off the network.
 func (m *Machine) Silent() bool { return m.silentFaults > 0 && m.State != Gone }
 
-// capacityShare is the share of its capacity that the machine has, which grows while it warms up.
+// capacityShare returns the share of its full capacity that the machine has at a time. It grows
+// linearly during the warm-up and clears warmingUp at its end.
 func (m *Machine) capacityShare(now time.Duration) float64 {
 	if !m.warmingUp {
 		return 1
@@ -124,7 +128,7 @@
 	return share
 }
 
-// slotRate is how fast a slot works.
+// slotRate returns the work that each slot does, in seconds at speed 1 per second.
 func (m *Machine) slotRate(now time.Duration) float64 {
 	if m.silentFaults > 0 || m.hungFaults > 0 || m.down {
 		return 0
@@ -132,18 +136,18 @@
 	return m.speed * m.capacityShare(now) / m.slowdown
 }
 
-// remove takes an attempt off the machine.
+// remove removes an attempt from the running ones or from the queue.
 func (m *Machine) remove(a *Attempt) {
-	if at := slices.Index(m.running, a); at >= 0 {
+	if index := slices.Index(m.running, a); index >= 0 {
 		m.usedSlots -= a.Request.Slots
-		m.running = slices.Delete(m.running, at, at+1)
-	} else if at := slices.Index(m.queue, a); at >= 0 {
-		m.queue = slices.Delete(m.queue, at, at+1)
+		m.running = slices.Delete(m.running, index, index+1)
+	} else if index := slices.Index(m.queue, a); index >= 0 {
+		m.queue = slices.Delete(m.queue, index, index+1)
 	}
-	a.state = attemptOver
+	a.state = attemptEnded
 }
 
-// removeAll takes all attempts off the machine and returns them, the running ones first.
+// removeAll removes all attempts and returns them, the running ones first.
 func (m *Machine) removeAll() []*Attempt {
 	all := append(slices.Clone(m.running), m.queue...)
 	m.running = nil
@@ -152,12 +156,12 @@
 	return all
 }
 
-// observe adds a service time to the running mean.
-func (m *Machine) observe(serviceTime time.Duration) {
+// recordServiceTime adds a service time to the exponentially weighted mean.
+func (m *Machine) recordServiceTime(serviceTime time.Duration) {
 	m.meanServiceTime += (serviceTime - m.meanServiceTime) / serviceTimeWindow
 }
 
-// cancels reports whether the machine honors the cancellation of an attempt.
+// cancels reports whether the machine stops an attempt that is cancelled.
 func (m *Machine) cancels(a *Attempt) bool {
 	if m.silentFaults > 0 || m.hungFaults > 0 {
 		return false
@@ -171,7 +175,7 @@
 	return false
 }
 
-// makeReport makes a load report if the last one is old enough.
+// makeReport makes a load report unless one was already made in the current report interval.
 func (m *Machine) makeReport(now, interval time.Duration) {
 	if now < m.reportedAt+interval {
 		return
@@ -185,7 +189,7 @@
 	}})
 }
 
-// publishReports makes the reports visible that are old enough.
+// publishReports makes those reports visible that were made at least delay ago.
 func (m *Machine) publishReports(now, delay time.Duration) {
 	for len(m.pendingReports) > 0 && m.pendingReports[0].at+delay <= now {
 		m.visibleReport = m.pendingReports[0].report
@@ -194,8 +198,8 @@
 	}
 }
 
-// forgetLoad drops what the machine's process knew.
-func (m *Machine) forgetLoad() {
+// resetLoad clears the load state that is lost when the machine's process ends.
+func (m *Machine) resetLoad() {
 	m.recentArrivals = nil
 	m.pendingReports = nil
 	m.visibleReport = LoadReport{}
--- a/internal/lab/model/machine_faults.go
+++ b/internal/lab/model/machine_faults.go
@@ -7,21 +7,21 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// planMachineFault schedules a fault that holds of each of its machines for a time.
-func (m *Model) planMachineFault(f *activeFault) {
+// planMachineFault schedules a fault that changes the state of machines from its begin to its end.
+func (m *Model) planMachineFault(f *targetedFault) {
 	switch f.Kind {
 	case scenario.MachinesSilent, scenario.ZoneLost:
-		m.duringOnMachines(f, m.Fleet.silence, m.Fleet.endSilence)
+		m.scheduleOnMachines(f, m.Fleet.beginSilentFault, m.Fleet.endSilentFault)
 	case scenario.MachinesHung:
-		m.duringOnMachines(f,
+		m.scheduleOnMachines(f,
 			func(_ time.Duration, machine *Machine) { machine.hungFaults++ },
 			func(_ time.Duration, machine *Machine) { machine.hungFaults-- })
 	case scenario.MachinesSlow:
-		m.duringOnMachines(f,
+		m.scheduleOnMachines(f,
 			func(_ time.Duration, machine *Machine) { machine.slowdown *= f.Factor },
 			func(_ time.Duration, machine *Machine) { machine.slowdown /= f.Factor })
 	case scenario.MachinesFailing:
-		m.duringOnMachines(f,
+		m.scheduleOnMachines(f,
 			func(_ time.Duration, machine *Machine) { machine.failShare += f.Share },
 			func(_ time.Duration, machine *Machine) {
 				machine.failShare -= f.Share
@@ -32,18 +32,20 @@
 	}
 }
 
-// updateEach applies a change to machines that are up to date, and updates them after it.
+// updateEach applies a change to each machine: work up to now is done at the old rate, and the
+// machine is updated afterwards.
 func (c *Cluster) updateEach(now time.Duration, machines []int, apply func(now time.Duration, m *Machine)) {
 	for _, index := range machines {
 		m := c.Machines[index]
-		c.settle(m, now)
+		c.advanceWork(m, now)
 		apply(now, m)
 		c.update(m, now)
 	}
 }
 
-// silence takes a machine off the network.
-func (c *Cluster) silence(now time.Duration, m *Machine) {
+// beginSilentFault takes a machine off the network, which ends its process. Silent faults may
+// overlap.
+func (c *Cluster) beginSilentFault(now time.Duration, m *Machine) {
 	if m.State == Gone {
 		return
 	}
@@ -54,8 +56,9 @@
 	}
 }
 
-// endSilence brings a machine back to the network.
-func (c *Cluster) endSilence(now time.Duration, m *Machine) {
+// endSilentFault brings a machine back to the network, with a new process, when its last silent
+// fault ends.
+func (c *Cluster) endSilentFault(now time.Duration, m *Machine) {
 	if m.silentFaults == 0 {
 		return
 	}
@@ -65,8 +68,9 @@
 	}
 }
 
-// planRestart schedules that processes stop, and start after the fault's delay.
-func (m *Model) planRestart(f *activeFault) {
+// planRestart schedules that the processes of the fault's machines exit, and start again after the
+// fault's delay.
+func (m *Model) planRestart(f *targetedFault) {
 	c := m.Fleet
 	m.schedule(f.start(), func(now time.Duration) {
 		c.updateEach(now, f.machines, func(now time.Duration, machine *Machine) {
@@ -85,9 +89,10 @@
 	})
 }
 
-// planReplacement schedules the batches of a replacement. The machines of a batch drain while their successors start, and
-// are gone after the fault's delay.
-func (m *Model) planReplacement(f *activeFault) {
+// planReplacement schedules the replacement of machines in batches, spread evenly over the fault's
+// duration. The machines of a batch start to drain when their successors start, and are gone after
+// the fault's delay.
+func (m *Model) planReplacement(f *targetedFault) {
 	count := len(f.machines)
 	batchSize := max(1, int(math.Ceil(f.Batch*float64(count))))
 	batches := (count + batchSize - 1) / batchSize
@@ -99,7 +104,7 @@
 	}
 }
 
-// replace drains machines and starts a successor of each.
+// replace sets machines to draining and starts a successor for each.
 func (c *Cluster) replace(now time.Duration, machines []int) {
 	for _, index := range machines {
 		m := c.Machines[index]
@@ -110,7 +115,7 @@
 	}
 }
 
-// retire ends a machine for good.
+// retire stops a machine permanently.
 func (c *Cluster) retire(now time.Duration, m *Machine) {
 	c.stopProcess(now, m)
 	m.State = Gone
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,6 +1,7 @@
-// Package model is the laboratory's model of a run: the machines that workers run on, discovery, the clients, the faults,
-// and the checker of the rules. It has neither I/O nor a clock: its driver feeds it what happens and when, and calls AdvanceTo
-// before.
+// Package model models the environment of the schedulers in a run: the machines that workers run
+// on, discovery, the clients, the faults, and a checker of the rules that schedulers must keep. It
+// has neither I/O nor a clock: before its driver reports an event to it, the driver calls AdvanceTo
+// with the event's time.
 package model
 
 import (
@@ -9,10 +10,10 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// Never is later than any event.
+// Never stands for the time of an event that is not scheduled; it is later than any event.
 const Never = time.Duration(1 << 62)
 
-// Model is the model of one run. It is not safe for concurrent use.
+// Model is the state of one run. It is not safe for concurrent use.
 type Model struct {
 	Fleet      *Cluster
 	Discovery  *Discovery
@@ -20,15 +21,16 @@
 	Statistics *Statistics
 	Clients    *Clients
 
-	// OnSchedulerKilled and OnSchedulerRestarted are called when a fault hits a scheduler, and when it is over.
+	// OnSchedulerKilled is called when a fault kills a scheduler, and OnSchedulerRestarted when it
+	// starts again.
 	OnSchedulerKilled, OnSchedulerRestarted func(now time.Duration, scheduler int)
 
-	scenario scenario.Scenario
-	changes  []change // by faults, in the order of their times
-	applied  int      // of the changes
+	scenario       scenario.Scenario
+	changes        []scheduledChange // made by faults, ordered by time
+	appliedChanges int               // number of changes already applied
 }
 
-// New returns the model of a scenario.
+// New returns the model of a scenario at the start of its run.
 func New(s scenario.Scenario) *Model {
 	m := &Model{
 		OnSchedulerKilled:    func(time.Duration, int) {},
@@ -49,17 +51,17 @@
 	return m
 }
 
-// AdvanceTo lets everything happen that the model has scheduled until now. Of one moment, faults come first, then
-// discovery, then the machines.
+// AdvanceTo handles all events that the model has scheduled up to and including now. At the same
+// time, changes by faults come first, then those of discovery, then those of the machines.
 func (m *Model) AdvanceTo(now time.Duration) {
 	for {
 		at := m.NextTime()
 		switch {
 		case at > now:
 			return
-		case m.applied < len(m.changes) && m.changes[m.applied].at == at:
-			next := m.changes[m.applied]
-			m.applied++
+		case m.appliedChanges < len(m.changes) && m.changes[m.appliedChanges].at == at:
+			next := m.changes[m.appliedChanges]
+			m.appliedChanges++
 			next.apply(next.at)
 		case m.Discovery.nextTime() == at:
 			m.Discovery.step(at)
@@ -69,11 +71,11 @@
 	}
 }
 
-// NextTime returns when the model's next scheduled event is; Never: there is none.
+// NextTime returns the time of the model's next scheduled event, or Never.
 func (m *Model) NextTime() time.Duration {
 	next := min(m.Fleet.nextTime(), m.Discovery.nextTime())
-	if m.applied < len(m.changes) {
-		next = min(next, m.changes[m.applied].at)
+	if m.appliedChanges < len(m.changes) {
+		next = min(next, m.changes[m.appliedChanges].at)
 	}
 	return next
 }
--- a/internal/lab/model/retry.go
+++ b/internal/lab/model/retry.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// duplicateReplyPeriod is how long after its deadline a request can end once more.
+	// duplicateReplyPeriod is how long after its deadline a request may still get another reply.
 	duplicateReplyPeriod = 5 * time.Second
-	// stormBackoff is the backoff of clients during a retry storm.
+	// stormBackoff is the wait before each retry during a retry storm.
 	stormBackoff = time.Millisecond
-	// noScheduler stands for no scheduler that could be sent to.
+	// noScheduler is the index that Route returns when all schedulers are known to be down.
 	noScheduler = -1
 )
 
-// repliedRequest is a request whose end its client knows.
+// repliedRequest is a request whose client has got a reply.
 type repliedRequest struct {
-	id       int64
-	forgetAt time.Duration
+	id        int64
+	expiresAt time.Duration
 }
 
-// Route returns the scheduler that a request goes to: one of its zone, or of another if all of these are known to be down;
-// -1: all are.
+// Route returns the index of the scheduler that a request is sent to: one of its zone, or of
+// another zone if all of those are down; -1 if all schedulers are. The search starts at a scheduler
+// chosen by a hash of the request.
 func (c *Clients) Route(r *Request, down func(scheduler int) bool) int {
 	h := fnv.New64a()
 	fmt.Fprint(h, c.scenario.Seed, r.ID)
@@ -43,8 +44,9 @@
 	return otherZone
 }
 
-// Retry returns the retry after a request that ended without a result, if its client makes one. retryAfter is the
-// scheduler's advice, 0 if it gave none.
+// Retry returns the retry that a client makes after a request ended with reply, or false if it
+// makes none: the request succeeded, its client disconnected, or the retries or the time are used
+// up. retryAfter is the delay that the scheduler asked for; 0: none.
 func (c *Clients) Retry(now time.Duration, r *Request, reply Reply, retryAfter time.Duration) (Request, bool) {
 	if reply == Succeeded || reply == Disconnected {
 		return Request{}, false
@@ -64,7 +66,7 @@
 	return next, true
 }
 
-// backoff draws how long a client waits before its retry.
+// backoff draws the time that a client waits before its retry.
 func (c *Clients) backoff(r *Request, retryAfter time.Duration) time.Duration {
 	rng := rand.New(rand.NewPCG(uint64(c.scenario.Seed), uint64(r.ID)))
 	wait := time.Duration((0.5 + rng.Float64()) * float64(c.scenario.Clients.Backoff))
@@ -77,15 +79,16 @@
 	return wait
 }
 
-// FirstReply reports whether this is the first time that a request ends for its client: an answer, a broken connection and
-// the client's timeout may follow one another.
+// FirstReply reports whether a request ends for its client for the first time, and records that it
+// has ended. An answer, a broken connection and the client timeout of one request may follow one
+// another, and only the first of them counts.
 func (c *Clients) FirstReply(r *Request) bool {
 	if c.replied[r.ID] {
 		return false
 	}
 	c.replied[r.ID] = true
-	c.repliedExpiry = append(c.repliedExpiry, repliedRequest{id: r.ID, forgetAt: r.Deadline + duplicateReplyPeriod})
-	for len(c.repliedExpiry) > 0 && c.repliedExpiry[0].forgetAt < r.At {
+	c.repliedExpiry = append(c.repliedExpiry, repliedRequest{id: r.ID, expiresAt: r.Deadline + duplicateReplyPeriod})
+	for len(c.repliedExpiry) > 0 && c.repliedExpiry[0].expiresAt < r.At {
 		delete(c.replied, c.repliedExpiry[0].id)
 		c.repliedExpiry = c.repliedExpiry[1:]
 	}
--- a/internal/lab/model/rules.go
+++ b/internal/lab/model/rules.go
@@ -7,81 +7,84 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// Rule is a rule that holds whatever faults hit.
+// Rule is a rule that schedulers must keep under any faults.
 type Rule uint8
 
-// The rules.
+// The rules that a run checks.
 const (
-	OneAnswer        Rule = iota // one final answer before the client timeout, and no attempt after it
-	OneEffect                    // no effect twice, within the effect class; no more attempts than allowed
-	NoSendToDraining             // no attempt at a draining or gone worker after the grace period
-	NoOverload                   // no warming worker is sent more than it can bear
+	OneAnswer        Rule = iota // exactly one final answer, before the client timeout, and no attempt after it
+	OneEffect                    // no retry that the operation's effect class forbids, and no more attempts than allowed
+	NoSendToDraining             // no attempt at a worker known to be draining or gone, after a grace period
+	NoOverload                   // no warming worker is sent more work than it can handle
 
 	ruleCount = iota
 )
 
 var ruleNames = [...]string{"one answer", "one effect", "drains", "cold"}
 
-// String gives the rule as reports have it.
+// String returns the rule's name in reports.
 func (r Rule) String() string { return ruleNames[r] }
 
 const (
-	// maxViolations is how many violations of each rule are kept whole; all are counted.
+	// maxViolations is the number of violations of each rule that are kept with their details; all
+	// are counted.
 	maxViolations = 5
-	// maxHistory is how many lines of a request's history are kept.
+	// maxHistory is the maximum number of lines of a request's history; later ones are dropped.
 	maxHistory = 40
-	// recordRetention is how long after its deadline a request is remembered.
+	// recordRetention is how long after its deadline a request's record is kept.
 	recordRetention = 2 * time.Second
-	// notAnswered stands for the time of an answer that was not given.
+	// notAnswered is the answer time of a request that has no answer.
 	notAnswered time.Duration = -1
-	// minNotReadySince keeps the start of the run apart from "ready", which is 0.
+	// minNotReadySince replaces the time 0 in notReadySince, where 0 means ready.
 	minNotReadySince time.Duration = 1
 )
 
-// Violation is one violation of a rule, with the history of the request.
+// Violation is a violation of a rule, with the history of the request concerned.
 type Violation struct {
 	Rule      string        `json:"Rule"`
 	At        time.Duration `json:"At"`
 	Scheduler int           `json:"Scheduler"`
-	Request   int64         `json:"Job"` // its ID; 0: it concerns no known request
+	Request   int64         `json:"Job"` // ID of the request; 0: no known request is concerned
 	Text      string        `json:"Text"`
 	History   []string      `json:"Before"`
 }
 
-// RuleChecker checks what schedulers do against the rules. It goes by what the model sees, never by what schedulers tell of
-// themselves.
+// RuleChecker checks the behavior of schedulers against the rules. It relies only on what the model
+// observes, never on what schedulers report about themselves.
 type RuleChecker struct {
-	Violations []Violation    // the first ones of each rule
-	Counts     [ruleCount]int // by Rule
-
-	scenario scenario.Scenario
-	machine  func(int) *Machine
-	open     map[int64]*requestRecord // by request
-	byEnd    []*requestRecord         // nearly in the order of their ends
-	// notReadySince is by machine: since when the list has it as not ready; 0: it is ready.
+	Violations []Violation    // up to maxViolations of each rule
+	Counts     [ruleCount]int // all violations, by Rule
+
+	scenario    scenario.Scenario
+	machine     func(int) *Machine
+	open        map[int64]*requestRecord // records of requests that have not expired, by request ID
+	expiryQueue []*requestRecord         // the records in open, roughly ordered by expiresAt
+	// notReadySince has, by machine, the time since which the endpoint list has it as not ready; 0:
+	// it is ready.
 	notReadySince []time.Duration
-	// notReadyKnownSince is by scheduler and machine: since when the scheduler knows that it is not ready.
+	// notReadyKnownSince has, by scheduler and machine, the time since which the scheduler knows
+	// that it is not ready.
 	notReadyKnownSince []map[int]time.Duration
 }
 
-// requestRecord is one request at one scheduler.
+// requestRecord is what the checker has recorded about a request at a scheduler.
 type requestRecord struct {
-	request    *Request
-	scheduler  int
-	answeredAt time.Duration
-	excused    bool // no answer is owed: its client has disconnected, or its scheduler was killed
-	forgetAt   time.Duration
-	attempts   []attemptRecord
-	history    []string
+	request       *Request
+	scheduler     int
+	answeredAt    time.Duration
+	answerNotOwed bool // its client has disconnected, or its scheduler was killed
+	expiresAt     time.Duration
+	attempts      []attemptRecord
+	history       []string
 }
 
-// attemptRecord is one attempt of a request.
+// attemptRecord is what the checker has recorded about an attempt of a request.
 type attemptRecord struct {
 	number   int
 	machine  int
 	sentAt   time.Duration
 	inFlight bool
-	neverRan bool // proved
+	neverRan bool // proved by how the attempt ended
 }
 
 func newRuleChecker(s scenario.Scenario) *RuleChecker {
@@ -92,7 +95,7 @@
 	return c
 }
 
-// Total counts the violations of all rules.
+// Total returns the number of violations of all rules.
 func (c *RuleChecker) Total() int {
 	total := 0
 	for _, n := range c.Counts {
@@ -101,8 +104,9 @@
 	return total
 }
 
-// violate counts a violation, and keeps it if it is among the first. r is the request; nil: it is not known.
-func (c *RuleChecker) violate(rule Rule, now time.Duration, scheduler int, r *requestRecord, format string, args ...any) {
+// addViolation counts a violation, and keeps its details if fewer than maxViolations of its rule
+// are kept. r may be nil if the request is not known.
+func (c *RuleChecker) addViolation(rule Rule, now time.Duration, scheduler int, r *requestRecord, format string, args ...any) {
 	c.Counts[rule]++
 	if c.Counts[rule] > maxViolations {
 		return
@@ -115,35 +119,37 @@
 	c.Violations = append(c.Violations, v)
 }
 
-// note adds a line to the request's history.
-func (r *requestRecord) note(now time.Duration, format string, args ...any) {
+// addHistory adds a line to the request's history, unless it is full.
+func (r *requestRecord) addHistory(now time.Duration, format string, args ...any) {
 	if len(r.history) < maxHistory {
 		r.history = append(r.history, fmt.Sprintf("%.4f s  ", now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-// expire forgets requests whose time is long over.
+// expire closes the records of requests that have expired.
 func (c *RuleChecker) expire(now time.Duration) {
-	for len(c.byEnd) > 0 && c.byEnd[0].forgetAt < now {
-		c.closeRecord(now, c.byEnd[0])
-		c.byEnd[0] = nil
-		c.byEnd = c.byEnd[1:]
+	for len(c.expiryQueue) > 0 && c.expiryQueue[0].expiresAt < now {
+		c.closeRecord(now, c.expiryQueue[0])
+		c.expiryQueue[0] = nil
+		c.expiryQueue = c.expiryQueue[1:]
 	}
 }
 
+// closeRecord removes a request's record. It is a violation if the request needed an answer and got
+// none.
 func (c *RuleChecker) closeRecord(now time.Duration, r *requestRecord) {
-	if r.answeredAt == notAnswered && !r.excused {
-		c.violate(OneAnswer, now, r.scheduler, r, "no final answer")
+	if r.answeredAt == notAnswered && !r.answerNotOwed {
+		c.addViolation(OneAnswer, now, r.scheduler, r, "no final answer")
 	}
 	delete(c.open, r.request.ID)
 }
 
-// Close ends the run: all requests whose time is over must have been answered.
+// Close ends the run. Each request whose deadline has passed must have been answered.
 func (c *RuleChecker) Close(now time.Duration) {
-	for _, r := range c.byEnd {
+	for _, r := range c.expiryQueue {
 		if r.request.Deadline+c.scenario.Rules.AnswerSlack.D() < now {
 			c.closeRecord(now, r)
 		}
 	}
-	c.byEnd = nil
+	c.expiryQueue = nil
 }
--- a/internal/lab/model/serve.go
+++ b/internal/lab/model/serve.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// Connect returns whether a new connection to a machine comes up: Accepted, ConnectionRefused or NoResponse.
+// Connect opens a new connection to a machine and returns the result: Accepted, ConnectionRefused
+// or NoResponse.
 func (c *Cluster) Connect(machine int) Response {
 	m := c.Machines[machine]
 	if m.silentFaults > 0 {
 		return NoResponse
 	}
-	if !m.Reachable() || happens(c.rand, c.refuseShares) {
+	if !m.Reachable() || drawAny(c.rand, c.refuseShares) {
 		return ConnectionRefused
 	}
 	return Accepted
 }
 
-// Submit hands an attempt to its machine.
+// Submit sends an attempt to its machine and returns the machine's immediate response. The attempt
+// may be accepted by the machine and the response still be ConnectionReset.
 func (c *Cluster) Submit(now time.Duration, a *Attempt) Response {
 	m := c.Machines[a.Machine]
 	if m.silentFaults > 0 {
@@ -29,24 +31,26 @@
 		return ConnectionReset
 	}
 	if m.failShare > 0 && c.rand.Float64() < m.failShare {
-		a.state = attemptOver
+		a.state = attemptEnded
 		return FailedAtOnce
 	}
 	if a.Request.Slots > m.slots || len(m.queue) >= m.queueLimit {
-		a.state = attemptOver
+		a.state = attemptEnded
 		return Rejected
 	}
 	a.workLeft = a.Request.Cost
 	a.state = attemptQueued
 	m.queue = append(m.queue, a)
 	c.update(m, now)
-	if happens(c.rand, c.resetShares) {
+	if drawAny(c.rand, c.resetShares) {
 		return ConnectionReset
 	}
 	return Accepted
 }
 
-// checkOverload counts the work that a warming machine is sent, and stops its process if that is too much.
+// checkOverload sums the work that a warming machine has received within the overload window. If
+// that exceeds the allowed multiple of its capacity, it records a violation and stops the machine's
+// process.
 func (c *Cluster) checkOverload(now time.Duration, m *Machine, a *Attempt) {
 	share := m.capacityShare(now)
 	if !m.warmingUp {
@@ -64,28 +68,29 @@
 	}
 	limit := c.scenario.Rules.OverloadMultiple * float64(m.slots) * m.speed * share / m.slowdown * window.Seconds()
 	if len(m.recentArrivals) < 2 {
-		return // no scheduler could have split a single one
+		return // no scheduler can split a single request
 	}
 	c.statistics.MaxWarmUpLoad = max(c.statistics.MaxWarmUpLoad, work/limit)
 	if work > limit {
-		c.rules.overloaded(now, m, a, work, limit)
+		c.rules.recordOverload(now, m, a, work, limit)
 		c.stopProcess(now, m)
 		c.stateChanged(now, m.index, false)
 	}
 }
 
-// Cancel stops an attempt if its machine honors that.
+// Cancel stops an attempt if its machine supports cancellation at the attempt's stage.
 func (c *Cluster) Cancel(now time.Duration, a *Attempt) {
 	m := c.Machines[a.Machine]
 	if !m.cancels(a) {
 		return
 	}
-	c.settle(m, now)
+	c.advanceWork(m, now)
 	m.remove(a)
 	c.update(m, now)
 }
 
-// HealthCheck returns a machine's load report; nil: it gives none.
+// HealthCheck returns a machine's response to a health check and its load report, which is nil if
+// it has none.
 func (c *Cluster) HealthCheck(now time.Duration, machine int) (*LoadReport, Response) {
 	m := c.Machines[machine]
 	switch {
--- a/internal/lab/model/statistics.go
+++ b/internal/lab/model/statistics.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// intervalLength is how finely the service over time is counted.
+	// intervalLength is the resolution of the service over time.
 	intervalLength = time.Second
-	// latencyDigits is the precision of latencies, in significant digits.
+	// latencyDigits is the precision of the latency histograms, in significant decimal digits.
 	latencyDigits = 3
 )
 
-// Service is how one part of the load was served: an operation, a tenant, a zone, or all.
+// Service is how a part of the load was served: an operation, a tenant, a zone, or all of it.
 type Service struct {
 	Name string
 
-	// Numbers of invocations, each with all its requests.
+	// Numbers of invocations; the retries of an invocation are not counted separately.
 	Offered, InTime, Late, Throttled, Errored, Unanswered int
 
-	ValueOffered float64
-	ValueServed  float64                 // within the objective
-	Latency      *hdrhistogram.Histogram // of successful invocations, in microseconds
+	ValueOffered float64                 // total value of the invocations
+	ValueServed  float64                 // value of those that succeeded within the objective
+	Latency      *hdrhistogram.Histogram // of the successful invocations, in microseconds
 }
 
-// Interval is how an interval of the run was served, by the intended times of the invocations.
+// Interval is the value of the invocations whose intended time is in one interval of the run.
 type Interval struct{ ValueOffered, ValueServed float64 }
 
-// Statistics count what happens in a run.
+// Statistics has the counts of a run.
 type Statistics struct {
 	All                        *Service
 	Operations, Tenants, Zones []*Service
-	Intervals                  []Interval
-	Requests                   int
-	Forwards                   int // attempts that reached their machines
-	Duplicates                 int // runs beyond the first of an invocation, or after its end
+	Intervals                  []Interval // each of intervalLength
+	Requests                   int        // first requests and retries
+	Forwards                   int        // attempts that reached their machines
+	Duplicates                 int        // executions of an invocation beyond its first, or after its end
 	HealthChecks               int
 	Connections                int
-	MaxWarmUpLoad              float64 // of a warming machine, as a share of what it can bear
+	MaxWarmUpLoad              float64 // highest load of a warming machine, as a share of the limit of NoOverload
 
 	scenario         scenario.Scenario
-	workDone         float64 // slot seconds at speed 1
-	workUseful       float64 // of successful invocations
-	workOffered      float64
-	runsByInvocation map[int64]int
-	open             map[int64]bool // by invocation
+	workDone         float64        // by all machines, in slot seconds at speed 1
+	workUseful       float64        // work of the successful invocations
+	workOffered      float64        // work of all invocations
+	runsByInvocation map[int64]int  // executions started, of the open invocations
+	openInvocations  map[int64]bool // by invocation: it has not ended
 }
 
 func newStatistics(sc scenario.Scenario) *Statistics {
@@ -55,7 +55,7 @@
 		All:              newService("all"),
 		scenario:         sc,
 		runsByInvocation: map[int64]int{},
-		open:             map[int64]bool{},
+		openInvocations:  map[int64]bool{},
 	}
 	for _, o := range sc.Operations {
 		s.Operations = append(s.Operations, newService(o.Name))
@@ -73,7 +73,7 @@
 	return &Service{Name: name, Latency: hdrhistogram.New(1, time.Hour.Microseconds(), latencyDigits)}
 }
 
-// servicesOf are the parts of the load that a request belongs to.
+// servicesOf returns the parts of the load that a request belongs to.
 func (s *Statistics) servicesOf(r *Request) []*Service {
 	services := []*Service{s.All, s.Operations[r.Operation], s.Zones[r.Zone]}
 	if r.Tenant < len(s.Tenants) {
@@ -82,11 +82,12 @@
 	return services
 }
 
-// value is the value of an invocation, by the work that it takes.
+// value returns the value of an invocation, which is proportional to its work.
 func (s *Statistics) value(r *Request) float64 {
 	return s.scenario.Operations[r.Operation].Value * r.Work()
 }
 
+// interval returns the interval of a request's intended time.
 func (s *Statistics) interval(r *Request) *Interval {
 	index := int(r.IntendedAt / intervalLength)
 	for len(s.Intervals) <= index {
@@ -95,9 +96,9 @@
 	return &s.Intervals[index]
 }
 
-// InvocationOffered counts an invocation, with its first request.
+// InvocationOffered counts a new invocation, given its first request.
 func (s *Statistics) InvocationOffered(r *Request) {
-	s.open[r.Invocation] = true
+	s.openInvocations[r.Invocation] = true
 	s.workOffered += r.Work()
 	value := s.value(r)
 	s.interval(r).ValueOffered += value
@@ -107,12 +108,13 @@
 	}
 }
 
-// InvocationEnded counts how the last request of an invocation ended. Later ends of the same invocation do not count.
+// InvocationEnded counts the end of an invocation, given its last request and the reply to it.
+// Further calls for the same invocation have no effect.
 func (s *Statistics) InvocationEnded(now time.Duration, r *Request, reply Reply) {
-	if !s.open[r.Invocation] {
+	if !s.openInvocations[r.Invocation] {
 		return
 	}
-	delete(s.open, r.Invocation)
+	delete(s.openInvocations, r.Invocation)
 	delete(s.runsByInvocation, r.Invocation)
 	latency := now - r.IntendedAt
 	inTime := reply == Succeeded && latency <= r.Objective
@@ -124,7 +126,7 @@
 		s.interval(r).ValueServed += value
 	}
 	for _, service := range s.servicesOf(r) {
-		service.count(reply, inTime)
+		service.countEnd(reply, inTime)
 		if inTime {
 			service.ValueServed += value
 		}
@@ -134,7 +136,7 @@
 	}
 }
 
-func (s *Service) count(reply Reply, inTime bool) {
+func (s *Service) countEnd(reply Reply, inTime bool) {
 	switch {
 	case inTime:
 		s.InTime++
@@ -149,10 +151,10 @@
 	}
 }
 
-// runStarted counts duplicate runs.
+// runStarted records that a machine starts to execute an attempt, and counts duplicate executions.
 func (s *Statistics) runStarted(a *Attempt) {
 	invocation := a.Request.Invocation
-	if !s.open[invocation] {
+	if !s.openInvocations[invocation] {
 		s.Duplicates++
 		return
 	}
@@ -162,10 +164,11 @@
 	}
 }
 
-// OpenInvocations counts the invocations that have not ended.
-func (s *Statistics) OpenInvocations() int { return len(s.open) }
+// OpenInvocations returns the number of invocations that have not ended.
+func (s *Statistics) OpenInvocations() int { return len(s.openInvocations) }
 
-// WastedShare is the work beyond that of successful invocations, as a share of the work offered.
+// WastedShare returns the work done beyond that of successful invocations, as a share of the work
+// offered.
 func (s *Statistics) WastedShare() float64 {
 	if s.workOffered == 0 {
 		return 0
