--- a/internal/lab/virtual/attempts.go
+++ b/internal/lab/virtual/attempts.go
@@ -7,14 +7,14 @@
 	"stoatweir/internal/lab/model"
 )
 
-// attempt is an attempt of a scheduler at a machine.
+// attempt is an attempt of a scheduler at a machine, as the scheduler sees it.
 type attempt struct {
 	*model.Attempt
 	request *request
-	over    bool // its scheduler knows its end
+	ended   bool // its scheduler has been notified of its end
 }
 
-// forward makes an attempt.
+// forward starts an attempt: it connects to the machine and sends the request.
 func (sim *Simulation) forward(s *scheduler, f dispatch.Forward) {
 	r := s.requests[int64(f.Invocation)]
 	machine := machineOf(f.Worker)
@@ -31,18 +31,18 @@
 		return
 	}
 	connected := func(reused bool) {
-		if a.over {
+		if a.ended {
 			return
 		}
 		sim.Model.Rules.AttemptSent(sim.now, s.number, r.Request, a.Number, machine)
-		sim.scheduleAfter(sim.latency(s, machine)+bodyTime, func() { sim.submit(s, a, reused) })
+		sim.scheduleAfter(sim.latency(s, machine)+bodyTransferTime, func() { sim.submit(s, a, reused) })
 	}
 	sim.connect(s, machine, connected, func() {
 		sim.endAttempt(s, a, dispatch.Unreachable, nil, "could not connect")
 	})
 }
 
-// submit hands an attempt to its machine, and the machine's response to the scheduler.
+// submit delivers an attempt to its machine, and the machine's response to the scheduler.
 func (sim *Simulation) submit(s *scheduler, a *attempt, reused bool) {
 	response := sim.Model.Fleet.Submit(sim.now, a.Attempt)
 	if response == model.NoResponse {
@@ -50,40 +50,40 @@
 	}
 	sim.scheduleAfter(sim.latency(s, a.Machine), func() {
 		if s.current(a.request.incarnation) {
-			sim.responded(s, a, response, reused)
+			sim.handleResponse(s, a, response, reused)
 		}
 	})
 }
 
-// responded is the response of a machine to an attempt.
-func (sim *Simulation) responded(s *scheduler, a *attempt, response model.Response, reused bool) {
+// handleResponse handles a machine's response to an attempt, at the time the scheduler receives it.
+func (sim *Simulation) handleResponse(s *scheduler, a *attempt, response model.Response, reused bool) {
 	switch response {
 	case model.Accepted:
 		sim.releaseConnection(s, a.Machine)
-		if !a.over {
-			progress := sim.progress(a)
+		if !a.ended {
+			progress := sim.newProgress(a)
 			progress.Accepted = true
 			sim.addEvent(s, progress)
 		}
 	case model.Rejected:
 		sim.releaseConnection(s, a.Machine)
-		sim.endAttempt(s, a, dispatch.Rejected, nil, "turned away")
+		sim.endAttempt(s, a, dispatch.Rejected, nil, "rejected")
 	case model.FailedAtOnce:
 		sim.releaseConnection(s, a.Machine)
 		sim.endAttempt(s, a, dispatch.Failed, nil, "failed at once")
 	case model.ConnectionReset:
 		sim.endAttempt(s, a, dispatch.ConnectionBroken, nil, "the connection broke")
 	case model.ConnectionRefused:
-		if reused { // the machine's process was gone, and the connection with it
-			sim.endAttempt(s, a, dispatch.ReusedConnectionBroken, nil, "a kept connection broke")
+		if reused { // the machine's process had exited, which closed the idle connection
+			sim.endAttempt(s, a, dispatch.ReusedConnectionBroken, nil, "a reused connection broke")
 		} else {
 			sim.endAttempt(s, a, dispatch.Unreachable, nil, "could not connect")
 		}
 	}
 }
 
-// progress is an event about an attempt in flight.
-func (sim *Simulation) progress(a *attempt) dispatch.AttemptProgress {
+// newProgress returns a progress event of an attempt in flight.
+func (sim *Simulation) newProgress(a *attempt) dispatch.AttemptProgress {
 	return dispatch.AttemptProgress{
 		Invocation: dispatch.InvocationID(a.request.ID),
 		Worker:     workerID(a.Machine),
@@ -91,17 +91,18 @@
 	}
 }
 
-// provesNotRun reports whether a result proves that the attempt has not run.
+// provesNotRun reports whether the result of an attempt proves that it has not run.
 func provesNotRun(r dispatch.Result) bool {
 	return r == dispatch.Rejected || r == dispatch.Unreachable || r == dispatch.NotSent
 }
 
-// endAttempt ends an attempt for its scheduler, once.
+// endAttempt notifies the scheduler of the end of an attempt. Only the first call for an attempt
+// has an effect. cause is for the history of the request.
 func (sim *Simulation) endAttempt(s *scheduler, a *attempt, result dispatch.Result, load *dispatch.LoadReport, cause string) {
-	if a.over || !s.current(a.request.incarnation) {
+	if a.ended || !s.current(a.request.incarnation) {
 		return
 	}
-	a.over = true
+	a.ended = true
 	sim.Model.Rules.AttemptEnded(sim.now, a.Request, a.Number, provesNotRun(result), cause)
 	sim.addEvent(s, dispatch.Outcome{
 		Invocation: dispatch.InvocationID(a.request.ID),
@@ -113,19 +114,21 @@
 	})
 }
 
-// cancel ends an attempt for its scheduler, and at its machine if the scenario allows that.
+// cancel ends an attempt for its scheduler, and cancels it at its machine if the scenario's limits
+// allow it.
 func (sim *Simulation) cancel(s *scheduler, a *attempt) {
-	if a.over {
+	if a.ended {
 		return
 	}
-	sim.endAttempt(s, a, dispatch.Cancelled, nil, "called off")
+	sim.endAttempt(s, a, dispatch.Cancelled, nil, "cancelled")
 	if sim.scenario.Limits.Cancel {
-		sim.scheduleAfter(sim.latency(s, a.Machine)+bodyTime, func() { sim.Model.Fleet.Cancel(sim.now, a.Attempt) })
+		sim.scheduleAfter(sim.latency(s, a.Machine)+bodyTransferTime, func() { sim.Model.Fleet.Cancel(sim.now, a.Attempt) })
 	}
 }
 
-// callbackSent brings a machine's callback to the scheduler, if it still knows the attempt.
-func (sim *Simulation) callbackSent(now time.Duration, sent *model.Attempt, callback model.Callback, share float64) {
+// deliverCallback schedules the arrival of a machine's callback at the scheduler, if that still
+// knows the attempt.
+func (sim *Simulation) deliverCallback(now time.Duration, sent *model.Attempt, callback model.Callback, share float64) {
 	s := sim.schedulers[sent.Scheduler]
 	r := s.requests[sent.Request.ID]
 	if r == nil || sent.Number >= len(r.attempts) || r.attempts[sent.Number].Attempt != sent {
@@ -133,16 +136,17 @@
 	}
 	a := r.attempts[sent.Number]
 	sim.schedule(max(now, sim.now)+sim.latency(s, a.Machine), func() {
-		if !a.over && s.current(r.incarnation) {
-			sim.callbackReceived(s, a, callback, share)
+		if !a.ended && s.current(r.incarnation) {
+			sim.handleCallback(s, a, callback, share)
 		}
 	})
 }
 
-func (sim *Simulation) callbackReceived(s *scheduler, a *attempt, callback model.Callback, share float64) {
+// handleCallback handles a machine's callback, at the time the scheduler receives it.
+func (sim *Simulation) handleCallback(s *scheduler, a *attempt, callback model.Callback, share float64) {
 	switch callback {
 	case model.Started, model.Progress:
-		progress := sim.progress(a)
+		progress := sim.newProgress(a)
 		progress.Started = callback == model.Started
 		progress.Done = share
 		sim.addEvent(s, progress)
@@ -150,12 +154,12 @@
 		if !a.request.answered {
 			sim.answer(s, a.request, model.Succeeded, 0)
 		}
-		sim.endAttempt(s, a, dispatch.Succeeded, nil, "done")
+		sim.endAttempt(s, a, dispatch.Succeeded, nil, "completed")
 	case model.Failed:
 		sim.endAttempt(s, a, dispatch.Failed, nil, "failed")
 	case model.Returned:
-		sim.endAttempt(s, a, dispatch.Rejected, nil, "returned unstarted")
+		sim.endAttempt(s, a, dispatch.Rejected, nil, "returned without having started")
 	case model.Lost:
-		sim.endAttempt(s, a, dispatch.ConnectionBroken, nil, "lost with its process")
+		sim.endAttempt(s, a, dispatch.ConnectionBroken, nil, "lost when its process exited")
 	}
 }
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -7,32 +7,34 @@
 	"stoatweir/internal/lab/model"
 )
 
-// deadlineMargin is how long before its client's timeout a request counts as given up.
+// deadlineMargin is how long before the client timeout a request counts as timed out at its
+// scheduler.
 const deadlineMargin = 5 * time.Millisecond
 
-// request is a request at a scheduler that is not answered, or has attempts in flight.
+// request is a request at a scheduler. It is kept until it is answered and has no attempt in flight.
 type request struct {
 	*model.Request
-	incarnation int // of its scheduler
+	incarnation int // of its scheduler, when it received the request
 	answered    bool
 	attempts    []*attempt
 }
 
-// settle forgets a request that is answered and has no attempt in flight.
-func (s *scheduler) settle(id int64) {
+// removeIfFinished removes a request that is answered and has no attempt in flight.
+func (s *scheduler) removeIfFinished(id int64) {
 	r := s.requests[id]
 	if r == nil || !r.answered {
 		return
 	}
 	for _, a := range r.attempts {
-		if !a.over {
+		if !a.ended {
 			return
 		}
 	}
 	delete(s.requests, id)
 }
 
-// scheduleArrival schedules the next invocation of the source.
+// scheduleArrival schedules the next invocation of the source. Its arrival schedules the one after
+// it.
 func (sim *Simulation) scheduleArrival() {
 	r, more := sim.source.Next()
 	if !more {
@@ -46,7 +48,7 @@
 	})
 }
 
-// sendRequest has a client send a request.
+// sendRequest sends a request from its client to a scheduler.
 func (sim *Simulation) sendRequest(r *model.Request) {
 	sim.Model.Statistics.Requests++
 	s := sim.route(r)
@@ -67,7 +69,8 @@
 	})
 }
 
-// route returns the scheduler that a request goes to, which may be down while clients do not know that; nil: there is none.
+// route returns the scheduler that a client sends a request to, or nil if all are known to be down.
+// Until clients detect a scheduler's failure, it may be one that is down.
 func (sim *Simulation) route(r *model.Request) *scheduler {
 	n := sim.Model.Clients.Route(r, func(n int) bool {
 		s := sim.schedulers[n]
@@ -79,7 +82,8 @@
 	return sim.schedulers[n]
 }
 
-// receiveRequest has a scheduler receive a request.
+// receiveRequest adds a request to a scheduler, and schedules its timeouts at the scheduler and at
+// the client.
 func (sim *Simulation) receiveRequest(s *scheduler, received *model.Request) {
 	sim.Model.Rules.RequestReceived(sim.now, s.number, received)
 	r := &request{Request: received, incarnation: s.incarnation}
@@ -96,18 +100,18 @@
 	sim.schedule(r.Deadline+sim.scenario.Rules.AnswerSlack.D(), func() { sim.clientReplied(r.Request, model.Unanswered, 0) })
 }
 
-// timeOut ends the attempts in flight of a request whose client stops waiting.
+// timeOut ends the attempts in flight of a request shortly before its client times out.
 func (sim *Simulation) timeOut(s *scheduler, r *request) {
 	if !s.current(r.incarnation) {
 		return
 	}
 	for _, a := range r.attempts {
-		sim.endAttempt(s, a, dispatch.TimedOut, nil, "given up at the client timeout")
+		sim.endAttempt(s, a, dispatch.TimedOut, nil, "abandoned at the client timeout")
 	}
-	s.settle(r.ID)
+	s.removeIfFinished(r.ID)
 }
 
-// disconnect has a client disconnect before its timeout.
+// disconnect disconnects a client before its timeout.
 func (sim *Simulation) disconnect(s *scheduler, incarnation int, r *model.Request) {
 	sim.Model.Rules.ClientDisconnected(sim.now, r)
 	sim.clientReplied(r, model.Disconnected, 0)
@@ -119,8 +123,10 @@
 	sim.addEvent(s, dispatch.ClientDisconnected{Invocation: dispatch.InvocationID(r.ID)})
 }
 
-// answer sends the final answer of a scheduler. r is nil for a request that is forgotten, as its client has disconnected or
-// has its answer: the decider may not know that yet.
+// answer sends a scheduler's final answer to the client. If the request is already answered, a
+// further answer is not sent; it is reported to the rule checker unless it is a result. r is nil if
+// the request has been removed because it was answered or its client disconnected, which the
+// decider may not know yet.
 func (sim *Simulation) answer(s *scheduler, r *request, reply model.Reply, retryAfter time.Duration) {
 	if r == nil {
 		return
@@ -134,10 +140,11 @@
 	r.answered = true
 	sim.Model.Rules.RequestAnswered(sim.now, s.number, r.Request, reply)
 	sim.scheduleAfter(sim.jitter(sim.scenario.Network.Client.D()), func() { sim.clientReplied(r.Request, reply, retryAfter) })
-	s.settle(r.ID)
+	s.removeIfFinished(r.ID)
 }
 
-// clientReplied ends a request for its client, which may retry.
+// clientReplied ends a request for its client, which either retries or ends the invocation. Only
+// the first reply counts.
 func (sim *Simulation) clientReplied(r *model.Request, reply model.Reply, retryAfter time.Duration) {
 	if !sim.Model.Clients.FirstReply(r) {
 		return
--- a/internal/lab/virtual/decider.go
+++ b/internal/lab/virtual/decider.go
@@ -6,15 +6,16 @@
 	"stoatweir/internal/simwire"
 )
 
-// Decider makes the decisions of one scheduler, as *dispatch.Dispatcher does.
+// Decider makes the decisions of one scheduler. *dispatch.Dispatcher implements it.
 type Decider = simwire.Decider
 
-// DeciderFactory makes the decider of one scheduler, by its number, seed and settings as JSON.
+// DeciderFactory returns a new decider for a scheduler, given its number, its random seed and its
+// settings as JSON.
 type DeciderFactory func(scheduler int, seed int64, settings []byte) (Decider, error)
 
-// Module is the DeciderFactory of the decision module in this process.
-func Module(_ int, seed int64, text []byte) (Decider, error) {
-	deployment, err := settings.ParseDeployment(text)
+// Module is the DeciderFactory that runs the decision module, package dispatch, in this process.
+func Module(_ int, seed int64, settingsJSON []byte) (Decider, error) {
+	deployment, err := settings.ParseDeployment(settingsJSON)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/virtual/discovery.go
+++ b/internal/lab/virtual/discovery.go
@@ -9,13 +9,15 @@
 	"stoatweir/internal/lab/model"
 )
 
+// endpointStates maps the model's states of a machine to those of the decision module.
 var endpointStates = map[model.MachineState]dispatch.EndpointState{
 	model.Gone:     dispatch.Gone,
 	model.Ready:    dispatch.Ready,
 	model.Draining: dispatch.Draining,
 }
 
-// watchEndpoints queries discovery; an answer becomes a watch.
+// watchEndpoints queries discovery. If the query is answered, the scheduler gets the changes since
+// its version of the list and watches for further ones.
 func (sim *Simulation) watchEndpoints(s *scheduler) {
 	incarnation := s.incarnation
 	s.watching = false
@@ -33,15 +35,15 @@
 	})
 }
 
-// sendChanges sends a scheduler what has changed since the version that it has.
+// sendChanges sends a scheduler the changes since its version of the list.
 func (sim *Simulation) sendChanges(s *scheduler) {
 	changed := sim.Model.Discovery.Since(s.listVersion)
 	s.listVersion = sim.Model.Discovery.Version()
 	sim.addEvent(s, sim.endpointUpdate(s, changed, dispatch.DeltaUpdate))
 }
 
-// endpointsChanged brings a change of the list to all schedulers that watch it.
-func (sim *Simulation) endpointsChanged(now time.Duration, _ int) {
+// scheduleUpdates schedules the delivery of a change of the list to all schedulers that watch it.
+func (sim *Simulation) scheduleUpdates(now time.Duration, _ int) {
 	for _, s := range sim.schedulers {
 		if !s.up || !s.watching {
 			continue
@@ -55,8 +57,8 @@
 	}
 }
 
-// discoveryDown ends all watches.
-func (sim *Simulation) discoveryDown(now time.Duration) {
+// endWatches ends the watches of all schedulers, as discovery is down.
+func (sim *Simulation) endWatches(now time.Duration) {
 	for _, s := range sim.schedulers {
 		if !s.up || !s.watching {
 			continue
@@ -71,7 +73,8 @@
 	}
 }
 
-// endpointUpdate is an update for a scheduler's decider, whose times count from its start.
+// endpointUpdate returns an update for a scheduler's decider, and records it with the rule checker.
+// Its times are relative to the scheduler's start.
 func (sim *Simulation) endpointUpdate(s *scheduler, endpoints []model.Endpoint, kind dispatch.UpdateKind) dispatch.EndpointUpdate {
 	update := dispatch.EndpointUpdate{Kind: kind}
 	for _, e := range endpoints {
@@ -81,6 +84,7 @@
 	return update
 }
 
+// endpoint converts an entry of the endpoint list for a scheduler's decider.
 func (sim *Simulation) endpoint(s *scheduler, e model.Endpoint) dispatch.Endpoint {
 	m := sim.Model.Fleet.Machines[e.Machine]
 	endpoint := dispatch.Endpoint{
@@ -93,13 +97,14 @@
 	if e.StartedAt >= 0 {
 		endpoint.StartKnown = true
 		endpoint.StartedAt = e.StartedAt - s.startedAt
-		endpoint.Incarnation = incarnationOf(m.UID, e.StartedAt)
+		endpoint.Incarnation = incarnationID(m.UID, e.StartedAt)
 	}
 	return endpoint
 }
 
-// incarnationOf tells the starts of a worker apart.
-func incarnationOf(uid string, startedAt time.Duration) uint64 {
+// incarnationID returns an ID of a start of a worker's process: a hash that differs between its
+// starts.
+func incarnationID(uid string, startedAt time.Duration) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, uid, startedAt)
 	return h.Sum64()
--- a/internal/lab/virtual/healthcheck.go
+++ b/internal/lab/virtual/healthcheck.go
@@ -8,24 +8,25 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// healthCheckTimeout is the timeout of a health check.
+// healthCheckTimeout is the time after which a scheduler gives up a health check, including its
+// connection setup.
 const healthCheckTimeout = 300 * time.Millisecond
 
 // healthCheck is a health check in flight.
 type healthCheck struct {
-	day         *Simulation
+	sim         *Simulation
 	scheduler   *scheduler
-	incarnation int
+	incarnation int // of the scheduler
 	worker      dispatch.WorkerID
 	machine     int
 	sentAt      time.Duration
-	over        bool
+	ended       bool // the scheduler has its result, or gave it up
 }
 
-// healthCheck checks a worker and brings its load report.
+// healthCheck starts a health check of a worker, which also fetches its load report.
 func (sim *Simulation) healthCheck(s *scheduler, worker dispatch.WorkerID) {
 	h := &healthCheck{
-		day:         sim,
+		sim:         sim,
 		scheduler:   s,
 		incarnation: s.incarnation,
 		worker:      worker,
@@ -41,48 +42,50 @@
 	sim.scheduleAfter(healthCheckTimeout, h.timeOut)
 }
 
-// arrive is when the check reaches its machine.
+// arrive handles the arrival of the check at its machine.
 func (h *healthCheck) arrive() {
-	d := h.day
-	report, response := d.Model.Fleet.HealthCheck(d.now, h.machine)
+	sim := h.sim
+	report, response := sim.Model.Fleet.HealthCheck(sim.now, h.machine)
 	if response == model.NoResponse {
 		return
 	}
-	d.scheduleAfter(d.latency(h.scheduler, h.machine), func() {
+	sim.scheduleAfter(sim.latency(h.scheduler, h.machine), func() {
 		if response == model.ConnectionRefused {
 			h.end(dispatch.Unreachable, nil)
 			return
 		}
-		if !h.over && h.scheduler.incarnation == h.incarnation {
-			d.releaseConnection(h.scheduler, h.machine)
+		if !h.ended && h.scheduler.incarnation == h.incarnation {
+			sim.releaseConnection(h.scheduler, h.machine)
 		}
-		h.end(dispatch.Succeeded, d.loadReport(report))
+		h.end(dispatch.Succeeded, sim.loadReport(report))
 	})
 }
 
+// timeOut ends the check without a response, and drops the idle connections to its machine.
 func (h *healthCheck) timeOut() {
-	if h.over {
+	if h.ended {
 		return
 	}
 	h.scheduler.idleConnections[h.machine] = nil
 	h.end(dispatch.TimedOut, nil)
 }
 
-// end ends the check for its scheduler, once.
+// end notifies the scheduler of the result. Only the first call has an effect.
 func (h *healthCheck) end(result dispatch.Result, load *dispatch.LoadReport) {
-	if h.over || !h.scheduler.current(h.incarnation) {
+	if h.ended || !h.scheduler.current(h.incarnation) {
 		return
 	}
-	h.over = true
-	h.day.addEvent(h.scheduler, dispatch.HealthCheckResult{
+	h.ended = true
+	h.sim.addEvent(h.scheduler, dispatch.HealthCheckResult{
 		Worker:  h.worker,
 		Result:  result,
-		Latency: h.day.now - h.sentAt,
+		Latency: h.sim.now - h.sentAt,
 		Load:    load,
 	})
 }
 
-// loadReport has the fields of a report that the scenario's workers report; nil: there is none.
+// loadReport converts a load report, of which it keeps only the fields that the scenario's workers
+// report. It returns nil if there is no report.
 func (sim *Simulation) loadReport(r *model.LoadReport) *dispatch.LoadReport {
 	if r == nil {
 		return nil
--- a/internal/lab/virtual/network.go
+++ b/internal/lab/virtual/network.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	// bodyTime is what a request's body adds to the latency.
-	bodyTime = 50 * time.Microsecond
-	// workerNetwork is the first byte of the workers' addresses, whose others number the machine.
+	// bodyTransferTime is the time that a request's body adds to the latency of its message.
+	bodyTransferTime = 50 * time.Microsecond
+	// workerNetwork is the first byte of the workers' IPv4 addresses; the other three hold the
+	// machine's index.
 	workerNetwork = 10
-	// workerPort is the port of all workers.
+	// workerPort is the port of each worker's address.
 	workerPort = 9000
-	// A connection is reused within idleNumerator/idleDenominator of the time after which machines close it.
+	// A scheduler reuses an idle connection only within idleNumerator/idleDenominator of the time
+	// after which machines close it.
 	idleNumerator   = 6
 	idleDenominator = 10
 )
 
-// jitter varies a latency.
+// jitter varies a latency by a random share of up to the scenario's jitter, in both directions.
 func (sim *Simulation) jitter(t time.Duration) time.Duration {
 	return time.Duration(float64(t) * (1 + sim.scenario.Network.Jitter*(2*sim.networkRand.Float64()-1)))
 }
 
-// latency draws how long a message takes between a scheduler and a machine.
+// latency draws the one-way latency of a message between a scheduler and a machine.
 func (sim *Simulation) latency(s *scheduler, machine int) time.Duration {
 	if sim.Model.Fleet.Machines[machine].Zone == s.zone {
 		return sim.jitter(sim.scenario.Network.SameZone.D())
@@ -33,20 +35,21 @@
 	return sim.jitter(sim.scenario.Network.CrossZone.D())
 }
 
-// workerID is the address of a machine's worker.
+// workerID returns the address of a machine's worker.
 func workerID(machine int) dispatch.WorkerID {
 	addr := netip.AddrFrom4([4]byte{workerNetwork, byte(machine >> 16), byte(machine >> 8), byte(machine)})
 	return netip.AddrPortFrom(addr, workerPort)
 }
 
-// machineOf is the machine of an address.
+// machineOf returns the index of the machine at a worker's address.
 func machineOf(id dispatch.WorkerID) int {
 	b := id.Addr().As4()
 	return int(b[1])<<16 | int(b[2])<<8 | int(b[3])
 }
 
-// connect calls connected with an idle connection to a machine at once, or with a new one after a round trip; failed if none
-// comes up.
+// connect gets a connection to a machine. It calls connected at once if there is an idle
+// connection, or after a round trip when a new one is established. It calls failed if the new
+// connection is refused or times out.
 func (sim *Simulation) connect(s *scheduler, machine int, connected func(reused bool), failed func()) {
 	if s.takeIdleConnection(machine, sim.now, sim.scenario.Network.Idle.D()) {
 		connected(true)
@@ -73,8 +76,8 @@
 	})
 }
 
-// takeIdleConnection takes the connection to a machine that is idle for the shortest time, and drops those that are idle for
-// too long; false: there is none.
+// takeIdleConnection removes the most recently used idle connection to a machine from the pool, and
+// drops those that have been idle for too long. It returns false if none is left.
 func (s *scheduler) takeIdleConnection(machine int, now, idleTimeout time.Duration) bool {
 	idle := s.idleConnections[machine]
 	for len(idle) > 0 {
@@ -90,7 +93,7 @@
 	return false
 }
 
-// releaseConnection makes a connection idle.
+// releaseConnection returns a connection to a machine to the scheduler's idle connections.
 func (sim *Simulation) releaseConnection(s *scheduler, machine int) {
 	s.idleConnections[machine] = append(s.idleConnections[machine], sim.now)
 }
--- a/internal/lab/virtual/program.go
+++ b/internal/lab/virtual/program.go
@@ -13,7 +13,8 @@
 	"stoatweir/internal/simwire"
 )
 
-// Program is a program that decides, over the simulator's protocol: another build's decisions, or a baseline.
+// Program is an external program that makes the decisions, over the simulator's protocol: another
+// build of the decision module, or a baseline.
 type Program struct {
 	command string
 	process *exec.Cmd
@@ -22,7 +23,8 @@
 	err     error
 }
 
-// StartProgram starts a program by a command line of the shell. It is killed when this process exits.
+// StartProgram starts a program by a shell command line. The program is killed when this process
+// exits.
 func StartProgram(command string) (*Program, error) {
 	process := exec.Command("/bin/sh", "-c", "exec "+command)
 	process.Stderr = os.Stderr
@@ -47,39 +49,41 @@
 	return p.process.Wait()
 }
 
-// Err returns the error by which the program decides nothing any more; nil: it decides.
+// Err returns the error after which the program makes no more decisions, or nil if there was none.
 func (p *Program) Err() error { return p.err }
 
-// Maker returns the DeciderFactory of the program. clock is the time of the run.
+// Maker returns a DeciderFactory whose deciders forward to the program. clock returns the time of
+// the run.
 func (p *Program) Maker(clock func() time.Duration) DeciderFactory {
-	return func(scheduler int, seed int64, text []byte) (Decider, error) {
-		deployment, err := settings.ParseDeployment(text)
+	return func(scheduler int, seed int64, settingsJSON []byte) (Decider, error) {
+		deployment, err := settings.ParseDeployment(settingsJSON)
 		if err != nil {
 			return nil, err
 		}
 		return &instance{
-			program:   p,
-			scheduler: uint32(scheduler),
-			startedAt: clock(),
-			report:    deployment.Report,
-			seed:      uint64(seed),
-			text:      text,
+			program:      p,
+			scheduler:    uint32(scheduler),
+			startedAt:    clock(),
+			report:       deployment.Report,
+			seed:         uint64(seed),
+			settingsJSON: settingsJSON,
 		}, nil
 	}
 }
 
-// instance is one scheduler of a program.
+// instance is the Decider of one incarnation of a scheduler. All instances share the program.
 type instance struct {
-	program   *Program
-	scheduler uint32
-	startedAt time.Duration
-	report    settings.Report
-	seed      uint64
-	text      []byte // the settings
-	started   bool   // the program knows of it
+	program      *Program
+	scheduler    uint32
+	startedAt    time.Duration
+	report       settings.Report
+	seed         uint64
+	settingsJSON []byte // of the scheduler
+	started      bool   // its start has been sent to the program
 }
 
-// Handle sends the events to the program and returns its actions; none once the program has failed.
+// Handle sends the events to the program and returns its actions. After an error of the program it
+// returns none.
 func (i *instance) Handle(now time.Duration, events []dispatch.Event) []dispatch.Action {
 	p := i.program
 	if p.err != nil {
@@ -105,12 +109,13 @@
 	return actions
 }
 
-// start starts the instance with its first events, in place of an earlier one.
+// start starts the instance at the program before its first events, and replaces the instance of an
+// earlier incarnation.
 func (i *instance) start() {
 	if i.started {
 		return
 	}
 	i.started = true
 	i.program.host.StopInstance(i.scheduler)
-	i.program.host.StartInstance(i.scheduler, i.seed, i.text)
+	i.program.host.StartInstance(i.scheduler, i.seed, i.settingsJSON)
 }
--- a/internal/lab/virtual/scheduler.go
+++ b/internal/lab/virtual/scheduler.go
@@ -12,45 +12,47 @@
 )
 
 const (
-	// notHandled stands for the time of the last events of a scheduler that has had none.
-	notHandled time.Duration = -1
-	// incarnationBits are the low bits of a scheduler's stream of random numbers, which number its starts.
+	// noEventsHandled is the value of lastHandled before the first events.
+	noEventsHandled time.Duration = -1
+	// incarnationBits is the number of low bits of a scheduler's random stream number that hold its
+	// incarnation.
 	incarnationBits = 20
 )
 
-// scheduler is one dispatcher.
+// scheduler is one scheduler of the run.
 type scheduler struct {
 	number int
 	zone   int
 
 	up             bool
-	incarnation    int           // how often it was started; what is in transit to an earlier incarnation is lost
-	failureKnownAt time.Duration // while it is down: when clients avoid it
+	incarnation    int           // number of its starts; messages to an earlier incarnation are lost
+	failureKnownAt time.Duration // while it is down: when clients detect that and start to avoid it
 
-	// Of the present incarnation.
+	// State of the current incarnation.
 	decider         Decider
 	startedAt       time.Duration
-	lastHandled     time.Duration // since its start
-	events          []dispatch.Event
-	pending         bool // it is in the run's list of those with events
+	lastHandled     time.Duration    // time of the last events, since startedAt
+	events          []dispatch.Event // not handled yet
+	pending         bool             // it is in Simulation.pending
 	requests        map[int64]*request
 	timerAt         time.Duration
-	listVersion     int // that it was sent; a restart keeps it, as the list is cached
+	listVersion     int // last version of the endpoint list sent to it; kept across restarts, as the list is cached
 	watching        bool
-	idleConnections map[int][]time.Duration // by machine: since when each is idle
+	idleConnections map[int][]time.Duration // by machine: the time since which each connection is idle, oldest first
 }
 
-// current reports whether an incarnation is up.
+// current reports whether the scheduler is up and in the given incarnation.
 func (s *scheduler) current(incarnation int) bool { return s.up && s.incarnation == incarnation }
 
-// startScheduler starts an incarnation, which has the endpoint list of the moment from its cache.
+// startScheduler starts a new incarnation of a scheduler. Its first events are the current endpoint
+// list, as if from its cache, and a timer.
 func (sim *Simulation) startScheduler(s *scheduler) {
 	s.incarnation++
-	text := sim.scenario.Settings(s.number)
+	settingsJSON := sim.scenario.Settings(s.number)
 	stream := uint64(s.number)<<incarnationBits | uint64(s.incarnation)
 	rng := rand.New(rand.NewPCG(uint64(sim.scenario.Seed), stream))
 	seed := int64(rng.Uint64() >> 1)
-	decider, err := sim.newDecider(s.number, seed, text)
+	decider, err := sim.newDecider(s.number, seed, settingsJSON)
 	if err != nil {
 		sim.err = fmt.Errorf("scheduler %d: %w", s.number, err)
 		return
@@ -58,7 +60,7 @@
 	s.decider = decider
 	s.up = true
 	s.startedAt = sim.now
-	s.lastHandled = notHandled
+	s.lastHandled = noEventsHandled
 	s.requests = map[int64]*request{}
 	s.idleConnections = map[int][]time.Duration{}
 	s.events = nil
@@ -71,7 +73,8 @@
 	sim.addEvent(s, dispatch.TimerFired{})
 }
 
-// killScheduler ends a scheduler at once; its clients see their connections break.
+// killScheduler stops a scheduler abruptly. The connections of clients with unanswered requests
+// break.
 func (sim *Simulation) killScheduler(now time.Duration, n int) {
 	s := sim.schedulers[n]
 	if !s.up {
@@ -89,6 +92,7 @@
 	s.requests = map[int64]*request{}
 }
 
+// restartScheduler starts a killed scheduler again. It has no effect on one that is up.
 func (sim *Simulation) restartScheduler(now time.Duration, n int) {
 	s := sim.schedulers[n]
 	if s.up {
@@ -98,7 +102,7 @@
 	sim.startScheduler(s)
 }
 
-// addEvent adds an event that the scheduler decides on at the present moment.
+// addEvent queues an event that the scheduler handles at the current time.
 func (sim *Simulation) addEvent(s *scheduler, event dispatch.Event) {
 	s.events = append(s.events, event)
 	if !s.pending {
@@ -107,7 +111,8 @@
 	}
 }
 
-// decide has all schedulers with events decide, until no events follow at this moment.
+// decide lets all schedulers handle their events, and repeats that until no more events follow at
+// the current time.
 func (sim *Simulation) decide() {
 	for len(sim.pending) > 0 {
 		pending := sim.pending
@@ -119,6 +124,8 @@
 	}
 }
 
+// decideOne lets a scheduler handle its queued events, executes its actions, and removes requests
+// that are finished.
 func (sim *Simulation) decideOne(s *scheduler) {
 	events := s.events
 	s.events = nil
@@ -127,17 +134,17 @@
 	}
 	s.lastHandled = max(sim.now-s.startedAt, s.lastHandled+1)
 	for _, action := range s.decider.Handle(s.lastHandled, events) {
-		sim.carryOut(s, action)
+		sim.execute(s, action)
 	}
 	for _, event := range events {
 		if invocation, _ := event.About(); invocation != 0 {
-			s.settle(int64(invocation))
+			s.removeIfFinished(int64(invocation))
 		}
 	}
 }
 
-// carryOut carries out an action of a scheduler.
-func (sim *Simulation) carryOut(s *scheduler, action dispatch.Action) {
+// execute performs an action that a scheduler has decided on.
+func (sim *Simulation) execute(s *scheduler, action dispatch.Action) {
 	switch a := action.(type) {
 	case dispatch.Forward:
 		sim.forward(s, a)
@@ -162,7 +169,7 @@
 	}
 }
 
-// setTimer replaces the scheduler's timer.
+// setTimer replaces the scheduler's timer. A timer that was set before does not fire.
 func (sim *Simulation) setTimer(s *scheduler, at time.Duration) {
 	if s.timerAt == at && at > sim.now {
 		return
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -1,5 +1,6 @@
-// Package virtual runs a scenario in virtual time: many schedulers in one process, and a clock that jumps from one event to
-// the next. The same scenario, seed and decider give the same run to the byte.
+// Package virtual runs a scenario as a discrete-event simulation: all schedulers are in one
+// process, and the clock jumps from one event to the next. The same scenario, seed and decider give
+// a byte-identical report.
 package virtual
 
 import (
@@ -14,17 +15,18 @@
 )
 
 const (
-	// runOn is how long a run goes on after the last deadline.
-	runOn = 3 * time.Second
-	// networkStream is the stream of random numbers of the network, besides the scenario's seed.
+	// trailingPeriod is how long a run continues after its load and the last deadline.
+	trailingPeriod = 3 * time.Second
+	// networkStream selects the random stream for network latencies, together with the scenario's
+	// seed.
 	networkStream = 0x6e6574
 )
 
 // Simulation is one run of a scenario in virtual time. It is not safe for concurrent use.
 type Simulation struct {
 	Model *model.Model
-	Log   func(now time.Duration, scheduler int, text string) // what deciders log; may be nil
-	Steps int                                                 // events that were handled, beside those of the model
+	Log   func(now time.Duration, scheduler int, text string) // called with the log messages of deciders; may be nil
+	Steps int                                                 // number of events handled, without those of the model
 
 	scenario     scenario.Scenario
 	source       model.Source
@@ -32,13 +34,13 @@
 	schedulers   []*scheduler
 	queue        eventqueue.Queue[func()]
 	now          time.Duration
-	pending      []*scheduler // those with events to decide on
+	pending      []*scheduler // schedulers with unhandled events
 	networkRand  *rand.Rand
 	lastDeadline time.Duration
-	err          error // that ends the run
+	err          error // ends the run if it is set
 }
 
-// New returns the run of a scenario whose deciders newDecider makes.
+// New returns the simulation of a scenario, in which newDecider makes the deciders.
 func New(s scenario.Scenario, newDecider DeciderFactory) *Simulation {
 	sim := &Simulation{
 		Model:       model.New(s),
@@ -46,22 +48,22 @@
 		newDecider:  newDecider,
 		networkRand: rand.New(rand.NewPCG(uint64(s.Seed), networkStream)),
 	}
-	sim.Model.Fleet.OnCallback = sim.callbackSent
-	sim.Model.Discovery.OnChange = sim.endpointsChanged
-	sim.Model.Discovery.OnOutage = sim.discoveryDown
+	sim.Model.Fleet.OnCallback = sim.deliverCallback
+	sim.Model.Discovery.OnChange = sim.scheduleUpdates
+	sim.Model.Discovery.OnOutage = sim.endWatches
 	sim.Model.OnSchedulerKilled = sim.killScheduler
 	sim.Model.OnSchedulerRestarted = sim.restartScheduler
 	return sim
 }
 
-// Time is the time of the run, from 0.
+// Time returns the virtual time since the start of the run.
 func (sim *Simulation) Time() time.Duration { return sim.now }
 
-// Play carries the run out. A nil source stands for the scenario's own load. The error is that of the context, or of a
-// decider that could not be made.
+// Play executes the run. With a nil source, the load is that of the scenario. It returns an error
+// if the context ends, if a decider cannot be made, or if the scenario hosts its tenants.
 func (sim *Simulation) Play(ctx context.Context, source model.Source) error {
 	if sim.scenario.Hosted.Capacity > 0 {
-		return errors.New("hosted.room: tenants are hosted on loopback alone, by real programs")
+		return errors.New("hosted.room: only a loopback run can host tenants, as it runs real schedulers")
 	}
 	sim.source = source
 	if sim.source == nil {
@@ -72,21 +74,21 @@
 		sim.schedulers = append(sim.schedulers, s)
 		sim.startScheduler(s)
 	}
-	sim.decide() // before the first arrival: the list at the start is only the cached one
+	sim.decide() // before the first arrival, as schedulers start with only the cached endpoint list
 	sim.scheduleArrival()
 	for sim.err == nil && ctx.Err() == nil && sim.step() {
 	}
 	if sim.err == nil {
 		sim.err = ctx.Err()
 	}
-	sim.Model.Rules.Close(sim.now + runOn)
+	sim.Model.Rules.Close(sim.now + trailingPeriod)
 	return sim.err
 }
 
-// step handles all events of the next moment; false: the run is over.
+// step handles all events of the next event time. It returns false when the run has ended.
 func (sim *Simulation) step() bool {
 	at := min(sim.Model.NextTime(), sim.queue.NextTime(model.Never))
-	if at == model.Never || at > max(sim.scenario.Length.D(), sim.lastDeadline)+runOn {
+	if at == model.Never || at > max(sim.scenario.Length.D(), sim.lastDeadline)+trailingPeriod {
 		return false
 	}
 	sim.now = max(sim.now, at)
@@ -100,7 +102,8 @@
 	return true
 }
 
-// schedule has do called at a time, now if that has passed.
-func (sim *Simulation) schedule(at time.Duration, do func()) { sim.queue.Push(max(at, sim.now), do) }
+// schedule calls fn at a time, or as soon as possible if the time has passed.
+func (sim *Simulation) schedule(at time.Duration, fn func()) { sim.queue.Push(max(at, sim.now), fn) }
 
-func (sim *Simulation) scheduleAfter(wait time.Duration, do func()) { sim.schedule(sim.now+wait, do) }
+// scheduleAfter calls fn after a wait.
+func (sim *Simulation) scheduleAfter(wait time.Duration, fn func()) { sim.schedule(sim.now+wait, fn) }
--- a/internal/lab/virtual/simulation_test.go
+++ b/internal/lab/virtual/simulation_test.go
@@ -18,8 +18,8 @@
 	"stoatweir/internal/simwire"
 )
 
-// small is a run of ten seconds, to which tests add what they need.
-const small = `
+// smallScenario is a run of ten seconds. Tests append to it or replace parts of it.
+const smallScenario = `
 version = 1
 name = "small"
 length = "10s"
@@ -52,7 +52,7 @@
 effect = "non-idempotent"
 `
 
-func parse(t testing.TB, text string) scenario.Scenario {
+func parseScenario(t testing.TB, text string) scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -61,19 +61,20 @@
 	return s
 }
 
-// play carries a run out and returns it with its report.
-func play(t testing.TB, s scenario.Scenario, newDecider DeciderFactory) (*Simulation, report.Report) {
+// runScenario runs a scenario and returns the finished simulation and its report.
+func runScenario(t testing.TB, s scenario.Scenario, newDecider DeciderFactory) (*Simulation, report.Report) {
 	t.Helper()
-	d := New(s, newDecider)
-	if err := d.Play(context.Background(), nil); err != nil {
+	sim := New(s, newDecider)
+	if err := sim.Play(context.Background(), nil); err != nil {
 		t.Fatal(err)
 	}
-	return d, report.Of(d.Model).Name(s.Name, "virtual", "module", s.Seed, s.Schedulers.Count, len(d.Model.Fleet.Machines), s.Length.D())
+	return sim, report.Of(sim.Model).Name(s.Name, "virtual", "module", s.Seed, s.Schedulers.Count,
+		len(sim.Model.Fleet.Machines), s.Length.D())
 }
 
-// allFaults has every kind of fault, many at once.
+// allFaults returns a scenario with every kind of fault, many of them overlapping.
 func allFaults() string {
-	text := small
+	text := smallScenario
 	for i, kind := range []string{"silent", "hung", "slow", "failing", "restart", "replace", "reports-late", "reports-absent",
 		"list-stale", "list-overbooked", "list-dead", "refused", "reset", "answers-lost", "killed", "burst", "heavy", "storm"} {
 		text += fmt.Sprintf("[[troubles]]\nkind = %q\nat = \"%dms\"\nfor = \"3s\"\nshare = 0.2\n", kind, 500+400*i)
@@ -81,13 +82,13 @@
 	return text + "[[troubles]]\nkind = \"zone-lost\"\nzone = \"b\"\nat = \"8s\"\nfor = \"1s\"\n"
 }
 
-// The same seed gives the same report to the byte, with all faults, and another seed another run. The module keeps the rules
-// in all of them.
+// TestSameSeedSameReport checks, with all faults, that the same seed gives a byte-identical report
+// and another seed a different one, and that the decision module violates no rule.
 func TestSameSeedSameReport(t *testing.T) {
-	text := func(seed int64) string {
-		s := parse(t, allFaults())
+	reportJSON := func(seed int64) string {
+		s := parseScenario(t, allFaults())
 		s.Seed = seed
-		_, r := play(t, s, Module)
+		_, r := runScenario(t, s, Module)
 		var b bytes.Buffer
 		if err := r.JSON(&b); err != nil {
 			t.Fatal(err)
@@ -98,33 +99,34 @@
 			t.Error(text.String())
 		}
 		if a := r.All; a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered || a.Offered == 0 {
-			t.Errorf("offered invocations and their ends do not agree: %+v", a)
+			t.Errorf("the counts of ended invocations do not add up to those offered, or none were offered: %+v", a)
 		}
 		return b.String()
 	}
-	first := text(1)
-	if again := text(1); again != first {
-		t.Error("the same run twice, and two reports")
+	first := reportJSON(1)
+	if again := reportJSON(1); again != first {
+		t.Error("two runs with the same seed gave different reports")
 	}
-	if other := text(2); other == first {
-		t.Error("another seed, and the same run")
+	if other := reportJSON(2); other == first {
+		t.Error("two runs with different seeds gave the same report")
 	}
 }
 
-// Two deciders meet the same arrivals, whatever they do.
+// TestDecidersMeetTheSameRun checks that the load does not depend on the decider, and that the
+// decision module achieves a higher service than random choice.
 func TestDecidersMeetTheSameRun(t *testing.T) {
-	s := parse(t, allFaults())
-	_, a := play(t, s, Module)
-	_, b := play(t, s, policy("random"))
+	s := parseScenario(t, allFaults())
+	_, a := runScenario(t, s, Module)
+	_, b := runScenario(t, s, policy("random"))
 	if a.All.Offered != b.All.Offered || a.Operations[1].Offered != b.Operations[1].Offered || a.Zones[0].Offered != b.Zones[0].Offered {
-		t.Errorf("%+v\n%+v", a.All, b.All)
+		t.Errorf("different loads offered to the module and to random choice:\n%+v\n%+v", a.All, b.All)
 	}
 	if a.Service <= b.Service {
-		t.Errorf("the module serves %v, random choice %v", a.Service, b.Service)
+		t.Errorf("service of the module: %v, not above that of random choice: %v", a.Service, b.Service)
 	}
 }
 
-// policy makes deciders by a policy of package baseline.
+// policy returns a factory of deciders that follow a policy of package baseline.
 func policy(name string) DeciderFactory {
 	return func(_ int, seed int64, text []byte) (Decider, error) {
 		deployment, err := settings.ParseDeployment(text)
@@ -135,18 +137,20 @@
 	}
 }
 
-// With no worker at all everything is answered, and nothing is served.
+// TestNoWorkers checks that without any workers all requests are throttled or fail, and no rule is
+// violated.
 func TestNoWorkers(t *testing.T) {
-	s := parse(t, strings.Replace(strings.Replace(small, "count = 6", "count = 0", 1), "of = 0.5", "rate = 20", 1))
-	_, r := play(t, s, Module)
+	s := parseScenario(t, strings.Replace(strings.Replace(smallScenario, "count = 6", "count = 0", 1), "of = 0.5", "rate = 20", 1))
+	_, r := runScenario(t, s, Module)
 	if r.Broken() > 0 || r.Service != 0 || r.All.Throttled+r.All.Errored != r.All.Offered || r.All.Offered < 100 {
-		t.Errorf("%+v", r)
+		t.Errorf("expected all invocations throttled or errored, a service of 0 and no violations: %+v", r)
 	}
 }
 
-// A fault that begins and ends inside another of its kind lifts nothing of that one.
+// TestFaultInsideAnother checks that the end of a fault does not lift a longer fault of the same
+// kind around it.
 func TestFaultInsideAnother(t *testing.T) {
-	s := parse(t, small+`
+	s := parseScenario(t, smallScenario+`
 [[troubles]]
 kind = "hung"
 at = "2s"
@@ -158,25 +162,25 @@
 for = "1s"
 share = 1.0
 `)
-	d := New(s, Module)
+	sim := New(s, Module)
 	completed := map[time.Duration]int{}
-	onCallback := d.Model.Fleet.OnCallback
-	d.Model.Fleet.OnCallback = func(now time.Duration, a *model.Attempt, callback model.Callback, share float64) {
+	onCallback := sim.Model.Fleet.OnCallback
+	sim.Model.Fleet.OnCallback = func(now time.Duration, a *model.Attempt, callback model.Callback, share float64) {
 		if callback == model.Completed {
 			completed[now.Truncate(time.Second)]++
 		}
 		onCallback(now, a, callback, share)
 	}
-	if err := d.Play(context.Background(), nil); err != nil {
+	if err := sim.Play(context.Background(), nil); err != nil {
 		t.Fatal(err)
 	}
 	during := completed[3*time.Second] + completed[4*time.Second] + completed[5*time.Second] + completed[7*time.Second]
 	if completed[time.Second] == 0 || during > 0 || completed[9*time.Second] == 0 {
-		t.Error("completions by second:", completed)
+		t.Error("expected completions before and after the outer fault and none during it; completions by second:", completed)
 	}
 }
 
-// faultyDecider lets the module decide, and changes its actions to violate a rule.
+// faultyDecider changes the actions of the decision module so that they violate a rule.
 type faultyDecider struct {
 	Decider
 	change func(now time.Duration, actions []dispatch.Action) []dispatch.Action
@@ -186,7 +190,8 @@
 	return f.change(now, f.Decider.Handle(now, events))
 }
 
-// faulty makes deciders that change the module's actions.
+// faulty returns a factory of deciders that apply a change to the module's actions; newChange is
+// called for each decider.
 func faulty(newChange func() func(now time.Duration, actions []dispatch.Action) []dispatch.Action) DeciderFactory {
 	return func(n int, seed int64, text []byte) (Decider, error) {
 		d, err := Module(n, seed, text)
@@ -194,7 +199,7 @@
 	}
 }
 
-// sticky forwards everything to the first worker that its scheduler ever used.
+// sticky returns a change that sends all forwards to the worker of the scheduler's first forward.
 func sticky() func(time.Duration, []dispatch.Action) []dispatch.Action {
 	var first *dispatch.WorkerID
 	return func(_ time.Duration, actions []dispatch.Action) []dispatch.Action {
@@ -210,19 +215,20 @@
 	}
 }
 
-// The check of each rule finds a scheduler that violates it, with a text, and nothing where it does not.
+// TestRuleCheckerFindsViolations checks that the checker reports schedulers that violate a rule,
+// with a text, and reports nothing for the unchanged decision module.
 func TestRuleCheckerFindsViolations(t *testing.T) {
 	drain := "[[troubles]]\nkind = \"replace\"\nat = \"2s\"\nfor = \"2s\"\nshare = 1.0\nbatch = 1.0\ndelay = \"6s\"\n"
 	overload := strings.NewReplacer(
 		`length = "10s"`, `length = "4s"`,
 		"queue = 16", "queue = 1000\ncold = true\nwarm = \"60s\"\ncold_from = 0.1",
 		"of = 0.5\n[[workers]]\ncount = 6", "of = 1.5\n[[workers]]\ncount = 12",
-	).Replace(small)
-	for _, v := range []struct {
+	).Replace(smallScenario)
+	for _, test := range []struct {
 		name, rule, text string
 		newDecider       DeciderFactory
 	}{
-		{"twice answered", "one answer", small, faulty(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
+		{"twice answered", "one answer", smallScenario, faulty(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
 			return func(_ time.Duration, actions []dispatch.Action) []dispatch.Action {
 				for _, a := range actions {
 					if f, is := a.(dispatch.Forward); is && f.Invocation%7 == 0 {
@@ -232,7 +238,7 @@
 				return actions
 			}
 		})},
-		{"never answered", "one answer", small + "[[troubles]]\nkind = \"hung\"\nat = \"1s\"\nfor = \"9s\"\nshare = 1.0\n",
+		{"never answered", "one answer", smallScenario + "[[troubles]]\nkind = \"hung\"\nat = \"1s\"\nfor = \"9s\"\nshare = 1.0\n",
 			faulty(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
 				return func(_ time.Duration, actions []dispatch.Action) (kept []dispatch.Action) {
 					for _, a := range actions {
@@ -245,7 +251,7 @@
 					return kept
 				}
 			})},
-		{"sent twice", "one effect", small, faulty(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
+		{"sent twice", "one effect", smallScenario, faulty(func() func(time.Duration, []dispatch.Action) []dispatch.Action {
 			return func(_ time.Duration, actions []dispatch.Action) []dispatch.Action {
 				all := append([]dispatch.Action{}, actions...)
 				for _, a := range actions {
@@ -256,25 +262,25 @@
 				return all
 			}
 		})},
-		{"sent to draining workers", "drains", small + drain, faulty(sticky)},
+		{"sent to draining workers", "drains", smallScenario + drain, faulty(sticky)},
 		{"warming workers overloaded", "cold", overload, faulty(sticky)},
 	} {
-		t.Run(v.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			for seed := range int64(2) {
-				s := parse(t, v.text)
+				s := parseScenario(t, test.text)
 				s.Seed = seed + 1
-				_, correct := play(t, s, Module)
-				_, broken := play(t, s, v.newDecider)
+				_, correct := runScenario(t, s, Module)
+				_, broken := runScenario(t, s, test.newDecider)
 				if correct.Broken() > 0 {
-					t.Errorf("seed %d: violations by the module: %+v", seed, correct.Violations)
+					t.Errorf("seed %d: the unchanged module violated rules: %+v", seed, correct.Violations)
 				}
-				if broken.ViolationCounts[v.rule] == 0 {
-					t.Errorf("seed %d: not found: %v", seed, broken.ViolationCounts)
+				if broken.ViolationCounts[test.rule] == 0 {
+					t.Errorf("seed %d: no violation of the rule was reported: %v", seed, broken.ViolationCounts)
 					continue
 				}
 				for _, b := range broken.Violations {
-					if b.Rule == v.rule && b.Text == "" {
-						t.Errorf("seed %d: no text: %+v", seed, b)
+					if b.Rule == test.rule && b.Text == "" {
+						t.Errorf("seed %d: the violation has no text: %+v", seed, b)
 					}
 				}
 			}
@@ -282,9 +288,10 @@
 	}
 }
 
-// A program on the simulator's protocol decides as it does in this process.
+// TestProgramDecidesAsInProcess checks that a policy behind the simulator's protocol performs like
+// the same policy in this process, also across restarts of schedulers.
 func TestProgramDecidesAsInProcess(t *testing.T) {
-	s := parse(t, small+`
+	s := parseScenario(t, smallScenario+`
 [[troubles]]
 kind = "slow"
 at = "2s"
@@ -301,30 +308,32 @@
 		return baseline.New("least", start.Config, start.Seed)
 	})
 	p := &Program{input: toProgram, host: simwire.NewHost(toProgram, fromProgram)}
-	var d *Simulation
-	d = New(s, p.Maker(func() time.Duration { return d.Time() }))
-	if err := d.Play(context.Background(), nil); err != nil || p.Err() != nil {
+	var sim *Simulation
+	sim = New(s, p.Maker(func() time.Duration { return sim.Time() }))
+	if err := sim.Play(context.Background(), nil); err != nil || p.Err() != nil {
 		t.Fatal(err, p.Err())
 	}
 	toProgram.Close()
-	remote := report.Of(d.Model)
-	_, local := play(t, s, policy("least"))
+	remote := report.Of(sim.Model)
+	_, local := runScenario(t, s, policy("least"))
 	if remote.Broken() > 0 || remote.All.Offered != local.All.Offered || remote.Costs.Forwards < remote.All.Offered/2 ||
 		remote.Service < local.Service-0.02 || remote.Service > local.Service+0.02 {
-		t.Errorf("program %+v %+v\nin this process %+v %+v", remote.All, remote.Costs, local.All, local.Costs)
+		t.Errorf("the program violated rules, or differs from the policy in this process:\n%+v %+v\n%+v %+v", remote.All, remote.Costs, local.All, local.Costs)
 	}
 }
 
-// Events do not grow with what is idle: three times the schedulers under the same load cost less than twice as much.
+// TestIdleSchedulersCostLittle checks that idle schedulers cause few events: three times as many
+// schedulers under the same load must at most double the number of events.
 func TestIdleSchedulersCostLittle(t *testing.T) {
 	steps := func(count int) int {
-		s := parse(t, strings.Replace(strings.Replace(small, "count = 2", fmt.Sprint("count = ", count), 1), "of = 0.5", "rate = 100", 1))
-		d, _ := play(t, s, policy("two"))
-		return d.Steps
+		s := parseScenario(t, strings.Replace(strings.Replace(smallScenario, "count = 2", fmt.Sprint("count = ", count), 1),
+			"of = 0.5", "rate = 100", 1))
+		sim, _ := runScenario(t, s, policy("two"))
+		return sim.Steps
 	}
 	few := steps(4)
 	many := steps(12)
 	if many > 2*few {
-		t.Errorf("%d and %d", few, many)
+		t.Errorf("%d events with 4 schedulers, %d with 12: expected at most twice as many", few, many)
 	}
 }
