--- a/internal/lab/baseline/policy.go
+++ b/internal/lab/baseline/policy.go
@@ -1,4 +1,5 @@
-// Package baseline has plain policies to compare the decision module with. They are no part of the program that serves.
+// Package baseline has simple load-balancing policies, with which the decision module is compared.
+// They are not part of the production scheduler.
 package baseline
 
 import (
@@ -10,90 +11,93 @@
 	"stoatweir/dispatch"
 )
 
-// The policies.
+// The names of the policies.
 const (
-	random    = "random" // a random worker
+	random    = "random" // a worker chosen uniformly at random
 	leastLoad = "least"  // the worker with the fewest attempts of this scheduler in flight
-	twoChoice = "two"    // the better of two random workers
+	twoChoice = "two"    // of two random workers, the one with fewer attempts of this scheduler in flight
 )
 
-// Names of the policies.
+// Names lists the policies that New accepts.
 var Names = []string{random, leastLoad, twoChoice}
 
 const (
-	// deadlineMargin is how long before the client timeout a request gets its final answer.
+	// deadlineMargin is how long before the client timeout an unfinished request gets its final
+	// answer.
 	deadlineMargin = 40 * time.Millisecond
-	// watchRetryInterval is the least time between two watches of the endpoint list, and the longest between two timers.
+	// watchRetryInterval is the minimum time between two watches of the endpoint list, and the
+	// maximum time between two timers.
 	watchRetryInterval = time.Second
-	// neverWatched stands for the time of a watch that never was.
+	// neverWatched is the value of watchedAt before the first watch.
 	neverWatched = -time.Hour
-	// randStream is the stream of random numbers that a Policy draws from, besides its seed.
-	randStream = 1
+	// randomStream selects the random stream of a Policy, together with its seed.
+	randomStream = 1
 )
 
-// Policy decides for one scheduler: it forwards each request as it arrives. It keeps the rules, and does no more: it neither
-// queues nor ranks, makes no health checks, and retries nothing that may have run.
+// Policy makes the decisions of one scheduler: it forwards each request when it arrives. It keeps
+// the rules and does nothing else: it does not queue or rank requests, makes no health checks, and
+// does not retry an operation that is not idempotent if an attempt may have run.
 type Policy struct {
 	name       string
 	config     dispatch.Config
 	rand       *rand.Rand
 	ready      []dispatch.WorkerID
-	inFlight   map[dispatch.WorkerID]int // attempts
+	inFlight   map[dispatch.WorkerID]int // attempts, by worker
 	requests   map[dispatch.InvocationID]*request
-	byDeadline []*request
+	byDeadline []*request // in the order of their deadlines
 	now        time.Duration
 	watchedAt  time.Duration
 	watching   bool
-	actions    []dispatch.Action // of the present moment
+	actions    []dispatch.Action // decided on in the current call of Handle
 }
 
-// request is a request that is not answered, or has attempts in flight.
+// request is a request that is not answered yet, or has attempts in flight.
 type request struct {
 	id         dispatch.InvocationID
 	operation  int
-	deadline   time.Duration // for the final answer
+	deadline   time.Duration // when the final answer is due
 	attempts   int
 	inFlight   int
 	mayHaveRun bool
 	answered   bool
 }
 
-// New returns the policy of that name. The error reports that there is none.
+// New returns a new Policy. It returns an error if name is not one of Names.
 func New(name string, config dispatch.Config, seed uint64) (*Policy, error) {
 	if !slices.Contains(Names, name) {
-		return nil, fmt.Errorf("%q is none of %v", name, Names)
+		return nil, fmt.Errorf("unknown policy %q: must be one of %v", name, Names)
 	}
 	return &Policy{
 		name:      name,
 		config:    config,
-		rand:      rand.New(rand.NewPCG(seed, randStream)),
+		rand:      rand.New(rand.NewPCG(seed, randomStream)),
 		inFlight:  map[dispatch.WorkerID]int{},
 		requests:  map[dispatch.InvocationID]*request{},
 		watchedAt: neverWatched,
 	}, nil
 }
 
-// Handle takes the events of one moment and returns the actions that follow.
+// Handle handles the events of one point in time and returns the resulting actions.
 func (p *Policy) Handle(now time.Duration, events []dispatch.Event) []dispatch.Action {
 	p.now = now
 	p.actions = nil
 	for _, event := range events {
-		p.handle(event)
+		p.handleEvent(event)
 	}
 	if !p.watching && now >= p.watchedAt+watchRetryInterval {
 		p.watchedAt = now
 		p.watching = true
-		p.act(dispatch.WatchEndpoints{})
+		p.addAction(dispatch.WatchEndpoints{})
 	}
-	p.expire()
-	p.act(dispatch.SetTimer{At: p.nextTimer()})
+	p.failExpired()
+	p.addAction(dispatch.SetTimer{At: p.nextTimer()})
 	return p.actions
 }
 
-func (p *Policy) act(a dispatch.Action) { p.actions = append(p.actions, a) }
+func (p *Policy) addAction(a dispatch.Action) { p.actions = append(p.actions, a) }
 
-// expire gives the final answer to requests whose deadline has come.
-func (p *Policy) expire() {
+// failExpired sends the final answer to requests whose deadline has passed.
+func (p *Policy) failExpired() {
 	for len(p.byDeadline) > 0 {
 		first := p.byDeadline[0]
 		if !first.answered && first.deadline > p.now {
@@ -106,7 +110,7 @@
 	}
 }
 
-// nextTimer is the next deadline, or the next time to watch the list if that is sooner.
+// nextTimer returns the next deadline, or watchRetryInterval from now if that is sooner.
 func (p *Policy) nextTimer() time.Duration {
 	next := p.now + watchRetryInterval
 	for _, r := range p.byDeadline {
@@ -117,17 +121,17 @@
 	return next
 }
 
-func (p *Policy) handle(event dispatch.Event) {
+func (p *Policy) handleEvent(event dispatch.Event) {
 	switch e := event.(type) {
 	case dispatch.EndpointUpdate:
 		p.applyUpdate(e)
 	case dispatch.Arrival:
-		p.admit(e)
+		p.handleArrival(e)
 	case dispatch.Outcome:
-		p.attemptEnded(e)
+		p.handleOutcome(e)
 	case dispatch.ClientDisconnected:
 		if r := p.requests[e.Invocation]; r != nil {
-			p.close(r)
+			p.closeRequest(r)
 		}
 	}
 }
@@ -152,16 +156,16 @@
 	}
 }
 
-func (p *Policy) admit(a dispatch.Arrival) {
+func (p *Policy) handleArrival(a dispatch.Arrival) {
 	r := &request{id: a.Invocation, operation: a.Operation, deadline: p.now + a.Budget - deadlineMargin}
 	p.requests[a.Invocation] = r
-	byDeadline := func(a, b *request) int { return int(a.deadline - b.deadline) }
-	index, _ := slices.BinarySearchFunc(p.byDeadline, r, byDeadline)
+	compareDeadlines := func(a, b *request) int { return int(a.deadline - b.deadline) }
+	index, _ := slices.BinarySearchFunc(p.byDeadline, r, compareDeadlines)
 	p.byDeadline = slices.Insert(p.byDeadline, index, r)
 	p.forward(r)
 }
 
-func (p *Policy) attemptEnded(o dispatch.Outcome) {
+func (p *Policy) handleOutcome(o dispatch.Outcome) {
 	p.inFlight[o.Worker]--
 	r := p.requests[o.Invocation]
 	if r == nil {
@@ -170,7 +174,7 @@
 	r.inFlight--
 	switch o.Result {
 	case dispatch.Succeeded:
-		p.close(r)
+		p.closeRequest(r)
 		return
 	case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent:
 		// It has not run.
@@ -178,7 +182,7 @@
 		r.mayHaveRun = true
 	}
 	if r.answered || o.Answered {
-		p.close(r)
+		p.closeRequest(r)
 		return
 	}
 	if r.inFlight == 0 {
@@ -186,7 +190,7 @@
 	}
 }
 
-// retry forwards a request once more if that is allowed, and answers it otherwise.
+// retry forwards a request again if that is allowed, and fails it otherwise.
 func (p *Policy) retry(r *request) {
 	retryable := !r.mayHaveRun || p.config.Operations[r.operation].Effect == dispatch.Idempotent
 	if retryable && r.attempts < max(1, p.config.Limits.MaxAttempts) && p.now < r.deadline {
@@ -196,18 +200,19 @@
 	p.fail(r)
 }
 
-// fail gives the final answer to a request without a result.
+// fail sends the final answer to a request that has no result: an error if an attempt may have run,
+// otherwise a throttle.
 func (p *Policy) fail(r *request) {
 	if r.mayHaveRun || r.inFlight > 0 {
-		p.act(dispatch.Fail{Invocation: r.id})
+		p.addAction(dispatch.Fail{Invocation: r.id})
 	} else {
-		p.act(dispatch.Throttle{Invocation: r.id})
+		p.addAction(dispatch.Throttle{Invocation: r.id})
 	}
-	p.close(r)
+	p.closeRequest(r)
 }
 
-// close marks a request as answered, and forgets it once no attempt is in flight.
-func (p *Policy) close(r *request) {
+// closeRequest marks a request as answered, and removes it once no attempt is in flight.
+func (p *Policy) closeRequest(r *request) {
 	r.answered = true
 	if r.inFlight <= 0 {
 		delete(p.requests, r.id)
@@ -223,10 +228,10 @@
 	p.inFlight[worker]++
 	r.attempts++
 	r.inFlight++
-	p.act(dispatch.Forward{Invocation: r.id, Worker: worker})
+	p.addAction(dispatch.Forward{Invocation: r.id, Worker: worker})
 }
 
-// selectWorker picks a ready worker. There must be one.
+// selectWorker selects a ready worker by the policy. There must be at least one.
 func (p *Policy) selectWorker() dispatch.WorkerID {
 	first := p.randomWorker()
 	switch p.name {
@@ -242,7 +247,8 @@
 
 func (p *Policy) randomWorker() dispatch.WorkerID { return p.ready[p.rand.IntN(len(p.ready))] }
 
-// leastLoaded is the worker with the fewest attempts in flight; of equal ones the first from a random place on.
+// leastLoaded returns the ready worker with the fewest attempts in flight. Ties are broken by
+// starting the search at a random worker.
 func (p *Policy) leastLoaded() dispatch.WorkerID {
 	start := p.rand.IntN(len(p.ready))
 	least := p.ready[start]
--- a/internal/lab/eventqueue/queue_test.go
+++ b/internal/lab/eventqueue/queue_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Ordered by time; events of the same time, first in, first out.
+// Values come out in the order of their times. Those with the same time come out in the order in
+// which they were pushed.
 func Example() {
 	var q Queue[string]
 	fmt.Println(q.Due(time.Hour), q.NextTime(-1))
