--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newScenario returns a scenario with the defaults of all keys outside lists.
-func newScenario() Scenario {
+// defaultScenario returns a scenario in which all keys outside lists have their defaults.
+func defaultScenario() Scenario {
 	return Scenario{
 		Seed: 1,
 		Schedulers: Schedulers{
@@ -55,7 +55,7 @@
 	}
 }
 
-// defaultFactors is what stands in for a fault's factor that is left out.
+// defaultFactors has the default factor of each kind of fault that uses one.
 var defaultFactors = map[string]float64{
 	MachinesSlow:        4,
 	MachinesFailing:     0.2,
@@ -65,7 +65,8 @@
 	RetryStorm:          5,
 }
 
-// fillDefaults fills in what the file leaves out of lists, and what depends on other keys.
+// fillDefaults fills in the defaults of keys in lists, and the defaults that depend on other keys.
+// A value of 0 or an empty string counts as left out.
 func (s *Scenario) fillDefaults() {
 	if len(s.Zones) == 0 {
 		s.Zones = []string{"a"}
--- a/internal/lab/scenario/words.go
+++ b/internal/lab/scenario/enums.go
@@ -1,6 +1,6 @@
 package scenario
 
-// The fields of a load report.
+// The fields that a load report can have.
 const (
 	FieldFreeSlots   = "free_slots"
 	FieldWaiting     = "waiting"
@@ -8,34 +8,36 @@
 	FieldServiceTime = "service_ms"
 )
 
-// The shapes of the load.
+// The shapes of the load: a Poisson process, arrivals at equal intervals, and a Poisson process
+// with periodic bursts.
 const (
 	ShapePoisson  = "poisson"
 	ShapeConstant = "constant"
 	ShapeBursts   = "bursts"
 )
 
-// Which attempts of a machine a cancellation stops.
+// The attempts of a machine that can be cancelled: none, those in its queue, or running ones too.
 const (
 	CancelNone   = "none"
 	CancelQueued = "queued"
 	CancelAll    = "all"
 )
 
-// The effects of operations.
+// The effect classes of operations, which determine whether an attempt that may have run can be
+// repeated.
 const (
 	Idempotent    = "idempotent"
 	Deduplicated  = "deduplicated"
 	NonIdempotent = "non-idempotent"
 )
 
-// The workers among which repeats of a deduplicated operation are dropped.
+// The scopes of deduplication: the workers that detect duplicates of a deduplicated operation.
 const (
 	ScopeAll  = "all"
 	ScopeZone = "zone"
 )
 
-// The quality of the hints that clients give of an invocation's work.
+// The quality of the hints in which clients estimate the work of an invocation.
 const (
 	HintsNone  = "none"
 	HintsRough = "rough"
--- a/internal/lab/scenario/fileerror.go
+++ b/internal/lab/scenario/fileerror.go
@@ -8,15 +8,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// FileError is one thing that is wrong with a file.
+// FileError is one error in a configuration file.
 type FileError struct {
 	File string
-	Key  string // empty: it concerns no key
+	Key  string // path of the key; empty: the error concerns the whole file
 	Text string
-	Line int // 0: not known
+	Line int // from 1; 0: not known
 }
 
-// Error gives the text behind the place.
+// Error returns the text, prefixed by the file, the line and the key, as far as they are known.
 func (e FileError) Error() string {
 	place := e.File
 	if e.Line > 0 {
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s: %s: %s", place, e.Key, e.Text)
 }
 
-// Explain turns an error of the TOML decoder into FileErrors, joined.
+// Explain converts an error of the TOML decoder into a FileError, or joins one for each unknown key.
 func Explain(file string, err error) error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) {
@@ -46,7 +46,7 @@
 	return FileError{File: file, Text: err.Error()}
 }
 
-// newFileError is the error of a text at the decoder's place.
+// newFileError returns a FileError with the key and line of a decoder's error.
 func newFileError(file string, at *toml.DecodeError, text string) FileError {
 	line, _ := at.Position()
 	return FileError{File: file, Key: strings.Join(at.Key(), "."), Text: text, Line: line}
--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -13,7 +13,8 @@
 	"stoatweir/internal/golden"
 )
 
-// A scenario keeps its keys, in lower case as files have them and in any other.
+// TestGoldenScenario checks that a scenario keeps the names of its keys, and that keys are read in
+// any case.
 func TestGoldenScenario(t *testing.T) {
 	s := golden.Filled[Scenario](t)
 	text, err := toml.Marshal(s)
@@ -21,10 +22,10 @@
 		t.Fatal(err)
 	}
 	recorded := golden.Compare(t, "scenario.toml", text)
-	for _, spelt := range []string{string(recorded), keys(recorded, strings.ToLower), keys(recorded, strings.ToUpper)} {
+	for _, respelled := range []string{string(recorded), respellKeys(recorded, strings.ToLower), respellKeys(recorded, strings.ToUpper)} {
 		var got Scenario
-		if err := toml.NewDecoder(strings.NewReader(spelt)).DisallowUnknownFields().Decode(&got); err != nil {
-			t.Fatal(err, spelt)
+		if err := toml.NewDecoder(strings.NewReader(respelled)).DisallowUnknownFields().Decode(&got); err != nil {
+			t.Fatal(err, respelled)
 		}
 		if diff := cmp.Diff(s, got); diff != "" {
 			t.Error(diff)
@@ -32,21 +33,21 @@
 	}
 }
 
-// keys spells the keys of a text otherwise.
-func keys(text []byte, spell func(string) string) string {
+// respellKeys applies transform to the keys and table headers of a TOML text.
+func respellKeys(text []byte, transform func(string) string) string {
 	var all strings.Builder
 	for line := range strings.Lines(string(text)) {
-		if key, value, pair := strings.Cut(line, "="); pair {
-			line = spell(key) + "=" + value
+		if key, value, found := strings.Cut(line, "="); found {
+			line = transform(key) + "=" + value
 		} else {
-			line = spell(line)
+			line = transform(line)
 		}
 		all.WriteString(line)
 	}
 	return all.String()
 }
 
-// fullScenario has a value for everything that settings can hold.
+// fullScenario returns a scenario that sets every value that a scheduler's settings can contain.
 func fullScenario(t *testing.T) Scenario {
 	t.Helper()
 	s := golden.Filled[Scenario](t)
@@ -62,28 +63,29 @@
 	return s
 }
 
-// The settings of a scheduler are the same to the byte; its number, and what hosting leaves out, show in them.
+// TestGoldenSettings checks that the settings of schedulers are those recorded: of two schedulers,
+// of one with hosted tenants, and of one without ReportedCount.
 func TestGoldenSettings(t *testing.T) {
 	plain := fullScenario(t)
-	hosted, counted := fullScenario(t), fullScenario(t)
-	hosted.Hosted.Capacity, counted.Schedulers.ReportedCount = 4, 0
+	hosted, defaultCount := fullScenario(t), fullScenario(t)
+	hosted.Hosted.Capacity, defaultCount.Schedulers.ReportedCount = 4, 0
 	var text bytes.Buffer
-	for _, settings := range [][]byte{plain.Settings(0), plain.Settings(1), hosted.Settings(1), counted.Settings(1)} {
+	for _, settings := range [][]byte{plain.Settings(0), plain.Settings(1), hosted.Settings(1), defaultCount.Settings(1)} {
 		if err := json.Indent(&text, settings, "", "  "); err != nil {
 			t.Fatal(err)
 		}
 		text.WriteByte('\n')
 	}
 	d := json.NewDecoder(bytes.NewReader(golden.Compare(t, "told.json", text.Bytes())))
-	for _, settings := range [][]byte{plain.Settings(0), plain.Settings(1), hosted.Settings(1), counted.Settings(1)} {
-		var wanted, got any
-		if err := json.Unmarshal(settings, &wanted); err != nil {
+	for _, settings := range [][]byte{plain.Settings(0), plain.Settings(1), hosted.Settings(1), defaultCount.Settings(1)} {
+		var want, got any
+		if err := json.Unmarshal(settings, &want); err != nil {
 			t.Fatal(err)
 		}
 		if err := d.Decode(&got); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(wanted, got); diff != "" {
+		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
 	}
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -11,7 +11,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Read reads a scenario file as Parse does.
+// Read reads a scenario from a file. Its errors are those of reading the file and those of Parse.
 func Read(file string) (Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -20,10 +20,10 @@
 	return Parse(file, text)
 }
 
-// Parse reads a scenario from the text of a file and fills in the defaults. The error joins a FileError for each thing that
-// is wrong.
+// Parse parses the text of a scenario file, fills in the defaults and validates the result. Its
+// error joins one FileError for each error found. file is the name in these errors.
 func Parse(file string, text []byte) (Scenario, error) {
-	s := newScenario()
+	s := defaultScenario()
 	lines := lineByKey(text)
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -36,10 +36,11 @@
 	return s, errors.Join(v.errors...)
 }
 
-// lineByKey finds the line of each key, for errors that are found after the decoding.
+// lineByKey returns the line of each key, for errors that are found after decoding. Keys are paths
+// such as workers[1].count.
 func lineByKey(text []byte) map[string]int {
 	lines := map[string]int{}
-	tableCount := map[string]int{} // of the lists of tables, by key
+	tableCount := map[string]int{} // number of tables read so far, by the key of their list
 	var p unstable.Parser
 	p.Reset(text)
 	prefix := ""
@@ -64,7 +65,7 @@
 	return lines
 }
 
-// keyOf is the key of an expression, and its line.
+// keyOf returns the key of an expression, with dots between its parts, and its line.
 func keyOf(p *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for k := expression.Key(); k.Next(); {
--- a/internal/lab/scenario/read_test.go
+++ b/internal/lab/scenario/read_test.go
@@ -8,19 +8,20 @@
 	"testing"
 )
 
-func parse(text string) {
+// printError parses a text and prints the errors found.
+func printError(text string) {
 	_, err := Parse("day.toml", []byte(text))
 	fmt.Println(err)
 }
 
-// What is wrong with a file is named by key and line: syntax, unknown keys, values.
+// Errors name the key and the line, whether they concern syntax, unknown keys or values.
 func Example() {
-	parse("version = 1\nname = \"x\"\nlength = \"20s\"\n[[operations]]\nname = \"render\"\nwork = \"10ms\"\nobjective = \"100ms\"\n")
-	parse("version = 1\nlength = 20\n")
-	parse("version = 1\nlength = \"20\"\n")
-	parse("version = 1\nlenght = \"20s\"\n[schedulers]\ncuont = 3\n")
-	parse("version = \n")
-	parse(`version = 2
+	printError("version = 1\nname = \"x\"\nlength = \"20s\"\n[[operations]]\nname = \"render\"\nwork = \"10ms\"\nobjective = \"100ms\"\n")
+	printError("version = 1\nlength = 20\n")
+	printError("version = 1\nlength = \"20\"\n")
+	printError("version = 1\nlenght = \"20s\"\n[schedulers]\ncuont = 3\n")
+	printError("version = \n")
+	printError(`version = 2
 length = "20s"
 zones = ["a", "a"]
 
@@ -67,7 +68,7 @@
 	// day.toml:28: troubles[1].zone: "c" is none of a, a
 }
 
-// The scenarios that come with the program can be read.
+// TestShippedScenariosAreValid checks that the scenarios in deploy/lab can be read.
 func TestShippedScenariosAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/lab/*.toml")
 	if err != nil || len(files) == 0 {
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// probePrice is the price of a health check in the settings of a scheduler.
-const probePrice = 0.0025
+// healthCheckCost is the cost of a health check in the settings of a scheduler: the points of the
+// result that one health check per invocation costs.
+const healthCheckCost = 0.0025
 
-// wireNameByField is what the settings call the fields of a load report.
+// wireNameByField has the names of load report fields in the settings of a scheduler.
 var wireNameByField = map[string]string{
 	FieldFreeSlots:   "x0",
 	FieldWaiting:     "waiting",
@@ -16,14 +17,15 @@
 	FieldServiceTime: "avg_ms",
 }
 
-// wireNameByEffect is what the settings call the effects of operations.
+// wireNameByEffect has the names of effect classes in the settings of a scheduler.
 var wireNameByEffect = map[string]string{
 	Idempotent:    "read_like",
 	Deduplicated:  "idempotency_key",
 	NonIdempotent: "non_idempotent",
 }
 
-// ReportNames returns what the settings call the fields of a load report.
+// ReportNames returns the names, in the settings of a scheduler, of the fields that load reports
+// have.
 func (s Scenario) ReportNames() []string {
 	var names []string
 	for _, field := range s.LoadReports.Fields {
@@ -32,13 +34,13 @@
 	return names
 }
 
-// Zone is the index of a scheduler's zone.
+// Zone returns the index of a scheduler's zone.
 func (s Scenario) Zone(scheduler int) int { return scheduler % len(s.Zones) }
 
 // object is a JSON object.
 type object = map[string]any
 
-// Settings returns the settings of one scheduler, as JSON.
+// Settings returns the settings of one scheduler as JSON.
 func (s Scenario) Settings(scheduler int) []byte {
 	schedulers := s.Schedulers.ReportedCount
 	if schedulers == 0 {
@@ -67,17 +69,18 @@
 			"TellsStart":   s.Notifications.Start,
 		},
 		"Limits": s.limitSettings(),
-		"Prices": object{"Probe": probePrice},
+		"Prices": object{"Probe": healthCheckCost},
 		"Report": object{"How": "probe", "Names": s.ReportNames()},
 		"Rules":  s.ruleSettings(),
 	})
 	if err != nil {
-		panic(err) // none of the values can fail to be marshalled
+		panic(err) // all values are of types that can be marshalled
 	}
 	return text
 }
 
-// operationSettings are the operations, and the stretch of each.
+// operationSettings returns the settings of the operations, and the stretch of each operation's
+// objective.
 func (s Scenario) operationSettings() (operations []object, stretch []float64) {
 	for _, o := range s.Operations {
 		operations = append(operations, object{
@@ -94,7 +97,8 @@
 	return operations, stretch
 }
 
-// tenantSettings are the tenants; none where they are hosted, as a scheduler has these from its store.
+// tenantSettings returns the settings of the tenants. There are none if tenants are hosted, as
+// schedulers then read them from their tenant store.
 func (s Scenario) tenantSettings() []object {
 	all := []object{}
 	if s.Hosted.Capacity > 0 {
@@ -106,6 +110,7 @@
 	return all
 }
 
+// limitSettings returns the settings of what the scheduler may do, and of its connections.
 func (s Scenario) limitSettings() object {
 	return object{
 		"Cancel":         s.Limits.Cancel,
@@ -119,7 +124,8 @@
 	}
 }
 
-// ruleSettings are the rules; a scheduler warms up all workers as the slowest kind needs it.
+// ruleSettings returns the settings of the rules. A scheduler has one warm-up for all workers, so
+// it is that of the lowest ColdFrom and the longest WarmUp of all groups.
 func (s Scenario) ruleSettings() object {
 	coldFrom := 1.0
 	warmUp := time.Duration(0)
--- a/internal/lab/virtual/attempts.go
+++ b/internal/lab/virtual/attempts.go
@@ -97,7 +97,7 @@
 }
 
 // endAttempt notifies the scheduler of the end of an attempt. Only the first call for an attempt
-// has an effect. cause is for the history of the request.
+// has an effect, and none once the scheduler has been killed. cause is for the request's history.
 func (sim *Simulation) endAttempt(s *scheduler, a *attempt, result dispatch.Result, load *dispatch.LoadReport, cause string) {
 	if a.ended || !s.current(a.request.incarnation) {
 		return
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -1,6 +1,6 @@
 // Package virtual runs a scenario as a discrete-event simulation: all schedulers are in one
 // process, and the clock jumps from one event to the next. The same scenario, seed and decider give
-// a byte-identical report.
+// an identical run, down to the bytes of its report.
 package virtual
 
 import (
