--- a/internal/accounting/capacity_test.go
+++ b/internal/accounting/capacity_test.go
@@ -5,11 +5,13 @@
 	"testing"
 )
 
-// The figures of docs/CAPACITY.md for the ledger: it is copied ten times a second while anything happens, and the copy is
-// formatted at each admin command stats.
+// These benchmarks produce the ledger's figures in docs/CAPACITY.md, which runs them by name. The
+// ledger is copied ten times a second while events are counted, and the copy is formatted for each
+// admin command stats.
 
-// ledgerOf returns a Ledger with so many classes, each with one request completed and one outstanding.
-func ledgerOf(classes int) *Ledger {
+// newLedgerWithClasses returns a Ledger with the given number of classes, each with one completed
+// and one outstanding request.
+func newLedgerWithClasses(classes int) *Ledger {
 	l := New()
 	for n := range classes {
 		class := l.Class(fmt.Sprintf("t%dmark8bits/operation-%d", n/32, n%32))
@@ -21,7 +23,7 @@
 }
 
 func BenchmarkEntry(b *testing.B) {
-	l := ledgerOf(2272)
+	l := newLedgerWithClasses(2272)
 	for b.Loop() {
 		l.Admitted(7)
 		l.Forwarded()
@@ -33,7 +35,7 @@
 	for _, n := range []int{71, 284, 1136, 2272, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			l := ledgerOf(n)
+			l := newLedgerWithClasses(n)
 			for b.Loop() {
 				l.Totals(3800, 10)
 			}
@@ -44,7 +46,7 @@
 func BenchmarkText(b *testing.B) {
 	for _, n := range []int{71, 284, 1136, 2272, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			totals := ledgerOf(n).Totals(3800, 10)
+			totals := newLedgerWithClasses(n).Totals(3800, 10)
 			size := 0
 			for b.Loop() {
 				size = len(totals.Text())
--- a/internal/accounting/class.go
+++ b/internal/accounting/class.go
@@ -1,34 +1,34 @@
 package accounting
 
-// Disposition is how a request was completed.
+// Disposition is the way in which a request was completed.
 type Disposition uint8
 
 // The dispositions of a request.
 const (
 	Succeeded Disposition = iota
 	Declined              // rejected: the client may safely retry
-	Aborted               // failed
-	Abandoned             // the client has disconnected
-	Migrated              // another process has it now
+	Aborted               // failed: a retry may not be safe
+	Abandoned             // the client disconnected before its answer
+	Migrated              // handed over to another process, which completes it
 
 	dispositionCount = iota
 )
 
-// reportedDispositions names, by Disposition, those that Text reports.
+// reportedDispositions holds the metric label of each Disposition that Text reports.
 var reportedDispositions = [...]string{
 	Succeeded: "succeeded",
 	Declined:  "declined",
 	Aborted:   "aborted",
 }
 
-// Class is the account of one class of requests.
+// Class holds the counts of one class of requests.
 type Class struct {
-	Name      string                `json:"Name"` // empty: the account is free
+	Name      string                `json:"Name"` // empty if this entry of the ledger is unused
 	Admitted  int                   `json:"Taken"`
-	Completed [dispositionCount]int `json:"Ended"` // by Disposition
+	Completed [dispositionCount]int `json:"Ended"` // indexed by Disposition
 }
 
-// Outstanding counts the requests that were admitted and are not completed.
+// Outstanding returns the number of requests that were admitted and have not completed yet.
 func (c Class) Outstanding() int {
 	outstanding := c.Admitted
 	for _, n := range c.Completed {
--- a/internal/accounting/doc.go
+++ b/internal/accounting/doc.go
@@ -1,6 +1,7 @@
-// Package accounting counts, per class of requests, what was admitted and how it was completed, and beside that the
-// forwards to workers and the reloads of the configuration. The Ledger holds the running counts, Totals is a copy of them
-// at one moment, and its Text is what the admin command stats prints.
+// Package accounting counts, for each class of requests, how many were admitted and how they were
+// completed. It also counts forwards to workers and reloads of the configuration. Ledger holds the
+// running counts, Totals is a copy of them at one moment, and Totals.Text is what the admin command
+// stats prints.
 //
-// The package has neither clock nor I/O.
+// The package reads no clock and does no I/O.
 package accounting
--- a/internal/accounting/ledger.go
+++ b/internal/accounting/ledger.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Ledger holds the running counts of one process. Each event is entered once, where it happens. It is not safe for
-// concurrent use.
+// Ledger holds the running counts of one process. The code in which an event happens reports it
+// here exactly once. It is not safe for concurrent use.
 type Ledger struct {
-	Forwards int // attempts that were written whole
-	Applied  int // configurations that were applied at a reload
-	Rejected int // configurations that were rejected at a reload
-	Changes  int // of the ledger: a copy is up to date while this is the same
+	Forwards int // attempts whose request was written completely to a worker
+	Applied  int // configurations that a reload applied
+	Rejected int // configurations that a reload rejected
+	Changes  int // number of modifications so far; a copy is current for as long as this stays the same
 
 	classes     []Class
-	indexByName map[string]int // into classes
-	free        []int          // indexes of removed classes
+	indexByName map[string]int // position of each class in classes
+	free        []int          // indexes of removed classes, to be reused
 }
 
-// New returns a Ledger with an account for each of the named classes.
+// New returns a Ledger with zero counts for each of the named classes.
 func New(names ...string) *Ledger {
 	l := &Ledger{indexByName: map[string]int{}}
 	for _, name := range names {
@@ -27,22 +27,22 @@
 	return l
 }
 
-// Class returns the index of the class of that name, and opens an account for a new class. A class keeps its account and
-// index until RemoveClass.
+// Class returns the index of the named class and adds the class if it is not known yet. A class
+// keeps its counts and its index until RemoveClass.
 func (l *Ledger) Class(name string) int {
 	index, known := l.indexByName[name]
 	if known {
 		return index
 	}
-	index = l.allocate()
+	index = l.allocateIndex()
 	l.indexByName[name] = index
 	l.classes[index] = Class{Name: name}
 	l.Changes++
 	return index
 }
 
-// allocate returns the index of a free account.
-func (l *Ledger) allocate() int {
+// allocateIndex returns the index of an unused entry of classes, which it extends if there is none.
+func (l *Ledger) allocateIndex() int {
 	if last := len(l.free) - 1; last >= 0 {
 		index := l.free[last]
 		l.free = l.free[:last]
@@ -52,8 +52,9 @@
 	return len(l.classes) - 1
 }
 
-// RemoveClass frees the account of a class that has no outstanding request, as the number of tenants that come and go is
-// unbounded. A class that is unknown or has outstanding requests is left as it is.
+// RemoveClass forgets a class that has no outstanding requests, because the number of tenants that
+// are created and removed over time is unbounded. It does nothing for a class that is unknown or
+// has outstanding requests.
 func (l *Ledger) RemoveClass(name string) {
 	index, known := l.indexByName[name]
 	if !known || l.classes[index].Outstanding() != 0 {
@@ -65,34 +66,35 @@
 	l.Changes++
 }
 
-// Classes returns the names of the classes that have an account, sorted.
+// Classes returns the names of all known classes, sorted.
 func (l *Ledger) Classes() []string { return slices.Sorted(maps.Keys(l.indexByName)) }
 
-// Admitted counts a request that was admitted in a class.
+// Admitted counts one admitted request of a class.
 func (l *Ledger) Admitted(class int) {
 	l.classes[class].Admitted++
 	l.Changes++
 }
 
-// Completed counts a request of a class that was completed.
+// Completed counts one completed request of a class.
 func (l *Ledger) Completed(class int, disposition Disposition) {
 	l.classes[class].Completed[disposition]++
 	l.Changes++
 }
 
-// MigrationReturned takes back that a request of a class migrated: it is outstanding here again.
+// MigrationReturned undoes Completed with Migrated for one request of a class whose migration
+// failed: the request is outstanding here again.
 func (l *Ledger) MigrationReturned(class int) {
 	l.classes[class].Completed[Migrated]--
 	l.Changes++
 }
 
-// Forwarded counts an attempt that was written whole.
+// Forwarded counts one attempt whose request was written completely to a worker.
 func (l *Ledger) Forwarded() {
 	l.Forwards++
 	l.Changes++
 }
 
-// ConfigurationLoaded counts a reload of the configuration, by whether it was applied or rejected.
+// ConfigurationLoaded counts one reload of the configuration, which was either applied or rejected.
 func (l *Ledger) ConfigurationLoaded(applied bool) {
 	if applied {
 		l.Applied++
--- a/internal/accounting/totals.go
+++ b/internal/accounting/totals.go
@@ -5,18 +5,20 @@
 	"strings"
 )
 
-// Totals are the counts of a Ledger at one moment, with what others know of that moment.
+// Totals are the counts of a Ledger at one moment, together with the numbers of workers at that
+// moment, which the ledger doesn't hold itself.
 type Totals struct {
-	Classes     []Class `json:"Classes"` // those that have an account
+	Classes     []Class `json:"Classes"` // all known classes, by index
 	Forwards    int     `json:"Forwards"`
 	Applied     int     `json:"Applied"`
 	Rejected    int     `json:"Rejected"`
-	Outstanding int     `json:"Outstanding"` // requests, of all classes
-	Discovered  int     `json:"Discovered"`  // workers
-	Ejected     int     `json:"Ejected"`     // workers
+	Outstanding int     `json:"Outstanding"` // outstanding requests of all classes
+	Discovered  int     `json:"Discovered"`  // workers that discovery lists
+	Ejected     int     `json:"Ejected"`     // workers that are ejected at present
 }
 
-// Totals copies the counts. discovered and ejected are numbers of workers.
+// Totals returns a copy of the counts. discovered and ejected are the present numbers of discovered
+// and ejected workers.
 func (l *Ledger) Totals(discovered, ejected int) Totals {
 	t := Totals{
 		Forwards:   l.Forwards,
@@ -35,10 +37,10 @@
 	return t
 }
 
-// labelEscaper escapes the value of a label in the text format.
+// labelEscaper escapes a label value as the text format of the metrics requires.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// Text formats the totals as svc_* metrics, one a line.
+// Text formats the totals as svc_* metrics, one per line.
 func (t Totals) Text() string {
 	var b strings.Builder
 	for _, c := range t.Classes {
--- a/internal/accounting/totals_test.go
+++ b/internal/accounting/totals_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The metrics as operators see them. A class with strange letters must not break the lines of others.
+// The metrics in the format that operators read. A class name with a quote, a backslash or a
+// newline must be escaped, or it would break other lines.
 func ExampleTotals_Text() {
 	l := New("render", "a\"b\\c\nd")
 	l.Admitted(l.Class("render"))
@@ -35,11 +36,12 @@
 	// svc_sighup_rejected_total 1
 }
 
-// Totals do not change with the ledger, and count what is outstanding.
+// Totals must not change when the ledger changes later, and Outstanding must be the number of
+// requests admitted and not completed, whatever the order of events.
 func TestTotalsAreACopy(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	l := New("a", "b")
-	outstanding := []int{} // classes
+	outstanding := []int{} // class index of each outstanding request
 	before := l.Totals(0, 0)
 	for range 1000 {
 		if class := rng.Intn(2); rng.Intn(3) > 0 {
@@ -50,10 +52,10 @@
 			outstanding = outstanding[1:]
 		}
 		if got := l.Totals(0, 0).Outstanding; got != len(outstanding) {
-			t.Fatal("outstanding", got, "not", len(outstanding))
+			t.Fatal("outstanding requests: got", got, "want", len(outstanding))
 		}
 	}
 	if before.Classes[0].Admitted != 0 || before.Outstanding != 0 {
-		t.Error("a copy has changed")
+		t.Error("totals taken earlier have changed with the ledger")
 	}
 }
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,3 +1,4 @@
-// Package admin serves the operators' commands: one line a connection, on an address of its own, so that a crowd of clients
-// keeps no operator out.
+// Package admin serves the operators' commands, one line of text per connection. It listens on an
+// address of its own, so that operators can still connect while clients use up the connections of
+// the service.
 package admin
--- a/internal/admin/line.go
+++ b/internal/admin/line.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// maxLine is the longest line in bytes. It is far more than any command needs; a caller that sends without end is no
-// operator.
-const maxLine = 256
+// maxLineBytes is the maximum length of a line, which is far more than any command needs. It bounds
+// the memory that a peer can use by sending without end.
+const maxLineBytes = 256
 
-// lineError is what is wrong with a line. Its text is sent to the caller.
+// lineError says why a line is malformed. Its text is sent to the operator.
 type lineError string
 
-// Error returns the text.
+// Error returns the text that is sent to the operator.
 func (e lineError) Error() string { return string(e) }
 
 const (
@@ -21,36 +21,38 @@
 	errNoNewline  lineError = "the line has no end"
 )
 
-var errTooLong = lineError(fmt.Sprintf("the line is over %d bytes", maxLine))
+var errTooLong = lineError(fmt.Sprintf("the line is over %d bytes", maxLineBytes))
 
-// Line parses the one line of a connection. It is fed bytes and does no I/O.
+// Line parses the single line that a connection may send. Its caller feeds it the received bytes;
+// it does no I/O.
 type Line struct {
-	text  []byte
-	whole bool
+	text     []byte
+	complete bool
 }
 
-// Feed parses further bytes; ended reports that no more will come. It returns whether the line is whole.
-func (l *Line) Feed(b []byte, ended bool) (whole bool, err error) {
+// Feed parses the next received bytes; eof says that no more will come. It returns whether the line
+// is complete. The error is a lineError.
+func (l *Line) Feed(b []byte, eof bool) (complete bool, err error) {
 	for _, c := range b {
 		switch {
-		case l.whole:
-			// Which of the two lines was meant can't be known: neither is carried out.
+		case l.complete:
+			// The command may be in either of the two lines, so neither is executed.
 			return false, errSecondLine
 		case c == '\n':
-			l.whole = true
+			l.complete = true
 		case c == 0:
 			return false, errNUL
-		case len(l.text) == maxLine:
+		case len(l.text) == maxLineBytes:
 			return false, errTooLong
 		default:
 			l.text = append(l.text, c)
 		}
 	}
-	if ended && !l.whole {
+	if eof && !l.complete {
 		return false, errNoNewline
 	}
-	return l.whole, nil
+	return l.complete, nil
 }
 
-// Word is the command's word, once the line is whole.
-func (l *Line) Word() string { return strings.TrimSpace(string(l.text)) }
+// Command returns the name of the command, without surrounding white space, once the line is complete.
+func (l *Line) Command() string { return strings.TrimSpace(string(l.text)) }
--- a/internal/admin/line_test.go
+++ b/internal/admin/line_test.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// Whatever is sent, cut at any byte, ends in a word or in an error.
+// Any input ends in a command name or in an error, and the result doesn't depend on where the input
+// is split between reads.
 func ExampleLine() {
 	for _, text := range []string{"status\n", "status\r\n", "  stats \n", "\n", "status", "", "sta\x00tus\n", "status\nstandby\n",
-		strings.Repeat("a", maxLine) + "\n", strings.Repeat("a", maxLine+1) + "\n"} {
+		strings.Repeat("a", maxLineBytes) + "\n", strings.Repeat("a", maxLineBytes+1) + "\n"} {
 		var first string
 		for cut := range len(text) + 1 {
 			var l Line
-			whole, err := l.Feed([]byte(text[:cut]), false)
+			complete, err := l.Feed([]byte(text[:cut]), false)
 			if err == nil {
-				whole, err = l.Feed([]byte(text[cut:]), true)
+				complete, err = l.Feed([]byte(text[cut:]), true)
 			}
-			got := fmt.Sprintf("%.20q: whole %v, word %.10q, %v", text, whole, l.Word(), err)
+			got := fmt.Sprintf("%.20q: whole %v, word %.10q, %v", text, complete, l.Command(), err)
 			if cut == 0 {
 				first = got
 				fmt.Println(got)
-			} else if !whole && err == nil || whole && got != first {
+			} else if !complete && err == nil || complete && got != first {
 				fmt.Println("cut at", cut, got)
 			}
 		}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -10,33 +10,36 @@
 )
 
 const (
-	// readTimeout is how long a caller may take for its line. It holds a descriptor until then, or until another caller
-	// needs it.
+	// readTimeout is how long a connection may take to send its line. It holds a file descriptor
+	// until then, or until it is evicted for a new connection.
 	readTimeout = 5 * time.Second
-	// answerTimeout is how long a caller may take to read its answer, and then to close its end.
+	// answerTimeout is how long the peer may take to read its answer, and then again to close its
+	// end of the connection.
 	answerTimeout = time.Second
-	// acceptRetryDelay is the pause after an accept that failed.
+	// acceptRetryDelay is the pause after a failed accept.
 	acceptRetryDelay = 50 * time.Millisecond
-	// maxDiscard is how many bytes behind the line are read before the connection closes.
-	maxDiscard = 1 << 16
+	// maxDiscardBytes is how many bytes after the line are read and dropped before the connection
+	// is closed.
+	maxDiscardBytes = 1 << 16
 )
 
-// Commands are the commands by their word. Each returns the text that follows the answer's status, of one line or more.
-// They are called from many goroutines at once, and must return within the second that a caller waits.
+// Commands maps the name of each command to its function, which returns the text that follows the
+// status in the answer, of one or more lines. Functions are called from several goroutines at once,
+// and must return within the second that an operator's client waits for its answer.
 type Commands map[string]func() (string, error)
 
-// Server answers callers, a limited number at once.
+// Server executes operators' commands, on a limited number of connections at once.
 type Server struct {
-	commands Commands
-	callers  callers
+	commands    Commands
+	connections connectionSet
 }
 
-// New returns a Server for maxCallers at once.
-func New(commands Commands, maxCallers int) *Server {
-	return &Server{commands: commands, callers: callers{limit: maxCallers}}
+// New returns a Server that keeps at most maxConnections open at once.
+func New(commands Commands, maxConnections int) *Server {
+	return &Server{commands: commands, connections: connectionSet{limit: maxConnections}}
 }
 
-// Serve answers callers until the listener is closed.
+// Serve accepts and answers connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) {
 	for {
 		nc, err := l.Accept()
@@ -44,64 +47,66 @@
 			return
 		}
 		if err != nil {
-			// Descriptors are short, or the caller has disconnected: others will come.
+			// File descriptors are exhausted, or the peer has disconnected; later connections may
+			// still succeed.
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c := &caller{conn: nc, stage: stageReading}
-		s.callers.add(c)
+		c := &connection{conn: nc, stage: stageReading}
+		s.connections.add(c)
 		go s.serve(c)
 	}
 }
 
-// serve reads one caller's line and answers it.
-func (s *Server) serve(c *caller) {
-	defer s.callers.remove(c)
-	word, err := readWord(c.conn)
-	var rejected lineError
+// serve reads the command of one connection, executes it and sends the answer.
+func (s *Server) serve(c *connection) {
+	defer s.connections.remove(c)
+	name, err := readCommand(c.conn)
+	var malformed lineError
 	switch {
-	case errors.As(err, &rejected):
-		s.answer(c, "", rejected)
+	case errors.As(err, &malformed):
+		s.answer(c, "", malformed)
 		return
 	case err != nil:
-		return // the caller has disconnected or was too slow
+		return // the peer has disconnected or was too slow
 	}
-	s.callers.setStage(c, stageRunning)
-	text, err := s.run(word)
+	s.connections.setStage(c, stageRunning)
+	text, err := s.run(name)
 	s.answer(c, text, err)
 }
 
-// readWord reads a line from conn and returns its word. The error is a lineError if the line is malformed.
-func readWord(conn net.Conn) (string, error) {
+// readCommand reads a line from conn and returns the command's name. The error is a lineError if
+// the line is malformed.
+func readCommand(conn net.Conn) (string, error) {
 	conn.SetReadDeadline(time.Now().Add(readTimeout))
 	var line Line
-	buffer := make([]byte, maxLine)
+	buffer := make([]byte, maxLineBytes)
 	for {
 		n, readErr := conn.Read(buffer)
 		if readErr != nil && !errors.Is(readErr, io.EOF) {
 			return "", readErr
 		}
-		whole, err := line.Feed(buffer[:n], readErr != nil)
+		complete, err := line.Feed(buffer[:n], readErr != nil)
 		if err != nil {
 			return "", err
 		}
-		if whole {
-			return line.Word(), nil
+		if complete {
+			return line.Command(), nil
 		}
 	}
 }
 
-// run carries out the command of that word.
-func (s *Server) run(word string) (string, error) {
-	command := s.commands[word]
+// run executes the named command and returns the text of its answer.
+func (s *Server) run(name string) (string, error) {
+	command := s.commands[name]
 	if command == nil {
-		return "", fmt.Errorf("no call %.40q", word)
+		return "", fmt.Errorf("no call %.40q", name)
 	}
 	return command()
 }
 
-// answer sends the text, or the error if there is one, in the answer's form.
-func (s *Server) answer(c *caller, text string, err error) {
+// answer sends "+OK" and the text or, if err is set, "-ERR" and the error on a single line.
+func (s *Server) answer(c *connection, text string, err error) {
 	if err != nil {
 		text = "-ERR " + strings.ReplaceAll(err.Error(), "\n", " ")
 	} else {
@@ -109,12 +114,12 @@
 	}
 	c.conn.SetWriteDeadline(time.Now().Add(answerTimeout))
 	io.WriteString(c.conn, text+"\n")
-	s.callers.setStage(c, stageAnswered)
+	s.connections.setStage(c, stageAnswered)
 	discardRest(c.conn)
 }
 
-// discardRest reads what follows the line: to close with unread bytes would reset the connection and could cost the caller
-// its answer.
+// discardRest reads and drops what the peer sent after its line. Closing a socket with unread bytes
+// resets the connection, and the peer could lose its answer.
 func discardRest(conn net.Conn) {
 	tcp, isTCP := conn.(*net.TCPConn)
 	if !isTCP {
@@ -122,5 +127,5 @@
 	}
 	tcp.CloseWrite()
 	conn.SetReadDeadline(time.Now().Add(answerTimeout))
-	io.Copy(io.Discard, io.LimitReader(conn, maxDiscard))
+	io.Copy(io.Discard, io.LimitReader(conn, maxDiscardBytes))
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// start serves commands at an address of its own.
-func start(t *testing.T, commands Commands, maxCallers int) (*Server, string) {
+// startServer serves commands on a free loopback port and returns its address.
+func startServer(t *testing.T, commands Commands, maxConnections int) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := New(commands, maxCallers)
+	s := New(commands, maxConnections)
 	go s.Serve(l)
 	return s, l.Addr().String()
 }
@@ -33,8 +33,8 @@
 	return c
 }
 
-// call sends a text and returns the whole answer.
-func call(t *testing.T, addr, text string) string {
+// sendLine sends a text on a new connection and returns the whole answer.
+func sendLine(t *testing.T, addr, text string) string {
 	t.Helper()
 	c := dial(t, addr)
 	io.WriteString(c, text)
@@ -46,13 +46,13 @@
 	return string(got)
 }
 
-func TestAnswers(t *testing.T) {
-	_, addr := start(t, Commands{
+func TestCommandsAreAnswered(t *testing.T) {
+	_, addr := startServer(t, Commands{
 		"status": func() (string, error) { return "ready", nil },
 		"stats":  func() (string, error) { return "2 figures\na 1\n.", nil },
 		"broken": func() (string, error) { return "", errors.New("told to\nstop") },
 	}, 4)
-	for _, v := range [][2]string{
+	for _, testCase := range [][2]string{
 		{"status\n", "+OK ready\n"},
 		{"stats\r\n", "+OK 2 figures\na 1\n.\n"},
 		{"broken\n", "-ERR told to stop\n"},
@@ -62,37 +62,38 @@
 		{"status\nstatus\n", "-ERR more than one line\n"},
 		{strings.Repeat("x", 100000), "-ERR the line is over 256 bytes\n"},
 	} {
-		if got := call(t, addr, v[0]); got != v[1] {
-			t.Errorf("%.20q: %q", v[0], got)
+		if got := sendLine(t, addr, testCase[0]); got != testCase[1] {
+			t.Errorf("wrong answer to %.20q: %q", testCase[0], got)
 		}
 	}
 }
 
-// Callers that connect and send no whole line keep no other out, and hold no more descriptors than the limit.
-func TestSilentCallersDoNotExcludeOthers(t *testing.T) {
-	const maxCallers = 4
-	s, addr := start(t, Commands{"status": func() (string, error) { return "ready", nil }}, maxCallers)
+// Connections that never send a complete line must not keep other operators out, and there must
+// never be more open connections than the limit.
+func TestSilentConnectionsDoNotExcludeOthers(t *testing.T) {
+	const maxConnections = 4
+	s, addr := startServer(t, Commands{"status": func() (string, error) { return "ready", nil }}, maxConnections)
 	oldest := dial(t, addr)
 	for n := range 50 {
 		c := dial(t, addr)
 		if n%2 == 0 {
 			io.WriteString(c, "sta")
 		}
-		if got := call(t, addr, "status\n"); got != "+OK ready\n" {
-			t.Fatalf("with %d silent callers: %q", n+1, got)
+		if got := sendLine(t, addr, "status\n"); got != "+OK ready\n" {
+			t.Fatalf("wrong answer beside %d silent connections: %q", n+1, got)
 		}
-		if n := s.callers.count(); n > maxCallers {
-			t.Fatal("callers at once:", n)
+		if n := s.connections.count(); n > maxConnections {
+			t.Fatal("more open connections than the limit:", n)
 		}
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
-		t.Error("the oldest unfinished caller is still there")
+		t.Error("the oldest connection without a command was not closed")
 	}
-	dial(t, addr).Close() // disconnects before its line, and the next one before its answer
+	dial(t, addr).Close() // disconnects before its line; the next connection before its answer
 	c := dial(t, addr)
 	io.WriteString(c, "status\n")
 	c.Close()
-	if got := call(t, addr, "status\n"); got != "+OK ready\n" {
-		t.Errorf("after callers that left: %q", got)
+	if got := sendLine(t, addr, "status\n"); got != "+OK ready\n" {
+		t.Errorf("wrong answer after connections that disconnected early: %q", got)
 	}
 }
