--- a/internal/tenants/account.go
+++ b/internal/tenants/account.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Account is the state of one tenant at one scheduler. It lasts until the tenant's last invocation
-// has completed, also where the tenant has been removed before.
+// Account is the state of one tenant at one scheduler. The account of a removed tenant is kept until
+// the last of its invocations has completed.
 type Account struct {
-	Index  int // among the dispatcher's tenants
+	Index  int // identifies the tenant to the dispatcher; reused after the tenant is removed
 	Name   string
 	Handle string
 
@@ -13,35 +13,36 @@
 	state         State
 	weight        float64
 	limits        Limits
-	removed       bool // the tenant is; its last invocations may still be in flight
+	removed       bool // the tenant was removed; some of its invocations may still be in flight
 
-	inFlight int     // invocations
-	heldWork float64 // hinted cost in flight, in seconds on a standard core
+	inFlight int     // number of invocations in flight
+	heldWork float64 // sum of the hinted costs of these, in seconds on a standard core
 
-	tokens           float64 // of the token bucket, one an invocation
+	tokens           float64 // level of the token bucket; each invocation takes one token
 	tokensRefilledAt time.Duration
-	retryBudget      float64 // retries that are admitted before the ratio must earn more
+	retryBudget      float64 // retries that are admitted before first attempts must earn more
 
-	allotment       float64 // invocations it may have in flight, as of the last allocation
-	shareRejections int     // since the last allocation, for want of capacity
-	peakInFlight    int     // since the last allocation
+	allotment       float64 // invocations that it may have in flight, as of the last allocation
+	shareRejections int     // invocations rejected for lack of capacity since the last allocation
+	peakInFlight    int     // highest inFlight since the last allocation
 	lastActiveAt    time.Duration
-	activePosition  int // in Controller.active, counted from 1; 0: not active
+	activePosition  int // position in Controller.active, counted from 1; 0 if not active
 
-	costRatios      map[string][]float64 // by operation: time at workers over the hinted cost
-	durations       []time.Duration      // of the last invocations, from admission to completion
-	attemptsEndedAt []time.Duration      // of the last attempts
-	attemptSeconds  []float64            // at their workers, of the same attempts
+	costRatios      map[string][]float64 // latest ratios of time at workers to hinted cost, by operation
+	durations       []time.Duration      // latest times from the admission of an invocation to its completion
+	attemptsEndedAt []time.Duration      // when the latest attempts ended, oldest first
+	attemptSeconds  []float64            // how long the same attempts were at their workers
 
-	workRate  float64 // workers' time in seconds a second
-	workShare float64 // its fair share of all tenants' workRate
-	overShare bool    // as last published to the dispatcher
+	workRate  float64 // worker time used, in seconds per second
+	workShare float64 // its fair share of the sum of all active tenants' workRate
+	overShare bool    // workRate exceeds workShare, as last published to the dispatcher
 	usage     Usage
 }
 
 func (a *Account) isActive() bool { return a.activePosition > 0 }
 
-// typicalDuration returns how long it takes until an invocation of the tenant's own completes.
+// typicalDuration returns the median time from the admission of one of the tenant's invocations to
+// its completion. It is used as the advice of when to retry: by then one is likely to have completed.
 func (a *Account) typicalDuration() time.Duration {
 	if len(a.durations) == 0 {
 		return defaultRetryAfter
@@ -49,13 +50,15 @@
 	return median(a.durations)
 }
 
-// minCostSamples must have been measured of an operation before its hints are corrected.
+// minCostSamples is how many attempts of an operation must have been measured before its cost hints
+// are corrected.
 const minCostSamples = 4
 
-// EstimateCost turns the hinted cost of an operation into what the latest invocations with such
-// hints have taken, in the unit of the hint; 0 if there is no estimate, and the operation's mean
-// is to be used. The dispatcher learns the speed of workers from the work and hints of all tenants:
-// one that hints too little would make all others' work look hopeless.
+// EstimateCost corrects the hinted cost of an invocation by the ratio of worker time to hint that
+// the latest attempts of the operation had. The result is in the unit of the hint; it is 0 if there
+// is no estimate and the caller should use the operation's mean. The dispatcher learns the speed of
+// workers from the work and hints of all tenants together, so without the correction a tenant whose
+// hints are too low would make the work of all others look too slow to meet its objective.
 func (a *Account) EstimateCost(operation string, hint float64) float64 {
 	ratios := a.costRatios[operation]
 	if hint <= 0 || len(ratios) < minCostSamples {
@@ -64,7 +67,7 @@
 	return hint * median(ratios)
 }
 
-// recordAttempt adds an attempt that ended now after some time at its worker.
+// recordAttempt adds the measurements of an attempt that ended now. took is its time at its worker.
 func (a *Account) recordAttempt(now time.Duration, operation string, hint float64, took time.Duration) {
 	a.attemptsEndedAt = appendSample(a.attemptsEndedAt, now)
 	a.attemptSeconds = appendSample(a.attemptSeconds, took.Seconds())
@@ -74,7 +77,7 @@
 	}
 }
 
-// retainCostRatios drops the measurements of operations that the tenant no longer has.
+// retainCostRatios keeps the measurements of the given operations and drops all others.
 func (a *Account) retainCostRatios(operations []Operation) {
 	retained := map[string][]float64{}
 	for _, operation := range operations {
--- a/internal/tenants/account_test.go
+++ b/internal/tenants/account_test.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// A hinted cost is corrected by what the latest attempts with such hints have taken.
+// A hinted cost is corrected by the ratio of worker time to hint in the latest attempts. There is no
+// estimate without such attempts, nor for an unknown operation.
 func ExampleAccount_EstimateCost() {
 	f := newFixture(100, 1)
-	f.put("t", 1, Limits{})
+	f.putTenant("t", 1, Limits{})
 	a := f.tenants["t"]
 	fmt.Println(a.EstimateCost("render", 0.001))
 	for range 8 {
--- a/internal/tenants/admission.go
+++ b/internal/tenants/admission.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// RejectionKind is the limit that an invocation was rejected by; None if it was admitted.
+// RejectionKind is the reason why an invocation was rejected; None if it was admitted.
 type RejectionKind string
 
-// The kinds of rejection, as clients and counters spell them.
+// The kinds of rejection. Answers to clients and usage counters use these strings.
 const (
 	None            RejectionKind = ""
 	Unauthenticated RejectionKind = "unauthenticated"
@@ -25,45 +25,50 @@
 var RejectionKinds = []RejectionKind{TenantSuspended, Size, Rate, Concurrency, HeldWork, Retries, Share}
 
 const (
-	// minRetryAfter and maxRetryAfter bound the advice of when to retry.
+	// minRetryAfter and maxRetryAfter bound the advised delay before a retry, after jitter.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// defaultRetryAfter is the advice, before jitter, while no invocation has completed.
+	// defaultRetryAfter is the advised delay, before jitter, while no invocation has completed.
 	defaultRetryAfter = 4 * minRetryAfter
-	// retryBudgetRetryAfter is the advice, before jitter, where the retry budget is spent: first
-	// attempts earn it, and without any there is nothing to wait for but the storm's end.
+	// retryBudgetRetryAfter is the advised delay, before jitter, if the retry budget is spent. Only
+	// first attempts earn more budget, so without any the client can only wait until the retry
+	// storm is over.
 	retryBudgetRetryAfter = maxRetryAfter / 2
-	// retryAfterJitterBase and retryAfterJitterSpread give the range of the random factor that
-	// advice is multiplied by: clients rejected at once must not retry at once.
+	// The advised delay is multiplied by a random factor between retryAfterJitterBase and
+	// retryAfterJitterBase + retryAfterJitterSpread, so that clients that were rejected at the same
+	// moment do not retry at the same moment.
 	retryAfterJitterBase   = 0.75
 	retryAfterJitterSpread = 0.75
 )
 
-// Decision is the answer to a Request. RetryAfter is when a retry may succeed; 0: it is of no use.
+// Decision says whether a Request is admitted. RetryAfter is the delay after which a retry may
+// succeed; 0 if a retry can't succeed.
 type Decision struct {
 	Kind       RejectionKind
 	RetryAfter time.Duration
 }
 
-// Request is what an invocation asks to be admitted with.
+// Request holds the properties of an invocation that decide whether it is admitted.
 type Request struct {
-	Bytes int     // of its body
-	Work  float64 // its hinted cost, in seconds on a standard core; 0: none was given
+	Bytes int     // size of its body
+	Work  float64 // its hinted cost, in seconds on a standard core; 0 if no hint was given
 	Retry bool
 }
 
-// Identify returns the account that a credential belongs to; nil if the credential is unknown, does
-// not match or has expired. An unknown id takes as much time as a known one.
+// Identify returns the account that a credential belongs to. It is nil if the credential's id is
+// unknown, the secret does not match or the credential has expired. An unknown id takes as much time
+// as a known one, so that timing doesn't reveal which ids exist.
 func (c *Controller) Identify(id, secret string, now time.Time) *Account {
-	held, known := c.credentials[id]
-	verified := held.credential.Verify(secret, now)
+	entry, known := c.credentials[id]
+	verified := entry.credential.Verify(secret, now)
 	if !known || !verified {
 		return nil
 	}
-	return held.account
+	return entry.account
 }
 
-// Admit decides whether an invocation is admitted. One that is must be passed to Completed.
+// Admit decides whether an invocation is admitted. Each admitted invocation must later be passed to
+// Completed.
 func (c *Controller) Admit(now time.Duration, a *Account, r Request) Decision {
 	c.accountVisits++
 	decision := c.evaluate(now, a, r)
@@ -76,11 +81,12 @@
 	}
 	a.tokens--
 	a.chargeRetryBudget(r.Retry)
-	c.begin(a, r)
+	c.countAdmitted(a, r)
 	return decision
 }
 
-// evaluate checks the tenant's own limits and then its share of the capacity.
+// evaluate checks the tenant's own limits, and then whether its share of the capacity permits one
+// more invocation.
 func (c *Controller) evaluate(now time.Duration, a *Account, r Request) Decision {
 	if now >= c.allocatedAt+allocationInterval {
 		c.allocate(now)
@@ -105,7 +111,8 @@
 	if limits.HeldWorkS != nil && a.inFlight > 0 && a.heldWork+r.Work > *limits.HeldWorkS/c.schedulers {
 		return Decision{Kind: HeldWork, RetryAfter: a.typicalDuration()}
 	}
-	// Only now is it active: what its own limits reject must not make others' shares smaller.
+	// The tenant becomes active only now: invocations that its own limits reject must not make the
+	// shares of other tenants smaller.
 	c.activate(now, a)
 	if !c.hasCapacity(a) {
 		a.shareRejections++
@@ -114,25 +121,29 @@
 	return Decision{}
 }
 
-// concurrencyHere returns this scheduler's part of a limit of invocations in flight.
+// concurrencyHere returns this scheduler's part of a limit on invocations in flight, rounded up. It
+// is at least 1, so that the tenant can use every scheduler.
 func (c *Controller) concurrencyHere(limit int) float64 {
 	return max(1, math.Ceil(float64(limit)/c.schedulers))
 }
 
-// jitter spreads and bounds the advice of when to retry.
+// jitter randomizes the advised delay before a retry and bounds it by minRetryAfter and
+// maxRetryAfter.
 func (c *Controller) jitter(retryAfter time.Duration) time.Duration {
 	factor := retryAfterJitterBase + retryAfterJitterSpread*c.random.Float64()
-	spread := time.Duration(float64(retryAfter) * factor)
-	return min(max(spread, minRetryAfter), maxRetryAfter)
+	jittered := time.Duration(float64(retryAfter) * factor)
+	return min(max(jittered, minRetryAfter), maxRetryAfter)
 }
 
-// AdmitMigrated admits an invocation that another process had admitted, without a decision.
+// AdmitMigrated counts an invocation that has migrated here. It is not checked against any limit,
+// because another process has already admitted it.
 func (c *Controller) AdmitMigrated(now time.Duration, a *Account, r Request) {
 	c.activate(now, a)
-	c.begin(a, r)
+	c.countAdmitted(a, r)
 }
 
-// MigrationReturned takes back an invocation that had been completed as Migrated.
+// MigrationReturned undoes Completed with Migrated for an invocation whose migration failed: it is in
+// flight here again.
 func (c *Controller) MigrationReturned(now time.Duration, a *Account, r Request) {
 	c.AdmitMigrated(now, a, r)
 	a.usage.Admitted--
@@ -140,8 +151,8 @@
 	a.usage.Completed[Migrated]--
 }
 
-// begin counts an invocation as in flight.
-func (c *Controller) begin(a *Account, r Request) {
+// countAdmitted counts an invocation as admitted and in flight.
+func (c *Controller) countAdmitted(a *Account, r Request) {
 	c.inFlight++
 	a.inFlight++
 	a.heldWork += r.Work
@@ -150,7 +161,7 @@
 	a.usage.Bytes += int64(r.Bytes)
 }
 
-// Completed ends an admitted invocation that took some time since its admission.
+// Completed counts the end of an admitted invocation. took is the time since its admission.
 func (c *Controller) Completed(now time.Duration, a *Account, r Request, took time.Duration, disposition Disposition) {
 	c.accountVisits++
 	c.inFlight--
@@ -158,15 +169,16 @@
 	a.lastActiveAt = now
 	a.heldWork -= r.Work
 	if a.inFlight == 0 {
-		a.heldWork = 0 // sums of fractions leave a rest
+		a.heldWork = 0 // removes the rounding error of the sum
 	}
 	a.usage.Completed[disposition]++
 	a.durations = appendSample(a.durations, took)
 	c.releaseRemoved(a)
 }
 
-// AttemptEnded counts an attempt by how long it was at its worker. Hints alone do not count: a
-// client may give any, and who hinted little would get the most.
+// AttemptEnded records how long an attempt was at its worker. A tenant's use is measured by this time
+// and not by its hints: clients may give any hint, and the tenant with the lowest hints would get
+// the most work done.
 func (c *Controller) AttemptEnded(now time.Duration, a *Account, operation string, hint float64, took time.Duration) {
 	a.recordAttempt(now, operation, hint, took)
 }
--- a/internal/tenants/admission_test.go
+++ b/internal/tenants/admission_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Each limit rejects by itself, and says when to retry where a retry is of use.
+// Each limit rejects invocations by itself, with an advised delay if a retry can succeed.
 func Example_limits() {
 	f := newFixture(1000, 1)
-	f.put("rate", 1, Limits{RatePerS: ptr(10.0), Burst: ptr(3.0)})
+	f.putTenant("rate", 1, Limits{RatePerS: ptr(10.0), Burst: ptr(3.0)})
 	fmt.Println(f.admit("rate", 5, Request{}))
 	f.now += 200 * ms
 	fmt.Println("0.2 s later:", f.admit("rate", 3, Request{}))
-	f.put("concurrency", 1, Limits{Concurrency: ptr(2)})
+	f.putTenant("concurrency", 1, Limits{Concurrency: ptr(2)})
 	fmt.Println(f.admit("concurrency", 3, Request{}))
 	f.complete("concurrency", 1, Request{})
 	fmt.Println("one has completed:", f.admit("concurrency", 2, Request{}))
-	f.put("work", 1, Limits{HeldWorkS: ptr(1.0)})
+	f.putTenant("work", 1, Limits{HeldWorkS: ptr(1.0)})
 	fmt.Println(f.admit("work", 4, Request{Work: 0.4}))
-	f.put("bytes", 1, Limits{RequestBytes: ptr(10)})
+	f.putTenant("bytes", 1, Limits{RequestBytes: ptr(10)})
 	fmt.Println(f.admit("bytes", 1, Request{Bytes: 10}), f.admit("bytes", 1, Request{Bytes: 11}))
-	f.put("retries", 1, Limits{RetryRatio: ptr(0.5)})
+	f.putTenant("retries", 1, Limits{RetryRatio: ptr(0.5)})
 	fmt.Println(f.admit("retries", 12, Request{Retry: true}))
 	fmt.Println("after four first attempts:", f.admit("retries", 4, Request{}), "then", f.admit("retries", 3, Request{Retry: true}))
 	// Output:
@@ -35,12 +35,13 @@
 	// after four first attempts: 4 admitted then 2 admitted; 1 retry_budget, retry
 }
 
-// A limit that is lowered below what is in flight admits nothing until that has come down.
+// If a limit is lowered below the number of invocations in flight, none is admitted until that number
+// is below the new limit.
 func Example_loweredLimit() {
 	f := newFixture(100, 1)
-	f.put("t", 1, Limits{Concurrency: ptr(10)})
+	f.putTenant("t", 1, Limits{Concurrency: ptr(10)})
 	fmt.Println(f.admit("t", 10, Request{}))
-	f.put("t", 1, Limits{Concurrency: ptr(3)})
+	f.putTenant("t", 1, Limits{Concurrency: ptr(3)})
 	f.complete("t", 7, Request{})
 	fmt.Println(f.admit("t", 1, Request{}))
 	f.complete("t", 1, Request{})
@@ -51,10 +52,11 @@
 	// 1 admitted; 1 concurrency, retry
 }
 
-// Retry advice has jitter, so that clients rejected at one moment don't retry at one moment.
+// The advised delay has jitter, so that clients rejected at the same moment don't all retry at the
+// same moment.
 func TestRetryAfterHasJitter(t *testing.T) {
 	f := newFixture(100, 1)
-	f.put("t", 1, Limits{RatePerS: ptr(1.0)})
+	f.putTenant("t", 1, Limits{RatePerS: ptr(1.0)})
 	f.admit("t", 1, Request{})
 	least := time.Hour
 	most := time.Duration(0)
@@ -70,11 +72,13 @@
 	}
 }
 
+// Several schedulers together enforce a tenant's limit. As each rounds its part up, they may exceed it
+// by less than one invocation each.
 func TestSchedulersEnforceALimitTogether(t *testing.T) {
 	admitted := 0
 	for range 4 {
 		f := newFixture(1000, 4)
-		f.put("t", 1, Limits{Concurrency: ptr(10)})
+		f.putTenant("t", 1, Limits{Concurrency: ptr(10)})
 		for range 20 {
 			decision := f.Admit(f.now, f.tenants["t"], Request{})
 			if decision.Kind == None {
@@ -83,6 +87,6 @@
 		}
 	}
 	if admitted < 10 || admitted > 10+4-1 {
-		t.Error(admitted, "in flight at four schedulers, 10 allowed")
+		t.Error(admitted, "invocations admitted at four schedulers together, want 10 to 13")
 	}
 }
--- a/internal/tenants/api/api.go
+++ b/internal/tenants/api/api.go
@@ -8,14 +8,14 @@
 	"stoatweir/internal/tenants"
 )
 
-// Usage returns what a tenant uses at this scheduler, and whether it is known there.
-type Usage func(name string) (usage tenants.Usage, known bool)
+// UsageFunc returns what a tenant uses at this scheduler, and whether it is known there.
+type UsageFunc func(name string) (usage tenants.Usage, known bool)
 
 // API is an http.Handler that answers administrators.
 type API struct {
 	registry       *Registry
 	administrators []Administrator
-	usage          Usage
+	usage          UsageFunc
 	schedulers     int // that share each limit
 	mux            *http.ServeMux
 	routes         []string
@@ -25,7 +25,7 @@
 type handler func(*request) (response, error)
 
 // New returns the API. schedulers is how many share each limit.
-func New(r *Registry, administrators []Administrator, usage Usage, schedulers int) *API {
+func New(r *Registry, administrators []Administrator, usage UsageFunc, schedulers int) *API {
 	a := &API{
 		registry:       r,
 		administrators: administrators,
--- a/internal/tenants/api/api_test.go
+++ b/internal/tenants/api/api_test.go
@@ -105,9 +105,9 @@
 // Invalid input is rejected by field, and changes nothing.
 func TestInvalidInputIsRejected(t *testing.T) {
 	f := newFixture(t)
-	put := func(status int, part, body string) {
+	put := func(wantStatus int, wantSubstring, body string) {
 		t.Helper()
-		f.expect(status, part, operator, "PUT", "/v1/tenants/acme", body)
+		f.expect(wantStatus, wantSubstring, operator, "PUT", "/v1/tenants/acme", body)
 	}
 	put(400, `"field": "/wieght"`, strings.Replace(specBody, "weight", "wieght", 1))
 	put(400, `"field": "/Weight"`, strings.Replace(specBody, "weight", "Weight", 1))
@@ -201,7 +201,7 @@
 
 // A request that is never whole is answered after a while, and silent connections leave room for
 // others.
-func TestSlowCallersAreBounded(t *testing.T) {
+func TestSlowConnectionsAreBounded(t *testing.T) {
 	f := newFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/tenants/api/audit.go
+++ b/internal/tenants/api/audit.go
@@ -12,7 +12,7 @@
 type revisionView struct {
 	Revision   uint64 `json:"revision"`
 	Writes     bool   `json:"writes"`       // changes can be made here
-	Why        string `json:"why,omitzero"` // they can't
+	WriteError string `json:"why,omitzero"` // they can't
 	Schedulers int    `json:"schedulers"`   // that share each limit
 }
 
@@ -23,7 +23,7 @@
 	isWriter, err := a.registry.Writes()
 	view := revisionView{Writes: isWriter && err == nil, Schedulers: a.schedulers}
 	if err != nil {
-		view.Why = err.Error()
+		view.WriteError = err.Error()
 	}
 	a.registry.read(func(d *tenants.Directory) { view.Revision = d.Revision })
 	return response{status: http.StatusOK, body: view}, nil
@@ -34,7 +34,7 @@
 	Revision uint64      `json:"revision"`
 	At       time.Time   `json:"at"`
 	By       string      `json:"by"`
-	What     string      `json:"what"`
+	Action   string      `json:"what"`
 	Name     string      `json:"name"`
 	Tenant   *TenantView `json:"tenant,omitzero"` // as it was from then on
 }
@@ -44,7 +44,7 @@
 		Revision: change.Revision,
 		At:       change.At,
 		By:       change.By,
-		What:     change.What,
+		Action:   change.Action,
 		Name:     change.Name,
 	}
 	if change.Tenant != nil {
@@ -87,7 +87,7 @@
 	if text == "" {
 		return 0, nil
 	}
-	revision, err := strconv.ParseUint(text, revisionBase, revisionBits)
+	revision, err := strconv.ParseUint(text, revisionRadix, revisionBitSize)
 	if err != nil {
 		return 0, parameterProblem("after", "is no revision")
 	}
--- a/internal/tenants/api/fixture_test.go
+++ b/internal/tenants/api/fixture_test.go
@@ -50,8 +50,8 @@
 	isFull *bool
 }
 
-func (f limitedFiles) Open(name string, read bool) (store.File, error) {
-	file, err := f.Files.Open(name, read)
+func (f limitedFiles) Open(name string, readOnly bool) (store.File, error) {
+	file, err := f.Files.Open(name, readOnly)
 	return limitedFile{File: file, isFull: f.isFull}, err
 }
 
@@ -116,7 +116,7 @@
 
 // send sends a request, checks the answer against the description, and returns its status, body and
 // ETag.
-func (f *fixture) send(token, method, path, body string, headers ...string) (status int, text, tag string) {
+func (f *fixture) send(token, method, path, body string, headers ...string) (status int, text, etag string) {
 	f.t.Helper()
 	r := newRequest(token, method, path, body, headers...)
 	r.Header.Set("Content-Type", "application/json")
@@ -158,11 +158,11 @@
 }
 
 // expect sends a request and requires a status and a part of the body. It returns the ETag.
-func (f *fixture) expect(status int, part, token, method, path, body string, headers ...string) string {
+func (f *fixture) expect(wantStatus int, wantSubstring, token, method, path, body string, headers ...string) string {
 	f.t.Helper()
 	got, text, tag := f.send(token, method, path, body, headers...)
-	if got != status || !strings.Contains(text, part) {
-		f.t.Errorf("%s %s %.60q: %d in place of %d, wanted %q in %s", method, path, body, got, status, part, text)
+	if got != wantStatus || !strings.Contains(text, wantSubstring) {
+		f.t.Errorf("%s %s %.60q: %d in place of %d, wanted %q in %s", method, path, body, got, wantStatus, wantSubstring, text)
 	}
 	return tag
 }
--- a/internal/tenants/api/forms_test.go
+++ b/internal/tenants/api/forms_test.go
@@ -142,23 +142,23 @@
 
 // A view and a problem with every field set are the same to the byte, and the recorded ones are
 // decoded whole.
-func TestGoldenForms(t *testing.T) {
+func TestGoldenEncodings(t *testing.T) {
 	tenant := golden.Filled[TenantView](t)
-	goldenForm(t, "view.json", tenant, func(w http.ResponseWriter) {
-		write(w, response{status: http.StatusOK, body: tenant})
+	checkGoldenJSON(t, "view.json", tenant, func(w http.ResponseWriter) {
+		writeResponse(w, response{status: http.StatusOK, body: tenant})
 	})
 	problem := golden.Filled[Problem](t)
-	goldenForm(t, "problem.json", problem, func(w http.ResponseWriter) {
+	checkGoldenJSON(t, "problem.json", problem, func(w http.ResponseWriter) {
 		writeBody(w, contentTypeProblem, http.StatusBadRequest, &problem)
 	})
 	credential := golden.Filled[CredentialView](t)
-	goldenForm(t, "key.json", credential, func(w http.ResponseWriter) {
-		write(w, response{status: http.StatusOK, body: credential})
+	checkGoldenJSON(t, "key.json", credential, func(w http.ResponseWriter) {
+		writeResponse(w, response{status: http.StatusOK, body: credential})
 	})
 }
 
-// goldenForm compares what is written with the recorded text, and that with the value.
-func goldenForm[T any](t *testing.T, name string, want T, writeTo func(http.ResponseWriter)) {
+// checkGoldenJSON compares what is written with the recorded text, and that with the value.
+func checkGoldenJSON[T any](t *testing.T, name string, want T, writeTo func(http.ResponseWriter)) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	writeTo(recorder)
--- a/internal/tenants/api/request.go
+++ b/internal/tenants/api/request.go
@@ -22,7 +22,7 @@
 	defaultPageSize = 100
 	maxPageSize     = 500
 
-	revisionBits = 64
+	revisionBitSize = 64
 )
 
 // request is one request of an authenticated administrator.
@@ -31,7 +31,7 @@
 	administrator string // name
 	query         url.Values
 	isDryRun      bool
-	match         tenants.Precondition
+	precondition  tenants.Precondition
 }
 
 // serve authorizes and parses a request, and answers it.
@@ -51,7 +51,7 @@
 		writeError(w, err)
 		return
 	}
-	write(w, answer)
+	writeResponse(w, answer)
 }
 
 // parseRequest parses the query and, for changes, the preconditions. The error is a Problem.
@@ -62,7 +62,7 @@
 	}
 	req := &request{Request: r, administrator: administrator.Name, query: query}
 	if role == Operate {
-		if err := req.parseConditions(); err != nil {
+		if err := req.parseChangeOptions(); err != nil {
 			return nil, err
 		}
 	}
@@ -72,18 +72,18 @@
 	return req, nil
 }
 
-func conditionProblem(field, reason string) *Problem {
+func changeOptionProblem(field, reason string) *Problem {
 	return fieldProblem("a condition can't be read", field, reason)
 }
 
-// parseConditions parses whether a change is a dry run, and its preconditions.
-func (r *request) parseConditions() error {
+// parseChangeOptions parses whether a change is a dry run, and its preconditions.
+func (r *request) parseChangeOptions() error {
 	switch dryRun := r.query.Get("dry_run"); dryRun {
 	case "", "false":
 	case "true":
 		r.isDryRun = true
 	default:
-		return conditionProblem("dry_run", fmt.Sprintf("%.20q is neither true nor false", dryRun))
+		return changeOptionProblem("dry_run", fmt.Sprintf("%.20q is neither true nor false", dryRun))
 	}
 	if values := r.Header.Values("If-Match"); len(values) > 0 {
 		if err := r.parseIfMatch(values); err != nil {
@@ -92,9 +92,9 @@
 	}
 	if values := r.Header.Values("If-None-Match"); len(values) > 0 {
 		if len(values) > 1 || strings.TrimSpace(values[0]) != "*" {
-			return conditionProblem("If-None-Match", "is not *")
+			return changeOptionProblem("If-None-Match", "is not *")
 		}
-		r.match.Absent = true
+		r.precondition.Absent = true
 	}
 	return nil
 }
@@ -102,15 +102,15 @@
 func (r *request) parseIfMatch(values []string) error {
 	tag := strings.TrimSpace(values[0])
 	if tag == "*" && len(values) == 1 {
-		r.match.Exists = true
+		r.precondition.Exists = true
 		return nil
 	}
-	revision, err := strconv.ParseUint(strings.Trim(tag, `"`), revisionBase, revisionBits)
+	revision, err := strconv.ParseUint(strings.Trim(tag, `"`), revisionRadix, revisionBitSize)
 	isQuoted := len(tag) > len(`""`) && tag[0] == '"' && tag[len(tag)-1] == '"'
 	if len(values) > 1 || err != nil || !isQuoted {
-		return conditionProblem("If-Match", `is neither * nor one revision as in an ETag, such as "12"`)
+		return changeOptionProblem("If-Match", `is neither * nor one revision as in an ETag, such as "12"`)
 	}
-	r.match.Revision = &revision
+	r.precondition.Revision = &revision
 	return nil
 }
 
@@ -146,12 +146,12 @@
 }
 
 // decodeBody decodes the whole body, which may have no unknown key. The error is a Problem.
-func (r *request) decodeBody(into any) error {
+func (r *request) decodeBody(target any) error {
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
 		return readProblem(err)
 	}
-	err = json.Unmarshal(text, into, json.RejectUnknownMembers(true))
+	err = json.Unmarshal(text, target, json.RejectUnknownMembers(true))
 	if err != nil {
 		return decodeProblem(err)
 	}
--- a/internal/tenants/api/response.go
+++ b/internal/tenants/api/response.go
@@ -20,7 +20,7 @@
 	// marshalFailure is the body where the intended one can't be marshalled.
 	marshalFailure = `{"type":"about:blank","title":"Internal Server Error","status":500}`
 
-	revisionBase = 10 // of the digits in an ETag
+	revisionRadix = 10 // of the digits in an ETag
 )
 
 // response is a successful answer.
@@ -67,14 +67,14 @@
 		return problem
 	case errors.As(err, &fieldErrors):
 		return newProblem(http.StatusUnprocessableEntity, "what was said makes no sense", fieldErrors...)
-	case errors.Is(err, tenants.ErrUnknown):
+	case errors.Is(err, tenants.ErrNotFound):
 		return newProblem(http.StatusNotFound, err.Error())
-	case errors.Is(err, tenants.ErrRace), errors.Is(err, tenants.ErrExists):
+	case errors.Is(err, tenants.ErrRevisionMismatch), errors.Is(err, tenants.ErrExists):
 		return newProblem(http.StatusPreconditionFailed, err.Error())
-	case errors.Is(err, tenants.ErrFull):
+	case errors.Is(err, tenants.ErrLimitReached):
 		return newProblem(http.StatusConflict, fmt.Sprintf("%v: %d tenants and %d operations of all of them are the most",
 			err, tenants.MaxTenants, tenants.MaxOperations))
-	case errors.Is(err, store.ErrFollows):
+	case errors.Is(err, store.ErrNotWriter):
 		return newProblem(http.StatusServiceUnavailable,
 			"this scheduler only follows; changes are made at the one that has the store")
 	default:
@@ -88,10 +88,10 @@
 	writeBody(w, contentTypeProblem, problem.Status, problem)
 }
 
-// write answers with a response.
-func write(w http.ResponseWriter, r response) {
+// writeResponse answers with a response.
+func writeResponse(w http.ResponseWriter, r response) {
 	if r.revision > 0 {
-		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(r.revision, revisionBase)))
+		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(r.revision, revisionRadix)))
 	}
 	if r.status == http.StatusNoContent {
 		setNoStore(w)
--- a/internal/tenants/api/tenants.go
+++ b/internal/tenants/api/tenants.go
@@ -103,7 +103,7 @@
 	known := false
 	a.registry.read(func(d *tenants.Directory) { tenant, known = d.Get(r.PathValue("name")) })
 	if !known {
-		return response{}, tenants.ErrUnknown
+		return response{}, tenants.ErrNotFound
 	}
 	return tenantResponse(tenant), nil
 }
@@ -127,15 +127,15 @@
 		return response{status: http.StatusOK, body: view}, nil
 	}
 	answer := tenantResponse(*change.Tenant)
-	switch change.What {
+	switch change.Action {
 	case tenants.ChangeCreated, tenants.ChangeCredentialGranted:
 		answer.status = http.StatusCreated
 	}
 	return answer, nil
 }
 
-// unchanged is the result of a changeFunc that has nothing to change.
-func unchanged(d *tenants.Directory, name string) (tenants.Change, error) {
+// unchangedResult is the result of a changeFunc that has nothing to change.
+func unchangedResult(d *tenants.Directory, name string) (tenants.Change, error) {
 	tenant, _ := d.Get(name)
 	return tenants.Change{Tenant: &tenant}, errUnchanged
 }
@@ -150,9 +150,9 @@
 	}
 	name := r.PathValue("name")
 	return a.change(r, func(d *tenants.Directory, now time.Time) (tenants.Change, error) {
-		change, isSame, err := d.Put(r.administrator, name, spec, r.match, now, "-"+randomID())
+		change, isSame, err := d.Put(r.administrator, name, spec, r.precondition, now, "-"+randomID())
 		if isSame {
-			return unchanged(d, name)
+			return unchangedResult(d, name)
 		}
 		return change, err
 	})
@@ -171,9 +171,9 @@
 	}
 	name := r.PathValue("name")
 	return a.change(r, func(d *tenants.Directory, now time.Time) (tenants.Change, error) {
-		change, isSame, err := d.SetState(r.administrator, name, body.State, r.match, now)
+		change, isSame, err := d.SetState(r.administrator, name, body.State, r.precondition, now)
 		if isSame {
-			return unchanged(d, name)
+			return unchangedResult(d, name)
 		}
 		return change, err
 	})
@@ -184,6 +184,6 @@
 		return response{}, err
 	}
 	return a.change(r, func(d *tenants.Directory, now time.Time) (tenants.Change, error) {
-		return d.Remove(r.administrator, r.PathValue("name"), r.match, now)
+		return d.Remove(r.administrator, r.PathValue("name"), r.precondition, now)
 	})
 }
--- a/internal/tenants/api/usage.go
+++ b/internal/tenants/api/usage.go
@@ -20,8 +20,8 @@
 	HeldWorkS     float64                       `json:"held_work_s"`
 	Bytes         int64                         `json:"bytes"`
 	ShareInFlight float64                       `json:"share_in_hand"`
-	Rate          float64                       `json:"work_per_s"`
-	Share         float64                       `json:"share_per_s"`
+	WorkRate      float64                       `json:"work_per_s"`
+	WorkShare     float64                       `json:"share_per_s"`
 	OverShare     bool                          `json:"beyond_share"`
 	Schedulers    int                           `json:"schedulers"` // that share each limit
 }
@@ -32,7 +32,7 @@
 	}
 	usage, known := a.usage(r.PathValue("name"))
 	if !known {
-		return response{}, tenants.ErrUnknown
+		return response{}, tenants.ErrNotFound
 	}
 	return response{status: http.StatusOK, body: usageView{
 		Admitted:      usage.Admitted,
@@ -47,8 +47,8 @@
 		HeldWorkS:     usage.HeldWorkS,
 		Bytes:         usage.Bytes,
 		ShareInFlight: usage.ShareInFlight,
-		Rate:          usage.Rate,
-		Share:         usage.Share,
+		WorkRate:      usage.WorkRate,
+		WorkShare:     usage.WorkShare,
 		OverShare:     usage.OverShare,
 		Schedulers:    a.schedulers,
 	}}, nil
--- a/internal/tenants/controller.go
+++ b/internal/tenants/controller.go
@@ -8,34 +8,36 @@
 	"time"
 )
 
-// Controller is the admission controller of one scheduler. The cost of an event is bounded by the
-// active tenants, and most events look at one alone. It is not safe for concurrent use; times are
-// on the caller's monotonic clock.
+// Controller is the admission controller of one scheduler. The cost of an event grows at most with
+// the number of active tenants, and most events visit a single account. It is not safe for
+// concurrent use. Times are readings of the caller's monotonic clock.
 type Controller struct {
-	SharesChanged bool // a tenant has become active since the last Quotas, which changes all shares
+	SharesChanged bool // a tenant has become active since the last call of Quotas, which changes all shares
 
-	accountVisits int     // by events so far; tests bound the cost of events by it
-	capacity      float64 // invocations in flight at this scheduler
-	schedulers    float64 // that the limits are divided among
+	accountVisits int     // accounts visited by events so far; tests measure the cost of events by it
+	capacity      float64 // invocations that may be in flight at this scheduler
+	schedulers    float64 // number of schedulers that each limit is divided among
 	random        *rand.Rand
 	byName        map[string]*Account
 	byHandle      map[string]*Account
 	credentials   map[string]accountCredential // by credential id
-	accounts      []*Account                   // by Account.Index; nil: free
+	accounts      []*Account                   // by Account.Index; nil if the index is free
 	active        []*Account
-	activeWeight  float64 // sum over active
-	inFlight      int     // invocations of all tenants
+	activeWeight  float64 // sum of the weights of active
+	inFlight      int     // invocations of all tenants in flight
 	allocatedAt   time.Duration
-	pendingQuotas []Quota // to be returned by the next Quotas
+	pendingQuotas []Quota // to be returned by the next call of Quotas
 }
 
+// accountCredential is a credential with the account that it identifies.
 type accountCredential struct {
 	account    *Account
 	credential Credential
 }
 
-// NewController returns a controller without tenants. capacity is how many invocations may be in
-// flight here; a tenant's limits hold over all schedulers, of which each enforces its part.
+// NewController returns a controller without tenants. capacity is the number of invocations that may
+// be in flight at this scheduler. The limits of a tenant apply to all schedulers together, so each
+// scheduler enforces its part of them: the limit divided by schedulers.
 func NewController(capacity, schedulers int, random *rand.Rand) *Controller {
 	return &Controller{
 		capacity:    float64(max(1, capacity)),
@@ -47,8 +49,8 @@
 	}
 }
 
-// Put adds or updates a tenant. What is in flight stays, also where it is more than the tenant may
-// have from now on.
+// Put adds or updates a tenant. Invocations in flight continue even if the new limits would not
+// permit that many.
 func (c *Controller) Put(now time.Duration, tenant Tenant) *Account {
 	a := c.byName[tenant.Name]
 	if a != nil && a.Handle != tenant.Handle { // a new tenant of the same name
@@ -71,7 +73,7 @@
 	return a
 }
 
-// newAccount registers an account at the first free index, with a full token bucket.
+// newAccount adds an account at the first free index, with a full token bucket.
 func (c *Controller) newAccount(now time.Duration, tenant Tenant) *Account {
 	a := &Account{
 		Index:            slices.Index(c.accounts, nil),
@@ -80,7 +82,7 @@
 		limits:           tenant.Spec.Limits,
 		tokensRefilledAt: now,
 		retryBudget:      initialRetryBudget,
-		lastActiveAt:     now - idleAfter,
+		lastActiveAt:     now - idleTimeout,
 		usage:            Usage{Throttled: map[RejectionKind]int{}},
 	}
 	if a.Index < 0 {
@@ -108,7 +110,8 @@
 	}
 }
 
-// Remove admits nothing more of a tenant. Its index is free once its last invocation has completed.
+// Remove removes a tenant, of which nothing more is admitted. Its index becomes free when the last of
+// its invocations has completed.
 func (c *Controller) Remove(now time.Duration, name string) {
 	a := c.byName[name]
 	if a == nil {
@@ -121,7 +124,8 @@
 	c.releaseRemoved(a)
 }
 
-// releaseRemoved frees the index of a removed tenant that has nothing in flight.
+// releaseRemoved frees the index of a removed tenant that has nothing in flight. It does nothing for
+// any other tenant.
 func (c *Controller) releaseRemoved(a *Account) {
 	if !a.removed || a.inFlight > 0 {
 		return
@@ -132,10 +136,10 @@
 	}
 }
 
-// Account returns the account of the tenant of a name; nil if there is none.
+// Account returns the account of the tenant with the given name; nil if there is none.
 func (c *Controller) Account(name string) *Account { return c.byName[name] }
 
-// ByHandle returns the account of the tenant of a handle; nil if there is none.
+// ByHandle returns the account of the tenant with the given handle; nil if there is none.
 func (c *Controller) ByHandle(handle string) *Account { return c.byHandle[handle] }
 
 // Names returns the names of all tenants that have not been removed, sorted.
@@ -144,8 +148,10 @@
 // Active returns the number of active tenants.
 func (c *Controller) Active() int { return len(c.active) }
 
-// Accounts returns the number of indexes in use or free, which the dispatcher has to know.
+// Accounts returns the number of account indexes, used and free. All values of Account.Index are
+// below it; the dispatcher has to know this bound.
 func (c *Controller) Accounts() int { return len(c.accounts) }
 
-// InFlight returns the number of invocations that were admitted and have not completed.
+// InFlight returns the number of invocations of all tenants that were admitted and have not
+// completed.
 func (c *Controller) InFlight() int { return c.inFlight }
--- a/internal/tenants/controller_test.go
+++ b/internal/tenants/controller_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// Nothing more is admitted of a tenant that is removed, and its index is free when its last
-// invocation has completed; a new tenant of its name inherits nothing. The dispatcher is notified
-// that the index is reassigned.
+// Nothing more is admitted of a removed tenant. Its index becomes free only when its last invocation
+// has completed, and a new tenant of the same name inherits nothing from it. The quota returned for a
+// reused index says that the index is reassigned.
 func ExampleController_Remove() {
 	f := newFixture(100, 1)
-	f.put("t", 1, Limits{})
+	f.putTenant("t", 1, Limits{})
 	f.Quotas(f.now)
 	removed := f.tenants["t"]
 	f.admit("t", 2, Request{})
 	f.Remove(f.now, "t")
 	fmt.Println(f.admit("t", 1, Request{}), f.Accounts())
-	f.put("t", 1, Limits{})
+	f.putTenant("t", 1, Limits{})
 	created := f.tenants["t"]
 	fmt.Println("beside it:", created.Index, f.Usage(created).Admitted)
 	f.Completed(f.now, removed, Request{}, 0, Succeeded)
 	f.Completed(f.now, removed, Request{}, 0, Aborted)
-	f.put("u", 1, Limits{})
+	f.putTenant("u", 1, Limits{})
 	fmt.Println("at its index:", f.tenants["u"].Index, f.InFlight(), f.Quotas(f.now))
 	// Output:
 	// 1 suspended 1
@@ -29,20 +29,20 @@
 	// at its index: 0 0 [{1 +Inf true} {0 +Inf true}]
 }
 
-// With one active tenant of a thousand, the cost of an event must not grow with the others. Cost
-// is counted as visits of accounts.
-func TestIdleTenantsCostNothing(t *testing.T) {
+// With one active tenant among a thousand, the cost of an event must not grow with the number of idle
+// tenants. The cost is measured as the number of accounts visited.
+func TestIdleTenantsAddNoCost(t *testing.T) {
 	countVisits := func(tenants int) int {
 		f := newFixture(100, 1)
 		for n := range tenants {
-			f.put(fmt.Sprint("t", n), 1, Limits{RatePerS: ptr(1e6)})
+			f.putTenant(fmt.Sprint("t", n), 1, Limits{RatePerS: ptr(1e6)})
 		}
-		for n := range tenants { // all have been active once
+		for n := range tenants { // each tenant is active once
 			f.admit(fmt.Sprint("t", n), 1, Request{})
 			f.complete(fmt.Sprint("t", n), 1, Request{})
 		}
-		f.now += 2 * idleAfter
-		f.admit("t0", 1, Request{}) // idle ones are deactivated at the next allocation, once
+		f.now += 2 * idleTimeout
+		f.admit("t0", 1, Request{}) // the next allocation deactivates the idle tenants, once
 		f.complete("t0", 1, Request{})
 		f.accountVisits = 0
 		for n := range 1000 {
@@ -58,6 +58,6 @@
 	alone := countVisits(1)
 	beside := countVisits(1000)
 	if beside != alone {
-		t.Errorf("%d visits beside a thousand, %d alone", beside, alone)
+		t.Errorf("%d accounts visited with a thousand tenants, want %d as with one tenant", beside, alone)
 	}
 }
--- a/internal/tenants/credential_test.go
+++ b/internal/tenants/credential_test.go
@@ -32,6 +32,6 @@
 	tenant.Credentials = tenant.Credentials[1:]
 	f.Put(0, tenant)
 	if f.Identify("k1", "s1", noon) != nil {
-		t.Error("a revoked credential verifies")
+		t.Error("a revoked credential is still accepted")
 	}
 }
--- a/internal/tenants/directory.go
+++ b/internal/tenants/directory.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	maxAuditChanges    = 10000                // changes that Directory.Audit can return
-	maxSnapshotChanges = maxAuditChanges / 10 // changes that a Snapshot carries for the audit
+	maxAuditChanges    = 10000                // changes that a Directory retains for Directory.Audit
+	maxSnapshotChanges = maxAuditChanges / 10 // changes that a Snapshot includes for the audit
 )
 
-// Change is one revision of the directory, complete as it is stored and published: applied in
-// order, changes give the same directory anywhere.
+// Change is one revision of the directory. It holds everything that is stored and published: every
+// process that applies the same changes in order gets the same directory.
 type Change struct {
 	Revision uint64    `json:"revision"`
 	At       time.Time `json:"at"`
-	By       string    `json:"by"`
-	What     string    `json:"what"`
-	Name     string    `json:"name"`
-	Tenant   *Tenant   `json:"tenant,omitzero"` // its new state; nil: it is removed
+	By       string    `json:"by"`              // name of the administrator
+	Action   string    `json:"what"`            // one of the constants Change...
+	Name     string    `json:"name"`            // of the tenant
+	Tenant   *Tenant   `json:"tenant,omitzero"` // the tenant after the change; nil if it was removed
 }
 
 // Directory holds all tenants by name. It is not safe for concurrent use.
 type Directory struct {
-	Revision uint64 // of the last change applied
+	Revision uint64 // revision of the last change applied
 	tenants  map[string]Tenant
 	audit    []Change // at most maxAuditChanges, oldest first
 }
@@ -34,13 +34,13 @@
 // NewDirectory returns an empty directory at revision 0.
 func NewDirectory() *Directory { return &Directory{tenants: map[string]Tenant{}} }
 
-// Get returns the tenant of a name, and whether there is one.
+// Get returns the tenant with the given name, and whether there is one.
 func (d *Directory) Get(name string) (tenant Tenant, known bool) {
 	tenant, known = d.tenants[name]
 	return tenant, known
 }
 
-// All returns the tenants, sorted by name.
+// All returns all tenants, sorted by name.
 func (d *Directory) All() []Tenant {
 	var all []Tenant
 	for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
@@ -49,15 +49,16 @@
 	return all
 }
 
-// Audit returns the changes after a revision, oldest first, as far back as they are retained.
+// Audit returns the retained changes that came after a revision, oldest first. At most
+// maxAuditChanges are retained.
 func (d *Directory) Audit(after uint64) []Change {
 	compareRevision := func(c Change, revision uint64) int { return cmp.Compare(c.Revision, revision) }
 	first, _ := slices.BinarySearchFunc(d.audit, after+1, compareRevision)
 	return slices.Clone(d.audit[first:])
 }
 
-// Apply applies a change. It fails if the change does not follow the last one: the changes
-// between them are missing.
+// Apply applies a change. It fails if the change's revision is not the one after the directory's, as
+// the changes in between would be missing.
 func (d *Directory) Apply(c Change) error {
 	if c.Revision != d.Revision+1 {
 		return fmt.Errorf("revision %d does not follow %d", c.Revision, d.Revision)
@@ -75,14 +76,14 @@
 	return nil
 }
 
-// Snapshot is the whole directory as one record, with its latest changes.
+// Snapshot is the whole directory as one record, with its latest changes for the audit.
 type Snapshot struct {
 	Revision uint64   `json:"revision"`
 	Tenants  []Tenant `json:"tenants"`
 	Audit    []Change `json:"audit"`
 }
 
-// Snapshot returns the directory's present content.
+// Snapshot returns a snapshot of the directory's present content.
 func (d *Directory) Snapshot() Snapshot {
 	first := max(0, len(d.audit)-maxSnapshotChanges)
 	return Snapshot{
@@ -92,7 +93,7 @@
 	}
 }
 
-// Restore returns the directory that a snapshot was taken of.
+// Restore returns a directory with the content of a snapshot.
 func Restore(s Snapshot) *Directory {
 	d := NewDirectory()
 	d.Revision = s.Revision
--- a/internal/tenants/directory_test.go
+++ b/internal/tenants/directory_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A tenant is created, changed, put again without effect, raced for, suspended, removed, and
-// created anew as another.
+// A tenant is created, put again without effect, changed, suspended, removed, and created again under
+// the same name with a new handle. Changes whose precondition does not hold are rejected.
 func ExampleDirectory() {
 	d := NewDirectory()
 	apply := func(step string, c Change, unchanged bool, err error) {
@@ -39,7 +39,7 @@
 	apply("removed again", c, false, err)
 	put("created anew", validSpec(), Precondition{})
 	for _, c := range d.Audit(3) {
-		fmt.Println(c.Revision, c.By, c.What, c.Name)
+		fmt.Println(c.Revision, c.By, c.Action, c.Name)
 	}
 	// Output:
 	// created: 1 t1 active false <nil>
@@ -58,7 +58,7 @@
 
 func TestGrantRequiresATenantAndAFutureExpiry(t *testing.T) {
 	d := NewDirectory()
-	if _, err := d.Grant("ops", "a", Credential{ID: "k"}, noon); !errors.Is(err, ErrUnknown) {
+	if _, err := d.Grant("ops", "a", Credential{ID: "k"}, noon); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
 	}
 	c, _, _ := d.Put("ops", "a", validSpec(), Precondition{}, noon, "")
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	if err := d.Apply(Change{Revision: 7}); err == nil {
-		t.Error("a gap between revisions is applied")
+		t.Error("a change was applied although the changes before it are missing")
 	}
 }
 
@@ -94,7 +94,7 @@
 	for ; ; created++ {
 		c, _, err := d.Put("ops", fmt.Sprint("t", created), largest, Precondition{}, noon, "")
 		if err != nil {
-			if !errors.Is(err, ErrFull) {
+			if !errors.Is(err, ErrLimitReached) {
 				t.Error(err)
 			}
 			break
--- a/internal/tenants/fairshare.go
+++ b/internal/tenants/fairshare.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// allocationInterval is how old the allotments may be that admission goes by.
+	// allocationInterval is the age at which allotments are computed anew before the next admission.
 	allocationInterval = 100 * time.Millisecond
-	// idleAfter is how long a tenant with nothing in flight counts as active.
-	idleAfter = time.Second
-	// uncontendedPart is the part of the capacity that is not divided: while less is in flight,
-	// nothing is scarce.
-	uncontendedPart = 0.5
-	// overShareMargin is how far from its share, as a part of it, a tenant must be for a new
-	// quota: it must not flap on noise.
+	// idleTimeout is how long a tenant with nothing in flight still counts as active.
+	idleTimeout = time.Second
+	// uncontendedFraction is the fraction of the capacity below which shares are not enforced: while
+	// fewer invocations are in flight, capacity is not scarce.
+	uncontendedFraction = 0.5
+	// overShareMargin is the hysteresis of Account.overShare, as a fraction of the tenant's share,
+	// so that noise in the measured rate does not make it flap.
 	overShareMargin = 0.1
-	// minRateWindowS is the shortest span, in seconds, over which work is averaged.
-	minRateWindowS = 0.1
-	// overShareQuota is the quota, in seconds a second, that all work is beyond.
-	overShareQuota = 1e-9
+	// minRateWindowSeconds is the shortest time over which a work rate is averaged.
+	minRateWindowSeconds = 0.1
+	// overShareQuotaPerSecond is the quota of a tenant over its share, in seconds per second. It is
+	// so small that all of the tenant's work exceeds it.
+	overShareQuotaPerSecond = 1e-9
 )
 
-// Quota is the worker time that a tenant may use a second before its work is queued behind that of
-// others. Reassigned is set where the index has a new tenant, of which nothing is known yet.
+// Quota is the worker time that a tenant may use per second, in seconds, before its work is queued
+// behind that of other tenants. Index is the tenant's Account.Index. Reassigned is set if the index
+// has been given to a new tenant: what the dispatcher has measured for the index no longer applies.
 type Quota struct {
 	Index          int
 	QuotaPerSecond float64
 	Reassigned     bool
 }
 
-// activate makes a tenant one of those that the capacity is divided among.
+// activate adds a tenant to the active ones, among which the capacity is divided.
 func (c *Controller) activate(now time.Duration, a *Account) {
 	a.lastActiveAt = now
 	if a.isActive() {
@@ -44,7 +46,7 @@
 	a.allotment = c.weightShare(a)
 }
 
-// deactivate undoes activate.
+// deactivate removes a tenant from the active ones.
 func (c *Controller) deactivate(a *Account) {
 	if !a.isActive() {
 		return
@@ -56,21 +58,22 @@
 	a.activePosition = 0
 	c.activeWeight -= a.weight
 	if len(c.active) == 0 {
-		c.activeWeight = 0 // sums of fractions leave a rest
+		c.activeWeight = 0 // removes the rounding error of the sum
 	}
 }
 
-// weightShare returns a tenant's part of the capacity by weight alone, among the active ones.
+// weightShare returns a tenant's part of the capacity, in invocations in flight, if the capacity is
+// divided among the active tenants by weight alone.
 func (c *Controller) weightShare(a *Account) float64 {
 	return c.capacity * a.weight / max(c.activeWeight, a.weight)
 }
 
-// allocate divides the capacity among the active tenants.
+// allocate deactivates idle tenants and divides the capacity among the active ones.
 func (c *Controller) allocate(now time.Duration) {
 	c.allocatedAt = now
 	for _, a := range slices.Clone(c.active) {
 		c.accountVisits++
-		if a.inFlight == 0 && now >= a.lastActiveAt+idleAfter {
+		if a.inFlight == 0 && now >= a.lastActiveAt+idleTimeout {
 			c.deactivate(a)
 		}
 	}
@@ -86,21 +89,22 @@
 	}
 }
 
-// hasCapacity reports whether one more invocation of an active tenant fits. A share by weight is
-// available at once, whoever uses the capacity: theirs is reclaimed as it completes, and no more
-// is admitted.
+// hasCapacity reports whether one more invocation of an active tenant may be admitted. A tenant can
+// use its share by weight at once, even if other tenants use the whole capacity at that moment: they
+// give it back as their invocations complete and no more of them are admitted.
 func (c *Controller) hasCapacity(a *Account) bool {
 	inFlight := float64(a.inFlight)
 	total := float64(c.inFlight)
 	return inFlight < c.weightShare(a) ||
-		total < uncontendedPart*c.capacity ||
+		total < uncontendedFraction*c.capacity ||
 		total < c.capacity && inFlight < a.allotment
 }
 
-// Quotas returns the quotas that have changed since the last call. While not everything can be
-// served, the work of a tenant that uses more than its share by weight is queued behind that of
-// all who do not, however small its invocations: ranked by size, a flood of small ones would make
-// everybody else wait. What others leave it still gets.
+// Quotas returns the quotas that have changed since the last call. While workers can't serve
+// everything, the work of a tenant that uses more than its share by weight is queued behind the work
+// of all tenants that do not. This holds however small its invocations are: if they were ranked by
+// size alone, a flood of small invocations would make all others wait. The tenant can still use what
+// the others leave.
 func (c *Controller) Quotas(now time.Duration) []Quota {
 	changed := c.pendingQuotas
 	c.pendingQuotas = nil
@@ -122,7 +126,8 @@
 	return changed
 }
 
-// Republish makes the next Quotas return all of them, for a dispatcher that has been restarted.
+// Republish makes the next call of Quotas return the quotas of all tenants, for a dispatcher that was
+// restarted.
 func (c *Controller) Republish() {
 	c.pendingQuotas = nil
 	for _, a := range c.accounts {
@@ -133,8 +138,8 @@
 	}
 }
 
-// overShareThreshold returns the work rate, in seconds a second, above which a tenant is over its
-// share. It is lower for one that is over it already.
+// overShareThreshold returns the work rate, in seconds per second, above which a tenant counts as over
+// its share. The threshold is lower for a tenant that is over its share already.
 func (a *Account) overShareThreshold() float64 {
 	if a.overShare {
 		return a.workShare * (1 - overShareMargin)
@@ -144,13 +149,13 @@
 
 func (a *Account) quotaPerSecond() float64 {
 	if a.overShare {
-		return overShareQuota
+		return overShareQuotaPerSecond
 	}
 	return math.Inf(1)
 }
 
-// measureWorkRate returns how much worker time a tenant has used a second, in seconds, by its last
-// few attempts.
+// measureWorkRate returns the worker time that a tenant's latest attempts have used, in seconds per
+// second.
 func (a *Account) measureWorkRate(now time.Duration) float64 {
 	if len(a.attemptsEndedAt) == 0 {
 		return 0
@@ -159,5 +164,5 @@
 	for _, seconds := range a.attemptSeconds {
 		sum += seconds
 	}
-	return sum / max(minRateWindowS, (now-a.attemptsEndedAt[0]).Seconds())
+	return sum / max(minRateWindowSeconds, (now-a.attemptsEndedAt[0]).Seconds())
 }
--- a/internal/tenants/fairshare_test.go
+++ b/internal/tenants/fairshare_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// A flood gets what others leave. Who becomes active gets its share at once, and nothing more is
-// admitted of the flood until it is below its own.
+// A tenant that floods the service gets the capacity that others do not use. A tenant that becomes
+// active gets its share at once, and nothing more is admitted of the flood until the flood is below
+// its own share.
 func Example_fairShare() {
 	f := newFixture(40, 1)
-	f.put("flood", 1, Limits{})
-	f.put("calm", 1, Limits{})
+	f.putTenant("flood", 1, Limits{})
+	f.putTenant("calm", 1, Limits{})
 	fmt.Println("flood alone:", f.admit("flood", 100, Request{}))
 	f.now += time.Second
 	fmt.Println("calm:", f.admit("calm", 25, Request{}))
@@ -31,12 +32,12 @@
 	// calm is idle: 25 admitted; 5 share, retry
 }
 
-// A tenant is over its share for as long as it uses more worker time than its weight entitles it
-// to beside others; alone none is.
+// A tenant is over its share while it uses more worker time than its weight entitles it to. A tenant
+// that is the only active one is never over its share.
 func ExampleController_Quotas() {
 	f := newFixture(100, 1)
-	f.put("big", 1, Limits{})
-	f.put("small", 1, Limits{})
+	f.putTenant("big", 1, Limits{})
+	f.putTenant("small", 1, Limits{})
 	f.Quotas(f.now)
 	printChanges := func(step string) {
 		var changes []string
@@ -79,15 +80,16 @@
 	// less than small [big over share: false small over share: true]
 }
 
-// What a tenant's own limits reject does not make it active: others keep their shares.
+// Invocations that a tenant's own limits reject must not make it active, so that other tenants keep
+// their shares.
 func TestRejectionByOwnLimitsDoesNotActivate(t *testing.T) {
 	f := newFixture(40, 1)
-	f.put("calm", 1, Limits{})
-	f.put("loud", 1, Limits{RatePerS: ptr(0.1), RequestBytes: ptr(1)})
+	f.putTenant("calm", 1, Limits{})
+	f.putTenant("loud", 1, Limits{RatePerS: ptr(0.1), RequestBytes: ptr(1)})
 	f.admit("calm", 1, Request{})
 	f.admit("loud", 1, Request{})
 	f.complete("loud", 1, Request{})
-	f.now += 2 * idleAfter
+	f.now += 2 * idleTimeout
 	got := f.admit("loud", 100, Request{}) + ", " + f.admit("loud", 100, Request{Bytes: 2})
 	if got != "100 rate, retry, 100 request_size" {
 		t.Error(got)
@@ -95,6 +97,6 @@
 	f.allocate(f.now)
 	share := f.Usage(f.tenants["calm"]).ShareInFlight
 	if f.Active() != 1 || share != 40 {
-		t.Error(f.Active(), "active; the share of the other: ", share)
+		t.Error(f.Active(), "active tenants, want 1; the share of the other tenant, want 40: ", share)
 	}
 }
--- a/internal/tenants/fixture_test.go
+++ b/internal/tenants/fixture_test.go
@@ -13,7 +13,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// validSpec is a spec that passes every check.
+// validSpec returns a spec that passes validation.
 func validSpec() Spec {
 	return Spec{Weight: 1, Operations: []Operation{{
 		Name:              "render",
@@ -24,7 +24,7 @@
 	}}}
 }
 
-// fixture is a controller with its tenants by name, and a clock.
+// fixture is a controller with the accounts of its tenants by name, and a clock that tests advance.
 type fixture struct {
 	*Controller
 	now      time.Duration
@@ -39,7 +39,7 @@
 	}
 }
 
-func (f *fixture) put(name string, weight float64, limits Limits) {
+func (f *fixture) putTenant(name string, weight float64, limits Limits) {
 	f.revision++
 	f.tenants[name] = f.Put(f.now, Tenant{
 		Name:     name,
@@ -50,14 +50,15 @@
 	})
 }
 
-// admit makes the same request several times, and counts the decisions in their order.
+// admit makes the same request several times. It returns the decisions as text, with runs of equal
+// decisions as one count.
 func (f *fixture) admit(name string, times int, r Request) string {
 	var runs []string
-	last := ""
-	count := 0
+	runOutcome := ""
+	runLength := 0
 	flush := func() {
-		if count > 0 {
-			runs = append(runs, fmt.Sprint(count, " ", last))
+		if runLength > 0 {
+			runs = append(runs, fmt.Sprint(runLength, " ", runOutcome))
 		}
 	}
 	for range times {
@@ -69,12 +70,12 @@
 		if decision.RetryAfter > 0 {
 			outcome += ", retry"
 		}
-		if outcome != last {
+		if outcome != runOutcome {
 			flush()
-			last = outcome
-			count = 0
+			runOutcome = outcome
+			runLength = 0
 		}
-		count++
+		runLength++
 	}
 	flush()
 	return strings.Join(runs, "; ")
--- a/internal/tenants/maxmin.go
+++ b/internal/tenants/maxmin.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// Claim is one tenant's claim to a shared resource. Demand is in the unit of the amount shared.
+// Claim is one tenant's claim to a shared resource. Demand is in the unit of the shared amount.
 type Claim struct {
 	Weight float64
 	Demand float64
 }
 
-// MaxMin divides an amount by weighted max-min fairness: no claim gets more than its demand, and
-// what one leaves goes to the others. So no share can grow but at the cost of one that is smaller
-// for its weight. What nobody demands is not given out.
+// MaxMin divides an amount among claims by weighted max-min fairness and returns the share of each.
+// No claim gets more than its demand, and what it does not demand goes to the others. So a share can
+// only be increased by decreasing another one that is smaller in relation to its weight. What exceeds
+// the sum of all demands is not given out.
 func MaxMin(amount float64, claims []Claim) []float64 {
 	shares := make([]float64, len(claims))
 	order := make([]int, len(claims))
@@ -22,7 +23,8 @@
 		order[i] = i
 		weights += claim.Weight
 	}
-	// The smallest demands for their weight are met first; those that can't be met divide the rest.
+	// Demands that are smallest in relation to their weight are met first; the claims whose demand
+	// can't be met divide the rest.
 	slices.SortFunc(order, func(a, b int) int {
 		byDemand := cmp.Compare(claims[a].Demand/claims[a].Weight, claims[b].Demand/claims[b].Weight)
 		return cmp.Or(byDemand, cmp.Compare(a, b))
--- a/internal/tenants/maxmin_test.go
+++ b/internal/tenants/maxmin_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Shares are checked against what defines them: no claim gets more than its demand, all that is
-// demanded and available is given, and whoever gets less than its demand has as much for its
-// weight as anybody.
-func TestMaxMinSharesMeetTheirDefinition(t *testing.T) {
+// Shares are checked against the definition of max-min fairness: no claim gets more than its demand,
+// everything that is both demanded and available is given out, and a claim that gets less than its
+// demand has at least as much in relation to its weight as any other claim.
+func TestSharesAreMaxMinFair(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 2000 {
 		claims := make([]Claim, 1+random.IntN(12))
@@ -29,7 +29,7 @@
 			given += share
 			best = max(best, share/claims[i].Weight)
 			if share > claims[i].Demand+1e-9 {
-				t.Fatal("more than demanded: ", claims, shares)
+				t.Fatal("a share exceeds its demand: ", claims, shares)
 			}
 		}
 		if math.Abs(given-min(amount, demanded)) > 1e-6 {
@@ -37,7 +37,7 @@
 		}
 		for i, share := range shares {
 			if share < claims[i].Demand-1e-9 && share/claims[i].Weight < best-1e-6*best-1e-9 {
-				t.Fatal("less than demanded, and less than another: ", claims, shares)
+				t.Fatal("a claim has less than its demand, and less for its weight than another claim: ", claims, shares)
 			}
 		}
 	}
--- a/internal/tenants/samples.go
+++ b/internal/tenants/samples.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// maxSamples is how many of the latest measurements are retained of each kind.
+// maxSamples is how many of the latest measurements of each quantity are retained.
 const maxSamples = 32
 
-// appendSample adds a measurement and drops the oldest one where there would be too many.
+// appendSample appends a measurement and drops the oldest one if there would be more than maxSamples.
 func appendSample[T any](samples []T, sample T) []T {
 	if len(samples) == maxSamples {
 		copy(samples, samples[1:])
@@ -17,7 +17,7 @@
 	return append(samples, sample)
 }
 
-// median returns the upper median of at least one sample.
+// median returns the upper median of the samples, of which there must be at least one.
 func median[T cmp.Ordered](samples []T) T {
 	sorted := slices.Clone(samples)
 	slices.Sort(sorted)
--- a/internal/tenants/store/disk.go
+++ b/internal/tenants/store/disk.go
@@ -21,9 +21,9 @@
 func (d *Disk) path(name string) string { return filepath.Join(d.Dir, name) }
 
 // Open opens a file of the directory.
-func (d *Disk) Open(name string, read bool) (File, error) {
+func (d *Disk) Open(name string, readOnly bool) (File, error) {
 	flags := os.O_RDWR | os.O_CREATE | os.O_APPEND
-	if read {
+	if readOnly {
 		flags = os.O_RDONLY
 	}
 	f, err := os.OpenFile(d.path(name), flags, fileMode)
@@ -49,7 +49,7 @@
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return ErrFollows
+			return ErrNotWriter
 		}
 		return fmt.Errorf("%w: %v", ErrReadOnly, err)
 	}
--- a/internal/tenants/store/disk_test.go
+++ b/internal/tenants/store/disk_test.go
@@ -12,22 +12,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	write := func(s *Store, name string) {
+	writeTenant := func(s *Store, name string) {
 		t.Helper()
 		if err := put(s, name, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(writer, "a")
+	writeTenant(writer, "a")
 	follower, err := Open(&Disk{Dir: dir})
 	if err != nil || follower.Writes() || len(follower.Directory.All()) != 1 {
 		t.Fatal(err)
 	}
-	write(writer, "b")
+	writeTenant(writer, "b")
 	if err := writer.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	write(writer, "c")
+	writeTenant(writer, "c")
 	changed, err := follower.Follow()
 	if !changed || err != nil || len(follower.Directory.All()) != 3 {
 		t.Error(changed, err)
@@ -36,7 +36,7 @@
 	if _, err := follower.Follow(); err != nil || !follower.Writes() {
 		t.Fatal(err)
 	}
-	write(follower, "d")
+	writeTenant(follower, "d")
 	follower.Close()
 }
 
--- a/internal/tenants/store/files.go
+++ b/internal/tenants/store/files.go
@@ -6,7 +6,7 @@
 type Files interface {
 	// Open opens a file for reading and, unless read is set, for appending; then it is created
 	// if it does not exist. The error is fs.ErrNotExist if it is to be read and does not exist.
-	Open(name string, read bool) (File, error)
+	Open(name string, readOnly bool) (File, error)
 	// Rename replaces the file of the second name by that of the first.
 	Rename(from, to string) error
 	// Remove removes a file.
@@ -41,7 +41,7 @@
 }
 
 // isSameFile reports whether both are known to be one file. The first may be nil.
-func isSameFile(file, other File) bool {
-	filer, ok := file.(sameFiler)
-	return ok && filer.Same(other)
+func isSameFile(first, second File) bool {
+	filer, ok := first.(sameFiler)
+	return ok && filer.Same(second)
 }
--- a/internal/tenants/store/follower.go
+++ b/internal/tenants/store/follower.go
@@ -15,10 +15,10 @@
 	if s.isWriter {
 		return false, nil
 	}
-	if s.files.Lock(lockName) == nil {
+	if s.files.Lock(lockFileName) == nil {
 		return s.takeOver()
 	}
-	file, err := s.files.Open(logName, true)
+	file, err := s.files.Open(logFileName, true)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
 	}
@@ -26,68 +26,68 @@
 		return false, err
 	}
 	previousLog := s.log
-	previousBook := s.Directory
-	leastRevision := s.Directory.Revision
-	isSame := isSameFile(s.log.file, file)
-	isWithdrawn := isSame && !s.log.lastRecord.isIntact(file)
-	if isWithdrawn {
-		leastRevision--
+	previousDirectory := s.Directory
+	minRevision := s.Directory.Revision
+	isSameLog := isSameFile(s.log.file, file)
+	lastRecordWithdrawn := isSameLog && !s.log.lastRecord.isIntact(file)
+	if lastRecordWithdrawn {
+		minRevision--
 	}
-	if isSame && !isWithdrawn {
+	if isSameLog && !lastRecordWithdrawn {
 		s.log.file = file
 	} else {
 		s.resetLog(file)
 	}
 	err = s.catchUp()
 	if err == nil {
-		err = s.checkRevision(leastRevision)
+		err = s.checkRevision(minRevision)
 	}
 	if err != nil {
 		file.Close()
 		s.log = previousLog
-		s.Directory = previousBook
+		s.Directory = previousDirectory
 		return false, err
 	}
 	if previousLog.file != nil {
 		previousLog.file.Close()
 	}
-	return isWithdrawn || s.Directory.Revision != leastRevision, nil
+	return lastRecordWithdrawn || s.Directory.Revision != minRevision, nil
 }
 
 // takeOver makes this process, which has acquired the lock, the writer. The lock is released again
 // where the log can't be read.
 func (s *Store) takeOver() (changed bool, err error) {
 	previousLog := s.log
-	previousBook := s.Directory
-	previousFailed := s.WriteError
+	previousDirectory := s.Directory
+	previousWriteError := s.WriteError
 	s.log.file = nil
 	s.isWriter = true
 	s.WriteError = nil
 	err = s.load()
 	if err == nil {
-		err = s.checkRevision(previousBook.Revision)
+		err = s.checkRevision(previousDirectory.Revision)
 	}
 	if err != nil {
 		if s.log.file != nil {
 			s.log.file.Close()
 		}
-		s.files.Unlock(lockName)
+		s.files.Unlock(lockFileName)
 		s.log = previousLog
-		s.Directory = previousBook
-		s.WriteError = previousFailed
+		s.Directory = previousDirectory
+		s.WriteError = previousWriteError
 		s.isWriter = false
 		return false, err
 	}
 	if previousLog.file != nil {
 		previousLog.file.Close()
 	}
-	return s.Directory.Revision != previousBook.Revision, nil
+	return s.Directory.Revision != previousDirectory.Revision, nil
 }
 
 // checkRevision returns an error if the directory is older than it has been.
-func (s *Store) checkRevision(least uint64) error {
-	if s.Directory.Revision < least {
-		return fmt.Errorf("%w: revision %d after %d", ErrCorrupt, s.Directory.Revision, least)
+func (s *Store) checkRevision(minRevision uint64) error {
+	if s.Directory.Revision < minRevision {
+		return fmt.Errorf("%w: revision %d after %d", ErrCorrupt, s.Directory.Revision, minRevision)
 	}
 	return nil
 }
--- a/internal/tenants/store/follower_test.go
+++ b/internal/tenants/store/follower_test.go
@@ -15,18 +15,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	write := func(name string) {
+	writeTenant := func(name string) {
 		t.Helper()
 		if err := put(writer, name, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write("a")
+	writeTenant("a")
 	follower, err := Open(files)
 	if err != nil || follower.Writes() || follower.Directory.Revision != 1 {
 		t.Fatal(err)
 	}
-	if err := put(follower, "b", 1); !errors.Is(err, ErrFollows) {
+	if err := put(follower, "b", 1); !errors.Is(err, ErrNotWriter) {
 		t.Fatal(err)
 	}
 	follow := func(wantChanged bool, wantRevision uint64, wantErr error) {
@@ -37,21 +37,21 @@
 		}
 	}
 	follow(false, 1, nil)
-	write("b")
+	writeTenant("b")
 	follow(true, 2, nil)
 	if err := writer.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	write("c")
+	writeTenant("c")
 	follow(true, 3, nil)
-	log := files.names[logName]
+	log := files.names[logFileName]
 	undamaged := bytes.Clone(log.content)
 	log.content = append(log.content, "0000"...)
 	follow(false, 3, nil)
 	log.content = append(bytes.Clone(undamaged), "nonsense that is longer than a head\n{}\n{}"...)
 	follow(false, 3, ErrCorrupt)
 	log.content = undamaged
-	write("d")
+	writeTenant("d")
 	follow(true, 4, nil)
 	writer.Close()
 	follow(false, 4, nil)
--- a/internal/tenants/store/forms_test.go
+++ b/internal/tenants/store/forms_test.go
@@ -15,13 +15,13 @@
 // A record with every field set is the same to the byte, and the recorded one is decoded whole.
 func TestGoldenRecord(t *testing.T) {
 	want := golden.Filled[record](t)
-	want.Schema = schema
-	encoded, err := encode(want)
+	want.Schema = currentSchema
+	encoded, err := encodeRecord(want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	recorded := golden.Compare(t, "record.log", encoded)
-	got, length, err := decode(recorded)
+	got, length, err := decodeRecord(recorded)
 	if err != nil || length != len(recorded) {
 		t.Fatal(length, err)
 	}
@@ -44,8 +44,8 @@
 	return spec
 }
 
-// appendEachKind appends each kind of change at least once.
-func appendEachKind(t *testing.T, s *Store) []tenants.Change {
+// appendEveryKindOfChange appends each kind of change at least once.
+func appendEveryKindOfChange(t *testing.T, s *Store) []tenants.Change {
 	t.Helper()
 	var all []tenants.Change
 	appendChange := func(c tenants.Change, err error) {
@@ -89,8 +89,8 @@
 	t.Helper()
 	files := newMemFiles()
 	log := &memFile{content: bytes.Clone(recorded), durable: bytes.Clone(recorded)}
-	files.names[logName] = log
-	files.durableNames[logName] = log
+	files.names[logFileName] = log
+	files.durableNames[logFileName] = log
 	s, err := Open(files)
 	if err != nil {
 		t.Fatal(err)
@@ -107,12 +107,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := appendEachKind(t, s)
-	log := golden.Compare(t, "changes.log", files.names[logName].content)
+	all := appendEveryKindOfChange(t, s)
+	log := golden.Compare(t, "changes.log", files.names[logFileName].content)
 	if err := s.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	compacted := golden.Compare(t, "snapshot.log", files.names[logName].content)
+	compacted := golden.Compare(t, "snapshot.log", files.names[logFileName].content)
 	for _, recorded := range [][]byte{log, compacted} {
 		got := openRecorded(t, recorded).Directory
 		if diff := cmp.Diff(all, got.Audit(0), cmpopts.EquateEmpty()); diff != "" {
--- a/internal/tenants/store/log.go
+++ b/internal/tenants/store/log.go
@@ -11,17 +11,17 @@
 
 // logState is an open log, as far as it has been read or written.
 type logState struct {
-	file       File   // nil: none is open
-	end        int64  // of the last whole record, in bytes
-	changes    int    // records since the last snapshot
-	lastRecord extent // that was read or written
+	file                 File   // nil: none is open
+	endOffset            int64  // of the last whole record, in bytes
+	changesSinceSnapshot int    // records since the last snapshot
+	lastRecord           extent // that was read or written
 }
 
 // advance moves the end behind one more record.
 func (l *logState) advance(encoded []byte) {
-	from := l.end
-	l.end += int64(len(encoded))
-	l.lastRecord = extent{from: from, to: l.end, checksum: checksum(encoded)}
+	from := l.endOffset
+	l.endOffset += int64(len(encoded))
+	l.lastRecord = extent{from: from, to: l.endOffset, checksum: checksum(encoded)}
 }
 
 // extent is a run of bytes of the log, with their checksum.
@@ -55,7 +55,7 @@
 		return err
 	}
 	for {
-		r, length, err := decode(tail)
+		r, length, err := decodeRecord(tail)
 		if err != nil || length == 0 {
 			return s.checkTail(tail, length, err)
 		}
@@ -70,14 +70,14 @@
 // readTail returns the bytes behind the end.
 func (s *Store) readTail() ([]byte, error) {
 	size, err := s.log.file.Size()
-	if err != nil || size == s.log.end {
+	if err != nil || size == s.log.endOffset {
 		return nil, err
 	}
-	if size < s.log.end {
+	if size < s.log.endOffset {
 		return nil, fmt.Errorf("%w: it has become shorter", ErrCorrupt)
 	}
-	tail := make([]byte, size-s.log.end)
-	n, err := s.log.file.ReadAt(tail, s.log.end)
+	tail := make([]byte, size-s.log.endOffset)
+	n, err := s.log.file.ReadAt(tail, s.log.endOffset)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
@@ -89,12 +89,12 @@
 	switch {
 	case r.Snapshot != nil:
 		s.Directory = tenants.Restore(*r.Snapshot)
-		s.log.changes = 0
+		s.log.changesSinceSnapshot = 0
 	case r.Change != nil:
 		if err := s.Directory.Apply(*r.Change); err != nil {
-			return fmt.Errorf("%w: %v, at byte %d", ErrCorrupt, err, s.log.end)
+			return fmt.Errorf("%w: %v, at byte %d", ErrCorrupt, err, s.log.endOffset)
 		}
-		s.log.changes++
+		s.log.changesSinceSnapshot++
 	}
 	return nil
 }
@@ -107,13 +107,13 @@
 		if isTorn(tail) {
 			return nil
 		}
-		return fmt.Errorf("%w: a record is longer than what follows, at byte %d", ErrCorrupt, s.log.end)
+		return fmt.Errorf("%w: a record is longer than what follows, at byte %d", ErrCorrupt, s.log.endOffset)
 	}
-	isUnfinished := length == len(tail) || isZero(tail) // the length came to the disk, the text did not
-	if isUnfinished && !errors.Is(err, ErrNewer) {
+	wasInterrupted := length == len(tail) || isAllZero(tail) // the length came to the disk, the text did not
+	if wasInterrupted && !errors.Is(err, ErrNewerSchema) {
 		return nil
 	}
-	return fmt.Errorf("%w, at byte %d", err, s.log.end)
+	return fmt.Errorf("%w, at byte %d", err, s.log.endOffset)
 }
 
 // isTorn reports whether the bytes can be the beginning of one record: no other begins in them.
@@ -122,19 +122,19 @@
 	return newline < 0 || newline == len(tail)-1
 }
 
-func isZero(b []byte) bool { return len(bytes.Trim(b, "\x00")) == 0 }
+func isAllZero(b []byte) bool { return len(bytes.Trim(b, "\x00")) == 0 }
 
 // appendRecord writes a record and syncs it. Where that fails the log is cut off before it.
 func (s *Store) appendRecord(r record) error {
-	encoded, err := encode(r)
+	encoded, err := encodeRecord(r)
 	if err != nil {
 		return err
 	}
 	if err := writeSynced(s.log.file, encoded); err != nil {
 		// What may be there now was never reported as done. Were it left, the next record
 		// would follow a torn one.
-		s.endUnsynced = true
-		s.cutEnd() // tried again by recoverWrites
+		s.truncateNotSynced = true
+		s.truncateTail() // tried again by recoverWrites
 		return err
 	}
 	s.log.advance(encoded)
@@ -148,16 +148,16 @@
 	return file.Sync()
 }
 
-// cutEnd cuts off what is behind the last whole record, durably: a change that was rejected
+// truncateTail cuts off what is behind the last whole record, durably: a change that was rejected
 // stays so, also after a loss of power.
-func (s *Store) cutEnd() error {
-	if err := s.log.file.Truncate(s.log.end); err != nil {
+func (s *Store) truncateTail() error {
+	if err := s.log.file.Truncate(s.log.endOffset); err != nil {
 		return err
 	}
 	if err := s.log.file.Sync(); err != nil {
 		return err
 	}
-	s.endUnsynced = false
+	s.truncateNotSynced = false
 	return nil
 }
 
@@ -166,6 +166,6 @@
 	if err := s.files.Sync(); err != nil {
 		return err
 	}
-	s.namesUnsynced = false
+	s.namesNotSynced = false
 	return nil
 }
--- a/internal/tenants/store/memfiles_test.go
+++ b/internal/tenants/store/memfiles_test.go
@@ -20,7 +20,7 @@
 	durableNames map[string]*memFile // as they are after a loss of power
 	isLocked     bool
 	steps        int  // that changed the disk
-	killAt       int  // the step from which on each one fails; 0: none
+	killAtStep   int  // the step from which on each one fails; 0: none
 	isFull       bool // writes end half way
 	lockedByPeer bool // another process has the lock
 }
@@ -37,25 +37,25 @@
 // step counts what changes the disk.
 func (m *memFiles) step() error {
 	m.steps++
-	if m.killAt > 0 && m.steps >= m.killAt {
+	if m.killAtStep > 0 && m.steps >= m.killAtStep {
 		return errKilled
 	}
 	return nil
 }
 
-// losePower returns the files after a loss of power: a part of what was not synced is there, and
+// afterPowerLoss returns the files after a loss of power: a part of what was not synced is there, and
 // the names are the synced ones or, if keepNames is set, the present ones.
-func (m *memFiles) losePower(part float64, keepNames bool) *memFiles {
+func (m *memFiles) afterPowerLoss(unsyncedFraction float64, keepUnsyncedNames bool) *memFiles {
 	after := newMemFiles()
 	names := m.durableNames
-	if keepNames {
+	if keepUnsyncedNames {
 		names = m.names
 	}
 	for name, file := range names {
 		content := bytes.Clone(file.durable)
 		if len(file.content) >= len(file.durable) {
 			unsynced := file.content[len(file.durable):]
-			content = append(content, unsynced[:int(part*float64(len(unsynced)))]...)
+			content = append(content, unsynced[:int(unsyncedFraction*float64(len(unsynced)))]...)
 		}
 		copied := &memFile{content: content, durable: content}
 		after.names[name] = copied
@@ -64,9 +64,9 @@
 	return after
 }
 
-func (m *memFiles) Open(name string, read bool) (File, error) {
+func (m *memFiles) Open(name string, readOnly bool) (File, error) {
 	file := m.names[name]
-	if file == nil && read {
+	if file == nil && readOnly {
 		return nil, fs.ErrNotExist
 	}
 	if file == nil {
@@ -98,7 +98,7 @@
 
 func (m *memFiles) Lock(string) error {
 	if m.lockedByPeer || m.isLocked {
-		return ErrFollows
+		return ErrNotWriter
 	}
 	m.isLocked = true
 	return nil
--- a/internal/tenants/store/record.go
+++ b/internal/tenants/store/record.go
@@ -20,14 +20,14 @@
 	maxRecordLength = 256 << 20
 )
 
-// schema is the version of the records that are written, and migrations turn the text of a version
+// currentSchema is the version of the records that are written, and migrations turn the text of a version
 // into that of the next. There has been one version so far; tests have others.
 var (
-	schema     = 1
-	migrations = map[int]migration{}
+	currentSchema = 1
+	migrations    = map[int]migration{}
 )
 
-type migration func(text []byte) ([]byte, error)
+type migration func(payload []byte) ([]byte, error)
 
 // record is one entry of the log: a snapshot or a change.
 type record struct {
@@ -38,48 +38,48 @@
 
 func snapshotRecord(d *tenants.Directory) record {
 	snapshot := d.Snapshot()
-	return record{Schema: schema, Snapshot: &snapshot}
+	return record{Schema: currentSchema, Snapshot: &snapshot}
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
+func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoliTable) }
 
-// encode returns the bytes of a record.
-func encode(r record) ([]byte, error) {
-	text, err := json.Marshal(r)
+// encodeRecord returns the bytes of a record.
+func encodeRecord(r record) ([]byte, error) {
+	payload, err := json.Marshal(r)
 	if err != nil {
 		return nil, err
 	}
-	text = append(text, '\n')
-	header := fmt.Appendf(nil, "%0*x %0*x ", headerDigits, checksum(text), headerDigits, len(text))
-	return append(header, text...), nil
+	payload = append(payload, '\n')
+	header := fmt.Appendf(nil, "%0*x %0*x ", headerDigits, checksum(payload), headerDigits, len(payload))
+	return append(header, payload...), nil
 }
 
-// decode decodes the record that b begins with, and returns its length in bytes; 0: b ends before
+// decodeRecord decodes the record that b begins with, and returns its length in bytes; 0: b ends before
 // the record does. The error wraps ErrCorrupt or ErrNewer; the length is 0 with it if the header
 // itself is damaged.
-func decode(b []byte) (r record, length int, err error) {
+func decodeRecord(b []byte) (r record, length int, err error) {
 	if len(b) < headerLength {
 		return record{}, 0, nil
 	}
-	sum, textLength, ok := parseHeader(b[:headerLength])
+	sum, payloadLength, ok := parseHeader(b[:headerLength])
 	if !ok {
 		return record{}, 0, fmt.Errorf("%w: no head of a record", ErrCorrupt)
 	}
-	length = headerLength + textLength
+	length = headerLength + payloadLength
 	if len(b) < length {
 		return record{}, 0, nil
 	}
-	text := b[headerLength:length]
-	if checksum(text) != sum {
+	payload := b[headerLength:length]
+	if checksum(payload) != sum {
 		return record{}, length, fmt.Errorf("%w: a checksum does not hold", ErrCorrupt)
 	}
-	r, err = decodeText(text)
+	r, err = decodePayload(payload)
 	return r, length, err
 }
 
-func parseHeader(header []byte) (sum uint32, textLength int, ok bool) {
+func parseHeader(header []byte) (sum uint32, payloadLength int, ok bool) {
 	const lengthStart = headerDigits + 1
 	parsedSum, err := strconv.ParseUint(string(header[:headerDigits]), 16, 32)
 	if err != nil || header[headerDigits] != ' ' {
@@ -92,40 +92,40 @@
 	return uint32(parsedSum), int(parsedLength), true
 }
 
-// decodeText decodes a text of this schema or an earlier one.
-func decodeText(text []byte) (record, error) {
+// decodePayload decodes a text of this schema or an earlier one.
+func decodePayload(payload []byte) (record, error) {
 	var version struct {
 		Schema int `json:"schema"`
 	}
-	if err := json.Unmarshal(text, &version); err != nil {
+	if err := json.Unmarshal(payload, &version); err != nil {
 		return record{}, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
-	if version.Schema > schema {
-		return record{}, fmt.Errorf("%w: schema %d, this one knows %d", ErrNewer, version.Schema, schema)
+	if version.Schema > currentSchema {
+		return record{}, fmt.Errorf("%w: schema %d, this one knows %d", ErrNewerSchema, version.Schema, currentSchema)
 	}
-	text, err := migrate(text, max(1, version.Schema))
+	payload, err := migrate(payload, max(1, version.Schema))
 	if err != nil {
 		return record{}, err
 	}
 	var r record
-	if err := json.Unmarshal(text, &r); err != nil {
+	if err := json.Unmarshal(payload, &r); err != nil {
 		return record{}, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	return r, nil
 }
 
 // migrate turns the text of an earlier version into one of this schema.
-func migrate(text []byte, version int) ([]byte, error) {
-	for ; version < schema; version++ {
+func migrate(payload []byte, version int) ([]byte, error) {
+	for ; version < currentSchema; version++ {
 		step := migrations[version]
 		if step == nil {
 			return nil, fmt.Errorf("%w: no way from schema %d", ErrCorrupt, version)
 		}
-		migrated, err := step(text)
+		migrated, err := step(payload)
 		if err != nil {
 			return nil, fmt.Errorf("%w: schema %d: %v", ErrCorrupt, version, err)
 		}
-		text = migrated
+		payload = migrated
 	}
-	return text, nil
+	return payload, nil
 }
--- a/internal/tenants/store/record_test.go
+++ b/internal/tenants/store/record_test.go
@@ -9,9 +9,9 @@
 )
 
 // setWeight is a migration that gives each changed tenant the weight 7.
-func setWeight(text []byte) ([]byte, error) {
+func setWeight(payload []byte) ([]byte, error) {
 	var r map[string]any
-	if err := json.Unmarshal(text, &r); err != nil {
+	if err := json.Unmarshal(payload, &r); err != nil {
 		return nil, err
 	}
 	if change, ok := r["change"].(map[string]any); ok {
@@ -21,10 +21,10 @@
 }
 
 func TestEarlierSchemaIsMigratedAndLaterOneRejected(t *testing.T) {
-	presentSchema := schema
+	presentSchema := currentSchema
 	presentMigrations := migrations
 	defer func() {
-		schema = presentSchema
+		currentSchema = presentSchema
 		migrations = presentMigrations
 	}()
 	files := newMemFiles()
@@ -37,7 +37,7 @@
 	}
 	s.Close()
 
-	schema = 2
+	currentSchema = 2
 	migrations = map[int]migration{1: setWeight}
 	s, err = Open(files)
 	if err != nil || s.Directory.All()[0].Spec.Weight != 7 {
@@ -48,14 +48,14 @@
 	}
 	s.Close()
 
-	schema = 1
-	before := len(files.names[logName].content)
+	currentSchema = 1
+	before := len(files.names[logFileName].content)
 	_, err = Open(files)
-	if !errors.Is(err, ErrNewer) || len(files.names[logName].content) != before {
+	if !errors.Is(err, ErrNewerSchema) || len(files.names[logFileName].content) != before {
 		t.Error(err)
 	}
 
-	schema = 3
+	currentSchema = 3
 	migrations = nil
 	_, err = Open(files)
 	if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "no way from schema 1") {
--- a/internal/tenants/store/store.go
+++ b/internal/tenants/store/store.go
@@ -10,20 +10,20 @@
 
 // Names of the files of a store.
 const (
-	logName       = "tenants.log"
-	compactedName = "tenants.log.new" // a log that is being compacted
-	lockName      = "tenants.lock"
+	logFileName        = "tenants.log"
+	compactionFileName = "tenants.log.new" // a log that is being compacted
+	lockFileName       = "tenants.lock"
 )
 
 // Errors of a store.
 var (
-	ErrReadOnly = errors.New("the store can't be written to")
-	ErrFollows  = errors.New("another process writes to the store")
-	ErrCorrupt  = errors.New("the store is damaged")
-	ErrNewer    = errors.New("the store was written by a newer version")
+	ErrReadOnly    = errors.New("the store can't be written to")
+	ErrNotWriter   = errors.New("another process writes to the store")
+	ErrCorrupt     = errors.New("the store is damaged")
+	ErrNewerSchema = errors.New("the store was written by a newer version")
 )
 
-func readOnly(cause error) error { return fmt.Errorf("%w: %v", ErrReadOnly, cause) }
+func wrapReadOnly(cause error) error { return fmt.Errorf("%w: %v", ErrReadOnly, cause) }
 
 // Store is the log and the directory that it gives. It is not safe for concurrent use.
 type Store struct {
@@ -33,21 +33,21 @@
 	// WriteError is why nothing can be written: it wraps ErrReadOnly or ErrFollows; nil: it can.
 	WriteError error
 
-	files         Files
-	log           logState
-	isWriter      bool // this process holds the lock
-	namesUnsynced bool // names of files have been changed and may not be durable
-	endUnsynced   bool // the end of the log behind a rejected change may not have been cut off durably
+	files             Files
+	log               logState
+	isWriter          bool // this process holds the lock
+	namesNotSynced    bool // names of files have been changed and may not be durable
+	truncateNotSynced bool // the end of the log behind a rejected change may not have been cut off durably
 }
 
 // Open reads the store. Where another process writes, or nothing can be written, this one follows,
 // and WriteError says why. The error wraps ErrCorrupt or ErrNewer where the log can't be read.
 func Open(files Files) (*Store, error) {
 	s := &Store{Directory: tenants.NewDirectory(), files: files}
-	s.WriteError = files.Lock(lockName)
+	s.WriteError = files.Lock(lockFileName)
 	if s.WriteError == nil {
 		s.isWriter = true
-		files.Remove(compactedName) // of a writer that was killed while it compacted
+		files.Remove(compactionFileName) // of a writer that was killed while it compacted
 	}
 	if err := s.load(); err != nil {
 		s.Close()
@@ -68,7 +68,7 @@
 	}
 	if s.isWriter {
 		if err := s.prepareLog(); err != nil {
-			s.WriteError = readOnly(err)
+			s.WriteError = wrapReadOnly(err)
 		}
 	}
 	return nil
@@ -77,12 +77,12 @@
 // openLog opens the log; it is nil where there is none and this process does not write. A writer
 // that can't append to it becomes a follower: a read-only disk still has what was there.
 func (s *Store) openLog() (File, error) {
-	file, err := s.files.Open(logName, !s.isWriter)
+	file, err := s.files.Open(logFileName, !s.isWriter)
 	if err != nil && s.isWriter {
-		s.WriteError = readOnly(err)
+		s.WriteError = wrapReadOnly(err)
 		s.isWriter = false
-		s.files.Unlock(lockName)
-		file, err = s.files.Open(logName, true)
+		s.files.Unlock(lockFileName)
+		file, err = s.files.Open(logFileName, true)
 	}
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -98,15 +98,15 @@
 	if err != nil {
 		return err
 	}
-	if size > s.log.end {
-		if err := s.log.file.Truncate(s.log.end); err != nil {
+	if size > s.log.endOffset {
+		if err := s.log.file.Truncate(s.log.endOffset); err != nil {
 			return err
 		}
 	}
-	if s.log.end > 0 {
+	if s.log.endOffset > 0 {
 		return nil
 	}
-	s.namesUnsynced = true
+	s.namesNotSynced = true
 	if err := s.appendRecord(snapshotRecord(s.Directory)); err != nil {
 		return err
 	}
@@ -125,15 +125,15 @@
 	if c.Revision != s.Directory.Revision+1 {
 		return fmt.Errorf("revision %d does not follow %d", c.Revision, s.Directory.Revision)
 	}
-	if err := s.appendRecord(record{Schema: schema, Change: &c}); err != nil {
-		s.WriteError = readOnly(err)
+	if err := s.appendRecord(record{Schema: currentSchema, Change: &c}); err != nil {
+		s.WriteError = wrapReadOnly(err)
 		return s.WriteError
 	}
 	if err := s.Directory.Apply(c); err != nil {
 		return err
 	}
-	s.log.changes++
-	if s.log.changes >= compactAfter {
+	s.log.changesSinceSnapshot++
+	if s.log.changesSinceSnapshot >= maxChangesBeforeCompaction {
 		s.Compact() // after a failure the log and its name are still whole
 	}
 	return nil
@@ -146,13 +146,13 @@
 		return
 	}
 	size, err := s.log.file.Size()
-	if err == nil && (size != s.log.end || s.endUnsynced) {
-		err = s.cutEnd()
+	if err == nil && (size != s.log.endOffset || s.truncateNotSynced) {
+		err = s.truncateTail()
 	}
-	if err == nil && s.namesUnsynced {
+	if err == nil && s.namesNotSynced {
 		err = s.syncNames()
 	}
-	if err == nil && s.log.end == 0 {
+	if err == nil && s.log.endOffset == 0 {
 		err = s.appendRecord(snapshotRecord(s.Directory))
 	}
 	if err == nil {
@@ -169,6 +169,6 @@
 		s.log.file.Close()
 	}
 	if s.isWriter {
-		s.files.Unlock(lockName)
+		s.files.Unlock(lockFileName)
 	}
 }
--- a/internal/tenants/store/store_test.go
+++ b/internal/tenants/store/store_test.go
@@ -46,7 +46,7 @@
 
 // writeChanges makes some changes, with one compaction between, until one fails. It returns the last
 // revision that was reported as done, and stores the text of the directory after each in texts.
-func writeChanges(files Files, texts map[uint64]string) (done uint64) {
+func writeChanges(files Files, textByRevision map[uint64]string) (acknowledged uint64) {
 	s, err := Open(files)
 	if err != nil {
 		return 0
@@ -59,57 +59,57 @@
 			err = put(s, fmt.Sprint("t", n%3), float64(n+1))
 		}
 		if err != nil {
-			return done
+			return acknowledged
 		}
-		done = s.Directory.Revision
-		if texts != nil {
-			texts[done] = directoryText(s.Directory)
+		acknowledged = s.Directory.Revision
+		if textByRevision != nil {
+			textByRevision[acknowledged] = directoryText(s.Directory)
 		}
 		if n == 4 && s.Compact() != nil {
-			return done
+			return acknowledged
 		}
 	}
-	return done
+	return acknowledged
 }
 
 // The writer is killed at each step that changes the disk, with all, half or none of what was not
 // synced there, and the names of files synced or not.
-func TestDoneChangesSurviveAKillAtAnyStep(t *testing.T) {
-	texts := map[uint64]string{0: directoryText(tenants.NewDirectory())}
-	unharmed := newMemFiles()
-	if done := writeChanges(unharmed, texts); done != 9 {
-		t.Fatal(done)
+func TestAcknowledgedChangesSurviveAKillAtAnyStep(t *testing.T) {
+	textByRevision := map[uint64]string{0: directoryText(tenants.NewDirectory())}
+	uninterrupted := newMemFiles()
+	if acknowledged := writeChanges(uninterrupted, textByRevision); acknowledged != 9 {
+		t.Fatal(acknowledged)
 	}
 	kills := 0
-	for step := 1; step <= unharmed.steps; step++ {
-		for _, part := range []float64{0, 0.5, 0.99, 1} {
-			for _, keepNames := range []bool{false, true} {
+	for step := 1; step <= uninterrupted.steps; step++ {
+		for _, unsyncedFraction := range []float64{0, 0.5, 0.99, 1} {
+			for _, keepUnsyncedNames := range []bool{false, true} {
 				files := newMemFiles()
-				files.killAt = step
-				done := writeChanges(files, nil)
-				after := files.losePower(part, keepNames)
+				files.killAtStep = step
+				acknowledged := writeChanges(files, nil)
+				after := files.afterPowerLoss(unsyncedFraction, keepUnsyncedNames)
 				s, err := Open(after)
 				if err != nil {
-					t.Fatalf("step %d, part %v, names %v: %v", step, part, keepNames, err)
+					t.Fatalf("step %d, part %v, names %v: %v", step, unsyncedFraction, keepUnsyncedNames, err)
 				}
 				got := s.Directory.Revision
-				if got < done || got > done+1 || directoryText(s.Directory) != texts[got] {
+				if got < acknowledged || got > acknowledged+1 || directoryText(s.Directory) != textByRevision[got] {
 					t.Fatalf("step %d, part %v, names %v: revision %d after %d were done: %v",
-						step, part, keepNames, got, done, s.Directory.All())
+						step, unsyncedFraction, keepUnsyncedNames, got, acknowledged, s.Directory.All())
 				}
 				if err := put(s, "later", 3); err != nil {
-					t.Fatalf("step %d, part %v: %v", step, part, err)
+					t.Fatalf("step %d, part %v: %v", step, unsyncedFraction, err)
 				}
 				s.Close()
 				s, err = Open(after)
 				if err != nil || s.Directory.Revision != got+1 {
-					t.Fatal(step, part, err)
+					t.Fatal(step, unsyncedFraction, err)
 				}
 				kills++
 			}
 		}
 	}
-	t.Log(unharmed.steps, "steps,", kills, "kills")
+	t.Log(uninterrupted.steps, "steps,", kills, "kills")
 }
 
 func TestFullDiskRejectsChangesUntilThereIsSpace(t *testing.T) {
@@ -148,7 +148,7 @@
 	newLog := func() (*memFiles, *memFile) {
 		files := newMemFiles()
 		writeChanges(files, nil)
-		return files, files.names[logName]
+		return files, files.names[logFileName]
 	}
 	files, log := newLog()
 	log.content[len(log.content)/2] ^= 1
--- a/internal/tenants/store/syncfault_test.go
+++ b/internal/tenants/store/syncfault_test.go
@@ -12,36 +12,36 @@
 // faultyFiles is a file system whose next syncs fail. What was to be synced is not durable.
 type faultyFiles struct {
 	*memFiles
-	nameFaults int // syncs of names that still fail
-	fileFaults int // syncs of files that still fail
+	remainingNameSyncFaults int // syncs of names that still fail
+	remainingFileSyncFaults int // syncs of files that still fail
 }
 
 func (f *faultyFiles) Sync() error {
-	if f.nameFaults > 0 {
-		f.nameFaults--
+	if f.remainingNameSyncFaults > 0 {
+		f.remainingNameSyncFaults--
 		return errIO
 	}
 	return f.memFiles.Sync()
 }
 
-func (f *faultyFiles) Open(name string, read bool) (File, error) {
-	file, err := f.memFiles.Open(name, read)
+func (f *faultyFiles) Open(name string, readOnly bool) (File, error) {
+	file, err := f.memFiles.Open(name, readOnly)
 	if err != nil {
 		return nil, err
 	}
-	return &faultyFile{memHandle: file.(*memHandle), faults: f}, nil
+	return &faultyFile{memHandle: file.(*memHandle), files: f}, nil
 }
 
 type faultyFile struct {
 	*memHandle
-	faults *faultyFiles
+	files *faultyFiles
 }
 
 func (f *faultyFile) Same(other File) bool { return f.memHandle.Same(other.(*faultyFile).memHandle) }
 
 func (f *faultyFile) Sync() error {
-	if f.faults.fileFaults > 0 {
-		f.faults.fileFaults--
+	if f.files.remainingFileSyncFaults > 0 {
+		f.files.remainingFileSyncFaults--
 		return errIO
 	}
 	return f.memHandle.Sync()
@@ -60,25 +60,25 @@
 			t.Fatal(err)
 		}
 	}
-	files.nameFaults = 1
+	files.remainingNameSyncFaults = 1
 	if err := s.Compact(); err == nil {
 		t.Error("a failed sync is not reported")
 	}
-	done := s.Directory.Revision
+	acknowledged := s.Directory.Revision
 	for n := range 3 {
 		if err := put(s, fmt.Sprint("u-", n), 1); err == nil {
-			done = s.Directory.Revision
+			acknowledged = s.Directory.Revision
 		}
 	}
-	if done != s.Directory.Revision || done < 6 {
-		t.Errorf("changes are still rejected after the fault: revision %d", done)
+	if acknowledged != s.Directory.Revision || acknowledged < 6 {
+		t.Errorf("changes are still rejected after the fault: revision %d", acknowledged)
 	}
-	after, err := Open(files.losePower(0, false))
+	after, err := Open(files.afterPowerLoss(0, false))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if after.Directory.Revision != done {
-		t.Errorf("reported as done: %d; after the loss of power: %d", done, after.Directory.Revision)
+	if after.Directory.Revision != acknowledged {
+		t.Errorf("reported as done: %d; after the loss of power: %d", acknowledged, after.Directory.Revision)
 	}
 }
 
@@ -100,17 +100,17 @@
 	}
 	log := s.log.file.(*faultyFile)
 	before := bytes.Clone(log.content)
-	files.fileFaults = 1
-	synced := false
+	files.remainingFileSyncFaults = 1
+	syncCalled := false
 	s.log.file = &hookedFile{faultyFile: log, beforeSync: func() {
-		synced = true
+		syncCalled = true
 		if len(log.content) > len(before) {
 			if _, err := follower.Follow(); err != nil {
 				t.Error(err)
 			}
 		}
 	}}
-	if err := put(s, "rejected", 1); err == nil || !synced {
+	if err := put(s, "rejected", 1); err == nil || !syncCalled {
 		t.Fatal("the sync does not fail")
 	}
 	s.log.file = log
--- a/internal/tenants/tenant.go
+++ b/internal/tenants/tenant.go
@@ -2,45 +2,60 @@
 
 import "time"
 
-// Spec is what an administrator specifies of a tenant. What is left out is not limited.
+// Spec is the part of a tenant that an administrator sets.
 type Spec struct {
 	Weight     float64     `json:"weight"`
 	Limits     Limits      `json:"limits"`
 	Operations []Operation `json:"operations"`
 }
 
-// Limits bound what a tenant may use, over all schedulers. They are pointers because zero is
-// invalid and not the same as no limit.
+// Limits bound what a tenant may use at all schedulers together. A limit that is nil does not apply;
+// the fields are pointers because 0 is invalid and not the same as no limit.
 type Limits struct {
-	RatePerS     *float64 `json:"rate_per_s,omitzero"`    // invocations admitted a second
-	Burst        *float64 `json:"burst,omitzero"`         // invocations at once; one second's worth if left out
-	Concurrency  *int     `json:"concurrency,omitzero"`   // invocations in flight
-	HeldWorkS    *float64 `json:"held_work_s,omitzero"`   // their hinted cost, in seconds on a standard core
-	RequestBytes *int     `json:"request_bytes,omitzero"` // of a body
-	RetryRatio   *float64 `json:"retry_ratio,omitzero"`   // retries for each first attempt
+	// RatePerS is how many invocations are admitted per second.
+	RatePerS *float64 `json:"rate_per_s,omitzero"`
+	// Burst is the size of the token bucket, in invocations. The default is the invocations of one
+	// second at RatePerS.
+	Burst *float64 `json:"burst,omitzero"`
+	// Concurrency is how many invocations may be in flight.
+	Concurrency *int `json:"concurrency,omitzero"`
+	// HeldWorkS bounds the sum of the hinted costs in flight, in seconds on a standard core.
+	HeldWorkS *float64 `json:"held_work_s,omitzero"`
+	// RequestBytes is the maximum size of a request's body.
+	RequestBytes *int `json:"request_bytes,omitzero"`
+	// RetryRatio is how many retries each first attempt earns.
+	RetryRatio *float64 `json:"retry_ratio,omitzero"`
 }
 
 // Operation is one kind of invocation of a tenant.
 type Operation struct {
-	Name              string  `json:"name"`
-	Effect            string  `json:"effect"` // Idempotent, Deduplicated or NonIdempotent
-	DedupScope        string  `json:"dedup_scope,omitzero"`
-	DedupWindowS      float64 `json:"dedup_window_s,omitzero"`
+	Name string `json:"name"`
+	// Effect is Idempotent, Deduplicated or NonIdempotent.
+	Effect string `json:"effect"`
+	// DedupScope names the workers among which repeats are dropped: "all", "zone" or "cell".
+	DedupScope string `json:"dedup_scope,omitzero"`
+	// DedupWindowS is how long workers drop repeats, in seconds.
+	DedupWindowS float64 `json:"dedup_window_s,omitzero"`
+	// LatencyObjectiveS is the time, in seconds, within which an answer earns BilledValue.
 	LatencyObjectiveS float64 `json:"latency_objective_s"`
-	Stretch           float64 `json:"stretch,omitzero"`
-	ClientTimeoutS    float64 `json:"client_timeout_s"`
-	BilledValue       float64 `json:"billed_value"`
-	LateBilledValue   float64 `json:"late_billed_value,omitzero"`
+	// Stretch is the multiple of an invocation's own work that is added to the objective.
+	Stretch float64 `json:"stretch,omitzero"`
+	// ClientTimeoutS is how long clients wait for an answer, in seconds.
+	ClientTimeoutS float64 `json:"client_timeout_s"`
+	BilledValue    float64 `json:"billed_value"`
+	// LateBilledValue is the value of an answer after the objective, as a fraction of BilledValue.
+	LateBilledValue float64 `json:"late_billed_value,omitzero"`
 }
 
-// Effects of an operation, as administrators spell them.
+// Values of Operation.Effect: whether an invocation may run more than once. Workers drop repeats of a
+// Deduplicated operation within its window.
 const (
 	Idempotent    = "idempotent"
 	Deduplicated  = "deduplicated"
 	NonIdempotent = "non_idempotent"
 )
 
-// State is whether a tenant's invocations are admitted.
+// State says whether a tenant's invocations are admitted.
 type State string
 
 // The states of a tenant.
@@ -49,13 +64,13 @@
 	Suspended State = "suspended"
 )
 
-// Tenant is a tenant as the directory has it. Handle identifies this tenant and no later one of
-// the same name: ids, keys and counters are made from it.
+// Tenant is a tenant as the directory stores it. Handle identifies this tenant and differs from that
+// of any later tenant of the same name; ids, keys and counters are derived from it.
 type Tenant struct {
 	Name        string       `json:"name"`
 	Handle      string       `json:"handle"`
 	State       State        `json:"state"`
-	Revision    uint64       `json:"revision"` // of the directory, when the tenant was last changed
+	Revision    uint64       `json:"revision"` // revision of the directory that last changed the tenant
 	Created     time.Time    `json:"created"`
 	Spec        Spec         `json:"spec"`
 	Credentials []Credential `json:"credentials"`
--- a/internal/tenants/tokenbucket.go
+++ b/internal/tenants/tokenbucket.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// bucketSize returns how many tokens a tenant's bucket holds at this scheduler.
+// bucketSize returns how many tokens a tenant's bucket can hold at this scheduler. It is at least 1,
+// as otherwise nothing could be admitted.
 func (c *Controller) bucketSize(a *Account) float64 {
 	limits := a.limits
 	switch {
@@ -15,7 +16,7 @@
 	}
 }
 
-// refill adds the tokens that have come in since the last refill.
+// refill adds the tokens that have accrued since the last refill, up to the size of the bucket.
 func (c *Controller) refill(now time.Duration, a *Account) {
 	if a.limits.RatePerS == nil {
 		a.tokens = 1
@@ -26,7 +27,7 @@
 	a.tokensRefilledAt = now
 }
 
-// nextToken returns how long it takes until the bucket holds a whole token.
+// nextToken returns the time until the bucket of a tenant with a rate limit holds a whole token.
 func (c *Controller) nextToken(a *Account) time.Duration {
 	return time.Duration((1 - a.tokens) * c.schedulers / *a.limits.RatePerS * float64(time.Second))
 }
--- a/internal/tenants/usage.go
+++ b/internal/tenants/usage.go
@@ -1,9 +1,9 @@
 package tenants
 
-// Disposition is how an invocation ended, for Usage.
+// Disposition is the way in which an invocation ended, as Usage counts it.
 type Disposition uint8
 
-// The dispositions of an invocation.
+// The dispositions of an invocation. They mean the same as those of package accounting.
 const (
 	Succeeded Disposition = iota
 	Declined
@@ -14,22 +14,22 @@
 	dispositionCount = int(Migrated) + 1
 )
 
-// Usage is what one tenant has used at one scheduler.
+// Usage is what one tenant has used at one scheduler since the process started, and what it uses now.
 type Usage struct {
 	Admitted      int
 	Retries       int
-	Completed     [dispositionCount]int // by Disposition
+	Completed     [dispositionCount]int // indexed by Disposition
 	Throttled     map[RejectionKind]int // one entry for each of RejectionKinds
 	InFlight      int
-	HeldWorkS     float64 // hinted cost in flight, in seconds on a standard core
-	Bytes         int64   // of admitted bodies
-	ShareInFlight float64 // invocations it may have in flight while capacity is scarce
-	Rate          float64 // workers' time that it uses, in seconds a second; as of the last Quotas
-	Share         float64 // its fair share of all such time, in seconds a second; as of the last Quotas
-	OverShare     bool    // it uses more than its share, and is queued behind those that do not
+	HeldWorkS     float64 // sum of the hinted costs in flight, in seconds on a standard core
+	Bytes         int64   // total size of the admitted bodies
+	ShareInFlight float64 // invocations that it may have in flight while capacity is scarce
+	WorkRate      float64 // worker time that it uses, in seconds per second, as of the last call of Quotas
+	WorkShare     float64 // its fair share of the worker time of all tenants, like WorkRate
+	OverShare     bool    // WorkRate exceeds WorkShare, so its work is queued behind that of others
 }
 
-// Usage returns what a tenant has used here since this process has known it.
+// Usage returns what a tenant has used at this scheduler since this process added its account.
 func (c *Controller) Usage(a *Account) Usage {
 	usage := a.usage
 	usage.Throttled = map[RejectionKind]int{}
@@ -39,10 +39,10 @@
 	usage.InFlight = a.inFlight
 	usage.HeldWorkS = a.heldWork
 	usage.ShareInFlight = c.weightShare(a)
-	usage.Rate = a.workRate
-	usage.Share = a.workShare
+	usage.WorkRate = a.workRate
+	usage.WorkShare = a.workShare
 	usage.OverShare = a.overShare
-	if !a.isActive() { // what it would have if it became active now
+	if !a.isActive() { // the share that it would have if it became active now
 		usage.ShareInFlight = c.capacity * a.weight / (c.activeWeight + a.weight)
 	}
 	return usage
--- a/internal/tenants/validation.go
+++ b/internal/tenants/validation.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// MaxOperations is how many operations all tenants have together: the dispatcher keeps
-	// estimates for each.
+	// MaxOperations is how many operations all tenants may have together. The dispatcher keeps
+	// estimates for each of them.
 	MaxOperations = 4096
-	// MaxTenants is how many tenants there can be.
+	// MaxTenants is how many tenants there may be.
 	MaxTenants = 4096
 
 	maxNameLength          = 40      // bytes
@@ -31,16 +31,16 @@
 	dedupScopes = []string{"", "all", "zone", "cell"}
 )
 
-// FieldError is one invalid field. Field is its JSON pointer.
+// FieldError describes one invalid field of a document. Field is its JSON pointer.
 type FieldError struct {
 	Field  string `json:"field"`
 	Reason string `json:"reason"`
 }
 
-// Error returns the field and the reason.
+// Error returns the field and why it is invalid.
 func (e FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// FieldErrors are all invalid fields of one document.
+// FieldErrors lists all invalid fields of one document.
 type FieldErrors []FieldError
 
 // Error joins the texts of all errors.
@@ -52,8 +52,9 @@
 	return strings.Join(texts, "; ")
 }
 
-// Name returns what is invalid about a name, under the given field. Only a few ASCII characters
-// are valid: with characters that merely look alike one tenant could be mistaken for another.
+// Name returns what is invalid about a tenant's or operation's name, as the error of the given field;
+// nil if the name is valid. Only a few ASCII characters are valid, because names with other characters
+// that look the same could be mistaken for each other.
 func Name(field, name string) FieldErrors {
 	reason := ""
 	switch {
@@ -71,7 +72,7 @@
 	return FieldErrors{{Field: field, Reason: reason}}
 }
 
-// Validate returns everything that is invalid about a spec; nil if it is valid.
+// Validate returns all invalid fields of a spec; nil if it is valid.
 func (s Spec) Validate() FieldErrors {
 	var v validator
 	v.positive("/weight", s.Weight, maxWeight)
@@ -80,7 +81,7 @@
 	return v.errors
 }
 
-// validator collects the errors of one document.
+// validator collects the invalid fields of one document.
 type validator struct {
 	errors FieldErrors
 }
@@ -89,7 +90,7 @@
 	v.errors = append(v.errors, FieldError{Field: field, Reason: fmt.Sprintf(format, args...)})
 }
 
-// positive requires a value over 0 and at most a maximum.
+// positive requires a value to be over 0 and at most maximum.
 func (v *validator) positive(field string, value, maximum float64) {
 	switch {
 	case math.IsNaN(value) || value <= 0:
@@ -99,27 +100,27 @@
 	}
 }
 
-// optional requires a value that is set to be positive.
-func (v *validator) optional(field string, value *float64, maximum float64) {
+// optionalPositive requires a value, if it is set, to be over 0 and at most maximum.
+func (v *validator) optionalPositive(field string, value *float64, maximum float64) {
 	if value != nil {
 		v.positive(field, *value, maximum)
 	}
 }
 
-// optionalCount requires a count that is set to be positive.
-func (v *validator) optionalCount(field string, count *int) {
+// optionalPositiveCount requires a count, if it is set, to be over 0 and at most maxQuantity.
+func (v *validator) optionalPositiveCount(field string, count *int) {
 	if count != nil {
 		v.positive(field, float64(*count), maxQuantity)
 	}
 }
 
 func (v *validator) limits(l Limits) {
-	v.optional("/limits/rate_per_s", l.RatePerS, maxQuantity)
-	v.optional("/limits/burst", l.Burst, maxQuantity)
-	v.optional("/limits/held_work_s", l.HeldWorkS, maxQuantity)
-	v.optional("/limits/retry_ratio", l.RetryRatio, maxRetryRatio)
-	v.optionalCount("/limits/concurrency", l.Concurrency)
-	v.optionalCount("/limits/request_bytes", l.RequestBytes)
+	v.optionalPositive("/limits/rate_per_s", l.RatePerS, maxQuantity)
+	v.optionalPositive("/limits/burst", l.Burst, maxQuantity)
+	v.optionalPositive("/limits/held_work_s", l.HeldWorkS, maxQuantity)
+	v.optionalPositive("/limits/retry_ratio", l.RetryRatio, maxRetryRatio)
+	v.optionalPositiveCount("/limits/concurrency", l.Concurrency)
+	v.optionalPositiveCount("/limits/request_bytes", l.RequestBytes)
 	if l.Burst != nil && l.RatePerS == nil {
 		v.fail("/limits/burst", "is set, and rate_per_s is not")
 	}
@@ -146,7 +147,7 @@
 	}
 }
 
-// operation checks all fields of an operation but its name.
+// operation checks all fields of an operation except its name.
 func (v *validator) operation(prefix string, o Operation) {
 	if !slices.Contains(effects, o.Effect) {
 		v.fail(prefix+"effect", "%q is none of %s", o.Effect, strings.Join(effects, ", "))
@@ -170,7 +171,7 @@
 	}
 }
 
-// isBetween reports whether least <= value <= most; it does not hold for NaN.
-func isBetween(value, least, most float64) bool {
-	return value >= least && value <= most
+// isBetween reports whether minimum <= value <= maximum, which is false if value is NaN.
+func isBetween(value, minimum, maximum float64) bool {
+	return value >= minimum && value <= maximum
 }
--- a/internal/tenants/validation_test.go
+++ b/internal/tenants/validation_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Everything that is invalid about a tenant is returned at once, by field.
+// Validate returns all invalid fields at once, each with its JSON pointer.
 func ExampleSpec_Validate() {
 	zero, negative := 0.0, -2
 	s := validSpec()
