--- a/internal/tenants/store/capacity_test.go
+++ b/internal/tenants/store/capacity_test.go
@@ -9,13 +9,13 @@
 	"stoatweir/internal/tenants"
 )
 
-// The benchmarks behind docs/CAPACITY.md's figures for the spread of tenants' configuration: what a
-// writer pays for a change, and what each follower pays for finding none, one, or a compacted log.
-// That page runs them by these names.
+// These benchmarks produce the figures in docs/CAPACITY.md for the distribution of the tenants'
+// configuration: the cost of a change for the writer, and the cost for each follower of finding no
+// change, one change, or a compacted log. That page runs them by these names.
 
 func tenantName(n int) string { return fmt.Sprint("team-", n) }
 
-// tenantSpec has as many operations as a tenant can have.
+// tenantSpec returns a spec with the maximum number of operations.
 func tenantSpec(weight float64) tenants.Spec {
 	spec := tenants.Spec{Weight: weight}
 	for n := range 32 {
@@ -41,7 +41,7 @@
 	}
 }
 
-// newWriterAndFollower returns a writer and a follower with so many teams.
+// newWriterAndFollower returns a writer and a follower of one directory with tenantCount tenants.
 func newWriterAndFollower(b *testing.B, tenantCount int) (writer, follower *Store, dir string) {
 	b.Helper()
 	dir = b.TempDir()
@@ -65,7 +65,7 @@
 
 var tenantCounts = []int{18, 36, 71, 128}
 
-// BenchmarkAppend makes a change durable on the disk of the temporary folder.
+// BenchmarkAppend measures making one change durable, on the disk that holds the temporary directory.
 func BenchmarkAppend(b *testing.B) {
 	for _, n := range tenantCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -74,7 +74,7 @@
 			for i := 0; b.Loop(); i++ {
 				putTenant(b, writer, i%n, float64(2+i))
 			}
-			if writer.log.changesSinceSnapshot == b.N+n { // it was not compacted
+			if writer.log.changesSinceSnapshot == b.N+n { // the log was not compacted
 				b.ReportMetric(float64(writer.log.endOffset-before)/float64(b.N), "bytes/change")
 			}
 			if info, err := os.Stat(filepath.Join(dir, logFileName)); err == nil {
@@ -84,8 +84,8 @@
 	}
 }
 
-// BenchmarkFollow is one call of Follow, four times a second: without a change, with one, and after
-// a compaction.
+// BenchmarkFollow measures one call of Follow, which followers make four times a second: without a
+// change, after one change, and after a change and a compaction.
 func BenchmarkFollow(b *testing.B) {
 	for _, variant := range []string{"nothing", "change", "anew"} {
 		for _, n := range tenantCounts {
--- a/internal/tenants/store/compaction.go
+++ b/internal/tenants/store/compaction.go
@@ -1,10 +1,12 @@
 package store
 
-// maxChangesBeforeCompaction is how many changes since the last snapshot make Append compact the log.
+// maxChangesBeforeCompaction is the number of changes since the last snapshot at which Append
+// compacts the log.
 const maxChangesBeforeCompaction = 4096
 
-// Compact replaces the log by one with a single snapshot. At any moment the log's name refers to a
-// whole log. After an error the old log goes on, unless WriteError says that nothing can be written.
+// Compact replaces the log by a new one that holds a single snapshot. At every moment the log's name
+// refers to a complete log. After an error the old log stays in use, unless WriteError is set: then
+// nothing can be written.
 func (s *Store) Compact() error {
 	encoded, err := encodeRecord(snapshotRecord(s.Directory))
 	if err != nil {
@@ -17,8 +19,8 @@
 	s.log.file.Close()
 	s.log = logState{file: file}
 	s.log.advance(encoded)
-	// After a loss of power the name may refer to the old log: until it can't, nothing more is
-	// reported as done.
+	// Until the rename is durable, the name may refer to the old log after a power failure, so no
+	// further change may be acknowledged.
 	s.namesNotSynced = true
 	err = s.syncNames()
 	if err != nil {
@@ -27,7 +29,7 @@
 	return err
 }
 
-// replaceLog writes a new log and renames it into place.
+// replaceLog writes a new log under a temporary name, syncs it and renames it to the log's name.
 func (s *Store) replaceLog(content []byte) (File, error) {
 	s.files.Remove(compactionFileName)
 	file, err := s.files.Open(compactionFileName, false)
--- a/internal/tenants/store/disk.go
+++ b/internal/tenants/store/disk.go
@@ -9,18 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// fileMode lets only the owner read and write.
+// fileMode permits only the owner to read and write.
 const fileMode = 0o600
 
-// Disk implements Files by a directory of the file system.
+// Disk implements Files by a directory of the operating system's file system.
 type Disk struct {
 	Dir      string
-	lockFile *os.File // nil: not locked
+	lockFile *os.File // nil if not locked
 }
 
 func (d *Disk) path(name string) string { return filepath.Join(d.Dir, name) }
 
-// Open opens a file of the directory.
+// Open opens a file of the directory, as described at Files.Open.
 func (d *Disk) Open(name string, readOnly bool) (File, error) {
 	flags := os.O_RDWR | os.O_CREATE | os.O_APPEND
 	if readOnly {
@@ -33,14 +33,15 @@
 	return osFile{f}, nil
 }
 
-// Rename replaces a file by another one.
+// Rename atomically replaces the file to by the file from.
 func (d *Disk) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove removes a file.
 func (d *Disk) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Lock acquires an exclusive lock on a file, which the kernel releases when the process ends,
-// however it ends. The error is ErrFollows if another process holds it, or ErrReadOnly.
+// Lock acquires an exclusive lock on a file. The kernel releases it when the process ends, even if
+// the process is killed. The error is ErrNotWriter if another process holds the lock; any other error
+// wraps ErrReadOnly.
 func (d *Disk) Lock(name string) error {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// Unlock releases the lock.
+// Unlock releases the lock if it is held.
 func (d *Disk) Unlock(string) {
 	if d.lockFile != nil {
 		d.lockFile.Close()
@@ -65,7 +66,7 @@
 	}
 }
 
-// Sync makes the names in the directory durable.
+// Sync makes the directory's entries durable: files that were created, renamed or removed.
 func (d *Disk) Sync() error {
 	f, err := os.Open(d.Dir)
 	if err != nil {
@@ -75,6 +76,7 @@
 	return f.Sync()
 }
 
+// osFile implements File by a file of the operating system.
 type osFile struct{ *os.File }
 
 // Size returns the present size in bytes.
@@ -86,7 +88,7 @@
 	return info.Size(), nil
 }
 
-// Same reports whether both are one file, whatever their names are now.
+// Same reports whether both are the same file, even if it has been renamed since it was opened.
 func (f osFile) Same(other File) bool {
 	o, ok := other.(osFile)
 	if !ok {
--- a/internal/tenants/store/disk_test.go
+++ b/internal/tenants/store/disk_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Two stores share a directory as two processes do.
+// Two stores share a directory on disk, as two processes would: only the first can write, and the
+// second follows it through a compaction and takes over when the first is closed.
 func TestDiskHasOneWriterAndAFollower(t *testing.T) {
 	dir := t.TempDir()
 	writer, err := Open(&Disk{Dir: dir})
--- a/internal/tenants/store/follower.go
+++ b/internal/tenants/store/follower.go
@@ -6,11 +6,11 @@
 	"io/fs"
 )
 
-// Follow applies what the writer has published since, and reports whether the directory has
-// changed. A log that was compacted is read from its beginning, and so is one whose last record, as
-// it was read, is no longer there: its writer could not make it durable, and has rejected the
-// change. After an error the last good directory stays. Once the writer has ended, this process
-// takes over. For the writer itself there is nothing to do.
+// Follow applies what the writer has appended since the last call, and reports whether the directory
+// has changed. The log is read from its beginning if it was compacted. It is also read from its
+// beginning if the last record that was read is no longer there: the writer could not make that
+// record durable and has rejected its change. After an error the previous directory stays. If the
+// writer has ended, this process becomes the writer. For the writer itself Follow does nothing.
 func (s *Store) Follow() (changed bool, err error) {
 	if s.isWriter {
 		return false, nil
@@ -54,8 +54,8 @@
 	return lastRecordWithdrawn || s.Directory.Revision != minRevision, nil
 }
 
-// takeOver makes this process, which has acquired the lock, the writer. The lock is released again
-// where the log can't be read.
+// takeOver makes this process the writer after it has acquired the lock. If the log can't be read,
+// the lock is released and the process stays a follower.
 func (s *Store) takeOver() (changed bool, err error) {
 	previousLog := s.log
 	previousDirectory := s.Directory
@@ -84,7 +84,7 @@
 	return s.Directory.Revision != previousDirectory.Revision, nil
 }
 
-// checkRevision returns an error if the directory is older than it has been.
+// checkRevision returns an error if the directory is older than a revision that was read before.
 func (s *Store) checkRevision(minRevision uint64) error {
 	if s.Directory.Revision < minRevision {
 		return fmt.Errorf("%w: revision %d after %d", ErrCorrupt, s.Directory.Revision, minRevision)
--- a/internal/tenants/store/follower_test.go
+++ b/internal/tenants/store/follower_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A follower reads what another process writes, through a compaction and a record that is being
-// written, and keeps what it has where the log can't be read; when the writer has ended it takes
-// over.
+// A follower reads what another process writes, also after a compaction and while a record is only
+// partly written. It keeps its directory while the log can't be read, and takes over when the writer
+// has ended.
 func TestFollowerAppliesChangesAndTakesOver(t *testing.T) {
 	files := newMemFiles()
 	writer, err := Open(files)
@@ -56,7 +56,7 @@
 	writer.Close()
 	follow(false, 4, nil)
 	if !follower.Writes() {
-		t.Error("nobody writes")
+		t.Error("the follower did not become the writer after the writer was closed")
 	}
 	if err := put(follower, "e", 1); err != nil {
 		t.Error(err)
--- a/internal/tenants/store/forms_test.go
+++ b/internal/tenants/store/forms_test.go
@@ -12,7 +12,8 @@
 	"stoatweir/internal/tenants"
 )
 
-// A record with every field set is the same to the byte, and the recorded one is decoded whole.
+// The encoding of a record with every field set must be the recorded bytes, and the recorded bytes
+// must decode to the same record.
 func TestGoldenRecord(t *testing.T) {
 	want := golden.Filled[record](t)
 	want.Schema = currentSchema
@@ -30,7 +31,7 @@
 	}
 }
 
-// goldenSpec has every field set to something valid.
+// goldenSpec returns a spec with every field set to a valid value.
 func goldenSpec(t *testing.T) tenants.Spec {
 	t.Helper()
 	spec := golden.Filled[tenants.Spec](t)
@@ -44,7 +45,7 @@
 	return spec
 }
 
-// appendEveryKindOfChange appends each kind of change at least once.
+// appendEveryKindOfChange appends each kind of change at least once and returns the changes.
 func appendEveryKindOfChange(t *testing.T, s *Store) []tenants.Change {
 	t.Helper()
 	var all []tenants.Change
@@ -84,7 +85,7 @@
 	return all
 }
 
-// openRecorded opens a store on recorded bytes.
+// openRecorded opens a store whose log consists of recorded bytes.
 func openRecorded(t *testing.T, recorded []byte) *Store {
 	t.Helper()
 	files := newMemFiles()
@@ -98,9 +99,9 @@
 	return s
 }
 
-// A log with each kind of change, and the snapshot that it is compacted to, are the same to the
-// byte on disk, and the recorded ones are read back with all that they hold; no list is written as
-// an empty one.
+// A log with each kind of change, and the snapshot that it is compacted to, must be the recorded
+// bytes on disk. The recorded bytes must read back as the same directory and audit, where a nil list
+// equals an empty one because it is written as such.
 func TestGoldenLog(t *testing.T) {
 	files := newMemFiles()
 	s, err := Open(files)
--- a/internal/tenants/store/memfiles_test.go
+++ b/internal/tenants/store/memfiles_test.go
@@ -13,28 +13,28 @@
 	errNoSpace = errors.New("no space left")
 )
 
-// memFiles is a file system in memory that tells what is durable from what a loss of power would
-// undo, and can kill its user at a chosen step.
+// memFiles is a file system in memory. It distinguishes what is durable from what a power failure
+// would undo, and can fail from a chosen step on as if the process had been killed.
 type memFiles struct {
-	names        map[string]*memFile // as processes see them
-	durableNames map[string]*memFile // as they are after a loss of power
+	names        map[string]*memFile // directory entries, as processes see them
+	durableNames map[string]*memFile // directory entries, as they are after a power failure
 	isLocked     bool
-	steps        int  // that changed the disk
-	killAtStep   int  // the step from which on each one fails; 0: none
-	isFull       bool // writes end half way
-	lockedByPeer bool // another process has the lock
+	steps        int  // number of operations so far that change the disk
+	killAtStep   int  // number of the first step that fails, as do all after it; 0 if none fails
+	isFull       bool // writes store only half of their bytes and fail
+	lockedByPeer bool // another process holds the lock
 }
 
 type memFile struct {
 	content []byte // as processes see it
-	durable []byte // as it is after a loss of power
+	durable []byte // as it is after a power failure
 }
 
 func newMemFiles() *memFiles {
 	return &memFiles{names: map[string]*memFile{}, durableNames: map[string]*memFile{}}
 }
 
-// step counts what changes the disk.
+// step counts an operation that changes the disk, and fails if the process is killed by then.
 func (m *memFiles) step() error {
 	m.steps++
 	if m.killAtStep > 0 && m.steps >= m.killAtStep {
@@ -43,8 +43,9 @@
 	return nil
 }
 
-// afterPowerLoss returns the files after a loss of power: a part of what was not synced is there, and
-// the names are the synced ones or, if keepNames is set, the present ones.
+// afterPowerLoss returns the files as they are after a power failure: the given fraction of the bytes
+// that were not synced has survived, and the directory entries are the synced ones or, if
+// keepUnsyncedNames is set, the present ones.
 func (m *memFiles) afterPowerLoss(unsyncedFraction float64, keepUnsyncedNames bool) *memFiles {
 	after := newMemFiles()
 	names := m.durableNames
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// memHandle is a memFile that has been opened.
+// memHandle is an open memFile.
 type memHandle struct {
 	files *memFiles
 	*memFile
@@ -127,7 +128,7 @@
 		return written, errNoSpace
 	}
 	if err := h.files.step(); err != nil {
-		h.content = append(h.content, b...) // some of it may have come there
+		h.content = append(h.content, b...) // the bytes may have been written before the kill
 		return 0, err
 	}
 	h.content = append(h.content, b...)
--- a/internal/tenants/store/record.go
+++ b/internal/tenants/store/record.go
@@ -10,23 +10,25 @@
 	"stoatweir/internal/tenants"
 )
 
-// A record is a header and its text, one line of JSON. The header has the text's checksum and
-// length in hexadecimal digits, with a blank after each.
+// A record is a header and a payload, which is one line of JSON. The header consists of the payload's
+// checksum and its length in bytes, both in hexadecimal digits and each followed by a space.
 const (
-	headerDigits = 8                      // of the checksum, and of the length
+	headerDigits = 8                      // number of digits of the checksum, and of the length
 	headerLength = 2 * (headerDigits + 1) // bytes
-	// maxRecordLength, in bytes, is more than the largest snapshot needs; a length beyond it is
-	// damage.
+	// maxRecordLength, in bytes, is more than the largest snapshot needs. A header with a greater
+	// length is treated as damaged.
 	maxRecordLength = 256 << 20
 )
 
-// currentSchema is the version of the records that are written, and migrations turn the text of a version
-// into that of the next. There has been one version so far; tests have others.
+// currentSchema is the schema version of the records that are written. migrations, by version,
+// convert the payload of a version into that of the next. There has been only one version so far;
+// tests set others.
 var (
 	currentSchema = 1
 	migrations    = map[int]migration{}
 )
 
+// migration converts a payload into that of the next schema version.
 type migration func(payload []byte) ([]byte, error)
 
 // record is one entry of the log: a snapshot or a change.
@@ -45,7 +47,7 @@
 
 func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoliTable) }
 
-// encodeRecord returns the bytes of a record.
+// encodeRecord returns the bytes of a record, header and payload.
 func encodeRecord(r record) ([]byte, error) {
 	payload, err := json.Marshal(r)
 	if err != nil {
@@ -56,9 +58,9 @@
 	return append(header, payload...), nil
 }
 
-// decodeRecord decodes the record that b begins with, and returns its length in bytes; 0: b ends before
-// the record does. The error wraps ErrCorrupt or ErrNewer; the length is 0 with it if the header
-// itself is damaged.
+// decodeRecord decodes the record at the start of b and returns its length in bytes, which is 0 if b
+// ends before the record does. The error wraps ErrCorrupt or ErrNewerSchema; the length returned with
+// it is 0 if the header itself is damaged.
 func decodeRecord(b []byte) (r record, length int, err error) {
 	if len(b) < headerLength {
 		return record{}, 0, nil
@@ -92,7 +94,7 @@
 	return uint32(parsedSum), int(parsedLength), true
 }
 
-// decodePayload decodes a text of this schema or an earlier one.
+// decodePayload decodes a payload of the current schema version or an earlier one.
 func decodePayload(payload []byte) (record, error) {
 	var version struct {
 		Schema int `json:"schema"`
@@ -114,7 +116,7 @@
 	return r, nil
 }
 
-// migrate turns the text of an earlier version into one of this schema.
+// migrate converts a payload of an earlier schema version into one of the current version.
 func migrate(payload []byte, version int) ([]byte, error) {
 	for ; version < currentSchema; version++ {
 		step := migrations[version]
--- a/internal/tenants/store/record_test.go
+++ b/internal/tenants/store/record_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-json-experiment/json"
 )
 
-// setWeight is a migration that gives each changed tenant the weight 7.
+// setWeight is a migration that sets the weight of each changed tenant to 7.
 func setWeight(payload []byte) ([]byte, error) {
 	var r map[string]any
 	if err := json.Unmarshal(payload, &r); err != nil {
--- a/internal/tenants/store/store.go
+++ b/internal/tenants/store/store.go
@@ -11,11 +11,11 @@
 // Names of the files of a store.
 const (
 	logFileName        = "tenants.log"
-	compactionFileName = "tenants.log.new" // a log that is being compacted
+	compactionFileName = "tenants.log.new" // a compacted log, before it replaces the log
 	lockFileName       = "tenants.lock"
 )
 
-// Errors of a store.
+// Errors of a store. The errors that its functions return may wrap them.
 var (
 	ErrReadOnly    = errors.New("the store can't be written to")
 	ErrNotWriter   = errors.New("another process writes to the store")
@@ -23,31 +23,35 @@
 	ErrNewerSchema = errors.New("the store was written by a newer version")
 )
 
+// wrapReadOnly returns an error that wraps ErrReadOnly and has the text of its cause.
 func wrapReadOnly(cause error) error { return fmt.Errorf("%w: %v", ErrReadOnly, cause) }
 
-// Store is the log and the directory that it gives. It is not safe for concurrent use.
+// Store is the log on disk together with the directory that its records give. It is not safe for
+// concurrent use.
 type Store struct {
-	// Directory is the directory, as of the last record that was read or written. Follow may replace
+	// Directory holds the tenants as of the last record that was read or written. Follow may replace
 	// it.
 	Directory *tenants.Directory
-	// WriteError is why nothing can be written: it wraps ErrReadOnly or ErrFollows; nil: it can.
+	// WriteError is the reason why nothing can be written, and wraps ErrReadOnly or ErrNotWriter. It
+	// is nil if changes can be written.
 	WriteError error
 
 	files             Files
 	log               logState
 	isWriter          bool // this process holds the lock
-	namesNotSynced    bool // names of files have been changed and may not be durable
-	truncateNotSynced bool // the end of the log behind a rejected change may not have been cut off durably
+	namesNotSynced    bool // directory entries of new or renamed files may not be durable yet
+	truncateNotSynced bool // the log may not be durably truncated yet to undo a rejected change
 }
 
-// Open reads the store. Where another process writes, or nothing can be written, this one follows,
-// and WriteError says why. The error wraps ErrCorrupt or ErrNewer where the log can't be read.
+// Open reads the store. If another process is the writer, or the disk can't be written to, this
+// process becomes a follower and WriteError says why. The error wraps ErrCorrupt or ErrNewerSchema if
+// the log can't be read.
 func Open(files Files) (*Store, error) {
 	s := &Store{Directory: tenants.NewDirectory(), files: files}
 	s.WriteError = files.Lock(lockFileName)
 	if s.WriteError == nil {
 		s.isWriter = true
-		files.Remove(compactionFileName) // of a writer that was killed while it compacted
+		files.Remove(compactionFileName) // left by a writer that was killed during a compaction
 	}
 	if err := s.load(); err != nil {
 		s.Close()
@@ -74,8 +78,9 @@
 	return nil
 }
 
-// openLog opens the log; it is nil where there is none and this process does not write. A writer
-// that can't append to it becomes a follower: a read-only disk still has what was there.
+// openLog opens the log. The file is nil if there is no log and this process is not the writer. A
+// writer that can't open the log for appending becomes a follower, because the log on a read-only
+// disk can still be read.
 func (s *Store) openLog() (File, error) {
 	file, err := s.files.Open(logFileName, !s.isWriter)
 	if err != nil && s.isWriter {
@@ -90,9 +95,9 @@
 	return file, err
 }
 
-// prepareLog makes the log end behind its last whole record, and begin with a snapshot. What is
-// behind the last whole record was being written when its writer ended, and was never reported as
-// done.
+// prepareLog truncates the log to its last complete record, and writes a snapshot as the first record
+// of an empty log. Bytes after the last complete record were being written when their writer ended,
+// and the change was never acknowledged.
 func (s *Store) prepareLog() error {
 	size, err := s.log.file.Size()
 	if err != nil {
@@ -113,8 +118,9 @@
 	return s.syncNames()
 }
 
-// Append makes a change durable, and then applies it to the directory. After an error nothing has
-// changed; it wraps ErrReadOnly or ErrFollows, or is that of a change out of order.
+// Append makes a change durable and then applies it to the directory. After an error nothing has
+// changed. The error wraps ErrReadOnly or ErrNotWriter, or says that the change's revision is not the
+// next one.
 func (s *Store) Append(c tenants.Change) error {
 	if s.WriteError != nil {
 		s.recoverWrites()
@@ -134,13 +140,13 @@
 	}
 	s.log.changesSinceSnapshot++
 	if s.log.changesSinceSnapshot >= maxChangesBeforeCompaction {
-		s.Compact() // after a failure the log and its name are still whole
+		s.Compact() // an error is ignored: the old log stays in use, or WriteError is set
 	}
 	return nil
 }
 
-// recoverWrites clears WriteError if the disk can be written to again. It first cuts off what could not
-// be cut off before.
+// recoverWrites clears WriteError if the disk can be written to again. It first repeats what has
+// failed before: truncating the log, making directory entries durable, and writing the first record.
 func (s *Store) recoverWrites() {
 	if !s.isWriter {
 		return
@@ -160,10 +166,10 @@
 	}
 }
 
-// Writes reports whether this process is the writer.
+// Writes reports whether this process is the writer, even if WriteError is set at present.
 func (s *Store) Writes() bool { return s.isWriter }
 
-// Close closes the log and releases the lock.
+// Close closes the log and, if this process is the writer, releases the lock.
 func (s *Store) Close() {
 	if s.log.file != nil {
 		s.log.file.Close()
--- a/internal/tenants/store/store_test.go
+++ b/internal/tenants/store/store_test.go
@@ -26,7 +26,7 @@
 	}}}
 }
 
-// directoryText is a directory in a form that can be compared.
+// directoryText returns a directory's tenants as text, so that directories can be compared.
 func directoryText(d *tenants.Directory) string {
 	text, err := json.Marshal(d.All())
 	if err != nil {
@@ -44,8 +44,9 @@
 	return s.Append(c)
 }
 
-// writeChanges makes some changes, with one compaction between, until one fails. It returns the last
-// revision that was reported as done, and stores the text of the directory after each in texts.
+// writeChanges makes nine changes with a compaction after the fifth, and stops at the first error. It
+// returns the last acknowledged revision and, unless textByRevision is nil, stores the text of the
+// directory after each change there.
 func writeChanges(files Files, textByRevision map[uint64]string) (acknowledged uint64) {
 	s, err := Open(files)
 	if err != nil {
@@ -72,8 +73,9 @@
 	return acknowledged
 }
 
-// The writer is killed at each step that changes the disk, with all, half or none of what was not
-// synced there, and the names of files synced or not.
+// The writer is killed at each step that changes the disk. Of the bytes that were not synced, all,
+// some or none survive, and the unsynced directory entries survive or not. Whatever was acknowledged
+// must still be there, and the store must accept changes again.
 func TestAcknowledgedChangesSurviveAKillAtAnyStep(t *testing.T) {
 	textByRevision := map[uint64]string{0: directoryText(tenants.NewDirectory())}
 	uninterrupted := newMemFiles()
@@ -90,15 +92,15 @@
 				after := files.afterPowerLoss(unsyncedFraction, keepUnsyncedNames)
 				s, err := Open(after)
 				if err != nil {
-					t.Fatalf("step %d, part %v, names %v: %v", step, unsyncedFraction, keepUnsyncedNames, err)
+					t.Fatalf("killed at step %d, unsynced part %v, names %v: the store can't be opened: %v", step, unsyncedFraction, keepUnsyncedNames, err)
 				}
 				got := s.Directory.Revision
 				if got < acknowledged || got > acknowledged+1 || directoryText(s.Directory) != textByRevision[got] {
-					t.Fatalf("step %d, part %v, names %v: revision %d after %d were done: %v",
+					t.Fatalf("killed at step %d, unsynced part %v, names %v: got revision %d, acknowledged %d: %v",
 						step, unsyncedFraction, keepUnsyncedNames, got, acknowledged, s.Directory.All())
 				}
 				if err := put(s, "later", 3); err != nil {
-					t.Fatalf("step %d, part %v: %v", step, unsyncedFraction, err)
+					t.Fatalf("killed at step %d, unsynced part %v: a later change fails: %v", step, unsyncedFraction, err)
 				}
 				s.Close()
 				s, err = Open(after)
@@ -142,8 +144,9 @@
 	}
 }
 
-// Damage that is not the end of the last record is never skipped: behind it stands what was
-// reported as done.
+// Damage other than a partly written last record must be reported and never skipped, because
+// acknowledged records may follow it. Two kinds of tail are accepted: zeros, which a power failure
+// can leave, and a repetition of the whole log, which begins with a snapshot.
 func TestDamageIsReported(t *testing.T) {
 	newLog := func() (*memFiles, *memFile) {
 		files := newMemFiles()
@@ -154,25 +157,25 @@
 	log.content[len(log.content)/2] ^= 1
 	_, err := Open(files)
 	if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "at byte") {
-		t.Error("a bit in the middle: ", err)
+		t.Error("a flipped bit in the middle is not reported as damage: ", err)
 	}
 	files, log = newLog()
 	log.content = append(log.content, make([]byte, 512)...)
 	s, err := Open(files)
 	if err != nil || s.Directory.Revision != 9 {
-		t.Error("zeros behind the end, as a loss of power can leave: ", err)
+		t.Error("zeros after the end, as a power failure can leave them, are not accepted: ", err)
 	}
 	files, log = newLog()
 	log.content = append(log.content, log.content...)
 	s, err = Open(files)
 	if err != nil || s.Directory.Revision != 9 {
-		t.Error("the same once more begins with a snapshot: ", err)
+		t.Error("a repeated log, which begins with a snapshot, is not accepted: ", err)
 	}
 	files, log = newLog()
 	lastRecord := strings.LastIndex(strings.TrimSpace(string(log.content)), "\n") + 1
 	log.content = append(log.content, log.content[lastRecord:]...)
 	_, err = Open(files)
 	if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "does not follow") {
-		t.Error("a record twice: ", err)
+		t.Error("a repeated record is not reported as damage: ", err)
 	}
 }
--- a/internal/tenants/store/syncfault_test.go
+++ b/internal/tenants/store/syncfault_test.go
@@ -9,11 +9,11 @@
 
 var errIO = errors.New("input/output error")
 
-// faultyFiles is a file system whose next syncs fail. What was to be synced is not durable.
+// faultyFiles is a file system whose next syncs fail without making anything durable.
 type faultyFiles struct {
 	*memFiles
-	remainingNameSyncFaults int // syncs of names that still fail
-	remainingFileSyncFaults int // syncs of files that still fail
+	remainingNameSyncFaults int // number of directory syncs that still fail
+	remainingFileSyncFaults int // number of file syncs that still fail
 }
 
 func (f *faultyFiles) Sync() error {
@@ -32,6 +32,7 @@
 	return &faultyFile{memHandle: file.(*memHandle), files: f}, nil
 }
 
+// faultyFile is an open file of faultyFiles.
 type faultyFile struct {
 	*memHandle
 	files *faultyFiles
@@ -47,8 +48,9 @@
 	return f.memHandle.Sync()
 }
 
-// The log is compacted, and the sync of names behind the rename fails once. What is reported as
-// done from then on survives a loss of power all the same.
+// The log is compacted, and the directory sync after the rename fails once, so a power failure could
+// bring back the old log. Changes that are acknowledged afterwards must survive a power failure
+// nevertheless.
 func TestDoneChangesSurviveAFailedSyncOfNames(t *testing.T) {
 	files := &faultyFiles{memFiles: newMemFiles()}
 	s, err := Open(files)
@@ -62,7 +64,7 @@
 	}
 	files.remainingNameSyncFaults = 1
 	if err := s.Compact(); err == nil {
-		t.Error("a failed sync is not reported")
+		t.Error("Compact returns no error although the directory sync failed")
 	}
 	acknowledged := s.Directory.Revision
 	for n := range 3 {
@@ -78,12 +80,12 @@
 		t.Fatal(err)
 	}
 	if after.Directory.Revision != acknowledged {
-		t.Errorf("reported as done: %d; after the loss of power: %d", acknowledged, after.Directory.Revision)
+		t.Errorf("acknowledged revision: %d; revision after the power failure: %d", acknowledged, after.Directory.Revision)
 	}
 }
 
-// A change is written, read by a follower, and its sync fails: it is rejected and cut off. The
-// follower goes back to what the log has, and on with what comes.
+// A change is written and read by a follower before its sync fails, so it is rejected and the log is
+// truncated. The follower must return to the content of the log and continue with later changes.
 func TestFollowerWithdrawsWhatIsCutOff(t *testing.T) {
 	files := &faultyFiles{memFiles: newMemFiles()}
 	s, err := Open(files)
@@ -111,7 +113,7 @@
 		}
 	}}
 	if err := put(s, "rejected", 1); err == nil || !syncCalled {
-		t.Fatal("the sync does not fail")
+		t.Fatal("the change was accepted although its sync should fail")
 	}
 	s.log.file = log
 	for n := range 2 {
@@ -129,7 +131,7 @@
 	}
 }
 
-// hookedFile has somebody read between a write and its sync.
+// hookedFile calls a function between a write and its sync, as another process may read then.
 type hookedFile struct {
 	*faultyFile
 	beforeSync func()
