--- a/internal/tenants/api/api.go
+++ b/internal/tenants/api/api.go
@@ -8,23 +8,25 @@
 	"stoatweir/internal/tenants"
 )
 
-// UsageFunc returns what a tenant uses at this scheduler, and whether it is known there.
+// UsageFunc returns the usage of the named tenant at this scheduler, and whether the scheduler knows
+// the tenant.
 type UsageFunc func(name string) (usage tenants.Usage, known bool)
 
-// API is an http.Handler that answers administrators.
+// API is the http.Handler of the administrators' API.
 type API struct {
 	registry       *Registry
 	administrators []Administrator
 	usage          UsageFunc
-	schedulers     int // that share each limit
+	schedulers     int // number of schedulers that each limit is divided among
 	mux            *http.ServeMux
 	routes         []string
 }
 
-// handler answers one authenticated request. An error is reported as a problem.
+// handler answers one authorized request. An error is sent as a Problem.
 type handler func(*request) (response, error)
 
-// New returns the API. schedulers is how many share each limit.
+// New returns an API over a registry. schedulers is the number of schedulers that each limit is
+// divided among.
 func New(r *Registry, administrators []Administrator, usage UsageFunc, schedulers int) *API {
 	a := &API{
 		registry:       r,
@@ -46,16 +48,16 @@
 	return a
 }
 
-// handle registers the handler of a route, for administrators who have a role.
+// handle registers the handler of a route, which requires a role.
 func (a *API) handle(pattern string, role Role, h handler) {
 	a.routes = append(a.routes, pattern)
 	a.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { a.serve(w, r, role, h) })
 }
 
-// Routes returns the patterns of all routes.
+// Routes returns the patterns of all routes, as http.ServeMux takes them.
 func (a *API) Routes() []string { return slices.Clone(a.routes) }
 
-// ServeHTTP answers one request. Paths and methods without a route are answered with a problem too.
+// ServeHTTP answers one request. An unknown path or method is answered with a Problem, too.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, pattern := a.mux.Handler(r); pattern != "" {
 		a.mux.ServeHTTP(w, r)
@@ -70,7 +72,7 @@
 	writeError(w, newProblem(http.StatusMethodNotAllowed, "it takes "+allowed))
 }
 
-// allowedMethods returns the methods that the request's path has a route for.
+// allowedMethods returns the methods for which the request's path has a route.
 func (a *API) allowedMethods(r *http.Request) []string {
 	var allowed []string
 	for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPost, http.MethodDelete} {
--- a/internal/tenants/api/api_test.go
+++ b/internal/tenants/api/api_test.go
@@ -18,6 +18,7 @@
 	"stoatweir/internal/tenants/store"
 )
 
+// The OpenAPI description and the API must have the same routes.
 func TestEveryRouteIsDescribed(t *testing.T) {
 	f := newFixture(t)
 	var described []string
@@ -34,8 +35,8 @@
 	}
 }
 
-// A tenant is created, changed and removed: what has no effect is no change, a lost race is reported,
-// and a dry run changes nothing.
+// A tenant is created, changed and removed. A request without effect makes no new revision, a change
+// whose precondition does not hold is rejected, and a dry run changes nothing.
 func TestTenantIsAVersionedResource(t *testing.T) {
 	f := newFixture(t)
 	f.expect(200, `"dry_run": true`, operator, "PUT", "/v1/tenants/acme?dry_run=true", specBody)
@@ -43,7 +44,7 @@
 	first := f.expect(201, `"state": "active"`, operator, "PUT", "/v1/tenants/acme", specBody, "If-None-Match", "*")
 	f.expect(412, "there is a tenant of that name", operator, "PUT", "/v1/tenants/acme", specBody, "If-None-Match", "*")
 	if again := f.expect(200, "", operator, "PUT", "/v1/tenants/acme", specBody); again != first {
-		t.Error("the same once more is a new revision: ", first, again)
+		t.Error("a repeated PUT without a change made a new revision: ", first, again)
 	}
 	heavier := strings.Replace(specBody, `"weight": 1`, `"weight": 2.5`, 1)
 	second := f.expect(200, `"weight": 2.5`, operator, "PUT", "/v1/tenants/acme", heavier, "If-Match", first)
@@ -65,7 +66,7 @@
 	}
 }
 
-// Each page begins where the last one ended, whatever is created and removed between.
+// Each page must begin where the last one ended, even if tenants are created and removed in between.
 func TestPagesAreStable(t *testing.T) {
 	f := newFixture(t)
 	for n := range 7 {
@@ -102,7 +103,7 @@
 	}
 }
 
-// Invalid input is rejected by field, and changes nothing.
+// Invalid input must be rejected with the name of the invalid field, and must change nothing.
 func TestInvalidInputIsRejected(t *testing.T) {
 	f := newFixture(t)
 	put := func(wantStatus int, wantSubstring, body string) {
@@ -141,7 +142,7 @@
 	f.expect(405, "it takes GET, PUT, DELETE", operator, "POST", "/v1/tenants/acme", "")
 	f.expect(404, "", operator, "PUT", "/v1/tenants/acme/state", `{"state": "active"}`)
 	if len(f.published) != 1 {
-		t.Error("something was changed: ", f.published)
+		t.Error("an invalid request made a change; published revisions: ", f.published)
 	}
 	f.expect(201, "", operator, "PUT", "/v1/tenants/acme", specBody)
 	f.expect(422, `"field": "/state"`, operator, "PUT", "/v1/tenants/acme/state", `{"state": "gone"}`)
@@ -149,8 +150,8 @@
 	f.expect(404, "", operator, "DELETE", "/v1/tenants/acme/credentials/none", "")
 }
 
-// Twenty administrators change one tenant from the same revision: one succeeds, and all others are
-// told that they have lost the race.
+// Twenty administrators change one tenant concurrently, starting from the same revision: one change
+// must succeed, and all others must fail with 412 Precondition Failed.
 func TestOneOfManyConcurrentChangesSucceeds(t *testing.T) {
 	f := newFixture(t)
 	tag := f.expect(201, "", operator, "PUT", "/v1/tenants/acme", specBody)
@@ -174,8 +175,8 @@
 	}
 }
 
-// A full disk rejects changes with its reason, and what is there is still answered; a scheduler that
-// only follows says so.
+// While the disk is full, changes are rejected with the reason and reads are still answered. A
+// scheduler that is a follower rejects changes and says why.
 func TestChangesAreRejectedWhereNothingCanBeWritten(t *testing.T) {
 	f := newFixture(t)
 	f.expect(201, "", operator, "PUT", "/v1/tenants/acme", specBody)
@@ -199,8 +200,8 @@
 	}
 }
 
-// A request that is never whole is answered after a while, and silent connections leave room for
-// others.
+// Connections that send nothing or only a part of a request must not lock others out for longer than
+// the read timeout, and an incomplete request must be answered with 408 Request Timeout.
 func TestSlowConnectionsAreBounded(t *testing.T) {
 	f := newFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -236,11 +237,11 @@
 	}
 	answer.Body.Close()
 	if took := time.Since(start); took > readTimeout+2*time.Second {
-		t.Error("others kept it for", took)
+		t.Error("a request beside silent connections took", took)
 	}
 	silent[0].SetReadDeadline(time.Now().Add(readTimeout))
-	content, _ := io.ReadAll(silent[0]) // until the deadline, if it is not closed
+	content, _ := io.ReadAll(silent[0]) // returns at the deadline if the connection is not closed
 	if !strings.HasPrefix(string(content), "HTTP/1.1 408") {
-		t.Errorf("a body without an end: %.80q", content)
+		t.Errorf("an incomplete body is not answered with 408: %.80q", content)
 	}
 }
--- a/internal/tenants/api/audit.go
+++ b/internal/tenants/api/audit.go
@@ -11,9 +11,9 @@
 // revisionView is the state of the directory at this scheduler.
 type revisionView struct {
 	Revision   uint64 `json:"revision"`
-	Writes     bool   `json:"writes"`       // changes can be made here
-	WriteError string `json:"why,omitzero"` // they can't
-	Schedulers int    `json:"schedulers"`   // that share each limit
+	Writes     bool   `json:"writes"`       // this scheduler accepts changes
+	WriteError string `json:"why,omitzero"` // why it accepts no changes at present
+	Schedulers int    `json:"schedulers"`   // number of schedulers that each limit is divided among
 }
 
 func (a *API) getRevision(r *request) (response, error) {
@@ -29,14 +29,14 @@
 	return response{status: http.StatusOK, body: view}, nil
 }
 
-// changeView is one change of the audit.
+// changeView is one change as the audit shows it.
 type changeView struct {
 	Revision uint64      `json:"revision"`
 	At       time.Time   `json:"at"`
 	By       string      `json:"by"`
 	Action   string      `json:"what"`
 	Name     string      `json:"name"`
-	Tenant   *TenantView `json:"tenant,omitzero"` // as it was from then on
+	Tenant   *TenantView `json:"tenant,omitzero"` // the tenant after the change; nil if it was removed
 }
 
 func newChangeView(change tenants.Change) changeView {
@@ -81,7 +81,7 @@
 	return response{status: http.StatusOK, body: list}, nil
 }
 
-// afterRevision returns the query parameter after; 0 if there is none. The error is a Problem.
+// afterRevision returns the query parameter "after", or 0 if it is not set. The error is a Problem.
 func (r *request) afterRevision() (uint64, error) {
 	text := r.query.Get("after")
 	if text == "" {
--- a/internal/tenants/api/auth.go
+++ b/internal/tenants/api/auth.go
@@ -9,24 +9,25 @@
 	"stoatweir/internal/tenants"
 )
 
-// Role is what an administrator may do.
+// Role determines which requests an administrator may send.
 type Role string
 
 // The roles of administrators.
 const (
-	Read    Role = "read"
-	Operate Role = "operate" // and read
+	Read    Role = "read"    // may only read
+	Operate Role = "operate" // may read and make changes
 )
 
-// Administrator is one who may use the API. The configuration has the token's hash alone.
+// Administrator is a person or program that may use the API. Only the hash of its token is
+// configured, never the token itself.
 type Administrator struct {
 	Name string
 	Role Role
 	Hash string // SHA-256 of the token, in hexadecimal digits
 }
 
-// authorize returns the administrator who has sent a request, if the role permits it. The error is
-// a Problem.
+// authorize returns the administrator who sent a request if that administrator has the required role.
+// The error is a Problem.
 func (a *API) authorize(w http.ResponseWriter, r *http.Request, role Role) (Administrator, error) {
 	administrator, known := a.authenticate(r.Header.Values("Authorization"))
 	if !known {
@@ -39,8 +40,9 @@
 	return administrator, nil
 }
 
-// authenticate returns the administrator of the token in the Authorization headers. It compares the
-// token with all, so that the time it takes reveals nothing.
+// authenticate returns the administrator to whom the token in the Authorization headers belongs. It
+// compares the token with those of all administrators, so that its running time does not reveal
+// whether or which one matched.
 func (a *API) authenticate(headers []string) (administrator Administrator, known bool) {
 	if len(headers) != 1 {
 		return Administrator{}, false
--- a/internal/tenants/api/credentials.go
+++ b/internal/tenants/api/credentials.go
@@ -8,16 +8,17 @@
 	"stoatweir/internal/tenants"
 )
 
-// secretBytes is the length of a secret: 256 bits, which nobody guesses.
+// secretBytes is the length of a secret: 256 random bits can't be guessed.
 const secretBytes = 32
 
+// newSecret returns a random secret in URL-safe base64.
 func newSecret() string {
 	var secret [secretBytes]byte
 	rand.Read(secret[:])
 	return base64.RawURLEncoding.EncodeToString(secret[:])
 }
 
-// CredentialView is a credential without anything that authenticates.
+// CredentialView is a credential as administrators see it, without the hash of its secret.
 type CredentialView struct {
 	ID      string    `json:"id"`
 	Expires time.Time `json:"expires,omitzero"`
@@ -27,17 +28,17 @@
 	return CredentialView{ID: credential.ID, Expires: credential.Expires}
 }
 
-// grantedCredential is a credential with its secret, which is shown this once.
+// grantedCredential is a new credential with its secret. This answer is the only one that shows it.
 type grantedCredential struct {
 	CredentialView
-	Credential string `json:"credential"` // what clients authenticate with: id and secret
+	Credential string `json:"credential"` // "id.secret", which clients authenticate with
 }
 
 func (a *API) grantCredential(r *request) (response, error) {
 	if err := r.allowQuery("dry_run"); err != nil {
 		return response{}, err
 	}
-	// Problems print this type, so it has no name.
+	// Problem texts contain the name of the type that was expected, so naming it would change them.
 	var body struct {
 		Expires time.Time `json:"expires,omitzero"`
 	}
--- a/internal/tenants/api/fixture_test.go
+++ b/internal/tenants/api/fixture_test.go
@@ -24,7 +24,7 @@
 const specBody = `{"weight": 1, "limits": {"rate_per_s": 5}, "operations": [{"name": "render", "effect": "idempotent",
 	"latency_objective_s": 1, "client_timeout_s": 2, "billed_value": 1}]}`
 
-// Tokens of the test's administrators.
+// Tokens of the administrators in tests.
 const (
 	operator = "o"
 	reader   = "e"
@@ -39,12 +39,13 @@
 
 func noon() time.Time { return time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC) }
 
-// limitedFiles is a disk that is full while isFull says so.
+// limitedFiles is a disk that is full, so that writes fail, while *isFull is set.
 type limitedFiles struct {
 	store.Files
 	isFull *bool
 }
 
+// limitedFile is an open file of limitedFiles.
 type limitedFile struct {
 	store.File
 	isFull *bool
@@ -62,7 +63,7 @@
 	return f.File.Write(b)
 }
 
-// fixture is an API over a store of its own, with the revisions that it has published.
+// fixture is an API over a new store, with the revisions that its registry has published.
 type fixture struct {
 	*API
 	t           *testing.T
@@ -102,7 +103,7 @@
 	return f
 }
 
-// newRequest returns a request with pairs of header names and values.
+// newRequest returns a request. headers are alternating header names and values.
 func newRequest(token, method, path, body string, headers ...string) *http.Request {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if token != "" {
@@ -114,8 +115,8 @@
 	return r
 }
 
-// send sends a request, checks the answer against the description, and returns its status, body and
-// ETag.
+// send sends a request, checks the answer against the OpenAPI description, and returns its status,
+// body and ETag.
 func (f *fixture) send(token, method, path, body string, headers ...string) (status int, text, etag string) {
 	f.t.Helper()
 	r := newRequest(token, method, path, body, headers...)
@@ -131,7 +132,7 @@
 	return answer.StatusCode, string(content), answer.Header.Get("ETag")
 }
 
-// checkDescription checks an answer against the description of its route.
+// checkDescription checks an answer against the OpenAPI description of its route.
 func (f *fixture) checkDescription(r *http.Request, answer *http.Response, content []byte) {
 	f.t.Helper()
 	router, err := legacy.NewRouter(f.description)
@@ -141,7 +142,7 @@
 	route, parameters, err := router.FindRoute(r)
 	if err != nil {
 		if answer.StatusCode != http.StatusNotFound && answer.StatusCode != http.StatusMethodNotAllowed {
-			f.t.Errorf("%s %s is not described and answers %d", r.Method, r.URL, answer.StatusCode)
+			f.t.Errorf("%s %s is not in the description, but is answered with %d", r.Method, r.URL, answer.StatusCode)
 		}
 		return
 	}
@@ -153,16 +154,17 @@
 		Options:                &openapi3filter.Options{IncludeResponseStatus: true},
 	})
 	if err != nil {
-		f.t.Errorf("%s %s: the answer is not as described: %v", r.Method, r.URL, err)
+		f.t.Errorf("%s %s: the answer does not match the description: %v", r.Method, r.URL, err)
 	}
 }
 
-// expect sends a request and requires a status and a part of the body. It returns the ETag.
+// expect sends a request and requires that the answer has a status and that its body contains a
+// substring. It returns the ETag.
 func (f *fixture) expect(wantStatus int, wantSubstring, token, method, path, body string, headers ...string) string {
 	f.t.Helper()
 	got, text, tag := f.send(token, method, path, body, headers...)
 	if got != wantStatus || !strings.Contains(text, wantSubstring) {
-		f.t.Errorf("%s %s %.60q: %d in place of %d, wanted %q in %s", method, path, body, got, wantStatus, wantSubstring, text)
+		f.t.Errorf("%s %s %.60q: got status %d, want %d; want substring %q in body %s", method, path, body, got, wantStatus, wantSubstring, text)
 	}
 	return tag
 }
--- a/internal/tenants/api/forms_test.go
+++ b/internal/tenants/api/forms_test.go
@@ -16,15 +16,15 @@
 	"stoatweir/internal/tenants/store"
 )
 
-// goldenSpec is the body of a tenant, every key set.
+// goldenSpec is a request body for a tenant with every key set.
 const goldenSpec = `{"weight": 2, "limits": {"rate_per_s": 3, "burst": 4, ` +
 	`"concurrency": 5, "held_work_s": 6.5, "request_bytes": 7, "retry_ratio": 0.25},
  "operations": [{"name": "render", "effect": "deduplicated", "dedup_scope": "cell", "dedup_window_s": 8, ` +
 	`"latency_objective_s": 9.5, "stretch": 10,
  "client_timeout_s": 11, "billed_value": 12, "late_billed_value": 0.5}]}`
 
-// randomParts match what differs from run to run: the mark of a handle, a credential's id and its
-// secret.
+// randomParts match the parts of answers that differ between runs: the random suffix of a handle, and
+// the id and secret of a credential.
 var randomParts = []struct {
 	pattern     *regexp.Regexp
 	replacement string
@@ -34,13 +34,13 @@
 	{pattern: regexp.MustCompile(`"id": "[a-z0-9]{16}"`), replacement: `"id": "ID"`},
 }
 
-// transcript is requests with their answers, as text.
+// transcript records requests and their answers as text.
 type transcript struct {
 	api  *API
 	text strings.Builder
 }
 
-// send records a request and its answer, and returns the body of the answer as it came.
+// send sends a request, records it and its answer, and returns the body of the answer unmasked.
 func (s *transcript) send(token, method, path, body string, headers ...string) string {
 	fmt.Fprintf(&s.text, "%s %s %s %v\n%s\n", token, method, path, headers, body)
 	recorder := httptest.NewRecorder()
@@ -60,7 +60,8 @@
 	return content
 }
 
-// newGoldenAPI returns an API with the given usage of tenant one, on a disk that can be full.
+// newGoldenAPI returns an API that answers with the given usage for the tenant named one. Its disk is
+// full while *isFull is set.
 func newGoldenAPI(t *testing.T, usage tenants.Usage) (a *API, r *Registry, isFull *bool) {
 	t.Helper()
 	isFull = new(bool)
@@ -74,7 +75,8 @@
 	return New(r, newAdministrators(), usageOf, 2), r, isFull
 }
 
-// Each answer is the same to the byte but for random parts, and a spec with every key is stored whole.
+// Each answer must be the recorded bytes except for random parts, and a spec with every key set must
+// be stored completely.
 func TestGoldenAnswers(t *testing.T) {
 	a, r, isFull := newGoldenAPI(t, golden.Filled[tenants.Usage](t))
 	s := &transcript{api: a}
@@ -118,7 +120,8 @@
 	golden.Compare(t, "answers.txt", []byte(s.text.String()))
 }
 
-// sendInvalid sends requests that are rejected, for each reason but limits of number and time.
+// sendInvalid sends requests that are rejected, one for each reason except limits on sizes, counts
+// and time.
 func (s *transcript) sendInvalid() {
 	s.send("", "GET", "/v1/tenants", "")
 	s.send(reader, "DELETE", "/v1/tenants/one", "")
@@ -140,8 +143,8 @@
 	s.send(operator, "DELETE", "/v1/tenants/one/credentials/none", "")
 }
 
-// A view and a problem with every field set are the same to the byte, and the recorded ones are
-// decoded whole.
+// The encodings of views and of a problem with every field set must be the recorded bytes, and the
+// recorded bytes must decode to the same values.
 func TestGoldenEncodings(t *testing.T) {
 	tenant := golden.Filled[TenantView](t)
 	checkGoldenJSON(t, "view.json", tenant, func(w http.ResponseWriter) {
@@ -157,7 +160,8 @@
 	})
 }
 
-// checkGoldenJSON compares what is written with the recorded text, and that with the value.
+// checkGoldenJSON compares the written JSON with the recorded text, and the value decoded from the
+// recorded text with the wanted value.
 func checkGoldenJSON[T any](t *testing.T, name string, want T, writeTo func(http.ResponseWriter)) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -172,8 +176,8 @@
 	}
 }
 
-// Every kind of rejection that usage counts keeps its name. Their order differs from answer to answer,
-// so there is one in each.
+// Every kind of rejection that usage counts must keep its name. The order of kinds in an answer is
+// random, so each answer has only one.
 func TestGoldenRejectionKinds(t *testing.T) {
 	var text strings.Builder
 	for n, kind := range tenants.RejectionKinds {
--- a/internal/tenants/api/request.go
+++ b/internal/tenants/api/request.go
@@ -19,16 +19,16 @@
 
 const (
 	maxBodyBytes    = 64 << 10
-	defaultPageSize = 100
-	maxPageSize     = 500
+	defaultPageSize = 100 // items in a list without the parameter limit
+	maxPageSize     = 500 // items
 
-	revisionBitSize = 64
+	revisionBitSize = 64 // of the integers that revisions are parsed as
 )
 
-// request is one request of an authenticated administrator.
+// request is one request of an authorized administrator.
 type request struct {
 	*http.Request
-	administrator string // name
+	administrator string // the administrator's name
 	query         url.Values
 	isDryRun      bool
 	precondition  tenants.Precondition
@@ -54,7 +54,8 @@
 	writeResponse(w, answer)
 }
 
-// parseRequest parses the query and, for changes, the preconditions. The error is a Problem.
+// parseRequest parses the query and, for a request that needs the role Operate, its dry-run flag and
+// preconditions. It limits the size of the body. The error is a Problem.
 func parseRequest(w http.ResponseWriter, r *http.Request, administrator Administrator, role Role) (*request, error) {
 	query, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
@@ -72,11 +73,12 @@
 	return req, nil
 }
 
+// changeOptionProblem returns the problem of an invalid dry-run flag or precondition.
 func changeOptionProblem(field, reason string) *Problem {
 	return fieldProblem("a condition can't be read", field, reason)
 }
 
-// parseChangeOptions parses whether a change is a dry run, and its preconditions.
+// parseChangeOptions parses the dry-run flag and the preconditions of a change. The error is a Problem.
 func (r *request) parseChangeOptions() error {
 	switch dryRun := r.query.Get("dry_run"); dryRun {
 	case "", "false":
@@ -99,6 +101,7 @@
 	return nil
 }
 
+// parseIfMatch parses the values of If-Match into the precondition. The error is a Problem.
 func (r *request) parseIfMatch(values []string) error {
 	tag := strings.TrimSpace(values[0])
 	if tag == "*" && len(values) == 1 {
@@ -114,8 +117,8 @@
 	return nil
 }
 
-// allowQuery rejects all query parameters but the given ones, so that a misspelt one is not
-// ignored. The error is a Problem.
+// allowQuery rejects all query parameters except the named ones, so that a misspelt parameter is not
+// silently ignored, and parameters that are given twice. The error is a Problem.
 func (r *request) allowQuery(names ...string) error {
 	for name, values := range r.query {
 		if !slices.Contains(names, name) {
@@ -128,11 +131,13 @@
 	return nil
 }
 
+// parameterProblem returns the problem of an invalid value of a query parameter.
 func parameterProblem(name, reason string) *Problem {
 	return fieldProblem("a query parameter makes no sense", name, reason)
 }
 
-// pageSize returns the query parameter limit. The error is a Problem.
+// pageSize returns the query parameter "limit", or defaultPageSize if it is not set. The error is a
+// Problem.
 func (r *request) pageSize() (int, error) {
 	text := r.query.Get("limit")
 	if text == "" {
@@ -145,7 +150,7 @@
 	return size, nil
 }
 
-// decodeBody decodes the whole body, which may have no unknown key. The error is a Problem.
+// decodeBody decodes the body into target and rejects unknown keys. The error is a Problem.
 func (r *request) decodeBody(target any) error {
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -158,7 +163,7 @@
 	return nil
 }
 
-// readProblem is the problem of a body that can't be read.
+// readProblem returns the problem of a body that can't be read completely.
 func readProblem(err error) *Problem {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -173,7 +178,7 @@
 	}
 }
 
-// decodeProblem is the problem of a body that can't be decoded.
+// decodeProblem returns the problem of a body that can't be decoded.
 func decodeProblem(err error) *Problem {
 	var semantic *json.SemanticError
 	var syntactic *jsontext.SyntacticError
--- a/internal/tenants/api/response.go
+++ b/internal/tenants/api/response.go
@@ -17,20 +17,20 @@
 	contentTypeJSON    = "application/json"
 	contentTypeProblem = "application/problem+json"
 
-	// marshalFailure is the body where the intended one can't be marshalled.
+	// marshalFailure is the body that is sent if the intended one can't be marshalled.
 	marshalFailure = `{"type":"about:blank","title":"Internal Server Error","status":500}`
 
-	revisionRadix = 10 // of the digits in an ETag
+	revisionRadix = 10 // base of the revision in an ETag
 )
 
 // response is a successful answer.
 type response struct {
 	status   int
-	body     any    // marshalled to JSON
-	revision uint64 // of the resource, for the ETag; 0: none
+	body     any    // is marshalled to JSON
+	revision uint64 // revision of the resource, sent as the ETag; 0 for no ETag
 }
 
-// Problem is an error as administrators get it, by RFC 9457.
+// Problem is an error as it is sent to administrators: problem details by RFC 9457.
 type Problem struct {
 	Type   string              `json:"type"`
 	Title  string              `json:"title"`
@@ -39,7 +39,7 @@
 	Errors tenants.FieldErrors `json:"errors,omitzero"`
 }
 
-// Error returns the detail.
+// Error returns the problem's detail.
 func (p *Problem) Error() string { return p.Detail }
 
 func newProblem(status int, detail string, fieldErrors ...tenants.FieldError) *Problem {
@@ -52,13 +52,13 @@
 	}
 }
 
-// fieldProblem is a bad request by one field of it.
+// fieldProblem returns the problem of a bad request with one invalid field.
 func fieldProblem(detail, field, reason string) *Problem {
 	return newProblem(http.StatusBadRequest, detail, tenants.FieldError{Field: field, Reason: reason})
 }
 
-// problemOf returns the problem that an error is reported as: itself, or that of a change that was
-// not made.
+// problemOf returns the problem that is sent for an error. This is the error itself if it is a Problem,
+// or the problem of a change that was not made.
 func problemOf(err error) *Problem {
 	var problem *Problem
 	var fieldErrors tenants.FieldErrors
@@ -82,13 +82,13 @@
 	}
 }
 
-// writeError answers with the problem of an error.
+// writeError answers a request with the problem of an error.
 func writeError(w http.ResponseWriter, err error) {
 	problem := problemOf(err)
 	writeBody(w, contentTypeProblem, problem.Status, problem)
 }
 
-// writeResponse answers with a response.
+// writeResponse answers a request with a response.
 func writeResponse(w http.ResponseWriter, r response) {
 	if r.revision > 0 {
 		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(r.revision, revisionRadix)))
@@ -113,5 +113,5 @@
 	w.Write(append(text, '\n'))
 }
 
-// setNoStore keeps caches from storing an answer.
+// setNoStore tells caches not to store an answer.
 func setNoStore(w http.ResponseWriter) { w.Header().Set("Cache-Control", "no-store") }
--- a/internal/tenants/api/tenants.go
+++ b/internal/tenants/api/tenants.go
@@ -10,11 +10,11 @@
 	"stoatweir/internal/tenants"
 )
 
-// randomIDLength is the length of a random id, in characters of 5 bits each.
+// randomIDLength is the length of a random id in characters, each of which has 5 random bits.
 const randomIDLength = 16
 
-// randomID returns lower-case letters and digits that nobody can guess. It never begins with a dash,
-// which command lines would take for a flag.
+// randomID returns random lower-case letters and digits that can't be guessed. It never begins with a
+// dash, because command lines would treat that as a flag.
 func randomID() string { return strings.ToLower(rand.Text()[:randomIDLength]) }
 
 // TenantView is a tenant as administrators see it.
@@ -29,6 +29,7 @@
 	DryRun      bool             `json:"dry_run,omitzero"`
 }
 
+// newTenantView returns the view of a tenant, in which an empty list of credentials is not null.
 func newTenantView(tenant tenants.Tenant) TenantView {
 	view := TenantView{
 		Name:        tenant.Name,
@@ -85,7 +86,8 @@
 				continue
 			}
 			if len(list.Tenants) == size {
-				// Names never change, so the next page begins where this one ends.
+				// Tenants are sorted by name and names never change, so the last name of this page
+				// is a stable start for the next one.
 				list.NextPageToken = list.Tenants[size-1].Name
 				break
 			}
@@ -108,8 +110,8 @@
 	return tenantResponse(tenant), nil
 }
 
-// change makes a change and answers with what the tenant is from now on, or would be after a dry
-// run.
+// change makes a change and answers with the changed tenant. For a dry run it answers with the tenant
+// as the change would make it.
 func (a *API) change(r *request, compute changeFunc) (response, error) {
 	change, err := a.registry.change(r.isDryRun, compute)
 	if errors.Is(err, errUnchanged) {
@@ -134,7 +136,7 @@
 	return answer, nil
 }
 
-// unchangedResult is the result of a changeFunc that has nothing to change.
+// unchangedResult returns the result of a changeFunc that has nothing to change.
 func unchangedResult(d *tenants.Directory, name string) (tenants.Change, error) {
 	tenant, _ := d.Get(name)
 	return tenants.Change{Tenant: &tenant}, errUnchanged
@@ -162,7 +164,7 @@
 	if err := r.allowQuery("dry_run"); err != nil {
 		return response{}, err
 	}
-	// Problems print this type, so it has no name.
+	// Problem texts contain the name of the type that was expected, so naming it would change them.
 	var body struct {
 		State tenants.State `json:"state"`
 	}
--- a/internal/tenants/api/usage.go
+++ b/internal/tenants/api/usage.go
@@ -6,7 +6,8 @@
 	"stoatweir/internal/tenants"
 )
 
-// usageView is what a tenant uses at this scheduler.
+// usageView is a tenant's usage at this scheduler as administrators see it. Its fields are described
+// at tenants.Usage.
 type usageView struct {
 	Admitted      int                           `json:"taken"`
 	Retries       int                           `json:"retries"`
@@ -23,7 +24,7 @@
 	WorkRate      float64                       `json:"work_per_s"`
 	WorkShare     float64                       `json:"share_per_s"`
 	OverShare     bool                          `json:"beyond_share"`
-	Schedulers    int                           `json:"schedulers"` // that share each limit
+	Schedulers    int                           `json:"schedulers"` // number of schedulers that each limit is divided among
 }
 
 func (a *API) getUsage(r *request) (response, error) {
--- a/internal/tenants/store/store_test.go
+++ b/internal/tenants/store/store_test.go
@@ -92,7 +92,8 @@
 				after := files.afterPowerLoss(unsyncedFraction, keepUnsyncedNames)
 				s, err := Open(after)
 				if err != nil {
-					t.Fatalf("killed at step %d, unsynced part %v, names %v: the store can't be opened: %v", step, unsyncedFraction, keepUnsyncedNames, err)
+					t.Fatalf("killed at step %d, unsynced part %v, names %v: the store can't be opened: %v",
+						step, unsyncedFraction, keepUnsyncedNames, err)
 				}
 				got := s.Directory.Revision
 				if got < acknowledged || got > acknowledged+1 || directoryText(s.Directory) != textByRevision[got] {
