--- a/internal/tenants/api/request.go
+++ b/internal/tenants/api/request.go
@@ -19,19 +19,19 @@
 
 const (
 	maxBodyBytes    = 64 << 10
-	defaultPageSize = 100
-	maxPageSize     = 500
+	defaultPageSize = 100 // items in a list without the parameter limit
+	maxPageSize     = 500 // items
 
-	revisionBits = 64
+	revisionBitSize = 64 // of the integers that revisions are parsed as
 )
 
-// request is one request of an authenticated administrator.
+// request is one request of an authorized administrator.
 type request struct {
 	*http.Request
-	administrator string // name
+	administrator string // the administrator's name
 	query         url.Values
 	isDryRun      bool
-	match         tenants.Precondition
+	precondition  tenants.Precondition
 }
 
 // serve authorizes and parses a request, and answers it.
@@ -51,10 +51,11 @@
 		writeError(w, err)
 		return
 	}
-	write(w, answer)
+	writeResponse(w, answer)
 }
 
-// parseRequest parses the query and, for changes, the preconditions. The error is a Problem.
+// parseRequest parses the query and, for a request that needs the role Operate, its dry-run flag and
+// preconditions. It limits the size of the body. The error is a Problem.
 func parseRequest(w http.ResponseWriter, r *http.Request, administrator Administrator, role Role) (*request, error) {
 	query, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
@@ -62,7 +63,7 @@
 	}
 	req := &request{Request: r, administrator: administrator.Name, query: query}
 	if role == Operate {
-		if err := req.parseConditions(); err != nil {
+		if err := req.parseChangeOptions(); err != nil {
 			return nil, err
 		}
 	}
@@ -72,18 +73,19 @@
 	return req, nil
 }
 
-func conditionProblem(field, reason string) *Problem {
+// changeOptionProblem returns the problem of an invalid dry-run flag or precondition.
+func changeOptionProblem(field, reason string) *Problem {
 	return fieldProblem("a condition can't be read", field, reason)
 }
 
-// parseConditions parses whether a change is a dry run, and its preconditions.
-func (r *request) parseConditions() error {
+// parseChangeOptions parses the dry-run flag and the preconditions of a change. The error is a Problem.
+func (r *request) parseChangeOptions() error {
 	switch dryRun := r.query.Get("dry_run"); dryRun {
 	case "", "false":
 	case "true":
 		r.isDryRun = true
 	default:
-		return conditionProblem("dry_run", fmt.Sprintf("%.20q is neither true nor false", dryRun))
+		return changeOptionProblem("dry_run", fmt.Sprintf("%.20q is neither true nor false", dryRun))
 	}
 	if values := r.Header.Values("If-Match"); len(values) > 0 {
 		if err := r.parseIfMatch(values); err != nil {
@@ -92,30 +94,31 @@
 	}
 	if values := r.Header.Values("If-None-Match"); len(values) > 0 {
 		if len(values) > 1 || strings.TrimSpace(values[0]) != "*" {
-			return conditionProblem("If-None-Match", "is not *")
+			return changeOptionProblem("If-None-Match", "is not *")
 		}
-		r.match.Absent = true
+		r.precondition.Absent = true
 	}
 	return nil
 }
 
+// parseIfMatch parses the values of If-Match into the precondition. The error is a Problem.
 func (r *request) parseIfMatch(values []string) error {
 	tag := strings.TrimSpace(values[0])
 	if tag == "*" && len(values) == 1 {
-		r.match.Exists = true
+		r.precondition.Exists = true
 		return nil
 	}
-	revision, err := strconv.ParseUint(strings.Trim(tag, `"`), revisionBase, revisionBits)
+	revision, err := strconv.ParseUint(strings.Trim(tag, `"`), revisionRadix, revisionBitSize)
 	isQuoted := len(tag) > len(`""`) && tag[0] == '"' && tag[len(tag)-1] == '"'
 	if len(values) > 1 || err != nil || !isQuoted {
-		return conditionProblem("If-Match", `is neither * nor one revision as in an ETag, such as "12"`)
+		return changeOptionProblem("If-Match", `is neither * nor one revision as in an ETag, such as "12"`)
 	}
-	r.match.Revision = &revision
+	r.precondition.Revision = &revision
 	return nil
 }
 
-// allowQuery rejects all query parameters but the given ones, so that a misspelt one is not
-// ignored. The error is a Problem.
+// allowQuery rejects all query parameters except the named ones, so that a misspelt parameter is not
+// silently ignored, and parameters that are given twice. The error is a Problem.
 func (r *request) allowQuery(names ...string) error {
 	for name, values := range r.query {
 		if !slices.Contains(names, name) {
@@ -128,11 +131,13 @@
 	return nil
 }
 
+// parameterProblem returns the problem of an invalid value of a query parameter.
 func parameterProblem(name, reason string) *Problem {
 	return fieldProblem("a query parameter makes no sense", name, reason)
 }
 
-// pageSize returns the query parameter limit. The error is a Problem.
+// pageSize returns the query parameter "limit", or defaultPageSize if it is not set. The error is a
+// Problem.
 func (r *request) pageSize() (int, error) {
 	text := r.query.Get("limit")
 	if text == "" {
@@ -145,20 +150,20 @@
 	return size, nil
 }
 
-// decodeBody decodes the whole body, which may have no unknown key. The error is a Problem.
-func (r *request) decodeBody(into any) error {
+// decodeBody decodes the body into target and rejects unknown keys. The error is a Problem.
+func (r *request) decodeBody(target any) error {
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
 		return readProblem(err)
 	}
-	err = json.Unmarshal(text, into, json.RejectUnknownMembers(true))
+	err = json.Unmarshal(text, target, json.RejectUnknownMembers(true))
 	if err != nil {
 		return decodeProblem(err)
 	}
 	return nil
 }
 
-// readProblem is the problem of a body that can't be read.
+// readProblem returns the problem of a body that can't be read completely.
 func readProblem(err error) *Problem {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -173,7 +178,7 @@
 	}
 }
 
-// decodeProblem is the problem of a body that can't be decoded.
+// decodeProblem returns the problem of a body that can't be decoded.
 func decodeProblem(err error) *Problem {
 	var semantic *json.SemanticError
 	var syntactic *jsontext.SyntacticError
--- a/internal/tenants/api/usage.go
+++ b/internal/tenants/api/usage.go
@@ -6,7 +6,8 @@
 	"stoatweir/internal/tenants"
 )
 
-// usageView is what a tenant uses at this scheduler.
+// usageView is a tenant's usage at this scheduler as administrators see it. Its fields are described
+// at tenants.Usage.
 type usageView struct {
 	Admitted      int                           `json:"taken"`
 	Retries       int                           `json:"retries"`
@@ -20,10 +21,10 @@
 	HeldWorkS     float64                       `json:"held_work_s"`
 	Bytes         int64                         `json:"bytes"`
 	ShareInFlight float64                       `json:"share_in_hand"`
-	Rate          float64                       `json:"work_per_s"`
-	Share         float64                       `json:"share_per_s"`
+	WorkRate      float64                       `json:"work_per_s"`
+	WorkShare     float64                       `json:"share_per_s"`
 	OverShare     bool                          `json:"beyond_share"`
-	Schedulers    int                           `json:"schedulers"` // that share each limit
+	Schedulers    int                           `json:"schedulers"` // number of schedulers that each limit is divided among
 }
 
 func (a *API) getUsage(r *request) (response, error) {
@@ -32,7 +33,7 @@
 	}
 	usage, known := a.usage(r.PathValue("name"))
 	if !known {
-		return response{}, tenants.ErrUnknown
+		return response{}, tenants.ErrNotFound
 	}
 	return response{status: http.StatusOK, body: usageView{
 		Admitted:      usage.Admitted,
@@ -47,8 +48,8 @@
 		HeldWorkS:     usage.HeldWorkS,
 		Bytes:         usage.Bytes,
 		ShareInFlight: usage.ShareInFlight,
-		Rate:          usage.Rate,
-		Share:         usage.Share,
+		WorkRate:      usage.WorkRate,
+		WorkShare:     usage.WorkShare,
 		OverShare:     usage.OverShare,
 		Schedulers:    a.schedulers,
 	}}, nil
--- a/internal/tenants/store/forms_test.go
+++ b/internal/tenants/store/forms_test.go
@@ -12,16 +12,17 @@
 	"stoatweir/internal/tenants"
 )
 
-// A record with every field set is the same to the byte, and the recorded one is decoded whole.
+// The encoding of a record with every field set must be the recorded bytes, and the recorded bytes
+// must decode to the same record.
 func TestGoldenRecord(t *testing.T) {
 	want := golden.Filled[record](t)
-	want.Schema = schema
-	encoded, err := encode(want)
+	want.Schema = currentSchema
+	encoded, err := encodeRecord(want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	recorded := golden.Compare(t, "record.log", encoded)
-	got, length, err := decode(recorded)
+	got, length, err := decodeRecord(recorded)
 	if err != nil || length != len(recorded) {
 		t.Fatal(length, err)
 	}
@@ -30,7 +31,7 @@
 	}
 }
 
-// goldenSpec has every field set to something valid.
+// goldenSpec returns a spec with every field set to a valid value.
 func goldenSpec(t *testing.T) tenants.Spec {
 	t.Helper()
 	spec := golden.Filled[tenants.Spec](t)
@@ -44,8 +45,8 @@
 	return spec
 }
 
-// appendEachKind appends each kind of change at least once.
-func appendEachKind(t *testing.T, s *Store) []tenants.Change {
+// appendEveryKindOfChange appends each kind of change at least once and returns the changes.
+func appendEveryKindOfChange(t *testing.T, s *Store) []tenants.Change {
 	t.Helper()
 	var all []tenants.Change
 	appendChange := func(c tenants.Change, err error) {
@@ -84,13 +85,13 @@
 	return all
 }
 
-// openRecorded opens a store on recorded bytes.
+// openRecorded opens a store whose log consists of recorded bytes.
 func openRecorded(t *testing.T, recorded []byte) *Store {
 	t.Helper()
 	files := newMemFiles()
 	log := &memFile{content: bytes.Clone(recorded), durable: bytes.Clone(recorded)}
-	files.names[logName] = log
-	files.durableNames[logName] = log
+	files.names[logFileName] = log
+	files.durableNames[logFileName] = log
 	s, err := Open(files)
 	if err != nil {
 		t.Fatal(err)
@@ -98,21 +99,21 @@
 	return s
 }
 
-// A log with each kind of change, and the snapshot that it is compacted to, are the same to the
-// byte on disk, and the recorded ones are read back with all that they hold; no list is written as
-// an empty one.
+// A log with each kind of change, and the snapshot that it is compacted to, must be the recorded
+// bytes on disk. The recorded bytes must read back as the same directory and audit, where a nil list
+// equals an empty one because it is written as such.
 func TestGoldenLog(t *testing.T) {
 	files := newMemFiles()
 	s, err := Open(files)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := appendEachKind(t, s)
-	log := golden.Compare(t, "changes.log", files.names[logName].content)
+	all := appendEveryKindOfChange(t, s)
+	log := golden.Compare(t, "changes.log", files.names[logFileName].content)
 	if err := s.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	compacted := golden.Compare(t, "snapshot.log", files.names[logName].content)
+	compacted := golden.Compare(t, "snapshot.log", files.names[logFileName].content)
 	for _, recorded := range [][]byte{log, compacted} {
 		got := openRecorded(t, recorded).Directory
 		if diff := cmp.Diff(all, got.Audit(0), cmpopts.EquateEmpty()); diff != "" {
