--- a/internal/lab/scale/conn_pool.go
+++ b/internal/lab/scale/conn_pool.go
@@ -16,8 +16,8 @@
 
 // get returns the idle connection that was used last, or a new one.
 func (p *connPool) get(scheduler int, addr string) (net.Conn, error) {
-	if c := p.take(scheduler); c != nil {
-		return c, nil
+	if conn := p.take(scheduler); conn != nil {
+		return conn, nil
 	}
 	return net.DialTimeout("tcp", addr, dialTimeout)
 }
@@ -34,40 +34,40 @@
 	return idle[last]
 }
 
-func (p *connPool) put(scheduler int, c net.Conn) {
+func (p *connPool) put(scheduler int, conn net.Conn) {
 	p.mu.Lock()
-	p.idle[scheduler] = append(p.idle[scheduler], c)
+	p.idle[scheduler] = append(p.idle[scheduler], conn)
 	p.mu.Unlock()
 }
 
 // closeIdle closes a connection, unless it is in use.
-func (p *connPool) closeIdle(scheduler int, c net.Conn) {
+func (p *connPool) closeIdle(scheduler int, conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[scheduler]
-	n := slices.Index(idle, c)
-	if n < 0 {
+	index := slices.Index(idle, conn)
+	if index < 0 {
 		return
 	}
-	p.idle[scheduler] = slices.Delete(idle, n, n+1)
-	c.Close()
+	p.idle[scheduler] = slices.Delete(idle, index, index+1)
+	conn.Close()
 }
 
 // countingConn counts the bytes of a connection.
 type countingConn struct {
 	net.Conn
-	read    int
-	written int
+	bytesRead    int
+	bytesWritten int
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.read += n
+	c.bytesRead += n
 	return n, err
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.written += n
+	c.bytesWritten += n
 	return n, err
 }
--- a/internal/lab/scale/emulated_schedulers.go
+++ b/internal/lab/scale/emulated_schedulers.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	datagramVersion = 1
-	datagramHead    = 15   // bytes: version, index of the sender, incarnation, sequence number
-	datagramBuffer  = 2048 // bytes
-	tagBits         = 19   // of a worker's tag in gossip
-	longestNotified = 4 * time.Second
-	maxReplied      = 99 // free slots in a reply
+	datagramVersion     = 1
+	datagramHeaderBytes = 15   // bytes: version, index of the sender, incarnation, sequence number
+	datagramBufferBytes = 2048 // bytes
+	tagBits             = 19   // of a worker's tag in gossip
+	maxEndDelay         = 4 * time.Second
+	maxReplySlots       = 99 // free slots in a reply
 )
 
 // emulatedSchedulers only send and receive gossip: what one of them sends to workers that a real
 // one owns is sent to that one too, as the decisions do.
 type emulatedSchedulers struct {
-	part        Part
+	config      HollowConfig
 	ctx         context.Context
 	sockets     []*net.UDPConn   // of the emulated ones
 	addrs       []netip.AddrPort // of all, the real ones first
 	tags        map[uint32]struct{}
-	owned       [][]uint32      // tags of workers, by the real scheduler that owns them
+	ownedTags   [][]uint32      // tags of workers, by the real scheduler that owns them
 	sequence    []atomic.Uint32 // of the last datagram, by socket
 	incarnation uint64
 
-	received      atomic.Int64
-	receivedBytes atomic.Int64
-	sent          atomic.Int64
-	sentBytes     atomic.Int64
-	unexpected    atomic.Int64 // malformed, of unknown senders or on unknown workers
+	received           atomic.Int64
+	receivedBytes      atomic.Int64
+	sent               atomic.Int64
+	sentBytes          atomic.Int64
+	unexpectedMessages atomic.Int64 // malformed, of unknown senders or on unknown workers
 }
 
-func newEmulatedSchedulers(ctx context.Context, p Part) (*emulatedSchedulers, error) {
+func newEmulatedSchedulers(ctx context.Context, config HollowConfig) (*emulatedSchedulers, error) {
 	e := &emulatedSchedulers{
-		part:        p,
+		config:      config,
 		ctx:         ctx,
 		incarnation: uint64(time.Now().UnixNano()),
 		tags:        map[uint32]struct{}{},
-		owned:       make([][]uint32, len(p.Peers)),
+		ownedTags:   make([][]uint32, len(config.GossipAddrs)),
 	}
 	if err := e.listen(); err != nil {
 		return nil, err
@@ -64,18 +64,18 @@
 
 // listen opens a socket for each emulated scheduler.
 func (e *emulatedSchedulers) listen() error {
-	for _, peer := range e.part.Peers {
+	for _, peer := range e.config.GossipAddrs {
 		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
 			return err
 		}
 		e.addrs = append(e.addrs, addr)
 	}
-	host, err := netip.ParseAddr(e.part.Host)
+	host, err := netip.ParseAddr(e.config.ListenHost)
 	if err != nil {
 		return err
 	}
-	for range e.part.Scenario.Told - len(e.part.Peers) {
+	for range e.config.Scenario.TotalSchedulers - len(e.config.GossipAddrs) {
 		socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(host, 0)))
 		if err != nil {
 			return err
@@ -89,35 +89,37 @@
 
 // assignWorkers finds which of the workers the real schedulers own.
 func (e *emulatedSchedulers) assignWorkers() error {
-	for _, endpoint := range e.part.Endpoints {
+	for _, endpoint := range e.config.WorkerAddrs {
 		addr, err := netip.ParseAddrPort(endpoint)
 		if err != nil {
 			return err
 		}
-		tag := tagOf(addr)
+		tag := workerTag(addr)
 		e.tags[tag] = struct{}{}
-		if owner := ownerOf(tag, e.part.Scenario.Told); owner < len(e.owned) {
-			e.owned[owner] = append(e.owned[owner], tag)
+		if owner := ownerOfTag(tag, e.config.Scenario.TotalSchedulers); owner < len(e.ownedTags) {
+			e.ownedTags[owner] = append(e.ownedTags[owner], tag)
 		}
 	}
 	return nil
 }
 
-// tagOf returns the tag of a worker, and ownerOf its owner, as the decisions do. Where they differ
+// workerTag returns the tag of a worker, and ownerOf its owner, as the decisions do. Where they differ
 // from those, the gossip of real schedulers is on no worker, which is counted as unexpected.
-func tagOf(addr netip.AddrPort) uint32 {
-	b := addr.Addr().As16()
-	hash := mix(binary.LittleEndian.Uint64(b[8:])^uint64(addr.Port())<<16, 0)
+func workerTag(addr netip.AddrPort) uint32 {
+	address := addr.Addr().As16()
+	hash := rendezvousHash(binary.LittleEndian.Uint64(address[8:])^uint64(addr.Port())<<16, 0)
 	return uint32(hash >> (64 - tagBits))
 }
 
-func mix(start uint64, scheduler int) uint64 { return rand.NewPCG(start, uint64(scheduler)).Uint64() }
+func rendezvousHash(key uint64, scheduler int) uint64 {
+	return rand.NewPCG(key, uint64(scheduler)).Uint64()
+}
 
-// ownerOf returns the scheduler of the highest hash with a tag, of so many.
-func ownerOf(tag uint32, schedulers int) (owner int) {
+// ownerOfTag returns the scheduler of the highest hash with a tag, of so many.
+func ownerOfTag(tag uint32, schedulers int) (owner int) {
 	var highest uint64
 	for n := range schedulers {
-		if hash := mix(uint64(tag), n); hash > highest {
+		if hash := rendezvousHash(uint64(tag), n); hash > highest {
 			highest = hash
 			owner = n
 		}
@@ -126,19 +128,19 @@
 }
 
 func (e *emulatedSchedulers) execute(order Order) (Stats, error) {
-	switch order.Do {
+	switch order.Action {
 	case orderBegin, orderStats:
 	case orderStart:
 		e.startGossip()
 	default:
-		return Stats{}, fmt.Errorf("others: %q is no order", order.Do)
+		return Stats{}, fmt.Errorf("others: %q is no order", order.Action)
 	}
 	stats := Stats{
 		MessagesIn:      e.received.Load(),
 		MessagesOut:     e.sent.Load(),
 		MessageBytesIn:  e.receivedBytes.Load(),
 		MessageBytesOut: e.sentBytes.Load(),
-		Strange:         e.unexpected.Load(),
+		Unexpected:      e.unexpectedMessages.Load(),
 	}
 	for _, addr := range e.addrs {
 		stats.Endpoints = append(stats.Endpoints, addr.String())
@@ -148,7 +150,7 @@
 
 func (e *emulatedSchedulers) startGossip() {
 	for from := range e.sockets {
-		for to, tags := range e.owned {
+		for to, tags := range e.ownedTags {
 			if len(tags) > 0 {
 				go e.sendAttempts(from, to)
 			}
@@ -159,10 +161,10 @@
 // sendAttempts sends what an emulated scheduler has to say of its attempts at the workers that a
 // real one owns. The end of an attempt is sent soon, as serials are few.
 func (e *emulatedSchedulers) sendAttempts(from, to int) {
-	s := e.part.Scenario
-	tags := e.owned[to]
+	s := e.config.Scenario
+	tags := e.ownedTags[to]
 	rng := rand.New(rand.NewPCG(uint64(s.Seed), uint64(from)<<16|uint64(to)))
-	rate := s.Starts * float64(len(tags)) / float64(len(e.part.Endpoints))
+	rate := s.Starts * float64(len(tags)) / float64(len(e.config.WorkerAddrs))
 	for serial := uint8(0); ; serial++ {
 		select {
 		case <-time.After(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))):
@@ -170,7 +172,7 @@
 			return
 		}
 		e.send(from, to, dispatch.GossipEntry{Kind: dispatch.GossipAttemptStarted, Serial: serial, Tag: tags[rng.IntN(len(tags))]})
-		time.AfterFunc(min(s.meanRun(), longestNotified), func() {
+		time.AfterFunc(min(s.meanRun(), maxEndDelay), func() {
 			e.send(from, to, dispatch.GossipEntry{Kind: dispatch.GossipAttemptEnded, Serial: serial})
 		})
 	}
@@ -178,23 +180,23 @@
 
 func (e *emulatedSchedulers) send(from, to int, entry dispatch.GossipEntry) {
 	for _, message := range dispatch.EncodeGossip([]dispatch.GossipEntry{entry}) {
-		b := []byte{datagramVersion}
-		b = binary.BigEndian.AppendUint16(b, uint16(len(e.part.Peers)+from))
-		b = binary.BigEndian.AppendUint64(b, e.incarnation)
-		b = binary.BigEndian.AppendUint32(b, e.sequence[from].Add(1))
-		b = append(b, message...)
-		if _, err := e.sockets[from].WriteToUDPAddrPort(b, e.addrs[to]); err == nil {
+		datagram := []byte{datagramVersion}
+		datagram = binary.BigEndian.AppendUint16(datagram, uint16(len(e.config.GossipAddrs)+from))
+		datagram = binary.BigEndian.AppendUint64(datagram, e.incarnation)
+		datagram = binary.BigEndian.AppendUint32(datagram, e.sequence[from].Add(1))
+		datagram = append(datagram, message...)
+		if _, err := e.sockets[from].WriteToUDPAddrPort(datagram, e.addrs[to]); err == nil {
 			e.sent.Add(1)
-			e.sentBytes.Add(int64(len(b)))
+			e.sentBytes.Add(int64(len(datagram)))
 		}
 	}
 }
 
 // receive receives the datagrams of one emulated scheduler until the process ends.
 func (e *emulatedSchedulers) receive(socket int) {
-	b := make([]byte, datagramBuffer)
+	buffer := make([]byte, datagramBufferBytes)
 	for {
-		n, from, err := e.sockets[socket].ReadFromUDPAddrPort(b)
+		n, from, err := e.sockets[socket].ReadFromUDPAddrPort(buffer)
 		if e.ctx.Err() != nil {
 			return
 		}
@@ -204,11 +206,11 @@
 		e.received.Add(1)
 		e.receivedBytes.Add(int64(n))
 		sender := slices.Index(e.addrs, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
-		if n < datagramHead || sender < 0 || sender >= len(e.part.Peers) {
-			e.unexpected.Add(1)
+		if n < datagramHeaderBytes || sender < 0 || sender >= len(e.config.GossipAddrs) {
+			e.unexpectedMessages.Add(1)
 			continue
 		}
-		e.handle(socket, sender, b[datagramHead:n])
+		e.handle(socket, sender, buffer[datagramHeaderBytes:n])
 	}
 }
 
@@ -217,26 +219,26 @@
 func (e *emulatedSchedulers) handle(socket, sender int, message []byte) {
 	entries, ok := dispatch.DecodeGossip(message)
 	if !ok {
-		e.unexpected.Add(1)
+		e.unexpectedMessages.Add(1)
 	}
 	for _, entry := range entries {
 		if entry.Kind != dispatch.GossipAttemptStarted && entry.Kind != dispatch.GossipCapacityQuery {
 			continue
 		}
 		if _, known := e.tags[entry.Tag]; !known {
-			e.unexpected.Add(1)
+			e.unexpectedMessages.Add(1)
 		}
 		if entry.Kind == dispatch.GossipCapacityQuery {
-			e.replyCapacity(socket, sender, entry.Tag)
+			e.sendCapacityReply(socket, sender, entry.Tag)
 		}
 	}
 }
 
-func (e *emulatedSchedulers) replyCapacity(socket, sender int, tag uint32) {
-	free := max(0, float64(e.part.Scenario.Slots)-e.part.Scenario.Others)
+func (e *emulatedSchedulers) sendCapacityReply(socket, sender int, tag uint32) {
+	free := max(0, float64(e.config.Scenario.Slots)-e.config.Scenario.OtherLoad)
 	e.send(socket, sender, dispatch.GossipEntry{
 		Kind:   dispatch.GossipCapacityReply,
-		Serial: uint8(int8(min(free, maxReplied))),
+		Serial: uint8(int8(min(free, maxReplySlots))),
 		Tag:    tag,
 	})
 }
--- a/internal/lab/scale/endpoint_list.go
+++ b/internal/lab/scale/endpoint_list.go
@@ -28,15 +28,15 @@
 	ctx  context.Context
 	addr string
 
-	mu       sync.Mutex // of all below, and of the workers' names and starts
-	entries  []*worker  // as listed, the oldest first
-	revision int
-	log      []entryChange // all, by revision
-	watches  map[chan []byte]struct{}
-
-	calls   atomic.Int64
-	bytes   atomic.Int64 // of the answers
-	changes atomic.Int64 // of entries
+	mu        sync.Mutex // of all below, and of the workers' names and starts
+	entries   []*worker  // as listed, the oldest first
+	revision  int
+	changeLog []entryChange // all, by revision
+	watches   map[chan []byte]struct{}
+
+	requests      atomic.Int64
+	responseBytes atomic.Int64 // of the answers
+	entryChanges  atomic.Int64 // of entries
 }
 
 // entryChange is a change of one entry.
@@ -72,8 +72,8 @@
 func (l *endpointList) publish(entries ...string) {
 	l.revision++
 	for _, entry := range entries {
-		l.log = append(l.log, entryChange{revision: l.revision, entry: entry})
-		l.changes.Add(1)
+		l.changeLog = append(l.changeLog, entryChange{revision: l.revision, entry: entry})
+		l.entryChanges.Add(1)
 	}
 	l.send(l.deltaUpdate(entries))
 }
@@ -100,25 +100,25 @@
 }
 
 // subscribe returns the update since a revision, or an empty line, and a watch of those to come.
-func (l *endpointList) subscribe(index int) (first []byte, watch chan []byte) {
+func (l *endpointList) subscribe(since int) (first []byte, watch chan []byte) {
 	watch = make(chan []byte, watchBuffer)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.watches[watch] = struct{}{}
 	switch {
-	case index == 0 || index > l.revision:
+	case since == 0 || since > l.revision:
 		return l.fullUpdate(), watch
-	case index < l.revision:
-		return l.deltaUpdate(l.changedSince(index)), watch
+	case since < l.revision:
+		return l.deltaUpdate(l.changedSince(since)), watch
 	default:
 		return []byte("\n"), watch
 	}
 }
 
-func (l *endpointList) changedSince(index int) (entries []string) {
-	for _, c := range l.log {
-		if c.revision > index {
-			entries = append(entries, c.entry)
+func (l *endpointList) changedSince(since int) (entries []string) {
+	for _, change := range l.changeLog {
+		if change.revision > since {
+			entries = append(entries, change.entry)
 		}
 	}
 	return entries
@@ -132,26 +132,26 @@
 
 // ServeHTTP answers a call to the list: with one update, or with all to come where it asks for a
 // stream.
-func (l *endpointList) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	query := in.URL.Query()
-	index, err := strconv.Atoi(query.Get("index"))
+func (l *endpointList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	since, err := strconv.Atoi(query.Get("index"))
 	if err != nil {
-		index = 0
+		since = 0
 	}
-	first, watch := l.subscribe(index)
-	l.calls.Add(1)
+	first, watch := l.subscribe(since)
+	l.requests.Add(1)
 	defer l.unsubscribe(watch)
-	flusher := out.(http.Flusher)
+	flusher := w.(http.Flusher)
 	send := func(line []byte) bool {
-		_, err := out.Write(line)
+		_, err := w.Write(line)
 		flusher.Flush()
-		l.bytes.Add(int64(len(line)))
+		l.responseBytes.Add(int64(len(line)))
 		return err == nil
 	}
 	if !send(first) || query.Get("stream") == "" {
 		return
 	}
-	l.stream(in.Context(), watch, send)
+	l.stream(r.Context(), watch, send)
 }
 
 // stream sends updates, and empty lines between them, until the watch or the call ends.
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/forms_test.go
@@ -25,32 +25,32 @@
 	return text.Bytes()
 }
 
-// readBack holds what a recorded text says against the value that it was written from.
-func readBack[T any](t *testing.T, recorded []byte, wanted T) {
+// checkDecoded holds what a recorded text says against the value that it was written from.
+func checkDecoded[T any](t *testing.T, recorded []byte, want T) {
 	t.Helper()
 	var got T
 	if err := json.Unmarshal(recorded, &got); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(wanted, got); diff != "" {
+	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // What a rig and its hollow processes write to one another is the same to the byte, every field set.
 func TestGoldenOrders(t *testing.T) {
-	part := golden.Filled[Part](t)
+	config := golden.Filled[HollowConfig](t)
 	order := golden.Filled[Order](t)
 	stats := golden.Filled[Stats](t)
-	readBack(t, golden.Compare(t, "part.json", jsonLine(t, part)), part)
-	readBack(t, golden.Compare(t, "order.json", jsonLine(t, order)), order)
-	readBack(t, golden.Compare(t, "stats.json", jsonLine(t, stats)), stats)
+	checkDecoded(t, golden.Compare(t, "part.json", jsonLine(t, config)), config)
+	checkDecoded(t, golden.Compare(t, "order.json", jsonLine(t, order)), order)
+	checkDecoded(t, golden.Compare(t, "stats.json", jsonLine(t, stats)), stats)
 }
 
 // A hollow process that is given recorded lines answers with the recorded ones.
 func TestGoldenExchange(t *testing.T) {
-	part := Part{Role: ClientsRole, Schedulers: []string{"127.0.0.1:1"}, Host: "127.0.0.1"}
-	in := append(jsonLine(t, part), jsonLine(t, Order{Do: "stats"})...)
+	config := HollowConfig{Role: ClientsRole, SchedulerAddrs: []string{"127.0.0.1:1"}, ListenHost: "127.0.0.1"}
+	in := append(jsonLine(t, config), jsonLine(t, Order{Action: "stats"})...)
 	var out bytes.Buffer
 	if err := Hollow(context.Background(), bytes.NewReader(golden.Compare(t, "exchange_in.json", in)), &out); err != nil {
 		t.Fatal(err)
@@ -77,16 +77,16 @@
 
 // The counts of the service are read by the keys that they have now.
 func TestGoldenCounts(t *testing.T) {
-	c := golden.Filled[counts](t)
-	readBack(t, golden.Compare(t, "counts.json", jsonLine(t, c)), c)
+	c := golden.Filled[schedulerCounts](t)
+	checkDecoded(t, golden.Compare(t, "counts.json", jsonLine(t, c)), c)
 	text, err := os.ReadFile("testdata/counts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	// Keys of maps are values.
-	lower := strings.NewReplacer("Workers", "workers", "Sent", "sent", "Probes", "probes", "Cancels", "cancels", "News", "news",
+	lowerCaseKeys := strings.NewReplacer("Workers", "workers", "Sent", "sent", "Probes", "probes", "Cancels", "cancels", "News", "news",
 		"Strange", "strange", "Dialled", "dialled", "Panics", "panics", "Sockets", "sockets", "Watches", "watches").Replace(string(text))
-	readBack(t, []byte(lower), c)
+	checkDecoded(t, []byte(lowerCaseKeys), c)
 }
 
 // A scenario keeps its keys.
@@ -118,14 +118,14 @@
 	if err := json.Indent(&text, s.settings(2), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	var wanted, got any
-	if err := json.Unmarshal(s.settings(2), &wanted); err != nil {
+	var want, got any
+	if err := json.Unmarshal(s.settings(2), &want); err != nil {
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(golden.Compare(t, "settings.json", text.Bytes()), &got); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(wanted, got); diff != "" {
+	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -33,25 +33,25 @@
 )
 
 const (
-	orderBuffer = 1 << 20 // bytes
-	dialTimeout = time.Second
+	orderBufferBytes = 1 << 20 // bytes
+	dialTimeout      = time.Second
 )
 
-// Part is what a hollow process emulates.
-type Part struct {
-	Role       string   `json:"Role"`
-	Scenario   Scenario `json:"Scenario"`
-	Schedulers []string `json:"Schedulers"` // where each real one listens
-	Host       string   `json:"Host"`       // the address to listen at
-	Endpoints  []string `json:"Endpoints"`  // of the workers
-	Peers      []string `json:"Peers"`      // where the real schedulers receive gossip, by index
+// HollowConfig is what a hollow process emulates.
+type HollowConfig struct {
+	Role           string   `json:"Role"`
+	Scenario       Scenario `json:"Scenario"`
+	SchedulerAddrs []string `json:"Schedulers"` // where each real one listens
+	ListenHost     string   `json:"Host"`       // the address to listen at
+	WorkerAddrs    []string `json:"Endpoints"`  // of the workers
+	GossipAddrs    []string `json:"Peers"`      // where the real schedulers receive gossip, by index
 }
 
 // Order is what a hollow process is to do.
 type Order struct {
-	Do    string        `json:"Do"`    // stats, start, lose, return, freeze
-	For   time.Duration `json:"For"`   // start: the time in which the clients reach the requests in flight that are aimed at
-	Count int           `json:"Count"` // lose: so many workers of the first zone
+	Action string        `json:"Do"`    // stats, start, lose, return, freeze
+	RampUp time.Duration `json:"For"`   // start: the time in which the clients reach the requests in flight that are aimed at
+	Count  int           `json:"Count"` // lose: so many workers of the first zone
 }
 
 // Stats are what a hollow process has seen since its start; which of them it fills in depends on
@@ -61,29 +61,29 @@
 	Endpoints []string `json:"Endpoints,omitempty"` // of workers, at the beginning; of schedulers for gossip
 
 	// Of the workers, for all schedulers; bytes are those of HTTP with the heads, both ways.
-	Starts      int64 `json:"Starts"`
-	Probes      int64 `json:"Probes"`
-	Cancels     int64 `json:"Cancels"`
-	News        int64 `json:"News"` // callbacks
-	ProbeBytes  int64 `json:"ProbeBytes"`
-	CancelBytes int64 `json:"CancelBytes"`
-	TakeBytes   int64 `json:"TakeBytes"`
-	NewsBytes   int64 `json:"NewsBytes"`
-	Lists       int64 `json:"Lists"` // calls to the list
-	ListBytes   int64 `json:"ListBytes"`
-	Running     int64 `json:"Running"`
-	Changes     int64 `json:"Changes"` // entries of the list
-	Strange     int64 `json:"Strange"` // calls or messages that nobody should send
-	NewsFailed  int64 `json:"NewsFailed"`
+	Starts           int64 `json:"Starts"`
+	HealthChecks     int64 `json:"Probes"`
+	Cancels          int64 `json:"Cancels"`
+	Callbacks        int64 `json:"News"` // callbacks
+	HealthCheckBytes int64 `json:"ProbeBytes"`
+	CancelBytes      int64 `json:"CancelBytes"`
+	StartBytes       int64 `json:"TakeBytes"`
+	CallbackBytes    int64 `json:"NewsBytes"`
+	ListRequests     int64 `json:"Lists"` // calls to the list
+	ListBytes        int64 `json:"ListBytes"`
+	Running          int64 `json:"Running"`
+	EntryChanges     int64 `json:"Changes"` // entries of the list
+	Unexpected       int64 `json:"Strange"` // calls or messages that nobody should send
+	CallbacksFailed  int64 `json:"NewsFailed"`
 
 	// Of the clients.
-	Offered   int64         `json:"Offered"`
-	Succeeded int64         `json:"Succeeded"`
-	Throttled int64         `json:"Throttled"`
-	Errored   int64         `json:"Errored"`
-	Broken    int64         `json:"Broken"`
-	InHand    int64         `json:"InHand"`
-	LateMost  time.Duration `json:"LateMost"` // of an arrival against its plan
+	Offered          int64         `json:"Offered"`
+	Succeeded        int64         `json:"Succeeded"`
+	Throttled        int64         `json:"Throttled"`
+	Failed           int64         `json:"Errored"`
+	ConnectionErrors int64         `json:"Broken"`
+	InFlight         int64         `json:"InHand"`
+	MaxLateness      time.Duration `json:"LateMost"` // of an arrival against its plan
 
 	// Of the other schedulers.
 	MessagesIn      int64 `json:"MessagesIn"`
@@ -97,16 +97,16 @@
 	execute(Order) (Stats, error)
 }
 
-func newEmulator(ctx context.Context, p Part) (emulator, error) {
-	switch p.Role {
+func newEmulator(ctx context.Context, config HollowConfig) (emulator, error) {
+	switch config.Role {
 	case WorkersRole:
-		return newWorkerPool(ctx, p)
+		return newWorkerPool(ctx, config)
 	case ClientsRole:
-		return newEmulatedClients(ctx, p), nil
+		return newEmulatedClients(ctx, config), nil
 	case SchedulersRole:
-		return newEmulatedSchedulers(ctx, p)
+		return newEmulatedSchedulers(ctx, config)
 	default:
-		return nil, fmt.Errorf("hollow: %q is no role", p.Role)
+		return nil, fmt.Errorf("hollow: %q is no role", config.Role)
 	}
 }
 
@@ -116,16 +116,16 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	encoder := json.NewEncoder(out)
-	decoder := json.NewDecoder(bufio.NewReaderSize(in, orderBuffer))
-	var part Part
-	if err := decoder.Decode(&part); err != nil {
+	decoder := json.NewDecoder(bufio.NewReaderSize(in, orderBufferBytes))
+	var config HollowConfig
+	if err := decoder.Decode(&config); err != nil {
 		return fmt.Errorf("hollow: its part can't be read: %w", err)
 	}
-	emulator, err := newEmulator(ctx, part)
+	emulator, err := newEmulator(ctx, config)
 	if err != nil {
 		return err
 	}
-	order := Order{Do: orderBegin}
+	order := Order{Action: orderBegin}
 	for {
 		stats, err := emulator.execute(order)
 		if err != nil {
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -12,22 +12,22 @@
 
 // Machine is what a machine can carry.
 type Machine struct {
-	Descriptors int64 // of one process
-	Memory      int64 // bytes, of which half may be used
-	Processes   int64 // of all
-	Ports       int64 // from which one address can reach another
+	Descriptors    int64 // of one process
+	MemoryBytes    int64 // bytes, of which half may be used
+	Processes      int64 // of all
+	EphemeralPorts int64 // from which one address can reach another
 }
 
 const (
-	maxProcesses   = 2048    // of a run, on any machine
-	maxDescriptors = 1 << 40 // where there is no limit
-	maxLength      = 10 * time.Minute
+	maxProcesses    = 2048    // of a run, on any machine
+	maxDescriptors  = 1 << 40 // where there is no limit
+	maxStepDuration = 10 * time.Minute
 
-	otherFiles    = 64          // descriptors of a process that are not counted one by one
-	perConnection = 24 << 10    // bytes of a hollow process: buffers and the stacks of its goroutines
-	perListener   = 12 << 10    // bytes of a hollow process
-	perProgram    = 64 << 20    // bytes of a hollow process
-	timeWait      = time.Minute // for which the kernel keeps a port from being used again
+	otherDescriptors   = 64          // descriptors of a process that are not counted one by one
+	connectionBytes    = 24 << 10    // bytes of a hollow process: buffers and the stacks of its goroutines
+	listenerBytes      = 12 << 10    // bytes of a hollow process
+	hollowProcessBytes = 64 << 20    // bytes of a hollow process
+	timeWaitDuration   = time.Minute // for which the kernel keeps a port from being used again
 )
 
 // This returns what the machine at hand can carry, as the kernel reports it.
@@ -44,15 +44,15 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		if bytes, ok := memoryField(line, "MemTotal:"); ok {
-			m.Memory = bytes
+			m.MemoryBytes = bytes
 		}
 	}
-	m.Ports, err = localPorts()
+	m.EphemeralPorts, err = ephemeralPortCount()
 	return m, err
 }
 
-// localPorts is the number of ports that the kernel chooses from for a connection.
-func localPorts() (int64, error) {
+// ephemeralPortCount is the number of ports that the kernel chooses from for a connection.
+func ephemeralPortCount() (int64, error) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
 		return 0, err
@@ -66,43 +66,43 @@
 
 // demand is what a step needs at most.
 type demand struct {
-	listeners   int64 // of workers
-	sockets     int64 // of each scheduler
-	toWorkers   int64 // connections of all schedulers
-	callbacks   int64 // connections of all workers
-	clients     int64 // connections of all clients
-	processes   int64
-	memory      int64 // bytes
-	clientPorts int64 // towards one scheduler
-	closedPorts int64 // towards one scheduler, of callbacks' connections that were closed within timeWait
+	workerListeners  int64 // of workers
+	schedulerSockets int64 // of each scheduler
+	workerConns      int64 // connections of all schedulers
+	callbackConns    int64 // connections of all workers
+	clientConns      int64 // connections of all clients
+	processes        int64
+	memoryBytes      int64 // bytes
+	clientPorts      int64 // towards one scheduler
+	timeWaitPorts    int64 // towards one scheduler, of callbacks' connections that were closed within timeWait
 }
 
 func (s Scenario) demand() demand {
 	n := int64(s.Schedulers)
 	d := demand{
-		listeners: int64(s.Workers + s.spares()),
-		sockets:   int64(s.sockets()),
-		callbacks: s.callbackConnections() * n,
-		clients:   int64(float64(s.InHand)*1.15+16) * n,
-		processes: n + hollowProcesses,
+		workerListeners:  int64(s.Workers + s.spareWorkers()),
+		schedulerSockets: int64(s.socketLimit()),
+		callbackConns:    s.callbackConnCount() * n,
+		clientConns:      int64(float64(s.InFlight)*1.15+16) * n,
+		processes:        n + maxHollowProcesses,
 	}
-	d.toWorkers = n * min(d.sockets*3/8, int64(s.Workers)+int64(s.InHand)/4)
-	d.memory = n*int64(s.MemoryMB)<<20*5/4 + hollowProcesses*perProgram + d.listeners*perListener +
-		(d.toWorkers+d.callbacks+d.clients)*perConnection
-	d.clientPorts = d.clients / n
-	d.closedPorts = int64(2 * s.Starts * timeWait.Seconds())
+	d.workerConns = n * min(d.schedulerSockets*3/8, int64(s.Workers)+int64(s.InFlight)/4)
+	d.memoryBytes = n*int64(s.MemoryMB)<<20*5/4 + maxHollowProcesses*hollowProcessBytes + d.workerListeners*listenerBytes +
+		(d.workerConns+d.callbackConns+d.clientConns)*connectionBytes
+	d.clientPorts = d.clientConns / n
+	d.timeWaitPorts = int64(2 * s.Starts * timeWaitDuration.Seconds())
 	return d
 }
 
-// callbackConnections are those of all workers to one scheduler: for the start and the end of each
+// callbackConnCount are those of all workers to one scheduler: for the start and the end of each
 // run, and for its progress.
-func (s Scenario) callbackConnections() int64 {
-	idle := s.NewsIdle.D().Seconds()
-	connections := int64(2*s.Starts*idle + 1)
-	if s.Progress > 0 {
-		connections += int64(float64(s.InHand) / s.Progress.D().Seconds() * idle)
+func (s Scenario) callbackConnCount() int64 {
+	idle := s.CallbackIdle.D().Seconds()
+	count := int64(2*s.Starts*idle + 1)
+	if s.ProgressInterval > 0 {
+		count += int64(float64(s.InFlight) / s.ProgressInterval.D().Seconds() * idle)
 	}
-	return connections
+	return count
 }
 
 // Fits returns nil where a machine can carry a step, and a scenario.Fault with the key and figures
@@ -113,18 +113,18 @@
 		return err
 	}
 	if d.processes > m.Processes {
-		return s.fault("schedulers", "%d need %d processes, %d are allowed", s.Schedulers, d.processes, m.Processes)
+		return s.limitError("schedulers", "%d need %d processes, %d are allowed", s.Schedulers, d.processes, m.Processes)
 	}
-	if d.memory > m.Memory/2 {
-		return s.fault("memory_mb",
+	if d.memoryBytes > m.MemoryBytes/2 {
+		return s.limitError("memory_mb",
 			"%d for each of %d schedulers, with what stands beside them, makes %d MB; half of this machine's memory is %d MB",
-			s.MemoryMB, s.Schedulers, d.memory>>20, m.Memory/2>>20)
+			s.MemoryMB, s.Schedulers, d.memoryBytes>>20, m.MemoryBytes/2>>20)
 	}
-	if ports := d.closedPorts + d.clientPorts; s.NewsIdle.D() < timeWait && ports > m.Ports {
-		return s.fault("starts_per_second", "%g need %d ports towards one address, there are %d", s.Starts, ports, m.Ports)
+	if ports := d.timeWaitPorts + d.clientPorts; s.CallbackIdle.D() < timeWaitDuration && ports > m.EphemeralPorts {
+		return s.limitError("starts_per_second", "%g need %d ports towards one address, there are %d", s.Starts, ports, m.EphemeralPorts)
 	}
-	if s.Length() > maxLength {
-		return s.fault("window", "with all before it a step lasts %v, %v is allowed", s.Length(), maxLength)
+	if s.Duration() > maxStepDuration {
+		return s.limitError("window", "with all before it a step lasts %v, %v is allowed", s.Duration(), maxStepDuration)
 	}
 	return nil
 }
@@ -132,20 +132,20 @@
 // fitsDescriptors compares the descriptors of a scheduler, of the workers' process and of the
 // clients' process with the limit.
 func (s Scenario) fitsDescriptors(m Machine, d demand) error {
-	if need := d.sockets + otherFiles; need > m.Descriptors {
-		return s.fault("in_hand", "%d need %d descriptors of a scheduler, there are %d", s.InHand, need, m.Descriptors)
+	if need := d.schedulerSockets + otherDescriptors; need > m.Descriptors {
+		return s.limitError("in_hand", "%d need %d descriptors of a scheduler, there are %d", s.InFlight, need, m.Descriptors)
 	}
-	if need := d.listeners + d.toWorkers + d.callbacks + otherFiles; need > m.Descriptors {
-		return s.fault("workers", "%d workers with %d schedulers need %d descriptors of one process, there are %d",
+	if need := d.workerListeners + d.workerConns + d.callbackConns + otherDescriptors; need > m.Descriptors {
+		return s.limitError("workers", "%d workers with %d schedulers need %d descriptors of one process, there are %d",
 			s.Workers, s.Schedulers, need, m.Descriptors)
 	}
-	if need := d.clients + otherFiles; need > m.Descriptors {
-		return s.fault("in_hand", "%d of each of %d schedulers need %d descriptors of one process, there are %d",
-			s.InHand, s.Schedulers, need, m.Descriptors)
+	if need := d.clientConns + otherDescriptors; need > m.Descriptors {
+		return s.limitError("in_hand", "%d of each of %d schedulers need %d descriptors of one process, there are %d",
+			s.InFlight, s.Schedulers, need, m.Descriptors)
 	}
 	return nil
 }
 
-func (s Scenario) fault(key, text string, args ...any) error {
+func (s Scenario) limitError(key, text string, args ...any) error {
 	return scenario.FileError{File: s.Name, Key: key, Text: fmt.Sprintf(text, args...)}
 }
--- a/internal/lab/scale/limits_test.go
+++ b/internal/lab/scale/limits_test.go
@@ -9,7 +9,7 @@
 
 // What a machine can't carry is rejected by key and figure; a mistyped file by key and line.
 func Example_rejected() {
-	m := Machine{Descriptors: 20000, Memory: 24 << 30, Processes: 300, Ports: 28000}
+	m := Machine{Descriptors: 20000, MemoryBytes: 24 << 30, Processes: 300, EphemeralPorts: 28000}
 	for _, change := range []string{"in_hand = 8000\nsockets = 30000", "workers = 8000\nschedulers = 15\nin_hand = 500",
 		"schedulers = 30\nin_hand = 900\nworkers = 60",
 		"starts_per_second = 500.0", "window = \"10m\"", "workers = 3800\nin_hand = 5900"} {
@@ -19,7 +19,7 @@
 		}
 		fmt.Println(err)
 	}
-	m.Processes, m.Memory = 10, 2<<30
+	m.Processes, m.MemoryBytes = 10, 2<<30
 	for _, schedulers := range []int{8, 4} {
 		s, _ := Parse("a.toml", fmt.Appendf(nil, "version = 1\nname = \"a\"\nschedulers = %d", schedulers))
 		fmt.Println(s.Fits(m))
@@ -53,7 +53,7 @@
 }
 
 // A setting replaces what the file says.
-func TestSettingReplacesKeyOfFile(t *testing.T) {
+func TestOverrideReplacesValueOfFile(t *testing.T) {
 	s, err := Parse("a.toml", []byte("version = 1\nworkers = 60"), "workers = 240", "memory_mb = 512")
 	if err != nil || s.Workers != 240 || s.MemoryMB != 512 {
 		t.Error(s, err)
@@ -79,13 +79,13 @@
 		if s.Sweep.Key == "" {
 			values = []float64{0}
 		}
-		for _, v := range values {
-			step, err := s.Step(v)
+		for _, value := range values {
+			step, err := s.Step(value)
 			if err == nil {
-				err = step.Fits(Machine{Descriptors: 20000, Memory: 24 << 30, Processes: maxProcesses, Ports: 28000})
+				err = step.Fits(Machine{Descriptors: 20000, MemoryBytes: 24 << 30, Processes: maxProcesses, EphemeralPorts: 28000})
 			}
 			if err != nil {
-				t.Error(file, v, err)
+				t.Error(file, value, err)
 			}
 		}
 	}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -13,61 +13,61 @@
 )
 
 const (
-	stderrTail   = 4000        // bytes of a process's standard error that are reported
-	exitNoticeIn = time.Second // in which the end of a process is known after its pipe or its files have failed
+	stderrTailBytes   = 4000        // bytes of a process's standard error that are reported
+	exitNoticeTimeout = time.Second // in which the end of a process is known after its pipe or its files have failed
 )
 
 // process is one that a run has started: a real scheduler or a hollow one.
 type process struct {
 	name   string
 	cmd    *exec.Cmd
-	in     io.WriteCloser // of a hollow one
-	out    *json.Decoder  // of a hollow one
-	stderr *tail
+	stdin  io.WriteCloser // of a hollow one
+	stdout *json.Decoder  // of a hollow one
+	stderr *tailBuffer
 	exited chan struct{} // closed at its exit
 	err    error         // of its exit
 }
 
-// tail is a writer that keeps the last bytes written.
-type tail struct {
+// tailBuffer is a writer that keeps the last bytes written.
+type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *tailBuffer) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
-	t.text = t.text[max(0, len(t.text)-stderrTail):]
+	t.text = t.text[max(0, len(t.text)-stderrTailBytes):]
 	return len(b), nil
 }
 
-func (t *tail) String() string {
+func (t *tailBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return strings.TrimSpace(string(t.text))
 }
 
 func newProcess(name string, cmd *exec.Cmd) *process {
-	p := &process{name: name, cmd: cmd, stderr: &tail{}, exited: make(chan struct{})}
+	p := &process{name: name, cmd: cmd, stderr: &tailBuffer{}, exited: make(chan struct{})}
 	cmd.Stderr = p.stderr
 	// Whatever becomes of this process, the other is not left behind: the kernel kills it too.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return p
 }
 
-// connect opens the pipes of a hollow process that has not been started.
-func (p *process) connect() error {
-	in, err := p.cmd.StdinPipe()
+// openPipes opens the pipes of a hollow process that has not been started.
+func (p *process) openPipes() error {
+	stdin, err := p.cmd.StdinPipe()
 	if err != nil {
 		return err
 	}
-	out, err := p.cmd.StdoutPipe()
+	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	p.in = in
-	p.out = json.NewDecoder(out)
+	p.stdin = stdin
+	p.stdout = json.NewDecoder(stdout)
 	return nil
 }
 
@@ -98,21 +98,21 @@
 	select {
 	case <-p.exited:
 		return p.exitError()
-	case <-time.After(exitNoticeIn):
+	case <-time.After(exitNoticeTimeout):
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
 }
 
-// begin sends a hollow process what it emulates, and returns what it says when it is ready.
-func (p *process) begin(part Part) (Stats, error) { return p.exchange(part) }
+// configure sends a hollow process what it emulates, and returns what it says when it is ready.
+func (p *process) configure(config HollowConfig) (Stats, error) { return p.exchange(config) }
 
 // execute has a hollow process execute an order.
-func (p *process) execute(o Order) (Stats, error) { return p.exchange(o) }
+func (p *process) execute(order Order) (Stats, error) { return p.exchange(order) }
 
 func (p *process) exchange(line any) (stats Stats, err error) {
-	err = json.NewEncoder(p.in).Encode(line)
+	err = json.NewEncoder(p.stdin).Encode(line)
 	if err == nil {
-		err = p.out.Decode(&stats)
+		err = p.stdout.Decode(&stats)
 	}
 	if err != nil {
 		return stats, p.explain(err)
@@ -121,8 +121,8 @@
 }
 
 func (p *process) kill() {
-	if p.in != nil {
-		p.in.Close()
+	if p.stdin != nil {
+		p.stdin.Close()
 	}
 	p.cmd.Process.Kill()
 	<-p.exited
--- a/internal/lab/scale/report_table.go
+++ b/internal/lab/scale/report_table.go
@@ -12,27 +12,27 @@
 
 // column is a column of the table.
 type column struct {
-	head   string
+	header string
 	format string
 	value  func(Step) float64 // below 0: not reported
 }
 
 var columns = []column{
-	{head: "workers", format: "%.0f", value: func(s Step) float64 { return float64(s.Workers) }},
-	{head: "in hand", format: "%.0f", value: func(s Step) float64 { return s.InHand }},
-	{head: "starts/s", format: "%.1f", value: func(s Step) float64 { return s.StartsPerS }},
-	{head: "% of a core", format: "%.2f", value: func(s Step) float64 { return s.Core }},
-	{head: "in the kernel", format: "%.2f", value: func(s Step) float64 { return s.System }},
-	{head: "us a start", format: "%.0f", value: func(s Step) float64 { return s.PerStart }},
-	{head: "worst turn ms", format: "%.1f", value: func(s Step) float64 { return s.Turn }},
-	{head: "RSS MB", format: "%.0f", value: func(s Step) float64 { return s.RSS }},
-	{head: "peak MB", format: "%.0f", value: func(s Step) float64 { return s.Peak }},
-	{head: "descriptors", format: "%.0f", value: func(s Step) float64 { return float64(s.Descriptors) }},
-	{head: "probes/s", format: "%.1f", value: func(s Step) float64 { return s.ProbesPerS }},
-	{head: "messages/s", format: "%.1f", value: func(s Step) float64 { return s.MessagesPerS }},
-	{head: "control B/s", format: "%.0f", value: func(s Step) float64 { return s.Control }},
-	{head: "allocations/s", format: "%.0f", value: func(s Step) float64 { return s.Allocations }},
-	{head: "failed", format: "%.0f", value: func(s Step) float64 { return float64(s.Throttled + s.Errored + s.Broken) }},
+	{header: "workers", format: "%.0f", value: func(s Step) float64 { return float64(s.Workers) }},
+	{header: "in hand", format: "%.0f", value: func(s Step) float64 { return s.InHand }},
+	{header: "starts/s", format: "%.1f", value: func(s Step) float64 { return s.StartsPerS }},
+	{header: "% of a core", format: "%.2f", value: func(s Step) float64 { return s.Core }},
+	{header: "in the kernel", format: "%.2f", value: func(s Step) float64 { return s.System }},
+	{header: "us a start", format: "%.0f", value: func(s Step) float64 { return s.PerStart }},
+	{header: "worst turn ms", format: "%.1f", value: func(s Step) float64 { return s.Turn }},
+	{header: "RSS MB", format: "%.0f", value: func(s Step) float64 { return s.RSS }},
+	{header: "peak MB", format: "%.0f", value: func(s Step) float64 { return s.Peak }},
+	{header: "descriptors", format: "%.0f", value: func(s Step) float64 { return float64(s.Descriptors) }},
+	{header: "probes/s", format: "%.1f", value: func(s Step) float64 { return s.ProbesPerS }},
+	{header: "messages/s", format: "%.1f", value: func(s Step) float64 { return s.MessagesPerS }},
+	{header: "control B/s", format: "%.0f", value: func(s Step) float64 { return s.Control }},
+	{header: "allocations/s", format: "%.0f", value: func(s Step) float64 { return s.Allocations }},
+	{header: "failed", format: "%.0f", value: func(s Step) float64 { return float64(s.Throttled + s.Errored + s.Broken) }},
 }
 
 // Text writes the report as a table of Markdown.
@@ -41,24 +41,24 @@
 	if key == "" {
 		key = "step"
 	}
-	heads := []string{key}
-	rules := []string{"---"}
+	headers := []string{key}
+	separators := []string{"---"}
 	for _, c := range columns {
-		heads = append(heads, c.head)
-		rules = append(rules, "---")
+		headers = append(headers, c.header)
+		separators = append(separators, "---")
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	writeRow(t, heads)
-	writeRow(t, rules)
+	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
+	writeRow(table, headers)
+	writeRow(table, separators)
 	for _, s := range r.Steps {
-		writeRow(t, cellsOf(s))
+		writeRow(table, rowCells(s))
 	}
-	t.Flush()
+	table.Flush()
 }
 
 func writeRow(w io.Writer, cells []string) { fmt.Fprintf(w, "| %s |\n", strings.Join(cells, "\t| ")) }
 
-func cellsOf(s Step) []string {
+func rowCells(s Step) []string {
 	cells := []string{fmt.Sprintf("%g", s.Value)}
 	for _, c := range columns {
 		cell := "not told"
@@ -71,11 +71,11 @@
 }
 
 const (
-	plotWidth   = 900 // pixels
-	plotHeight  = 420 // pixels
-	plotMargin  = 20  // pixels
-	plotTop     = 40  // pixels, for the legend
-	leastPoints = 2
+	plotWidth     = 900 // pixels
+	plotHeight    = 420 // pixels
+	plotMargin    = 20  // pixels
+	plotTopMargin = 40  // pixels, for the legend
+	minPlotSteps  = 2
 )
 
 // errTooFewSteps is of a report that has not the steps for a plot.
@@ -83,7 +83,7 @@
 
 // Plot draws processor time a start and the worst iteration over the key that is varied, as PNG.
 func (r Report) Plot(w io.Writer) error {
-	if len(r.Steps) < leastPoints {
+	if len(r.Steps) < minPlotSteps {
 		return fmt.Errorf("%s: %d %w", r.Name, len(r.Steps), errTooFewSteps)
 	}
 	perStart := chart.ContinuousSeries{Name: "us a start (left)"}
@@ -98,7 +98,7 @@
 		Title:          r.Name,
 		Width:          plotWidth,
 		Height:         plotHeight,
-		Background:     chart.Style{Padding: chart.Box{Top: plotTop, Left: plotMargin, Right: plotMargin, Bottom: plotMargin}},
+		Background:     chart.Style{Padding: chart.Box{Top: plotTopMargin, Left: plotMargin, Right: plotMargin, Bottom: plotMargin}},
 		XAxis:          chart.XAxis{Name: r.Key},
 		YAxis:          chart.YAxis{Name: "us a start"},
 		YAxisSecondary: chart.YAxis{Name: "ms"},
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -17,11 +17,11 @@
 }
 
 const (
-	readyWithin       = 20 * time.Second // a scheduler has to be ready after its start
-	readyPollInterval = 20 * time.Millisecond
-	stepGrace         = time.Minute     // that a step may take beyond its length
-	callTimeout       = 5 * time.Second // of a call to a scheduler's operators' paths
-	hollowProcesses   = 3               // of a run at most
+	readyTimeout        = 20 * time.Second // a scheduler has to be ready after its start
+	readyPollInterval   = 20 * time.Millisecond
+	stepGrace           = time.Minute     // that a step may take beyond its length
+	operatorCallTimeout = 5 * time.Second // of a call to a scheduler's operators' paths
+	maxHollowProcesses  = 3               // of a run at most
 )
 
 var errStepTooLong = errors.New("the step took a minute longer than it lasts")
@@ -34,77 +34,77 @@
 		return Step{}, err
 	}
 	defer os.RemoveAll(dir)
-	ctx, cancel := context.WithTimeoutCause(ctx, s.Length()+stepGrace, errStepTooLong)
+	ctx, cancel := context.WithTimeoutCause(ctx, s.Duration()+stepGrace, errStepTooLong)
 	defer cancel()
-	x := &run{
-		Rig:      r,
-		scenario: s,
-		dir:      dir,
-		ctx:      ctx,
-		exits:    make(chan *process, s.Schedulers+hollowProcesses),
-		http:     &http.Client{Timeout: callTimeout},
+	run := &stepRun{
+		Rig:        r,
+		scenario:   s,
+		dir:        dir,
+		ctx:        ctx,
+		exits:      make(chan *process, s.Schedulers+maxHollowProcesses),
+		httpClient: &http.Client{Timeout: operatorCallTimeout},
 	}
-	defer x.close()
-	if err := x.start(); err != nil {
+	defer run.close()
+	if err := run.start(); err != nil {
 		return Step{}, err
 	}
-	m, err := x.measure()
+	m, err := run.measure()
 	if err != nil {
 		return Step{}, err
 	}
 	return m.step(), nil
 }
 
-// run is one step under way.
-type run struct {
+// stepRun is one step under way.
+type stepRun struct {
 	Rig
-	scenario   Scenario
-	dir        string
-	ctx        context.Context
-	exits      chan *process // has room for all
-	processes  []*process
-	schedulers []*process
-	addresses  []string // of the schedulers
-	workers    *process
-	clients    *process
-	others     *process // nil: schedulers send no gossip
-	http       *http.Client
+	scenario           Scenario
+	dir                string
+	ctx                context.Context
+	exits              chan *process // has room for all
+	processes          []*process
+	schedulers         []*process
+	schedulerAddrs     []string // of the schedulers
+	workers            *process
+	clients            *process
+	emulatedSchedulers *process // nil: schedulers send no gossip
+	httpClient         *http.Client
 }
 
-func (x *run) close() {
-	for _, p := range x.processes {
+func (r *stepRun) close() {
+	for _, p := range r.processes {
 		p.kill()
 	}
 }
 
 // wait lets time pass. The exit of any process is an error.
-func (x *run) wait(span time.Duration) error {
+func (r *stepRun) wait(duration time.Duration) error {
 	select {
-	case <-time.After(span):
+	case <-time.After(duration):
 		return nil
-	case p := <-x.exits:
+	case p := <-r.exits:
 		return p.exitError()
-	case <-x.ctx.Done():
-		return context.Cause(x.ctx)
+	case <-r.ctx.Done():
+		return context.Cause(r.ctx)
 	}
 }
 
 // Addresses of this process are one for schedulers and one for all others, so that nobody else is
 // given a scheduler's port.
 const (
-	schedulerNet = 10  // second byte of the schedulers' address in 127.0.0.0/8, at least
-	otherNet     = 110 // second byte of the others'
+	schedulerSubnetBase = 10  // second byte of the schedulers' address in 127.0.0.0/8, at least
+	hollowSubnetBase    = 110 // second byte of the others'
 )
 
-func loopbackHost(net int) string {
+func loopbackHost(subnetBase int) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", net+pid>>16&63, pid>>8&255, max(1, pid&255))
+	return fmt.Sprintf("127.%d.%d.%d", subnetBase+pid>>16&63, pid>>8&255, max(1, pid&255))
 }
 
 // freeTCPAddresses finds so many addresses for schedulers that nobody listens at.
-func freeTCPAddresses(n int) (addrs []string, err error) {
-	for range n {
-		l, err := net.Listen("tcp", loopbackHost(schedulerNet)+":0")
+func freeTCPAddresses(count int) (addrs []string, err error) {
+	for range count {
+		l, err := net.Listen("tcp", loopbackHost(schedulerSubnetBase)+":0")
 		if err != nil {
 			return nil, err
 		}
@@ -115,9 +115,9 @@
 }
 
 // freeUDPAddresses finds so many addresses for schedulers' gossip that nobody listens at.
-func freeUDPAddresses(n int) (addrs []string, err error) {
-	for range n {
-		c, err := net.ListenPacket("udp", loopbackHost(schedulerNet)+":0")
+func freeUDPAddresses(count int) (addrs []string, err error) {
+	for range count {
+		c, err := net.ListenPacket("udp", loopbackHost(schedulerSubnetBase)+":0")
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// effectSettings are the effects as the settings name them.
-var effectSettings = map[string]string{
+// effectSettingNames are the effects as the settings name them.
+var effectSettingNames = map[string]string{
 	effectIdempotent:    "read_like",
 	effectDeduplicated:  "idempotency_key",
 	effectNonIdempotent: "non_idempotent",
@@ -14,123 +14,123 @@
 
 // Settings that are the same for every scenario; times are in seconds.
 const (
-	dedupWindow       = 60
-	billedValue       = 1
-	classStretch      = 2 // of a run's time, by class
-	maxRetryAfter     = 2
-	maxForwards       = 4 // attempts of a request
-	connectTimeout    = 0.25
-	askWithin         = 10  // interval of polls of the list
-	stopSendingWithin = 0.5 // drain grace
-	slowStartFrom     = 0.13
-	overloadFactor    = 2.5
-	overloadWindow    = 1
+	dedupWindowSeconds    = 60
+	billedValue           = 1
+	operationStretch      = 2 // of a run's time, by class
+	maxRetryAfterSeconds  = 2
+	maxAttempts           = 4 // attempts of a request
+	connectTimeoutSeconds = 0.25
+	pollWithinSeconds     = 10  // interval of polls of the list
+	drainGraceSeconds     = 0.5 // drain grace
+	slowStartInitialShare = 0.13
+	overloadFactor        = 2.5
+	overloadWindowSeconds = 1
 )
 
 // schedulerSettings are the settings of a scheduler; durations are in seconds.
 type schedulerSettings struct {
-	BilledValueBy string
-	Dcs           []string
-	Discovery     string
-	FamilyInfo    familySettings
-	Kinds         []string
-	Limits        limitSettings
-	MyNumber      int
-	MyZone        int
-	Operations    []operationSettings
-	PeersTotal    int
-	Prices        priceSettings
-	Report        reportSettings
-	Rules         ruleSettings
-	Tenants       []struct{}
-	WeightKind    string
+	BilledValueBy   string              `json:"BilledValueBy"`
+	Zones           []string            `json:"Dcs"`
+	Discovery       string              `json:"Discovery"`
+	Family          familySettings      `json:"FamilyInfo"`
+	Kinds           []string            `json:"Kinds"`
+	Limits          limitSettings       `json:"Limits"`
+	Index           int                 `json:"MyNumber"`
+	Zone            int                 `json:"MyZone"`
+	Operations      []operationSettings `json:"Operations"`
+	TotalSchedulers int                 `json:"PeersTotal"`
+	Costs           costSettings        `json:"Prices"`
+	Report          reportSettings      `json:"Report"`
+	Rules           ruleSettings        `json:"Rules"`
+	Tenants         []struct{}          `json:"Tenants"`
+	WeightKind      string              `json:"WeightKind"`
 }
 
 type familySettings struct {
-	ClassStretch []float64
-	Progress     float64
-	ReportX0     string
-	TellsStart   bool
+	OperationStretch []float64 `json:"ClassStretch"`
+	ProgressInterval float64   `json:"Progress"`
+	ReportX0         string    `json:"ReportX0"`
+	NotifiesStart    bool      `json:"TellsStart"`
 }
 
 type limitSettings struct {
-	Cancel         bool
-	ConnIdle       float64
-	ConnectTimeout float64
-	MaxRetryAfter  float64
-	MostForwards   int
-	Peers          bool
-	Probes         bool
-	RetryAfter     bool
-	SecondCopies   bool
+	Cancel         bool    `json:"Cancel"`
+	ConnectionIdle float64 `json:"ConnIdle"`
+	ConnectTimeout float64 `json:"ConnectTimeout"`
+	MaxRetryAfter  float64 `json:"MaxRetryAfter"`
+	MaxAttempts    int     `json:"MostForwards"`
+	Gossip         bool    `json:"Peers"`
+	HealthChecks   bool    `json:"Probes"`
+	RetryAfter     bool    `json:"RetryAfter"`
+	Hedging        bool    `json:"SecondCopies"`
 }
 
 type operationSettings struct {
-	BilledValue      float64
-	ClientTimeout    float64
-	DedupScope       string
-	DedupWindow      float64
-	Effect           string
-	LatencyObjective float64
-	Name             string
+	BilledValue      float64 `json:"BilledValue"`
+	ClientTimeout    float64 `json:"ClientTimeout"`
+	DedupScope       string  `json:"DedupScope"`
+	DedupWindow      float64 `json:"DedupWindow"`
+	Effect           string  `json:"Effect"`
+	LatencyObjective float64 `json:"LatencyObjective"`
+	Name             string  `json:"Name"`
 }
 
-type priceSettings struct {
-	Peer  float64
-	Probe float64
+type costSettings struct {
+	Gossip      float64 `json:"Peer"`
+	HealthCheck float64 `json:"Probe"`
 }
 
 type reportSettings struct {
-	How   string
-	Names []string
+	How   string   `json:"How"`
+	Names []string `json:"Names"`
 }
 
 type ruleSettings struct {
-	AskWithin         float64
-	ColdFrom          float64
-	Fall              float64
-	FallMultiple      float64
-	StopSendingWithin float64
-	WarmAfter         float64
+	PollWithin        float64 `json:"AskWithin"`
+	SlowStartFrom     float64 `json:"ColdFrom"`
+	OverloadWindow    float64 `json:"Fall"`
+	OverloadFactor    float64 `json:"FallMultiple"`
+	DrainGrace        float64 `json:"StopSendingWithin"`
+	SlowStartDuration float64 `json:"WarmAfter"`
 }
 
 // settings returns the settings of the scheduler of an index, as JSON.
 func (s Scenario) settings(index int) json.RawMessage {
 	text, err := json.Marshal(schedulerSettings{
 		BilledValueBy: "work",
-		Dcs:           s.zoneNames(),
+		Zones:         s.zoneNames(),
 		Discovery:     "ask",
-		FamilyInfo: familySettings{
-			ClassStretch: s.classStretches(),
-			Progress:     s.Progress.D().Seconds(),
-			ReportX0:     "free slots",
-			TellsStart:   s.TellsStart,
+		Family: familySettings{
+			OperationStretch: s.operationStretches(),
+			ProgressInterval: s.ProgressInterval.D().Seconds(),
+			ReportX0:         "free slots",
+			NotifiesStart:    s.NotifiesStart,
 		},
 		Kinds: []string{"a"},
 		Limits: limitSettings{
 			Cancel:         true,
-			ConnIdle:       s.ConnIdle.D().Seconds(),
-			ConnectTimeout: connectTimeout,
-			MaxRetryAfter:  maxRetryAfter,
-			MostForwards:   maxForwards,
-			Peers:          s.Messages,
-			Probes:         true,
+			ConnectionIdle: s.ConnIdle.D().Seconds(),
+			ConnectTimeout: connectTimeoutSeconds,
+			MaxRetryAfter:  maxRetryAfterSeconds,
+			MaxAttempts:    maxAttempts,
+			Gossip:         s.Gossip,
+			HealthChecks:   true,
 			RetryAfter:     true,
-			SecondCopies:   s.Copies,
+			Hedging:        s.Hedging,
 		},
-		MyNumber:   index,
-		MyZone:     index % s.Zones,
-		Operations: s.operationSettings(),
-		PeersTotal: s.Told,
-		Prices:     priceSettings{Peer: s.TellPrice, Probe: s.ProbePrice},
-		Report:     reportSettings{How: "probe", Names: []string{"waiting", "avg_ms", "x0"}},
+		Index:           index,
+		Zone:            index % s.Zones,
+		Operations:      s.operationSettings(),
+		TotalSchedulers: s.TotalSchedulers,
+		Costs:           costSettings{Gossip: s.GossipCost, HealthCheck: s.HealthCheckCost},
+		Report:          reportSettings{How: "probe", Names: []string{"waiting", "avg_ms", "x0"}},
 		Rules: ruleSettings{
-			AskWithin:         askWithin,
-			ColdFrom:          slowStartFrom,
-			Fall:              overloadWindow,
-			FallMultiple:      overloadFactor,
-			StopSendingWithin: stopSendingWithin,
-			WarmAfter:         s.Warm.D().Seconds(),
+			PollWithin:        pollWithinSeconds,
+			SlowStartFrom:     slowStartInitialShare,
+			OverloadWindow:    overloadWindowSeconds,
+			OverloadFactor:    overloadFactor,
+			DrainGrace:        drainGraceSeconds,
+			SlowStartDuration: s.SlowStart.D().Seconds(),
 		},
 		Tenants:    []struct{}{},
 		WeightKind: "none",
@@ -148,9 +148,9 @@
 	return names
 }
 
-func (s Scenario) classStretches() (stretches []float64) {
+func (s Scenario) operationStretches() (stretches []float64) {
 	for range s.Operations {
-		stretches = append(stretches, classStretch)
+		stretches = append(stretches, operationStretch)
 	}
 	return stretches
 }
@@ -161,9 +161,9 @@
 			BilledValue:      billedValue,
 			ClientTimeout:    s.timeout().Seconds(),
 			DedupScope:       "all",
-			DedupWindow:      dedupWindow,
-			Effect:           effectSettings[o.Effect],
-			LatencyObjective: s.Objective.D().Seconds(),
+			DedupWindow:      dedupWindowSeconds,
+			Effect:           effectSettingNames[o.Effect],
+			LatencyObjective: s.LatencyObjective.D().Seconds(),
 			Name:             o.Name,
 		})
 	}
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -10,106 +10,106 @@
 	"time"
 )
 
-// hollowMemory is the limit of a hollow process's memory, in the form of the environment of Go
+// hollowMemoryLimit is the limit of a hollow process's memory, in the form of the environment of Go
 // programs.
-const hollowMemory = "GOMEMLIMIT=2GiB"
+const hollowMemoryLimit = "GOMEMLIMIT=2GiB"
 
 // start starts all processes and waits until the schedulers are ready.
-func (x *run) start() (err error) {
-	x.addresses, err = freeTCPAddresses(x.scenario.Schedulers)
+func (r *stepRun) start() (err error) {
+	r.schedulerAddrs, err = freeTCPAddresses(r.scenario.Schedulers)
 	if err != nil {
 		return err
 	}
-	var workers Stats
-	x.workers, workers, err = x.startHollow(Part{Role: WorkersRole})
+	var workerStats Stats
+	r.workers, workerStats, err = r.startHollow(HollowConfig{Role: WorkersRole})
 	if err != nil {
 		return err
 	}
-	x.clients, _, err = x.startHollow(Part{Role: ClientsRole})
+	r.clients, _, err = r.startHollow(HollowConfig{Role: ClientsRole})
 	if err != nil {
 		return err
 	}
-	var peers []string
-	if x.scenario.Messages {
-		peers, err = x.startOthers(workers.Endpoints)
+	var gossipAddrs []string
+	if r.scenario.Gossip {
+		gossipAddrs, err = r.startEmulatedSchedulers(workerStats.Endpoints)
 		if err != nil {
 			return err
 		}
 	}
-	for n := range x.addresses {
-		if err := x.startScheduler(n, workers.Discovery, peers); err != nil {
+	for n := range r.schedulerAddrs {
+		if err := r.startScheduler(n, workerStats.Discovery, gossipAddrs); err != nil {
 			return err
 		}
 	}
-	for n := range x.addresses {
-		if err := x.awaitReady(n); err != nil {
+	for n := range r.schedulerAddrs {
+		if err := r.awaitReady(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startOthers starts the schedulers that only send and receive gossip, and returns the addresses of
+// startEmulatedSchedulers starts the schedulers that only send and receive gossip, and returns the addresses of
 // all for it, by index.
-func (x *run) startOthers(workers []string) (peers []string, err error) {
-	own, err := freeUDPAddresses(x.scenario.Schedulers)
+func (r *stepRun) startEmulatedSchedulers(workerAddrs []string) (allGossipAddrs []string, err error) {
+	gossipAddrs, err := freeUDPAddresses(r.scenario.Schedulers)
 	if err != nil {
 		return nil, err
 	}
-	var others Stats
-	x.others, others, err = x.startHollow(Part{Role: SchedulersRole, Endpoints: workers, Peers: own})
-	return others.Endpoints, err
+	var stats Stats
+	r.emulatedSchedulers, stats, err = r.startHollow(HollowConfig{Role: SchedulersRole, WorkerAddrs: workerAddrs, GossipAddrs: gossipAddrs})
+	return stats.Endpoints, err
 }
 
 // startHollow starts a hollow process, and returns what it says when it is ready.
-func (x *run) startHollow(part Part) (*process, Stats, error) {
-	part.Scenario = x.scenario
-	part.Schedulers = x.addresses
-	part.Host = loopbackHost(otherNet)
-	cmd := exec.Command(x.Hollow[0], x.Hollow[1:]...)
-	cmd.Env = append(os.Environ(), hollowMemory)
-	p := newProcess("hollow "+part.Role, cmd)
-	if err := p.connect(); err != nil {
+func (r *stepRun) startHollow(config HollowConfig) (*process, Stats, error) {
+	config.Scenario = r.scenario
+	config.SchedulerAddrs = r.schedulerAddrs
+	config.ListenHost = loopbackHost(hollowSubnetBase)
+	cmd := exec.Command(r.Hollow[0], r.Hollow[1:]...)
+	cmd.Env = append(os.Environ(), hollowMemoryLimit)
+	p := newProcess("hollow "+config.Role, cmd)
+	if err := p.openPipes(); err != nil {
 		return nil, Stats{}, err
 	}
-	if err := p.start(x.exits); err != nil {
+	if err := p.start(r.exits); err != nil {
 		return nil, Stats{}, err
 	}
-	x.processes = append(x.processes, p)
-	stats, err := p.begin(part)
+	r.processes = append(r.processes, p)
+	stats, err := p.configure(config)
 	return p, stats, err
 }
 
 // schedulerConfig is the configuration file of a scheduler.
 type schedulerConfig struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    processLimits   `json:"limits"`
-	Settings  json.RawMessage `json:"settings"`
-	Peers     []string        `json:"peers,omitempty"`
+	Name        string          `json:"name"`
+	Listen      string          `json:"listen"`
+	ListAddr    string          `json:"discovery"`
+	Seed        string          `json:"seed"`
+	Limits      schedulerLimits `json:"limits"`
+	Settings    json.RawMessage `json:"settings"`
+	GossipAddrs []string        `json:"peers,omitempty"`
 }
 
-type processLimits struct {
+type schedulerLimits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-func (x *run) startScheduler(n int, discovery string, peers []string) error {
+func (r *stepRun) startScheduler(index int, listAddr string, gossipAddrs []string) error {
 	text, err := json.Marshal(schedulerConfig{
-		Name:      fmt.Sprint("n", n),
-		Listen:    x.addresses[n],
-		Discovery: discovery,
-		Seed:      fmt.Sprintf("%016x", uint64(x.scenario.Seed)<<16|uint64(n)),
-		Limits:    processLimits{MemoryMB: x.scenario.MemoryMB, Sockets: x.scenario.sockets()},
-		Settings:  x.scenario.settings(n),
-		Peers:     peers,
+		Name:        fmt.Sprint("n", index),
+		Listen:      r.schedulerAddrs[index],
+		ListAddr:    listAddr,
+		Seed:        fmt.Sprintf("%016x", uint64(r.scenario.Seed)<<16|uint64(index)),
+		Limits:      schedulerLimits{MemoryMB: r.scenario.MemoryMB, Sockets: r.scenario.socketLimit()},
+		Settings:    r.scenario.settings(index),
+		GossipAddrs: gossipAddrs,
 	})
 	if err != nil {
 		return err
 	}
-	dir := filepath.Join(x.dir, fmt.Sprint("n", n))
+	dir := filepath.Join(r.dir, fmt.Sprint("n", index))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -117,31 +117,31 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(x.Scheduler)
+	cmd := exec.Command(r.Scheduler)
 	cmd.Env = []string{"PROXY_CONFIG=" + file, "TMPDIR=" + dir}
-	p := newProcess(fmt.Sprint("scheduler ", n), cmd)
-	if err := p.start(x.exits); err != nil {
+	p := newProcess(fmt.Sprint("scheduler ", index), cmd)
+	if err := p.start(r.exits); err != nil {
 		return err
 	}
-	x.processes = append(x.processes, p)
-	x.schedulers = append(x.schedulers, p)
+	r.processes = append(r.processes, p)
+	r.schedulers = append(r.schedulers, p)
 	return nil
 }
 
-func (x *run) awaitReady(n int) error {
-	for end := time.Now().Add(readyWithin); !x.isReady(n); {
-		if err := x.wait(readyPollInterval); err != nil {
+func (r *stepRun) awaitReady(index int) error {
+	for deadline := time.Now().Add(readyTimeout); !r.isReady(index); {
+		if err := r.wait(readyPollInterval); err != nil {
 			return err
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("scheduler %d is not ready after %v: %s", n, readyWithin, x.schedulers[n].stderr)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("scheduler %d is not ready after %v: %s", index, readyTimeout, r.schedulers[index].stderr)
 		}
 	}
 	return nil
 }
 
-func (x *run) isReady(n int) bool {
-	response, err := x.http.Get("http://" + x.addresses[n] + "/-/ready")
+func (r *stepRun) isReady(index int) bool {
+	response, err := r.httpClient.Get("http://" + r.schedulerAddrs[index] + "/-/ready")
 	if err != nil {
 		return false
 	}
--- a/internal/lab/scale/step.go
+++ b/internal/lab/scale/step.go
@@ -71,8 +71,8 @@
 
 // Bytes of the heads of a packet.
 const (
-	udpHead = 28 // IPv4 and UDP
-	tcpHead = 52 // IPv4 and TCP with time stamps
+	udpHeaderBytes = 28 // IPv4 and UDP
+	tcpHeaderBytes = 52 // IPv4 and TCP with time stamps
 )
 
 // notMeasured marks a figure that was not measured.
@@ -94,31 +94,32 @@
 // step reports a measurement.
 func (m *measurement) step() Step {
 	s := m.scenario
-	w := window{first: m.first, last: m.last, schedulers: float64(s.Schedulers), seconds: m.last.at.Sub(m.first.at).Seconds()}
+	w := window{first: m.windowStart, last: m.windowEnd, schedulers: float64(s.Schedulers),
+		seconds: m.windowEnd.at.Sub(m.windowStart.at).Seconds()}
 	step := Step{
 		Workers:    s.Workers,
 		Schedulers: s.Schedulers,
-		Told:       s.Told,
-		InHandAim:  s.InHand,
+		Told:       s.TotalSchedulers,
+		InHandAim:  s.InFlight,
 		StartsAim:  s.Starts,
-		Changes:    s.Changes,
+		Changes:    s.ReplacementsPerSecond,
 		Seconds:    w.seconds,
 		IdleCore:   notMeasured,
 		PerStart:   notMeasured,
-		Turn:       milliseconds(m.worst),
+		Turn:       milliseconds(m.worstIteration),
 	}
 	step.addTraffic(w)
 	step.addUsage(w)
-	for n := range m.last.counts {
-		step.addCounts(w, m.first.counts[n], m.last.counts[n])
+	for n := range m.windowEnd.counts {
+		step.addCounts(w, m.windowStart.counts[n], m.windowEnd.counts[n])
 	}
 	step.addOutcomes(w)
 	if s.Idle > 0 {
-		idled := cpuBetween(m.start, m.idle)
-		step.IdleCore = 100 * idled / w.schedulers / m.idle.at.Sub(m.start.at).Seconds()
+		idleCPU := cpuBetween(m.idleStart, m.idleEnd)
+		step.IdleCore = 100 * idleCPU / w.schedulers / m.idleEnd.at.Sub(m.idleStart.at).Seconds()
 	}
-	for _, now := range append(m.course, m.last) {
-		step.Course = append(step.Course, newMoment(m.first, now))
+	for _, now := range append(m.duringWindow, m.windowEnd) {
+		step.Course = append(step.Course, newMoment(m.windowStart, now))
 	}
 	return step
 }
@@ -129,24 +130,24 @@
 	b := w.last.workers
 	step.Starts = float64(b.Starts-a.Starts) / w.schedulers
 	step.StartsPerS = step.Starts / w.seconds
-	step.NewsPerS = w.rate(a.News, b.News)
-	step.ProbesPerS = w.rate(a.Probes, b.Probes)
+	step.NewsPerS = w.rate(a.Callbacks, b.Callbacks)
+	step.ProbesPerS = w.rate(a.HealthChecks, b.HealthChecks)
 	step.CancelsPerS = w.rate(a.Cancels, b.Cancels)
-	step.ProbeBytes = w.rate(a.ProbeBytes, b.ProbeBytes)
+	step.ProbeBytes = w.rate(a.HealthCheckBytes, b.HealthCheckBytes)
 	step.ListBytes = w.rate(a.ListBytes, b.ListBytes)
-	step.ChangesPerS = float64(b.Changes-a.Changes) / w.seconds
-	before := w.first.others
-	after := w.last.others
+	step.ChangesPerS = float64(b.EntryChanges-a.EntryChanges) / w.seconds
+	before := w.first.emulatedSchedulers
+	after := w.last.emulatedSchedulers
 	step.MessagesPerS = w.rate(before.MessagesIn+before.MessagesOut, after.MessagesIn+after.MessagesOut)
 	step.MessageBytes = w.rate(before.MessageBytesIn+before.MessageBytesOut, after.MessageBytesIn+after.MessageBytesOut)
-	step.Control = step.ProbeBytes + 2*tcpHead*step.ProbesPerS + step.MessageBytes + udpHead*step.MessagesPerS +
-		w.rate(a.CancelBytes, b.CancelBytes) + 2*tcpHead*step.CancelsPerS
+	step.Control = step.ProbeBytes + 2*tcpHeaderBytes*step.ProbesPerS + step.MessageBytes + udpHeaderBytes*step.MessagesPerS +
+		w.rate(a.CancelBytes, b.CancelBytes) + 2*tcpHeaderBytes*step.CancelsPerS
 }
 
 // cpuBetween is the processor time of all schedulers between two samples, in seconds.
 func cpuBetween(first, last sample) (seconds float64) {
 	for n := range last.usage {
-		seconds += (last.usage[n].cpu - first.usage[n].cpu).Seconds()
+		seconds += (last.usage[n].cpuTime - first.usage[n].cpuTime).Seconds()
 	}
 	return seconds
 }
@@ -156,9 +157,9 @@
 	cpu := cpuBetween(w.first, w.last)
 	system := 0.0
 	for n, u := range w.last.usage {
-		system += (u.system - w.first.usage[n].system).Seconds()
-		step.RSS = max(step.RSS, megabytes(u.rss))
-		step.Peak = max(step.Peak, megabytes(u.peakRSS))
+		system += (u.systemTime - w.first.usage[n].systemTime).Seconds()
+		step.RSS = max(step.RSS, megabytes(u.rssBytes))
+		step.Peak = max(step.Peak, megabytes(u.peakRSSBytes))
 		step.Descriptors = max(step.Descriptors, u.descriptors)
 	}
 	step.Core = 100 * cpu / w.schedulers / w.seconds
@@ -169,16 +170,16 @@
 }
 
 // addCounts reports what one scheduler counts itself.
-func (step *Step) addCounts(w window, first, last counts) {
-	step.InHand += (float64(first.InHand) + float64(last.InHand)) / 2 / w.schedulers
-	step.Heap = max(step.Heap, megabytes(last.Heap))
-	step.Allocations += float64(last.Allocated-first.Allocated) / w.schedulers / w.seconds
+func (step *Step) addCounts(w window, first, last schedulerCounts) {
+	step.InHand += (float64(first.InFlight) + float64(last.InFlight)) / 2 / w.schedulers
+	step.Heap = max(step.Heap, megabytes(last.HeapBytes))
+	step.Allocations += float64(last.Allocations-first.Allocations) / w.schedulers / w.seconds
 	step.DialledPerS += float64(last.Workers.Dialled-first.Workers.Dialled) / w.schedulers / w.seconds
-	step.Decided99 = max(step.Decided99, float64(last.Decided["p99"])/1e3)
-	step.DecidedMost = max(step.DecidedMost, float64(last.Decided["max"])/1e3)
+	step.Decided99 = max(step.Decided99, float64(last.DecisionMicros["p99"])/1e3)
+	step.DecidedMost = max(step.DecidedMost, float64(last.DecisionMicros["max"])/1e3)
 	step.Panics += last.Panics
-	if last.Turns != nil {
-		step.TurnEver = max(step.TurnEver, float64(last.Turns.Worst)/1e3)
+	if last.LoopIterations != nil {
+		step.TurnEver = max(step.TurnEver, float64(last.LoopIterations.WorstMicros)/1e3)
 	}
 }
 
@@ -189,11 +190,12 @@
 	step.Offered = b.Offered - a.Offered
 	step.Succeeded = b.Succeeded - a.Succeeded
 	step.Throttled = b.Throttled - a.Throttled
-	step.Errored = b.Errored - a.Errored
-	step.Broken = b.Broken - a.Broken
-	step.LateMost = milliseconds(b.LateMost)
-	step.NewsFailed = w.last.workers.NewsFailed - w.first.workers.NewsFailed
-	step.Strange = w.last.workers.Strange - w.first.workers.Strange + w.last.others.Strange - w.first.others.Strange
+	step.Errored = b.Failed - a.Failed
+	step.Broken = b.ConnectionErrors - a.ConnectionErrors
+	step.LateMost = milliseconds(b.MaxLateness)
+	step.NewsFailed = w.last.workers.CallbacksFailed - w.first.workers.CallbacksFailed
+	step.Strange = w.last.workers.Unexpected - w.first.workers.Unexpected +
+		w.last.emulatedSchedulers.Unexpected - w.first.emulatedSchedulers.Unexpected
 }
 
 func newMoment(first, now sample) Moment {
@@ -202,12 +204,12 @@
 	return Moment{
 		Seconds:     now.at.Sub(first.at).Seconds(),
 		Starts:      now.workers.Starts - first.workers.Starts,
-		Changes:     now.workers.Changes - first.workers.Changes,
-		CPU:         (now.usage[0].cpu - first.usage[0].cpu).Seconds(),
-		RSS:         megabytes(now.usage[0].rss),
-		Heap:        megabytes(after.Heap),
-		Collections: after.Collection - before.Collection,
-		Turn:        milliseconds(after.recentWorst()),
+		Changes:     now.workers.EntryChanges - first.workers.EntryChanges,
+		CPU:         (now.usage[0].cpuTime - first.usage[0].cpuTime).Seconds(),
+		RSS:         megabytes(now.usage[0].rssBytes),
+		Heap:        megabytes(after.HeapBytes),
+		Collections: after.Collections - before.Collections,
+		Turn:        milliseconds(after.recentWorstIteration()),
 	}
 }
 
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -12,22 +12,22 @@
 
 // usage is what the kernel knows of a process.
 type usage struct {
-	cpu         time.Duration // of user and system
-	system      time.Duration // of system alone
-	rss         int64         // bytes
-	peakRSS     int64         // bytes
-	descriptors int
+	cpuTime      time.Duration // of user and system
+	systemTime   time.Duration // of system alone
+	rssBytes     int64         // bytes
+	peakRSSBytes int64         // bytes
+	descriptors  int
 }
 
 const (
-	clockTicks = 100 // a second, in which the kernel counts processor time in /proc
+	clockTicksPerSecond = 100 // a second, in which the kernel counts processor time in /proc
 
 	// Fields of /proc/PID/stat behind the name.
 	statUserTime   = 11
 	statSystemTime = 12
 )
 
-var errMalformedStat = errors.New("can't be read")
+var errTooFewFields = errors.New("can't be read")
 
 // readUsage reads the usage of a process from /proc.
 func readUsage(pid int) (u usage, err error) {
@@ -50,23 +50,23 @@
 	// The name, in brackets, may contain anything.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	if len(fields) <= statSystemTime {
-		return fmt.Errorf("%s: %w", file, errMalformedStat)
+		return fmt.Errorf("%s: %w", file, errTooFewFields)
 	}
 	user, err := parseTicks(fields[statUserTime])
 	if err != nil {
 		return err
 	}
-	u.system, err = parseTicks(fields[statSystemTime])
+	u.systemTime, err = parseTicks(fields[statSystemTime])
 	if err != nil {
 		return err
 	}
-	u.cpu = user + u.system
+	u.cpuTime = user + u.systemTime
 	return nil
 }
 
 func parseTicks(field string) (time.Duration, error) {
 	n, err := strconv.ParseInt(field, 10, 64)
-	return time.Duration(n) * time.Second / clockTicks, err
+	return time.Duration(n) * time.Second / clockTicksPerSecond, err
 }
 
 func (u *usage) readMemory(file string) error {
@@ -76,10 +76,10 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		if bytes, ok := memoryField(line, "VmRSS:"); ok {
-			u.rss = bytes
+			u.rssBytes = bytes
 		}
 		if bytes, ok := memoryField(line, "VmHWM:"); ok {
-			u.peakRSS = bytes
+			u.peakRSSBytes = bytes
 		}
 	}
 	return nil
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -15,15 +15,15 @@
 
 // worker is an emulated worker.
 type worker struct {
-	pool         *workerPool
-	number       int
-	addr         string
-	zone         int
-	listener     net.Listener
-	lost         atomic.Bool // it accepts nothing and sends nothing
-	running      atomic.Int64
-	frozenReport atomic.Pointer[string] // once reports are frozen
-	callbacks    *connPool
+	pool          *workerPool
+	index         int
+	addr          string
+	zone          int
+	listener      net.Listener
+	lost          atomic.Bool // it accepts nothing and sends nothing
+	running       atomic.Int64
+	frozenReport  atomic.Pointer[string] // once reports are frozen
+	callbackConns *connPool
 
 	uid    string // guarded by the list's lock
 	bootMS int64  // Unix milliseconds of its start, 0: long ago; guarded by the list's lock
@@ -32,21 +32,21 @@
 	conns map[net.Conn]struct{} // of schedulers
 }
 
-func newWorker(p *workerPool, n int) (*worker, error) {
+func newWorker(pool *workerPool, index int) (*worker, error) {
 	// Addresses differ too: connections to so many workers have to differ by more than a port.
-	l, err := net.Listen("tcp", addressBeside(p.part.Host, n)+":0")
+	l, err := net.Listen("tcp", neighborAddress(pool.config.ListenHost, index)+":0")
 	if err != nil {
-		return nil, fmt.Errorf("worker %d: %w", n, err)
+		return nil, fmt.Errorf("worker %d: %w", index, err)
 	}
 	w := &worker{
-		pool:      p,
-		number:    n,
-		uid:       fmt.Sprint("w", n),
-		addr:      l.Addr().String(),
-		zone:      n % p.part.Scenario.Zones,
-		listener:  l,
-		callbacks: newConnPool(),
-		conns:     map[net.Conn]struct{}{},
+		pool:          pool,
+		index:         index,
+		uid:           fmt.Sprint("w", index),
+		addr:          l.Addr().String(),
+		zone:          index % pool.config.Scenario.Zones,
+		listener:      l,
+		callbackConns: newConnPool(),
+		conns:         map[net.Conn]struct{}{},
 	}
 	go w.accept()
 	return w, nil
@@ -96,21 +96,21 @@
 }
 
 const (
-	requestBuffer = 1024 // bytes, of one of many connections
+	requestBufferBytes = 1024 // bytes, of one of many connections
 
 	acceptedResponse  = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 	noContentResponse = "HTTP/1.1 204 No Content\r\n\r\n"
 	notFoundResponse  = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
-	reportPath = "/-/load"
-	jobsPath   = "/jobs/"
+	loadReportPath = "/-/load"
+	jobPathPrefix  = "/jobs/"
 )
 
 // serve serves one connection of a scheduler.
-func (w *worker) serve(nc net.Conn) {
-	c := &countingConn{Conn: nc}
-	reader := bufio.NewReaderSize(c, requestBuffer)
-	counted := 0 // bytes
+func (w *worker) serve(rawConn net.Conn) {
+	conn := &countingConn{Conn: rawConn}
+	reader := bufio.NewReaderSize(conn, requestBufferBytes)
+	countedBytes := 0 // bytes
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
@@ -118,16 +118,16 @@
 		}
 		io.Copy(io.Discard, request.Body)
 		response, counter := w.handle(request)
-		if _, err := io.WriteString(c, response); err != nil {
+		if _, err := io.WriteString(conn, response); err != nil {
 			return
 		}
-		total := c.read - reader.Buffered() + c.written
+		total := conn.bytesRead - reader.Buffered() + conn.bytesWritten
 		if counter != nil {
-			counter.add(total - counted)
+			counter.add(total - countedBytes)
 		} else {
-			w.pool.unexpected.Add(1)
+			w.pool.unexpectedCalls.Add(1)
 		}
-		counted = total
+		countedBytes = total
 	}
 }
 
@@ -137,12 +137,12 @@
 	calls := &w.pool.calls
 	path := request.URL.Path
 	switch {
-	case request.Method == http.MethodGet && path == reportPath:
+	case request.Method == http.MethodGet && path == loadReportPath:
 		body := w.loadReport()
 		head := "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s"
 		return fmt.Sprintf(head, len(body), body), &calls.healthChecks
-	case request.Method == http.MethodDelete && strings.HasPrefix(path, jobsPath):
-		w.pool.cancel(strings.TrimPrefix(path, jobsPath))
+	case request.Method == http.MethodDelete && strings.HasPrefix(path, jobPathPrefix):
+		w.pool.cancelJob(strings.TrimPrefix(path, jobPathPrefix))
 		return noContentResponse, &calls.cancels
 	case request.Method == http.MethodPost:
 		if w.startJob(request) {
@@ -155,8 +155,8 @@
 }
 
 const (
-	otherLoadSwing  = 2  // slots by which the load of other schedulers rises and falls
-	otherLoadPeriod = 20 // seconds, of one radian
+	otherLoadAmplitude        = 2  // slots by which the load of other schedulers rises and falls
+	otherLoadSecondsPerRadian = 20 // seconds, of one radian
 )
 
 // loadReport reports the free slots: all, less the jobs of the schedulers here, less those of all
@@ -165,11 +165,11 @@
 	if frozen := w.frozenReport.Load(); frozen != nil {
 		return *frozen
 	}
-	s := w.pool.part.Scenario
-	phase := float64(w.number) + time.Since(w.pool.began).Seconds()/otherLoadPeriod
-	others := s.Others + math.Round(otherLoadSwing*math.Sin(phase))
-	free := float64(s.Slots) - others - float64(w.running.Load())
-	text := fmt.Sprintf("TEXT waiting=%g, avg_ms=%.0f, x0=%g", max(0, -free), s.meanRun().Seconds()*1e3, max(0, free))
+	scenario := w.pool.config.Scenario
+	phase := float64(w.index) + time.Since(w.pool.startedAt).Seconds()/otherLoadSecondsPerRadian
+	otherLoad := scenario.OtherLoad + math.Round(otherLoadAmplitude*math.Sin(phase))
+	free := float64(scenario.Slots) - otherLoad - float64(w.running.Load())
+	text := fmt.Sprintf("TEXT waiting=%g, avg_ms=%.0f, x0=%g", max(0, -free), scenario.meanRun().Seconds()*1e3, max(0, free))
 	if w.pool.reportsFrozen.Load() {
 		w.frozenReport.Store(&text)
 	}
--- a/internal/lab/scale/worker_callbacks.go
+++ b/internal/lab/scale/worker_callbacks.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	callbackAttempts   = 10                     // calls to a scheduler with one callback
-	callbackRetryAfter = 100 * time.Millisecond // pause between two of them
-	callbackTimeout    = 2 * time.Second        // of one call
-	responseBuffer     = 256                    // bytes
+	callbackAttempts    = 10                     // calls to a scheduler with one callback
+	callbackRetryPause  = 100 * time.Millisecond // pause between two of them
+	callbackTimeout     = 2 * time.Second        // of one call
+	responseBufferBytes = 256                    // bytes
 )
 
 // callback is the body of a callback to a scheduler.
 type callback struct {
-	From   string   `json:"from"`
-	ID     string   `json:"id"`
-	Result string   `json:"result,omitempty"`
-	Share  float64  `json:"share,omitempty"` // of its run that has passed
-	State  jobState `json:"state"`
+	WorkerUID string   `json:"from"`
+	RequestID string   `json:"id"`
+	Result    string   `json:"result,omitempty"`
+	Share     float64  `json:"share,omitempty"` // of its run that has passed
+	State     jobState `json:"state"`
 }
 
 // notify calls a scheduler back until it has answered, over connections of this worker's own.
-func (w *worker) notify(scheduler int, c callback) {
+func (w *worker) notify(scheduler int, body callback) {
 	if w.lost.Load() {
 		return
 	}
 	p := w.pool
-	text, err := json.Marshal(c)
+	text, err := json.Marshal(body)
 	if err != nil {
 		p.callbacksFailed.Add(1)
 		return
 	}
 	request := fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
-		p.part.Schedulers[scheduler], len(text), text)
+		p.config.SchedulerAddrs[scheduler], len(text), text)
 	for range callbackAttempts {
 		if bytes, ok := w.post(scheduler, request); ok {
 			p.callbacksAnswered.add(bytes)
 			return
 		}
 		select {
-		case <-time.After(callbackRetryAfter):
+		case <-time.After(callbackRetryPause):
 		case <-p.ctx.Done():
 			return
 		}
@@ -54,25 +54,25 @@
 
 // post makes one call, and returns its bytes, both ways, and whether it succeeded.
 func (w *worker) post(scheduler int, request string) (bytes int, ok bool) {
-	nc, err := w.callbacks.get(scheduler, w.pool.part.Schedulers[scheduler])
+	rawConn, err := w.callbackConns.get(scheduler, w.pool.config.SchedulerAddrs[scheduler])
 	if err != nil {
 		return 0, false
 	}
-	nc.SetDeadline(time.Now().Add(callbackTimeout))
-	c := &countingConn{Conn: nc}
-	response, err := exchange(c, request)
+	rawConn.SetDeadline(time.Now().Add(callbackTimeout))
+	conn := &countingConn{Conn: rawConn}
+	response, err := exchange(conn, request)
 	if err != nil {
-		nc.Close()
+		rawConn.Close()
 		return 0, false
 	}
-	idle := w.pool.part.Scenario.NewsIdle.D()
-	if idle > 0 && !response.Close {
-		w.callbacks.put(scheduler, nc)
-		time.AfterFunc(idle, func() { w.callbacks.closeIdle(scheduler, nc) })
+	idleTimeout := w.pool.config.Scenario.CallbackIdle.D()
+	if idleTimeout > 0 && !response.Close {
+		w.callbackConns.put(scheduler, rawConn)
+		time.AfterFunc(idleTimeout, func() { w.callbackConns.closeIdle(scheduler, rawConn) })
 	} else {
-		nc.Close()
+		rawConn.Close()
 	}
-	return c.read + c.written, response.StatusCode/100 == 2
+	return conn.bytesRead + conn.bytesWritten, response.StatusCode/100 == 2
 }
 
 // exchange writes a request and reads the response, whose body is discarded.
@@ -80,7 +80,7 @@
 	if _, err := io.WriteString(c, request); err != nil {
 		return nil, err
 	}
-	response, err := http.ReadResponse(bufio.NewReaderSize(c, responseBuffer), nil)
+	response, err := http.ReadResponse(bufio.NewReaderSize(c, responseBufferBytes), nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/worker_jobs.go
+++ b/internal/lab/scale/worker_jobs.go
@@ -27,16 +27,16 @@
 	jobLost    jobState = "lost"
 )
 
-const schedulerBits = 32 // of an id, below the index of the scheduler
+const schedulerShift = 32 // of an id, below the index of the scheduler
 
-// schedulerOf reads the index of the scheduler from an id, which the emulated clients put first.
-func schedulerOf(id string) (scheduler int, ok bool) {
+// schedulerFromID reads the index of the scheduler from an id, which the emulated clients put first.
+func schedulerFromID(id string) (scheduler int, ok bool) {
 	n, err := strconv.ParseUint(id, 16, 64)
-	return int(n >> schedulerBits), err == nil
+	return int(n >> schedulerShift), err == nil
 }
 
-func idOf(scheduler int, n int64) string {
-	return strconv.FormatUint(uint64(scheduler)<<schedulerBits|uint64(n), 16)
+func requestID(scheduler int, n int64) string {
+	return strconv.FormatUint(uint64(scheduler)<<schedulerShift|uint64(n), 16)
 }
 
 // startJob starts a job that runs for the microseconds at the end of its path; the rest of what
@@ -45,38 +45,38 @@
 	id := request.Header.Get("X-Call-Id")
 	path := request.URL.Path
 	micros, err := strconv.ParseInt(path[strings.LastIndexByte(path, '/')+1:], 10, 64)
-	scheduler, ok := schedulerOf(id)
-	if err != nil || !ok || scheduler >= len(w.pool.part.Schedulers) {
-		w.pool.unexpected.Add(1)
+	scheduler, ok := schedulerFromID(id)
+	if err != nil || !ok || scheduler >= len(w.pool.config.SchedulerAddrs) {
+		w.pool.unexpectedCalls.Add(1)
 		return false
 	}
-	run := time.Duration(micros) * time.Microsecond
+	runTime := time.Duration(micros) * time.Microsecond
 	j := &job{id: id, scheduler: scheduler, worker: w}
 	w.running.Add(1)
-	w.pool.running.Add(1)
+	w.pool.runningJobs.Add(1)
 	w.pool.jobs.Store(id, j)
-	j.timer = time.AfterFunc(run, func() { w.pool.finish(j, jobDone) })
-	if w.pool.part.Scenario.TellsStart {
-		go w.notify(scheduler, callback{ID: id, From: w.currentUID(), State: jobStarted})
+	j.timer = time.AfterFunc(runTime, func() { w.pool.finishJob(j, jobDone) })
+	if w.pool.config.Scenario.NotifiesStart {
+		go w.notify(scheduler, callback{RequestID: id, WorkerUID: w.currentUID(), State: jobStarted})
 	}
-	if interval := w.pool.part.Scenario.Progress.D(); interval > 0 {
-		w.scheduleProgress(j, interval, interval, run)
+	if interval := w.pool.config.Scenario.ProgressInterval.D(); interval > 0 {
+		w.scheduleProgress(j, interval, interval, runTime)
 	}
 	return true
 }
 
 // scheduleProgress notifies the scheduler of the progress of a job at a time after its start, and
 // at each interval from then on.
-func (w *worker) scheduleProgress(j *job, interval, at, run time.Duration) {
-	if at >= run {
+func (w *worker) scheduleProgress(j *job, interval, at, runTime time.Duration) {
+	if at >= runTime {
 		return
 	}
 	time.AfterFunc(interval, func() {
 		if j.ended.Load() {
 			return
 		}
-		w.notify(j.scheduler, callback{ID: j.id, From: w.currentUID(), State: jobRunning, Share: at.Seconds() / run.Seconds()})
-		w.scheduleProgress(j, interval, at+interval, run)
+		w.notify(j.scheduler, callback{RequestID: j.id, WorkerUID: w.currentUID(), State: jobRunning, Share: at.Seconds() / runTime.Seconds()})
+		w.scheduleProgress(j, interval, at+interval, runTime)
 	})
 }
 
@@ -87,38 +87,38 @@
 	})
 }
 
-// remove takes a job that has ended from the counts. False: that has been done.
-func (p *workerPool) remove(j *job) bool {
+// removeJob takes a job that has ended from the counts. False: that has been done.
+func (p *workerPool) removeJob(j *job) bool {
 	if j.ended.Swap(true) {
 		return false
 	}
 	p.jobs.Delete(j.id)
 	j.worker.running.Add(-1)
-	p.running.Add(-1)
+	p.runningJobs.Add(-1)
 	return true
 }
 
-// finish ends a job and notifies its scheduler.
-func (p *workerPool) finish(j *job, state jobState) {
-	if !p.remove(j) {
+// finishJob ends a job and notifies its scheduler.
+func (p *workerPool) finishJob(j *job, state jobState) {
+	if !p.removeJob(j) {
 		return
 	}
-	c := callback{ID: j.id, From: j.worker.currentUID(), State: state}
+	c := callback{RequestID: j.id, WorkerUID: j.worker.currentUID(), State: state}
 	if state == jobDone {
 		c.Result = "made " + j.id
 	}
 	j.worker.notify(j.scheduler, c)
 }
 
-// abandon ends a job without notice, unless it ends just now.
-func (p *workerPool) abandon(j *job) {
+// dropJob ends a job without notice, unless it ends just now.
+func (p *workerPool) dropJob(j *job) {
 	if j.timer.Stop() {
-		p.remove(j)
+		p.removeJob(j)
 	}
 }
 
-func (p *workerPool) cancel(id string) {
+func (p *workerPool) cancelJob(id string) {
 	if value, ok := p.jobs.Load(id); ok {
-		p.abandon(value.(*job))
+		p.dropJob(value.(*job))
 	}
 }
--- a/internal/lab/scale/worker_pool.go
+++ b/internal/lab/scale/worker_pool.go
@@ -12,33 +12,33 @@
 
 // workerPool emulates the workers, each with an address of its own, and their endpoint list.
 type workerPool struct {
-	part    Part
-	ctx     context.Context
-	began   time.Time
-	workers []*worker
-	list    *endpointList
+	config    HollowConfig
+	ctx       context.Context
+	startedAt time.Time
+	workers   []*worker
+	list      *endpointList
 
 	// Guarded by the list's lock, as are the names of the workers.
-	spare  []*worker
-	serial int // of the last name that was given
+	spares  []*worker
+	lastUID int // of the last name that was given
 
 	jobs              sync.Map // by id, *job
 	calls             callCounters
-	running           atomic.Int64
+	runningJobs       atomic.Int64
 	reportsFrozen     atomic.Bool
-	unexpected        atomic.Int64 // calls that no scheduler should make
+	unexpectedCalls   atomic.Int64 // calls that no scheduler should make
 	callbacksFailed   atomic.Int64
 	callbacksAnswered callCounter
 }
 
 // callCounter counts calls of one kind.
 type callCounter struct {
-	calls atomic.Int64
+	count atomic.Int64
 	bytes atomic.Int64 // of HTTP, both ways
 }
 
 func (c *callCounter) add(bytes int) {
-	c.calls.Add(1)
+	c.count.Add(1)
 	c.bytes.Add(int64(bytes))
 }
 
@@ -49,55 +49,55 @@
 	cancels      callCounter
 }
 
-func newWorkerPool(ctx context.Context, part Part) (*workerPool, error) {
-	p := &workerPool{part: part, ctx: ctx, began: time.Now()}
-	listener, err := net.Listen("tcp", part.Host+":0")
+func newWorkerPool(ctx context.Context, config HollowConfig) (*workerPool, error) {
+	p := &workerPool{config: config, ctx: ctx, startedAt: time.Now()}
+	listener, err := net.Listen("tcp", config.ListenHost+":0")
 	if err != nil {
 		return nil, err
 	}
 	p.list = newEndpointList(ctx, listener.Addr().String())
-	for n := range part.Scenario.Workers + part.Scenario.spares() {
+	for n := range config.Scenario.Workers + config.Scenario.spareWorkers() {
 		w, err := newWorker(p, n)
 		if err != nil {
 			listener.Close()
 			return nil, err
 		}
 		p.workers = append(p.workers, w)
-		if n < part.Scenario.Workers {
+		if n < config.Scenario.Workers {
 			p.list.entries = append(p.list.entries, w)
 		} else {
-			p.spare = append(p.spare, w)
+			p.spares = append(p.spares, w)
 		}
 	}
-	p.serial = len(p.workers)
+	p.lastUID = len(p.workers)
 	go (&http.Server{Handler: p.list}).Serve(listener) // until the process ends
 	return p, nil
 }
 
-// addressBeside is the n-th address beside one of 127.0.0.0/8, with the last byte changed.
-func addressBeside(host string, n int) string {
-	const addresses = 250 // of a last byte, from 1
+// neighborAddress is the n-th address beside one of 127.0.0.0/8, with the last byte changed.
+func neighborAddress(host string, n int) string {
+	const lastByteValues = 250 // of a last byte, from 1
 	var a, b, c, d int
 	fmt.Sscanf(host, "%d.%d.%d.%d", &a, &b, &c, &d)
-	return fmt.Sprintf("%d.%d.%d.%d", a, b, c, 1+(d+n)%addresses)
+	return fmt.Sprintf("%d.%d.%d.%d", a, b, c, 1+(d+n)%lastByteValues)
 }
 
 func (p *workerPool) execute(o Order) (Stats, error) {
-	switch o.Do {
+	switch o.Action {
 	case orderBegin, orderStats:
 	case orderStart:
 		p.startChanges()
 	case orderFreeze:
 		p.reportsFrozen.Store(true)
 	case orderLose:
-		p.lose(o.Count)
+		p.loseWorkers(o.Count)
 	case orderRestore:
-		p.restore()
+		p.restoreWorkers()
 	default:
-		return Stats{}, fmt.Errorf("fleet: %q is no order", o.Do)
+		return Stats{}, fmt.Errorf("fleet: %q is no order", o.Action)
 	}
 	stats := p.stats()
-	if o.Do == orderBegin {
+	if o.Action == orderBegin {
 		for _, w := range p.workers {
 			stats.Endpoints = append(stats.Endpoints, w.addr)
 		}
@@ -107,37 +107,37 @@
 
 func (p *workerPool) stats() Stats {
 	return Stats{
-		Discovery:   p.list.addr,
-		Lists:       p.list.calls.Load(),
-		ListBytes:   p.list.bytes.Load(),
-		Changes:     p.list.changes.Load(),
-		Running:     p.running.Load(),
-		Strange:     p.unexpected.Load(),
-		NewsFailed:  p.callbacksFailed.Load(),
-		Starts:      p.calls.starts.calls.Load(),
-		TakeBytes:   p.calls.starts.bytes.Load(),
-		Probes:      p.calls.healthChecks.calls.Load(),
-		ProbeBytes:  p.calls.healthChecks.bytes.Load(),
-		Cancels:     p.calls.cancels.calls.Load(),
-		CancelBytes: p.calls.cancels.bytes.Load(),
-		News:        p.callbacksAnswered.calls.Load(),
-		NewsBytes:   p.callbacksAnswered.bytes.Load(),
+		Discovery:        p.list.addr,
+		ListRequests:     p.list.requests.Load(),
+		ListBytes:        p.list.responseBytes.Load(),
+		EntryChanges:     p.list.entryChanges.Load(),
+		Running:          p.runningJobs.Load(),
+		Unexpected:       p.unexpectedCalls.Load(),
+		CallbacksFailed:  p.callbacksFailed.Load(),
+		Starts:           p.calls.starts.count.Load(),
+		StartBytes:       p.calls.starts.bytes.Load(),
+		HealthChecks:     p.calls.healthChecks.count.Load(),
+		HealthCheckBytes: p.calls.healthChecks.bytes.Load(),
+		Cancels:          p.calls.cancels.count.Load(),
+		CancelBytes:      p.calls.cancels.bytes.Load(),
+		Callbacks:        p.callbacksAnswered.count.Load(),
+		CallbackBytes:    p.callbacksAnswered.bytes.Load(),
 	}
 }
 
 // startChanges starts the changes of the list that go on all the time.
 func (p *workerPool) startChanges() {
-	s := p.part.Scenario
-	if s.Whole.D() > 0 {
-		go p.every(s.Whole.D(), p.list.publishFull)
+	s := p.config.Scenario
+	if s.FullUpdateInterval.D() > 0 {
+		go p.runEvery(s.FullUpdateInterval.D(), p.list.publishFull)
 	}
-	if s.Changes > 0 {
-		go p.every(time.Duration(float64(time.Second)/s.Changes), p.replaceOldest)
+	if s.ReplacementsPerSecond > 0 {
+		go p.runEvery(time.Duration(float64(time.Second)/s.ReplacementsPerSecond), p.replaceOldest)
 	}
 }
 
-// every calls at even times, and catches up on those that it was late for.
-func (p *workerPool) every(interval time.Duration, call func()) {
+// runEvery calls at even times, and catches up on those that it was late for.
+func (p *workerPool) runEvery(interval time.Duration, call func()) {
 	for next := time.Now().Add(interval); ; next = next.Add(interval) {
 		select {
 		case <-time.After(time.Until(next)):
@@ -154,11 +154,11 @@
 func (p *workerPool) replaceOldest() {
 	p.list.mu.Lock()
 	old := p.list.entries[0]
-	fresh := p.spare[0]
+	fresh := p.spares[0]
 	p.list.entries = append(p.list.entries[1:], fresh)
-	p.spare = append(p.spare[1:], old)
-	p.serial++
-	fresh.uid = fmt.Sprint("w", p.serial)
+	p.spares = append(p.spares[1:], old)
+	p.lastUID++
+	fresh.uid = fmt.Sprint("w", p.lastUID)
 	fresh.bootMS = time.Now().UnixMilli()
 	p.list.publish(old.entry(stateGone), fresh.entry(stateReady))
 	p.list.mu.Unlock()
@@ -169,41 +169,41 @@
 func (p *workerPool) failJobs(w *worker) {
 	p.eachJob(func(j *job) {
 		if j.worker == w && j.timer.Stop() {
-			go p.finish(j, jobLost)
+			go p.finishJob(j, jobLost)
 		}
 	})
 }
 
-// lose takes some workers of the first zone away without notice, as if they had lost power; the
+// loseWorkers takes some workers of the first zone away without notice, as if they had lost power; the
 // list shows it at once.
-func (p *workerPool) lose(count int) {
+func (p *workerPool) loseWorkers(count int) {
 	p.list.mu.Lock()
 	defer p.list.mu.Unlock()
-	var left []*worker
+	var remaining []*worker
 	var gone []string
 	for _, w := range p.list.entries {
 		if w.zone != 0 || len(gone) == count {
-			left = append(left, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		w.lost.Store(true)
 		w.closeConns()
 		gone = append(gone, w.entry(stateGone))
 	}
-	p.list.entries = left
+	p.list.entries = remaining
 	p.list.publish(gone...)
 	p.eachJob(func(j *job) {
 		if j.worker.lost.Load() {
-			p.abandon(j)
+			p.dropJob(j)
 		}
 	})
 }
 
-// restore lists the lost workers again, warming up.
-func (p *workerPool) restore() {
+// restoreWorkers lists the lost workers again, warming up.
+func (p *workerPool) restoreWorkers() {
 	p.list.mu.Lock()
 	defer p.list.mu.Unlock()
-	var back []string
+	var restored []string
 	for _, w := range p.workers {
 		if !w.lost.Load() {
 			continue
@@ -211,7 +211,7 @@
 		w.lost.Store(false)
 		w.bootMS = time.Now().UnixMilli()
 		p.list.entries = append(p.list.entries, w)
-		back = append(back, w.entry(stateReady))
+		restored = append(restored, w.entry(stateReady))
 	}
-	p.list.publish(back...)
+	p.list.publish(restored...)
 }
