--- a/internal/lab/scale/conn_pool.go
+++ b/internal/lab/scale/conn_pool.go
@@ -9,12 +9,12 @@
 // connPool holds idle connections to schedulers.
 type connPool struct {
 	mu   sync.Mutex
-	idle map[int][]net.Conn // by scheduler, the last one used last
+	idle map[int][]net.Conn // by scheduler index, most recently used last
 }
 
 func newConnPool() *connPool { return &connPool{idle: map[int][]net.Conn{}} }
 
-// get returns the idle connection that was used last, or a new one.
+// get returns the most recently used idle connection to a scheduler, or a new one.
 func (p *connPool) get(scheduler int, addr string) (net.Conn, error) {
 	if conn := p.take(scheduler); conn != nil {
 		return conn, nil
@@ -22,6 +22,7 @@
 	return net.DialTimeout("tcp", addr, dialTimeout)
 }
 
+// take removes the most recently used idle connection from the pool; nil: there is none.
 func (p *connPool) take(scheduler int) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,13 +35,14 @@
 	return idle[last]
 }
 
+// put adds a connection that is no longer in use to the pool.
 func (p *connPool) put(scheduler int, conn net.Conn) {
 	p.mu.Lock()
 	p.idle[scheduler] = append(p.idle[scheduler], conn)
 	p.mu.Unlock()
 }
 
-// closeIdle closes a connection, unless it is in use.
+// closeIdle removes a connection from the pool and closes it, unless it is in use.
 func (p *connPool) closeIdle(scheduler int, conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,7 +55,7 @@
 	conn.Close()
 }
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytesRead    int
--- a/internal/lab/scale/emulated_clients.go
+++ b/internal/lab/scale/emulated_clients.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	minRunSeconds = 0.05 // seconds
-	hintLogStdDev = 0.2  // standard deviation of the logarithm of what clients estimate
+	minRunSeconds = 0.05 // shortest run time of an invocation
+	hintLogStdDev = 0.2  // standard deviation of the logarithm of a client's estimate of a run time
 )
 
-// emulatedClients send each invocation at its time, whatever has become of those before, over
-// connections that they reuse.
+// emulatedClients send each invocation at its scheduled time, whether or not earlier ones have been
+// answered (an open loop). They reuse connections.
 type emulatedClients struct {
 	config HollowConfig
 	ctx    context.Context
@@ -29,7 +29,7 @@
 	failed           atomic.Int64
 	connectionErrors atomic.Int64
 	inFlight         atomic.Int64
-	maxLateness      atomic.Int64 // ns, of an arrival against its plan
+	maxLateness      atomic.Int64 // nanoseconds from the scheduled time of an arrival to its sending
 }
 
 func newEmulatedClients(ctx context.Context, config HollowConfig) *emulatedClients {
@@ -44,7 +44,7 @@
 			go c.sendArrivals(n, order.RampUp)
 		}
 	default:
-		return Stats{}, fmt.Errorf("clients: %q is no order", order.Action)
+		return Stats{}, fmt.Errorf("clients: unknown order %q, expected begin, stats or start", order.Action)
 	}
 	return Stats{
 		Offered:          c.offered.Load(),
@@ -57,23 +57,24 @@
 	}, nil
 }
 
-// arrival is an invocation to be sent; times are in seconds.
+// arrival is an invocation to be sent. Times are in seconds.
 type arrival struct {
-	at      float64 // since the first
+	at      float64 // since the load was started
 	runTime float64
-	hint    float64 // of run, as the client estimates it
+	hint    float64 // run time as the client estimates it
 }
 
-// arrivals draws the invocations of one scheduler. Runs have no memory: a pool of requests in
-// flight that holds the number aimed at goes on holding it, and it is filled within any time by a
-// rate that has as many in flight at its end.
+// arrivals draws the invocations of one scheduler. Run times are exponentially distributed, hence
+// memoryless: once the target number of requests is in flight, the regular rate of starts keeps it
+// there. A ramp-up of any length reaches the target with the constant rate that has the target
+// number in flight at its end.
 type arrivals struct {
 	scenario   Scenario
 	rng        *rand.Rand
-	meanRun    float64 // run, in seconds
+	meanRun    float64 // run time, in seconds
 	rampUp     float64 // seconds
-	rampUpRate float64 // per second, until then
-	lastAt     float64 // of the last one
+	rampUpRate float64 // arrivals per second during the ramp-up
+	lastAt     float64 // seconds from the start to the last arrival
 }
 
 func newArrivals(s Scenario, scheduler int, rampUp time.Duration) *arrivals {
@@ -87,6 +88,7 @@
 	}
 }
 
+// next draws the next arrival. With an even load, intervals and run times are constant.
 func (a *arrivals) next() arrival {
 	rate := a.scenario.Starts
 	if a.lastAt < a.rampUp {
@@ -123,7 +125,7 @@
 	}
 }
 
-// send sends an invocation, and counts what became of it.
+// send sends an invocation and counts its outcome.
 func (c *emulatedClients) send(scheduler int, n int64, op Operation, a arrival) {
 	c.offered.Add(1)
 	c.inFlight.Add(1)
@@ -148,6 +150,7 @@
 	c.conns.put(scheduler, conn)
 }
 
+// count counts an answer by its status.
 func (c *emulatedClients) count(status int) {
 	switch status {
 	case http.StatusOK:
@@ -159,8 +162,10 @@
 	}
 }
 
+// requestText returns the HTTP request of an invocation. The last element of its path is the run
+// time in microseconds, which emulated workers read.
 func (c *emulatedClients) requestText(scheduler int, n int64, op Operation, a arrival) string {
-	const microsPerSecond = 1e6 // of a second
+	const microsPerSecond = 1e6
 	id := requestID(scheduler, n)
 	s := c.config.Scenario
 	var text strings.Builder
--- a/internal/lab/scale/emulated_schedulers.go
+++ b/internal/lab/scale/emulated_schedulers.go
@@ -16,30 +16,30 @@
 
 const (
 	datagramVersion     = 1
-	datagramHeaderBytes = 15   // bytes: version, index of the sender, incarnation, sequence number
-	datagramBufferBytes = 2048 // bytes
-	tagBits             = 19   // of a worker's tag in gossip
-	maxEndDelay         = 4 * time.Second
-	maxReplySlots       = 99 // free slots in a reply
+	datagramHeaderBytes = 15 // version, index of the sender, incarnation, sequence number
+	datagramBufferBytes = 2048
+	tagBits             = 19              // length of a worker's tag in gossip
+	maxEndDelay         = 4 * time.Second // most time from the gossip of an attempt's start to that of its end
+	maxReplySlots       = 99              // most free slots that a reply states
 )
 
-// emulatedSchedulers only send and receive gossip: what one of them sends to workers that a real
-// one owns is sent to that one too, as the decisions do.
+// emulatedSchedulers emulate schedulers that only send and receive gossip. Each of them gossips its
+// attempts at a worker to the real scheduler that owns the worker, as package dispatch does.
 type emulatedSchedulers struct {
 	config      HollowConfig
 	ctx         context.Context
-	sockets     []*net.UDPConn   // of the emulated ones
-	addrs       []netip.AddrPort // of all, the real ones first
-	tags        map[uint32]struct{}
-	ownedTags   [][]uint32      // tags of workers, by the real scheduler that owns them
-	sequence    []atomic.Uint32 // of the last datagram, by socket
+	sockets     []*net.UDPConn      // by emulated scheduler
+	addrs       []netip.AddrPort    // gossip addresses of all schedulers, the real ones first
+	tags        map[uint32]struct{} // of all workers
+	ownedTags   [][]uint32          // tags of workers, by the real scheduler that owns them
+	sequence    []atomic.Uint32     // number of the last datagram sent, by socket
 	incarnation uint64
 
 	received           atomic.Int64
 	receivedBytes      atomic.Int64
 	sent               atomic.Int64
 	sentBytes          atomic.Int64
-	unexpectedMessages atomic.Int64 // malformed, of unknown senders or on unknown workers
+	unexpectedMessages atomic.Int64 // malformed, from unknown senders or about unknown workers
 }
 
 func newEmulatedSchedulers(ctx context.Context, config HollowConfig) (*emulatedSchedulers, error) {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// assignWorkers finds which of the workers the real schedulers own.
+// assignWorkers finds the workers that each real scheduler owns.
 func (e *emulatedSchedulers) assignWorkers() error {
 	for _, endpoint := range e.config.WorkerAddrs {
 		addr, err := netip.ParseAddrPort(endpoint)
@@ -103,19 +103,22 @@
 	return nil
 }
 
-// workerTag returns the tag of a worker, and ownerOf its owner, as the decisions do. Where they differ
-// from those, the gossip of real schedulers is on no worker, which is counted as unexpected.
+// workerTag returns the tag of a worker and ownerOfTag its owner, both as package dispatch computes
+// them. If the results differed, the gossip of real schedulers would name unknown tags, which are
+// counted as unexpected.
 func workerTag(addr netip.AddrPort) uint32 {
 	address := addr.Addr().As16()
 	hash := rendezvousHash(binary.LittleEndian.Uint64(address[8:])^uint64(addr.Port())<<16, 0)
 	return uint32(hash >> (64 - tagBits))
 }
 
+// rendezvousHash returns the rank of a scheduler for a key, the same as in package dispatch.
 func rendezvousHash(key uint64, scheduler int) uint64 {
 	return rand.NewPCG(key, uint64(scheduler)).Uint64()
 }
 
-// ownerOfTag returns the scheduler of the highest hash with a tag, of so many.
+// ownerOfTag returns the scheduler with the highest rendezvous hash for a tag, among the given
+// number of schedulers.
 func ownerOfTag(tag uint32, schedulers int) (owner int) {
 	var highest uint64
 	for n := range schedulers {
@@ -133,7 +136,7 @@
 	case orderStart:
 		e.startGossip()
 	default:
-		return Stats{}, fmt.Errorf("others: %q is no order", order.Action)
+		return Stats{}, fmt.Errorf("others: unknown order %q, expected begin, stats or start", order.Action)
 	}
 	stats := Stats{
 		MessagesIn:      e.received.Load(),
@@ -148,6 +151,7 @@
 	return stats, nil
 }
 
+// startGossip starts the gossip of each emulated scheduler to each real one that owns workers.
 func (e *emulatedSchedulers) startGossip() {
 	for from := range e.sockets {
 		for to, tags := range e.ownedTags {
@@ -158,8 +162,9 @@
 	}
 }
 
-// sendAttempts sends what an emulated scheduler has to say of its attempts at the workers that a
-// real one owns. The end of an attempt is sent soon, as serials are few.
+// sendAttempts gossips the attempts of one emulated scheduler at the workers that one real scheduler
+// owns. The end of an attempt follows within maxEndDelay, because the serial number of an attempt
+// has only one byte and is soon reused.
 func (e *emulatedSchedulers) sendAttempts(from, to int) {
 	s := e.config.Scenario
 	tags := e.ownedTags[to]
@@ -178,6 +183,8 @@
 	}
 }
 
+// send sends an entry in a datagram of its own; from is the index of the emulated scheduler, to that
+// of the real one.
 func (e *emulatedSchedulers) send(from, to int, entry dispatch.GossipEntry) {
 	for _, message := range dispatch.EncodeGossip([]dispatch.GossipEntry{entry}) {
 		datagram := []byte{datagramVersion}
@@ -214,8 +221,8 @@
 	}
 }
 
-// handle counts what is wrong with a message, and replies to the queries of a worker's free
-// capacity in it.
+// handle counts the unexpected parts of a message and replies to its queries of a worker's free
+// capacity.
 func (e *emulatedSchedulers) handle(socket, sender int, message []byte) {
 	entries, ok := dispatch.DecodeGossip(message)
 	if !ok {
@@ -234,6 +241,7 @@
 	}
 }
 
+// sendCapacityReply replies with the mean number of free slots of a worker.
 func (e *emulatedSchedulers) sendCapacityReply(socket, sender int, tag uint32) {
 	free := max(0, float64(e.config.Scenario.Slots)-e.config.Scenario.OtherLoad)
 	e.send(socket, sender, dispatch.GossipEntry{
--- a/internal/lab/scale/endpoint_list.go
+++ b/internal/lab/scale/endpoint_list.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	watchBuffer    = 256             // updates that a watch may be behind
-	watchKeepAlive = 2 * time.Second // interval of the empty lines of a watch
+	watchBuffer    = 256             // updates that a watch may lag behind
+	watchKeepAlive = 2 * time.Second // interval of the empty lines that are sent on a watch
 )
 
-// States of an endpoint.
+// States of an endpoint in its entry of the list.
 const (
 	stateReady = "Ready"
 	stateGone  = "Gone"
 )
 
-// endpointList is the list of the workers, and the server of it.
+// endpointList holds the entries of the listed workers and serves them over HTTP.
 type endpointList struct {
 	ctx  context.Context
 	addr string
 
-	mu        sync.Mutex // of all below, and of the workers' names and starts
-	entries   []*worker  // as listed, the oldest first
+	mu        sync.Mutex // guards the fields down to watches, and the uid and bootMS of workers
+	entries   []*worker  // listed workers, the one listed longest first
 	revision  int
-	changeLog []entryChange // all, by revision
+	changeLog []entryChange // all changes, by revision
 	watches   map[chan []byte]struct{}
 
 	requests      atomic.Int64
-	responseBytes atomic.Int64 // of the answers
-	entryChanges  atomic.Int64 // of entries
+	responseBytes atomic.Int64 // sum over all response bodies
+	entryChanges  atomic.Int64 // changed entries published
 }
 
-// entryChange is a change of one entry.
+// entryChange is a changed entry with the revision that it came with.
 type entryChange struct {
 	revision int
 	entry    string
@@ -49,7 +49,7 @@
 	return &endpointList{ctx: ctx, addr: addr, revision: 1, watches: map[chan []byte]struct{}{}}
 }
 
-// fullUpdate writes the whole list; the lock is held.
+// fullUpdate encodes the whole list. The caller holds the lock.
 func (l *endpointList) fullUpdate() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"rev":%d,"all":true,"targets":[`, l.revision)
@@ -63,12 +63,13 @@
 	return b.Bytes()
 }
 
-// deltaUpdate writes entries that have changed; the lock is held.
+// deltaUpdate encodes entries that have changed. The caller holds the lock.
 func (l *endpointList) deltaUpdate(entries []string) []byte {
 	return fmt.Appendf(nil, `{"rev":%d,"all":false,"targets":[%s]}`+"\n", l.revision, strings.Join(entries, ","))
 }
 
-// publish sends entries that have changed to all watches; the lock is held.
+// publish records changed entries under a new revision and sends them to all watches. The caller
+// holds the lock.
 func (l *endpointList) publish(entries ...string) {
 	l.revision++
 	for _, entry := range entries {
@@ -78,7 +79,7 @@
 	l.send(l.deltaUpdate(entries))
 }
 
-// publishFull sends the whole list to all watches.
+// publishFull sends the whole list to all watches, under a new revision.
 func (l *endpointList) publishFull() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,8 +87,8 @@
 	l.send(l.fullUpdate())
 }
 
-// send sends a line to all watches, and ends those that are too far behind: they have to call
-// again. The lock is held.
+// send sends a line to all watches and ends those whose buffer is full, so that their clients have
+// to call again. The caller holds the lock.
 func (l *endpointList) send(line []byte) {
 	for watch := range l.watches {
 		select {
@@ -99,7 +100,8 @@
 	}
 }
 
-// subscribe returns the update since a revision, or an empty line, and a watch of those to come.
+// subscribe returns the update since a revision, and a watch of all later updates. The update is a
+// full one for revision 0 or one that does not exist yet, and an empty line if nothing has changed.
 func (l *endpointList) subscribe(since int) (first []byte, watch chan []byte) {
 	watch = make(chan []byte, watchBuffer)
 	l.mu.Lock()
@@ -115,6 +117,7 @@
 	}
 }
 
+// changedSince returns the entries changed after a revision, in the order of the changes.
 func (l *endpointList) changedSince(since int) (entries []string) {
 	for _, change := range l.changeLog {
 		if change.revision > since {
@@ -130,8 +133,8 @@
 	l.mu.Unlock()
 }
 
-// ServeHTTP answers a call to the list: with one update, or with all to come where it asks for a
-// stream.
+// ServeHTTP answers a request for the list: with one update or, if the request asks for a stream,
+// with that update and all later ones.
 func (l *endpointList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, err := strconv.Atoi(query.Get("index"))
@@ -154,7 +157,8 @@
 	l.stream(r.Context(), watch, send)
 }
 
-// stream sends updates, and empty lines between them, until the watch or the call ends.
+// stream sends updates, and empty lines to keep the connection alive, until the watch or the request
+// ends.
 func (l *endpointList) stream(ctx context.Context, watch <-chan []byte, send func([]byte) bool) {
 	keepAlive := time.NewTicker(watchKeepAlive)
 	defer keepAlive.Stop()
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/forms_test.go
@@ -15,7 +15,7 @@
 	"stoatweir/internal/golden"
 )
 
-// jsonLine is a value as processes write it to one another.
+// jsonLine encodes a value in the form in which processes exchange it.
 func jsonLine(t *testing.T, v any) []byte {
 	t.Helper()
 	var text bytes.Buffer
@@ -25,7 +25,7 @@
 	return text.Bytes()
 }
 
-// checkDecoded holds what a recorded text says against the value that it was written from.
+// checkDecoded checks that a recorded text decodes to the value that it was written from.
 func checkDecoded[T any](t *testing.T, recorded []byte, want T) {
 	t.Helper()
 	var got T
@@ -37,7 +37,8 @@
 	}
 }
 
-// What a rig and its hollow processes write to one another is the same to the byte, every field set.
+// The messages between a rig and its hollow processes, with every field set, equal the recorded ones
+// byte for byte.
 func TestGoldenOrders(t *testing.T) {
 	config := golden.Filled[HollowConfig](t)
 	order := golden.Filled[Order](t)
@@ -47,7 +48,7 @@
 	checkDecoded(t, golden.Compare(t, "stats.json", jsonLine(t, stats)), stats)
 }
 
-// A hollow process that is given recorded lines answers with the recorded ones.
+// A hollow process answers recorded input with the recorded output.
 func TestGoldenExchange(t *testing.T) {
 	config := HollowConfig{Role: ClientsRole, SchedulerAddrs: []string{"127.0.0.1:1"}, ListenHost: "127.0.0.1"}
 	in := append(jsonLine(t, config), jsonLine(t, Order{Action: "stats"})...)
@@ -58,7 +59,8 @@
 	golden.Compare(t, "exchange_out.json", out.Bytes())
 }
 
-// The report of a sweep is the same to the byte, and the recorded file is read back whole.
+// The report of a sweep equals the recorded one byte for byte, and reading the recorded file restores
+// every field.
 func TestGoldenReport(t *testing.T) {
 	r := golden.Filled[Report](t)
 	var text bytes.Buffer
@@ -75,7 +77,8 @@
 	}
 }
 
-// The counts of the service are read by the keys that they have now.
+// The counters of a scheduler are decoded from their recorded keys, also if those keys are written in
+// lower case.
 func TestGoldenCounts(t *testing.T) {
 	c := golden.Filled[schedulerCounts](t)
 	checkDecoded(t, golden.Compare(t, "counts.json", jsonLine(t, c)), c)
@@ -83,13 +86,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Keys of maps are values.
+	// Only the names of fields are changed: keys of maps are data.
 	lowerCaseKeys := strings.NewReplacer("Workers", "workers", "Sent", "sent", "Probes", "probes", "Cancels", "cancels", "News", "news",
 		"Strange", "strange", "Dialled", "dialled", "Panics", "panics", "Sockets", "sockets", "Watches", "watches").Replace(string(text))
 	checkDecoded(t, []byte(lowerCaseKeys), c)
 }
 
-// A scenario keeps its keys.
+// A scenario file is written with the recorded keys, and reading the recorded file restores every
+// field.
 func TestGoldenScenario(t *testing.T) {
 	s := golden.Filled[Scenario](t)
 	text, err := toml.Marshal(s)
@@ -106,7 +110,7 @@
 	}
 }
 
-// What a scheduler is told is the same to the byte.
+// The settings of a scheduler equal the recorded ones.
 func TestGoldenSettings(t *testing.T) {
 	s := golden.Filled[Scenario](t)
 	s.Operations = []Operation{
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -10,70 +10,71 @@
 	"time"
 )
 
-// A hollow process emulates a part of the deployment that is not measured. It reads what it
-// emulates as one line of its standard input, writes one line when it is ready, and from then on
-// answers each order by one line. It ends with its input, so that it cannot outlive the process
-// that started it.
+// A hollow process emulates a part of the deployment that is not measured. It reads its
+// configuration as one line of JSON from standard input, writes one line of statistics when it is
+// ready, and then answers each order with one such line. It exits when its input ends, so that it
+// cannot outlive the process that started it.
 
 // Roles of hollow processes.
 const (
-	WorkersRole    = "fleet"   // workers, and the list of them
-	ClientsRole    = "clients" // those of all schedulers
+	WorkersRole    = "fleet"   // all workers and their endpoint list
+	ClientsRole    = "clients" // the clients of all schedulers
 	SchedulersRole = "others"  // schedulers that only send and receive gossip
 )
 
-// Orders of a rig to its hollow processes.
+// Orders from a rig to its hollow processes.
 const (
-	orderBegin   = "begin"  // answered once, before any other, with the endpoints
-	orderStats   = "stats"  // nothing but the answer
-	orderStart   = "start"  // the load, or the changes of the list
-	orderFreeze  = "freeze" // load reports
-	orderLose    = "lose"   // workers
-	orderRestore = "return" // the lost workers
+	orderBegin   = "begin"  // executed once, before any other order; the answer has the endpoints
+	orderStats   = "stats"  // returns the statistics only
+	orderStart   = "start"  // starts the load, or the changes of the list
+	orderFreeze  = "freeze" // stops the load reports from changing
+	orderLose    = "lose"   // takes workers away without notice
+	orderRestore = "return" // brings the lost workers back
 )
 
 const (
-	orderBufferBytes = 1 << 20 // bytes
+	orderBufferBytes = 1 << 20
 	dialTimeout      = time.Second
 )
 
-// HollowConfig is what a hollow process emulates.
+// HollowConfig tells a hollow process what to emulate.
 type HollowConfig struct {
 	Role           string   `json:"Role"`
 	Scenario       Scenario `json:"Scenario"`
-	SchedulerAddrs []string `json:"Schedulers"` // where each real one listens
-	ListenHost     string   `json:"Host"`       // the address to listen at
-	WorkerAddrs    []string `json:"Endpoints"`  // of the workers
-	GossipAddrs    []string `json:"Peers"`      // where the real schedulers receive gossip, by index
+	SchedulerAddrs []string `json:"Schedulers"` // listen addresses of the real schedulers
+	ListenHost     string   `json:"Host"`       // IP address to listen on
+	WorkerAddrs    []string `json:"Endpoints"`  // addresses of all workers
+	GossipAddrs    []string `json:"Peers"`      // where the real schedulers receive gossip, by scheduler index
 }
 
-// Order is what a hollow process is to do.
+// Order is an instruction to a hollow process.
 type Order struct {
 	Action string        `json:"Do"`    // stats, start, lose, return, freeze
-	RampUp time.Duration `json:"For"`   // start: the time in which the clients reach the requests in flight that are aimed at
-	Count  int           `json:"Count"` // lose: so many workers of the first zone
+	RampUp time.Duration `json:"For"`   // start: time in which clients reach the target number of requests in flight
+	Count  int           `json:"Count"` // lose: number of workers of the first zone
 }
 
-// Stats are what a hollow process has seen since its start; which of them it fills in depends on
-// its role.
+// Stats are the statistics of a hollow process since its start. Which fields are set depends on its
+// role.
 type Stats struct {
-	Discovery string   `json:"Discovery,omitempty"` // where the list is, once ready
-	Endpoints []string `json:"Endpoints,omitempty"` // of workers, at the beginning; of schedulers for gossip
+	Discovery string   `json:"Discovery,omitempty"` // address of the endpoint list
+	Endpoints []string `json:"Endpoints,omitempty"` // of the workers, at the beginning; gossip addresses of all schedulers
 
-	// Of the workers, for all schedulers; bytes are those of HTTP with the heads, both ways.
+	// Of the workers, summed over all schedulers. Bytes are those of HTTP in both directions, headers
+	// included.
 	Starts           int64 `json:"Starts"`
 	HealthChecks     int64 `json:"Probes"`
 	Cancels          int64 `json:"Cancels"`
-	Callbacks        int64 `json:"News"` // callbacks
+	Callbacks        int64 `json:"News"` // callbacks that were answered with success
 	HealthCheckBytes int64 `json:"ProbeBytes"`
 	CancelBytes      int64 `json:"CancelBytes"`
 	StartBytes       int64 `json:"TakeBytes"`
 	CallbackBytes    int64 `json:"NewsBytes"`
-	ListRequests     int64 `json:"Lists"` // calls to the list
-	ListBytes        int64 `json:"ListBytes"`
+	ListRequests     int64 `json:"Lists"`     // requests for the endpoint list
+	ListBytes        int64 `json:"ListBytes"` // of the response bodies
 	Running          int64 `json:"Running"`
-	EntryChanges     int64 `json:"Changes"` // entries of the list
-	Unexpected       int64 `json:"Strange"` // calls or messages that nobody should send
+	EntryChanges     int64 `json:"Changes"` // changed entries of the list
+	Unexpected       int64 `json:"Strange"` // calls or messages that no scheduler should send
 	CallbacksFailed  int64 `json:"NewsFailed"`
 
 	// Of the clients.
@@ -83,16 +84,16 @@
 	Failed           int64         `json:"Errored"`
 	ConnectionErrors int64         `json:"Broken"`
 	InFlight         int64         `json:"InHand"`
-	MaxLateness      time.Duration `json:"LateMost"` // of an arrival against its plan
+	MaxLateness      time.Duration `json:"LateMost"` // longest time from the scheduled time of an arrival to its sending
 
-	// Of the other schedulers.
+	// Of the emulated schedulers.
 	MessagesIn      int64 `json:"MessagesIn"`
 	MessagesOut     int64 `json:"MessagesOut"`
 	MessageBytesIn  int64 `json:"MessageBytesIn"`
 	MessageBytesOut int64 `json:"MessageBytesOut"`
 }
 
-// emulator is what a hollow process runs.
+// emulator executes the orders that a hollow process receives.
 type emulator interface {
 	execute(Order) (Stats, error)
 }
@@ -106,12 +107,12 @@
 	case SchedulersRole:
 		return newEmulatedSchedulers(ctx, config)
 	default:
-		return nil, fmt.Errorf("hollow: %q is no role", config.Role)
+		return nil, fmt.Errorf("hollow: unknown role %q, expected fleet, clients or others", config.Role)
 	}
 }
 
-// Hollow runs a hollow process until its input ends. Errors are those of its input and output, and
-// of orders that it does not know.
+// Hollow runs a hollow process until its input ends. It returns errors of reading and writing, of
+// starting the emulation, and of unknown orders.
 func Hollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,7 +120,7 @@
 	decoder := json.NewDecoder(bufio.NewReaderSize(in, orderBufferBytes))
 	var config HollowConfig
 	if err := decoder.Decode(&config); err != nil {
-		return fmt.Errorf("hollow: its part can't be read: %w", err)
+		return fmt.Errorf("hollow: reading the configuration: %w", err)
 	}
 	emulator, err := newEmulator(ctx, config)
 	if err != nil {
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -10,27 +10,27 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// Machine is what a machine can carry.
+// Machine is the capacity that a machine offers to a step.
 type Machine struct {
-	Descriptors    int64 // of one process
-	MemoryBytes    int64 // bytes, of which half may be used
-	Processes      int64 // of all
-	EphemeralPorts int64 // from which one address can reach another
+	Descriptors    int64 // open at a time in one process
+	MemoryBytes    int64 // in total; a step may use half of it
+	Processes      int64 // in total
+	EphemeralPorts int64 // for connections from one address to another
 }
 
 const (
-	maxProcesses    = 2048    // of a run, on any machine
-	maxDescriptors  = 1 << 40 // where there is no limit
+	maxProcesses    = 2048    // of a step, on any machine
+	maxDescriptors  = 1 << 40 // assumed if there is no limit
 	maxStepDuration = 10 * time.Minute
 
-	otherDescriptors   = 64          // descriptors of a process that are not counted one by one
-	connectionBytes    = 24 << 10    // bytes of a hollow process: buffers and the stacks of its goroutines
-	listenerBytes      = 12 << 10    // bytes of a hollow process
-	hollowProcessBytes = 64 << 20    // bytes of a hollow process
-	timeWaitDuration   = time.Minute // for which the kernel keeps a port from being used again
+	otherDescriptors   = 64          // of a process, besides those that are counted one by one
+	connectionBytes    = 24 << 10    // memory in a hollow process: buffers and goroutine stacks
+	listenerBytes      = 12 << 10    // memory in a hollow process
+	hollowProcessBytes = 64 << 20    // memory without listeners and connections
+	timeWaitDuration   = time.Minute // for which the kernel keeps the port of a closed connection (TIME_WAIT)
 )
 
-// This returns what the machine at hand can carry, as the kernel reports it.
+// This returns the capacity of the local machine as the kernel reports it.
 func This() (m Machine, err error) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
@@ -51,7 +51,8 @@
 	return m, err
 }
 
-// ephemeralPortCount is the number of ports that the kernel chooses from for a connection.
+// ephemeralPortCount returns the number of ports that the kernel chooses from for an outgoing
+// connection.
 func ephemeralPortCount() (int64, error) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
@@ -64,19 +65,20 @@
 	return last - first, nil
 }
 
-// demand is what a step needs at most.
+// demand is the most that a step needs of a machine.
 type demand struct {
-	workerListeners  int64 // of workers
+	workerListeners  int64 // of all workers, spare ones included
 	schedulerSockets int64 // of each scheduler
-	workerConns      int64 // connections of all schedulers
-	callbackConns    int64 // connections of all workers
-	clientConns      int64 // connections of all clients
+	workerConns      int64 // from all schedulers to workers
+	callbackConns    int64 // from all workers to schedulers
+	clientConns      int64 // from all clients to schedulers
 	processes        int64
-	memoryBytes      int64 // bytes
-	clientPorts      int64 // towards one scheduler
-	timeWaitPorts    int64 // towards one scheduler, of callbacks' connections that were closed within timeWait
+	memoryBytes      int64
+	clientPorts      int64 // of client connections to one scheduler
+	timeWaitPorts    int64 // of callback connections to one scheduler, closed within timeWaitDuration
 }
 
+// demand estimates the demand of a step.
 func (s Scenario) demand() demand {
 	n := int64(s.Schedulers)
 	d := demand{
@@ -94,8 +96,8 @@
 	return d
 }
 
-// callbackConnCount are those of all workers to one scheduler: for the start and the end of each
-// run, and for its progress.
+// callbackConnCount returns how many connections all workers together keep open to one scheduler for
+// callbacks: at the start and the end of each run, and on its progress.
 func (s Scenario) callbackConnCount() int64 {
 	idle := s.CallbackIdle.D().Seconds()
 	count := int64(2*s.Starts*idle + 1)
@@ -105,8 +107,8 @@
 	return count
 }
 
-// Fits returns nil where a machine can carry a step, and a scenario.Fault with the key and figures
-// of the first limit that it exceeds otherwise.
+// Fits returns nil if a machine can carry the step. Otherwise it returns a scenario.FileError with
+// the key and the figures of the first limit that the step exceeds.
 func (s Scenario) Fits(m Machine) error {
 	d := s.demand()
 	if err := s.fitsDescriptors(m, d); err != nil {
@@ -129,8 +131,8 @@
 	return nil
 }
 
-// fitsDescriptors compares the descriptors of a scheduler, of the workers' process and of the
-// clients' process with the limit.
+// fitsDescriptors compares the descriptors that a scheduler, the workers' process and the clients'
+// process need with the limit of a process.
 func (s Scenario) fitsDescriptors(m Machine, d demand) error {
 	if need := d.schedulerSockets + otherDescriptors; need > m.Descriptors {
 		return s.limitError("in_hand", "%d need %d descriptors of a scheduler, there are %d", s.InFlight, need, m.Descriptors)
@@ -146,6 +148,7 @@
 	return nil
 }
 
+// limitError returns the error of a key whose value exceeds a limit of the machine.
 func (s Scenario) limitError(key, text string, args ...any) error {
 	return scenario.FileError{File: s.Name, Key: key, Text: fmt.Sprintf(text, args...)}
 }
--- a/internal/lab/scale/limits_test.go
+++ b/internal/lab/scale/limits_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// What a machine can't carry is rejected by key and figure; a mistyped file by key and line.
+// A step that a machine can't carry is rejected with the key and the figures, and a malformed file with
+// the key and the line.
 func Example_rejected() {
 	m := Machine{Descriptors: 20000, MemoryBytes: 24 << 30, Processes: 300, EphemeralPorts: 28000}
 	for _, change := range []string{"in_hand = 8000\nsockets = 30000", "workers = 8000\nschedulers = 15\nin_hand = 500",
@@ -52,7 +53,7 @@
 	// b.toml: operations[0]: "a" of the effect "odd" is none
 }
 
-// A setting replaces what the file says.
+// An override replaces the value in the file, and one with an unknown key is rejected by name.
 func TestOverrideReplacesValueOfFile(t *testing.T) {
 	s, err := Parse("a.toml", []byte("version = 1\nworkers = 60"), "workers = 240", "memory_mb = 512")
 	if err != nil || s.Workers != 240 || s.MemoryMB != 512 {
@@ -63,7 +64,7 @@
 	}
 }
 
-// The shipped scenarios can be run, also by a machine of 20000 descriptors.
+// Every step of the shipped scenarios fits a machine that allows a process 20000 descriptors.
 func TestShippedScenariosFit(t *testing.T) {
 	files, _ := filepath.Glob("../../../deploy/lab/scale/*.toml")
 	if len(files) < 10 {
--- a/internal/lab/scale/list_test.go
+++ b/internal/lab/scale/list_test.go
@@ -13,7 +13,7 @@
 	"stoatweir/internal/workers"
 )
 
-// fullUpdateText writes a full update of so many entries, of so many different workers.
+// fullUpdateText returns a full update with entryCount entries, which name distinct workers in turn.
 func fullUpdateText(entryCount, distinct int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"rev":1,"all":true,"targets":[`)
@@ -29,8 +29,9 @@
 	return []byte(b.String())
 }
 
-// applyFullUpdate does what the service does with a full update, from its text to the decisions, by
-// a watcher and a dispatcher of its own.
+// applyFullUpdate applies a full update as the service does, from parsing its text to handling it in
+// the dispatcher, with a new watcher, transport and dispatcher. It returns the allocations of that and
+// the number of endpoints known afterwards.
 func applyFullUpdate(t *testing.T, entryCount, distinct int) (allocations float64, known int) {
 	t.Helper()
 	text := fullUpdateText(entryCount, distinct)
@@ -56,17 +57,20 @@
 	return allocations, known
 }
 
-// A long list costs in proportion to its entries, and one that names the same worker again and
-// again no more than one of as many different ones. Allocations are counted, as times differ.
+// The cost of a full update grows in proportion to its entries, and a list that names the same workers
+// repeatedly costs no more than one of as many distinct workers. Allocations are compared because
+// times differ between runs.
 func TestFullUpdateCostIsLinear(t *testing.T) {
 	smallList, smallKnown := applyFullUpdate(t, 10_000, 10_000)
 	largeList, largeKnown := applyFullUpdate(t, 100_000, 100_000)
 	if smallKnown != 10_000 || largeKnown != 100_000 || largeList > 11*smallList {
-		t.Errorf("%d entries: %.0f allocations, %d entries: %.0f", smallKnown, smallList, largeKnown, largeList)
+		t.Errorf("%d endpoints: %.0f allocations, %d endpoints: %.0f; want 10000 and 100000 endpoints, at most 11 times the allocations",
+			smallKnown, smallList, largeKnown, largeList)
 	}
 	repeated, repeatedKnown := applyFullUpdate(t, 10_000, 10)
 	if repeatedKnown != 10 || repeated > smallList {
-		t.Errorf("%d workers in 10000 entries: %.0f allocations, %.0f where all differ", repeatedKnown, repeated, smallList)
+		t.Errorf("10000 entries of %d workers: %.0f allocations; want 10 workers and at most the %.0f allocations of distinct ones",
+			repeatedKnown, repeated, smallList)
 	}
-	t.Logf("10000: %.0f allocations, 100000: %.0f, 10 workers a thousand times: %.0f", smallList, largeList, repeated)
+	t.Logf("allocations: 10000 entries %.0f, 100000 entries %.0f, 10 workers 1000 times each %.0f", smallList, largeList, repeated)
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// sampleInterval is the time of which the service reports its worst iteration.
+// sampleInterval is the interval of samples within the window. It equals the span for which a
+// scheduler reports its recent worst iteration.
 const sampleInterval = 10 * time.Second
 
-// schedulerCounts are what the service reports of itself, as far as it is used here.
+// schedulerCounts are the counters that a scheduler reports of itself, as far as they are used here.
 type schedulerCounts struct {
 	Workers struct {
 		Sent             int `json:"Sent"`
@@ -23,25 +24,25 @@
 	Panics         int              `json:"Panics"`
 	Sockets        int              `json:"Sockets"`
 	Watches        int              `json:"Watches"`
-	DecisionMicros map[string]int64 `json:"decided_us"` // microseconds, by percentile
-	LoopIterations *loopIterations  `json:"turns"`      // nil: this program does not report them
+	DecisionMicros map[string]int64 `json:"decided_us"` // of a decision, by percentile
+	LoopIterations *loopIterations  `json:"turns"`      // nil: the measured program does not report them
 	HeapBytes      int64            `json:"heap_bytes"`
 	Allocations    int64            `json:"allocations"`
 	Collections    int64            `json:"collections"`
 	Gossip         map[string]int64 `json:"peers"`
 }
 
-// loopIterations are the iterations of the service's loop.
+// loopIterations are statistics of the iterations of a scheduler's event loop.
 type loopIterations struct {
 	Count             int64 `json:"count"`
 	WorstMicros       int64 `json:"worst_us"`
 	RecentWorstMicros int64 `json:"worst_10s_us"`
 }
 
-// unknownIteration is the worst iteration of a program that does not report them.
+// unknownIteration is the worst iteration of a program that does not report its iterations.
 const unknownIteration time.Duration = -1
 
-// recentWorstIteration is the worst iteration of the last pollInterval, or unknownIteration.
+// recentWorstIteration returns the longest iteration of the last sampleInterval, or unknownIteration.
 func (c schedulerCounts) recentWorstIteration() time.Duration {
 	if c.LoopIterations == nil {
 		return unknownIteration
@@ -49,7 +50,7 @@
 	return time.Duration(c.LoopIterations.RecentWorstMicros) * time.Microsecond
 }
 
-// sample is all that is known at a moment.
+// sample is the state of all processes at one moment.
 type sample struct {
 	at                 time.Time
 	usage              []usage           // by scheduler
@@ -59,6 +60,7 @@
 	emulatedSchedulers Stats
 }
 
+// readCounts requests the counters of one scheduler.
 func (r *stepRun) readCounts(scheduler int) (c schedulerCounts, err error) {
 	response, err := r.httpClient.Get("http://" + r.schedulerAddrs[scheduler] + "/-/counts")
 	if err != nil {
@@ -68,8 +70,8 @@
 	return c, json.NewDecoder(response.Body).Decode(&c)
 }
 
-// takeSample takes a sample. What that costs the schedulers comes after their processor time has
-// been read.
+// takeSample takes a sample. The processor time of the schedulers is read first, so that it does not
+// include the cost of the other readings of this sample.
 func (r *stepRun) takeSample() (s sample, err error) {
 	s.at = time.Now()
 	for _, p := range r.schedulers {
@@ -96,32 +98,32 @@
 	for n := range r.schedulers {
 		c, err := r.readCounts(n)
 		if err != nil {
-			return s, fmt.Errorf("scheduler %d: its counts: %w", n, err)
+			return s, fmt.Errorf("scheduler %d: reading its counts: %w", n, err)
 		}
 		s.counts = append(s.counts, c)
 	}
 	return s, nil
 }
 
-// measurement is all that a step has sampled.
+// measurement holds all samples of a step.
 type measurement struct {
 	scenario       Scenario
-	idleStart      sample   // before the idle time
-	idleEnd        sample   // after it, before any load
-	windowStart    sample   // at the begin of the window
-	duringWindow   []sample // in the window
-	windowEnd      sample   // at its end
-	worstIteration time.Duration
+	idleStart      sample        // before the idle time
+	idleEnd        sample        // after it, before any load
+	windowStart    sample        // at the start of the window
+	duringWindow   []sample      // one every sampleInterval
+	windowEnd      sample        // at the end of the window
+	worstIteration time.Duration // in the window
 }
 
-// updateWorstIteration takes the worst iterations of a sample into account.
+// updateWorstIteration raises the worst iteration to the recent worst ones of a sample.
 func (m *measurement) updateWorstIteration(s sample) {
 	for _, c := range s.counts {
 		m.worstIteration = max(m.worstIteration, c.recentWorstIteration())
 	}
 }
 
-// measure plays the step's load, and samples before, in and after the window.
+// measure runs the load of the step and takes samples before, during and after the window.
 func (r *stepRun) measure() (m measurement, err error) {
 	m.scenario = r.scenario
 	m.idleStart, err = r.takeSample()
@@ -150,7 +152,7 @@
 	return m, err
 }
 
-// startLoad starts the load, and waits until it has settled.
+// startLoad starts the load and waits until it has ramped up and settled.
 func (r *stepRun) startLoad() error {
 	if r.emulatedSchedulers != nil {
 		if _, err := r.emulatedSchedulers.execute(Order{Action: orderStart}); err != nil {
@@ -174,7 +176,8 @@
 	return r.wait(r.scenario.Settle.D())
 }
 
-// observeWindow lets the window pass, samples at each pollInterval, and loses and restores workers.
+// observeWindow waits until the window has passed. Meanwhile it takes a sample every sampleInterval,
+// and has workers lost and restored.
 func (r *stepRun) observeWindow(m *measurement) error {
 	workersLost := r.scenario.LostWorkers > 0
 	if workersLost {
--- a/internal/lab/scale/parse.go
+++ b/internal/lab/scale/parse.go
@@ -12,11 +12,11 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// scenarioVersion is the version of scenario files.
+// scenarioVersion is the version of the format of scenario files.
 const scenarioVersion = 1
 
-// Read reads a scenario file. Each of the settings, written as in the file, replaces what the file
-// says.
+// Read reads a scenario file. Each override is written as a line of the file and replaces the value
+// that the file has for its key.
 func Read(file string, overrides ...string) (Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -25,8 +25,8 @@
 	return Parse(file, text, overrides...)
 }
 
-// Parse parses a scenario with the settings that replace its keys, and fills in what is left out.
-// Its error joins a scenario.Fault for each thing that is wrong.
+// Parse parses a scenario, applies the overrides and fills in defaults. Its error joins a
+// scenario.FileError for each fault.
 func Parse(file string, text []byte, overrides ...string) (Scenario, error) {
 	s := defaultScenario()
 	if err := decode(text, &s); err != nil {
@@ -48,36 +48,37 @@
 	return s, errors.Join(errs...)
 }
 
+// decode decodes keys into a scenario. Unknown keys are an error.
 func decode(text []byte, s *Scenario) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(s)
 }
 
-// Bounds of what any machine could run.
+// Bounds of the values of a scenario, independent of the machine.
 const (
 	maxWorkers               = 8000
 	maxZones                 = 100
 	maxSlots                 = 10000   // of a worker
 	maxSchedulers            = 1024    // real ones
-	maxTotalSchedulers       = 1 << 16 // schedulers
+	maxTotalSchedulers       = 1 << 16 // real and emulated schedulers
 	maxInFlight              = 8000    // of each scheduler
-	minStartsPerSecond       = 0.1     // a second, of each scheduler
-	maxStartsPerSecond       = 2000    // a second, of each scheduler
-	maxReplacementsPerSecond = 1000    // a second
-	maxBodyBytes             = 1 << 16 // bytes
+	minStartsPerSecond       = 0.1     // of each scheduler
+	maxStartsPerSecond       = 2000    // of each scheduler
+	maxReplacementsPerSecond = 1000    // of a worker
+	maxBodyBytes             = 1 << 16
 	maxSockets               = 1 << 16 // of each scheduler
-	minMemoryMB              = 16      // MB, of each scheduler
-	maxMemoryMB              = 4096    // MB, of each scheduler
-	maxDurationSeconds       = 600     // of any span
-	minConnIdleSeconds       = 0.1     // seconds
-	minObjectiveSeconds      = 0.001   // seconds
-	minRampUpSeconds         = 0.1     // seconds
-	minWindowSeconds         = 0.5     // seconds
-	maxMessageCost           = 1       // and of gossip
+	minMemoryMB              = 16      // of each scheduler
+	maxMemoryMB              = 4096    // of each scheduler
+	maxDurationSeconds       = 600     // of any duration
+	minConnIdleSeconds       = 0.1
+	minObjectiveSeconds      = 0.001
+	minRampUpSeconds         = 0.1
+	minWindowSeconds         = 0.5
+	maxMessageCost           = 1 // in points of the result, for a health check or gossip
 )
 
-// bound is a key's value and the range that it has to be in.
+// bound is the value of a key and the range that the value has to be in.
 type bound struct {
 	key   string
 	value float64
@@ -85,9 +86,10 @@
 	max   float64
 }
 
-// holds is false for NaN too.
+// holds reports whether the value is in the range. It is false for NaN.
 func (b bound) holds() bool { return b.value >= b.min && b.value <= b.max }
 
+// bounds returns the numeric values of a scenario with their ranges; a minimum left out is 0.
 func (s Scenario) bounds() []bound {
 	return []bound{
 		{key: "workers", value: float64(s.Workers), min: 1, max: maxWorkers},
@@ -119,7 +121,7 @@
 	}
 }
 
-// validationErrors are what no machine could run.
+// validationErrors returns the faults that keep a scenario from running on any machine.
 func (s Scenario) validationErrors() (errs []scenario.FileError) {
 	add := func(key, text string, args ...any) {
 		errs = append(errs, scenario.FileError{Key: key, Text: fmt.Sprintf(text, args...)})
@@ -151,8 +153,8 @@
 	return errs
 }
 
-// Step returns the scenario of one step of the sweep. An error names the key that can't be varied,
-// or the fault of the step.
+// Step returns the scenario of the step in which the key of the sweep has the given value. The error
+// names a key that can't be varied, or the first fault of the step.
 func (s Scenario) Step(value float64) (Scenario, error) {
 	key := s.Sweep.Key
 	switch key {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	stderrTailBytes   = 4000        // bytes of a process's standard error that are reported
-	exitNoticeTimeout = time.Second // in which the end of a process is known after its pipe or its files have failed
+	stderrTailBytes   = 4000        // end of a process's standard error that is reported
+	exitNoticeTimeout = time.Second // wait for the exit of a process whose pipe or files have failed
 )
 
-// process is one that a run has started: a real scheduler or a hollow one.
+// process is a child process of a run: a real scheduler or a hollow process.
 type process struct {
 	name   string
 	cmd    *exec.Cmd
-	stdin  io.WriteCloser // of a hollow one
-	stdout *json.Decoder  // of a hollow one
+	stdin  io.WriteCloser // of a hollow process
+	stdout *json.Decoder  // of a hollow process
 	stderr *tailBuffer
-	exited chan struct{} // closed at its exit
-	err    error         // of its exit
+	exited chan struct{} // closed when the process has exited
+	err    error         // how the process exited; set before exited is closed
 }
 
-// tailBuffer is a writer that keeps the last bytes written.
+// tailBuffer is a writer that keeps the last stderrTailBytes written to it.
 type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
 }
 
+// Write appends bytes and drops the oldest ones. It never fails.
 func (t *tailBuffer) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,21 +43,23 @@
 	return len(b), nil
 }
 
+// String returns the bytes kept, without surrounding white space.
 func (t *tailBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return strings.TrimSpace(string(t.text))
 }
 
+// newProcess prepares a command to run as a child process of the rig.
 func newProcess(name string, cmd *exec.Cmd) *process {
 	p := &process{name: name, cmd: cmd, stderr: &tailBuffer{}, exited: make(chan struct{})}
 	cmd.Stderr = p.stderr
-	// Whatever becomes of this process, the other is not left behind: the kernel kills it too.
+	// The kernel kills the child when this process dies in any way, so that no child is left behind.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return p
 }
 
-// openPipes opens the pipes of a hollow process that has not been started.
+// openPipes opens the pipes of a hollow process that has not been started yet.
 func (p *process) openPipes() error {
 	stdin, err := p.cmd.StdinPipe()
 	if err != nil {
@@ -71,7 +74,7 @@
 	return nil
 }
 
-// start starts it; its exit is sent to exits too.
+// start starts the process. After its exit it is also sent to exits.
 func (p *process) start(exits chan<- *process) error {
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
@@ -88,12 +91,13 @@
 	return nil
 }
 
-// exitError says how it has exited.
+// exitError describes how the process has exited.
 func (p *process) exitError() error {
 	return fmt.Errorf("%s has ended: %v: %s", p.name, p.err, p.stderr)
 }
 
-// explain returns the error of its exit, or the given one where it goes on.
+// explain returns the exit error if the process exits within exitNoticeTimeout, otherwise the given
+// error with the name of the process.
 func (p *process) explain(err error) error {
 	select {
 	case <-p.exited:
@@ -103,12 +107,14 @@
 	}
 }
 
-// configure sends a hollow process what it emulates, and returns what it says when it is ready.
+// configure sends a hollow process its configuration and returns the statistics that it reports when
+// it is ready.
 func (p *process) configure(config HollowConfig) (Stats, error) { return p.exchange(config) }
 
-// execute has a hollow process execute an order.
+// execute sends an order to a hollow process and returns its answer.
 func (p *process) execute(order Order) (Stats, error) { return p.exchange(order) }
 
+// exchange sends one line of JSON to a hollow process and reads its answer.
 func (p *process) exchange(line any) (stats Stats, err error) {
 	err = json.NewEncoder(p.stdin).Encode(line)
 	if err == nil {
@@ -120,6 +126,7 @@
 	return stats, nil
 }
 
+// kill kills the process and waits for its exit.
 func (p *process) kill() {
 	if p.stdin != nil {
 		p.stdin.Close()
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// Report is a sweep with all that it has measured.
+// Report is the result of a sweep: one step for each value of its key.
 type Report struct {
 	Name    string `json:"name"`
 	Key     string `json:"key"`
@@ -20,14 +20,15 @@
 	Steps   []Step `json:"steps"`
 }
 
-// Add adds a step, in place of one of the same value.
+// Add adds a step, or replaces the one of the same value. Steps stay sorted by value.
 func (r *Report) Add(added Step) {
 	r.Steps = slices.DeleteFunc(r.Steps, func(s Step) bool { return s.Value == added.Value })
 	r.Steps = append(r.Steps, added)
 	slices.SortFunc(r.Steps, func(a, b Step) int { return cmp.Compare(a.Value, b.Value) })
 }
 
-// ReadReport reads a report that a sweep has written to a file; an empty one where there is none.
+// ReadReport reads a report that JSON has written to a file. It returns an empty report if there is
+// no such file.
 func ReadReport(file string) (r Report, err error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -42,7 +43,7 @@
 	return r, nil
 }
 
-// JSON writes the report for programs.
+// JSON writes the report as indented JSON.
 func (r Report) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
--- a/internal/lab/scale/report_table.go
+++ b/internal/lab/scale/report_table.go
@@ -10,11 +10,11 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// column is a column of the table.
+// column is one column of the table of steps.
 type column struct {
 	header string
 	format string
-	value  func(Step) float64 // below 0: not reported
+	value  func(Step) float64 // negative: not reported
 }
 
 var columns = []column{
@@ -35,7 +35,7 @@
 	{header: "failed", format: "%.0f", value: func(s Step) float64 { return float64(s.Throttled + s.Errored + s.Broken) }},
 }
 
-// Text writes the report as a table of Markdown.
+// Text writes the report as a Markdown table with a row for each step.
 func (r Report) Text(w io.Writer) {
 	key := r.Key
 	if key == "" {
@@ -56,8 +56,10 @@
 	table.Flush()
 }
 
+// writeRow writes the cells of one row of a Markdown table, tab-separated for alignment.
 func writeRow(w io.Writer, cells []string) { fmt.Fprintf(w, "| %s |\n", strings.Join(cells, "\t| ")) }
 
+// rowCells returns the cells of the row of a step.
 func rowCells(s Step) []string {
 	cells := []string{fmt.Sprintf("%g", s.Value)}
 	for _, c := range columns {
@@ -78,10 +80,11 @@
 	minPlotSteps  = 2
 )
 
-// errTooFewSteps is of a report that has not the steps for a plot.
+// errTooFewSteps is returned for a report with fewer than minPlotSteps steps.
 var errTooFewSteps = errors.New("steps are too few for a plot")
 
-// Plot draws processor time a start and the worst iteration over the key that is varied, as PNG.
+// Plot writes a PNG image of the processor time per start and of the worst iteration, against the key
+// that is varied.
 func (r Report) Plot(w io.Writer) error {
 	if len(r.Steps) < minPlotSteps {
 		return fmt.Errorf("%s: %d %w", r.Name, len(r.Steps), errTooFewSteps)
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Rig is what a scenario is run with.
+// Rig runs scenarios with the given programs.
 type Rig struct {
-	Scheduler string   // path of the program that is measured
+	Scheduler string   // path of the scheduler program that is measured
 	Hollow    []string // command line of a hollow process
 }
 
 const (
-	readyTimeout        = 20 * time.Second // a scheduler has to be ready after its start
+	readyTimeout        = 20 * time.Second // from the start of a scheduler until it has to be ready
 	readyPollInterval   = 20 * time.Millisecond
-	stepGrace           = time.Minute     // that a step may take beyond its length
-	operatorCallTimeout = 5 * time.Second // of a call to a scheduler's operators' paths
-	maxHollowProcesses  = 3               // of a run at most
+	stepGrace           = time.Minute     // that a step may take beyond its duration
+	operatorCallTimeout = 5 * time.Second // of a request to one of a scheduler's paths for operators
+	maxHollowProcesses  = 3               // of a run
 )
 
-var errStepTooLong = errors.New("the step took a minute longer than it lasts")
+var errStepTooLong = errors.New("the step took over a minute longer than planned")
 
-// Play runs one step and returns its measurements. All processes that it starts have ended when it
-// returns. The exit of one of them is an error.
+// Play runs one step and returns its measurements. It is an error if one of the processes that it
+// starts exits during the step. All of them have exited when Play returns.
 func (r Rig) Play(ctx context.Context, s Scenario) (Step, error) {
 	dir, err := os.MkdirTemp("", "stoatscale")
 	if err != nil {
@@ -55,29 +55,30 @@
 	return m.step(), nil
 }
 
-// stepRun is one step under way.
+// stepRun is a step in progress.
 type stepRun struct {
 	Rig
 	scenario           Scenario
 	dir                string
 	ctx                context.Context
-	exits              chan *process // has room for all
+	exits              chan *process // receives each process that exits; has room for all
 	processes          []*process
 	schedulers         []*process
-	schedulerAddrs     []string // of the schedulers
+	schedulerAddrs     []string // listen addresses, by scheduler
 	workers            *process
 	clients            *process
-	emulatedSchedulers *process // nil: schedulers send no gossip
+	emulatedSchedulers *process // nil: the scenario has no gossip
 	httpClient         *http.Client
 }
 
+// close ends all processes of the run.
 func (r *stepRun) close() {
 	for _, p := range r.processes {
 		p.kill()
 	}
 }
 
-// wait lets time pass. The exit of any process is an error.
+// wait waits for a duration. It returns an error if a process exits or the context ends.
 func (r *stepRun) wait(duration time.Duration) error {
 	select {
 	case <-time.After(duration):
@@ -89,39 +90,40 @@
 	}
 }
 
-// Addresses of this process are one for schedulers and one for all others, so that nobody else is
-// given a scheduler's port.
+// A run has one loopback address for schedulers and another for everything else, so that the kernel
+// gives a scheduler's port to nothing else.
 const (
-	schedulerSubnetBase = 10  // second byte of the schedulers' address in 127.0.0.0/8, at least
-	hollowSubnetBase    = 110 // second byte of the others'
+	schedulerSubnetBase = 10  // lowest second byte of the schedulers' address in 127.0.0.0/8
+	hollowSubnetBase    = 110 // lowest second byte of the address of hollow processes
 )
 
+// loopbackHost returns an address in 127.0.0.0/8 that is derived from the id of this process.
 func loopbackHost(subnetBase int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", subnetBase+pid>>16&63, pid>>8&255, max(1, pid&255))
 }
 
-// freeTCPAddresses finds so many addresses for schedulers that nobody listens at.
+// freeTCPAddresses returns the given number of unused TCP addresses for schedulers.
 func freeTCPAddresses(count int) (addrs []string, err error) {
 	for range count {
 		l, err := net.Listen("tcp", loopbackHost(schedulerSubnetBase)+":0")
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close() // all at the end, so that they differ
+		defer l.Close() // not before all are found, so that they differ
 		addrs = append(addrs, l.Addr().String())
 	}
 	return addrs, nil
 }
 
-// freeUDPAddresses finds so many addresses for schedulers' gossip that nobody listens at.
+// freeUDPAddresses returns the given number of unused UDP addresses for the gossip of schedulers.
 func freeUDPAddresses(count int) (addrs []string, err error) {
 	for range count {
 		c, err := net.ListenPacket("udp", loopbackHost(schedulerSubnetBase)+":0")
 		if err != nil {
 			return nil, err
 		}
-		defer c.Close() // all at the end, so that they differ
+		defer c.Close() // not before all are found, so that they differ
 		addrs = append(addrs, c.LocalAddr().String())
 	}
 	return addrs, nil
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -5,29 +5,29 @@
 	"fmt"
 )
 
-// effectSettingNames are the effects as the settings name them.
+// effectSettingNames maps the effects of a scenario to their names in the settings of a scheduler.
 var effectSettingNames = map[string]string{
 	effectIdempotent:    "read_like",
 	effectDeduplicated:  "idempotency_key",
 	effectNonIdempotent: "non_idempotent",
 }
 
-// Settings that are the same for every scenario; times are in seconds.
+// Settings that are the same for every scenario.
 const (
 	dedupWindowSeconds    = 60
 	billedValue           = 1
-	operationStretch      = 2 // of a run's time, by class
+	operationStretch      = 2 // multiple of an invocation's work that is added to its latency objective
 	maxRetryAfterSeconds  = 2
-	maxAttempts           = 4 // attempts of a request
+	maxAttempts           = 4 // of a request
 	connectTimeoutSeconds = 0.25
-	pollWithinSeconds     = 10  // interval of polls of the list
-	drainGraceSeconds     = 0.5 // drain grace
-	slowStartInitialShare = 0.13
-	overloadFactor        = 2.5
+	pollWithinSeconds     = 10 // longest interval between polls of the endpoint list
+	drainGraceSeconds     = 0.5
+	slowStartInitialShare = 0.13 // of its capacity that a worker has at its start
+	overloadFactor        = 2.5  // multiple of its capacity at which a worker in slow start is overloaded
 	overloadWindowSeconds = 1
 )
 
-// schedulerSettings are the settings of a scheduler; durations are in seconds.
+// schedulerSettings are the settings of a scheduler. Durations are in seconds.
 type schedulerSettings struct {
 	BilledValueBy   string              `json:"BilledValueBy"`
 	Zones           []string            `json:"Dcs"`
@@ -94,7 +94,7 @@
 	SlowStartDuration float64 `json:"WarmAfter"`
 }
 
-// settings returns the settings of the scheduler of an index, as JSON.
+// settings returns the settings of the scheduler with the given index, as JSON.
 func (s Scenario) settings(index int) json.RawMessage {
 	text, err := json.Marshal(schedulerSettings{
 		BilledValueBy: "work",
@@ -136,7 +136,7 @@
 		WeightKind: "none",
 	})
 	if err != nil {
-		panic(err) // only a number that is not finite can't be written, and faults has none of them pass
+		panic(err) // only a non-finite number can't be encoded, and validationErrors rejects those
 	}
 	return text
 }
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// hollowMemoryLimit is the limit of a hollow process's memory, in the form of the environment of Go
-// programs.
+// hollowMemoryLimit is the environment variable that limits the memory of a hollow process.
 const hollowMemoryLimit = "GOMEMLIMIT=2GiB"
 
 // start starts all processes and waits until the schedulers are ready.
@@ -49,8 +48,8 @@
 	return nil
 }
 
-// startEmulatedSchedulers starts the schedulers that only send and receive gossip, and returns the addresses of
-// all for it, by index.
+// startEmulatedSchedulers starts the schedulers that only send and receive gossip. It returns the
+// gossip addresses of all schedulers, by index.
 func (r *stepRun) startEmulatedSchedulers(workerAddrs []string) (allGossipAddrs []string, err error) {
 	gossipAddrs, err := freeUDPAddresses(r.scenario.Schedulers)
 	if err != nil {
@@ -61,7 +60,7 @@
 	return stats.Endpoints, err
 }
 
-// startHollow starts a hollow process, and returns what it says when it is ready.
+// startHollow starts a hollow process and returns the statistics that it reports when it is ready.
 func (r *stepRun) startHollow(config HollowConfig) (*process, Stats, error) {
 	config.Scenario = r.scenario
 	config.SchedulerAddrs = r.schedulerAddrs
@@ -91,11 +90,13 @@
 	GossipAddrs []string        `json:"peers,omitempty"`
 }
 
+// schedulerLimits are the resource limits in the configuration file of a scheduler.
 type schedulerLimits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
+// startScheduler writes the configuration file of a scheduler and starts it.
 func (r *stepRun) startScheduler(index int, listAddr string, gossipAddrs []string) error {
 	text, err := json.Marshal(schedulerConfig{
 		Name:        fmt.Sprint("n", index),
@@ -128,6 +129,7 @@
 	return nil
 }
 
+// awaitReady waits until a scheduler is ready, for readyTimeout at most.
 func (r *stepRun) awaitReady(index int) error {
 	for deadline := time.Now().Add(readyTimeout); !r.isReady(index); {
 		if err := r.wait(readyPollInterval); err != nil {
--- a/internal/lab/scale/step.go
+++ b/internal/lab/scale/step.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// Step is what one step of a sweep has measured. Where there are several schedulers, figures are
-// the mean of them, but for the worst iteration, memory and descriptors, which are of the worst.
+// Step is the result of one step of a sweep. With several schedulers, figures are means over them,
+// except the worst iteration, memory and descriptors, which are those of the worst scheduler.
 type Step struct {
 	Value      float64 `json:"value"` // of the key that is varied
 	Workers    int     `json:"workers"`
 	Schedulers int     `json:"schedulers"`
-	Told       int     `json:"told"`
-	InHandAim  int     `json:"in_hand_aim"`
+	Told       int     `json:"told"`        // schedulers according to the settings
+	InHandAim  int     `json:"in_hand_aim"` // target number of requests in flight, of each scheduler
 	StartsAim  float64 `json:"starts_per_second_aim"`
 	Changes    float64 `json:"changes_per_second_aim"`
 
 	Seconds      float64 `json:"seconds"`
-	Starts       float64 `json:"starts"`
+	Starts       float64 `json:"starts"` // runs started by workers
 	StartsPerS   float64 `json:"starts_per_second"`
-	InHand       float64 `json:"in_hand"`
-	Core         float64 `json:"core_percent"`
-	System       float64 `json:"system_percent"`    // of these, in the kernel
-	IdleCore     float64 `json:"idle_core_percent"` // before any load; -1: not measured
-	PerStart     float64 `json:"us_per_start"`      // processor time; -1: there were no starts
-	Turn         float64 `json:"worst_turn_ms"`     // worst iteration of the loop in the window; 0: not reported
-	TurnEver     float64 `json:"worst_turn_ever_ms"`
-	Decided99    float64 `json:"decided_p99_ms"`   // since its start
-	DecidedMost  float64 `json:"decided_worst_ms"` // the same
+	InHand       float64 `json:"in_hand"`            // requests in flight, mean of the start and the end of the window
+	Core         float64 `json:"core_percent"`       // processor time, in percent of one core
+	System       float64 `json:"system_percent"`     // the part of Core spent in the kernel
+	IdleCore     float64 `json:"idle_core_percent"`  // the same as Core before any load; -1: not measured
+	PerStart     float64 `json:"us_per_start"`       // processor time of a start; -1: there were no starts
+	Turn         float64 `json:"worst_turn_ms"`      // longest iteration of the event loop in the window; 0: not reported
+	TurnEver     float64 `json:"worst_turn_ever_ms"` // since the start of the scheduler
+	Decided99    float64 `json:"decided_p99_ms"`     // time of a decision, since the start of the scheduler
+	DecidedMost  float64 `json:"decided_worst_ms"`   // the longest, since the start of the scheduler
 	RSS          float64 `json:"rss_mb"`
-	Peak         float64 `json:"peak_mb"`
+	Peak         float64 `json:"peak_mb"` // highest RSS
 	Heap         float64 `json:"heap_mb"`
 	Allocations  float64 `json:"allocations_per_second"`
 	Descriptors  int     `json:"descriptors"`
-	Control      float64 `json:"control_bytes_per_second"`
+	Control      float64 `json:"control_bytes_per_second"` // health checks, cancellations and gossip, with packet headers
 	ProbesPerS   float64 `json:"probes_per_second"`
 	CancelsPerS  float64 `json:"cancels_per_second"`
-	ProbeBytes   float64 `json:"probe_bytes_per_second"` // of HTTP, both ways
-	MessagesPerS float64 `json:"messages_per_second"`    // out and in
+	ProbeBytes   float64 `json:"probe_bytes_per_second"` // of HTTP, in both directions
+	MessagesPerS float64 `json:"messages_per_second"`    // gossip sent and received
 	MessageBytes float64 `json:"message_bytes_per_second"`
-	NewsPerS     float64 `json:"news_per_second"`
+	NewsPerS     float64 `json:"news_per_second"` // callbacks
 	ListBytes    float64 `json:"list_bytes_per_second"`
 	ChangesPerS  float64 `json:"entries_changed_per_second"`
-	DialledPerS  float64 `json:"dialled_per_second"`
+	DialledPerS  float64 `json:"dialled_per_second"` // connections that the scheduler opened to workers
 
 	Offered    int64   `json:"Offered"`
 	Succeeded  int64   `json:"Succeeded"`
 	Throttled  int64   `json:"Throttled"`
 	Errored    int64   `json:"Errored"`
-	Broken     int64   `json:"Broken"`
-	NewsFailed int64   `json:"NewsFailed"`
-	Strange    int64   `json:"Strange"`
+	Broken     int64   `json:"Broken"`     // invocations whose connection failed
+	NewsFailed int64   `json:"NewsFailed"` // callbacks without a successful answer
+	Strange    int64   `json:"Strange"`    // calls and messages that no scheduler should send
 	Panics     int     `json:"Panics"`
-	LateMost   float64 `json:"clients_late_most_ms"`
+	LateMost   float64 `json:"clients_late_most_ms"` // from the scheduled time of an arrival to its sending
 
-	Course []Moment `json:"course"` // of the window
+	Course []Moment `json:"course"` // of the window, one every sampleInterval
 }
 
-// Moment is how a window went until a moment, of the first scheduler.
+// Moment is the progress of a window up to one sample. Usage is that of the first scheduler.
 type Moment struct {
 	Seconds     float64 `json:"seconds"`
 	Starts      int64   `json:"starts"`
@@ -69,7 +69,7 @@
 	Turn        float64 `json:"worst_turn_10s_ms"` // -1: not reported
 }
 
-// Bytes of the heads of a packet.
+// Sizes of the headers of a packet.
 const (
 	udpHeaderBytes = 28 // IPv4 and UDP
 	tcpHeaderBytes = 52 // IPv4 and TCP with time stamps
@@ -86,12 +86,12 @@
 	seconds    float64
 }
 
-// rate is the rate of a counter a second and scheduler.
+// rate returns the increase of a counter per second and scheduler.
 func (w window) rate(first, last int64) float64 {
 	return float64(last-first) / w.schedulers / w.seconds
 }
 
-// step reports a measurement.
+// step computes the figures of a step from its samples.
 func (m *measurement) step() Step {
 	s := m.scenario
 	w := window{first: m.windowStart, last: m.windowEnd, schedulers: float64(s.Schedulers),
@@ -124,7 +124,7 @@
 	return step
 }
 
-// addTraffic reports what workers and emulated schedulers have seen of the schedulers.
+// addTraffic adds the traffic that workers and emulated schedulers have counted.
 func (step *Step) addTraffic(w window) {
 	a := w.first.workers
 	b := w.last.workers
@@ -144,7 +144,7 @@
 		w.rate(a.CancelBytes, b.CancelBytes) + 2*tcpHeaderBytes*step.CancelsPerS
 }
 
-// cpuBetween is the processor time of all schedulers between two samples, in seconds.
+// cpuBetween returns the processor time that all schedulers used between two samples, in seconds.
 func cpuBetween(first, last sample) (seconds float64) {
 	for n := range last.usage {
 		seconds += (last.usage[n].cpuTime - first.usage[n].cpuTime).Seconds()
@@ -152,7 +152,7 @@
 	return seconds
 }
 
-// addUsage reports what the kernel knows of the schedulers.
+// addUsage adds the resource usage of the schedulers as reported by the kernel.
 func (step *Step) addUsage(w window) {
 	cpu := cpuBetween(w.first, w.last)
 	system := 0.0
@@ -169,7 +169,7 @@
 	}
 }
 
-// addCounts reports what one scheduler counts itself.
+// addCounts adds the counters that one scheduler reports of itself.
 func (step *Step) addCounts(w window, first, last schedulerCounts) {
 	step.InHand += (float64(first.InFlight) + float64(last.InFlight)) / 2 / w.schedulers
 	step.Heap = max(step.Heap, megabytes(last.HeapBytes))
@@ -183,7 +183,7 @@
 	}
 }
 
-// addOutcomes reports what became of the invocations, and what failed.
+// addOutcomes adds the outcomes of the invocations, failed callbacks and unexpected messages.
 func (step *Step) addOutcomes(w window) {
 	a := w.first.clients
 	b := w.last.clients
@@ -198,6 +198,7 @@
 		w.last.emulatedSchedulers.Unexpected - w.first.emulatedSchedulers.Unexpected
 }
 
+// newMoment returns the progress from the first sample of a window to a later one.
 func newMoment(first, now sample) Moment {
 	before := first.counts[0]
 	after := now.counts[0]
@@ -213,7 +214,7 @@
 	}
 }
 
-// milliseconds are those of a time; notMeasured for one below 0.
+// milliseconds converts a duration; a negative one becomes notMeasured.
 func milliseconds(d time.Duration) float64 {
 	if d < 0 {
 		return notMeasured
@@ -221,5 +222,5 @@
 	return float64(d.Microseconds()) / 1e3
 }
 
-// megabytes are rounded to a tenth.
+// megabytes converts a number of bytes and rounds it to a tenth.
 func megabytes(bytes int64) float64 { return math.Round(float64(bytes)/(1<<20)*10) / 10 }
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// usage is what the kernel knows of a process.
+// usage is the resource usage of a process as reported by the kernel.
 type usage struct {
-	cpuTime      time.Duration // of user and system
-	systemTime   time.Duration // of system alone
-	rssBytes     int64         // bytes
-	peakRSSBytes int64         // bytes
+	cpuTime      time.Duration // user and system time
+	systemTime   time.Duration // system time alone
+	rssBytes     int64
+	peakRSSBytes int64
 	descriptors  int
 }
 
 const (
-	clockTicksPerSecond = 100 // a second, in which the kernel counts processor time in /proc
+	clockTicksPerSecond = 100 // unit of the processor times in /proc
 
-	// Fields of /proc/PID/stat behind the name.
+	// Indexes of the fields of /proc/PID/stat that follow the process name.
 	statUserTime   = 11
 	statSystemTime = 12
 )
 
-var errTooFewFields = errors.New("can't be read")
+var errTooFewFields = errors.New("too few fields")
 
 // readUsage reads the usage of a process from /proc.
 func readUsage(pid int) (u usage, err error) {
@@ -42,12 +42,13 @@
 	return u, err
 }
 
+// readTimes reads the processor times from /proc/PID/stat.
 func (u *usage) readTimes(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	// The name, in brackets, may contain anything.
+	// The process name, in parentheses, may contain spaces and parentheses itself.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	if len(fields) <= statSystemTime {
 		return fmt.Errorf("%s: %w", file, errTooFewFields)
@@ -64,11 +65,13 @@
 	return nil
 }
 
+// parseTicks converts a number of clock ticks.
 func parseTicks(field string) (time.Duration, error) {
 	n, err := strconv.ParseInt(field, 10, 64)
 	return time.Duration(n) * time.Second / clockTicksPerSecond, err
 }
 
+// readMemory reads the resident memory and its peak from /proc/PID/status.
 func (u *usage) readMemory(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -85,8 +88,8 @@
 	return nil
 }
 
-// memoryField reads a line of /proc of the form "KEY 123 kB", and returns bytes; false: the line
-// has another key.
+// memoryField parses a line of /proc of the form "KEY 123 kB" and returns the number of bytes. It
+// returns false if the line has another key or no valid number.
 func memoryField(line, key string) (bytes int64, ok bool) {
 	rest, ok := strings.CutPrefix(line, key)
 	if !ok {
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -13,27 +13,28 @@
 	"time"
 )
 
-// worker is an emulated worker.
+// worker is an emulated worker: an HTTP server that runs jobs as timers.
 type worker struct {
 	pool          *workerPool
 	index         int
 	addr          string
 	zone          int
 	listener      net.Listener
-	lost          atomic.Bool // it accepts nothing and sends nothing
+	lost          atomic.Bool // accepts no connections and sends no callbacks
 	running       atomic.Int64
-	frozenReport  atomic.Pointer[string] // once reports are frozen
+	frozenReport  atomic.Pointer[string] // first load report after reports were frozen, repeated since; nil: none yet
 	callbackConns *connPool
 
 	uid    string // guarded by the list's lock
 	bootMS int64  // Unix milliseconds of its start, 0: long ago; guarded by the list's lock
 
 	mu    sync.Mutex
-	conns map[net.Conn]struct{} // of schedulers
+	conns map[net.Conn]struct{} // open connections from schedulers
 }
 
 func newWorker(pool *workerPool, index int) (*worker, error) {
-	// Addresses differ too: connections to so many workers have to differ by more than a port.
+	// Workers differ in address as well as in port, because connections to this many workers have to
+	// differ in more than a port.
 	l, err := net.Listen("tcp", neighborAddress(pool.config.ListenHost, index)+":0")
 	if err != nil {
 		return nil, fmt.Errorf("worker %d: %w", index, err)
@@ -52,7 +53,7 @@
 	return w, nil
 }
 
-// entry writes its entry of the list; the list's lock is held.
+// entry returns the worker's entry of the list. The caller holds the list's lock.
 func (w *worker) entry(state string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"z%d","model":"a","pod_group":%d,"state":%q,"capacity_hint":1,"boot_ms":%d}`,
 		w.uid, w.addr, w.zone, w.zone, state, w.bootMS)
@@ -64,6 +65,7 @@
 	return w.uid
 }
 
+// closeConns closes all connections from schedulers.
 func (w *worker) closeConns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,6 +74,7 @@
 	}
 }
 
+// accept serves incoming connections. While the worker is lost it closes them at once.
 func (w *worker) accept() {
 	for {
 		c, err := w.listener.Accept()
@@ -96,7 +99,7 @@
 }
 
 const (
-	requestBufferBytes = 1024 // bytes, of one of many connections
+	requestBufferBytes = 1024 // per connection, of which there are many
 
 	acceptedResponse  = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 	noContentResponse = "HTTP/1.1 204 No Content\r\n\r\n"
@@ -106,11 +109,11 @@
 	jobPathPrefix  = "/jobs/"
 )
 
-// serve serves one connection of a scheduler.
+// serve serves one connection from a scheduler and counts its bytes by the kind of request.
 func (w *worker) serve(rawConn net.Conn) {
 	conn := &countingConn{Conn: rawConn}
 	reader := bufio.NewReaderSize(conn, requestBufferBytes)
-	countedBytes := 0 // bytes
+	countedBytes := 0
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
@@ -131,8 +134,8 @@
 	}
 }
 
-// handle returns the response to a request and the counter of its kind; nil: the request is none
-// that a scheduler should send.
+// handle returns the response to a request and the counter for its kind. The counter is nil for a
+// request that no scheduler should send.
 func (w *worker) handle(request *http.Request) (response string, counter *callCounter) {
 	calls := &w.pool.calls
 	path := request.URL.Path
@@ -155,12 +158,12 @@
 }
 
 const (
-	otherLoadAmplitude        = 2  // slots by which the load of other schedulers rises and falls
-	otherLoadSecondsPerRadian = 20 // seconds, of one radian
+	otherLoadAmplitude        = 2  // slots by which the load of other schedulers rises above and falls below its mean
+	otherLoadSecondsPerRadian = 20 // of the phase of that load
 )
 
-// loadReport reports the free slots: all, less the jobs of the schedulers here, less those of all
-// others, whose number varies.
+// loadReport returns the load report with the free slots: all slots, minus the jobs that run here,
+// minus the slots that other schedulers use, whose number varies over time.
 func (w *worker) loadReport() string {
 	if frozen := w.frozenReport.Load(); frozen != nil {
 		return *frozen
--- a/internal/lab/scale/worker_callbacks.go
+++ b/internal/lab/scale/worker_callbacks.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	callbackAttempts    = 10                     // calls to a scheduler with one callback
-	callbackRetryPause  = 100 * time.Millisecond // pause between two of them
+	callbackAttempts    = 10                     // calls to a scheduler for one callback
+	callbackRetryPause  = 100 * time.Millisecond // between two calls for one callback
 	callbackTimeout     = 2 * time.Second        // of one call
-	responseBufferBytes = 256                    // bytes
+	responseBufferBytes = 256
 )
 
-// callback is the body of a callback to a scheduler.
+// callback is the body of a callback to a scheduler, which reports the state of a job.
 type callback struct {
 	WorkerUID string   `json:"from"`
 	RequestID string   `json:"id"`
 	Result    string   `json:"result,omitempty"`
-	Share     float64  `json:"share,omitempty"` // of its run that has passed
+	Share     float64  `json:"share,omitempty"` // part of the run time that has passed
 	State     jobState `json:"state"`
 }
 
-// notify calls a scheduler back until it has answered, over connections of this worker's own.
+// notify sends a callback to a scheduler until the scheduler answers with success, or callbackAttempts
+// calls have failed. A lost worker sends nothing.
 func (w *worker) notify(scheduler int, body callback) {
 	if w.lost.Load() {
 		return
@@ -52,7 +53,8 @@
 	p.callbacksFailed.Add(1)
 }
 
-// post makes one call, and returns its bytes, both ways, and whether it succeeded.
+// post makes one call to a scheduler over a connection of this worker. It returns the bytes sent and
+// received, and whether the scheduler answered with success.
 func (w *worker) post(scheduler int, request string) (bytes int, ok bool) {
 	rawConn, err := w.callbackConns.get(scheduler, w.pool.config.SchedulerAddrs[scheduler])
 	if err != nil {
@@ -75,7 +77,7 @@
 	return conn.bytesRead + conn.bytesWritten, response.StatusCode/100 == 2
 }
 
-// exchange writes a request and reads the response, whose body is discarded.
+// exchange writes a request, reads the response and discards its body.
 func exchange(c io.ReadWriter, request string) (*http.Response, error) {
 	if _, err := io.WriteString(c, request); err != nil {
 		return nil, err
--- a/internal/lab/scale/worker_jobs.go
+++ b/internal/lab/scale/worker_jobs.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// job is an invocation that runs on a worker.
+// job is an invocation that runs on a worker, which is emulated by a timer.
 type job struct {
 	id        string
 	scheduler int
 	worker    *worker
-	timer     *time.Timer // of its end
+	timer     *time.Timer // fires at the end of the run
 	ended     atomic.Bool
 }
 
-// jobState is a state of a job that its worker notifies its scheduler of.
+// jobState is the state of a job in a callback.
 type jobState string
 
 const (
@@ -27,20 +27,22 @@
 	jobLost    jobState = "lost"
 )
 
-const schedulerShift = 32 // of an id, below the index of the scheduler
+const schedulerShift = 32 // position of the scheduler index in a request ID
 
-// schedulerFromID reads the index of the scheduler from an id, which the emulated clients put first.
+// schedulerFromID returns the index of the scheduler that is encoded in a request ID by requestID.
 func schedulerFromID(id string) (scheduler int, ok bool) {
 	n, err := strconv.ParseUint(id, 16, 64)
 	return int(n >> schedulerShift), err == nil
 }
 
+// requestID returns the ID of the n-th invocation that clients send to a scheduler.
 func requestID(scheduler int, n int64) string {
 	return strconv.FormatUint(uint64(scheduler)<<schedulerShift|uint64(n), 16)
 }
 
-// startJob starts a job that runs for the microseconds at the end of its path; the rest of what
-// clients send is not forwarded. False: its request is none of the emulated clients'.
+// startJob starts a job. Its run time is the last element of the path, in microseconds, as the rest
+// of what clients send is not forwarded. It returns false if the request is not from the emulated
+// clients.
 func (w *worker) startJob(request *http.Request) bool {
 	id := request.Header.Get("X-Call-Id")
 	path := request.URL.Path
@@ -65,8 +67,8 @@
 	return true
 }
 
-// scheduleProgress notifies the scheduler of the progress of a job at a time after its start, and
-// at each interval from then on.
+// scheduleProgress schedules a callback on the progress of a job after an interval, when the job will
+// have run for the time at, and further ones at the same interval until the job ends.
 func (w *worker) scheduleProgress(j *job, interval, at, runTime time.Duration) {
 	if at >= runTime {
 		return
@@ -80,6 +82,7 @@
 	})
 }
 
+// eachJob calls visit for each running job.
 func (p *workerPool) eachJob(visit func(*job)) {
 	p.jobs.Range(func(_, value any) bool {
 		visit(value.(*job))
@@ -87,7 +90,8 @@
 	})
 }
 
-// removeJob takes a job that has ended from the counts. False: that has been done.
+// removeJob marks a job as ended and takes it out of the counts. It returns false if the job has ended
+// before.
 func (p *workerPool) removeJob(j *job) bool {
 	if j.ended.Swap(true) {
 		return false
@@ -110,13 +114,14 @@
 	j.worker.notify(j.scheduler, c)
 }
 
-// dropJob ends a job without notice, unless it ends just now.
+// dropJob ends a job without notifying its scheduler, unless its timer has fired already.
 func (p *workerPool) dropJob(j *job) {
 	if j.timer.Stop() {
 		p.removeJob(j)
 	}
 }
 
+// cancelJob drops the job of a request ID. An unknown ID is ignored.
 func (p *workerPool) cancelJob(id string) {
 	if value, ok := p.jobs.Load(id); ok {
 		p.dropJob(value.(*job))
--- a/internal/lab/scale/worker_pool.go
+++ b/internal/lab/scale/worker_pool.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// workerPool emulates the workers, each with an address of its own, and their endpoint list.
+// workerPool emulates all workers, each listening separately, and their endpoint list.
 type workerPool struct {
 	config    HollowConfig
 	ctx       context.Context
@@ -18,11 +18,11 @@
 	workers   []*worker
 	list      *endpointList
 
-	// Guarded by the list's lock, as are the names of the workers.
+	// Guarded by the list's lock, as are the uids of the workers.
 	spares  []*worker
-	lastUID int // of the last name that was given
+	lastUID int // number in the uid that was assigned last
 
-	jobs              sync.Map // by id, *job
+	jobs              sync.Map // *job by request ID
 	calls             callCounters
 	runningJobs       atomic.Int64
 	reportsFrozen     atomic.Bool
@@ -34,7 +34,7 @@
 // callCounter counts calls of one kind.
 type callCounter struct {
 	count atomic.Int64
-	bytes atomic.Int64 // of HTTP, both ways
+	bytes atomic.Int64 // of HTTP, in both directions
 }
 
 func (c *callCounter) add(bytes int) {
@@ -42,7 +42,7 @@
 	c.bytes.Add(int64(bytes))
 }
 
-// callCounters count the calls of schedulers to workers.
+// callCounters count the calls from schedulers to workers, by kind.
 type callCounters struct {
 	starts       callCounter
 	healthChecks callCounter
@@ -74,9 +74,10 @@
 	return p, nil
 }
 
-// neighborAddress is the n-th address beside one of 127.0.0.0/8, with the last byte changed.
+// neighborAddress returns the n-th address after host, with only the last byte changed. It starts over
+// after lastByteValues addresses.
 func neighborAddress(host string, n int) string {
-	const lastByteValues = 250 // of a last byte, from 1
+	const lastByteValues = 250 // values used for the last byte, from 1
 	var a, b, c, d int
 	fmt.Sscanf(host, "%d.%d.%d.%d", &a, &b, &c, &d)
 	return fmt.Sprintf("%d.%d.%d.%d", a, b, c, 1+(d+n)%lastByteValues)
@@ -94,7 +95,7 @@
 	case orderRestore:
 		p.restoreWorkers()
 	default:
-		return Stats{}, fmt.Errorf("fleet: %q is no order", o.Action)
+		return Stats{}, fmt.Errorf("fleet: unknown order %q, expected begin, stats, start, freeze, lose or return", o.Action)
 	}
 	stats := p.stats()
 	if o.Action == orderBegin {
@@ -125,7 +126,7 @@
 	}
 }
 
-// startChanges starts the changes of the list that go on all the time.
+// startChanges starts the continuous changes of the list: full updates and replacements of workers.
 func (p *workerPool) startChanges() {
 	s := p.config.Scenario
 	if s.FullUpdateInterval.D() > 0 {
@@ -136,7 +137,8 @@
 	}
 }
 
-// runEvery calls at even times, and catches up on those that it was late for.
+// runEvery calls a function at a fixed interval until the process ends, and makes up for calls that
+// are late.
 func (p *workerPool) runEvery(interval time.Duration, call func()) {
 	for next := time.Now().Add(interval); ; next = next.Add(interval) {
 		select {
@@ -148,9 +150,8 @@
 	}
 }
 
-// replaceOldest takes the worker that was listed longest from the list and puts a spare one there,
-// which is warming up and has a name and address of its own. The jobs of the old one are lost with
-// its process.
+// replaceOldest replaces the worker that has been listed longest by a spare one, which is in slow
+// start and has a new uid and another address. The jobs of the old worker are lost with its process.
 func (p *workerPool) replaceOldest() {
 	p.list.mu.Lock()
 	old := p.list.entries[0]
@@ -165,7 +166,7 @@
 	p.failJobs(old)
 }
 
-// failJobs has all jobs of a worker end as lost, which the schedulers are notified of.
+// failJobs ends all jobs of a worker as lost and notifies their schedulers.
 func (p *workerPool) failJobs(w *worker) {
 	p.eachJob(func(j *job) {
 		if j.worker == w && j.timer.Stop() {
@@ -174,8 +175,8 @@
 	})
 }
 
-// loseWorkers takes some workers of the first zone away without notice, as if they had lost power; the
-// list shows it at once.
+// loseWorkers takes workers of the first zone away without notice, as if they had lost power: their
+// connections are closed and their jobs dropped without callbacks. The list shows it at once.
 func (p *workerPool) loseWorkers(count int) {
 	p.list.mu.Lock()
 	defer p.list.mu.Unlock()
@@ -199,7 +200,7 @@
 	})
 }
 
-// restoreWorkers lists the lost workers again, warming up.
+// restoreWorkers lists the lost workers again, in slow start.
 func (p *workerPool) restoreWorkers() {
 	p.list.mu.Lock()
 	defer p.list.mu.Unlock()
