--- a/internal/lab/scale/endpoint_list.go
+++ b/internal/lab/scale/endpoint_list.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	watchBuffer    = 256             // updates that a watch may be behind
-	watchKeepAlive = 2 * time.Second // interval of the empty lines of a watch
+	watchBuffer    = 256             // updates that a watch may lag behind
+	watchKeepAlive = 2 * time.Second // interval of the empty lines that are sent on a watch
 )
 
-// States of an endpoint.
+// States of an endpoint in its entry of the list.
 const (
 	stateReady = "Ready"
 	stateGone  = "Gone"
 )
 
-// endpointList is the list of the workers, and the server of it.
+// endpointList holds the entries of the listed workers and serves them over HTTP.
 type endpointList struct {
 	ctx  context.Context
 	addr string
 
-	mu       sync.Mutex // of all below, and of the workers' names and starts
-	entries  []*worker  // as listed, the oldest first
-	revision int
-	log      []entryChange // all, by revision
-	watches  map[chan []byte]struct{}
+	mu        sync.Mutex // guards the fields down to watches, and the uid and bootMS of workers
+	entries   []*worker  // listed workers, the one listed longest first
+	revision  int
+	changeLog []entryChange // all changes, by revision
+	watches   map[chan []byte]struct{}
 
-	calls   atomic.Int64
-	bytes   atomic.Int64 // of the answers
-	changes atomic.Int64 // of entries
+	requests      atomic.Int64
+	responseBytes atomic.Int64 // sum over all response bodies
+	entryChanges  atomic.Int64 // changed entries published
 }
 
-// entryChange is a change of one entry.
+// entryChange is a changed entry with the revision that it came with.
 type entryChange struct {
 	revision int
 	entry    string
@@ -49,7 +49,7 @@
 	return &endpointList{ctx: ctx, addr: addr, revision: 1, watches: map[chan []byte]struct{}{}}
 }
 
-// fullUpdate writes the whole list; the lock is held.
+// fullUpdate encodes the whole list. The caller holds the lock.
 func (l *endpointList) fullUpdate() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"rev":%d,"all":true,"targets":[`, l.revision)
@@ -63,22 +63,23 @@
 	return b.Bytes()
 }
 
-// deltaUpdate writes entries that have changed; the lock is held.
+// deltaUpdate encodes entries that have changed. The caller holds the lock.
 func (l *endpointList) deltaUpdate(entries []string) []byte {
 	return fmt.Appendf(nil, `{"rev":%d,"all":false,"targets":[%s]}`+"\n", l.revision, strings.Join(entries, ","))
 }
 
-// publish sends entries that have changed to all watches; the lock is held.
+// publish records changed entries under a new revision and sends them to all watches. The caller
+// holds the lock.
 func (l *endpointList) publish(entries ...string) {
 	l.revision++
 	for _, entry := range entries {
-		l.log = append(l.log, entryChange{revision: l.revision, entry: entry})
-		l.changes.Add(1)
+		l.changeLog = append(l.changeLog, entryChange{revision: l.revision, entry: entry})
+		l.entryChanges.Add(1)
 	}
 	l.send(l.deltaUpdate(entries))
 }
 
-// publishFull sends the whole list to all watches.
+// publishFull sends the whole list to all watches, under a new revision.
 func (l *endpointList) publishFull() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,8 +87,8 @@
 	l.send(l.fullUpdate())
 }
 
-// send sends a line to all watches, and ends those that are too far behind: they have to call
-// again. The lock is held.
+// send sends a line to all watches and ends those whose buffer is full, so that their clients have
+// to call again. The caller holds the lock.
 func (l *endpointList) send(line []byte) {
 	for watch := range l.watches {
 		select {
@@ -99,26 +100,28 @@
 	}
 }
 
-// subscribe returns the update since a revision, or an empty line, and a watch of those to come.
-func (l *endpointList) subscribe(index int) (first []byte, watch chan []byte) {
+// subscribe returns the update since a revision, and a watch of all later updates. The update is a
+// full one for revision 0 or one that does not exist yet, and an empty line if nothing has changed.
+func (l *endpointList) subscribe(since int) (first []byte, watch chan []byte) {
 	watch = make(chan []byte, watchBuffer)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.watches[watch] = struct{}{}
 	switch {
-	case index == 0 || index > l.revision:
+	case since == 0 || since > l.revision:
 		return l.fullUpdate(), watch
-	case index < l.revision:
-		return l.deltaUpdate(l.changedSince(index)), watch
+	case since < l.revision:
+		return l.deltaUpdate(l.changedSince(since)), watch
 	default:
 		return []byte("\n"), watch
 	}
 }
 
-func (l *endpointList) changedSince(index int) (entries []string) {
-	for _, c := range l.log {
-		if c.revision > index {
-			entries = append(entries, c.entry)
+// changedSince returns the entries changed after a revision, in the order of the changes.
+func (l *endpointList) changedSince(since int) (entries []string) {
+	for _, change := range l.changeLog {
+		if change.revision > since {
+			entries = append(entries, change.entry)
 		}
 	}
 	return entries
@@ -130,31 +133,32 @@
 	l.mu.Unlock()
 }
 
-// ServeHTTP answers a call to the list: with one update, or with all to come where it asks for a
-// stream.
-func (l *endpointList) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	query := in.URL.Query()
-	index, err := strconv.Atoi(query.Get("index"))
+// ServeHTTP answers a request for the list: with one update or, if the request asks for a stream,
+// with that update and all later ones.
+func (l *endpointList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	since, err := strconv.Atoi(query.Get("index"))
 	if err != nil {
-		index = 0
+		since = 0
 	}
-	first, watch := l.subscribe(index)
-	l.calls.Add(1)
+	first, watch := l.subscribe(since)
+	l.requests.Add(1)
 	defer l.unsubscribe(watch)
-	flusher := out.(http.Flusher)
+	flusher := w.(http.Flusher)
 	send := func(line []byte) bool {
-		_, err := out.Write(line)
+		_, err := w.Write(line)
 		flusher.Flush()
-		l.bytes.Add(int64(len(line)))
+		l.responseBytes.Add(int64(len(line)))
 		return err == nil
 	}
 	if !send(first) || query.Get("stream") == "" {
 		return
 	}
-	l.stream(in.Context(), watch, send)
+	l.stream(r.Context(), watch, send)
 }
 
-// stream sends updates, and empty lines between them, until the watch or the call ends.
+// stream sends updates, and empty lines to keep the connection alive, until the watch or the request
+// ends.
 func (l *endpointList) stream(ctx context.Context, watch <-chan []byte, send func([]byte) bool) {
 	keepAlive := time.NewTicker(watchKeepAlive)
 	defer keepAlive.Stop()
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -13,65 +13,68 @@
 )
 
 const (
-	stderrTail   = 4000        // bytes of a process's standard error that are reported
-	exitNoticeIn = time.Second // in which the end of a process is known after its pipe or its files have failed
+	stderrTailBytes   = 4000        // end of a process's standard error that is reported
+	exitNoticeTimeout = time.Second // wait for the exit of a process whose pipe or files have failed
 )
 
-// process is one that a run has started: a real scheduler or a hollow one.
+// process is a child process of a run: a real scheduler or a hollow process.
 type process struct {
 	name   string
 	cmd    *exec.Cmd
-	in     io.WriteCloser // of a hollow one
-	out    *json.Decoder  // of a hollow one
-	stderr *tail
-	exited chan struct{} // closed at its exit
-	err    error         // of its exit
+	stdin  io.WriteCloser // of a hollow process
+	stdout *json.Decoder  // of a hollow process
+	stderr *tailBuffer
+	exited chan struct{} // closed when the process has exited
+	err    error         // how the process exited; set before exited is closed
 }
 
-// tail is a writer that keeps the last bytes written.
-type tail struct {
+// tailBuffer is a writer that keeps the last stderrTailBytes written to it.
+type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (t *tail) Write(b []byte) (int, error) {
+// Write appends bytes and drops the oldest ones. It never fails.
+func (t *tailBuffer) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
-	t.text = t.text[max(0, len(t.text)-stderrTail):]
+	t.text = t.text[max(0, len(t.text)-stderrTailBytes):]
 	return len(b), nil
 }
 
-func (t *tail) String() string {
+// String returns the bytes kept, without surrounding white space.
+func (t *tailBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return strings.TrimSpace(string(t.text))
 }
 
+// newProcess prepares a command to run as a child process of the rig.
 func newProcess(name string, cmd *exec.Cmd) *process {
-	p := &process{name: name, cmd: cmd, stderr: &tail{}, exited: make(chan struct{})}
+	p := &process{name: name, cmd: cmd, stderr: &tailBuffer{}, exited: make(chan struct{})}
 	cmd.Stderr = p.stderr
-	// Whatever becomes of this process, the other is not left behind: the kernel kills it too.
+	// The kernel kills the child when this process dies in any way, so that no child is left behind.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return p
 }
 
-// connect opens the pipes of a hollow process that has not been started.
-func (p *process) connect() error {
-	in, err := p.cmd.StdinPipe()
+// openPipes opens the pipes of a hollow process that has not been started yet.
+func (p *process) openPipes() error {
+	stdin, err := p.cmd.StdinPipe()
 	if err != nil {
 		return err
 	}
-	out, err := p.cmd.StdoutPipe()
+	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	p.in = in
-	p.out = json.NewDecoder(out)
+	p.stdin = stdin
+	p.stdout = json.NewDecoder(stdout)
 	return nil
 }
 
-// start starts it; its exit is sent to exits too.
+// start starts the process. After its exit it is also sent to exits.
 func (p *process) start(exits chan<- *process) error {
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
@@ -88,31 +91,34 @@
 	return nil
 }
 
-// exitError says how it has exited.
+// exitError describes how the process has exited.
 func (p *process) exitError() error {
 	return fmt.Errorf("%s has ended: %v: %s", p.name, p.err, p.stderr)
 }
 
-// explain returns the error of its exit, or the given one where it goes on.
+// explain returns the exit error if the process exits within exitNoticeTimeout, otherwise the given
+// error with the name of the process.
 func (p *process) explain(err error) error {
 	select {
 	case <-p.exited:
 		return p.exitError()
-	case <-time.After(exitNoticeIn):
+	case <-time.After(exitNoticeTimeout):
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
 }
 
-// begin sends a hollow process what it emulates, and returns what it says when it is ready.
-func (p *process) begin(part Part) (Stats, error) { return p.exchange(part) }
+// configure sends a hollow process its configuration and returns the statistics that it reports when
+// it is ready.
+func (p *process) configure(config HollowConfig) (Stats, error) { return p.exchange(config) }
 
-// execute has a hollow process execute an order.
-func (p *process) execute(o Order) (Stats, error) { return p.exchange(o) }
+// execute sends an order to a hollow process and returns its answer.
+func (p *process) execute(order Order) (Stats, error) { return p.exchange(order) }
 
+// exchange sends one line of JSON to a hollow process and reads its answer.
 func (p *process) exchange(line any) (stats Stats, err error) {
-	err = json.NewEncoder(p.in).Encode(line)
+	err = json.NewEncoder(p.stdin).Encode(line)
 	if err == nil {
-		err = p.out.Decode(&stats)
+		err = p.stdout.Decode(&stats)
 	}
 	if err != nil {
 		return stats, p.explain(err)
@@ -120,9 +126,10 @@
 	return stats, nil
 }
 
+// kill kills the process and waits for its exit.
 func (p *process) kill() {
-	if p.in != nil {
-		p.in.Close()
+	if p.stdin != nil {
+		p.stdin.Close()
 	}
 	p.cmd.Process.Kill()
 	<-p.exited
--- a/internal/lab/scale/worker_jobs.go
+++ b/internal/lab/scale/worker_jobs.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// job is an invocation that runs on a worker.
+// job is an invocation that runs on a worker, which is emulated by a timer.
 type job struct {
 	id        string
 	scheduler int
 	worker    *worker
-	timer     *time.Timer // of its end
+	timer     *time.Timer // fires at the end of the run
 	ended     atomic.Bool
 }
 
-// jobState is a state of a job that its worker notifies its scheduler of.
+// jobState is the state of a job in a callback.
 type jobState string
 
 const (
@@ -27,59 +27,62 @@
 	jobLost    jobState = "lost"
 )
 
-const schedulerBits = 32 // of an id, below the index of the scheduler
+const schedulerShift = 32 // position of the scheduler index in a request ID
 
-// schedulerOf reads the index of the scheduler from an id, which the emulated clients put first.
-func schedulerOf(id string) (scheduler int, ok bool) {
+// schedulerFromID returns the index of the scheduler that is encoded in a request ID by requestID.
+func schedulerFromID(id string) (scheduler int, ok bool) {
 	n, err := strconv.ParseUint(id, 16, 64)
-	return int(n >> schedulerBits), err == nil
+	return int(n >> schedulerShift), err == nil
 }
 
-func idOf(scheduler int, n int64) string {
-	return strconv.FormatUint(uint64(scheduler)<<schedulerBits|uint64(n), 16)
+// requestID returns the ID of the n-th invocation that clients send to a scheduler.
+func requestID(scheduler int, n int64) string {
+	return strconv.FormatUint(uint64(scheduler)<<schedulerShift|uint64(n), 16)
 }
 
-// startJob starts a job that runs for the microseconds at the end of its path; the rest of what
-// clients send is not forwarded. False: its request is none of the emulated clients'.
+// startJob starts a job. Its run time is the last element of the path, in microseconds, as the rest
+// of what clients send is not forwarded. It returns false if the request is not from the emulated
+// clients.
 func (w *worker) startJob(request *http.Request) bool {
 	id := request.Header.Get("X-Call-Id")
 	path := request.URL.Path
 	micros, err := strconv.ParseInt(path[strings.LastIndexByte(path, '/')+1:], 10, 64)
-	scheduler, ok := schedulerOf(id)
-	if err != nil || !ok || scheduler >= len(w.pool.part.Schedulers) {
-		w.pool.unexpected.Add(1)
+	scheduler, ok := schedulerFromID(id)
+	if err != nil || !ok || scheduler >= len(w.pool.config.SchedulerAddrs) {
+		w.pool.unexpectedCalls.Add(1)
 		return false
 	}
-	run := time.Duration(micros) * time.Microsecond
+	runTime := time.Duration(micros) * time.Microsecond
 	j := &job{id: id, scheduler: scheduler, worker: w}
 	w.running.Add(1)
-	w.pool.running.Add(1)
+	w.pool.runningJobs.Add(1)
 	w.pool.jobs.Store(id, j)
-	j.timer = time.AfterFunc(run, func() { w.pool.finish(j, jobDone) })
-	if w.pool.part.Scenario.TellsStart {
-		go w.notify(scheduler, callback{ID: id, From: w.currentUID(), State: jobStarted})
+	j.timer = time.AfterFunc(runTime, func() { w.pool.finishJob(j, jobDone) })
+	if w.pool.config.Scenario.NotifiesStart {
+		go w.notify(scheduler, callback{RequestID: id, WorkerUID: w.currentUID(), State: jobStarted})
 	}
-	if interval := w.pool.part.Scenario.Progress.D(); interval > 0 {
-		w.scheduleProgress(j, interval, interval, run)
+	if interval := w.pool.config.Scenario.ProgressInterval.D(); interval > 0 {
+		w.scheduleProgress(j, interval, interval, runTime)
 	}
 	return true
 }
 
-// scheduleProgress notifies the scheduler of the progress of a job at a time after its start, and
-// at each interval from then on.
-func (w *worker) scheduleProgress(j *job, interval, at, run time.Duration) {
-	if at >= run {
+// scheduleProgress schedules a callback on the progress of a job after an interval, when the job will
+// have run for the time at, and further ones at the same interval until the job ends.
+func (w *worker) scheduleProgress(j *job, interval, at, runTime time.Duration) {
+	if at >= runTime {
 		return
 	}
 	time.AfterFunc(interval, func() {
 		if j.ended.Load() {
 			return
 		}
-		w.notify(j.scheduler, callback{ID: j.id, From: w.currentUID(), State: jobRunning, Share: at.Seconds() / run.Seconds()})
-		w.scheduleProgress(j, interval, at+interval, run)
+		w.notify(j.scheduler, callback{RequestID: j.id, WorkerUID: w.currentUID(), State: jobRunning, Share: at.Seconds() / runTime.Seconds()})
+		w.scheduleProgress(j, interval, at+interval, runTime)
 	})
 }
 
+// eachJob calls visit for each running job.
 func (p *workerPool) eachJob(visit func(*job)) {
 	p.jobs.Range(func(_, value any) bool {
 		visit(value.(*job))
@@ -87,38 +90,40 @@
 	})
 }
 
-// remove takes a job that has ended from the counts. False: that has been done.
-func (p *workerPool) remove(j *job) bool {
+// removeJob marks a job as ended and takes it out of the counts. It returns false if the job has ended
+// before.
+func (p *workerPool) removeJob(j *job) bool {
 	if j.ended.Swap(true) {
 		return false
 	}
 	p.jobs.Delete(j.id)
 	j.worker.running.Add(-1)
-	p.running.Add(-1)
+	p.runningJobs.Add(-1)
 	return true
 }
 
-// finish ends a job and notifies its scheduler.
-func (p *workerPool) finish(j *job, state jobState) {
-	if !p.remove(j) {
+// finishJob ends a job and notifies its scheduler.
+func (p *workerPool) finishJob(j *job, state jobState) {
+	if !p.removeJob(j) {
 		return
 	}
-	c := callback{ID: j.id, From: j.worker.currentUID(), State: state}
+	c := callback{RequestID: j.id, WorkerUID: j.worker.currentUID(), State: state}
 	if state == jobDone {
 		c.Result = "made " + j.id
 	}
 	j.worker.notify(j.scheduler, c)
 }
 
-// abandon ends a job without notice, unless it ends just now.
-func (p *workerPool) abandon(j *job) {
+// dropJob ends a job without notifying its scheduler, unless its timer has fired already.
+func (p *workerPool) dropJob(j *job) {
 	if j.timer.Stop() {
-		p.remove(j)
+		p.removeJob(j)
 	}
 }
 
-func (p *workerPool) cancel(id string) {
+// cancelJob drops the job of a request ID. An unknown ID is ignored.
+func (p *workerPool) cancelJob(id string) {
 	if value, ok := p.jobs.Load(id); ok {
-		p.abandon(value.(*job))
+		p.dropJob(value.(*job))
 	}
 }
