--- a/internal/lab/trace/anomaly.go
+++ b/internal/lab/trace/anomaly.go
@@ -2,10 +2,11 @@
 
 import "encoding/json"
 
-// Anomaly is a way in which a row is not as it should be.
+// Anomaly is a defect of a trace row. It is counted, and the mapping's policies say what becomes of
+// the row.
 type Anomaly uint8
 
-// The anomalies.
+// The anomalies that Reader detects. Policies describes each of them.
 const (
 	Malformed Anomaly = iota
 	OutOfOrder
@@ -17,35 +18,35 @@
 
 var anomalyNames = [...]string{"bad", "out of order", "clock jump", "too long", "unknown operation"}
 
-// String gives the anomaly as reports have it.
+// String returns the anomaly's name in reports.
 func (a Anomaly) String() string { return anomalyNames[a] }
 
-// maxLines is how many lines are named of each anomaly.
-const maxLines = 10
+// maxLinesPerAnomaly limits the line numbers that are kept for each anomaly.
+const maxLinesPerAnomaly = 10
 
-// Counts are the rows of a trace that were read.
+// Counts holds the numbers of rows that were read from a trace, used as requests, and anomalous.
 type Counts struct {
 	Rows, Used int
-	Anomalies  [anomalyCount]int   // rows, by Anomaly
-	Lines      [anomalyCount][]int // numbers of the first ones
-	Ended      string              // why the trace was not read to its end; empty: it was, or may yet be
+	Anomalies  [anomalyCount]int   // number of rows, by Anomaly
+	FirstLines [anomalyCount][]int // line numbers of the first anomalous rows, by Anomaly
+	Ended      string              // why reading stopped before the end of the trace; empty if it did not
 }
 
-// MarshalJSON writes the anomalies that were met, by name.
+// MarshalJSON encodes the anomalies by name and leaves out those that did not occur.
 func (c Counts) MarshalJSON() ([]byte, error) {
-	odd := map[string]any{}
+	anomalies := map[string]any{}
 	for anomaly, n := range c.Anomalies {
 		if n > 0 {
-			odd[anomalyNames[anomaly]] = map[string]any{"rows": n, "first_lines": c.Lines[anomaly]}
+			anomalies[anomalyNames[anomaly]] = map[string]any{"rows": n, "first_lines": c.FirstLines[anomaly]}
 		}
 	}
-	return json.Marshal(map[string]any{"rows": c.Rows, "used": c.Used, "odd": odd, "ended": c.Ended})
+	return json.Marshal(map[string]any{"rows": c.Rows, "used": c.Used, "odd": anomalies, "ended": c.Ended})
 }
 
-// add counts a row that is not as it should be.
-func (c *Counts) add(a Anomaly, line int) {
+// addAnomaly counts an anomalous row, and keeps its line number if it is among the first.
+func (c *Counts) addAnomaly(a Anomaly, line int) {
 	c.Anomalies[a]++
-	if len(c.Lines[a]) < maxLines {
-		c.Lines[a] = append(c.Lines[a], line)
+	if len(c.FirstLines[a]) < maxLinesPerAnomaly {
+		c.FirstLines[a] = append(c.FirstLines[a], line)
 	}
 }
--- a/internal/lab/trace/clock.go
+++ b/internal/lab/trace/clock.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// clock maps the recorded times of a trace to times of the run: rows are as far apart as they were recorded, divided by the
-// speed, but for jumps of the recorded clock.
+// clock converts the recorded times of a trace to times of the run. The intervals between rows are
+// kept, divided by the speed, except where the recorded clock jumps.
 type clock struct {
-	unit   float64 // of recorded times, in nanoseconds
-	maxGap float64 // a longer step is a jump; in nanoseconds
-	speed  float64
+	unitNanos   float64 // unit of recorded times, in nanoseconds
+	maxGapNanos float64 // a longer step in either direction is a jump
+	speed       float64 // replay speed, relative to the recording
 
-	started bool
-	first   float64       // recorded time of the first row
-	last    float64       // recorded time that the next step counts from
-	shift   float64       // that jumps have taken out, in nanoseconds
-	now     time.Duration // time of the last row
+	started       bool
+	firstRecorded float64       // recorded time of the first row
+	lastRecorded  float64       // recorded time from which the next step is measured
+	removedNanos  float64       // recorded time that jumps have removed; backward jumps count as negative
+	now           time.Duration // time of the run at the last row
 }
 
 func newClock(m Mapping) clock {
-	return clock{unit: float64(unitByName[m.TimeUnit]), maxGap: float64(m.MaxGap), speed: m.Speed}
+	return clock{unitNanos: float64(unitByName[m.TimeUnit]), maxGapNanos: float64(m.MaxGap), speed: m.Speed}
 }
 
-// step is how far a recorded time is from the last one, in nanoseconds.
-func (c *clock) step(recorded float64) float64 { return (recorded - c.last) * c.unit }
+// stepNanos returns the time from lastRecorded to a recorded time, in nanoseconds.
+func (c *clock) stepNanos(recorded float64) float64 { return (recorded - c.lastRecorded) * c.unitNanos }
 
-// check returns what is wrong with a recorded time; false: nothing is. The first one starts the clock.
+// check returns the anomaly of a recorded time, and false if there is none. The first call starts the
+// clock.
 func (c *clock) check(recorded float64) (Anomaly, bool) {
 	if !c.started {
 		c.started = true
-		c.first = recorded
-		c.last = recorded
+		c.firstRecorded = recorded
+		c.lastRecorded = recorded
 	}
-	step := c.step(recorded)
+	step := c.stepNanos(recorded)
 	switch {
-	case step < -c.maxGap || step > c.maxGap:
+	case step < -c.maxGapNanos || step > c.maxGapNanos:
 		return ClockJump, true
 	case step < 0:
 		return OutOfOrder, true
@@ -40,21 +41,22 @@
 	return 0, false
 }
 
-// advance returns the time of a row, and clamps it if its recorded time is anomalous.
+// advance returns the time of the run for a recorded time. An anomalous time is clamped: the result is
+// never before that of an earlier row, and a forward jump counts as the longest allowed step.
 func (c *clock) advance(recorded float64) time.Duration {
-	step := c.step(recorded)
+	step := c.stepNanos(recorded)
 	switch {
-	case step < -c.maxGap: // the recorded clock was set back: the trace goes on from there
-		c.shift += step
-		c.last = recorded
+	case step < -c.maxGapNanos: // the recorded clock was set back: later steps are measured from its new time
+		c.removedNanos += step
+		c.lastRecorded = recorded
 		return c.now
-	case step < 0: // sent with the row before; the clock stays where it is
+	case step < 0: // out of order: the row is sent together with the one before it
 		return c.now
-	case step > c.maxGap:
-		c.shift += step - c.maxGap
+	case step > c.maxGapNanos:
+		c.removedNanos += step - c.maxGapNanos
 	}
-	c.last = recorded
-	elapsed := (recorded-c.first)*c.unit - c.shift
+	c.lastRecorded = recorded
+	elapsed := (recorded-c.firstRecorded)*c.unitNanos - c.removedNanos
 	c.now = max(c.now, time.Duration(elapsed/c.speed))
 	return c.now
 }
--- a/internal/lab/trace/columns.go
+++ b/internal/lab/trace/columns.go
@@ -9,9 +9,10 @@
 	"strings"
 )
 
-// column is a column of a mapping, by its key.
+// column is the key of a column in the [columns] table of a mapping.
 type column string
 
+// The columns that a mapping can define.
 const (
 	columnTime      column = "time"
 	columnWork      column = "work"
@@ -21,35 +22,38 @@
 	columnSlots     column = "slots"
 )
 
-// noColumn stands for the index of a column that is not there.
+// noColumn is the index of a column that the trace does not have.
 const noColumn = -1
 
-// columnIndexes are where the columns of a mapping are in a row. Those that it leaves out are missing.
+// columnIndexes holds the positions of a mapping's columns in a row. Columns that the mapping leaves
+// out are not in it.
 type columnIndexes struct {
 	byColumn map[column]int
-	last     int // the highest index
+	highest  int // the highest index in byColumn
 }
 
-// has reports whether the mapping has a column.
+// has reports whether the mapping defines a column.
 func (c columnIndexes) has(col column) bool {
-	_, has := c.byColumn[col]
-	return has
+	_, defined := c.byColumn[col]
+	return defined
 }
 
-// text is the value of a column.
+// text returns the value of a column without surrounding white space.
 func (c columnIndexes) text(fields []string, col column) string {
 	return strings.TrimSpace(fields[c.byColumn[col]])
 }
 
-// number is the value of a column; false: it is no finite number.
+// number returns the value of a column, and false if it is not a finite number.
 func (c columnIndexes) number(fields []string, col column) (float64, bool) {
 	v, err := strconv.ParseFloat(c.text(fields, col), 64)
 	return v, err == nil && !math.IsNaN(v) && !math.IsInf(v, 0)
 }
 
+// errEmptyTrace reports a trace without a single line.
 var errEmptyTrace = errors.New("the trace is empty")
 
-// findColumns reads the header, if there is one, and finds the mapping's columns.
+// findColumns reads the header, if the trace has one, and locates the mapping's columns in it. A column
+// that cannot be found is an error.
 func findColumns(m Mapping, rows *rowReader) (columnIndexes, error) {
 	header, err := readHeader(m, rows)
 	if err != nil {
@@ -75,12 +79,12 @@
 			return columnIndexes{}, fmt.Errorf("columns.%s: there is no column %q, but %q", wanted.column, wanted.name, header)
 		}
 		found.byColumn[wanted.column] = index
-		found.last = max(found.last, index)
+		found.highest = max(found.highest, index)
 	}
 	return found, nil
 }
 
-// readHeader returns the names of the columns; nil: the mapping goes by numbers.
+// readHeader returns the names of the columns, or nil if the mapping refers to columns by number.
 func readHeader(m Mapping, rows *rowReader) ([]string, error) {
 	if !m.Header {
 		if rows.empty() {
@@ -93,12 +97,13 @@
 		return nil, errEmptyTrace
 	}
 	if err != nil {
-		return nil, fmt.Errorf("the header: %w", err)
+		return nil, fmt.Errorf("read the header: %w", err)
 	}
 	return header, nil
 }
 
-// columnIndex finds a column by its header, of equal ones the last, or by its number.
+// columnIndex returns the index of a column, or noColumn. name is a title of the header, where the last
+// of several equal titles counts, or without a header the column's number.
 func columnIndex(m Mapping, header []string, name string) int {
 	if !m.Header {
 		number, err := strconv.Atoi(name)
--- a/internal/lab/trace/forms_test.go
+++ b/internal/lab/trace/forms_test.go
@@ -11,53 +11,54 @@
 	"stoatweir/internal/golden"
 )
 
-// Counts that have met each kind of odd row are the same to the byte.
+// The JSON of Counts with every kind of anomaly equals the golden file byte for byte.
 func TestGoldenCounts(t *testing.T) {
-	c := golden.Filled[Counts](t)
-	for k := range anomalyCount {
-		c.Anomalies[k], c.Lines[k] = int(k)+100, []int{int(k) + 200, int(k) + 300}
+	counts := golden.Filled[Counts](t)
+	for anomaly := range anomalyCount {
+		counts.Anomalies[anomaly], counts.FirstLines[anomaly] = int(anomaly)+100, []int{int(anomaly) + 200, int(anomaly) + 300}
 	}
-	text, err := json.MarshalIndent(c, "", "  ")
+	encoded, err := json.MarshalIndent(counts, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	type odd struct {
-		Count int   `json:"rows"`
-		Lines []int `json:"first_lines"`
+	type anomalyRows struct {
+		Count      int   `json:"rows"`
+		FirstLines []int `json:"first_lines"`
 	}
 	var got struct {
-		Rows  int            `json:"rows"`
-		Used  int            `json:"used"`
-		Odd   map[string]odd `json:"odd"`
-		Ended string         `json:"ended"`
+		Rows      int                    `json:"rows"`
+		Used      int                    `json:"used"`
+		Anomalies map[string]anomalyRows `json:"odd"`
+		Ended     string                 `json:"ended"`
 	}
-	if err := json.Unmarshal(golden.Compare(t, "counts.json", text), &got); err != nil {
+	if err := json.Unmarshal(golden.Compare(t, "counts.json", encoded), &got); err != nil {
 		t.Fatal(err)
 	}
-	wanted := map[string]odd{}
-	for k := range anomalyCount {
-		wanted[k.String()] = odd{c.Anomalies[k], c.Lines[k]}
+	wanted := map[string]anomalyRows{}
+	for anomaly := range anomalyCount {
+		wanted[anomaly.String()] = anomalyRows{counts.Anomalies[anomaly], counts.FirstLines[anomaly]}
 	}
-	if got.Rows != c.Rows || got.Used != c.Used || got.Ended != c.Ended {
-		t.Error(got, c)
+	if got.Rows != counts.Rows || got.Used != counts.Used || got.Ended != counts.Ended {
+		t.Error(got, counts)
 	}
-	if diff := cmp.Diff(wanted, got.Odd); diff != "" {
+	if diff := cmp.Diff(wanted, got.Anomalies); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A mapping keeps its keys, in lower case as files have them and in any other.
+// The keys of a mapping equal those of the golden file. They are read in any letter case; mapping files
+// have them in lower case.
 func TestGoldenMapping(t *testing.T) {
 	m := golden.Filled[Mapping](t)
-	text, err := toml.Marshal(m)
+	encoded, err := toml.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorded := golden.Compare(t, "mapping.toml", text)
-	for _, spelt := range []string{string(recorded), keys(recorded, strings.ToLower), keys(recorded, strings.ToUpper)} {
+	recorded := golden.Compare(t, "mapping.toml", encoded)
+	for _, spelling := range []string{string(recorded), respellKeys(recorded, strings.ToLower), respellKeys(recorded, strings.ToUpper)} {
 		var got Mapping
-		if err := toml.NewDecoder(strings.NewReader(spelt)).DisallowUnknownFields().Decode(&got); err != nil {
-			t.Fatal(err, spelt)
+		if err := toml.NewDecoder(strings.NewReader(spelling)).DisallowUnknownFields().Decode(&got); err != nil {
+			t.Fatal(err, spelling)
 		}
 		if diff := cmp.Diff(m, got); diff != "" {
 			t.Error(diff)
@@ -65,10 +66,10 @@
 	}
 }
 
-// keys spells the keys of a text otherwise, but for quoted ones, which are values of a map.
-func keys(text []byte, spell func(string) string) string {
-	var all strings.Builder
-	for line := range strings.Lines(string(text)) {
+// respellKeys applies spell to the keys of a TOML document, except to quoted keys, which are data of a map.
+func respellKeys(encoded []byte, spell func(string) string) string {
+	var respelled strings.Builder
+	for line := range strings.Lines(string(encoded)) {
 		key, value, pair := strings.Cut(line, "=")
 		switch {
 		case strings.HasPrefix(line, "'"):
@@ -77,7 +78,7 @@
 		default:
 			line = spell(line)
 		}
-		all.WriteString(line)
+		respelled.WriteString(line)
 	}
-	return all.String()
+	return respelled.String()
 }
--- a/internal/lab/trace/generate.go
+++ b/internal/lab/trace/generate.go
@@ -10,75 +10,78 @@
 )
 
 const (
-	// generatorStream is the stream of random numbers that Generate draws from, besides its seed.
+	// generatorStream is the second seed word of Generate's random generator. The first is the caller's
+	// seed.
 	generatorStream = 0x67656e
-	// microsPerSecond converts to the unit of the generated times.
 	microsPerSecond = 1e6
-	// generatedRun is the scale of generated run times, in microseconds.
-	generatedRun = 50e3
-	// batchFactor is how much longer a batch row runs.
-	batchFactor = 4
-	// setBack is how far an out-of-order row is set back, in microseconds.
-	setBack = 5e6
-	// ratePhase is how many rows the rate holds, which is low and high in turn.
-	ratePhase = 5000
-	// generatedUsers is the number of tenants.
-	generatedUsers = 50
+	// medianRunMicros is the median run time of generated rows, which is log-normal.
+	medianRunMicros = 50e3
+	// batchRunFactor multiplies the run time of rows of kind "batch".
+	batchRunFactor = 4
+	// outOfOrderShiftMicros is how far the time of an out-of-order row is set back.
+	outOfOrderShiftMicros = 5e6
+	// rowsPerRatePhase is the length of the low and the high phase between which the rate alternates.
+	rowsPerRatePhase = 5000
+	// generatedUserCount is the number of different users, which a mapping can use as tenants.
+	generatedUserCount = 50
 )
 
-// generatedKinds are drawn with equal chances.
+// generatedKinds holds the values of collection_type. Each entry is drawn with equal probability, so a
+// repeated value is more frequent.
 var generatedKinds = []string{"small", "small", "small", "batch", "batch", "prod"}
 
-// Generate writes a trace of so many rows, with a header, for trying things out: bursts, heavy tails, and one row in
-// anomalyEvery that is anomalous (0: none). rate is in rows a second.
+// Generate writes a synthetic trace with a header and the given number of rows, for tests and trials.
+// Its load has bursts and its run times a heavy tail. rate is in rows per second; the load alternates
+// between 0.6 and 1.4 times rate. One row in anomalyEvery is anomalous, none if it is 0.
 func Generate(out io.Writer, rows int, seed int64, rate float64, anomalyEvery int) error {
-	w := bufio.NewWriterSize(out, bufferSize)
+	w := bufio.NewWriterSize(out, bufferBytes)
 	rng := rand.New(rand.NewPCG(uint64(seed), generatorStream))
 	fmt.Fprintln(w, "time_us,collection_type,user,cpu_request,run_us")
-	at := 0.0 // in microseconds
+	atMicros := 0.0
 	for n := range rows {
-		phaseRate := rate * (0.6 + 0.8*float64(n/ratePhase%2))
-		at += rng.ExpFloat64() / phaseRate * microsPerSecond
-		run := generatedRun * math.Exp(rng.NormFloat64())
+		phaseRate := rate * (0.6 + 0.8*float64(n/rowsPerRatePhase%2))
+		atMicros += rng.ExpFloat64() / phaseRate * microsPerSecond
+		run := medianRunMicros * math.Exp(rng.NormFloat64())
 		kind := generatedKinds[rng.IntN(len(generatedKinds))]
 		if kind == "batch" {
-			run *= batchFactor
+			run *= batchRunFactor
 		}
 		row := generatedRow{
-			time: strconv.FormatInt(int64(at), 10),
+			time: strconv.FormatInt(int64(atMicros), 10),
 			kind: kind,
 			run:  strconv.FormatInt(int64(run), 10),
 		}
 		if anomalyEvery > 0 && n%anomalyEvery == anomalyEvery-1 {
-			row.corrupt(n/anomalyEvery, at)
+			row.corrupt(n/anomalyEvery, atMicros)
 		}
-		if row.cutShort {
+		if row.truncated {
 			fmt.Fprintln(w, row.time)
 			continue
 		}
-		user := rng.IntN(generatedUsers)
+		user := rng.IntN(generatedUserCount)
 		cpu := 0.25 + rng.Float64()*1.5
 		fmt.Fprintf(w, "%s,%s,u%d,%.2f,%s\n", row.time, row.kind, user, cpu, row.run)
 	}
 	return w.Flush()
 }
 
-// generatedRow has the fields of a row that can be anomalous.
+// generatedRow holds the parts of a generated row that corrupt can change.
 type generatedRow struct {
 	time, kind, run string
-	cutShort        bool
+	truncated       bool // only the time is written
 }
 
-// corrupt makes the row anomalous, in four ways in turn.
-func (r *generatedRow) corrupt(turn int, at float64) {
+// corrupt makes the row anomalous in one of four ways, chosen by turn: a malformed run time, a time out
+// of order, an unknown operation, or missing columns. atMicros is the row's time.
+func (r *generatedRow) corrupt(turn int, atMicros float64) {
 	switch turn % 4 {
 	case 0:
 		r.run = "n/a"
 	case 1:
-		r.time = strconv.FormatInt(int64(at)-setBack, 10)
+		r.time = strconv.FormatInt(int64(atMicros)-outOfOrderShiftMicros, 10)
 	case 2:
 		r.kind = "gpu"
 	case 3:
-		r.cutShort = true
+		r.truncated = true
 	}
 }
--- a/internal/lab/trace/reader.go
+++ b/internal/lab/trace/reader.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// readerStream is the stream of random numbers that a Reader draws from, besides the scenario's seed.
+	// readerStream is the second seed word of a Reader's random generator. The first is the scenario's
+	// seed, with which other parts of a run draw other streams.
 	readerStream = 0x7472
-	// maxCost is the highest cost of a row, in seconds.
-	maxCost = 1e6
-	// noOperation stands for the operation of values that the mapping does not have.
+	// maxCostSeconds is the highest accepted cost of a row; a row above it is malformed.
+	maxCostSeconds = 1e6
+	// noOperation is the operation of a value that the mapping does not have.
 	noOperation = -1
 )
 
-// Reader reads the invocations of a trace. It is a model.Source.
+// Reader reads the requests of a trace, one invocation per usable row. It implements model.Source.
 type Reader struct {
 	Counts
 
@@ -35,19 +36,19 @@
 	clock            clock
 	rand             *rand.Rand
 	operationByValue map[string]int
-	defaultOperation int // for all other values
+	defaultOperation int // for values that are not in operationByValue
 	tenantByName     map[string]int
 	stopped          bool
 }
 
-// Open begins to read a trace. It is an error if the trace is empty or has not all columns of the mapping. clients make the
-// requests of its rows.
+// Open returns a Reader of the trace in, and reads its header. It returns an error if the trace is empty
+// or lacks a column of the mapping. clients creates the requests for the rows.
 func Open(in io.Reader, m Mapping, s scenario.Scenario, clients *model.Clients) (*Reader, error) {
 	r := &Reader{
 		mapping:          m,
 		scenario:         s,
 		clients:          clients,
-		rows:             rowReader{in: bufio.NewReaderSize(in, bufferSize), separator: m.Separator, maxSize: m.MaxRowSize},
+		rows:             rowReader{in: bufio.NewReaderSize(in, bufferBytes), separator: m.Separator, maxLineBytes: m.MaxLineBytes},
 		clock:            newClock(m),
 		rand:             rand.New(rand.NewPCG(uint64(s.Seed), readerStream)),
 		operationByValue: map[string]int{},
@@ -66,13 +67,15 @@
 	return r, nil
 }
 
+// indexOperations fills in which operation belongs to which value of the operation column. A mapping
+// without operations is only valid for a scenario with a single one, which applies to all rows.
 func (r *Reader) indexOperations() {
 	indexByName := map[string]int{}
 	for i, o := range r.scenario.Operations {
 		indexByName[o.Name] = i
 	}
 	for value, operation := range r.mapping.Operations {
-		if value == otherOperations {
+		if value == wildcardValue {
 			r.defaultOperation = indexByName[operation]
 		} else {
 			r.operationByValue[value] = indexByName[operation]
@@ -83,8 +86,8 @@
 	}
 }
 
-// Next returns the request of the next row that can be used; false: the trace is over, or was stopped by a policy or an
-// error, which Ended names.
+// Next returns the request of the next usable row. It returns false at the end of the trace, or if a
+// policy or an error stopped it, in which case Ended holds the cause.
 func (r *Reader) Next() (model.Request, bool) {
 	for !r.stopped {
 		fields, err := r.rows.next()
@@ -93,11 +96,11 @@
 			return model.Request{}, false
 		case errors.Is(err, errTooLong):
 			r.Rows++
-			r.anomaly(TooLong, r.mapping.Policies.TooLong)
+			r.recordAnomaly(TooLong, r.mapping.Policies.TooLong)
 			continue
 		case errors.Is(err, errMalformed):
 			r.Rows++
-			r.anomaly(Malformed, r.mapping.Policies.Malformed)
+			r.recordAnomaly(Malformed, r.mapping.Policies.Malformed)
 			continue
 		case err != nil:
 			r.stop(err.Error())
@@ -112,36 +115,36 @@
 	return model.Request{}, false
 }
 
-// anomaly counts the present row as anomalous, and stops the trace if that is the policy.
-func (r *Reader) anomaly(a Anomaly, policy string) {
-	r.add(a, r.rows.line)
+// recordAnomaly counts the current row as anomalous, and ends the trace if the policy is to stop.
+func (r *Reader) recordAnomaly(a Anomaly, policy string) {
+	r.addAnomaly(a, r.rows.lineNumber)
 	if policy == policyStop {
 		r.stop(a.String())
 	}
 }
 
-// stop ends the trace at the present line.
+// stop ends the trace at the current line.
 func (r *Reader) stop(cause string) {
 	r.stopped = true
-	r.Ended = fmt.Sprintf("line %d: %s", r.rows.line, cause)
+	r.Ended = fmt.Sprintf("line %d: %s", r.rows.lineNumber, cause)
 }
 
-// request makes the request of a row; false: the row is not used.
+// request returns the request of a row, and false if the row is not used.
 func (r *Reader) request(fields []string) (model.Request, bool) {
-	if len(fields) <= r.columns.last {
-		r.anomaly(Malformed, r.mapping.Policies.Malformed)
+	if len(fields) <= r.columns.highest {
+		r.recordAnomaly(Malformed, r.mapping.Policies.Malformed)
 		return model.Request{}, false
 	}
 	operation := r.operation(fields)
 	if operation == noOperation {
-		r.anomaly(UnknownOperation, r.mapping.Policies.UnknownOperation)
+		r.recordAnomaly(UnknownOperation, r.mapping.Policies.UnknownOperation)
 		return model.Request{}, false
 	}
 	recorded, timeOK := r.columns.number(fields, columnTime)
 	cost, costOK := r.cost(fields, operation, recorded)
 	slots, slotsOK := r.slots(fields, operation)
 	if !timeOK || !costOK || !slotsOK {
-		r.anomaly(Malformed, r.mapping.Policies.Malformed)
+		r.recordAnomaly(Malformed, r.mapping.Policies.Malformed)
 		return model.Request{}, false
 	}
 	at, used := r.sendTime(recorded)
@@ -157,7 +160,7 @@
 	return request, true
 }
 
-// operation is the operation of a row, or noOperation.
+// operation returns the operation of a row, or noOperation if the mapping has none for its value.
 func (r *Reader) operation(fields []string) int {
 	if r.columns.has(columnOperation) {
 		if operation, known := r.operationByValue[r.columns.text(fields, columnOperation)]; known {
@@ -167,7 +170,8 @@
 	return r.defaultOperation
 }
 
-// cost is the cost of a row in seconds: by its work, by its end, or by its operation.
+// cost returns the cost of a row in seconds. It comes from the work column, else from the end column,
+// else from the work of the operation in the scenario. ok is false if it is not a valid cost.
 func (r *Reader) cost(fields []string, operation int, recorded float64) (cost float64, ok bool) {
 	switch {
 	case r.columns.has(columnWork):
@@ -182,13 +186,14 @@
 		cost = r.scenario.Operations[operation].Work.D().Seconds()
 		ok = true
 	}
-	if cost > maxCost {
+	if cost > maxCostSeconds {
 		return 0, false
 	}
 	return cost, ok
 }
 
-// slots are the slots of a row: by itself, or by its operation.
+// slots returns the number of slots that a row takes, from the slots column or else from its operation
+// in the scenario. ok is false if the column does not hold a valid number.
 func (r *Reader) slots(fields []string, operation int) (slots int, ok bool) {
 	if !r.columns.has(columnSlots) {
 		return max(1, r.scenario.Operations[operation].Slots), true
@@ -201,8 +206,8 @@
 	return max(1, int(scaled)), true
 }
 
-// tenant is the tenant of a name. Names that the scenario does not have are spread over the tenants, the same name always to
-// the same tenant.
+// tenant returns the index of the tenant of a name. Names that the scenario does not have are hashed, so
+// that they spread over its tenants and equal names belong to the same tenant.
 func (r *Reader) tenant(name string) int {
 	if tenant, known := r.tenantByName[name]; known {
 		return tenant
@@ -212,7 +217,8 @@
 	return int(h.Sum32() % uint32(len(r.scenario.Tenants)))
 }
 
-// sendTime is when the request of a row is to be sent; false: the row is not used.
+// sendTime returns the time of the run at which the request of a row is sent, and false if the row is
+// not used.
 func (r *Reader) sendTime(recorded float64) (time.Duration, bool) {
 	anomaly, anomalous := r.clock.check(recorded)
 	if anomalous {
@@ -220,7 +226,7 @@
 		if anomaly == ClockJump {
 			policy = r.mapping.Policies.ClockJump
 		}
-		r.anomaly(anomaly, policy)
+		r.recordAnomaly(anomaly, policy)
 		if policy != policyClamp {
 			return 0, false
 		}
--- a/internal/lab/trace/reader_test.go
+++ b/internal/lab/trace/reader_test.go
@@ -13,7 +13,7 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// testScenario has two operations and two tenants.
+// testScenario returns a scenario with two operations and two tenants.
 func testScenario() scenario.Scenario {
 	s, err := scenario.Parse("day.toml", []byte(`
 version = 1
@@ -39,7 +39,8 @@
 	return s
 }
 
-const mapping = `
+// testMapping maps the columns of anomalousTrace.
+const testMapping = `
 version = 1
 header = true
 unit = "ms"
@@ -60,8 +61,8 @@
 most = 8
 `
 
-// read prints the requests of a trace and its counts.
-func read(text, mapping string) {
+// printTrace prints the requests of a trace and its counts as JSON, or the error.
+func printTrace(text, mapping string) {
 	s := testScenario()
 	m, err := ParseMapping("map.toml", []byte(mapping), s)
 	if err != nil {
@@ -74,17 +75,19 @@
 		return
 	}
 	for {
-		j, more := r.Next()
+		request, more := r.Next()
 		if !more {
 			break
 		}
-		fmt.Printf("%v %s of %s: %.3f s, %d slots\n", j.At, s.Operations[j.Operation].Name, s.Tenants[j.Tenant].Name, j.Cost, j.Slots)
+		fmt.Printf("%v %s of %s: %.3f s, %d slots\n", request.At, s.Operations[request.Operation].Name,
+			s.Tenants[request.Tenant].Name, request.Cost, request.Slots)
 	}
 	counts, _ := json.Marshal(r.Counts)
 	fmt.Println(string(counts))
 }
 
-const anomalous = `who,t,kind,run,cpu
+// anomalousTrace has rows with each anomaly.
+const anomalousTrace = `who,t,kind,run,cpu
 u1,1000,a,20,0.2
 u2,1500,b,900,1
 
@@ -101,13 +104,14 @@
 u2,5200,a,20,0.1
 `
 
-// Anomalous rows are counted and named by their line, and become what the policy says.
+// Anomalous rows are counted, their line numbers are reported, and they are treated as the policies say.
 func Example() {
-	read(anomalous, mapping)
+	printTrace(anomalousTrace, testMapping)
 	fmt.Println("-- skipped, twice as fast")
-	read(anomalous, strings.Replace(mapping, "row_most", "speed = 2.0\npolicies = {order = \"skip\", jump = \"skip\"}\nrow_most", 1))
+	printTrace(anomalousTrace, strings.Replace(testMapping, "row_most",
+		"speed = 2.0\npolicies = {order = \"skip\", jump = \"skip\"}\nrow_most", 1))
 	fmt.Println("-- stopped")
-	read(anomalous, strings.Replace(mapping, "row_most", "policies = {order = \"stop\"}\nrow_most", 1))
+	printTrace(anomalousTrace, strings.Replace(testMapping, "row_most", "policies = {order = \"stop\"}\nrow_most", 1))
 	// Output:
 	// 0s small of u1: 0.020 s, 1 slots
 	// 500ms batch of u2: 0.900 s, 4 slots
@@ -130,13 +134,13 @@
 	// {"ended":"line 7: out of order","odd":{"bad":{"first_lines":[5],"rows":1},"out of order":{"first_lines":[7],"rows":1},"unknown operation":{"first_lines":[6],"rows":1}},"rows":5,"used":2}
 }
 
-// Nothing is guessed: an empty trace, a column that is not there, a wrong mapping.
+// An empty trace, a missing column and each error in a mapping are rejected.
 func Example_rejected() {
-	read("", mapping)
-	read("who,t,kind,run\n", mapping)
-	read("x\n", strings.Replace(strings.Replace(mapping, "version = 1", "version = 3", 1), `b = "batch"`, `b = "big"`, 1))
-	read("x\n", strings.Replace(mapping, "unit = \"ms\"", "unit = \"weeks\"", 1))
-	read("x\n", strings.Replace(mapping, "[slots]", "[slosts]", 1))
+	printTrace("", testMapping)
+	printTrace("who,t,kind,run\n", testMapping)
+	printTrace("x\n", strings.Replace(strings.Replace(testMapping, "version = 1", "version = 3", 1), `b = "batch"`, `b = "big"`, 1))
+	printTrace("x\n", strings.Replace(testMapping, "unit = \"ms\"", "unit = \"weeks\"", 1))
+	printTrace("x\n", strings.Replace(testMapping, "[slots]", "[slosts]", 1))
 	// Output:
 	// the trace is empty
 	// columns.slots: there is no column "cpu", but ["who" "t" "kind" "run"]
@@ -146,12 +150,13 @@
 	// map.toml:17: slosts: no such key
 }
 
-// A trace is never held in memory, however many rows it has.
-func TestReadsAsStream(t *testing.T) {
-	const generated = "version = 1\nheader = true\n[columns]\ntime = \"time_us\"\nwork = \"run_us\"\noperation = \"collection_type\"\n" +
+// The reader streams: reading a long trace must not hold its rows in memory. The test fails if the heap
+// grows beyond 32 MiB while 200,000 rows are read, or if a row is lost or miscounted.
+func TestReaderStreamsRows(t *testing.T) {
+	const mapping = "version = 1\nheader = true\n[columns]\ntime = \"time_us\"\nwork = \"run_us\"\noperation = \"collection_type\"\n" +
 		"tenant = \"user\"\n[operations]\nsmall = \"small\"\nprod = \"small\"\nbatch = \"batch\"\n"
 	s := testScenario()
-	m, err := ParseMapping("map.toml", []byte(generated), s)
+	m, err := ParseMapping("map.toml", []byte(mapping), s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,32 +167,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var maxHeap uint64
-	last := time.Duration(0)
+	var maxHeapBytes uint64
+	lastAt := time.Duration(0)
 	for n := 0; ; n++ {
-		j, more := r.Next()
+		request, more := r.Next()
 		if !more {
 			break
 		}
-		if j.At < last {
-			t.Fatal("not in order of time")
+		if request.At < lastAt {
+			t.Fatal("a request is sent before the one of an earlier row")
 		}
-		last = j.At
+		lastAt = request.At
 		if n%20_000 == 0 {
 			runtime.GC()
 			var mem runtime.MemStats
 			runtime.ReadMemStats(&mem)
-			maxHeap = max(maxHeap, mem.HeapAlloc)
+			maxHeapBytes = max(maxHeapBytes, mem.HeapAlloc)
 		}
 	}
-	// Of four anomalies in turn, the rows that are out of order are used all the same.
+	// Generate alternates between four anomalies. Of these only out-of-order rows are used, clamped.
 	const anomalies = rows / anomalyEvery
 	const want = rows - anomalies*3/4
 	if r.Rows != rows || r.Used != want || r.Anomalies[OutOfOrder] != anomalies/4 ||
 		r.Anomalies[UnknownOperation] != anomalies/4 || r.Anomalies[Malformed] != anomalies/2 {
-		t.Errorf("%+v, %d wanted", r.Counts, want)
+		t.Errorf("%+v, want %d rows used", r.Counts, want)
 	}
-	if maxHeap > 32<<20 {
-		t.Errorf("%d MB are in use", maxHeap>>20)
+	if maxHeapBytes > 32<<20 {
+		t.Errorf("%d MiB of heap in use, want at most 32", maxHeapBytes>>20)
 	}
 }
--- a/internal/lab/trace/rows.go
+++ b/internal/lab/trace/rows.go
@@ -10,30 +10,31 @@
 	"strings"
 )
 
-// bufferSize is the size of the buffers of a trace, in bytes.
-const bufferSize = 1 << 16
+// bufferBytes is the size of the buffers for reading and writing a trace.
+const bufferBytes = 1 << 16
 
-// The errors of a single row: the next one can be read all the same.
+// Errors of a single row, after which the next row can still be read.
 var (
 	errTooLong   = errors.New("the line is too long")
-	errMalformed = errors.New("can't be read")
+	errMalformed = errors.New("the line cannot be parsed")
 )
 
-// rowReader splits a trace into rows.
+// rowReader reads the lines of a trace and splits them into fields.
 type rowReader struct {
-	in        *bufio.Reader
-	separator string
-	maxSize   int // of a line, in bytes
-	line      int // number of the last line that was read, from 1
+	in           *bufio.Reader
+	separator    string // one character
+	maxLineBytes int    // longer lines return errTooLong
+	lineNumber   int    // number of the last line that was read; the first is 1
 }
 
-// empty reports whether there is nothing to read.
+// empty reports whether there is nothing left to read.
 func (r *rowReader) empty() bool {
 	_, err := r.in.Peek(1)
 	return err != nil
 }
 
-// next returns the fields of the next line that is not empty. At the end the error is io.EOF.
+// next returns the fields of the next line that is not empty. The error is io.EOF at the end of the
+// trace, and errTooLong or errMalformed for a line that cannot be used.
 func (r *rowReader) next() ([]string, error) {
 	for {
 		line, err := r.readLine()
@@ -51,15 +52,16 @@
 	}
 }
 
-// readLine reads one line with its end. Of a line that is too long it holds no more than a buffer.
+// readLine returns the next line including its line ending. A line over maxLineBytes is read to its
+// end but not kept, so that memory stays bounded, and the error is errTooLong.
 func (r *rowReader) readLine() ([]byte, error) {
 	var line []byte
 	tooLong := false
 	for {
-		part, err := r.in.ReadSlice('\n')
+		chunk, err := r.in.ReadSlice('\n')
 		if !tooLong {
-			line = append(line, part...)
-			if len(line) > r.maxSize {
+			line = append(line, chunk...)
+			if len(line) > r.maxLineBytes {
 				tooLong = true
 				line = nil
 			}
@@ -67,7 +69,7 @@
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if err == io.EOF && len(part) == 0 && len(line) == 0 && !tooLong {
+		if err == io.EOF && len(chunk) == 0 && len(line) == 0 && !tooLong {
 			return nil, io.EOF
 		}
 		if err != nil && err != io.EOF {
@@ -75,18 +77,18 @@
 		}
 		break
 	}
-	r.line++
+	r.lineNumber++
 	if tooLong {
 		return nil, errTooLong
 	}
 	return line, nil
 }
 
-// quotedFields splits a line with quotes.
+// quotedFields splits a line that contains quotes.
 func (r *rowReader) quotedFields(line []byte) ([]string, error) {
 	c := csv.NewReader(bytes.NewReader(line))
 	c.Comma = rune(r.separator[0])
-	c.FieldsPerRecord = -1 // any number
+	c.FieldsPerRecord = -1 // rows may have different numbers of fields
 	fields, err := c.Read()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", errMalformed, err)
