--- a/internal/lab/load/audit.go
+++ b/internal/lab/load/audit.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// minLatenessLimit is the least lateness that is allowed for one request in a hundred.
+	// minLatenessLimit is the smallest limit on the 99th percentile of the lateness. It applies to
+	// scenarios with short objectives.
 	minLatenessLimit = 10 * time.Millisecond
-	// objectiveShare is the inverse of the share of the shortest objective that is allowed beyond that.
-	objectiveShare = 10
-	// maxLateness bounds the histogram of latenesses.
+	// objectiveDivisor sets the limit for all other scenarios: their shortest objective divided by it.
+	objectiveDivisor = 10
+	// maxLateness is the highest lateness that the histogram holds.
 	maxLateness = time.Hour
-	// latenessDigits is the precision of latenesses, in significant digits.
-	latenessDigits = 3
-	// microsPerMilli is how many microseconds a millisecond has.
-	microsPerMilli = 1e3
+	// latenessSignificantDigits is the precision of the histogram.
+	latenessSignificantDigits = 3
+	microsPerMilli            = 1e3
 )
 
-// Audit compares when requests were sent with when they were to be sent. Latencies that count from the sending, or a sender
-// that waits, would show nothing of a stall. It is safe for concurrent use.
+// Audit records how late requests were sent, compared with their intended times. It guards against
+// coordinated omission: latencies measured from the actual sending, or a sender that waits for answers,
+// would hide a stall. It is safe for concurrent use.
 type Audit struct {
 	mu       sync.Mutex
 	lateness *hdrhistogram.Histogram // in microseconds
@@ -33,12 +34,12 @@
 	sent     int
 }
 
-// NewAudit returns an Audit of no request.
+// NewAudit returns an Audit without any recorded request.
 func NewAudit() *Audit {
-	return &Audit{lateness: hdrhistogram.New(1, maxLateness.Microseconds(), latenessDigits)}
+	return &Audit{lateness: hdrhistogram.New(1, maxLateness.Microseconds(), latenessSignificantDigits)}
 }
 
-// RequestSent records one request. Both times count from the start of the run.
+// RequestSent records a request's intended and actual sending times, both since the start of the run.
 func (a *Audit) RequestSent(intended, sent time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,29 +49,30 @@
 	a.sent++
 }
 
-// Result returns the lateness of the requests, and why the figures of the run are void; empty: they are not.
-func (a *Audit) Result(s scenario.Scenario) (l report.Lateness, void string) {
+// Result returns the lateness of the recorded requests. void says why the results of the run must not
+// be used; it is empty if they may.
+func (a *Audit) Result(s scenario.Scenario) (lateness report.Lateness, void string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	percentile := func(p float64) float64 { return float64(a.lateness.ValueAtQuantile(p)) / microsPerMilli }
-	l = report.Lateness{
+	lateness = report.Lateness{
 		Sent: a.sent,
 		P50:  percentile(50),
 		P99:  percentile(99),
 		Max:  float64(a.max.Microseconds()) / microsPerMilli,
 	}
 	limit := latenessLimit(s)
-	if a.sent > 0 && l.P99 > float64(limit.Microseconds())/microsPerMilli {
-		void = fmt.Sprintf("the load was sent late: one in a hundred by %.1f ms or more, %v is allowed", l.P99, limit)
+	if a.sent > 0 && lateness.P99 > float64(limit.Microseconds())/microsPerMilli {
+		void = fmt.Sprintf("the load was sent late: one in a hundred by %.1f ms or more, %v is allowed", lateness.P99, limit)
 	}
-	return l, void
+	return lateness, void
 }
 
-// latenessLimit is how late one request in a hundred may be sent.
+// latenessLimit returns the limit on the 99th percentile of the lateness in a scenario.
 func latenessLimit(s scenario.Scenario) time.Duration {
 	limit := maxLateness
-	for _, o := range s.Operations {
-		limit = min(limit, o.Objective.D()/objectiveShare)
+	for _, operation := range s.Operations {
+		limit = min(limit, operation.Objective.D()/objectiveDivisor)
 	}
 	return max(limit, minLatenessLimit)
 }
--- a/internal/lab/load/doc.go
+++ b/internal/lab/load/doc.go
@@ -1,3 +1,4 @@
-// Package load sends a scenario's load over real connections, each request at its time: an open loop. It reports how late the
-// requests were sent, as the figures of a load that waits for its answers hide all queueing.
+// Package load is an open-loop load generator: it sends each request of a scenario over a real
+// connection at its intended time, without waiting for earlier answers. A load that waits for its
+// answers hides all queueing, so the package also reports how late the requests were sent.
 package load
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -13,7 +13,7 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// testScenario is a constant load of two seconds.
+// testScenario returns a scenario with a constant load for two seconds; more is added to its text.
 func testScenario(t *testing.T, more string) scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("day.toml", []byte(`
@@ -36,11 +36,12 @@
 	return s
 }
 
-// startStallingServer starts a server that answers at once, but for a second in which it answers nobody.
+// startStallingServer starts a server that answers immediately, except for a stall of one second that
+// begins half a second after the first request. It returns the server's address.
 func startStallingServer(t *testing.T) string {
 	var mu sync.Mutex
 	startedAt := time.Time{}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,12 +56,14 @@
 			time.Sleep(max(0, wait))
 		}
 	})}
-	go server.Serve(l)
+	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// The load does not wait for answers: a stall of a second shows in the latencies of all requests that fall into it.
+// The load does not wait for answers, so a stall of one second shows in the latencies of all requests
+// that fall into it. A load that waited would send few requests during the stall, and its percentiles
+// would hide it.
 func TestStallShows(t *testing.T) {
 	s := testScenario(t, "")
 	r, err := Run(context.Background(), s, nil, startStallingServer(t))
@@ -68,12 +71,12 @@
 		t.Fatal(err)
 	}
 	if r.All.Offered != 99 || r.All.P90 < 300 || r.All.P50 > 700 {
-		t.Errorf("%+v", r.All)
+		t.Errorf("want 99 offered, a p90 of at least 300 ms and a p50 of at most 700 ms, got %+v", r.All)
 	}
 }
 
-// A sender that waits for each answer before the next request, which is the usual mistake, is late, and its figures are
-// void.
+// A closed-loop sender, which waits for each answer before the next request, is the usual mistake. It
+// sends late during a stall, and the audit declares its results void; those of a punctual sender are not.
 func TestClosedLoopIsVoid(t *testing.T) {
 	s := testScenario(t, "")
 	addr := startStallingServer(t)
@@ -82,32 +85,32 @@
 	start := time.Now()
 	clients := model.New(s).Clients
 	for {
-		j, more := clients.Next()
+		request, more := clients.Next()
 		if !more {
 			break
 		}
-		time.Sleep(time.Until(start.Add(j.At)))
-		audit.RequestSent(j.At, time.Since(start))
-		sender.Send(context.Background(), addr, &j, time.Second, time.Second*3)
+		time.Sleep(time.Until(start.Add(request.At)))
+		audit.RequestSent(request.At, time.Since(start))
+		sender.Send(context.Background(), addr, &request, time.Second, time.Second*3)
 	}
-	l, void := audit.Result(s)
-	if void == "" || l.Max < 400 {
-		t.Errorf("%+v %q", l, void)
+	lateness, void := audit.Result(s)
+	if void == "" || lateness.Max < 400 {
+		t.Errorf("want void and a maximum lateness of at least 400 ms, got %+v, void %q", lateness, void)
 	}
-	punctual := NewAudit()
+	onTime := NewAudit()
 	for n := range time.Duration(100) {
-		punctual.RequestSent(n*time.Millisecond, n*time.Millisecond+time.Millisecond)
+		onTime.RequestSent(n*time.Millisecond, n*time.Millisecond+time.Millisecond)
 	}
-	if _, void := punctual.Result(s); void != "" {
+	if _, void := onTime.Result(s); void != "" {
 		t.Error(void)
 	}
 }
 
-// Nothing is sent to another machine.
-func TestOnlyLoopbackIsSentTo(t *testing.T) {
+// A run is rejected if its target is not a loopback address: nothing is sent to another machine.
+func TestRunRejectsNonLoopbackAddress(t *testing.T) {
 	for _, addr := range []string{"10.0.0.1:80", "0.0.0.0:80", "example.org:80", "[2001:db8::1]:80", ""} {
 		if _, err := Run(context.Background(), testScenario(t, ""), nil, addr); err == nil {
-			t.Errorf("%q", addr)
+			t.Errorf("no error for the address %q", addr)
 		}
 	}
 	if err := CheckLoopback("127.0.0.9:80"); err != nil {
@@ -118,19 +121,20 @@
 	}
 }
 
-// A target that accepts no connection throttles each invocation, after all its retries; and a run is bounded.
+// If the target accepts no connections, each invocation counts as throttled after all of its retries. A
+// scenario that is longer than MaxDuration is rejected.
 func TestUnreachableTarget(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
+	addr := listener.Addr().String()
+	listener.Close()
 	s := testScenario(t, "[clients]\nretries = 2\nbackoff = \"5ms\"\n")
 	s.Length = scenario.Span(200 * time.Millisecond)
 	r, err := Run(context.Background(), s, nil, addr)
 	if err != nil || r.All.Throttled != r.All.Offered || r.Costs.Requests != 3*r.All.Offered {
-		t.Errorf("%+v %+v %v", r.All, r.Costs, err)
+		t.Errorf("want each invocation throttled after 2 retries, got %+v %+v, error %v", r.All, r.Costs, err)
 	}
 	s.Length = scenario.Span(3 * time.Hour)
 	if _, err := Run(context.Background(), s, nil, addr); err == nil || !strings.Contains(err.Error(), "length") {
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -12,16 +12,16 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// Bounds of one run.
+// Limits of one run.
 const (
-	MaxRequests = 5_000_000
-	MaxOpen     = 10_000 // invocations at once; beyond that the run ends, as the target is far behind
-	MaxDuration = 2 * time.Hour
+	MaxRequests        = 5_000_000 // sent requests, retries included
+	MaxOpenInvocations = 10_000    // invocations open at once; with more the target is far behind, and the run ends
+	MaxDuration        = 2 * time.Hour
 )
 
-// Run sends the load of a scenario to a scheduler that is running on this machine, and reports what its clients saw. A nil
-// source stands for the scenario's own load. Of the scenario nothing but the load is used: the workers are whoever the
-// scheduler knows.
+// Run sends the load of a scenario to the scheduler at addr, a loopback address, and reports what the
+// clients saw. If source is nil, the load is the one that the scenario defines. Only the load of the
+// scenario is used: its workers are not, as the scheduler has its own.
 func Run(ctx context.Context, s scenario.Scenario, source model.Source, addr string) (report.Report, error) {
 	if err := CheckLoopback(addr); err != nil {
 		return report.Report{}, err
@@ -39,20 +39,20 @@
 	return result, err
 }
 
-// runner is one run.
+// runner holds the state of one run.
 type runner struct {
 	scenario scenario.Scenario
 	addr     string
 	sender   *Sender
 	audit    *Audit
 	start    time.Time
-	inFlight sync.WaitGroup // requests, also those whose time is to come
+	inFlight sync.WaitGroup // counts requests that are in flight, and retries that are scheduled
 
-	mu     sync.Mutex // guards what follows
-	model  *model.Model
-	source model.Source
-	open   int // invocations
-	sent   int // requests
+	mu              sync.Mutex // guards the fields below
+	model           *model.Model
+	source          model.Source
+	openInvocations int
+	sentRequests    int // scheduled retries included
 }
 
 func newRunner(s scenario.Scenario, source model.Source, addr string) *runner {
@@ -71,7 +71,8 @@
 	}
 }
 
-// sendAll sends the first request of each invocation at its time, without waiting for any.
+// sendAll sends the first request of each invocation at its time, without waiting for answers. It
+// returns at the end of the load, when a limit is exceeded, or when ctx is done.
 func (r *runner) sendAll(ctx context.Context) error {
 	for {
 		request, more := r.next()
@@ -83,7 +84,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		err := r.offer(&request)
+		err := r.recordInvocation(&request)
 		r.inFlight.Add(1)
 		go r.send(ctx, request)
 		if err != nil {
@@ -92,29 +93,31 @@
 	}
 }
 
+// next returns the next request of the load, and false at its end.
 func (r *runner) next() (model.Request, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.source.Next()
 }
 
-// offer counts an invocation. The error reports that it is the last one, as a bound is passed.
-func (r *runner) offer(request *model.Request) error {
+// recordInvocation counts an invocation. An error means that a limit of the run is now exceeded: this
+// invocation is still sent, and is the last.
+func (r *runner) recordInvocation(request *model.Request) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.model.Statistics.InvocationOffered(request)
-	r.open++
-	r.sent++
-	if r.open > MaxOpen {
-		return fmt.Errorf("%d are in hand at once: the target is far behind", r.open)
+	r.openInvocations++
+	r.sentRequests++
+	if r.openInvocations > MaxOpenInvocations {
+		return fmt.Errorf("%d invocations are open at once: the target is far behind", r.openInvocations)
 	}
-	if r.sent > MaxRequests {
-		return errors.New("more tries than one run may make")
+	if r.sentRequests > MaxRequests {
+		return errors.New("the limit on requests per run is exceeded")
 	}
 	return nil
 }
 
-// send sends a request, waits for its answer, and schedules the retry if its client makes one.
+// send sends a request, waits for its answer, and schedules a retry if the client makes one.
 func (r *runner) send(ctx context.Context, request model.Request) {
 	defer r.inFlight.Done()
 	r.mu.Lock()
@@ -128,12 +131,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	retry, again := r.model.Clients.Retry(now, &request, answer.Reply, answer.RetryAfter)
-	if again && ctx.Err() == nil && r.sent < MaxRequests {
-		r.sent++
+	if again && ctx.Err() == nil && r.sentRequests < MaxRequests {
+		r.sentRequests++
 		r.inFlight.Add(1)
 		time.AfterFunc(retry.At-now, func() { r.send(ctx, retry) })
 		return
 	}
-	r.open--
+	r.openInvocations--
 	r.model.Statistics.InvocationEnded(now, &request, answer.Reply)
 }
