--- a/internal/lab/report/build.go
+++ b/internal/lab/report/build.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// worstIntervalSeconds is the length of the interval whose worst service is reported.
+	// worstIntervalSeconds is the length of the intervals of which the worst is reported.
 	worstIntervalSeconds = 10
-	// precision is the inverse of the unit that figures are rounded to: what lies behind it depends on the order of sums.
-	precision = 1e6
-	// microsPerMilli is how many microseconds a millisecond has.
+	// roundingScale is the inverse of the unit to which results are rounded. Digits beyond it depend on
+	// the order of summation.
+	roundingScale  = 1e6
 	microsPerMilli = 1e3
 )
 
-// Of makes the report of a run that is over. Name adds what the model does not know.
+// Of returns the report of the finished run of a model. Name adds what the model does not know.
 func Of(m *model.Model) Report {
 	s := m.Statistics
 	r := Report{
@@ -46,7 +46,8 @@
 	return r
 }
 
-// Name adds what the model does not know. length is that of the run.
+// Name returns the report with the facts that the model does not know. length is the duration of the
+// run.
 func (r Report) Name(scenario, mode, decider string, seed int64, schedulers, workers int, length time.Duration) Report {
 	r.Scenario = scenario
 	r.Mode = mode
@@ -58,19 +59,20 @@
 	return r
 }
 
-// worstOperation is the lowest service of an operation that was offered at all.
+// worstOperation returns the lowest share of the offered value that an operation was served; operations
+// that were never offered do not count.
 func worstOperation(operations []*model.Service) float64 {
 	worst := 1.0
-	for _, o := range operations {
-		if o.Offered > 0 {
-			worst = min(worst, servedShare(o.ValueServed, o.ValueOffered))
+	for _, operation := range operations {
+		if operation.Offered > 0 {
+			worst = min(worst, servedShare(operation.ValueServed, operation.ValueOffered))
 		}
 	}
 	return worst
 }
 
-// serviceOverTime is the service of each second, and the worst of worstIntervalSeconds on end, or of the whole run if that
-// is shorter.
+// serviceOverTime returns the served share of each second, and the lowest share over
+// worstIntervalSeconds consecutive seconds, or over the whole run if that is shorter.
 func serviceOverTime(intervals []model.Interval) (bySecond []float64, worst float64) {
 	worst = 1
 	for i, interval := range intervals {
@@ -90,14 +92,16 @@
 	return bySecond, worst
 }
 
+// servicesOf returns the reports of several parts of the load.
 func servicesOf(parts []*model.Service) []Service {
-	var all []Service
+	var services []Service
 	for _, part := range parts {
-		all = append(all, serviceOf(part))
+		services = append(services, serviceOf(part))
 	}
-	return all
+	return services
 }
 
+// serviceOf returns the report of one part of the load.
 func serviceOf(s *model.Service) Service {
 	percentile := func(p float64) float64 { return float64(s.Latency.ValueAtQuantile(p)) / microsPerMilli }
 	return Service{
@@ -118,7 +122,7 @@
 	}
 }
 
-// servedShare is the rounded share of what was offered; 1 if nothing was.
+// servedShare returns the served share of what was offered, rounded. It is 1 if nothing was offered.
 func servedShare(served, offered float64) float64 {
 	if offered <= 0 {
 		return 1
@@ -126,5 +130,5 @@
 	return round(served / offered)
 }
 
-// round rounds a figure that is not below 0.
-func round(v float64) float64 { return float64(int64(v*precision+0.5)) / precision }
+// round rounds a value that is not negative.
+func round(v float64) float64 { return float64(int64(v*roundingScale+0.5)) / roundingScale }
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -10,14 +10,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Metric is a figure that runs are compared by.
+// Metric is a value of a report by which runs are compared.
 type Metric struct {
 	Name           string
 	Value          func(Report) float64
 	HigherIsBetter bool
 }
 
-// Metrics are those that comparisons show.
+// Metrics are the metrics of a comparison, in the order in which it shows them.
 var Metrics = []Metric{
 	{Name: "service", Value: func(r Report) float64 { return r.Service }, HigherIsBetter: true},
 	{Name: "worst 10 s", Value: func(r Report) float64 { return r.WorstInterval }, HigherIsBetter: true},
@@ -29,37 +29,38 @@
 	{Name: "rules broken", Value: func(r Report) float64 { return float64(r.Broken()) }},
 }
 
-func ratio(n, of int) float64 {
-	if of == 0 {
+// ratio returns part divided by whole, or 0 if whole is 0.
+func ratio(part, whole int) float64 {
+	if whole == 0 {
 		return 0
 	}
-	return float64(n) / float64(of)
+	return float64(part) / float64(whole)
 }
 
-// The conclusions of a comparison.
+// Conclusions of a comparison by one metric.
 const (
 	noDifference = "no difference shown"
 	aIsBetter    = "a is better"
 	bIsBetter    = "b is better"
 )
 
-// Difference is that of one metric over pairs of runs, b less a.
+// Difference is the difference of one metric between paired runs of a and b: b minus a.
 type Difference struct {
-	Name       string  `json:"name"`
-	A          float64 `json:"A"` // mean
-	B          float64 `json:"B"` // mean
+	Name       string  `json:"name"` // of the metric
+	A          float64 `json:"A"`    // mean of the runs of a
+	B          float64 `json:"B"`    // mean of the runs of b
 	Mean       float64 `json:"difference"`
-	Low        float64 `json:"Low"`  // of the confidence interval; the mean if there is only one pair
-	High       float64 `json:"High"` // of the confidence interval
+	Low        float64 `json:"Low"`  // lower bound of the confidence interval; Mean if there is only one pair
+	High       float64 `json:"High"` // upper bound of the confidence interval; Mean if there is only one pair
 	Pairs      int     `json:"pairs"`
 	Conclusion string  `json:"conclusion"`
 }
 
-// confidence is that of the interval.
-const confidence = 0.95
+// confidenceLevel is the level of the confidence interval of a Difference.
+const confidenceLevel = 0.95
 
-// Compare compares the runs of two deciders by all Metrics. The n-th runs of each make a pair: they must be of the same
-// scenario, seed and mode, and not void.
+// Compare compares the runs a and b by all Metrics. The runs at the same index form a pair. It returns an
+// error unless both runs of each pair have the same scenario, seed and mode and neither is void.
 func Compare(a, b []Report) ([]Difference, error) {
 	if len(a) != len(b) || len(a) == 0 {
 		return nil, fmt.Errorf("%d days and %d days make no pairs", len(a), len(b))
@@ -69,13 +70,14 @@
 			return nil, err
 		}
 	}
-	var all []Difference
+	var differences []Difference
 	for _, metric := range Metrics {
-		all = append(all, compareBy(metric, a, b))
+		differences = append(differences, compareMetric(metric, a, b))
 	}
-	return all, nil
+	return differences, nil
 }
 
+// checkPair returns an error if two runs cannot be compared.
 func checkPair(index int, a, b Report) error {
 	if a.Scenario != b.Scenario || a.Seed != b.Seed || a.Mode != b.Mode {
 		return fmt.Errorf("pair %d: %s by seed %d (%s) and %s by seed %d (%s) are not the same day",
@@ -87,21 +89,21 @@
 	return nil
 }
 
-// compareBy compares by one metric, with a paired t-test.
-func compareBy(metric Metric, a, b []Report) Difference {
-	var as, bs, differences []float64
+// compareMetric compares runs by one metric, with a paired t-test.
+func compareMetric(metric Metric, a, b []Report) Difference {
+	var valuesA, valuesB, differences []float64
 	for i := range a {
 		valueA := metric.Value(a[i])
 		valueB := metric.Value(b[i])
-		as = append(as, valueA)
-		bs = append(bs, valueB)
+		valuesA = append(valuesA, valueA)
+		valuesB = append(valuesB, valueB)
 		differences = append(differences, valueB-valueA)
 	}
 	mean, deviation := stat.MeanStdDev(differences, nil)
 	d := Difference{
 		Name:       metric.Name,
-		A:          roundSigned(stat.Mean(as, nil)),
-		B:          roundSigned(stat.Mean(bs, nil)),
+		A:          roundSigned(stat.Mean(valuesA, nil)),
+		B:          roundSigned(stat.Mean(valuesB, nil)),
 		Mean:       roundSigned(mean),
 		Low:        roundSigned(mean),
 		High:       roundSigned(mean),
@@ -112,8 +114,8 @@
 		return d
 	}
 	pairs := float64(len(differences))
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: pairs - 1}.Quantile((1 + confidence) / 2)
-	halfWidth := t * deviation / math.Sqrt(pairs)
+	quantile := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: pairs - 1}.Quantile((1 + confidenceLevel) / 2)
+	halfWidth := quantile * deviation / math.Sqrt(pairs)
 	d.Low = roundSigned(mean - halfWidth)
 	d.High = roundSigned(mean + halfWidth)
 	switch {
@@ -126,17 +128,17 @@
 	return d
 }
 
-// roundSigned rounds a figure of any sign.
-func roundSigned(v float64) float64 { return math.Round(v*precision) / precision }
+// roundSigned rounds a value of either sign.
+func roundSigned(v float64) float64 { return math.Round(v*roundingScale) / roundingScale }
 
-// Table writes differences for people. a and b name what is compared.
-func Table(w io.Writer, a, b string, all []Difference) {
+// Table writes differences as a text table. a and b name what is compared.
+func Table(w io.Writer, a, b string, differences []Difference) {
 	fmt.Fprintf(w, "a: %s\nb: %s\n", a, b)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "\ta\tb\tb - a\t95% from\tto\tpairs\tconclusion\t")
-	for _, d := range all {
-		fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%+.4f\t%+.4f\t%d\t%s\t\n",
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "\ta\tb\tb - a\t95% from\tto\tpairs\tconclusion\t")
+	for _, d := range differences {
+		fmt.Fprintf(table, "%s\t%.4f\t%.4f\t%+.4f\t%+.4f\t%+.4f\t%d\t%s\t\n",
 			d.Name, d.A, d.B, d.Mean, d.Low, d.High, d.Pairs, d.Conclusion)
 	}
-	t.Flush()
+	table.Flush()
 }
--- a/internal/lab/report/compare_test.go
+++ b/internal/lab/report/compare_test.go
@@ -6,19 +6,21 @@
 	"testing"
 )
 
-// A difference is concluded where the pairs show one, and only there.
+// A comparison concludes that one side is better only if the confidence interval of the difference
+// excludes 0. Runs that are not of the same scenario, seed and mode, or are void, are rejected.
 func Example() {
 	var a, b []Report
 	for n := range 6 {
-		x := Report{Scenario: "day", Mode: "virtual", Seed: int64(n), Service: 0.5 + 0.05*float64(n), WorstInterval: 0.4, All: Service{P99: 100, Offered: 10}}
+		x := Report{Scenario: "day", Mode: "virtual", Seed: int64(n),
+			Service: 0.5 + 0.05*float64(n), WorstInterval: 0.4, All: Service{P99: 100, Offered: 10}}
 		y := x
-		y.Service += 0.02 + 0.001*float64(n%2)               // small beside how far the runs differ, and the same in all
-		y.WorstInterval += 0.03 * float64([]int{1, -1}[n%2]) // up and down
-		y.All.P99 += 5 + float64(n%3)                        // worse
+		y.Service += 0.02 + 0.001*float64(n%2)               // small compared with the spread of the runs, but nearly equal in all pairs
+		y.WorstInterval += 0.03 * float64([]int{1, -1}[n%2]) // alternating in sign: no difference can be shown
+		y.All.P99 += 5 + float64(n%3)                        // worse in every pair
 		a, b = append(a, x), append(b, y)
 	}
-	all, err := Compare(a, b)
-	Table(os.Stdout, "one", "two", all[:4])
+	differences, err := Compare(a, b)
+	Table(os.Stdout, "one", "two", differences[:4])
 	fmt.Println(err)
 	b[3].Seed = 9
 	_, err = Compare(a, b)
@@ -42,18 +44,21 @@
 	// 6 days and 2 days make no pairs
 }
 
+// Plots are drawn as SVG and PNG. Another suffix and a run that is too short are errors.
 func TestPlot(t *testing.T) {
 	for _, name := range []string{"x.svg", "x.png"} {
-		var n counter
-		if err := Plot(&n, name, Report{Scenario: "day", ServiceBySecond: []float64{1, 0.5, 1}}); err != nil || n < 1000 {
-			t.Error(name, n, err)
+		var size byteCounter
+		if err := Plot(&size, name, Report{Scenario: "day", ServiceBySecond: []float64{1, 0.5, 1}}); err != nil || size < 1000 {
+			t.Error(name, size, err)
 		}
 	}
-	if Plot(new(counter), "x.gif", Report{ServiceBySecond: []float64{1, 1}}) == nil || Plot(new(counter), "x.svg", Report{ServiceBySecond: []float64{1}}) == nil {
-		t.Error("no error for a plot that can't be drawn")
+	if Plot(new(byteCounter), "x.gif", Report{ServiceBySecond: []float64{1, 1}}) == nil ||
+		Plot(new(byteCounter), "x.svg", Report{ServiceBySecond: []float64{1}}) == nil {
+		t.Error("no error for a plot with an unknown suffix, or of a run of one second")
 	}
 }
 
-type counter int
+// byteCounter is a writer that counts the bytes written.
+type byteCounter int
 
-func (c *counter) Write(b []byte) (int, error) { *c += counter(len(b)); return len(b), nil }
+func (c *byteCounter) Write(b []byte) (int, error) { *c += byteCounter(len(b)); return len(b), nil }
--- a/internal/lab/report/forms_test.go
+++ b/internal/lab/report/forms_test.go
@@ -11,22 +11,23 @@
 	"stoatweir/internal/lab/model"
 )
 
-// A report with every field set is the same to the byte, and the recorded one is read back whole.
+// The JSON of a report with every field set equals the golden file byte for byte, and reading the golden
+// file restores the report.
 func TestGoldenReport(t *testing.T) {
 	r := golden.Filled[Report](t)
 	r.ViolationCounts = map[string]int{}
 	for n, rule := range []model.Rule{model.OneAnswer, model.OneEffect, model.NoSendToDraining, model.NoOverload} {
 		r.ViolationCounts[rule.String()] = n + 1
 	}
-	var text, trace bytes.Buffer
-	if err := r.JSON(&text); err != nil {
+	var encoded, trace bytes.Buffer
+	if err := r.JSON(&encoded); err != nil {
 		t.Fatal(err)
 	}
 	var got Report
-	if err := json.Unmarshal(golden.Compare(t, "report.json", text.Bytes()), &got); err != nil {
+	if err := json.Unmarshal(golden.Compare(t, "report.json", encoded.Bytes()), &got); err != nil {
 		t.Fatal(err)
 	}
-	// Raw JSON is indented with all the rest.
+	// The encoder has indented the raw JSON of Trace too.
 	if err := json.Compact(&trace, got.Trace); err != nil {
 		t.Fatal(err)
 	}
@@ -36,11 +37,11 @@
 	}
 }
 
-// What may be left out is left out.
+// The JSON of an empty report leaves out all optional fields.
 func TestGoldenEmptyReport(t *testing.T) {
-	var text bytes.Buffer
-	if err := (Report{}).JSON(&text); err != nil {
+	var encoded bytes.Buffer
+	if err := (Report{}).JSON(&encoded); err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "empty.json", text.Bytes())
+	golden.Compare(t, "empty.json", encoded.Bytes())
 }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// plotWidth and plotHeight are in pixels.
+	// plotWidth and plotHeight are the size of a plot in pixels.
 	plotWidth  = 1000
 	plotHeight = 420
-	// plotMargin is the margin in pixels, beside that for the title.
+	// plotMargin is the margin on the sides without a title, in pixels.
 	plotMargin = 20
-	// titleMargin is the margin for the title, in pixels.
+	// titleMargin is the margin at the top, where the title is, in pixels.
 	titleMargin = 40
-	// minPlotSeconds is the shortest run that can be plotted.
+	// minPlotSeconds is the length of the shortest run that can be plotted.
 	minPlotSeconds = 2
 )
 
-// Plot draws the service of each second of one or more runs of a scenario, as SVG or PNG by the suffix of the name. The
-// error tells that the suffix is another, that a run is too short, or that w failed.
+// Plot draws the service by second of one or more runs of a scenario. The suffix of name selects the
+// format: .svg or .png. It returns an error if the suffix is another, a run is shorter than
+// minPlotSeconds, or w fails.
 func Plot(w io.Writer, name string, runs ...Report) error {
 	format, err := plotFormat(name)
 	if err != nil {
@@ -39,7 +40,7 @@
 	}
 	for _, run := range runs {
 		if len(run.ServiceBySecond) < minPlotSeconds {
-			return fmt.Errorf("%s by seed %d is too short for a plot", run.Scenario, run.Seed)
+			return fmt.Errorf("%s, seed %d: the run is too short for a plot", run.Scenario, run.Seed)
 		}
 		c.Series = append(c.Series, run.series())
 	}
@@ -47,6 +48,7 @@
 	return c.Render(format, w)
 }
 
+// plotFormat returns the renderer for the suffix of a file name.
 func plotFormat(name string) (chart.RendererProvider, error) {
 	switch {
 	case strings.HasSuffix(name, ".svg"):
@@ -54,10 +56,10 @@
 	case strings.HasSuffix(name, ".png"):
 		return chart.PNG, nil
 	}
-	return nil, fmt.Errorf("%s: a plot ends in .svg or .png", name)
+	return nil, fmt.Errorf("%s: the name of a plot must end in .svg or .png", name)
 }
 
-// series is the service by second.
+// series returns the service by second as a line of a plot.
 func (r Report) series() chart.ContinuousSeries {
 	s := chart.ContinuousSeries{Name: fmt.Sprintf("%s, %s, seed %d", r.Decider, r.Mode, r.Seed)}
 	for second, service := range r.ServiceBySecond {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,5 @@
-// Package report makes the report of a run: as JSON, as text, as a plot, and as a comparison with other runs.
+// Package report builds the report of a simulation run and writes it as JSON, text or a plot. It also
+// compares the reports of paired runs.
 package report
 
 import (
@@ -8,25 +9,25 @@
 	"stoatweir/internal/lab/model"
 )
 
-// formatVersion is the version of the report's form.
+// formatVersion is the version of the report's JSON format.
 const formatVersion = 1
 
-// Report is the report of one run. The same run in virtual time gives the same report to the byte, so it holds nothing of
-// the machine that it ran on.
+// Report holds the results of one run. It contains nothing about the machine on which the run took place,
+// so that repeating a run in virtual time gives the same report byte for byte.
 type Report struct {
 	Version  int    `json:"version"`
 	Scenario string `json:"scenario"`
-	Mode     string `json:"mode"` // virtual, loopback or load
-	Decider  string `json:"decider"`
+	Mode     string `json:"mode"`    // "virtual", "loopback" or "load"
+	Decider  string `json:"decider"` // what made the scheduling decisions, or the scheduler's address
 	Seed     int64  `json:"seed"`
-	Void     string `json:"void,omitempty"` // why its figures must not be used; empty: they may
+	Void     string `json:"void,omitempty"` // why the results must not be used; empty if they may
 
 	Schedulers     int     `json:"schedulers"`
 	Workers        int     `json:"workers"`
-	Duration       float64 `json:"seconds"`
-	Service        float64 `json:"service"`    // value served within the objective, as a share of the value offered
-	WorstInterval  float64 `json:"worst_span"` // the same in the worst ten seconds
-	WorstOperation float64 `json:"worst"`      // the same of the worst operation
+	Duration       float64 `json:"seconds"`    // length of the run, in seconds
+	Service        float64 `json:"service"`    // share of the offered value that was served within the objective
+	WorstInterval  float64 `json:"worst_span"` // lowest such share over ten consecutive seconds
+	WorstOperation float64 `json:"worst"`      // lowest such share of any operation that was offered
 
 	All             Service           `json:"all"`
 	Operations      []Service         `json:"operations"`
@@ -40,38 +41,40 @@
 	Trace           json.RawMessage   `json:"trace,omitempty"`
 }
 
-// Service is how a part of the load was served. Latencies are in milliseconds, from the intended time of the first request.
+// Service says how one part of the load was served: all of it, an operation, a tenant or a zone. Counts
+// are of invocations. Latencies are in milliseconds, from the intended time of the first request.
 type Service struct {
 	Name         string  `json:"name"`
 	Offered      int     `json:"offered"`
-	ValueOffered float64 `json:"value_offered"` // by the work that invocations take
-	ValueServed  float64 `json:"value_served"`  // within the objective
-	ServedShare  float64 `json:"service"`
-	InTime       int     `json:"in_time"`
-	Late         int     `json:"late"`
-	Throttled    int     `json:"throttled"`
+	ValueOffered float64 `json:"value_offered"` // proportional to the work of the invocations
+	ValueServed  float64 `json:"value_served"`  // value of invocations that succeeded within the objective
+	ServedShare  float64 `json:"service"`       // ValueServed as a share of ValueOffered; 1 if nothing was offered
+	InTime       int     `json:"in_time"`       // succeeded within the objective
+	Late         int     `json:"late"`          // succeeded after the objective
+	Throttled    int     `json:"throttled"`     // rejected, or not sent as no scheduler could be reached
 	Errored      int     `json:"errored"`
-	Unanswered   int     `json:"unanswered"`
+	Unanswered   int     `json:"unanswered"` // the connection broke, or the timeout passed
 	P50          float64 `json:"p50_ms"`
 	P90          float64 `json:"p90_ms"`
 	P99          float64 `json:"p99_ms"`
 	P999         float64 `json:"p999_ms"`
 }
 
-// Costs are what the service took.
+// Costs holds the traffic and work that a run caused.
 type Costs struct {
-	Requests         int     `json:"tries"`
+	Requests         int     `json:"tries"` // sent by clients, retries included
 	Forwards         int     `json:"forwards"`
-	DuplicateRuns    int     `json:"duplicate_runs"`
-	WastedShare      float64 `json:"wasted_work"` // as a share of the work offered
+	DuplicateRuns    int     `json:"duplicate_runs"` // runs beyond the first of an invocation, or after its end
+	WastedShare      float64 `json:"wasted_work"`    // work beyond that of successful invocations, as a share of the work offered
 	HealthChecks     int     `json:"probes"`
 	Connections      int     `json:"connections"`
 	DiscoveryQueries int     `json:"list_calls"`
-	Events           int     `json:"events,omitempty"` // of a run in virtual time
-	MaxWarmUpLoad    float64 `json:"cold_use"`         // of a warming worker, as a share of what it can bear
+	Events           int     `json:"events,omitempty"` // simulation events of a run in virtual time
+	MaxWarmUpLoad    float64 `json:"cold_use"`         // highest load of a worker in warm-up, as a share of what it can bear
 }
 
-// Lateness is how late the requests of a load in real time were sent.
+// Lateness says how late the requests of a load in real time were sent, in milliseconds after their
+// intended times.
 type Lateness struct {
 	Sent int     `json:"sent"`
 	P50  float64 `json:"p50_ms"`
@@ -79,7 +82,7 @@
 	Max  float64 `json:"most_ms"`
 }
 
-// Broken counts the violations of all rules.
+// Broken returns the total number of violations of all rules.
 func (r Report) Broken() int {
 	total := 0
 	for _, n := range r.ViolationCounts {
--- a/internal/lab/report/text.go
+++ b/internal/lab/report/text.go
@@ -9,7 +9,7 @@
 	"stoatweir/internal/lab/model"
 )
 
-// Text writes the report for people.
+// Text writes the report as human-readable text.
 func (r Report) Text(w io.Writer) {
 	fmt.Fprintf(w, "%s, %s, %s, seed %d: %d schedulers, %d workers, %.0f s (simulated)\n",
 		r.Scenario, r.Mode, r.Decider, r.Seed, r.Schedulers, r.Workers, r.Duration)
@@ -20,8 +20,9 @@
 		r.Service, worstIntervalSeconds, r.WorstInterval, r.WorstOperation)
 	r.serviceTable(w)
 	r.Costs.text(w)
-	if l := r.Lateness; l != nil {
-		fmt.Fprintf(w, "the load was sent late by %.2f ms in the middle, %.2f ms at p99, %.2f ms at most\n", l.P50, l.P99, l.Max)
+	if lateness := r.Lateness; lateness != nil {
+		fmt.Fprintf(w, "the load was sent late by %.2f ms in the middle, %.2f ms at p99, %.2f ms at most\n",
+			lateness.P50, lateness.P99, lateness.Max)
 	}
 	if len(r.Trace) > 0 {
 		fmt.Fprintf(w, "trace: %s\n", r.Trace)
@@ -29,19 +30,21 @@
 	r.violations(w)
 }
 
+// serviceTable writes one row for each part of the load.
 func (r Report) serviceTable(w io.Writer) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "\tservice\toffered\tin time\tlate\tthrottled\terrored\tunanswered\tp50 ms\tp90\tp99\tp99.9\t")
-	for _, parts := range [][]Service{{r.All}, r.Operations, r.Tenants, r.Zones} {
-		for _, s := range parts {
-			fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t\n",
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "\tservice\toffered\tin time\tlate\tthrottled\terrored\tunanswered\tp50 ms\tp90\tp99\tp99.9\t")
+	for _, services := range [][]Service{{r.All}, r.Operations, r.Tenants, r.Zones} {
+		for _, s := range services {
+			fmt.Fprintf(table, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t\n",
 				s.Name, s.ServedShare, s.Offered, s.InTime, s.Late, s.Throttled, s.Errored, s.Unanswered,
 				s.P50, s.P90, s.P99, s.P999)
 		}
 	}
-	t.Flush()
+	table.Flush()
 }
 
+// text writes the costs as one line, and the number of simulation events if there were any.
 func (c Costs) text(w io.Writer) {
 	fmt.Fprintf(w, "\n%d tries, %d forwards, %d duplicate runs, %.4f of the work wasted, %d probes, %d connections, "+
 		"%d list calls; cold workers up to %.2f of what they bear\n",
@@ -52,7 +55,7 @@
 	}
 }
 
-// violations writes the violations of the rules, with their histories.
+// violations writes how often each rule was broken, and the recorded violations with their histories.
 func (r Report) violations(w io.Writer) {
 	if r.Broken() == 0 {
 		fmt.Fprintln(w, "no rule broken")
