--- a/cmd/baseline/main.go
+++ b/cmd/baseline/main.go
@@ -1,5 +1,6 @@
-// Command baseline decides by a plain policy, over the simulator's protocol on standard input and standard output, so that
-// the results of a run can be compared with a simple one's. It serves no client.
+// Command baseline runs a simple scheduling policy over the simulator's protocol on standard input
+// and standard output. Its results serve for comparison with those of the scheduler. It serves no
+// clients.
 package main
 
 import (
@@ -13,7 +14,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		logrus.Fatal("usage: baseline POLICY, which is one of ", baseline.Names)
+		logrus.Fatal("usage: baseline POLICY, where POLICY is one of ", baseline.Names)
 	}
 	policy := os.Args[1]
 	err := simwire.Serve(os.Stdin, os.Stdout, func(start simwire.InstanceStart) (simwire.Decider, error) {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs the decision module in the simulator, over the simulator's protocol on standard input and
-// standard output. It decides nothing itself.
+// Command simadapter connects the dispatch module to the simulator, over the simulator's protocol
+// on standard input and standard output. It makes no decisions of its own.
 package main
 
 import (
@@ -13,8 +13,9 @@
 	"stoatweir/internal/simwire"
 )
 
-// gcPercent is the garbage collector's target. Over a thousand instances may share this process: their memory is small
-// beside what collecting it costs.
+// gcPercent is the garbage collector's GOGC target. More than a thousand instances may share this
+// process: together they need little memory compared with the time that collecting it more often
+// would cost.
 const gcPercent = 400
 
 func main() {
@@ -24,7 +25,8 @@
 	}
 }
 
-// serve runs a dispatcher for each instance that the simulator starts, until the end of the input.
+// serve runs a dispatcher for each instance that the simulator starts, and returns at the end of
+// the input.
 func serve(in io.Reader, out io.Writer) error {
 	return simwire.Serve(in, out, func(start simwire.InstanceStart) (simwire.Decider, error) {
 		return dispatch.New(start.Config, int64(start.Seed)), nil
--- a/cmd/stoatweir/actions.go
+++ b/cmd/stoatweir/actions.go
@@ -8,27 +8,30 @@
 	"stoatweir/internal/workers"
 )
 
-// trackedRequest is a request for as long as the dispatcher may speak of it.
+// trackedRequest is the state of a request that dispatcher actions may still refer to.
 type trackedRequest struct {
 	*workers.Invocation
-	// operation is its index in the deployment, which reloads keep while the request is tracked.
+	// operation is the operation's index in the deployment. Reloads don't reassign it while the
+	// request is tracked.
 	operation int
-	// attempts is how many were made; they are numbered from 0.
+	// attempts is the number of attempts made so far. Attempts are numbered from 0.
 	attempts int
-	// inFlight is how many of these have no outcome yet.
+	// inFlight is the number of attempts without an outcome.
 	inFlight int
-	// account is the tenant's; nil: the request is no tenant's, or was migrated.
+	// account is the tenant's account. It is nil if no tenants are served or the request was
+	// migrated from another process.
 	account *tenants.Account
-	// sentAt is when each attempt was made, if account is set.
+	// sentAt holds the event-loop time of each attempt, by attempt number. It is only filled if
+	// account is set.
 	sentAt []time.Duration
 }
 
-// effect is an operation's effect class.
+// effect returns the effect class of an operation.
 func (s *service) effect(operation int) dispatch.Effect {
 	return s.deployment.Dispatch.Operations[operation].Effect
 }
 
-// trackRequest begins to track a request that a client has sent.
+// trackRequest starts tracking a request received from a client.
 func (s *service) trackRequest(invocation *workers.Invocation, operation int) {
 	invocation.Effect = s.effect(operation)
 	s.requests[invocation.Number] = &trackedRequest{
@@ -39,7 +42,8 @@
 	s.workers.Invariants.RequestAdmitted(invocation.Number, s.requestLimits(invocation, operation))
 }
 
-// recordOutcome counts attempts in flight.
+// recordOutcome updates the number of attempts in flight after an attempt outcome, and stops
+// tracking the request once nothing is left of it.
 func (s *service) recordOutcome(event dispatch.Event) {
 	id, _ := event.About()
 	request := s.requests[id]
@@ -53,7 +57,8 @@
 	s.releaseIfDone(id)
 }
 
-// releaseIfDone stops tracking a request when its client has its answer and no attempt is in flight.
+// releaseIfDone stops tracking a request once its client has been answered and no attempt is in
+// flight.
 func (s *service) releaseIfDone(id dispatch.InvocationID) {
 	request := s.requests[id]
 	if request == nil || request.inFlight > 0 || s.clients.AwaitsAnswer(id) {
@@ -63,7 +68,7 @@
 	s.clients.ReleaseID(request.ID, request.attempts > 0)
 }
 
-// execute carries out what the dispatcher has decided.
+// execute carries out an action of the dispatcher.
 func (s *service) execute(action dispatch.Action) {
 	switch a := action.(type) {
 	case dispatch.Forward:
@@ -88,11 +93,11 @@
 	case dispatch.WatchEndpoints:
 		s.endpoints.Watch()
 	case dispatch.Log:
-		s.log.WithFields(logFields(a)).Info(a.Message)
+		s.log.WithFields(logFieldsOf(a)).Info(a.Message)
 	}
 }
 
-// forward makes the next attempt of a request.
+// forward starts the next attempt of a request.
 func (s *service) forward(a dispatch.Forward) {
 	request := s.requests[a.Invocation]
 	if request == nil {
--- a/cmd/stoatweir/admin.go
+++ b/cmd/stoatweir/admin.go
@@ -12,20 +12,24 @@
 )
 
 const (
-	// maxAdminCalls is how many operators' calls are served at once.
-	maxAdminCalls = 8
-	// loopTaskTimeout is how long a call waits for the event loop: callers wait for a second.
+	// maxConcurrentAdminCalls is the number of admin calls served at the same time.
+	maxConcurrentAdminCalls = 8
+	// loopTaskTimeout is how long an admin or tenant API call waits for the event loop. It is below
+	// 1 s, which is how long the callers wait for their answer.
 	loopTaskTimeout = 900 * time.Millisecond
-	// listenAttemptsBeforeError is how often an address may be unavailable before that is logged.
+	// listenAttemptsBeforeError is the number of failed attempts to listen at an address before an
+	// error is logged.
 	listenAttemptsBeforeError = 100
-	// listenRetryDelay is the time between two attempts.
+	// listenRetryDelay is the time between two attempts to listen.
 	listenRetryDelay = 50 * time.Millisecond
 )
 
-// errNoAnswer is the answer to an operator whose command the event loop has not carried out in time.
-var errNoAnswer = errors.New("no answer in time; the order stands")
+// errLoopTaskTimeout is returned to an operator if the event loop has not executed the command
+// within loopTaskTimeout. The command stays queued and is still executed.
+var errLoopTaskTimeout = errors.New("no answer in time; the command stays queued")
 
-// adminCommands are the commands of operators. What only reads is answered from what the event loop has published.
+// adminCommands returns the handlers of the admin commands. Read-only commands are answered from
+// state that the event loop has published, without waiting for it.
 func (s *service) adminCommands() admin.Commands {
 	return admin.Commands{
 		"status": s.adminStatus,
@@ -55,7 +59,7 @@
 	return "figures\n" + totals.Text() + ".", nil
 }
 
-// adminTransition has the event loop take a step of the life cycle, and waits for it.
+// adminTransition runs a lifecycle transition on the event loop and waits for the result.
 func (s *service) adminTransition(command string, step func() bool) (string, error) {
 	result := make(chan error, 1)
 	s.loop.PostUrgent(loopTask(func() {
@@ -69,12 +73,13 @@
 	case err := <-result:
 		return lifecycle.State(s.publishedState.Load()).String(), err
 	case <-time.After(loopTaskTimeout):
-		return "", errNoAnswer
+		return "", errLoopTaskTimeout
 	}
 }
 
-// serveAdmin serves operators' calls. A nil listener is opened first, for which it waits: after a restart the process
-// before may still have the address. Serving clients does not wait for that.
+// serveAdmin serves admin calls. If listener is nil, it first listens at addr and retries until
+// that succeeds: during a restart the previous process may still hold the address. It runs on its
+// own goroutine so that clients are served meanwhile.
 func serveAdmin(listener net.Listener, addr string, server *admin.Server, log *logrus.Entry) {
 	for attempt := 0; listener == nil; attempt++ {
 		opened, err := net.Listen("tcp", addr)
--- a/cmd/stoatweir/combined_operations_test.go
+++ b/cmd/stoatweir/combined_operations_test.go
@@ -66,7 +66,7 @@
 			}
 			close(stop)
 			r.stopClients()
-			time.Sleep(2 * publishDelay)
+			time.Sleep(2 * totalsPublishDelay)
 			if got := p.figures(t); got["svc_outstanding"] != 0 || got["svc_discovered"] != 3 {
 				t.Error(got)
 			}
--- a/cmd/stoatweir/command.go
+++ b/cmd/stoatweir/command.go
@@ -15,14 +15,16 @@
 // Exit codes of the command line.
 const (
 	exitOK       = 0
-	exitFindings = 1 // the command has done its work, and what it has found is no good
-	exitUsage    = 2 // anything else is wrong
+	exitFindings = 1 // the command ran to completion and reports a problem, such as a violated rule or a rejected change
+	exitUsage    = 2 // any other error
 )
 
-// errFindings is returned by a command that has done its work, where what it has found is no good. It prints by itself.
+// errFindings is returned by a command that ran to completion and found a problem. The command has
+// already printed it, so the error has no text.
 var errFindings = errors.New("")
 
-// rootCommand is the command line. Without any command the program serves.
+// rootCommand returns the root of the command line. Without a subcommand the program runs the
+// scheduler.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "stoatweir",
@@ -36,7 +38,7 @@
 	return root
 }
 
-// execute runs a command line and gives its exit code.
+// execute runs a command line and returns its exit code.
 func execute(args []string) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -54,7 +56,7 @@
 	}
 }
 
-// writeFile creates a file, unless its name is empty.
+// writeFile creates the named file and fills it with write. With an empty name it does nothing.
 func writeFile(name string, write func(io.Writer) error) error {
 	if name == "" {
 		return nil
--- a/cmd/stoatweir/counts.go
+++ b/cmd/stoatweir/counts.go
@@ -14,16 +14,18 @@
 )
 
 const (
-	// publishDelay is how old the totals that operators see may be, at most, while something happens.
-	publishDelay = 100 * time.Millisecond
+	// totalsPublishDelay is the time from a change of the totals until they are published for
+	// operators, and so the maximum age of what operators see.
+	totalsPublishDelay = 100 * time.Millisecond
 
-	// Figures of our memory by the runtime's own names. Reading them stops nothing.
-	heapLive   = "/memory/classes/heap/objects:bytes"
-	heapAllocs = "/gc/heap/allocs:objects"
-	gcCycles   = "/gc/cycles/total:gc-cycles"
+	// Names of the memory metrics in runtime/metrics. Reading them does not stop the world.
+	heapLiveMetric        = "/memory/classes/heap/objects:bytes"
+	heapAllocationsMetric = "/gc/heap/allocs:objects"
+	gcCyclesMetric        = "/gc/cycles/total:gc-cycles"
 )
 
-// counts is the body of GET /-/counts, with its keys in alphabetical order.
+// counts is the JSON body of GET /-/counts. The fields are in the alphabetical order of their JSON
+// keys.
 type counts struct {
 	Allocations       uint64            `json:"allocations"`
 	Clients           clients.Counts    `json:"clients"`
@@ -46,7 +48,7 @@
 	Workers           workers.Counts    `json:"workers"`
 }
 
-// latencyQuantiles are in microseconds.
+// latencyQuantiles are quantiles of a latency, in microseconds.
 type latencyQuantiles struct {
 	Max int64 `json:"max"`
 	P50 int64 `json:"p50"`
@@ -54,15 +56,15 @@
 	P99 int64 `json:"p99"`
 }
 
-// iterationCounts are those of the event loop.
+// iterationCounts are the number and the longest durations of event-loop iterations.
 type iterationCounts struct {
 	Count             int64 `json:"count"`
 	WorstRecentMicros int64 `json:"worst_10s_us"`
 	WorstMicros       int64 `json:"worst_us"`
 }
 
-// quantiles gives a histogram of microseconds.
-func quantiles(h *hdrhistogram.Histogram) latencyQuantiles {
+// latencyQuantilesOf returns the quantiles of a histogram whose unit is microseconds.
+func latencyQuantilesOf(h *hdrhistogram.Histogram) latencyQuantiles {
 	return latencyQuantiles{
 		Max: h.Max(),
 		P50: h.ValueAtQuantile(50),
@@ -71,43 +73,43 @@
 	}
 }
 
-// memoryMetrics reads our memory's figures by the runtime's names.
-func memoryMetrics() map[string]uint64 {
-	samples := []metrics.Sample{{Name: heapLive}, {Name: heapAllocs}, {Name: gcCycles}}
+// readMemoryMetrics returns the memory metrics of this process by their names in runtime/metrics.
+func readMemoryMetrics() map[string]uint64 {
+	samples := []metrics.Sample{{Name: heapLiveMetric}, {Name: heapAllocationsMetric}, {Name: gcCyclesMetric}}
 	metrics.Read(samples)
-	figures := map[string]uint64{}
+	values := map[string]uint64{}
 	for _, sample := range samples {
 		if sample.Value.Kind() == metrics.KindUint64 {
-			figures[sample.Name] = sample.Value.Uint64()
+			values[sample.Name] = sample.Value.Uint64()
 		}
 	}
-	return figures
+	return values
 }
 
-// countsReport is the counters as JSON.
+// countsReport returns all counters as JSON.
 func (s *service) countsReport() []byte {
 	gossipCounts := map[string]uint64{}
 	if s.gossip != nil {
 		gossipCounts = s.gossip.CountsByName()
 	}
 	iterations := s.loop.Iterations()
-	memory := memoryMetrics()
+	memory := readMemoryMetrics()
 	text, err := json.Marshal(counts{
-		Allocations:       memory[heapAllocs],
+		Allocations:       memory[heapAllocationsMetric],
 		Clients:           s.clients.Counts,
 		ClockSteps:        s.endpoints.ClockSteps(),
-		Collections:       memory[gcCycles],
+		Collections:       memory[gcCyclesMetric],
 		ClosedConnections: s.clients.ClosedConnections,
-		DecisionLatency:   quantiles(s.decisionLatency),
+		DecisionLatency:   latencyQuantilesOf(s.decisionLatency),
 		Invariants:        s.workers.Invariants.Counts,
-		HeapBytes:         memory[heapLive],
+		HeapBytes:         memory[heapLiveMetric],
 		RequestsInFlight:  s.clients.InFlight(),
 		Requests:          s.totals(),
 		AttemptsInFlight:  s.workers.InFlight(),
 		Panics:            s.panics,
 		Gossip:            gossipCounts,
 		AnswersByReason:   s.answersByReason,
-		ServingLatency:    quantiles(s.servingLatency),
+		ServingLatency:    latencyQuantilesOf(s.servingLatency),
 		Sockets:           s.clientQuota.Used() + s.workerQuota.Used(),
 		Iterations: iterationCounts{
 			Count:             iterations.Count,
@@ -123,20 +125,21 @@
 	return text
 }
 
-// totals are the ledger's figures with those of the workers.
+// totals returns the ledger's totals together with the current numbers of workers.
 func (s *service) totals() accounting.Totals {
 	return s.ledger.Totals(s.workers.EndpointCount(), s.dispatcher.Ejected())
 }
 
-// schedulePublishing has totals published for operators in a while, if anything has happened since the last time.
+// schedulePublishing schedules publishing of the totals for operators if they may have changed
+// since the last time.
 func (s *service) schedulePublishing() {
 	changed := len(s.events) > 0 || s.ledger.Changes != s.publishedChanges
 	if s.process.Admin != "" && s.publishTimer == nil && changed {
-		s.publishTimer = s.loop.After(publishDelay, s.publishTotals)
+		s.publishTimer = s.loop.After(totalsPublishDelay, s.publishTotals)
 	}
 }
 
-// publishTotals lets operators see the totals as they are now.
+// publishTotals publishes the current totals, which admin calls read from other goroutines.
 func (s *service) publishTotals() {
 	totals := s.totals()
 	s.publishedTotals.Store(&totals)
--- a/cmd/stoatweir/decision_log.go
+++ b/cmd/stoatweir/decision_log.go
@@ -6,17 +6,17 @@
 	"stoatweir/dispatch"
 )
 
-// logFields are the fields of a log line of the decisions.
-func logFields(line dispatch.Log) logrus.Fields {
+// logFieldsOf returns the logger fields of a dispatcher log entry.
+func logFieldsOf(entry dispatch.Log) logrus.Fields {
 	fields := logrus.Fields{}
-	if line.Worker.IsValid() {
-		fields["worker"] = line.Worker
+	if entry.Worker.IsValid() {
+		fields["worker"] = entry.Worker
 	}
-	if line.Reason != "" {
-		fields["reason"] = line.Reason
+	if entry.Reason != "" {
+		fields["reason"] = entry.Reason
 	}
-	if line.RetryAt > 0 {
-		fields["retry_at"] = line.RetryAt
+	if entry.RetryAt > 0 {
+		fields["retry_at"] = entry.RetryAt
 	}
 	return fields
 }
--- a/cmd/stoatweir/endpoints.go
+++ b/cmd/stoatweir/endpoints.go
@@ -8,31 +8,37 @@
 )
 
 const (
-	// maxPollInterval is the longest interval at which the endpoint list is polled, whatever the settings allow. A change
-	// counts as known 6 s later, whether or not it has come: a watch that has failed must be established again within that.
+	// maxPollInterval caps the poll interval of the endpoint list that the settings allow. A change
+	// of the list counts as known 6 s after it was made, even if it has not been received: a failed
+	// watch must be established again within that time.
 	maxPollInterval = 5 * time.Second
 
-	// The backoff between watches of a pushed list that fail in a row is inside maxPollInterval, with what a call may take,
-	// and inside the drain grace of the settings: what is pushed at the return of discovery counts as known at once.
+	// The backoff between consecutive failed watches of a pushed list, together with the time that
+	// a call may take, stays below maxPollInterval. It also stays below the drain grace of the
+	// settings, because an update that discovery pushes when it comes back counts as known
+	// immediately.
 
-	// watchBackoffMin is the first backoff.
-	watchBackoffMin = 250 * time.Millisecond
-	// watchBackoffMax is the longest backoff.
-	watchBackoffMax = 2 * time.Second
-	// watchBackoffMaxFloor is the least that a short drain grace makes of watchBackoffMax.
-	watchBackoffMaxFloor = 50 * time.Millisecond
-	// maxWatchBackoffDoublings keeps the shift from overflowing; watchBackoffMax is reached before.
+	// minWatchBackoff is the backoff after the first failed watch.
+	minWatchBackoff = 250 * time.Millisecond
+	// maxWatchBackoff is the maximum backoff. A short drain grace lowers it.
+	maxWatchBackoff = 2 * time.Second
+	// maxWatchBackoffFloor is the lowest value to which a short drain grace can lower
+	// maxWatchBackoff.
+	maxWatchBackoffFloor = 50 * time.Millisecond
+	// maxWatchBackoffDoublings keeps the shift from overflowing. maxWatchBackoff is reached after
+	// fewer doublings.
 	maxWatchBackoffDoublings = 8
 )
 
-// loadCachedEndpoints applies the configuration's endpoint list, and reports whether it names any worker.
+// loadCachedEndpoints applies the endpoint list cached in the configuration and reports whether it
+// contains any worker.
 func (s *service) loadCachedEndpoints() bool {
 	if len(s.cachedEndpoints) == 0 {
 		return false
 	}
 	update, err := s.endpoints.Parse(s.cachedEndpoints)
 	if err != nil {
-		s.log.WithError(err).Warn("cached endpoint list unusable") // discovery brings another one
+		s.log.WithError(err).Warn("cached endpoint list unusable") // not fatal: discovery sends a list too
 	}
 	update.Kind = dispatch.FullUpdate
 	s.workers.ApplyUpdate(update)
@@ -40,38 +46,39 @@
 	return len(update.Workers) > 0
 }
 
-// handleEndpointUpdate applies a change of the endpoint list, or the failure of its watch.
+// handleEndpointUpdate applies an update of the endpoint list, or handles the failure of its watch.
 func (s *service) handleEndpointUpdate(update discovery.Update) {
 	if update.Kind != dispatch.WatchFailed {
 		s.workers.ApplyUpdate(update)
 		s.loop.After(s.takeover.SettleDelay(), s.takeover.RequestSnapshot)
 		s.failedWatches = 0
 	} else if s.deployment.Dispatch.EndpointsPushed {
-		s.loop.After(s.watchBackoff(), s.restartWatch) // the dispatcher does not ask for endpoints that are pushed
+		s.loop.After(s.watchBackoff(), s.restartWatch) // the dispatcher doesn't request watches of pushed lists
 		s.failedWatches++
 	}
 	s.Notify(update.EndpointUpdate())
 }
 
-// restartWatch begins the next watch, unless one that was slow has been established meanwhile.
+// restartWatch starts a new watch unless a slow earlier one has been established in the meantime.
 func (s *service) restartWatch() {
 	if !s.endpoints.Established() {
 		s.endpoints.Watch()
 	}
 }
 
-// watchBackoff is how long the next watch of a pushed list waits, with jitter: a pool must not return to its list all at
-// once.
+// watchBackoff returns the time to wait before the next watch of a pushed list. It includes jitter
+// so that the schedulers of a pool do not all reconnect to discovery at the same time.
 func (s *service) watchBackoff() time.Duration {
-	longest := watchBackoffMax
+	maxBackoff := maxWatchBackoff
 	if s.deployment.DrainGrace > 0 {
-		longest = min(longest, max(s.deployment.DrainGrace/2, watchBackoffMaxFloor))
+		maxBackoff = min(maxBackoff, max(s.deployment.DrainGrace/2, maxWatchBackoffFloor))
 	}
-	backoff := min(watchBackoffMin<<min(s.failedWatches, maxWatchBackoffDoublings), longest)
+	backoff := min(minWatchBackoff<<min(s.failedWatches, maxWatchBackoffDoublings), maxBackoff)
 	return backoff/2 + time.Duration(s.random.Int64N(int64(backoff/2)))
 }
 
-// applyPollInterval gives the watcher the poll interval of the settings; a pushed list is not polled.
+// applyPollInterval sets the poll interval of the watcher from the settings. A pushed list is not
+// polled.
 func (s *service) applyPollInterval() {
 	s.endpoints.PollWithin = 0
 	if !s.deployment.Dispatch.EndpointsPushed {
--- a/cmd/stoatweir/eventloop.go
+++ b/cmd/stoatweir/eventloop.go
@@ -10,17 +10,20 @@
 )
 
 const (
-	// restartDelay is the time before the next turn of the event loop after the dispatcher was restarted: whatever made it
-	// panic may still be so.
-	restartDelay = 20 * time.Millisecond
+	// dispatcherRestartDelay is the time until the next event-loop iteration after the dispatcher
+	// was restarted. The cause of the panic may persist, so the dispatcher is not called again at
+	// once.
+	dispatcherRestartDelay = 20 * time.Millisecond
 
-	// reasonRestarted is the reason of answers to requests whose dispatcher has panicked. It is on the wire.
+	// reasonRestarted is the reason given in answers to requests whose dispatcher has panicked.
+	// Clients see it on the wire.
 	reasonRestarted = "the decisions start anew"
-	// reasonTimeToStopOver is the reason of answers to requests that a stop leaves no time for. It is on the wire.
-	reasonTimeToStopOver = "the time to stop is over"
+	// reasonStopTimeOver is the reason given in answers to requests that could not be completed
+	// before the process has to exit. Clients see it on the wire.
+	reasonStopTimeOver = "the time to stop is over"
 )
 
-// loopTask is a function that runs on the event loop; somebody waits for it.
+// loopTask is a function that other goroutines post to run on the event loop.
 type loopTask func()
 
 // Run implements conn.Task.
@@ -29,21 +32,21 @@
 // Notify queues an event for the next decision. It implements takeover.Dispatcher.
 func (s *service) Notify(event dispatch.Event) { s.events = append(s.events, event) }
 
-// Decide calls the dispatcher for as long as there are events; what it orders can cause further ones. It ends each turn of
-// the event loop, and implements takeover.Dispatcher.
+// Decide calls the dispatcher until no events are queued; executing its actions can queue further
+// ones. It runs at the end of each event-loop iteration, and implements takeover.Dispatcher.
 func (s *service) Decide() {
 	s.schedulePublishing()
 	for len(s.events) > 0 {
 		events := s.events
 		s.events = nil
 		s.lastDecision = max(s.loop.Now(), s.lastDecision+1)
-		began := time.Now()
+		start := time.Now()
 		actions, ok := s.callDispatcher(s.lastDecision, events)
 		if !ok {
 			s.restartDispatcher()
 			return
 		}
-		s.decisionLatency.RecordValue(time.Since(began).Microseconds())
+		s.decisionLatency.RecordValue(time.Since(start).Microseconds())
 		for _, event := range events {
 			s.recordOutcome(event)
 		}
@@ -53,8 +56,8 @@
 	}
 }
 
-// callDispatcher hands events to the dispatcher, and reports whether it has returned. A fault in it must not end the
-// process with all requests in flight.
+// callDispatcher passes events to the dispatcher and reports whether it returned without a panic. A
+// panic is recovered, as it must not end the process and lose all requests in flight.
 func (s *service) callDispatcher(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, ok bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -64,14 +67,14 @@
 	return s.dispatcher.Handle(now, events), true
 }
 
-// recordPanic counts and logs a panic that was recovered.
+// recordPanic counts and logs a recovered panic.
 func (s *service) recordPanic(cause any) {
 	s.panics++
 	s.log.WithField("panic", cause).WithField("stack", string(debug.Stack())).Error("panic recovered")
 }
 
-// restartDispatcher replaces the dispatcher by one that knows the endpoint list and nothing else. Requests that the old one
-// decided on are answered, and their attempts are cancelled.
+// restartDispatcher replaces the dispatcher by a new one that knows only the endpoint list. All
+// requests of the old one are answered, and their attempts are cancelled.
 func (s *service) restartDispatcher() {
 	s.log.WithField("in_flight", s.clients.InFlight()).Error("dispatcher restarted")
 	s.failRemaining(reasonRestarted)
@@ -90,11 +93,12 @@
 		s.tenancy.admission.Republish()
 		s.tenancy.updateQuotas()
 	}
-	s.endpoints.Watch() // the new dispatcher takes its first list for a sign that the watch is established
-	s.loop.After(restartDelay, func() {})
+	s.endpoints.Watch() // the new dispatcher takes its first endpoint list as a sign that the watch is established
+	s.loop.After(dispatcherRestartDelay, func() {})
 }
 
-// failRemaining answers all requests in flight. One that was never sent may be repeated whatever its operation.
+// failRemaining answers all requests in flight. A request that was never sent to a worker is
+// throttled rather than failed: it can safely be repeated whatever its operation.
 func (s *service) failRemaining(reason string) {
 	s.reasonOverride = reason
 	defer func() { s.reasonOverride = "" }()
--- a/cmd/stoatweir/faultinjection.go
+++ b/cmd/stoatweir/faultinjection.go
@@ -2,5 +2,5 @@
 
 package main
 
-// installFaultInjection does nothing in the program as it is released.
+// installFaultInjection does nothing: faults can only be injected in builds with the tag soak.
 func installFaultInjection(*service) {}
--- a/cmd/stoatweir/faultinjection_soak.go
+++ b/cmd/stoatweir/faultinjection_soak.go
@@ -18,9 +18,11 @@
 	"stoatweir/internal/lab/soak"
 )
 
-// faultPollInterval is how often the file is read that says which faults to inject.
+// faultPollInterval is how often the file with the faults to inject is read.
 const faultPollInterval = 20 * time.Millisecond
 
+// errnosByName maps the names of errors in the fault file to their numbers. errnosByName maps the
+// names of errors in the fault file to their numbers.
 var errnosByName = map[string]syscall.Errno{
 	"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL,
 	"ENETUNREACH":   syscall.ENETUNREACH,
@@ -30,14 +32,16 @@
 	"ECONNABORTED":  syscall.ECONNABORTED,
 }
 
-// faultInjector has the faults to inject now, as the soak test has written them to a file.
+// faultInjector holds the faults that are currently injected. The soak test sets them by writing a
+// file.
 type faultInjector struct {
 	path   string
 	faults atomic.Pointer[soak.Faults]
 }
 
-// installFaultInjection injects faults between the program and the system: connections that can't be made or accepted for a
-// while, interrupted polls of sockets, and a wall clock that is stepped.
+// installFaultInjection injects faults at the boundary to the operating system: failing dials and
+// accepts, interrupted system calls on sockets, and steps of the wall clock. Without the
+// environment variable that names the fault file it does nothing.
 func installFaultInjection(s *service) {
 	path := os.Getenv(soak.ShimsVariable)
 	if path == "" {
@@ -52,7 +56,8 @@
 	s.endpoints.WallClock = func() time.Time { return time.Now().Add(f.faults.Load().WallStep) }
 }
 
-// read reads the file. One that is being written changes nothing; without one there are no faults.
+// read loads the fault file. A partly written file is ignored; if the file does not exist, no
+// faults are injected.
 func (f *faultInjector) read() {
 	var faults soak.Faults
 	text, err := os.ReadFile(f.path)
@@ -62,13 +67,15 @@
 	f.faults.Store(&faults)
 }
 
-// follow reads the file again and again. It does not return.
+// follow reloads the fault file periodically. It does not return.
 func (f *faultInjector) follow() {
 	for range time.Tick(faultPollInterval) {
 		f.read()
 	}
 }
 
+// wrapDial makes dials fail with the error of the fault file, if it names one. wrapDial makes dials
+// fail with the error of the fault file, if it names one.
 func (f *faultInjector) wrapDial(s *service) {
 	dial := s.loop.DialContext
 	s.loop.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -79,7 +86,7 @@
 	}
 }
 
-// wrapAccept has half of all accepts fail.
+// wrapAccept makes half of all accepts fail with the error of the fault file, if it names one.
 func (f *faultInjector) wrapAccept(s *service) {
 	s.clients.Accept = func(l net.Listener) (net.Conn, error) {
 		if errno, fails := errnosByName[f.faults.Load().Accept]; fails && rand.IntN(2) == 0 {
@@ -89,6 +96,8 @@
 	}
 }
 
+// wrapSystemCalls makes a share of the calls of peek and poll fail with EINTR. wrapSystemCalls
+// makes a share of the calls of peek and poll fail with EINTR.
 func (f *faultInjector) wrapSystemCalls() {
 	interrupted := func() bool { return rand.Float64() < f.faults.Load().Interrupted }
 	peek := conn.System.Peek
--- a/cmd/stoatweir/invariants.go
+++ b/cmd/stoatweir/invariants.go
@@ -10,24 +10,25 @@
 	"stoatweir/internal/workers"
 )
 
-// requestLimits are what the invariant checker holds a request to. It keeps those under which the request was admitted,
-// whatever the settings become.
+// requestLimits returns the limits that the invariant checker enforces for a request. They are
+// those in force when the request was admitted, even if the settings change later.
 func (s *service) requestLimits(invocation *workers.Invocation, operation int) invariant.RequestLimits {
 	config := &s.deployment.Dispatch
-	o := &config.Operations[operation]
+	op := &config.Operations[operation]
 	return invariant.RequestLimits{
 		ID:          invocation.ID,
-		Effect:      o.Effect,
-		Scope:       o.DedupScope,
-		Window:      o.DedupWindow,
+		Effect:      op.Effect,
+		Scope:       op.DedupScope,
+		Window:      op.DedupWindow,
 		Deadline:    invocation.Deadline,
 		MaxAttempts: config.Limits.MaxAttempts,
 		MaxInFlight: config.Limits.MaxInFlight,
 	}
 }
 
-// migratedAttempts are the attempts that another process made, as the invariant checker knows them.
-func (s *service) migratedAttempts(attempts []dispatch.Attempt) (migrated []invariant.MigratedAttempt) {
+// migratedAttemptsOf converts attempts made by another process to the form that the invariant
+// checker takes.
+func (s *service) migratedAttemptsOf(attempts []dispatch.Attempt) (migrated []invariant.MigratedAttempt) {
 	for number, attempt := range attempts {
 		migrated = append(migrated, invariant.MigratedAttempt{
 			Number:     number,
@@ -42,7 +43,8 @@
 	return migrated
 }
 
-// answerReason gives the reason of the answer that is being given, and counts it; empty: it is a result.
+// answerReason returns the reason for the answer that is about to be sent and counts it. It is
+// empty if the answer is a result.
 func (s *service) answerReason(id dispatch.InvocationID) string {
 	reason := s.reasonOverride
 	if reason == "" {
@@ -54,7 +56,7 @@
 	return reason
 }
 
-// requestHistory lists what is known of a request, a line each.
+// requestHistory returns the recorded history of a request as text, one entry per line.
 func (s *service) requestHistory(requestID string) []byte {
 	var text []byte
 	for _, entry := range s.workers.Invariants.HistoryByID(requestID) {
@@ -63,8 +65,8 @@
 	return text
 }
 
-// logViolation logs what the invariant checker has found, with all that is known of the request. The soak test looks for
-// the message.
+// logViolation logs a violation found by the invariant checker with the history of the request. The
+// soak test matches the message.
 func (s *service) logViolation(v invariant.Violation) {
 	fields := logrus.Fields{"rule": string(v.Reason)}
 	if v.ID != "" {
--- a/cmd/stoatweir/lab_command.go
+++ b/cmd/stoatweir/lab_command.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	// defaultTraceRows is how many rows a generated trace has.
+	// defaultTraceRows is the default number of rows of a generated trace.
 	defaultTraceRows = 10000
-	// defaultTraceRate is how many of them are of one second.
-	defaultTraceRate = 100
+	// defaultTraceRowsPerSecond is the default arrival rate of a generated trace.
+	defaultTraceRowsPerSecond = 100
 )
 
-// labCommand is the group of commands that play scenarios.
+// labCommand returns the group of commands that simulate scenarios.
 func labCommand() *cobra.Command {
 	lab := &cobra.Command{Use: "lab", Short: "Simulate scenarios, and compare changes on them"}
 	lab.AddCommand(checkCommand(), runCommand(), compareCommand(), loadCommand(), traceCommand(), scaleCommand(), hollowCommand())
 	return lab
 }
 
+// checkCommand returns the command lab check.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check SCENARIO...",
@@ -44,27 +45,28 @@
 	}
 }
 
-// checkScenario reads a scenario and prints what it comes to.
+// checkScenario reads a scenario file, which validates it, and prints a summary.
 func checkScenario(out io.Writer, file string) error {
-	s, err := scenario.Read(file)
+	config, err := scenario.Read(file)
 	if err != nil {
 		return err
 	}
-	w := model.New(s)
-	fmt.Fprintf(out, "%s: %s, %d schedulers, %d workers, %.1f invocations a second, %d troubles\n", file, s.Name,
-		s.Schedulers.Count, len(w.Fleet.Machines), w.Clients.Rate(0), len(s.Faults))
+	m := model.New(config)
+	fmt.Fprintf(out, "%s: %s, %d schedulers, %d workers, %.1f invocations a second, %d troubles\n", file, config.Name,
+		config.Schedulers.Count, len(m.Fleet.Machines), m.Clients.Rate(0), len(config.Faults))
 	return nil
 }
 
 // runOptions are the flags of lab run.
 type runOptions struct {
-	playOptions
+	scenarioOptions
 	decider  string
 	seed     int64
 	jsonFile string
 	plotFile string
 }
 
+// runCommand returns the command lab run.
 func runCommand() *cobra.Command {
 	var o runOptions
 	c := &cobra.Command{
@@ -76,12 +78,12 @@
 	o.addFlags(c)
 	c.Flags().StringVar(&o.mode, "mode", modeVirtual, "virtual, or loopback: real processes and sockets on this machine")
 	c.Flags().StringVar(&o.decider, "decider", deciderModule,
-		"who decides in virtual time: module, or a command that speaks the simulator's wire")
-	c.Flags().StringVar(&o.program, "program", "", "the scheduler that is started on loopback; this program if left out")
+		"the decider in virtual time: module, or a command that speaks the simulator protocol")
+	c.Flags().StringVar(&o.program, "program", "", "the scheduler program to start on loopback; this program if left out")
 	c.Flags().Int64Var(&o.seed, "seed", 1, "random seed, in place of the scenario's")
 	c.Flags().StringVar(&o.jsonFile, "json", "", "a `file` for the report as JSON")
 	c.Flags().StringVar(&o.plotFile, "plot", "", "a `file` for a plot, .svg or .png")
-	c.Flags().BoolVar(&o.showLog, "log", false, "show what deciders log")
+	c.Flags().BoolVar(&o.showLog, "log", false, "print the log entries of the deciders")
 	return c
 }
 
@@ -96,7 +98,7 @@
 	if o.mode != modeVirtual && o.mode != modeLoopback {
 		return fmt.Errorf("--mode: %q is neither virtual nor loopback", o.mode)
 	}
-	r, err := o.play(c.Context(), s, o.decider)
+	r, err := o.runScenario(c.Context(), s, o.decider)
 	if err != nil {
 		return err
 	}
@@ -116,11 +118,12 @@
 
 // loadOptions are the flags of lab load.
 type loadOptions struct {
-	playOptions
+	scenarioOptions
 	address  string
 	jsonFile string
 }
 
+// loadCommand returns the command lab load.
 func loadCommand() *cobra.Command {
 	var o loadOptions
 	c := &cobra.Command{
@@ -161,12 +164,14 @@
 	return nil
 }
 
+// traceCommand returns the group of commands that work with traces.
 func traceCommand() *cobra.Command {
 	c := &cobra.Command{Use: "trace", Short: "Work with traces in CSV"}
 	c.AddCommand(generateTraceCommand(), checkTraceCommand())
 	return c
 }
 
+// generateTraceCommand returns the command lab trace generate.
 func generateTraceCommand() *cobra.Command {
 	var rows, odd int
 	var seed int64
@@ -180,14 +185,15 @@
 		},
 	}
 	c.Flags().IntVar(&rows, "rows", defaultTraceRows, "number of rows")
-	c.Flags().IntVar(&odd, "odd", 0, "one row in this many is invalid; 0: none")
+	c.Flags().IntVar(&odd, "odd", 0, "make one row in this many invalid; 0: none")
 	c.Flags().Int64Var(&seed, "seed", 1, "random seed")
-	c.Flags().Float64Var(&rate, "rate", defaultTraceRate, "rows a second")
+	c.Flags().Float64Var(&rate, "rate", defaultTraceRowsPerSecond, "rows a second")
 	return c
 }
 
+// checkTraceCommand returns the command lab trace check.
 func checkTraceCommand() *cobra.Command {
-	var p playOptions
+	var p scenarioOptions
 	c := &cobra.Command{
 		Use:   "check SCENARIO",
 		Short: "Read a trace to its end and count invalid rows",
@@ -198,14 +204,15 @@
 	return c
 }
 
-// checkTrace reads a trace to its end and prints what it has.
-func (p *playOptions) checkTrace(out io.Writer, scenarioFile string) error {
+// checkTrace reads a trace to its end and prints its counts and duration. It returns errFindings if
+// the trace ended early.
+func (p *scenarioOptions) checkTrace(out io.Writer, scenarioFile string) error {
 	s, err := scenario.Read(scenarioFile)
 	if err != nil {
 		return err
 	}
 	if p.traceFile == "" {
-		return errors.New("--trace: is not set")
+		return errors.New("--trace is required")
 	}
 	reader, err := p.openTrace(s, model.New(s).Clients)
 	if err != nil {
--- a/cmd/stoatweir/lab_play.go
+++ b/cmd/stoatweir/lab_play.go
@@ -18,7 +18,7 @@
 	"stoatweir/internal/lab/virtual"
 )
 
-// Values of the flags --mode and --decider, and of the report's decider.
+// Values of the flags --mode and --decider, and of the decider in reports.
 const (
 	modeVirtual    = "virtual"
 	modeLoopback   = "loopback"
@@ -26,26 +26,31 @@
 	deciderService = "service"
 )
 
-// playOptions say how scenarios are played.
-type playOptions struct {
+// scenarioOptions are the options for running a scenario.
+type scenarioOptions struct {
+	// mode is modeVirtual or modeLoopback.
 	mode string
-	// program is the scheduler that is started on loopback; empty: this program.
+	// program is the path of the scheduler to start in loopback mode. If empty, this program is
+	// used.
 	program string
-	// traceFile is a CSV file of which the load is taken; empty: the scenario's own.
+	// traceFile is the path of a CSV file with the load. If empty, the load is generated from the
+	// scenario.
 	traceFile string
-	// mappingFile says what the trace's columns mean.
+	// mappingFile is the path of the file that describes the columns of the trace.
 	mappingFile string
-	// showLog prints what deciders log.
+	// showLog prints the deciders' log entries.
 	showLog bool
 }
 
-func (p *playOptions) addFlags(c *cobra.Command) {
+// addFlags adds the flags that name a trace.
+func (p *scenarioOptions) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&p.traceFile, "trace", "", "a CSV `file` with the load, in place of the scenario's")
 	c.Flags().StringVar(&p.mappingFile, "mapping", "", "the `file` that says what the trace's columns mean")
 }
 
-// openTrace opens the trace, if the options name one; else the reader is nil. The caller closes a reader that is not nil.
-func (p *playOptions) openTrace(s scenario.Scenario, clients *model.Clients) (*traceReader, error) {
+// openTrace opens the trace that the options name. Without a trace it returns nil, which is a valid
+// traceReader. The caller closes the reader.
+func (p *scenarioOptions) openTrace(s scenario.Scenario, clients *model.Clients) (*traceReader, error) {
 	if p.traceFile == "" {
 		return nil, nil
 	}
@@ -53,25 +58,26 @@
 	if err != nil {
 		return nil, err
 	}
-	file, err := os.Open(p.traceFile)
+	csvFile, err := os.Open(p.traceFile)
 	if err != nil {
 		return nil, err
 	}
-	reader, err := trace.Open(file, mapping, s, clients)
+	reader, err := trace.Open(csvFile, mapping, s, clients)
 	if err != nil {
-		file.Close()
+		csvFile.Close()
 		return nil, fmt.Errorf("%s: %w", p.traceFile, err)
 	}
-	return &traceReader{Reader: reader, file: file}, nil
+	return &traceReader{Reader: reader, file: csvFile}, nil
 }
 
-// traceReader is a trace with its file. A nil one stands for a scenario's own load.
+// traceReader reads a trace from a file. A nil traceReader stands for the load generated from the
+// scenario.
 type traceReader struct {
 	*trace.Reader
 	file io.Closer
 }
 
-// source is what the load is taken of; nil: the scenario's own.
+// source returns the source of the load, or nil if the load is generated from the scenario.
 func (t *traceReader) source() model.Source {
 	if t == nil {
 		return nil
@@ -79,14 +85,14 @@
 	return t.Reader
 }
 
-// close closes the file.
+// close closes the trace file, if there is one.
 func (t *traceReader) close() {
 	if t != nil {
 		t.file.Close()
 	}
 }
 
-// addCounts gives a report with the trace's counts.
+// addCounts returns the report with the counts of the trace added, if there is a trace.
 func (t *traceReader) addCounts(r report.Report) report.Report {
 	if t != nil {
 		r.Trace, _ = t.Counts.MarshalJSON()
@@ -94,15 +100,16 @@
 	return r
 }
 
-// play plays a scenario once.
-func (p *playOptions) play(ctx context.Context, s scenario.Scenario, decider string) (report.Report, error) {
+// runScenario runs a scenario once in the selected mode and returns the report.
+func (p *scenarioOptions) runScenario(ctx context.Context, s scenario.Scenario, decider string) (report.Report, error) {
 	if p.mode == modeLoopback {
-		return p.playLoopback(ctx, s)
+		return p.runLoopback(ctx, s)
 	}
-	return p.playVirtual(ctx, s, decider)
+	return p.runVirtual(ctx, s, decider)
 }
 
-func (p *playOptions) playLoopback(ctx context.Context, s scenario.Scenario) (report.Report, error) {
+// runLoopback runs a scenario with real processes and sockets on this machine.
+func (p *scenarioOptions) runLoopback(ctx context.Context, s scenario.Scenario) (report.Report, error) {
 	reader, err := p.openTrace(s, model.New(s).Clients)
 	if err != nil {
 		return report.Report{}, err
@@ -120,33 +127,37 @@
 	return reader.addCounts(r), err
 }
 
-func (p *playOptions) playVirtual(ctx context.Context, s scenario.Scenario, decider string) (r report.Report, err error) {
+// runVirtual runs a scenario in virtual time, with the dispatch module or an external program as
+// the decider.
+func (p *scenarioOptions) runVirtual(ctx context.Context, s scenario.Scenario, decider string) (r report.Report, err error) {
 	maker := virtual.Module
-	var day *virtual.Simulation
+	var simulation *virtual.Simulation
 	if decider != deciderModule {
 		program, runErr := virtual.StartProgram(decider)
 		if runErr != nil {
 			return r, runErr
 		}
-		// A program that has exited in the midst has decided nothing since: its figures are none.
+		// If the program exited during the run, it made no decisions after that and the report is
+		// meaningless: return its error.
 		defer func() { err = errors.Join(err, program.Err(), program.Close()) }()
-		maker = program.Maker(func() time.Duration { return day.Time() })
+		maker = program.Maker(func() time.Duration { return simulation.Time() })
 	}
-	day = virtual.New(s, maker)
-	reader, err := p.openTrace(s, day.Model.Clients)
+	simulation = virtual.New(s, maker)
+	reader, err := p.openTrace(s, simulation.Model.Clients)
 	if err != nil {
 		return r, err
 	}
 	defer reader.close()
 	if p.showLog {
-		day.Log = func(now time.Duration, scheduler int, text string) {
+		simulation.Log = func(now time.Duration, scheduler int, text string) {
 			fmt.Fprintf(os.Stderr, "%.3f s scheduler %d: %s\n", now.Seconds(), scheduler, text)
 		}
 	}
-	if err := day.Play(ctx, reader.source()); err != nil {
+	if err := simulation.Play(ctx, reader.source()); err != nil {
 		return r, err
 	}
-	r = report.Of(day.Model).Name(s.Name, modeVirtual, decider, s.Seed, s.Schedulers.Count, len(day.Model.Fleet.Machines), s.Length.D())
-	r.Costs.Events = day.Steps
+	r = report.Of(simulation.Model).Name(s.Name, modeVirtual, decider, s.Seed, s.Schedulers.Count,
+		len(simulation.Model.Fleet.Machines), s.Length.D())
+	r.Costs.Events = simulation.Steps
 	return reader.addCounts(r), nil
 }
--- a/cmd/stoatweir/lab_scale_command.go
+++ b/cmd/stoatweir/lab_scale_command.go
@@ -11,56 +11,57 @@
 
 // scaleOptions are the flags of lab scale.
 type scaleOptions struct {
-	// program is the scheduler that is measured; empty: this program.
+	// program is the path of the scheduler to measure. If empty, this program is used.
 	program string
-	// only are the values of the sweep that are played; empty: all.
-	only []float64
-	// set are settings that go before the scenario's.
-	set      []string
-	jsonFile string
-	plotFile string
+	// sweepValues selects the values of the sweep to run. If empty, all are run.
+	sweepValues []float64
+	// overrides are settings, written key = value, that override those of the scenario file.
+	overrides []string
+	jsonFile  string
+	plotFile  string
 }
 
-// scaleCommand plays a part of a large fleet on this machine, step by step of a sweep.
+// scaleCommand returns the command lab scale, which runs a part of a large fleet on this machine
+// for each value of a sweep.
 func scaleCommand() *cobra.Command {
 	var o scaleOptions
 	c := &cobra.Command{
 		Use:   "scale SCENARIO",
-		Short: "Measure what a large fleet costs a scheduler: real schedulers beside emulated peers",
+		Short: "Measure the cost of a large fleet to a scheduler: real schedulers among emulated peers",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(c *cobra.Command, files []string) error { return o.run(c, files[0]) },
 	}
-	c.Flags().StringVar(&o.program, "bin", "", "the scheduler program that is measured; this program if left out")
-	c.Flags().Float64SliceVar(&o.only, "only", nil, "run these `values` of the sweep only; with --json they are merged into the file")
-	c.Flags().StringArrayVar(&o.set, "set", nil, "a `key = value` that overrides the file; may be repeated")
-	c.Flags().StringVar(&o.jsonFile, "json", "", "a `file` for all figures as JSON")
+	c.Flags().StringVar(&o.program, "bin", "", "the scheduler program to measure; this program if left out")
+	c.Flags().Float64SliceVar(&o.sweepValues, "only", nil, "run these `values` of the sweep only; with --json they are merged into the file")
+	c.Flags().StringArrayVar(&o.overrides, "set", nil, "a `key = value` that overrides the file; may be repeated")
+	c.Flags().StringVar(&o.jsonFile, "json", "", "a `file` for all measurements as JSON")
 	c.Flags().StringVar(&o.plotFile, "plot", "", "a `file` for a plot, .png")
 	return c
 }
 
 func (o *scaleOptions) run(c *cobra.Command, file string) error {
-	s, err := scale.Read(file, o.set...)
+	s, err := scale.Read(file, o.overrides...)
 	if err != nil {
 		return err
 	}
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	program := o.program
 	if program == "" {
-		program = own
+		program = executable
 	}
-	r, err := o.report(s, file)
+	r, err := o.initialReport(s, file)
 	if err != nil {
 		return err
 	}
-	values := o.values(s)
+	values := o.selectedValues(s)
 	steps, err := scaleSteps(s, file, values)
 	if err != nil {
 		return err
 	}
-	rig := scale.Rig{Scheduler: program, Hollow: []string{own, "lab", "hollow"}}
+	rig := scale.Rig{Scheduler: program, Hollow: []string{executable, "lab", "hollow"}}
 	for i, step := range steps {
 		measured, err := rig.Play(c.Context(), step)
 		if err != nil {
@@ -76,10 +77,11 @@
 	return writeFile(o.plotFile, r.Plot)
 }
 
-// report is what the measurements are added to: with --only the stored one.
-func (o *scaleOptions) report(s scale.Scenario, file string) (scale.Report, error) {
+// initialReport returns the report to which measurements are added. With --only it is the stored
+// one.
+func (o *scaleOptions) initialReport(s scale.Scenario, file string) (scale.Report, error) {
 	var r scale.Report
-	if o.jsonFile != "" && len(o.only) > 0 {
+	if o.jsonFile != "" && len(o.sweepValues) > 0 {
 		stored, err := scale.ReadReport(o.jsonFile)
 		if err != nil {
 			return r, err
@@ -89,25 +91,27 @@
 	r.Name = s.Name
 	r.Key = s.Sweep.Key
 	r.Command = "stoatweir lab scale " + file
-	for _, setting := range o.set {
+	for _, setting := range o.overrides {
 		r.Command += " --set '" + setting + "'"
 	}
 	return r, nil
 }
 
-// values are those of the sweep that are played. Without a sweep there is one step.
-func (o *scaleOptions) values(s scale.Scenario) []float64 {
+// selectedValues returns the values of the sweep to run. A scenario without a sweep has one step
+// with the value 0.
+func (o *scaleOptions) selectedValues(s scale.Scenario) []float64 {
 	switch {
 	case s.Sweep.Key == "":
 		return []float64{0}
-	case len(o.only) > 0:
-		return o.only
+	case len(o.sweepValues) > 0:
+		return o.sweepValues
 	default:
 		return s.Sweep.Values
 	}
 }
 
-// scaleSteps checks all steps before the first one starts anything.
+// scaleSteps returns the scenario of each step. It checks all of them against this machine, so that
+// an unsuitable one is reported before the first step starts any process.
 func scaleSteps(s scale.Scenario, file string, values []float64) ([]scale.Scenario, error) {
 	machine, err := scale.This()
 	if err != nil {
@@ -127,7 +131,8 @@
 	return steps, nil
 }
 
-// hollowCommand is a process that simulates a part of the fleet. The rig starts it.
+// hollowCommand returns the hidden command lab hollow, which lab scale starts as a separate process
+// to emulate a part of the fleet.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "hollow",
--- a/cmd/stoatweir/lifecycle.go
+++ b/cmd/stoatweir/lifecycle.go
@@ -7,35 +7,37 @@
 	"stoatweir/internal/lifecycle"
 )
 
-// drainPollInterval is how often a draining process looks whether it is idle.
+// drainPollInterval is how often a draining process checks whether it is idle and can exit.
 const drainPollInterval = 10 * time.Millisecond
 
-// transition takes a step of the life cycle and applies what follows from it. step reports whether it is allowed in the
-// present state.
+// transition performs a lifecycle transition and applies its consequences. step performs the
+// transition and reports whether it is allowed in the current state; transition returns that
+// result. event names the cause in the log.
 func (s *service) transition(event string, step func() bool) bool {
 	before := s.lifecycle.State()
-	done := step()
-	now := s.lifecycle.State()
-	if now == before {
-		if !done {
-			s.log.WithField("event", event).WithField("state", now.String()).Warn("lifecycle command rejected")
+	allowed := step()
+	after := s.lifecycle.State()
+	if after == before {
+		if !allowed {
+			s.log.WithField("event", event).WithField("state", after.String()).Warn("lifecycle command rejected")
 		}
-		return done
+		return allowed
 	}
 	s.log.WithField("event", event).
 		WithField("from", before.String()).
-		WithField("to", now.String()).
+		WithField("to", after.String()).
 		WithField("in_flight", s.clients.InFlight()).
 		Info("lifecycle state changed")
-	if now == lifecycle.Ready {
+	if after == lifecycle.Ready {
 		s.takeover.Ready()
 	}
-	s.publishedState.Store(uint32(now))
+	s.publishedState.Store(uint32(after))
 	s.applyLifecycle()
-	return done
+	return allowed
 }
 
-// applyLifecycle behaves as the life cycle has it, now and at each moment at which that changes.
+// applyLifecycle applies the behavior that the lifecycle prescribes at this time, and schedules
+// itself for the next change.
 func (s *service) applyLifecycle() {
 	s.lifecycleTimer.Stop()
 	now := s.loop.Now()
@@ -45,7 +47,7 @@
 		s.takeover.MigrateConnections()
 	}
 	if behavior.FailsRemaining {
-		s.failRemaining(reasonTimeToStopOver)
+		s.failRemaining(reasonStopTimeOver)
 	}
 	if behavior.Exits || behavior.ExitsWhenIdle && s.drained(behavior) {
 		s.loop.Stop()
@@ -62,7 +64,8 @@
 	}
 }
 
-// drained reports whether nothing is owed any more, and stops accepting connections if so.
+// drained reports whether no request is in flight and no connection is busy or left to migrate. If
+// so, it stops accepting connections.
 func (s *service) drained(behavior lifecycle.Behavior) bool {
 	if behavior.Migrates && !behavior.ClosesIdle && s.clients.HasMigratable() {
 		return false
@@ -70,10 +73,11 @@
 	return s.clients.InFlight() == 0 && !s.clients.Busy() && s.clients.StopAccepting()
 }
 
-// stop is the order to exit. Clients go on coming for a while, and requests in flight are still worth serving; those that
-// can't be served in time are answered as errored, which promises nothing, well before a kill would lose them.
+// stop starts the shutdown. Clients keep connecting for a while, and requests in flight are still
+// served. Requests that cannot be completed in time are failed, which leaves open whether they have
+// run, well before the process would be killed and lose them.
 func (s *service) stop() {
-	longestTimeout := cmp.Or(s.deployment.LongestTimeout, s.clients.LongestTimeout) // without a setting: what clients said
+	longestTimeout := cmp.Or(s.deployment.LongestTimeout, s.clients.LongestTimeout) // without a setting, the longest that clients sent
 	s.transition("stop requested", func() bool {
 		s.lifecycle.Stop(s.loop.Now(), longestTimeout)
 		return true
--- a/cmd/stoatweir/limits.go
+++ b/cmd/stoatweir/limits.go
@@ -7,43 +7,49 @@
 )
 
 const (
-	// reservedDescriptors are those that are no connections: standard ones, poller, listener, a successor's.
+	// reservedDescriptors is the number of descriptors for other things than connections: the
+	// standard streams, the poller, the listener and the link to a successor.
 	reservedDescriptors = 16
-	// adminDescriptors are those of operators' calls: the listener, and the call that is accepted before another is closed.
-	adminDescriptors = maxAdminCalls + 2
+	// adminDescriptors is the number of descriptors for admin calls: one for each concurrent call,
+	// one for the listener, and one for a call that is accepted before another is closed.
+	adminDescriptors = maxConcurrentAdminCalls + 2
 
-	// memoryReserveShare is the part of the memory quota that is not the garbage collector's to use: what lies outside its
-	// count (the program, the kernel's pages for threads, what exceeds the limit for a moment).
+	// memoryReserveShare is the share of the memory quota that is kept back from the garbage
+	// collector's limit. It covers memory that the collector does not count (the program itself,
+	// the kernel's pages for threads) and short excursions over the limit.
 	memoryReserveShare = 0.4
-	// memoryReserveMaxMB is the largest reserve in MiB, as it does not grow with the quota. A limit below what is in flight
-	// has the collector run without end: with 5,900 requests in flight 0.6 of 256 MiB took the whole core.
-	memoryReserveMaxMB = 48
-	// bytesPerMB converts MiB.
-	bytesPerMB = 1 << 20
+	// maxMemoryReserveMiB caps the reserve, as the memory it covers does not grow with the quota. A
+	// limit below the live heap makes the collector run continuously: with 5,900 requests in
+	// flight, a limit of 0.6 of 256 MiB used a whole core.
+	maxMemoryReserveMiB = 48
+	// bytesPerMiB is the number of bytes in a MiB.
+	bytesPerMiB = 1 << 20
 )
 
-// SetQuotas sets how many descriptors and how many MiB of memory this process may use. It implements takeover.Lifecycle.
+// SetQuotas sets the number of descriptors and the MiB of memory that this process may use. It
+// implements takeover.Lifecycle.
 func (s *service) SetQuotas(sockets, memoryMB int) {
 	s.setSocketLimit(sockets)
-	debug.SetMemoryLimit(memoryLimit(memoryMB))
+	debug.SetMemoryLimit(memoryLimitBytes(memoryMB))
 }
 
-// memoryLimit is the garbage collector's limit in bytes for a memory quota in MiB.
-func memoryLimit(memoryMB int) int64 {
+// memoryLimitBytes returns the garbage collector's memory limit in bytes for a memory quota in MiB.
+func memoryLimitBytes(memoryMB int) int64 {
 	quota := float64(memoryMB)
-	reserve := min(memoryReserveShare*quota, memoryReserveMaxMB)
-	return int64((quota - reserve) * bytesPerMB)
+	reserve := min(memoryReserveShare*quota, maxMemoryReserveMiB)
+	return int64((quota - reserve) * bytesPerMiB)
 }
 
-// setSocketLimit divides the descriptors. Clients and callbacks have five eighths of them, four for requests in flight;
-// connections to workers have the rest.
+// setSocketLimit divides the descriptors that are left after the reserved ones. Five eighths are
+// for connections of clients and callbacks, of which four eighths bound the requests in flight.
+// Three eighths are for connections to workers.
 func (s *service) setSocketLimit(sockets int) {
 	sockets -= reservedDescriptors
 	if s.process.Admin != "" {
 		sockets -= adminDescriptors
 	}
 	if s.tenancy != nil {
-		sockets -= apiDescriptors
+		sockets -= tenantAPIDescriptors
 	}
 	workerSockets := sockets * 3 / 8
 	s.clients.SetMaxInFlight(sockets / 2)
@@ -51,7 +57,8 @@
 	s.workerQuota.Resize(workerSockets)
 }
 
-// applySocketRules sets what holds on sockets, whatever the settings say.
+// applySocketRules overrides settings that cannot be chosen freely when the scheduler runs on real
+// sockets.
 func applySocketRules(d *dispatch.Config) {
 	d.Rules.PollWithin = min(d.Rules.PollWithin, maxPollInterval)
 	d.NotifiesAccepted = true
--- a/cmd/stoatweir/log.go
+++ b/cmd/stoatweir/log.go
@@ -7,25 +7,28 @@
 	"time"
 )
 
-// logQueueLines is how many lines may wait to be written.
-const logQueueLines = 256
+// maxQueuedLogLines is the maximum number of log lines waiting to be written.
+const maxQueuedLogLines = 256
 
-// asyncWriter writes log lines by a goroutine of its own: whoever reads our log may stall, and the event loop must not wait
-// for that. Lines that do not fit into the queue are dropped and counted.
+// asyncWriter writes log lines on a separate goroutine, because the reader of the log may stall and
+// the event loop must not block on it. Lines that do not fit into the queue are dropped and
+// counted.
 type asyncWriter struct {
 	queue chan []byte
-	// closed is closed by close. Lines that are written after it go nowhere.
+	// closed is closed by close. Lines written after that are discarded.
 	closed    chan struct{}
 	closeOnce sync.Once
-	// done is closed when the queue is written.
+	// done is closed once the queue has been written out.
 	done chan struct{}
-	// dropped counts lines since the last one that fitted. The logger's lock protects it.
+	// dropped is the number of lines dropped since the last line that was queued. It is protected
+	// by the logger's lock.
 	dropped int
 }
 
+// newAsyncWriter starts a writer of log lines to the given destination.
 func newAsyncWriter(to io.Writer) *asyncWriter {
 	w := &asyncWriter{
-		queue:  make(chan []byte, logQueueLines),
+		queue:  make(chan []byte, maxQueuedLogLines),
 		closed: make(chan struct{}),
 		done:   make(chan struct{}),
 	}
@@ -33,7 +36,7 @@
 	return w
 }
 
-// writeLines writes lines until close, and then what is in the queue.
+// writeLines writes queued lines until close is called, and then the lines that are still queued.
 func (w *asyncWriter) writeLines(to io.Writer) {
 	defer close(w.done)
 	for {
@@ -49,7 +52,8 @@
 	}
 }
 
-// Write implements io.Writer. It queues a line or drops it, and never blocks.
+// Write implements io.Writer. It queues the line, or drops it if the queue is full, and never
+// blocks.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	queued := append([]byte(nil), line...) // the logger reuses its buffer
 	if w.dropped > 0 {
@@ -64,7 +68,8 @@
 	return len(line), nil
 }
 
-// close waits for the queue to be written, for as long as timeout. Others may go on logging meanwhile, and after it.
+// close stops the writer and waits up to timeout until the queued lines are written. Other
+// goroutines may call Write during and after close.
 func (w *asyncWriter) close(timeout time.Duration) {
 	w.closeOnce.Do(func() { close(w.closed) })
 	select {
--- a/cmd/stoatweir/main.go
+++ b/cmd/stoatweir/main.go
@@ -1,5 +1,6 @@
-// Command stoatweir is one scheduler: it accepts requests from clients and forwards them to workers as the dispatcher
-// decides. With a command it plays scenarios, or manages the tenants of a running scheduler.
+// Command stoatweir is the scheduler: it accepts requests from clients and forwards them to the
+// workers that the dispatcher selects. With a subcommand it simulates scenarios, or manages the
+// tenants of a running scheduler.
 package main
 
 import (
@@ -21,9 +22,9 @@
 )
 
 const (
-	// logTimeFormat is that of log lines, to the millisecond.
+	// logTimeFormat is the format of the time in log lines, with milliseconds.
 	logTimeFormat = "15:04:05.000"
-	// logCloseTimeout is how long an exit waits for the last log lines to be written.
+	// logCloseTimeout is how long the exiting process waits for the last log lines to be written.
 	logCloseTimeout = 100 * time.Millisecond
 )
 
@@ -34,15 +35,17 @@
 	runScheduler()
 }
 
-// runScheduler serves until the process is told to stop.
+// runScheduler runs the scheduler until the process receives a signal to stop.
 func runScheduler() {
-	// First of all: a signal that came any earlier would end the process, also with clients in the accept queue of its address.
-	// Signals to reload that come while one is carried out are one, as the file is read after the last.
+	// The signals are registered before anything else: until then a signal kills the process, and
+	// with a shared address there may already be clients in its accept queue. Reload signals that
+	// arrive while a reload is in progress are merged into one, which suffices because the file is
+	// read after the last of them.
 	reloads := make(chan os.Signal, 1)
 	stops := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
-	// Whoever reads our log may go away: that is no reason to exit.
+	// The reader of the log may exit, which must not terminate the scheduler.
 	signal.Ignore(syscall.SIGPIPE)
 	stopped := func() bool { return len(stops) > 0 }
 
@@ -55,7 +58,7 @@
 	if err != nil {
 		log.WithError(err).Fatal("configuration unusable")
 	}
-	runtime.GOMAXPROCS(1) // one core is ours; more threads would only take turns on it
+	runtime.GOMAXPROCS(1) // the process has one core; more threads would only compete for it
 	entry := log.WithField("node", process.Name)
 	address, err := acquireAddress(process, os.TempDir(), entry, stopped)
 	if errors.Is(err, takeover.ErrStopped) {
@@ -79,18 +82,21 @@
 	out.close(logCloseTimeout)
 }
 
+// newLogger returns the logger of the process, which writes to standard error.
 func newLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: logTimeFormat})
 	return log
 }
 
+// readProcess reads the process configuration from the environment and the file it names.
 func readProcess() (settings.Process, error) { return settings.ReadProcess(os.Getenv) }
 
-// listenAt opens a socket that a successor may share.
+// listenAt opens a listening socket whose address a successor process can share. Tests replace it.
 var listenAt = handover.ListenReusePort
 
-// acquireAddress gets the predecessor's socket or opens one, for which it waits while the machine has none to give.
+// acquireAddress takes over the predecessor's listening socket or opens a new one, and retries
+// while opening fails with a transient error.
 func acquireAddress(process settings.Process, dir string, log *logrus.Entry, stopped func() bool) (takeover.Address, error) {
 	return takeover.Acquire(takeover.AddressConfig{
 		ListenAddress: process.Listen,
@@ -104,7 +110,8 @@
 	})
 }
 
-// startService makes the service, and serves operators and administrators. It ends the process where that can't be done.
+// startService creates the service and starts serving admin calls and the tenant API. It exits the
+// process if that fails.
 func startService(process settings.Process, address takeover.Address, log *logrus.Entry) *service {
 	s, err := newService(process, log)
 	if err != nil {
@@ -120,7 +127,7 @@
 		if err != nil && !isTransient(err) {
 			log.WithError(err).WithField("address", process.Admin).Fatal("admin listen failed")
 		}
-		go serveAdmin(listener, process.Admin, admin.New(s.adminCommands(), maxAdminCalls), log)
+		go serveAdmin(listener, process.Admin, admin.New(s.adminCommands(), maxConcurrentAdminCalls), log)
 	}
 	if s.tenancy != nil {
 		go s.tenancy.followStore()
--- a/cmd/stoatweir/migration.go
+++ b/cmd/stoatweir/migration.go
@@ -8,60 +8,66 @@
 	"stoatweir/internal/takeover"
 )
 
-// The service as package takeover sees it.
+// The take-over uses the service through this interface.
 var _ takeover.Service = (*service)(nil)
 
-// Request implements takeover.Requests.
+// Request returns a tracked request. It implements takeover.Requests.
 func (s *service) Request(id dispatch.InvocationID) (takeover.Request, bool) {
-	r := s.requests[id]
-	if r == nil {
+	request := s.requests[id]
+	if request == nil {
 		return takeover.Request{}, false
 	}
-	return takeover.Request{Invocation: r.Invocation, Operation: r.operation, Attempts: r.attempts}, true
+	return takeover.Request{Invocation: request.Invocation, Operation: request.operation, Attempts: request.attempts}, true
 }
 
-// BeginMigration implements takeover.Requests.
+// BeginMigration moves a request from the tracked to the migrating ones and tells the dispatcher
+// that it has left. It implements takeover.Requests.
 func (s *service) BeginMigration(id dispatch.InvocationID) {
-	r := s.requests[id]
-	s.workers.ReleaseAttempts(id, r.attempts)
+	request := s.requests[id]
+	s.workers.ReleaseAttempts(id, request.attempts)
 	delete(s.requests, id)
-	s.migrating[id] = r
+	s.migrating[id] = request
 	s.Notify(dispatch.MigratedOut{Invocation: id})
 }
 
-// FinishMigration implements takeover.Requests.
+// FinishMigration forgets a request that the successor has adopted. It implements
+// takeover.Requests.
 func (s *service) FinishMigration(id dispatch.InvocationID) { delete(s.migrating, id) }
 
-// CancelMigration implements takeover.Requests.
+// CancelMigration tracks a migrating request again after its migration failed. It implements
+// takeover.Requests.
 func (s *service) CancelMigration(id dispatch.InvocationID, record dispatch.MigratedIn) {
-	r := s.migrating[id]
+	request := s.migrating[id]
 	delete(s.migrating, id)
-	s.requests[id] = r
+	s.requests[id] = request
 	for number, attempt := range record.Attempts {
 		if attempt.InFlight {
-			s.workers.AdoptAttempt(r.Invocation, number, attempt.Worker)
+			s.workers.AdoptAttempt(request.Invocation, number, attempt.Worker)
 		}
 	}
 	s.Notify(record)
 }
 
-// AdoptRequest implements takeover.Requests.
+// AdoptRequest tracks a request that was migrated from the predecessor. It implements
+// takeover.Requests.
 func (s *service) AdoptRequest(request takeover.Request, record dispatch.MigratedIn) {
-	r := &trackedRequest{Invocation: request.Invocation, operation: request.Operation, attempts: request.Attempts}
-	s.requests[record.Invocation] = r
+	tracked := &trackedRequest{Invocation: request.Invocation, operation: request.Operation, attempts: request.Attempts}
+	s.requests[record.Invocation] = tracked
 	for number, attempt := range record.Attempts {
-		s.workers.MarkAttempted(r.Invocation, attempt.Worker)
+		s.workers.MarkAttempted(tracked.Invocation, attempt.Worker)
 		if attempt.InFlight {
-			r.inFlight++
-			s.workers.AdoptAttempt(r.Invocation, number, attempt.Worker)
+			tracked.inFlight++
+			s.workers.AdoptAttempt(tracked.Invocation, number, attempt.Worker)
 		}
 	}
-	s.workers.Invariants.MigrateIn(record.Invocation, s.requestLimits(r.Invocation, r.operation), s.migratedAttempts(record.Attempts))
+	s.workers.Invariants.MigrateIn(record.Invocation, s.requestLimits(tracked.Invocation, tracked.operation),
+		s.migratedAttemptsOf(record.Attempts))
 	s.Notify(record)
 }
 
-// TenantIndex implements takeover.Requests. Without tenants of its own the deployment lists the names that it knows; the
-// index behind the last one stands for all others.
+// TenantIndex returns the dispatcher's index of a request's tenant. If no tenants are served, it is
+// the index in the deployment's list of tenant names; the index after the last one stands for all
+// other names. It implements takeover.Requests.
 func (s *service) TenantIndex(requestID, tenantName string) (index int, known bool) {
 	if s.tenancy != nil {
 		return s.tenancy.tenantIndex(requestID)
@@ -73,14 +79,15 @@
 	return index, true
 }
 
-// Deployment implements takeover.Dispatcher.
+// Deployment returns the settings in force. It implements takeover.Dispatcher.
 func (s *service) Deployment() *settings.Deployment { return &s.deployment }
 
-// MigrationRecord implements takeover.Dispatcher. The dispatcher's record is of its last decision.
+// MigrationRecord returns the dispatcher's record of a request. The dispatcher's ages are as of its
+// last decision, so they are advanced to the present time. It implements takeover.Dispatcher.
 func (s *service) MigrationRecord(id dispatch.InvocationID) (dispatch.MigratedIn, bool) {
 	record, known := s.dispatcher.MigrationRecord(id)
 	return record.Aged(max(0, s.loop.Now()-s.lastDecision)), known
 }
 
-// Snapshot implements takeover.Dispatcher.
+// Snapshot returns the dispatcher's state for a successor. It implements takeover.Dispatcher.
 func (s *service) Snapshot() dispatch.Snapshot { return s.dispatcher.Snapshot() }
--- a/cmd/stoatweir/reload.go
+++ b/cmd/stoatweir/reload.go
@@ -9,7 +9,8 @@
 	"stoatweir/internal/settings"
 )
 
-// reloadOnSignal reads the configuration anew at each signal, beside the event loop, which must not wait for a disk.
+// reloadOnSignal reloads the configuration at each signal. It reads the file on its own goroutine,
+// because the event loop must not block on disk access.
 func (s *service) reloadOnSignal(signals <-chan os.Signal, read func() (settings.Process, error)) {
 	neverStopped := func() bool { return false }
 	for range signals {
@@ -18,8 +19,9 @@
 	}
 }
 
-// applyConfiguration follows a newer configuration, whole or not at all: one that can't be used must not cost the service
-// what it has.
+// applyConfiguration applies a reloaded configuration completely or not at all: after an unusable
+// one the service keeps running with the configuration it has. err is the error from reading the
+// new one.
 func (s *service) applyConfiguration(process settings.Process, err error) {
 	if err == nil {
 		err = s.process.MissingKey(process)
@@ -29,8 +31,8 @@
 		s.log.WithError(err).Error("configuration rejected, keeping the last one")
 		return
 	}
-	if keys := s.process.StartOnlyChanges(process); len(keys) > 0 {
-		s.log.WithField("keys", strings.Join(keys, ", ")).Warn("configuration changes need a restart")
+	if restartKeys := s.process.StartOnlyChanges(process); len(restartKeys) > 0 {
+		s.log.WithField("keys", strings.Join(restartKeys, ", ")).Warn("configuration changes need a restart")
 	}
 	s.configured = process.Deployment
 	s.reconfigure(s.configured)
@@ -43,7 +45,8 @@
 	s.log.Info("configuration applied")
 }
 
-// reconfigure puts newer settings in force. An index of an operation is used again only once no request has it.
+// reconfigure applies newer settings. The index of a removed operation is not reused while a
+// request still refers to it.
 func (s *service) reconfigure(newer settings.Deployment) {
 	if s.tenancy != nil {
 		newer = newer.WithTenants(s.tenancy.tenants, s.process.Tenants.ExcessValue)
@@ -63,7 +66,8 @@
 	s.Notify(dispatch.Reconfigured{Config: deployment.Dispatch, PreviousOperations: previousOperations})
 }
 
-// operationsInUse are the indices of operations that requests have, also those that may come back from a successor.
+// operationsInUse returns the indices of the operations of all requests, including those that are
+// migrating to a successor and may come back.
 func (s *service) operationsInUse() map[int]bool {
 	inUse := map[int]bool{}
 	for _, request := range s.requests {
--- a/cmd/stoatweir/reload_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -26,8 +26,8 @@
 	settings["Operations"] = list
 }
 
-// waitUntilRunning waits until a worker runs an invocation. The published totals don't show that: they may be publishDelay
-// old, and count what other clients had in flight.
+// waitUntilRunning waits until a worker runs an invocation. The published totals don't show that:
+// they may be totalsPublishDelay old, and count what other clients had in flight.
 func (r *rig) waitUntilRunning(id string) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !r.isRunning(id); time.Sleep(time.Millisecond) {
@@ -113,7 +113,7 @@
 	if status := <-answer; status != 200 {
 		t.Error("of a class that has gone meanwhile:", status)
 	}
-	time.Sleep(2 * publishDelay)
+	time.Sleep(2 * totalsPublishDelay)
 	got := p.figures(t)
 	if got["svc_sighup_rejected_total"] != 8 || applied < 2 || got["svc_sighup_applied_total"] != applied+1 ||
 		got[result("fresh", "succeeded")] != 2 {
--- a/cmd/stoatweir/retry.go
+++ b/cmd/stoatweir/retry.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// retryWindow is how long a start waits for what the machine can't give for a moment: nine in ten processes have to be
-	// ready within 10 s.
+	// retryWindow is how long transient errors are retried at start. It leaves time for the rest of
+	// the start, as nine in ten processes have to be ready within 10 s.
 	retryWindow = 6 * time.Second
-	// retryDelay is the time between two attempts. It does not grow, as the time to be ready is short.
+	// retryDelay is the time between two attempts. It is constant, without backoff, because the
+	// time to become ready is short.
 	retryDelay = 25 * time.Millisecond
 )
 
-// transientErrors are those by which a machine says that it can't give something now.
+// transientErrors are the errors by which the system reports that a resource is unavailable at
+// present.
 var transientErrors = []error{
 	syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE,
@@ -30,17 +32,19 @@
 	syscall.EIO,
 }
 
+// isTransient reports whether an error is one of transientErrors.
 func isTransient(err error) bool {
 	return slices.ContainsFunc(transientErrors, func(transient error) bool { return errors.Is(err, transient) })
 }
 
-// retryTransient attempts something until it succeeds, fails for good, or retryWindow has passed, and gives the result of
-// the last attempt. The error is takeover.ErrStopped if the process was told to stop between two attempts.
+// retryTransient calls attempt until it succeeds, fails with an error that is not transient, or
+// retryWindow has passed, and returns the result of the last call. It returns takeover.ErrStopped
+// if the process was told to stop between two attempts.
 func retryTransient[T any](stopped func() bool, attempt func() (T, error)) (T, error) {
-	began := time.Now()
+	start := time.Now()
 	for {
 		result, err := attempt()
-		if err == nil || !isTransient(err) || time.Since(began) > retryWindow {
+		if err == nil || !isTransient(err) || time.Since(start) > retryWindow {
 			return result, err
 		}
 		if stopped() {
--- a/cmd/stoatweir/run.go
+++ b/cmd/stoatweir/run.go
@@ -8,47 +8,51 @@
 )
 
 const (
-	// endpointWait is how long a start without a cached endpoint list waits for the list before it reports that it is ready.
-	endpointWait = time.Second
-	// cachedEndpointWait is the same with a cached list. There is no time to lose then: while schedulers are restarted in
-	// turn, the next one may have been stopped already, and clients have nobody to ask. Workers that have gone since show by
-	// themselves, and the list follows.
-	cachedEndpointWait = 50 * time.Millisecond
-	// successorEndpointWait is the same for a successor: the predecessor serves meanwhile, but it must be ready within 6 s.
-	successorEndpointWait = 3500 * time.Millisecond
+	// initialListTimeout is how long a process without a cached endpoint list waits for the list
+	// before it reports ready.
+	initialListTimeout = time.Second
+	// cachedListTimeout is the same with a cached list. It is short because during a rolling
+	// restart the next scheduler may already have been stopped, which would leave clients without
+	// any. Workers that are gone by now are detected when they are used, and the current list
+	// arrives later.
+	cachedListTimeout = 50 * time.Millisecond
+	// successorListTimeout is the same for a successor. It can be longer because the predecessor
+	// serves in the meantime, but the successor must be ready within 6 s.
+	successorListTimeout = 3500 * time.Millisecond
 )
 
-// run serves at an address until the order to stop has been carried out.
+// run serves at an address until the service has stopped.
 func (s *service) run(address takeover.Address) {
-	cached := s.loadCachedEndpoints()
-	s.loop.After(readyDelay(address.Shared, cached), s.EndpointsKnown) // with discovery down we must serve too
+	hasCachedWorkers := s.loadCachedEndpoints()
+	s.loop.After(initialListTimeoutFor(address.Shared, hasCachedWorkers), s.EndpointsKnown) // serve even if discovery is down
 	s.takeover.Start(address)
 	if s.deployment.Dispatch.EndpointsPushed {
-		s.endpoints.Watch() // the dispatcher does not ask for endpoints that are pushed; here the first list is asked for
+		s.endpoints.Watch() // the dispatcher doesn't request watches of pushed lists
 	}
 	if s.tenancy != nil {
 		s.tenancy.updateQuotas()
 	}
-	s.Notify(dispatch.TimerFired{}) // the dispatcher has things to begin, also where nothing is known
+	s.Notify(dispatch.TimerFired{}) // lets the dispatcher start its periodic work even if no endpoints are known
 	s.Decide()
 	s.publishTotals()
 	s.loop.Run(s.Decide)
 	s.close()
 }
 
-// readyDelay is how long a start waits for an endpoint list at most.
-func readyDelay(shared, cached bool) time.Duration {
+// initialListTimeoutFor returns how long the process waits for its first endpoint list before it
+// reports ready.
+func initialListTimeoutFor(hasPredecessor, hasCachedWorkers bool) time.Duration {
 	switch {
-	case shared:
-		return successorEndpointWait
-	case cached:
-		return cachedEndpointWait
+	case hasPredecessor:
+		return successorListTimeout
+	case hasCachedWorkers:
+		return cachedListTimeout
 	default:
-		return endpointWait
+		return initialListTimeout
 	}
 }
 
-// close releases what outlives the event loop.
+// close releases the resources that are still open after the event loop has ended.
 func (s *service) close() {
 	for _, id := range s.clients.Unanswered() {
 		s.workers.Invariants.CheckClose(id)
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -21,94 +21,110 @@
 )
 
 const (
-	// noDecision is a time of the event loop before the first decision.
+	// noDecision is the value of lastDecision before the first decision. It is below all event-loop
+	// times.
 	noDecision time.Duration = -1
 
-	// maxServingLatency is the longest serving latency that the histogram tells apart.
+	// maxServingLatency is the upper bound of the serving latency histogram.
 	maxServingLatency = time.Minute
-	// servingLatencyDigits is the histogram's precision in decimal digits.
+	// servingLatencyDigits is the precision of the serving latency histogram in significant decimal
+	// digits.
 	servingLatencyDigits = 3
-	// maxDecisionLatency is the longest decision latency that the histogram tells apart.
+	// maxDecisionLatency is the upper bound of the decision latency histogram.
 	maxDecisionLatency = 10 * time.Second
-	// decisionLatencyDigits is the histogram's precision in decimal digits.
+	// decisionLatencyDigits is the precision of the decision latency histogram in significant
+	// decimal digits.
 	decisionLatencyDigits = 2
 )
 
-// service connects the dispatcher with the world: one event loop owns it, hands it what has happened and executes what it
-// decides. Unless a field says otherwise, the event loop's goroutine alone uses it once run has begun.
+// service connects the dispatcher to the network. A single event loop passes events to the
+// dispatcher and executes its actions. Unless a field's comment says otherwise, only the event
+// loop's goroutine may access the fields once run has been called.
 type service struct {
 	log  *logrus.Entry
 	loop *conn.Loop
 
-	// process is the configuration of the start. Its discovery address and its text follow reloads.
+	// process is the configuration that the process was started with. Reloads update only its
+	// discovery address and its text.
 	process settings.Process
-	// configured are the settings of the newest configuration, without the operations that tenants add.
+	// configured holds the settings of the latest configuration, without the operations that
+	// tenants add.
 	configured settings.Deployment
-	// deployment are the settings in force: configured with the tenants' operations, with stable indices over reloads.
+	// deployment holds the settings in force: configured together with the tenants' operations. The
+	// indices of operations in use are stable across reloads.
 	deployment settings.Deployment
 
-	// The parts. They report to the service by their hooks, which connect sets.
+	// The components of the service. They report to it through hooks, which connect sets.
 	clients   *clients.Server
 	workers   *workers.Transport
 	endpoints *discovery.Watcher
 	takeover  *takeover.Manager
-	gossip    *gossip.Transport // nil: there are no other schedulers
-	tenancy   *tenancy          // nil: no tenants are served
+	gossip    *gossip.Transport // nil if there are no other schedulers
+	tenancy   *tenancy          // nil if no tenants are served
 
-	// clientQuota are the descriptors for connections of clients, and of workers that send callbacks.
+	// clientQuota limits the descriptors for connections from clients and from workers that send
+	// callbacks.
 	clientQuota *conn.Quota
-	// workerQuota are the descriptors for connections to workers.
+	// workerQuota limits the descriptors for connections to workers.
 	workerQuota *conn.Quota
 
-	// dispatcher decides. It is replaced if it panics.
+	// dispatcher makes all scheduling decisions. It is replaced by a new one if it panics.
 	dispatcher *dispatch.Dispatcher
-	// seed is the random seed of the present dispatcher; each next one gets the next number.
+	// seed is the random seed of the current dispatcher. It is incremented for each replacement.
 	seed int64
-	// events are what the dispatcher has not been notified of yet, in the order in which they happened.
+	// events holds the events that have not been passed to the dispatcher yet, in the order in
+	// which they occurred.
 	events []dispatch.Event
-	// lastDecision is the time that the dispatcher was called with last; each call is later than the one before.
+	// lastDecision is the time that was passed to the dispatcher in its last call. It increases
+	// strictly from call to call.
 	lastDecision time.Duration
-	// dispatchTimer is the last one that the dispatcher has set; it sets one at a time.
+	// dispatchTimer is the timer that the dispatcher has set. It has at most one; setting another
+	// replaces it.
 	dispatchTimer *conn.Timer
-	// requests are those that the dispatcher may still speak of.
+	// requests holds the requests that dispatcher actions may still refer to.
 	requests map[dispatch.InvocationID]*trackedRequest
-	// migrating are requests that are on their way to a successor and may come back. None is in requests too.
+	// migrating holds the requests that are being migrated to a successor and may come back. None
+	// of them is in requests.
 	migrating map[dispatch.InvocationID]*trackedRequest
 
 	lifecycle lifecycle.Lifecycle
-	// lifecycleTimer rings when the behavior changes next.
+	// lifecycleTimer fires when the behavior that lifecycle prescribes changes next.
 	lifecycleTimer *conn.Timer
-	// publishedState is the lifecycle.State, for any goroutine.
+	// publishedState is a copy of the lifecycle.State that any goroutine may read.
 	publishedState atomic.Uint32
 
-	// cachedEndpoints is the endpoint list that the configuration brought; nil: none.
+	// cachedEndpoints is the endpoint list from the configuration, as text. It is nil if there is
+	// none.
 	cachedEndpoints []byte
-	// failedWatches is how many watches of a pushed endpoint list have failed in a row.
+	// failedWatches is the number of consecutive failed watches of a pushed endpoint list.
 	failedWatches int
-	// random is for what the dispatcher does not decide.
+	// random is the random source for choices outside of the dispatcher, such as jitter.
 	random *rand.Rand
 
-	// ledger accounts for requests.
+	// ledger counts requests and attempts for the totals that operators see.
 	ledger *accounting.Ledger
-	// publishedTotals are the ledger's for any goroutine; nil: not published yet.
+	// publishedTotals is a copy of the totals that any goroutine may read. It is nil until they are
+	// first published.
 	publishedTotals atomic.Pointer[accounting.Totals]
-	// publishedChanges is the ledger's number of changes at that time.
+	// publishedChanges is the ledger's number of changes when the totals were last published.
 	publishedChanges int
-	// publishTimer rings when totals are published next; nil: nothing has happened since.
+	// publishTimer fires when the totals are published next. It is nil if nothing has changed since
+	// the last time.
 	publishTimer *conn.Timer
-	// answersByReason counts answers other than results.
+	// answersByReason counts the answers that are not results, by their reason.
 	answersByReason map[string]int
-	// reasonOverride is the reason of the answers that are being given, if it is not the dispatcher's; else empty.
+	// reasonOverride replaces the dispatcher's reason in answers that are sent while it is set. It
+	// is empty otherwise.
 	reasonOverride string
-	// panics counts those that were recovered.
+	// panics is the number of recovered panics.
 	panics int
-	// servingLatency is the time from a request's arrival to its answer, in microseconds.
+	// servingLatency records the time from the arrival of a request to its answer, in microseconds.
 	servingLatency *hdrhistogram.Histogram
-	// decisionLatency is the time that calls of the dispatcher take, in microseconds.
+	// decisionLatency records the duration of dispatcher calls, in microseconds.
 	decisionLatency *hdrhistogram.Histogram
 }
 
-// newService makes a service that does not serve yet.
+// newService creates a service. It does not serve until run is called.
 func newService(process settings.Process, log *logrus.Entry) (*service, error) {
 	start := time.Now()
 	loop := conn.NewLoop(start)
@@ -165,7 +181,7 @@
 	return s, nil
 }
 
-// connect sets the hooks by which the parts report to the service and to each other.
+// connect sets the hooks through which the components report to the service and to each other.
 func (s *service) connect() {
 	s.clients.Invariants = s.workers.Invariants
 	s.clients.OnEvent = s.Notify
@@ -194,7 +210,7 @@
 	s.loop.Panicked = s.recordPanic
 }
 
-// openGossip begins to exchange messages with other schedulers, if there are any.
+// openGossip opens the gossip transport if the configuration names other schedulers.
 func (s *service) openGossip(start time.Time) {
 	if len(s.process.Peers) == 0 {
 		return
--- a/cmd/stoatweir/service_test.go
+++ b/cmd/stoatweir/service_test.go
@@ -231,7 +231,7 @@
 	for exchange(l.Addr().String(), "GET /-/ready HTTP/1.1\r\n\r\n") != "HTTP/1.1 200 OK " {
 		time.Sleep(time.Millisecond)
 	}
-	if took := time.Since(began); took > endpointWait/2 {
+	if took := time.Since(began); took > initialListTimeout/2 {
 		t.Error("ready after", took)
 	}
 	kept, err := net.Dial("tcp", l.Addr().String())
--- a/cmd/stoatweir/stats_test.go
+++ b/cmd/stoatweir/stats_test.go
@@ -44,7 +44,7 @@
 		t.Error("under load:", got)
 	}
 	r.stopClients()
-	time.Sleep(2 * publishDelay)
+	time.Sleep(2 * totalsPublishDelay)
 	got, attempts := p.figures(t), 0
 	for _, w := range r.workers {
 		w.mu.Lock()
--- a/cmd/stoatweir/takeover_test.go
+++ b/cmd/stoatweir/takeover_test.go
@@ -115,7 +115,7 @@
 			t.Error(got)
 		}
 	}
-	time.Sleep(2 * publishDelay)
+	time.Sleep(2 * totalsPublishDelay)
 	if got := next.figures(t); got["svc_outstanding"] != 0 || got[result("render", "succeeded")] != 3 || got[result("sale", "succeeded")] != 3 ||
 		got["svc_forwards_total"] != 0 {
 		t.Error(got)
--- a/cmd/stoatweir/tenancy.go
+++ b/cmd/stoatweir/tenancy.go
@@ -17,41 +17,47 @@
 )
 
 const (
-	// storePollInterval is how late a scheduler may be with what another one has published, and with taking over as the one
-	// that writes.
+	// storePollInterval is how often the tenant store is checked for changes by other schedulers.
+	// It bounds the delay until they are applied, and until this scheduler takes over as the
+	// store's writer.
 	storePollInterval = 250 * time.Millisecond
-	// quotaInterval is how often the dispatcher gets new quotas while any tenant is active.
+	// quotaInterval is the time between regular updates of the quotas in the dispatcher while any
+	// tenant is active.
 	quotaInterval = 250 * time.Millisecond
-	// minQuotaInterval is the time between two updates where many tenants become active one after the other: each update costs
-	// by the number of active tenants.
+	// minQuotaInterval is the minimum time between two quota updates when many tenants become
+	// active one after the other: the cost of an update grows with the number of active tenants.
 	minQuotaInterval = 10 * time.Millisecond
-	// otherAPIDescriptors are the store's, and the API's listener.
-	otherAPIDescriptors = 6
-	// apiDescriptors are the store's and the tenant API's descriptors.
-	apiDescriptors = api.MaxConnections + otherAPIDescriptors
-	// admissionStream is the random stream of the admission controller.
+	// tenantStoreDescriptors is the number of descriptors of the tenant store and of the API's
+	// listener.
+	tenantStoreDescriptors = 6
+	// tenantAPIDescriptors is the number of descriptors of the tenant store and the tenant API
+	// together.
+	tenantAPIDescriptors = api.MaxConnections + tenantStoreDescriptors
+	// admissionStream selects the admission controller's stream of the random generator.
 	admissionStream = 1
 )
 
-// tenancy serves many tenants by one scheduler. The event loop owns all fields but registry, which has a lock of its own,
-// as administrators wait for a disk.
+// tenancy is the state for serving several tenants on one scheduler. All fields but registry are
+// owned by the event loop. registry has its own lock, because calls of administrators wait for the
+// disk, which the event loop must not.
 type tenancy struct {
 	service   *service
 	admission *tenants.Controller
 	registry  *api.Registry
-	// tenants are those of revision.
+	// tenants are the tenants as of revision.
 	tenants  []tenants.Tenant
 	revision uint64
-	// appliedRevisions are the tenants' revisions that admission has, by name; 0: to be applied again.
+	// appliedRevisions maps each tenant's name to the revision that admission has. The value 0
+	// forces the tenant to be applied again.
 	appliedRevisions map[string]uint64
-	// quotaTimer rings at the next update of quotas; nil: no tenant is active.
+	// quotaTimer fires at the next quota update. It is nil if no tenant is active.
 	quotaTimer *conn.Timer
-	// quotasUpdatedAt is when the dispatcher last got quotas.
+	// quotasUpdatedAt is the event-loop time of the last quota update.
 	quotasUpdatedAt time.Duration
 }
 
-// openTenants opens the tenants' store, if the configuration names one, and gives the deployment with the tenants'
-// operations.
+// openTenants opens the tenant store, if the configuration names one, and returns the deployment
+// with the tenants' operations added.
 func (s *service) openTenants(process settings.Process) (settings.Deployment, error) {
 	if !process.Tenants.Enabled() {
 		return process.Deployment, nil
@@ -69,22 +75,22 @@
 		admission:        tenants.NewController(process.Tenants.MaxInFlight, process.Deployment.Dispatch.Schedulers, random),
 		appliedRevisions: map[string]uint64{},
 	}
-	opened := false
-	t.registry = api.NewRegistry(stored, time.Now, func(all []tenants.Tenant, revision uint64) {
-		if opened {
-			s.loop.PostUrgent(loopTask(func() { t.applyRevision(all, revision) }))
+	loaded := false
+	t.registry = api.NewRegistry(stored, time.Now, func(list []tenants.Tenant, revision uint64) {
+		if loaded {
+			s.loop.PostUrgent(loopTask(func() { t.applyRevision(list, revision) }))
 			return
 		}
-		opened = true
-		t.applyTenants(all, revision)
+		loaded = true
+		t.applyTenants(list, revision)
 	})
 	s.tenancy = t
 	s.clients.Admission = t.admission
 	return process.Deployment.WithTenants(t.tenants, process.Tenants.ExcessValue), nil
 }
 
-// followStore applies what other processes publish. It does not return, and neither waits for the event loop nor the loop
-// for it.
+// followStore polls the store and applies changes that other processes publish. It does not return.
+// It runs on its own goroutine and neither blocks the event loop nor waits for it.
 func (t *tenancy) followStore() {
 	lastFailure := ""
 	for range time.Tick(storePollInterval) {
@@ -99,8 +105,8 @@
 	}
 }
 
-// serveAPI serves administrators once their address is free: a process that is being replaced may still have it. It does
-// not return.
+// serveAPI serves the tenant API. It retries until it can listen at the address, because a process
+// that is being replaced may still hold it. It does not return.
 func (t *tenancy) serveAPI(config settings.Tenancy, schedulers int) {
 	server := api.New(t.registry, administrators(config), t.usage, schedulers)
 	log := t.service.log.WithField("address", config.API)
@@ -117,6 +123,7 @@
 	}
 }
 
+// administrators returns the administrators of the configuration in the form of the tenant API.
 func administrators(config settings.Tenancy) (all []api.Administrator) {
 	for _, a := range config.Administrators {
 		role := api.Read
@@ -128,67 +135,72 @@
 	return all
 }
 
-// usage asks the event loop for a tenant's usage, for loopTaskTimeout at most.
+// usage gets a tenant's usage from the event loop. The second result is false if there is no such
+// tenant or the event loop has not answered within loopTaskTimeout.
 func (t *tenancy) usage(name string) (tenants.Usage, bool) {
-	type answer struct {
+	type usageResult struct {
 		usage tenants.Usage
 		known bool
 	}
-	answers := make(chan answer, 1)
+	results := make(chan usageResult, 1)
 	t.service.loop.PostUrgent(loopTask(func() {
 		account := t.admission.Account(name)
 		if account == nil {
-			answers <- answer{}
+			results <- usageResult{}
 			return
 		}
-		answers <- answer{usage: t.admission.Usage(account), known: true}
+		results <- usageResult{usage: t.admission.Usage(account), known: true}
 	}))
 	select {
-	case a := <-answers:
-		return a.usage, a.known
+	case result := <-results:
+		return result.usage, result.known
 	case <-time.After(loopTaskTimeout):
 		return tenants.Usage{}, false
 	}
 }
 
-// applyTenants has admission follow the store. Requests in flight stay as they were admitted.
-func (t *tenancy) applyTenants(all []tenants.Tenant, revision uint64) {
+// applyTenants updates the admission controller to the tenants in the store. Requests in flight
+// keep the terms under which they were admitted.
+func (t *tenancy) applyTenants(list []tenants.Tenant, revision uint64) {
 	now := t.service.loop.Now()
 	listed := map[string]bool{}
-	for _, tenant := range all {
+	for _, tenant := range list {
 		listed[tenant.Name] = true
 	}
-	for name := range t.appliedRevisions { // first: one that was never made to last may have had a newer one's handle
+	// Removals come first: a tenant whose creation was never persisted may have the handle of a
+	// newer one.
+	for name := range t.appliedRevisions {
 		if !listed[name] {
 			t.admission.Remove(now, name)
 			delete(t.appliedRevisions, name)
 		}
 	}
-	for _, tenant := range all {
+	for _, tenant := range list {
 		if t.appliedRevisions[tenant.Name] != tenant.Revision {
 			t.admission.Put(now, tenant)
 			t.appliedRevisions[tenant.Name] = tenant.Revision
 		}
 	}
-	t.tenants = all
+	t.tenants = list
 	t.revision = revision
 }
 
-// applyRevision follows what has been published. A revision that is not newer replaces changes that were read and then
-// rejected.
-func (t *tenancy) applyRevision(all []tenants.Tenant, revision uint64) {
+// applyRevision applies a published revision. A revision that is not newer than the current one
+// replaces changes that were read and then rejected, so every tenant is applied again.
+func (t *tenancy) applyRevision(list []tenants.Tenant, revision uint64) {
 	if revision <= t.revision {
 		for name := range t.appliedRevisions {
 			t.appliedRevisions[name] = 0
 		}
 	}
-	t.applyTenants(all, revision)
+	t.applyTenants(list, revision)
 	t.service.reconfigure(t.service.configured)
 	t.updateQuotas()
-	t.service.log.WithField("revision", revision).WithField("tenants", len(all)).Info("tenant revision applied")
+	t.service.log.WithField("revision", revision).WithField("tenants", len(list)).Info("tenant revision applied")
 }
 
-// updateQuotas gives the dispatcher the tenants' quotas, now and for as long as any tenant is active.
+// updateQuotas passes the tenants' quotas to the dispatcher, and schedules the next update as long
+// as any tenant is active.
 func (t *tenancy) updateQuotas() {
 	now := t.service.loop.Now()
 	t.quotaTimer.Stop()
@@ -206,8 +218,8 @@
 	}
 }
 
-// accountFor gives the account of a new request's tenant, and has quotas updated as that becomes active. Without tenants
-// there is none.
+// accountFor returns the account of a new request's tenant and schedules a quota update, because
+// the tenant may become active with the request. It returns nil if no tenants are served.
 func (t *tenancy) accountFor(requestID string) *tenants.Account {
 	if t == nil {
 		return nil
@@ -216,8 +228,9 @@
 	return t.admission.ByHandle(clients.Scope(requestID))
 }
 
-// scheduleQuotas updates quotas that have changed, as soon as minQuotaInterval lets it: until the next regular update the
-// request would wait among a flood.
+// scheduleQuotas updates changed quotas as soon as minQuotaInterval allows. If it left that to the
+// next regular update, a request of a newly active tenant would have to wait behind the flood of
+// another tenant.
 func (t *tenancy) scheduleQuotas() {
 	wait := t.quotasUpdatedAt + minQuotaInterval - t.service.loop.Now()
 	switch {
@@ -231,7 +244,8 @@
 	}
 }
 
-// attemptEnded accounts for what an attempt had of a worker. One that was rejected, or never reached it, had nothing.
+// attemptEnded charges an attempt's use of a worker to the tenant's account. Attempts that were
+// rejected or never reached the worker are not charged.
 func (t *tenancy) attemptEnded(request *trackedRequest, outcome dispatch.Outcome) {
 	if t == nil || request.account == nil || outcome.Attempt >= len(request.sentAt) {
 		return
@@ -245,7 +259,8 @@
 	t.admission.AttemptEnded(now, request.account, operation, request.Hint, now-request.sentAt[outcome.Attempt])
 }
 
-// tenantIndex gives the dispatcher's index of a request's tenant.
+// tenantIndex returns the dispatcher's index of a request's tenant. known is false if the tenant no
+// longer exists.
 func (t *tenancy) tenantIndex(requestID string) (index int, known bool) {
 	account := t.admission.ByHandle(clients.Scope(requestID))
 	if account == nil {
--- a/cmd/stoatweir/tenant_call.go
+++ b/cmd/stoatweir/tenant_call.go
@@ -14,30 +14,33 @@
 )
 
 const (
-	// tokenVariable is the environment variable with the administrator's token.
+	// tokenVariable is the environment variable that holds the administrator's token.
 	tokenVariable = "STOATWEIR_TOKEN"
-	// tenantCallTimeout is how long a call of the tenant API may take.
+	// tenantCallTimeout limits the duration of a call of the tenant API.
 	tenantCallTimeout = 10 * time.Second
 )
 
-// errNoToken is returned where neither a flag nor the environment has a token.
+// errNoToken is returned if neither a flag nor the environment provides a token.
 var errNoToken = errors.New("no token: name --token-file, or set STOATWEIR_TOKEN")
 
-// tenantCall is one call of the tenant API, as the flags describe it.
+// tenantCall holds the flags for a call of the tenant API.
 type tenantCall struct {
 	// api is the API's address, with or without a scheme.
 	api string
-	// tokenFile has the administrator's token; empty: the environment has it.
+	// tokenFile is the path of a file with the administrator's token. If empty, the token is taken
+	// from the environment.
 	tokenFile string
-	// ifMatch is the revision that a change starts from; empty: any.
+	// ifMatch is the revision that the tenant must have for a change to be applied. If empty, any
+	// revision will do.
 	ifMatch string
-	// onlyNew lets a change make a tenant, not change one.
-	onlyNew bool
-	// dryRun has a change checked and not made.
+	// createOnly lets a call create a tenant but not change an existing one.
+	createOnly bool
+	// dryRun has a change validated but not applied.
 	dryRun bool
 }
 
-// do makes the call and prints the answer. A rejection is a finding, not a mistake in the command line.
+// do makes the call and prints the answer. If the API rejects the call, it prints the error and
+// returns errFindings, as that is not a usage error.
 func (t *tenantCall) do(c *cobra.Command, method, path string, query url.Values, body []byte) error {
 	token, err := t.token()
 	if err != nil {
@@ -54,7 +57,7 @@
 	if t.ifMatch != "" {
 		request.Header.Set("If-Match", `"`+strings.Trim(t.ifMatch, `"`)+`"`)
 	}
-	if t.onlyNew {
+	if t.createOnly {
 		request.Header.Set("If-None-Match", "*")
 	}
 	client := &http.Client{Timeout: tenantCallTimeout}
@@ -71,6 +74,7 @@
 	return err
 }
 
+// token returns the administrator's token from the token file or the environment.
 func (t *tenantCall) token() (string, error) {
 	token := os.Getenv(tokenVariable)
 	if t.tokenFile != "" {
@@ -86,7 +90,7 @@
 	return token, nil
 }
 
-// target is the URL of a path of the API.
+// target returns the URL for a path of the API.
 func (t *tenantCall) target(path string, query url.Values) string {
 	api := t.api
 	if !strings.Contains(api, "://") {
@@ -105,8 +109,9 @@
 	return target
 }
 
-// queryOf gives keys and values, one behind the other, without those whose value is empty.
-func queryOf(pairs ...string) url.Values {
+// nonEmptyQuery builds a query from alternating keys and values. Pairs with an empty value are left
+// out.
+func nonEmptyQuery(pairs ...string) url.Values {
 	query := url.Values{}
 	for n := 0; n < len(pairs); n += 2 {
 		if pairs[n+1] != "" {
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	defer operators.Close()
-	go admin.New(s.adminCommands(), maxAdminCalls).Serve(operators)
+	go admin.New(s.adminCommands(), maxConcurrentAdminCalls).Serve(operators)
 	addr, got := operators.Addr().String(), ""
 	ask := func(words ...string) {
 		for _, word := range words {
