--- a/cmd/stoatweir/combined_faults_test.go
+++ b/cmd/stoatweir/combined_faults_test.go
@@ -25,209 +25,210 @@
 // storm is one service on loopback whose peers do, by a seed, whatever the crossings are made of: workers that answer twice,
 // too early, never or not at all, clients that leave, a list that is reset, silent or indented, and a stop in the midst. The
 // peers keep the books that the rules are held against.
-type storm struct {
-	t      *testing.T
-	node   string
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	books  map[string]*page
-	drains map[string][]drain
-	conns  []net.Conn
-	tally  map[string]int
+type faultTest struct {
+	t              *testing.T
+	schedulerAddr  string
+	goroutineGroup sync.WaitGroup
+	mu             sync.Mutex
+	records        map[string]*requestRecord
+	drainsByWorker map[string][]drainPeriod
+	conns          []net.Conn
+	eventCounts    map[string]int
 
-	goroutines, files int         // before the first client
-	turned            atomic.Bool // the front has noticed the stop: no new connections come
+	goroutines, descriptors int         // before the first client
+	frontEndStopped         atomic.Bool // the front has noticed the stop: no new connections come
 }
 
 // page is what is known of one request.
-type page struct {
-	unsafe   bool
-	left     time.Time // zero: its client stayed
-	attempts []attempt
+type requestRecord struct {
+	nonIdempotent bool
+	clientLeftAt  time.Time // zero: its client stayed
+	attempts      []attemptRecord
 }
 
-type attempt struct {
-	worker string
-	at     time.Time
-	never  time.Time // it is known not to have run; zero: it may have
+type attemptRecord struct {
+	worker      string
+	sentAt      time.Time
+	notRunSince time.Time // it is known not to have run; zero: it may have
 }
 
-type drain struct{ told, over time.Time }
+type drainPeriod struct{ announcedAt, endedAt time.Time }
 
 const (
-	stormBudget = 1500 * time.Millisecond
-	stormGrace  = 500 * time.Millisecond
-	stormSlack  = 100 * time.Millisecond // of the rules on sockets, and of a machine that is busy
-	leftMost    = 300 * time.Millisecond
+	clientBudget           = 1500 * time.Millisecond
+	drainGrace             = 500 * time.Millisecond
+	timingTolerance        = 100 * time.Millisecond // of the rules on sockets, and of a machine that is busy
+	maxSendAfterDisconnect = 300 * time.Millisecond
 	// New connections come for so long after the order to stop.
-	frontNotices = 400 * time.Millisecond
+	frontEndDelay = 400 * time.Millisecond
 )
 
-func (s *storm) count(what string) {
+func (s *faultTest) countEvent(what string) {
 	s.mu.Lock()
-	s.tally[what]++
+	s.eventCounts[what]++
 	s.mu.Unlock()
 }
 
-func (s *storm) keep(c net.Conn) net.Conn {
+func (s *faultTest) trackConn(c net.Conn) net.Conn {
 	s.mu.Lock()
 	s.conns = append(s.conns, c)
 	s.mu.Unlock()
 	return c
 }
 
-func (s *storm) page(id string) *page {
-	p := s.books[id]
+func (s *faultTest) record(id string) *requestRecord {
+	p := s.records[id]
 	if p == nil {
-		p = &page{unsafe: strings.HasPrefix(id, "sale")}
-		s.books[id] = p
+		p = &requestRecord{nonIdempotent: strings.HasPrefix(id, "sale")}
+		s.records[id] = p
 	}
 	return p
 }
 
-func (s *storm) listen(serve func(c net.Conn, rng *rand.Rand), seed int64) net.Listener {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (s *faultTest) listen(serve func(conn net.Conn, rng *rand.Rand), seed int64) net.Listener {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.wg.Add(1)
+	s.goroutineGroup.Add(1)
 	go func() {
-		defer s.wg.Done()
+		defer s.goroutineGroup.Done()
 		for n := int64(0); ; n++ {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.keep(c)
-			s.wg.Add(1)
+			s.trackConn(conn)
+			s.goroutineGroup.Add(1)
 			go func() {
-				defer s.wg.Done()
-				defer c.Close()
-				serve(c, rand.New(rand.NewSource(seed*1e6+n)))
+				defer s.goroutineGroup.Done()
+				defer conn.Close()
+				serve(conn, rand.New(rand.NewSource(seed*1e6+n)))
 			}()
 		}
 	}()
-	return l
+	return listener
 }
 
 // worker serves one connection. What it says decides whether an attempt may have run.
-func (s *storm) worker(uid string, c net.Conn, rng *rand.Rand) {
+func (s *faultTest) serveWorker(uid string, conn net.Conn, rng *rand.Rand) {
 	if rng.Intn(6) == 0 { // it comes up, and is read late
 		time.Sleep(time.Duration(rng.Intn(60)) * time.Millisecond)
 	}
-	for r := bufio.NewReader(c); ; {
-		first, head, body, err := heard(r)
+	for reader := bufio.NewReader(conn); ; {
+		requestLine, headers, body, err := readRequest(reader)
 		if err != nil {
 			return
 		}
-		if strings.HasPrefix(first, "GET") {
+		if strings.HasPrefix(requestLine, "GET") {
 			switch rng.Intn(12) {
 			case 0: // no answer
 				continue
 			case 1: // one that never ends
 				for range 50 {
-					if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+					if _, err := io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 						return
 					}
 					time.Sleep(2 * time.Millisecond)
 				}
 				return
 			}
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=4")
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=4")
 			continue
 		}
-		if !strings.HasPrefix(first, "POST") {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		if !strings.HasPrefix(requestLine, "POST") {
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
-		id := head["X-Call-Id"]
+		id := headers["X-Call-Id"]
 		s.mu.Lock()
-		p := s.page(id)
-		p.attempts = append(p.attempts, attempt{worker: uid, at: time.Now()})
-		n := len(p.attempts) - 1
+		record := s.record(id)
+		record.attempts = append(record.attempts, attemptRecord{worker: uid, sentAt: time.Now()})
+		index := len(record.attempts) - 1
 		s.mu.Unlock()
-		never := func() {
+		markNotRun := func() {
 			s.mu.Lock()
-			p.attempts[n].never = time.Now()
+			record.attempts[index].notRunSince = time.Now()
 			s.mu.Unlock()
 		}
-		news := func(state string) {
+		sendCallback := func(state string) {
 			result := ""
 			if state == "done" {
 				result = `,"result":"made ` + id + `"`
 			}
-			exchange(s.node, post("/_jobs/news", "Connection: close\r\n", fmt.Sprintf(`{"id":%q,"from":%q,"state":%q%s}`, id, uid, state, result)))
+			requestOnce(s.schedulerAddr, postRequest("/_jobs/news", "Connection: close\r\n",
+				fmt.Sprintf(`{"id":%q,"from":%q,"state":%q%s}`, id, uid, state, result)))
 		}
-		later := func(wait int, do func()) {
-			s.wg.Add(1)
-			time.AfterFunc(time.Duration(wait)*time.Millisecond, func() { defer s.wg.Done(); do() })
+		after := func(delayMillis int, action func()) {
+			s.goroutineGroup.Add(1)
+			time.AfterFunc(time.Duration(delayMillis)*time.Millisecond, func() { defer s.goroutineGroup.Done(); action() })
 		}
-		const turned = "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-		taken := func() { io.WriteString(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n") }
+		const rejection = "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+		accept := func() { io.WriteString(conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n") }
 		_ = body
-		switch what := rng.Intn(20); what {
+		switch behavior := rng.Intn(20); behavior {
 		case 0:
-			s.count("turned away")
-			never()
-			io.WriteString(c, turned)
+			s.countEvent("turned away")
+			markNotRun()
+			io.WriteString(conn, rejection)
 		case 1:
-			s.count("answered twice")
-			taken()
-			later(1+rng.Intn(8), func() { io.WriteString(c, turned) })
-			later(20, func() { news("done") })
+			s.countEvent("answered twice")
+			accept()
+			after(1+rng.Intn(8), func() { io.WriteString(conn, rejection) })
+			after(20, func() { sendCallback("done") })
 		case 2:
-			s.count("closed unanswered")
+			s.countEvent("closed unanswered")
 			return
 		case 3:
-			s.count("reset unanswered")
-			c.(*net.TCPConn).SetLinger(0)
+			s.countEvent("reset unanswered")
+			conn.(*net.TCPConn).SetLinger(0)
 			return
 		case 4:
-			s.count("hangs")
-			taken()
+			s.countEvent("hangs")
+			accept()
 		case 5:
-			s.count("returned")
-			taken()
-			later(rng.Intn(10), func() { never(); news("returned") })
+			s.countEvent("returned")
+			accept()
+			after(rng.Intn(10), func() { markNotRun(); sendCallback("returned") })
 		case 6:
-			s.count("returned before the 202")
-			never()
-			news("returned")
-			taken()
+			s.countEvent("returned before the 202")
+			markNotRun()
+			sendCallback("returned")
+			accept()
 		case 7:
-			s.count("done before the 202")
-			news("done")
-			taken()
+			s.countEvent("done before the 202")
+			sendCallback("done")
+			accept()
 		case 8:
-			s.count("returned after it had started")
-			taken()
-			later(1, func() { news("started"); news("returned") })
+			s.countEvent("returned after it had started")
+			accept()
+			after(1, func() { sendCallback("started"); sendCallback("returned") })
 		case 9:
-			s.count("failed")
-			taken()
-			later(5, func() { news("failed") })
+			s.countEvent("failed")
+			accept()
+			after(5, func() { sendCallback("failed") })
 		case 10:
-			s.count("turned away, and closed")
-			never()
-			io.WriteString(c, strings.Replace(turned, "X-Rej", "Connection: close\r\nX-Rej", 1))
+			s.countEvent("turned away, and closed")
+			markNotRun()
+			io.WriteString(conn, strings.Replace(rejection, "X-Rej", "Connection: close\r\nX-Rej", 1))
 			return
 		case 11:
-			s.count("more than one answer at once")
-			io.WriteString(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"+turned)
-			later(20, func() { news("done") })
+			s.countEvent("more than one answer at once")
+			io.WriteString(conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"+rejection)
+			after(20, func() { sendCallback("done") })
 		default:
-			runs := time.Duration(rng.Intn(10)) * time.Millisecond
-			taken()
-			later(rng.Intn(40), func() {
-				news("started")
-				time.Sleep(runs)
-				news("done")
+			jobDuration := time.Duration(rng.Intn(10)) * time.Millisecond
+			accept()
+			after(rng.Intn(40), func() {
+				sendCallback("started")
+				time.Sleep(jobDuration)
+				sendCallback("done")
 			})
 		}
 	}
 }
 
-func heard(r *bufio.Reader) (first string, head map[string]string, body string, err error) {
+func readRequest(r *bufio.Reader) (requestLine string, headers map[string]string, body string, err error) {
 	line := func() string {
 		text, e := r.ReadString('\n')
 		if e != nil {
@@ -235,26 +236,26 @@
 		}
 		return strings.TrimRight(text, "\r\n")
 	}
-	first, head = line(), map[string]string{}
+	requestLine, headers = line(), map[string]string{}
 	for text := line(); text != "" && err == nil; text = line() {
 		name, value, _ := strings.Cut(text, ": ")
-		head[name] = value
+		headers[name] = value
 	}
-	size, _ := strconv.Atoi(head["Content-Length"])
-	b := make([]byte, size)
+	size, _ := strconv.Atoi(headers["Content-Length"])
+	content := make([]byte, size)
 	if err == nil {
-		_, err = io.ReadFull(r, b)
+		_, err = io.ReadFull(r, content)
 	}
-	return first, head, string(b), err
+	return requestLine, headers, string(content), err
 }
 
 // client hands in requests one after the other, and leaves some of them.
-func (s *storm) client(name string, rng *rand.Rand, stop <-chan struct{}) {
-	var c net.Conn
-	var r *bufio.Reader
+func (s *faultTest) runClient(name string, rng *rand.Rand, stop <-chan struct{}) {
+	var conn net.Conn
+	var reader *bufio.Reader
 	defer func() {
-		if c != nil {
-			c.Close()
+		if conn != nil {
+			conn.Close()
 		}
 	}()
 	for n := 0; ; n++ {
@@ -269,64 +270,64 @@
 		if class == "keyed" {
 			key = "Idempotency-Key: " + id + "\r\n"
 		}
-		request := post("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\n"+key+"X-Budget: 1.5\r\n", id)
-		fresh := c == nil
-		if fresh {
-			if s.turned.Load() {
+		request := postRequest("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\n"+key+"X-Budget: 1.5\r\n", id)
+		isNew := conn == nil
+		if isNew {
+			if s.frontEndStopped.Load() {
 				return
 			}
 			var err error
-			if c, err = net.Dial("tcp", s.node); err != nil {
+			if conn, err = net.Dial("tcp", s.schedulerAddr); err != nil {
 				return // it has ended
 			}
-			r = bufio.NewReader(c)
+			reader = bufio.NewReader(conn)
 		}
-		began := time.Now()
+		start := time.Now()
 		if rng.Intn(5) == 0 { // it leaves
-			io.WriteString(c, request)
+			io.WriteString(conn, request)
 			switch rng.Intn(3) {
 			case 0:
 				time.Sleep(time.Duration(rng.Intn(30)) * time.Millisecond)
 			case 1:
-				c.Write(make([]byte, 16<<10))
+				conn.Write(make([]byte, 16<<10))
 			}
 			s.mu.Lock()
-			s.page(id).left = time.Now()
+			s.record(id).clientLeftAt = time.Now()
 			s.mu.Unlock()
-			c.Close()
-			c = nil
-			s.count("client left")
+			conn.Close()
+			conn = nil
+			s.countEvent("client left")
 			continue
 		}
-		c.SetDeadline(began.Add(4 * time.Second))
-		io.WriteString(c, request)
-		first, body, closes, err := answerOf(r)
-		took := time.Since(began)
+		conn.SetDeadline(start.Add(4 * time.Second))
+		io.WriteString(conn, request)
+		statusLine, body, willClose, err := readAnswer(reader)
+		elapsed := time.Since(start)
 		switch {
-		case err != nil && fresh:
-			s.t.Errorf("%s: no answer after %v: %v", id, took, err)
+		case err != nil && isNew:
+			s.t.Errorf("%s: no answer after %v: %v", id, elapsed, err)
 		case err != nil: // it was closed between two requests
-			s.count("closed between two requests")
-		case took > stormBudget+stormSlack:
-			s.t.Errorf("%s: answered after %v", id, took)
-		case strings.HasSuffix(first, "200") && body != "made "+id:
+			s.countEvent("closed between two requests")
+		case elapsed > clientBudget+timingTolerance:
+			s.t.Errorf("%s: answered after %v", id, elapsed)
+		case strings.HasSuffix(statusLine, "200") && body != "made "+id:
 			s.t.Errorf("%s: got %q", id, body)
 		default:
-			s.count("answer " + first[len(first)-3:])
+			s.countEvent("answer " + statusLine[len(statusLine)-3:])
 		}
-		if err != nil || closes {
-			c.Close()
-			c = nil
+		if err != nil || willClose {
+			conn.Close()
+			conn = nil
 		}
 	}
 }
 
 // list is discovery: it drains workers in turn, and its watches end in all ways.
-func (s *storm) list(uids, addrs []string, rng *rand.Rand, stop <-chan struct{}) (addr string, closes func()) {
+func (s *faultTest) serveEndpointList(uids, addrs []string, rng *rand.Rand, stop <-chan struct{}) (addr string, closeListener func()) {
 	var mu sync.Mutex
-	rev, draining := 1, -1
+	revision, draining := 1, -1
 	changed := make(chan struct{})
-	whole := func(indent bool) string {
+	listText := func(indent bool) string {
 		mu.Lock()
 		defer mu.Unlock()
 		var targets []map[string]any
@@ -337,47 +338,47 @@
 			}
 			targets = append(targets, map[string]any{"uid": uid, "endpoint": addrs[n], "state": state})
 		}
-		list := map[string]any{"rev": rev, "all": true, "targets": targets}
+		list := map[string]any{"rev": revision, "all": true, "targets": targets}
 		text, _ := json.Marshal(list)
 		if indent {
 			text, _ = json.MarshalIndent(list, "", "  ")
 		}
 		return string(text)
 	}
-	l := s.listen(func(c net.Conn, rng *rand.Rand) {
-		if _, _, _, err := heard(bufio.NewReader(c)); err != nil {
+	listener := s.listen(func(conn net.Conn, rng *rand.Rand) {
+		if _, _, _, err := readRequest(bufio.NewReader(conn)); err != nil {
 			return
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for {
 			mu.Lock()
-			next, drained := changed, draining
+			nextChange, drainingNow := changed, draining
 			mu.Unlock()
-			text := whole(rng.Intn(2) == 0)
+			text := listText(rng.Intn(2) == 0)
 			if rng.Intn(4) == 0 {
-				fmt.Fprintf(c, "%x\r\n%s\r\n", len(text)/2, text[:len(text)/2])
-				c.(*net.TCPConn).SetLinger(0)
-				s.count("watch reset in the midst of a list")
+				fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text)/2, text[:len(text)/2])
+				conn.(*net.TCPConn).SetLinger(0)
+				s.countEvent("watch reset in the midst of a list")
 				return
 			}
-			_, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text)
-			if err == nil && drained >= 0 {
+			_, err := fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(text)+1, text)
+			if err == nil && drainingNow >= 0 {
 				s.mu.Lock()
-				if d := s.drains[uids[drained]]; d[len(d)-1].told.IsZero() {
-					d[len(d)-1].told = time.Now()
+				if periods := s.drainsByWorker[uids[drainingNow]]; periods[len(periods)-1].announcedAt.IsZero() {
+					periods[len(periods)-1].announcedAt = time.Now()
 				}
 				s.mu.Unlock()
 			}
 			select {
-			case <-next:
+			case <-nextChange:
 			case <-stop:
 				return
 			}
 		}
 	}, 900)
-	s.wg.Add(1)
+	s.goroutineGroup.Add(1)
 	go func() {
-		defer s.wg.Done()
+		defer s.goroutineGroup.Done()
 		for n := 0; ; n++ {
 			select {
 			case <-time.After(time.Duration(500+rng.Intn(200)) * time.Millisecond):
@@ -388,21 +389,21 @@
 			now := time.Now()
 			s.mu.Lock()
 			if draining >= 0 {
-				d := s.drains[uids[draining]]
-				d[len(d)-1].over = now
+				periods := s.drainsByWorker[uids[draining]]
+				periods[len(periods)-1].endedAt = now
 			}
 			if draining = -1; n%2 == 0 {
 				draining = rng.Intn(len(uids))
-				s.drains[uids[draining]] = append(s.drains[uids[draining]], drain{})
+				s.drainsByWorker[uids[draining]] = append(s.drainsByWorker[uids[draining]], drainPeriod{})
 			}
 			s.mu.Unlock()
-			rev++
+			revision++
 			close(changed)
 			changed = make(chan struct{})
 			mu.Unlock()
 		}
 	}()
-	return l.Addr().String(), func() { l.Close() }
+	return listener.Addr().String(), func() { listener.Close() }
 }
 
 // TestCombinedFaults plays many crossings at once. STORM_SEED plays one seed alone.
@@ -416,39 +417,39 @@
 		seeds = []int64{seed}
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playStorm(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runCombinedFaults(t, seed) })
 	}
 }
 
-func descriptorsOpen() int {
+func openDescriptors() int {
 	all, _ := os.ReadDir("/proc/self/fd")
 	return len(all)
 }
 
-func playStorm(t *testing.T, seed int64) {
+func runCombinedFaults(t *testing.T, seed int64) {
 	rng := rand.New(rand.NewSource(seed))
-	s := &storm{t: t, books: map[string]*page{}, drains: map[string][]drain{}, tally: map[string]int{}}
-	halt := make(chan struct{})
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	s := &faultTest{t: t, records: map[string]*requestRecord{}, drainsByWorker: map[string][]drainPeriod{}, eventCounts: map[string]int{}}
+	stopPeers := make(chan struct{})
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.node = front.Addr().String()
+	s.schedulerAddr = listener.Addr().String()
 	var uids, addrs []string
-	var closes []func()
+	var closers []func()
 	for n := range 5 {
 		uid := fmt.Sprint("s-", n)
-		l := s.listen(func(c net.Conn, rng *rand.Rand) { s.worker(uid, c, rng) }, seed*100+int64(n))
-		uids, addrs, closes = append(uids, uid), append(addrs, l.Addr().String()), append(closes, func() { l.Close() })
+		l := s.listen(func(c net.Conn, rng *rand.Rand) { s.serveWorker(uid, c, rng) }, seed*100+int64(n))
+		uids, addrs, closers = append(uids, uid), append(addrs, l.Addr().String()), append(closers, func() { l.Close() })
 	}
-	discovery, shut := s.list(uids, addrs, rand.New(rand.NewSource(rng.Int63())), halt)
-	closes = append(closes, shut)
-	var known []string
+	discovery, closeDiscovery := s.serveEndpointList(uids, addrs, rand.New(rand.NewSource(rng.Int63())), stopPeers)
+	closers = append(closers, closeDiscovery)
+	var cachedTargets []string
 	for n, uid := range uids {
-		known = append(known, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"state":"Ready"}`, uid, addrs[n]))
+		cachedTargets = append(cachedTargets, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"state":"Ready"}`, uid, addrs[n]))
 	}
-	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+s.node+`","discovery":"`+discovery+`","seed":"8c1f",
-		"known":{"rev":0,"all":true,"targets":[`+strings.Join(known, ",")+`]},"settings":{"Discovery":"ask","PeersTotal":1,
+	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+s.schedulerAddr+`","discovery":"`+discovery+`","seed":"8c1f",
+		"known":{"rev":0,"all":true,"targets":[`+strings.Join(cachedTargets, ",")+`]},"settings":{"Discovery":"ask","PeersTotal":1,
 		"Report":{"How":"probe","Names":["x0"]},"FamilyInfo":{"ReportX0":"free slots","TellsStart":true},
 		"Limits":{"Probes":true,"Cancel":`+fmt.Sprint(seed%2 == 0)+`,"MostForwards":4,"RetryAfter":true,"MaxRetryAfter":1,"ConnectTimeout":0.25,"ConnIdle":1},
 		"Rules":{"AskWithin":10,"StopSendingWithin":0.5},"Operations":[
@@ -464,61 +465,61 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan struct{})
-	go func() { service.run(takeover.Address{Listener: front}); close(over) }()
-	for exchange(s.node, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n") != "HTTP/1.1 200 OK " {
+	done := make(chan struct{})
+	go func() { service.run(takeover.Address{Listener: listener}); close(done) }()
+	for requestOnce(s.schedulerAddr, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n") != "HTTP/1.1 200 OK " {
 		time.Sleep(time.Millisecond)
 	}
-	s.goroutines, s.files = runtime.NumGoroutine(), descriptorsOpen()
+	s.goroutines, s.descriptors = runtime.NumGoroutine(), openDescriptors()
 	phase := 0
-	begin := func() (ends func()) {
+	startClients := func() (stopClients func()) {
 		phase++
 		var clients sync.WaitGroup
 		stop := make(chan struct{})
 		for n := range 24 {
 			clients.Add(1)
-			each, name := rand.New(rand.NewSource(rng.Int63())), fmt.Sprint(phase, "-", n)
-			go func() { defer clients.Done(); s.client(name, each, stop) }()
+			clientRNG, name := rand.New(rand.NewSource(rng.Int63())), fmt.Sprint(phase, "-", n)
+			go func() { defer clients.Done(); s.runClient(name, clientRNG, stop) }()
 		}
 		return func() { close(stop); clients.Wait() }
 	}
-	ends := begin()
+	stopClients := startClients()
 	time.Sleep(3 * time.Second)
-	ends()
-	s.leftOver()
-	ends = begin()
+	stopClients()
+	s.checkLeaks()
+	stopClients = startClients()
 	time.Sleep(300 * time.Millisecond)
 	service.loop.PostUrgent(loopTask(service.stop)) // with all of it going on
-	ordered := time.Now()
-	time.AfterFunc(frontNotices, func() { s.turned.Store(true) })
+	stopRequested := time.Now()
+	time.AfterFunc(frontEndDelay, func() { s.frontEndStopped.Store(true) })
 	select {
-	case <-over:
+	case <-done:
 	case <-time.After(5 * time.Second):
 		t.Error("it does not end")
 	}
-	if took := time.Since(ordered); took > stormBudget+700*time.Millisecond {
+	if took := time.Since(stopRequested); took > clientBudget+700*time.Millisecond {
 		t.Error("a kill would have come before its end: ", took)
 	}
-	front.Close()
-	ends()
-	close(halt)
-	for _, close := range closes {
+	listener.Close()
+	stopClients()
+	close(stopPeers)
+	for _, close := range closers {
 		close()
 	}
-	s.hangUp()
-	s.wg.Wait()
-	s.check()
+	s.closeConnections()
+	s.goroutineGroup.Wait()
+	s.checkRules()
 	if service.panics > 0 {
 		t.Error("panics: ", service.panics)
 	}
 	if violations := service.workers.Invariants.Counts.Violations; len(violations) > 0 {
 		t.Error("the guard counted ", violations)
 	}
-	t.Log(s.tally)
+	t.Log(s.eventCounts)
 }
 
 // hangUp ends all connections of the peers.
-func (s *storm) hangUp() {
+func (s *faultTest) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -529,47 +530,48 @@
 
 // leftOver looks for what is left of the service's connections once nobody asks any more and the workers have hung up. The
 // watch may come and go meanwhile.
-func (s *storm) leftOver() {
-	const most, mostFiles = 12, 6
-	left := func() (int, int) { return runtime.NumGoroutine() - s.goroutines, descriptorsOpen() - s.files }
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		s.hangUp()
-		if g, f := left(); g <= most && f <= mostFiles {
+func (s *faultTest) checkLeaks() {
+	const maxGoroutines, maxDescriptors = 12, 6
+	leaked := func() (int, int) { return runtime.NumGoroutine() - s.goroutines, openDescriptors() - s.descriptors }
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		s.closeConnections()
+		if goroutineCount, descriptorCount := leaked(); goroutineCount <= maxGoroutines && descriptorCount <= maxDescriptors {
 			return
 		}
 	}
-	g, f := left()
+	goroutineCount, descriptorCount := leaked()
 	buf := make([]byte, 1<<16)
-	s.t.Errorf("left: %d goroutines, %d descriptors\n%s", g, f, buf[:runtime.Stack(buf, true)])
+	s.t.Errorf("left: %d goroutines, %d descriptors\n%s", goroutineCount, descriptorCount, buf[:runtime.Stack(buf, true)])
 }
 
 // check holds the books against the rules.
-func (s *storm) check() {
+func (s *faultTest) checkRules() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	attempts, leaves := 0, 0
-	for id, p := range s.books {
+	attempts, disconnects := 0, 0
+	for id, p := range s.records {
 		attempts += len(p.attempts)
 		for n, a := range p.attempts {
-			if !p.left.IsZero() && a.at.After(p.left.Add(leftMost)) {
-				s.t.Errorf("%s: sent on %v after its client had left", id, a.at.Sub(p.left))
+			if !p.clientLeftAt.IsZero() && a.sentAt.After(p.clientLeftAt.Add(maxSendAfterDisconnect)) {
+				s.t.Errorf("%s: sent on %v after its client had left", id, a.sentAt.Sub(p.clientLeftAt))
 			}
-			for _, before := range p.attempts[:n] {
-				if p.unsafe && (before.never.IsZero() || before.never.After(a.at)) {
-					s.t.Errorf("%s: sent to %s though %s may have run it", id, a.worker, before.worker)
+			for _, earlier := range p.attempts[:n] {
+				if p.nonIdempotent && (earlier.notRunSince.IsZero() || earlier.notRunSince.After(a.sentAt)) {
+					s.t.Errorf("%s: sent to %s though %s may have run it", id, a.worker, earlier.worker)
 				}
 			}
-			for _, d := range s.drains[a.worker] {
-				if !d.told.IsZero() && a.at.After(d.told.Add(stormGrace+stormSlack)) && (d.over.IsZero() || a.at.Before(d.over)) {
-					s.t.Errorf("%s: sent to %s %v after it was told to drain", id, a.worker, a.at.Sub(d.told))
+			for _, d := range s.drainsByWorker[a.worker] {
+				if !d.announcedAt.IsZero() && a.sentAt.After(d.announcedAt.Add(drainGrace+timingTolerance)) &&
+					(d.endedAt.IsZero() || a.sentAt.Before(d.endedAt)) {
+					s.t.Errorf("%s: sent to %s %v after it was told to drain", id, a.worker, a.sentAt.Sub(d.announcedAt))
 				}
 			}
 		}
-		if !p.left.IsZero() {
-			leaves++
+		if !p.clientLeftAt.IsZero() {
+			disconnects++
 		}
 	}
-	if attempts < 100 || leaves < 10 {
-		s.t.Errorf("no storm: %d attempts, %d leaves", attempts, leaves)
+	if attempts < 100 || disconnects < 10 {
+		s.t.Errorf("no storm: %d attempts, %d leaves", attempts, disconnects)
 	}
 }
--- a/cmd/stoatweir/dispatcher_panic_test.go
+++ b/cmd/stoatweir/dispatcher_panic_test.go
@@ -15,55 +15,55 @@
 // the next one on the connection is served by the restarted dispatcher, and the process exits in time.
 func TestDispatcherPanicDuringStop(t *testing.T) {
 	const timeout = 2 * time.Second
-	node := ""
-	worker := serve(t, func(first, body string) string {
+	schedulerAddr := ""
+	worker := serveRequests(t, func(statusLine, body string) string {
 		if body == "served" {
-			go exchange(node, post("/_jobs/news", "", `{"id":"served","from":"s-1","state":"done","result":"made"}`))
+			go requestOnce(schedulerAddr, postRequest("/_jobs/news", "", `{"id":"served","from":"s-1","state":"done","result":"made"}`))
 		}
 		return "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 	})
 	list := `{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"` + worker + `","state":"Ready"}]}`
-	discovery := serve(t, func(string, string) string {
+	discovery := serveRequests(t, func(string, string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	node = l.Addr().String()
-	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+node+`","discovery":"`+discovery+`","seed":"1","known":`+list+`,"settings":{"Discovery":"ask",
+	schedulerAddr = listener.Addr().String()
+	config, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"`+schedulerAddr+`","discovery":"`+discovery+`","seed":"1","known":`+list+`,"settings":{"Discovery":"ask",
 		"Limits":{"MostForwards":2},"Rules":{"AskWithin":10},"Operations":[{"Name":"render","Effect":"non_idempotent","LatencyObjective":1,"ClientTimeout":2}]}}`),
 		func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, over := serveAt(t, l, config)
+	s, done := startReadyService(t, listener, config)
 	request := func(id string) string {
-		return post("/render", "X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 2.0\r\n", id)
+		return postRequest("/render", "X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 2.0\r\n", id)
 	}
-	kept, err := net.Dial("tcp", node)
+	conn, err := net.Dial("tcp", schedulerAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	io.WriteString(kept, request("held"))
+	defer conn.Close()
+	io.WriteString(conn, request("held"))
 	time.Sleep(50 * time.Millisecond)
-	ordered := time.Now()
+	stopRequested := time.Now()
 	s.loop.PostUrgent(loopTask(s.stop))
 	time.Sleep(50 * time.Millisecond)
 	s.loop.Post(breakDispatcher{s})
-	answers := bufio.NewReader(kept)
-	if first, _, err := message(answers); first != "HTTP/1.1 500 Internal Server Error" || err != nil {
-		t.Error("in hand: ", first, err)
+	reader := bufio.NewReader(conn)
+	if statusLine, _, err := readMessage(reader); statusLine != "HTTP/1.1 500 Internal Server Error" || err != nil {
+		t.Error("in hand: ", statusLine, err)
 	}
-	io.WriteString(kept, request("served"))
-	if first, body, err := message(answers); first != "HTTP/1.1 200 OK" || body != "made" {
-		t.Error("over the kept connection: ", first, body, err)
+	io.WriteString(conn, request("served"))
+	if statusLine, body, err := readMessage(reader); statusLine != "HTTP/1.1 200 OK" || body != "made" {
+		t.Error("over the kept connection: ", statusLine, body, err)
 	}
 	select {
-	case <-over:
-		if took := time.Since(ordered); took > timeout+700*time.Millisecond {
-			t.Error("a kill would have come before its end: ", took)
+	case <-done:
+		if elapsed := time.Since(stopRequested); elapsed > timeout+700*time.Millisecond {
+			t.Error("a kill would have come before its end: ", elapsed)
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("it does not end")
--- a/cmd/stoatweir/endpoint_watch_test.go
+++ b/cmd/stoatweir/endpoint_watch_test.go
@@ -29,329 +29,331 @@
 // connections are pipes, and discovery is a stand-in whose failures are set to the millisecond.
 
 // outage is how discovery fails while it is down.
-type outage int
+type failureMode int
 
 const (
-	up      outage = iota
-	refused        // connections are refused
-	lost           // connections don't come up
-	mute           // calls are accepted and never answered, also not after the return
-	kept           // calls are accepted, and answered at the return
-	unavailable
-	broken  // the answer ends in the midst of its list
-	stalled // the answer's head comes late, half a list behind it, and no more
+	available         failureMode = iota
+	connectionRefused             // connections are refused
+	connectionTimeout             // connections don't come up
+	neverAnswers                  // calls are accepted and never answered, also not after the return
+	answersOnReturn               // calls are accepted, and answered at the return
+	rejectsWith503
+	listTruncated // the answer ends in the midst of its list
+	listStalls    // the answer's head comes late, half a list behind it, and no more
 )
 
-var outages = []string{"up", "refused", "lost", "mute", "kept", "unavailable", "broken", "stalled"}
+var failureModeNames = []string{"up", "refused", "lost", "mute", "kept", "unavailable", "broken", "stalled"}
 
 // standIn is a discovery for any number of schedulers. It answers calls in turn.
-type standIn struct {
-	began    time.Time
-	how      outage
-	from, to time.Duration // it is down
-	silent   bool          // watches that are open then fall silent instead of being reset
-	each     time.Duration // that one call keeps it busy
-	late     time.Duration // that an answer takes beyond that, for nobody else to wait
-	patience time.Duration // a call that has waited for longer is rejected; 0: never
-	drains   time.Duration // when the worker begins to; 0: at the return
-	moves    bool          // another address is served from the beginning of the outage on, and fails; the old one goes
-
-	mu    sync.Mutex
-	over  bool
-	busy  time.Time
-	calls []time.Duration
-	open  map[net.Conn]bool
+type fakeDiscovery struct {
+	start                 time.Time
+	failure               failureMode
+	failsFrom, failsUntil time.Duration // it is down
+	silentWatches         bool          // watches that are open then fall silent instead of being reset
+	serviceTime           time.Duration // that one call keeps it busy
+	answerDelay           time.Duration // that an answer takes beyond that, for nobody else to wait
+	queueTimeout          time.Duration // a call that has waited for longer is rejected; 0: never
+	drainsAt              time.Duration // when the worker begins to; 0: at the return
+	addressMoves          bool          // another address is served from the beginning of the outage on, and fails; the old one goes
+
+	mu        sync.Mutex
+	closed    bool
+	busyUntil time.Time
+	callTimes []time.Duration
+	openConns map[net.Conn]bool
 }
 
-func (d *standIn) now() time.Duration { return time.Since(d.began) }
+func (d *fakeDiscovery) now() time.Duration { return time.Since(d.start) }
 
-func (d *standIn) state() outage {
-	if now := d.now(); now >= d.from && now < d.to {
-		return d.how
+func (d *fakeDiscovery) currentFailure() failureMode {
+	if now := d.now(); now >= d.failsFrom && now < d.failsUntil {
+		return d.failure
 	}
-	return up
+	return available
 }
 
 // DialContext is the way to discovery; nobody else listens.
-func (d *standIn) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
-	no := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
+func (d *fakeDiscovery) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
+	refusedErr := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if addr != discoveryAddr && addr != movedAddr || d.over {
-		return nil, no
+	if addr != discoveryAddr && addr != movedAddr || d.closed {
+		return nil, refusedErr
 	}
-	d.calls = append(d.calls, d.now())
-	how := d.state()
-	if d.moves && addr == discoveryAddr {
-		if how = up; d.now() >= d.from {
-			return nil, no
+	d.callTimes = append(d.callTimes, d.now())
+	failure := d.currentFailure()
+	if d.addressMoves && addr == discoveryAddr {
+		if failure = available; d.now() >= d.failsFrom {
+			return nil, refusedErr
 		}
 	}
-	switch how {
-	case refused:
-		return nil, no
-	case lost:
+	switch failure {
+	case connectionRefused:
+		return nil, refusedErr
+	case connectionTimeout:
 		d.mu.Unlock()
 		<-ctx.Done()
 		d.mu.Lock()
 		return nil, ctx.Err()
 	}
-	ours, theirs := net.Pipe()
-	d.open[theirs] = true
-	go d.serve(theirs, how, addr)
-	return ours, nil
+	schedulerEnd, discoveryEnd := net.Pipe()
+	d.openConns[discoveryEnd] = true
+	go d.serve(discoveryEnd, failure, addr)
+	return schedulerEnd, nil
 }
 
 const discoveryAddr, movedAddr = "127.0.0.1:1", "127.0.0.1:2"
 
-const listHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const listResponseHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func (d *standIn) list() string {
-	rev, state := 1, "Ready"
-	if now := d.now(); now >= cmp.Or(d.drains, d.to) {
-		rev, state = 2, "Terminating"
+func (d *fakeDiscovery) endpointList() string {
+	revision, state := 1, "Ready"
+	if now := d.now(); now >= cmp.Or(d.drainsAt, d.failsUntil) {
+		revision, state = 2, "Terminating"
 	}
-	return fmt.Sprintf("{\"rev\":%d,\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:9\",\"state\":%q}]}\n", rev, state)
+	return fmt.Sprintf("{\"rev\":%d,\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:9\",\"state\":%q}]}\n",
+		revision, state)
 }
 
-func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func encodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func (d *standIn) serve(c net.Conn, how outage, addr string) {
+func (d *fakeDiscovery) serve(conn net.Conn, failure failureMode, addr string) {
 	defer func() {
 		d.mu.Lock()
-		delete(d.open, c)
+		delete(d.openConns, conn)
 		d.mu.Unlock()
-		c.Close()
+		conn.Close()
 	}()
-	if _, _, err := message(bufio.NewReader(c)); err != nil {
+	if _, _, err := readMessage(bufio.NewReader(conn)); err != nil {
 		return
 	}
-	gone := make(chan struct{})
+	callerGone := make(chan struct{})
 	go func() { // what ends the call is seen at once
-		io.Copy(io.Discard, c)
-		close(gone)
+		io.Copy(io.Discard, conn)
+		close(callerGone)
 	}()
-	wait := func(span time.Duration) bool {
+	wait := func(duration time.Duration) bool {
 		select {
-		case <-gone:
+		case <-callerGone:
 			return false
-		case <-time.After(span):
+		case <-time.After(duration):
 			return true
 		}
 	}
-	switch how {
-	case mute:
-		<-gone
+	switch failure {
+	case neverAnswers:
+		<-callerGone
 		return
-	case kept:
-		if !wait(d.to - d.now()) {
+	case answersOnReturn:
+		if !wait(d.failsUntil - d.now()) {
 			return
 		}
-	case unavailable:
-		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	case rejectsWith503:
+		io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return
-	case broken, stalled:
-		if how == stalled && !wait(2900*time.Millisecond) {
+	case listTruncated, listStalls:
+		if failure == listStalls && !wait(2900*time.Millisecond) {
 			return
 		}
-		io.WriteString(c, listHead+chunk(d.list()[:30]))
-		if how == stalled {
-			<-gone
+		io.WriteString(conn, listResponseHeader+encodeChunk(d.endpointList()[:30]))
+		if failure == listStalls {
+			<-callerGone
 		}
 		return
 	}
 	// Calls take turns. What was given up meanwhile has its turn all the same: that shows only when it is answered.
 	d.mu.Lock()
-	d.busy = time.Unix(0, max(d.busy.UnixNano(), time.Now().UnixNano())).Add(d.each)
-	turn := time.Until(d.busy)
+	d.busyUntil = time.Unix(0, max(d.busyUntil.UnixNano(), time.Now().UnixNano())).Add(d.serviceTime)
+	waitTime := time.Until(d.busyUntil)
 	d.mu.Unlock()
-	if d.patience > 0 && turn > d.patience {
-		if wait(d.patience) {
-			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	if d.queueTimeout > 0 && waitTime > d.queueTimeout {
+		if wait(d.queueTimeout) {
+			io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		}
 		return
 	}
-	if !wait(turn + d.late) {
+	if !wait(waitTime + d.answerDelay) {
 		return
 	}
-	last := d.list()
-	if _, err := io.WriteString(c, listHead+chunk(last)); err != nil {
+	lastList := d.endpointList()
+	if _, err := io.WriteString(conn, listResponseHeader+encodeChunk(lastList)); err != nil {
 		return
 	}
-	for line := 0; ; line++ {
+	for iteration := 0; ; iteration++ {
 		if !wait(200 * time.Millisecond) {
 			return
 		}
-		if old := d.moves && addr == discoveryAddr; old && d.now() < d.from+1500*time.Millisecond {
-			if line%10 == 0 {
-				io.WriteString(c, chunk("\n"))
+		if isOldAddress := d.addressMoves && addr == discoveryAddr; isOldAddress && d.now() < d.failsFrom+1500*time.Millisecond {
+			if iteration%10 == 0 {
+				io.WriteString(conn, encodeChunk("\n"))
 			}
 			continue // changes are sent at the new address alone
-		} else if old || d.state() != up {
-			if d.silent {
-				<-gone
+		} else if isOldAddress || d.currentFailure() != available {
+			if d.silentWatches {
+				<-callerGone
 			}
 			return
 		}
-		if now := d.list(); now != last {
-			last = now
-			io.WriteString(c, chunk(now))
-		} else if line%10 == 0 {
-			io.WriteString(c, chunk("\n"))
+		if current := d.endpointList(); current != lastList {
+			lastList = current
+			io.WriteString(conn, encodeChunk(current))
+		} else if iteration%10 == 0 {
+			io.WriteString(conn, encodeChunk("\n"))
 		}
 	}
 }
 
 // shut has all calls end and refuses new ones. Dials that are lost give up within a second.
-func (d *standIn) shut() {
+func (d *fakeDiscovery) close() {
 	d.mu.Lock()
-	d.over = true
-	for c := range d.open {
+	d.closed = true
+	for c := range d.openConns {
 		c.Close()
 	}
 	d.mu.Unlock()
 }
 
 // closed is a listener to which nobody comes.
-type closed chan struct{}
+type idleListener chan struct{}
 
-func (l closed) Accept() (net.Conn, error) {
+func (l idleListener) Accept() (net.Conn, error) {
 	<-l
 	runtime.Goexit() // the event loop that would be notified has ended
 	return nil, net.ErrClosed
 }
-func (l closed) Close() error   { return nil }
-func (l closed) Addr() net.Addr { return &net.TCPAddr{} }
+func (l idleListener) Close() error   { return nil }
+func (l idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // player is a service in the bubble.
-type player struct {
+type simulatedScheduler struct {
 	*service
-	at       *standIn
-	heard    []time.Duration // when lists came
-	told     time.Duration   // when the first came that says the worker drains
-	listener closed
-	over     chan struct{}
+	discovery    *fakeDiscovery
+	listTimes    []time.Duration // when lists came
+	drainKnownAt time.Duration   // when the first came that says the worker drains
+	listener     idleListener
+	done         chan struct{}
 }
 
 // day is what a player's settings say.
-type day struct {
+type schedulerConfig struct {
 	push, unknown bool // unknown: there is no known list
 	peers, within int  // settings' AskWithin, in milliseconds
 	grace         float64
 	seed          int
 }
 
-func (d day) play(t *testing.T, at *standIn) *player {
+func (c schedulerConfig) start(t *testing.T, d *fakeDiscovery) *simulatedScheduler {
 	t.Helper()
-	how, known := "ask", `"known":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","state":"Ready"}]},`
-	if d.push {
-		how = "push"
+	discoveryMode, cachedList := "ask", `"known":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","state":"Ready"}]},`
+	if c.push {
+		discoveryMode = "push"
 	}
-	if d.unknown {
-		known = ""
+	if c.unknown {
+		cachedList = ""
 	}
-	node, err := settings.ParseProcess(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:3","discovery":%q,"seed":"%x",%s
+	process, err := settings.ParseProcess(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:3","discovery":%q,"seed":"%x",%s
 		"settings":{"Discovery":%q,"PeersTotal":%d,"Rules":{"AskWithin":%g,"StopSendingWithin":%g},
-		"Operations":[{"Name":"render","Effect":"read_like"}]}}`, discoveryAddr, d.seed+1, known, how, max(1, d.peers),
-		float64(cmp.Or(d.within, 10000))/1000, cmp.Or(d.grace, 0.5)), func(string) string { return "" })
+		"Operations":[{"Name":"render","Effect":"read_like"}]}}`, discoveryAddr, c.seed+1, cachedList, discoveryMode, max(1, c.peers),
+		float64(cmp.Or(c.within, 10000))/1000, cmp.Or(c.grace, 0.5)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s, err := newService(node, logrus.NewEntry(log))
+	s, err := newService(process, logrus.NewEntry(log))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &player{service: s, at: at, listener: make(closed), over: make(chan struct{})}
-	s.loop.DialContext = at.DialContext
+	scheduler := &simulatedScheduler{service: s, discovery: d, listener: make(idleListener), done: make(chan struct{})}
+	s.loop.DialContext = d.DialContext
 	s.loop.Panicked = func(cause any) { panic(cause) }
-	took := s.endpoints.OnUpdate
-	s.endpoints.OnUpdate = func(l discovery.Update) {
-		if len(l.Workers) > 0 {
-			if p.heard = append(p.heard, at.now()); l.Workers[0].State != dispatch.Ready && p.told == 0 {
-				p.told = at.now()
+	handleUpdate := s.endpoints.OnUpdate
+	s.endpoints.OnUpdate = func(update discovery.Update) {
+		if len(update.Workers) > 0 {
+			if scheduler.listTimes = append(scheduler.listTimes, d.now()); update.Workers[0].State != dispatch.Ready && scheduler.drainKnownAt == 0 {
+				scheduler.drainKnownAt = d.now()
 			}
 		}
-		took(l)
+		handleUpdate(update)
 	}
 	go func() {
-		s.run(takeover.Address{Listener: p.listener})
-		close(p.over)
+		s.run(takeover.Address{Listener: scheduler.listener})
+		close(scheduler.done)
 	}()
-	return p
+	return scheduler
 }
 
 // end stops the player; its discovery has ended.
-func (p *player) end() {
+func (p *simulatedScheduler) stop() {
 	p.loop.PostUrgent(loopTask(p.loop.Stop))
-	<-p.over
+	<-p.done
 	close(p.listener)
 }
 
 // afterSix is how long a change may take after discovery has it and can be reached: a worker that counts as draining then may be
 // sent requests for the drain grace, which is kept as a reserve.
-const afterSix = 6*time.Second - 500*time.Millisecond
+const maxPropagationTime = 6*time.Second - 500*time.Millisecond
 
 // Discovery goes down in each way, for each span from nothing to 20 s in steps of 50 ms (variants: 250), with watches that end or fall silent; a
 // worker begins to drain at its return. From there to the list is less than 6 s and the grace, at each of these moments. What is
 // pushed counts as known at the return already: there the drain grace itself is the bound, unless a call was lost.
 func TestDrainIsAppliedAtAnyDiscoveryReturn(t *testing.T) {
-	const first, longest = 3 * time.Second, 20 * time.Second
-	for _, play := range []struct {
+	const failureStart, maxFailure = 3 * time.Second, 20 * time.Second
+	for _, variant := range []struct {
 		name string
 		step time.Duration
-		day
+		schedulerConfig
 	}{
-		{"asked of 300", 50 * time.Millisecond, day{peers: 300}},
-		{"asked alone", 250 * time.Millisecond, day{}},
-		{"asked within 2 s", 250 * time.Millisecond, day{within: 2000}},
-		{"asked within 1 s", 250 * time.Millisecond, day{within: 1000}},
-		{"pushed", 50 * time.Millisecond, day{push: true}},
-		{"pushed, grace 30 s", 250 * time.Millisecond, day{push: true, grace: 30}},
+		{"asked of 300", 50 * time.Millisecond, schedulerConfig{peers: 300}},
+		{"asked alone", 250 * time.Millisecond, schedulerConfig{}},
+		{"asked within 2 s", 250 * time.Millisecond, schedulerConfig{within: 2000}},
+		{"asked within 1 s", 250 * time.Millisecond, schedulerConfig{within: 1000}},
+		{"pushed", 50 * time.Millisecond, schedulerConfig{push: true}},
+		{"pushed, grace 30 s", 250 * time.Millisecond, schedulerConfig{push: true, grace: 30}},
 	} {
-		for how := refused; how <= stalled; how++ {
+		for failure := connectionRefused; failure <= listStalls; failure++ {
 			for _, silent := range []bool{false, true} {
-				name := fmt.Sprintf("%s/%s/silent=%v", play.name, outages[how], silent)
+				name := fmt.Sprintf("%s/%s/silent=%v", variant.name, failureModeNames[failure], silent)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
-						var all []*player
-						for span := play.step; span <= longest; span += play.step {
-							at := &standIn{began: time.Now(), how: how, from: first, to: first + span, silent: silent,
-								each: 20 * time.Millisecond, open: map[net.Conn]bool{}}
-							one := play.day
-							one.seed = len(all)
-							all = append(all, one.play(t, at))
+						var schedulers []*simulatedScheduler
+						for duration := variant.step; duration <= maxFailure; duration += variant.step {
+							d := &fakeDiscovery{start: time.Now(), failure: failure, failsFrom: failureStart, failsUntil: failureStart + duration,
+								silentWatches: silent,
+								serviceTime:   20 * time.Millisecond, openConns: map[net.Conn]bool{}}
+							config := variant.schedulerConfig
+							config.seed = len(schedulers)
+							schedulers = append(schedulers, config.start(t, d))
 						}
-						time.Sleep(first + longest + 8*time.Second)
-						for _, p := range all {
-							p.at.shut()
+						time.Sleep(failureStart + maxFailure + 8*time.Second)
+						for _, p := range schedulers {
+							p.discovery.close()
 						}
 						time.Sleep(2 * time.Second)
-						worst, when := time.Duration(0), time.Duration(0)
-						for _, p := range all {
-							p.end()
-							span := p.told - p.at.to
-							if p.told == 0 {
-								span = time.Hour
+						worst, worstFailure := time.Duration(0), time.Duration(0)
+						for _, p := range schedulers {
+							p.stop()
+							duration := p.drainKnownAt - p.discovery.failsUntil
+							if p.drainKnownAt == 0 {
+								duration = time.Hour
 							}
-							if span > worst {
-								worst, when = span, p.at.to-first
+							if duration > worst {
+								worst, worstFailure = duration, p.discovery.failsUntil-failureStart
 							}
 						}
-						most := afterSix
-						if play.within > 0 {
-							most = min(most, 4*time.Duration(play.within)*time.Millisecond)
+						limit := maxPropagationTime
+						if variant.within > 0 {
+							limit = min(limit, 4*time.Duration(variant.within)*time.Millisecond)
 						}
 						switch {
-						case how == mute, how == stalled, how == lost, silent, !play.push, play.grace > 1:
+						case failure == neverAnswers, failure == listStalls, failure == connectionTimeout, silent, !variant.push, variant.grace > 1:
 						default:
-							most = 500 * time.Millisecond
+							limit = 500 * time.Millisecond
 						}
-						t.Logf("%s: worst span from return to list: %v, down for %v", name, worst.Round(time.Millisecond), when)
-						if worst >= most {
-							t.Errorf("%v is not below %v", worst, most)
+						t.Logf("%s: worst span from return to list: %v, down for %v", name, worst.Round(time.Millisecond), worstFailure)
+						if worst >= limit {
+							t.Errorf("%v is not below %v", worst, limit)
 						}
 					})
 				})
@@ -361,57 +363,58 @@
 }
 
 // together plays schedulers of one kind, each with its own discovery, to a time, and ends them.
-func together(t *testing.T, until time.Duration, all ...*player) {
+func runUntil(t *testing.T, end time.Duration, all ...*simulatedScheduler) {
 	t.Helper()
-	time.Sleep(until)
+	time.Sleep(end)
 	for _, p := range all {
-		p.at.shut()
+		p.discovery.close()
 	}
 	time.Sleep(2 * time.Second)
 	for _, p := range all {
-		p.end()
+		p.stop()
 	}
 }
 
 // An open watch falls silent while discovery has something to tell, and the call behind it may be lost as well: the list comes less than
 // 6 s and the grace after the watch fell silent. Where two calls or more were lost it could not be reached until it was back.
 func TestDrainIsAppliedAfterSilentWatch(t *testing.T) {
-	const first, step, longest = 3 * time.Second, 50 * time.Millisecond, 3600 * time.Millisecond
-	for _, play := range []day{{peers: 300}, {within: 2000}, {push: true}, {push: true, grace: 30}} {
-		t.Run(fmt.Sprintf("%+v", play), func(t *testing.T) {
+	const failureStart, step, maxFailure = 3 * time.Second, 50 * time.Millisecond, 3600 * time.Millisecond
+	for _, config := range []schedulerConfig{{peers: 300}, {within: 2000}, {push: true}, {push: true, grace: 30}} {
+		t.Run(fmt.Sprintf("%+v", config), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				var all []*player
-				for span := time.Duration(0); span <= longest; span += step {
+				var schedulers []*simulatedScheduler
+				for duration := time.Duration(0); duration <= maxFailure; duration += step {
 					for seed := range 3 {
-						play.seed = 1000*len(all) + seed
-						all = append(all, play.play(t, &standIn{began: time.Now(), how: mute, from: first, to: first + span + 1, silent: true,
-							drains: first + 1, each: 20 * time.Millisecond, open: map[net.Conn]bool{}}))
+						config.seed = 1000*len(schedulers) + seed
+						schedulers = append(schedulers, config.start(t, &fakeDiscovery{start: time.Now(), failure: neverAnswers,
+							failsFrom: failureStart, failsUntil: failureStart + duration + 1, silentWatches: true,
+							drainsAt: failureStart + 1, serviceTime: 20 * time.Millisecond, openConns: map[net.Conn]bool{}}))
 					}
 				}
-				together(t, 15*time.Second, all...)
+				runUntil(t, 15*time.Second, schedulers...)
 				var worst [2]time.Duration
-				var plays [2]int
-				for _, p := range all {
-					if p.told == 0 {
+				var runs [2]int
+				for _, p := range schedulers {
+					if p.drainKnownAt == 0 {
 						t.Fatal("never told")
 					}
-					lost, from, which := 0, p.at.from, 0
-					for _, call := range p.at.calls {
-						if call >= p.at.from && call < p.at.to {
-							lost++
+					lostCalls, from, group := 0, p.discovery.failsFrom, 0
+					for _, call := range p.discovery.callTimes {
+						if call >= p.discovery.failsFrom && call < p.discovery.failsUntil {
+							lostCalls++
 						}
 					}
-					if lost > 1 {
-						which, from = 1, p.at.to
+					if lostCalls > 1 {
+						group, from = 1, p.discovery.failsUntil
 					}
-					worst[which] = max(worst[which], p.told-from)
-					plays[which]++
+					worst[group] = max(worst[group], p.drainKnownAt-from)
+					runs[group]++
 				}
 				t.Logf("%s: worst span to the list, from silence %v (%d plays), from the return after two lost calls %v (%d)", t.Name(),
-					worst[0].Round(time.Millisecond), plays[0], worst[1].Round(time.Millisecond), plays[1])
-				if max(worst[0], worst[1]) >= afterSix {
-					t.Errorf("%v is not below %v", worst, afterSix)
+					worst[0].Round(time.Millisecond), runs[0], worst[1].Round(time.Millisecond), runs[1])
+				if max(worst[0], worst[1]) >= maxPropagationTime {
+					t.Errorf("%v is not below %v", worst, maxPropagationTime)
 				}
 			})
 		})
@@ -421,41 +424,42 @@
 // SIGHUP names another address, which may fail in each way for up to 8 s: what it has to tell comes less than 4 s after the order,
 // or less than 6 s and the grace after it can be reached, whichever is later; with up to 1.5 s of failure, within the 4 s.
 func TestDrainIsAppliedAfterAddressChange(t *testing.T) {
-	const first, step, longest = 3 * time.Second, 100 * time.Millisecond, 8 * time.Second
-	for how := refused; how <= stalled; how++ {
+	const failureStart, step, maxFailure = 3 * time.Second, 100 * time.Millisecond, 8 * time.Second
+	for failure := connectionRefused; failure <= listStalls; failure++ {
 		for _, push := range []bool{false, true} {
-			name := fmt.Sprintf("%s/push=%v", outages[how], push)
+			name := fmt.Sprintf("%s/push=%v", failureModeNames[failure], push)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					var all []*player
-					for span := time.Duration(0); span <= longest; span += step {
-						at := &standIn{began: time.Now(), how: how, from: first, to: first + span, moves: true, each: 20 * time.Millisecond,
-							open: map[net.Conn]bool{}}
-						p := day{push: push, peers: 300, seed: len(all)}.play(t, at)
-						all = append(all, p)
-						time.AfterFunc(first, func() {
-							node := p.process
-							node.Deployment, node.Discovery = p.configured, movedAddr
-							p.loop.PostUrgent(loopTask(func() { p.applyConfiguration(node, nil) }))
+					var schedulers []*simulatedScheduler
+					for duration := time.Duration(0); duration <= maxFailure; duration += step {
+						d := &fakeDiscovery{start: time.Now(), failure: failure, failsFrom: failureStart, failsUntil: failureStart + duration,
+							addressMoves: true, serviceTime: 20 * time.Millisecond,
+							openConns: map[net.Conn]bool{}}
+						p := schedulerConfig{push: push, peers: 300, seed: len(schedulers)}.start(t, d)
+						schedulers = append(schedulers, p)
+						time.AfterFunc(failureStart, func() {
+							process := p.process
+							process.Deployment, process.Discovery = p.configured, movedAddr
+							p.loop.PostUrgent(loopTask(func() { p.applyConfiguration(process, nil) }))
 						})
 					}
-					together(t, first+longest+8*time.Second, all...)
-					worst, late := time.Duration(0), time.Duration(0)
-					for _, p := range all {
-						span := p.at.to - first
-						most := max(4*time.Second, span+afterSix)
-						if span <= 1500*time.Millisecond {
-							most = 4 * time.Second
-							late = max(late, p.told-first)
+					runUntil(t, failureStart+maxFailure+8*time.Second, schedulers...)
+					worst, worstAfterReload := time.Duration(0), time.Duration(0)
+					for _, p := range schedulers {
+						duration := p.discovery.failsUntil - failureStart
+						limit := max(4*time.Second, duration+maxPropagationTime)
+						if duration <= 1500*time.Millisecond {
+							limit = 4 * time.Second
+							worstAfterReload = max(worstAfterReload, p.drainKnownAt-failureStart)
 						}
-						worst = max(worst, p.told-p.at.to)
-						if took := p.told - first; p.told == 0 || took >= most {
-							t.Errorf("down for %v: the list comes %v after the order, not within %v", span, took, most)
+						worst = max(worst, p.drainKnownAt-p.discovery.failsUntil)
+						if elapsed := p.drainKnownAt - failureStart; p.drainKnownAt == 0 || elapsed >= limit {
+							t.Errorf("down for %v: the list comes %v after the order, not within %v", duration, elapsed, limit)
 						}
 					}
 					t.Logf("%s: worst after the return %v; after the order, where that is within 1.5 s, %v", name,
-						worst.Round(time.Millisecond), late.Round(time.Millisecond))
+						worst.Round(time.Millisecond), worstAfterReload.Round(time.Millisecond))
 				})
 			})
 		}
@@ -464,30 +468,31 @@
 
 // A draining process goes on following the endpoint list: its watch has failed, and the list that comes at the return is applied before it exits.
 func TestEndpointListIsFollowedDuringStop(t *testing.T) {
-	const first = 3 * time.Second
+	const failureStart = 3 * time.Second
 	for _, push := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			var all []*player
+			var schedulers []*simulatedScheduler
 			for seed := range 50 {
-				at := &standIn{began: time.Now(), how: refused, from: first, to: first + 300*time.Millisecond, open: map[net.Conn]bool{}}
-				p := day{push: push, peers: 300, seed: seed}.play(t, at)
-				time.AfterFunc(first+100*time.Millisecond, func() {
+				d := &fakeDiscovery{start: time.Now(), failure: connectionRefused, failsFrom: failureStart,
+					failsUntil: failureStart + 300*time.Millisecond, openConns: map[net.Conn]bool{}}
+				p := schedulerConfig{push: push, peers: 300, seed: seed}.start(t, d)
+				time.AfterFunc(failureStart+100*time.Millisecond, func() {
 					p.loop.PostUrgent(loopTask(func() {
 						p.clients.LongestTimeout = 3 * time.Second // as a client has said
 						p.service.stop()
 					}))
 				})
-				all = append(all, p)
+				schedulers = append(schedulers, p)
 			}
-			time.Sleep(first + 1200*time.Millisecond)
-			for _, p := range all {
-				p.at.shut()
+			time.Sleep(failureStart + 1200*time.Millisecond)
+			for _, p := range schedulers {
+				p.discovery.close()
 			}
-			for _, p := range all {
-				<-p.over
+			for _, p := range schedulers {
+				<-p.done
 				close(p.listener)
-				if p.told == 0 {
-					t.Error("never told; lists:", p.heard)
+				if p.drainKnownAt == 0 {
+					t.Error("never told; lists:", p.listTimes)
 				}
 			}
 		})
@@ -495,58 +500,61 @@
 }
 
 // perTenth is the most calls in any 100 ms from a moment on, and the plain mean until the last of them.
-func (d *standIn) perTenth(from time.Duration) (most int, mean float64) {
-	var after []time.Duration
-	for _, call := range d.calls {
-		if call >= from {
-			after = append(after, call)
+func (d *fakeDiscovery) callRate(notBefore time.Duration) (maxCalls int, meanCalls float64) {
+	var times []time.Duration
+	for _, call := range d.callTimes {
+		if call >= notBefore {
+			times = append(times, call)
 		}
 	}
-	slices.Sort(after)
-	for first, call := range after {
-		end, _ := slices.BinarySearch(after, call+100*time.Millisecond)
-		most = max(most, end-first)
+	slices.Sort(times)
+	for first, call := range times {
+		end, _ := slices.BinarySearch(times, call+100*time.Millisecond)
+		maxCalls = max(maxCalls, end-first)
 	}
-	return most, float64(len(after)) / max(1, float64(after[len(after)-1]-from)/float64(100*time.Millisecond))
+	return maxCalls, float64(len(times)) / max(1, float64(times[len(times)-1]-notBefore)/float64(100*time.Millisecond))
 }
 
 // Discovery returns to 300 schedulers: they come spread over the longest wait, at most a quarter of them in any 100 ms. Pushed lists, with
 // a grace of half a second, leave a quarter of a second for that.
 func TestReturnedDiscoverySeesSpreadWatches(t *testing.T) {
-	for _, play := range []struct {
-		how  outage
-		span time.Duration
-		push bool
-	}{{refused, 8 * time.Second, false}, {unavailable, 3 * time.Second, false}, {mute, 8 * time.Second, false}, {refused, time.Second, false},
-		{refused, 8 * time.Second, true}} {
+	for _, variant := range []struct {
+		failure  failureMode
+		duration time.Duration
+		push     bool
+	}{{connectionRefused, 8 * time.Second, false}, {rejectsWith503, 3 * time.Second, false}, {neverAnswers, 8 * time.Second,
+		false}, {connectionRefused, time.Second, false},
+		{connectionRefused, 8 * time.Second, true}} {
 		synctest.Test(t, func(t *testing.T) {
-			const first = 6 * time.Second
-			at := &standIn{began: time.Now(), how: play.how, from: first, to: first + play.span, each: time.Millisecond,
-				open: map[net.Conn]bool{}}
-			var all []*player
+			const failureStart = 6 * time.Second
+			d := &fakeDiscovery{start: time.Now(), failure: variant.failure, failsFrom: failureStart,
+				failsUntil: failureStart + variant.duration, serviceTime: time.Millisecond,
+				openConns: map[net.Conn]bool{}}
+			var schedulers []*simulatedScheduler
 			for seed := range 300 {
-				all = append(all, day{peers: 300, seed: seed, push: play.push}.play(t, at))
+				schedulers = append(schedulers, schedulerConfig{peers: 300, seed: seed, push: variant.push}.start(t, d))
 			}
-			time.Sleep(at.to + 8*time.Second)
-			at.shut()
-			calls := slices.Clone(at.calls)
+			time.Sleep(d.failsUntil + 8*time.Second)
+			d.close()
+			calls := slices.Clone(d.callTimes)
 			time.Sleep(2 * time.Second)
 			worst := time.Duration(0)
-			for _, p := range all {
-				p.end()
-				if worst = max(worst, p.told-at.to); p.told == 0 {
+			for _, p := range schedulers {
+				p.stop()
+				if worst = max(worst, p.drainKnownAt-d.failsUntil); p.drainKnownAt == 0 {
 					t.Error("never told")
 				}
 			}
-			at.calls = calls
-			most, mean := at.perTenth(at.to)
-			down, _ := at.perTenth(at.from)
+			d.callTimes = calls
+			maxCalls, meanCalls := d.callRate(d.failsUntil)
+			maxCallsAtFailure, _ := d.callRate(d.failsFrom)
 			t.Logf("%s for %v, push=%v: at the return at most %d calls in 100 ms, mean %.1f; at the failure %d; last list after %v",
-				outages[play.how], play.span, play.push, most, mean, down, worst.Round(time.Millisecond))
-			if !play.push && most > len(all)/4 {
-				t.Errorf("%d calls in 100 ms of %d schedulers", most, len(all))
+				failureModeNames[variant.failure], variant.duration, variant.push, maxCalls, meanCalls, maxCallsAtFailure,
+				worst.Round(time.Millisecond))
+			if !variant.push && maxCalls > len(schedulers)/4 {
+				t.Errorf("%d calls in 100 ms of %d schedulers", maxCalls, len(schedulers))
 			}
-			if worst >= afterSix {
+			if worst >= maxPropagationTime {
 				t.Errorf("the last list comes %v after the return", worst)
 			}
 		})
@@ -557,56 +565,60 @@
 // they say so a second after their start and hold what comes until there is one: the page's log tells when that is.
 func TestManyRestartsAreReadyInTime(t *testing.T) {
 	const schedulers = 300
-	for _, play := range []struct {
+	for _, variant := range []struct {
 		name string
-		*standIn
+		*fakeDiscovery
 	}{
-		{"well", &standIn{each: time.Millisecond}},
-		{"each answer 2.5 s late", &standIn{each: time.Millisecond, late: 2500 * time.Millisecond}},
-		{"each answer 5 s late", &standIn{each: time.Millisecond, late: 5 * time.Second}},
-		{"refuses for 8 s", &standIn{how: refused, to: 8 * time.Second, each: time.Millisecond}},
-		{"mute for 8 s", &standIn{how: mute, to: 8 * time.Second, each: time.Millisecond}},
-		{"refuses for 8 s, then 60 calls a second", &standIn{how: refused, to: 8 * time.Second, each: time.Second / 60}},
-		{"60 calls a second", &standIn{each: time.Second / 60}},
-		{"60 calls a second, 503 after 2 s", &standIn{each: time.Second / 60, patience: 2 * time.Second}},
-		{"25 calls a second", &standIn{each: time.Second / 25}},
-		{"25 calls a second, 503 after 2 s", &standIn{each: time.Second / 25, patience: 2 * time.Second}},
-		{"refuses for good", &standIn{how: refused, to: time.Hour}},
+		{"well", &fakeDiscovery{serviceTime: time.Millisecond}},
+		{"each answer 2.5 s late", &fakeDiscovery{serviceTime: time.Millisecond, answerDelay: 2500 * time.Millisecond}},
+		{"each answer 5 s late", &fakeDiscovery{serviceTime: time.Millisecond, answerDelay: 5 * time.Second}},
+		{"refuses for 8 s", &fakeDiscovery{failure: connectionRefused, failsUntil: 8 * time.Second, serviceTime: time.Millisecond}},
+		{"mute for 8 s", &fakeDiscovery{failure: neverAnswers, failsUntil: 8 * time.Second, serviceTime: time.Millisecond}},
+		{"refuses for 8 s, then 60 calls a second", &fakeDiscovery{failure: connectionRefused, failsUntil: 8 * time.Second,
+			serviceTime: time.Second / 60}},
+		{"60 calls a second", &fakeDiscovery{serviceTime: time.Second / 60}},
+		{"60 calls a second, 503 after 2 s", &fakeDiscovery{serviceTime: time.Second / 60, queueTimeout: 2 * time.Second}},
+		{"25 calls a second", &fakeDiscovery{serviceTime: time.Second / 25}},
+		{"25 calls a second, 503 after 2 s", &fakeDiscovery{serviceTime: time.Second / 25, queueTimeout: 2 * time.Second}},
+		{"refuses for good", &fakeDiscovery{failure: connectionRefused, failsUntil: time.Hour}},
 	} {
-		for _, day := range []day{{peers: schedulers}, {peers: schedulers, unknown: true}, {peers: schedulers, push: true, unknown: true}} {
-			name := fmt.Sprintf("%s/push=%v/known=%v", play.name, day.push, !day.unknown)
+		for _, config := range []schedulerConfig{{peers: schedulers}, {peers: schedulers, unknown: true},
+			{peers: schedulers, push: true, unknown: true}} {
+			name := fmt.Sprintf("%s/push=%v/known=%v", variant.name, config.push, !config.unknown)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					at := &standIn{how: play.how, to: play.to, each: play.each, late: play.late, patience: play.patience,
-						began: time.Now(), open: map[net.Conn]bool{}}
-					var all []*player
-					for day.seed = range schedulers {
-						all = append(all, day.play(t, at))
+					d := &fakeDiscovery{failure: variant.failure, failsUntil: variant.failsUntil, serviceTime: variant.serviceTime,
+						answerDelay: variant.answerDelay, queueTimeout: variant.queueTimeout,
+						start: time.Now(), openConns: map[net.Conn]bool{}}
+					var pool []*simulatedScheduler
+					for config.seed = range schedulers {
+						pool = append(pool, config.start(t, d))
 					}
 					var ready, listed []time.Duration
-					const watched, look = 20 * time.Second, 10 * time.Millisecond
-					yes := map[*player]bool{}
-					for at.now() < watched {
-						for _, p := range all {
-							if !yes[p] && lifecycle.State(p.publishedState.Load()) == lifecycle.Ready {
-								yes[p] = true
-								ready = append(ready, at.now())
+					const observedFor, pollInterval = 20 * time.Second, 10 * time.Millisecond
+					isReady := map[*simulatedScheduler]bool{}
+					for d.now() < observedFor {
+						for _, p := range pool {
+							if !isReady[p] && lifecycle.State(p.publishedState.Load()) == lifecycle.Ready {
+								isReady[p] = true
+								ready = append(ready, d.now())
 							}
 						}
-						time.Sleep(look)
+						time.Sleep(pollInterval)
 					}
-					at.shut()
+					d.close()
 					time.Sleep(2 * time.Second)
-					for _, p := range all {
-						p.end()
-						if len(p.heard) > 0 {
-							listed = append(listed, p.heard[0])
+					for _, p := range pool {
+						p.stop()
+						if len(p.listTimes) > 0 {
+							listed = append(listed, p.listTimes[0])
 						}
 					}
-					t.Logf("%s: ready %s; first list from discovery %s; %d calls", name, spread(ready, schedulers), spread(listed, schedulers),
-						len(at.calls))
-					if late := play.how == up && play.patience == 0; late && len(listed) < schedulers {
+					t.Logf("%s: ready %s; first list from discovery %s; %d calls", name, quantileSummary(ready, schedulers),
+						quantileSummary(listed, schedulers),
+						len(d.callTimes))
+					if listExpected := variant.failure == available && variant.queueTimeout == 0; listExpected && len(listed) < schedulers {
 						t.Error("lists come to", len(listed), "of", schedulers)
 					}
 					if n, _ := slices.BinarySearch(ready, 10*time.Second); n < schedulers*9/10 {
@@ -619,13 +631,13 @@
 }
 
 // spread tells the quantiles of what each of so many has had at some time.
-func spread(times []time.Duration, of int) string {
+func quantileSummary(times []time.Duration, total int) string {
 	slices.Sort(times)
-	at := func(part float64) string {
-		if n := int(part*float64(of)+0.5) - 1; n < len(times) {
+	quantile := func(fraction float64) string {
+		if n := int(fraction*float64(total)+0.5) - 1; n < len(times) {
 			return times[n].Round(10 * time.Millisecond).String()
 		}
 		return "-"
 	}
-	return fmt.Sprintf("p50 %s p90 %s max %s (%d of %d)", at(0.5), at(0.9), at(1), len(times), of)
+	return fmt.Sprintf("p50 %s p90 %s max %s (%d of %d)", quantile(0.5), quantile(0.9), quantile(1), len(times), total)
 }
--- a/cmd/stoatweir/gossip_test.go
+++ b/cmd/stoatweir/gossip_test.go
@@ -24,13 +24,13 @@
 
 // newGossipRig is a rig with enough workers whose load data scheduler 0 owns. Which scheduler owns a worker follows from the
 // worker's port: once in a hundred times scheduler 0 would own none of twelve and never be asked.
-func newGossipRig(t *testing.T) *rig {
+func newGossipRig(t *testing.T) *testRig {
 	t.Helper()
 	for range maxGossipRigs {
-		r := newRig(t, 12, 200*time.Millisecond) // answers of others hold for a part of a run
+		r := newTestRig(t, 12, 200*time.Millisecond) // answers of others hold for a part of a run
 		owned := 0
-		for _, w := range r.workers {
-			if ownerOf(t, w.addr) == 0 {
+		for _, worker := range r.workers {
+			if ownerOf(t, worker.addr) == 0 {
 				owned++
 			}
 		}
@@ -74,22 +74,22 @@
 // ones; clients get one answer each all the same. A configuration that mixes two shapes is rejected.
 func TestGossipSurvivesBrokenPeers(t *testing.T) {
 	r := newGossipRig(t)
-	var others []*net.UDPConn
+	var peerConns []*net.UDPConn
 	var addrs []string
 	for range gossipSchedulers {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		others, addrs = append(others, c), append(addrs, c.LocalAddr().String())
+		defer conn.Close()
+		peerConns, addrs = append(peerConns, conn), append(addrs, conn.LocalAddr().String())
 	}
-	own := others[1].LocalAddr().(*net.UDPAddr)
-	others[1].Close()
+	ownAddr := peerConns[1].LocalAddr().(*net.UDPAddr)
+	peerConns[1].Close()
 	r.config["peers"] = addrs
-	site := r.config["settings"].(map[string]any)
-	site["Discovery"], site["PeersTotal"], site["MyNumber"] = "push", gossipSchedulers, 1
-	site["Limits"].(map[string]any)["Peers"] = true
+	deploymentSettings := r.config["settings"].(map[string]any)
+	deploymentSettings["Discovery"], deploymentSettings["PeersTotal"], deploymentSettings["MyNumber"] = "push", gossipSchedulers, 1
+	deploymentSettings["Limits"].(map[string]any)["Peers"] = true
 	r.writeConfig()
 
 	kinds := make(chan dispatch.GossipKind, 10000)
@@ -98,61 +98,63 @@
 	go func() {
 		buffer := make([]byte, 1000)
 		for n := 0; ; n++ {
-			size, err := others[0].Read(buffer)
+			size, err := peerConns[0].Read(buffer)
 			if err != nil {
 				readError.Store(err)
 				return
 			}
 			datagrams.Add(1)
 			message := buffer[:size]
-			var free []dispatch.GossipEntry
-			if notes, ok := dispatch.DecodeGossip(message[min(15, size):]); ok {
-				for _, note := range notes {
-					kinds <- note.Kind
-					if note.Kind == dispatch.GossipCapacityQuery {
-						free = append(free, dispatch.GossipEntry{Kind: dispatch.GossipCapacityReply, Serial: 9, Tag: note.Tag})
+			var replies []dispatch.GossipEntry
+			if entries, ok := dispatch.DecodeGossip(message[min(15, size):]); ok {
+				for _, entry := range entries {
+					kinds <- entry.Kind
+					if entry.Kind == dispatch.GossipCapacityQuery {
+						replies = append(replies, dispatch.GossipEntry{Kind: dispatch.GossipCapacityReply, Serial: 9, Tag: entry.Tag})
 					}
 				}
 			}
 			// Without a true answer between the lies none of its workers need ever look free: all queued requests may go to our own.
-			if len(free) > 0 {
-				answer := append(append([]byte(nil), message[:15]...), dispatch.EncodeGossip(free)[0]...)
-				answer[1], answer[2] = 0, 0
-				others[0].WriteToUDP(answer, own)
+			if len(replies) > 0 {
+				reply := append(append([]byte(nil), message[:15]...), dispatch.EncodeGossip(replies)[0]...)
+				reply[1], reply[2] = 0, 0
+				peerConns[0].WriteToUDP(reply, ownAddr)
 			}
-			back := append([]byte(nil), message...)
-			back[1], back[2] = 0, 0 // our number
-			for _, b := range [][]byte{back, back, back[:n%size], []byte(strings.Repeat("garbage", n%60)), message} {
-				others[0].WriteToUDP(b, own)
+			echo := append([]byte(nil), message...)
+			echo[1], echo[2] = 0, 0 // our number
+			for _, datagram := range [][]byte{echo, echo, echo[:n%size], []byte(strings.Repeat("garbage", n%60)), message} {
+				peerConns[0].WriteToUDP(datagram, ownAddr)
 			}
 		}
 	}()
-	p := r.start()
+	p := r.startProcess()
 	r.waitUntilReady(p)
 	r.startClients(4, "render")
 	r.startClients(2, "sale")
 	seen := map[dispatch.GossipKind]int{}
-	for until := time.After(5 * time.Second); seen[dispatch.GossipRestarted] < 1 || seen[dispatch.GossipAttemptStarted] < 1 || seen[dispatch.GossipAttemptEnded] < 1 || seen[dispatch.GossipCapacityQuery] < 50; {
+	for timeout := time.After(5 * time.Second); seen[dispatch.GossipRestarted] < 1 || seen[dispatch.GossipAttemptStarted] < 1 ||
+		seen[dispatch.GossipAttemptEnded] < 1 || seen[dispatch.GossipCapacityQuery] < 50; {
 		select {
 		case kind := <-kinds:
 			seen[kind]++
-		case <-until:
-			var got []string
-			for _, w := range r.workers {
-				w.mu.Lock()
-				got = append(got, fmt.Sprint(len(w.attempts)))
-				w.mu.Unlock()
+		case <-timeout:
+			var attemptCounts []string
+			for _, worker := range r.workers {
+				worker.mu.Lock()
+				attemptCounts = append(attemptCounts, fmt.Sprint(len(worker.attemptsByID)))
+				worker.mu.Unlock()
 			}
-			t.Fatal("told: ", seen, " in ", datagrams.Load(), " datagrams, read error ", readError.Load(), ", sent ", got, "\n", exchange(r.listen, "GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"), r.answers)
+			t.Fatal("told: ", seen, " in ", datagrams.Load(), " datagrams, read error ", readError.Load(), ", sent ", attemptCounts, "\n",
+				requestOnce(r.listenAddr, "GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"), r.answersByStatus)
 		}
 	}
 
-	site["Limits"].(map[string]any)["Peers"] = false
+	deploymentSettings["Limits"].(map[string]any)["Peers"] = false
 	r.writeConfig()
 	p.Process.Signal(syscall.SIGHUP)
 	r.waitForLog(p, "peers: names 3 addresses, and settings.Limits.Peers does not allow messages", 1)
 	r.waitForLog(p, "configuration rejected", 1)
-	site["Limits"].(map[string]any)["Peers"] = true
+	deploymentSettings["Limits"].(map[string]any)["Peers"] = true
 	r.writeConfig()
 	p.Process.Signal(syscall.SIGHUP)
 	r.waitForLog(p, "configuration applied", 1)
@@ -161,45 +163,45 @@
 	r.stopClients()
 	p.Process.Signal(syscall.SIGTERM)
 	r.waitForExit(p, 8*time.Second)
-	r.check()
-	if !strings.Contains(r.logs(), `"panics":0`) {
-		t.Error(r.logs())
+	r.checkPeers()
+	if !strings.Contains(r.allLogs(), `"panics":0`) {
+		t.Error(r.allLogs())
 	}
 }
 
 // A pushed list whose discovery is down: the watch is retried with backoff and jitter, clients are served from the cached list
 // meanwhile, and the list that discovery sends once it is back is applied.
 func TestServesWhilePushedListIsDown(t *testing.T) {
-	r := newRig(t, 2, 20*time.Millisecond)
-	var calls, back atomic.Int32
+	r := newTestRig(t, 2, 20*time.Millisecond)
+	var watches, isBack atomic.Int32
 	list := `{"rev":7,"all":true,"targets":[{"uid":"s-0","endpoint":"` + r.workers[0].addr + `","state":"Ready"}]}`
-	r.config["discovery"] = serve(t, func(first, body string) string {
-		calls.Add(1)
-		if back.Load() == 0 {
+	r.config["discovery"] = serveRequests(t, func(requestLine, body string) string {
+		watches.Add(1)
+		if isBack.Load() == 0 {
 			return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 		}
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 	})
 	r.config["settings"].(map[string]any)["Discovery"] = "push"
 	r.writeConfig()
-	p := r.start()
+	p := r.startProcess()
 	r.waitUntilReady(p)
 	r.startClients(3, "render")
 	time.Sleep(3 * time.Second)
-	if n := calls.Load(); n < 3 || n > 8 { // 12 without growing spans
+	if n := watches.Load(); n < 3 || n > 8 { // 12 without growing spans
 		t.Error(n, " watches in 3 s")
 	}
-	if text := r.logs(); strings.Contains(text, "endpoint watch failed, retrying") {
+	if text := r.allLogs(); strings.Contains(text, "endpoint watch failed, retrying") {
 		t.Error(text)
 	}
-	back.Store(1)
-	for until := time.Now().Add(5 * time.Second); p.figures(t)["svc_discovered"] != 1; time.Sleep(50 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal(p.figures(t))
+	isBack.Store(1)
+	for deadline := time.Now().Add(5 * time.Second); p.stats(t)["svc_discovered"] != 1; time.Sleep(50 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal(p.stats(t))
 		}
 	}
 	r.stopClients()
 	p.Process.Signal(syscall.SIGTERM)
 	r.waitForExit(p, 8*time.Second)
-	r.check()
+	r.checkPeers()
 }
--- a/cmd/stoatweir/idle_clients_test.go
+++ b/cmd/stoatweir/idle_clients_test.go
@@ -11,48 +11,48 @@
 )
 
 // idlers hold connections on which they have asked once and rest; who is shut out comes again. It counts those that are in.
-func (r *rig) idlers(count int, stop chan struct{}) *atomic.Int64 {
-	var in atomic.Int64
+func (r *testRig) startIdleClients(count int, stop chan struct{}) *atomic.Int64 {
+	var connected atomic.Int64
 	for range count {
-		r.load.Add(1)
+		r.clientGroup.Add(1)
 		go func() {
-			defer r.load.Done()
+			defer r.clientGroup.Done()
 			for {
 				select {
 				case <-stop:
 					return
 				case <-time.After(20 * time.Millisecond):
 				}
-				c, err := net.DialTimeout("tcp", r.listen, time.Second)
+				conn, err := net.DialTimeout("tcp", r.listenAddr, time.Second)
 				if err != nil {
 					continue
 				}
-				io.WriteString(c, "GET /-/ready HTTP/1.1\r\n\r\n")
-				b := bufio.NewReader(c)
-				if c.SetReadDeadline(time.Now().Add(time.Second)); r.rests(c, b, stop, &in) != nil {
+				io.WriteString(conn, "GET /-/ready HTTP/1.1\r\n\r\n")
+				reader := bufio.NewReader(conn)
+				if conn.SetReadDeadline(time.Now().Add(time.Second)); r.holdIdle(conn, reader, stop, &connected) != nil {
 					time.Sleep(100 * time.Millisecond)
 				}
-				c.Close()
+				conn.Close()
 			}
 		}()
 	}
-	return &in
+	return &connected
 }
 
-func (r *rig) rests(c net.Conn, b *bufio.Reader, stop chan struct{}, in *atomic.Int64) error {
-	if _, _, err := message(b); err != nil {
+func (r *testRig) holdIdle(conn net.Conn, reader *bufio.Reader, stop chan struct{}, connected *atomic.Int64) error {
+	if _, _, err := readMessage(reader); err != nil {
 		return err
 	}
-	in.Add(1)
-	defer in.Add(-1)
+	connected.Add(1)
+	defer connected.Add(-1)
 	for {
 		select {
 		case <-stop:
 			return nil
 		default:
 		}
-		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		if _, err := b.ReadByte(); err != nil && !isTimeout(err) {
+		conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+		if _, err := reader.ReadByte(); err != nil && !isTimeout(err) {
 			return err
 		}
 	}
@@ -66,8 +66,8 @@
 // While discovery is down and no list is known, idle clients hold all descriptors that clients are given, and more wait outside. At its
 // return the watch has its descriptor within its budget, a new client gets in, and its request gets a connection to a worker.
 func TestIdleClientsLeaveDescriptorsForWatch(t *testing.T) {
-	r := newRig(t, 2, 20*time.Millisecond)
-	at := freeAddr(t)
+	r := newTestRig(t, 2, 20*time.Millisecond)
+	discoveryAddr := unusedAddr(t)
 	list := `{"rev":1,"all":true,"targets":[`
 	for n, w := range r.workers {
 		if n > 0 {
@@ -78,60 +78,62 @@
 	list += "]}\n"
 	const sockets = 64
 	delete(r.config, "known")
-	r.config["discovery"] = at
+	r.config["discovery"] = discoveryAddr
 	r.config["limits"] = map[string]any{"memory_mb": 64, "sockets": sockets}
 	r.writeConfig()
-	p := r.start()
+	p := r.startProcess()
 	r.waitUntilReady(p)
 	stop := make(chan struct{})
-	in := r.idlers(sockets, stop)
-	most, held := 0, int64(0)
-	for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(10 * time.Millisecond) {
-		most, held = max(most, p.descriptors()), max(held, in.Load())
+	connected := r.startIdleClients(sockets, stop)
+	maxDescriptors, maxConnected := 0, int64(0)
+	for start := time.Now(); time.Since(start) < 2*time.Second; time.Sleep(10 * time.Millisecond) {
+		maxDescriptors, maxConnected = max(maxDescriptors, p.openDescriptors()), max(maxConnected, connected.Load())
 	}
-	l, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	returned := time.Now()
-	asked := make(chan time.Duration, 100)
+	watchDelays := make(chan time.Duration, 100)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			asked <- time.Since(returned)
+			watchDelays <- time.Since(returned)
 			go func() {
-				message(bufio.NewReader(c))
-				io.WriteString(c, listHead+chunk(list))
+				readMessage(bufio.NewReader(conn))
+				io.WriteString(conn, listResponseHeader+encodeChunk(list))
 			}()
 		}
 	}()
 	select {
-	case took := <-asked:
-		t.Logf("%d idle clients held %d connections, descriptors at most %d of %d; the watch came %v after the return", sockets, held, most,
-			sockets, took.Round(time.Millisecond))
-	case <-time.After(afterSix):
+	case delay := <-watchDelays:
+		t.Logf("%d idle clients held %d connections, descriptors at most %d of %d; the watch came %v after the return", sockets,
+			maxConnected, maxDescriptors,
+			sockets, delay.Round(time.Millisecond))
+	case <-time.After(maxPropagationTime):
 		t.Fatal("the watch has not come back in its time")
 	}
 	time.Sleep(200 * time.Millisecond)
 	for n := range 20 {
 		id := fmt.Sprint("new-", n)
-		began := time.Now()
-		first := exchange(r.listen, post("/render/k", "X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 5\r\nConnection: close\r\n", id))
-		if first != "HTTP/1.1 200 OK made "+id {
-			t.Errorf("a new client hears %q after %v", first, time.Since(began))
+		start := time.Now()
+		answer := requestOnce(r.listenAddr, postRequest("/render/k",
+			"X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 5\r\nConnection: close\r\n", id))
+		if answer != "HTTP/1.1 200 OK made "+id {
+			t.Errorf("a new client hears %q after %v", answer, time.Since(start))
 		}
-		most = max(most, p.descriptors())
+		maxDescriptors = max(maxDescriptors, p.openDescriptors())
 	}
 	close(stop)
-	r.load.Wait()
-	if held < 20 {
-		t.Error("too few idle clients were in to fill their part:", held)
+	r.clientGroup.Wait()
+	if maxConnected < 20 {
+		t.Error("too few idle clients were in to fill their part:", maxConnected)
 	}
-	if most > sockets {
-		t.Error("descriptors:", most)
+	if maxDescriptors > sockets {
+		t.Error("descriptors:", maxDescriptors)
 	}
 }
--- a/cmd/stoatweir/limits_test.go
+++ b/cmd/stoatweir/limits_test.go
@@ -4,8 +4,8 @@
 
 // Small limits leave a part aside, large ones no more than what lies outside the collector's count.
 func Example_memoryLimit() {
-	for _, most := range []int{16, 64, 120, 256, 1024} {
-		fmt.Println(most, memoryLimitBytes(most)>>20)
+	for _, quotaMB := range []int{16, 64, 120, 256, 1024} {
+		fmt.Println(quotaMB, memoryLimitBytes(quotaMB)>>20)
 	}
 	// Output:
 	// 16 9
--- a/cmd/stoatweir/migration_test.go
+++ b/cmd/stoatweir/migration_test.go
@@ -19,14 +19,14 @@
 
 // A request that was adopted, or whose migration has failed, is tracked, and the dispatcher gets its record as it is.
 func TestMigratedRequestsAreTracked(t *testing.T) {
-	node, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
+	process, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
 		{"Name":"keyed","Effect":"idempotency_key","DedupWindow":3}]}}`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s, err := newService(node, logrus.NewEntry(log))
+	s, err := newService(process, logrus.NewEntry(log))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,27 +36,27 @@
 	record := dispatch.MigratedIn{Arrival: dispatch.Arrival{Invocation: 1, Budget: time.Second}, Age: time.Second,
 		Attempts: []dispatch.Attempt{{Worker: worker, Age: time.Second, StartedAge: -1, InFlight: true}, {Worker: worker, Age: time.Second}}}
 	request := takeover.Request{Invocation: &workers.Invocation{Number: 1, ID: "job-1"}, Attempts: len(record.Attempts)}
-	received := func(what string, want ...dispatch.Event) {
+	checkEvents := func(step string, want ...dispatch.Event) {
 		t.Helper()
 		if diff := cmp.Diff(want, s.events, cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
-			t.Errorf("%s: events (-want +got):\n%s", what, diff)
+			t.Errorf("%s: events (-want +got):\n%s", step, diff)
 		}
 		s.events = nil
 	}
 
 	s.AdoptRequest(request, record)
-	received("adopted", record)
+	checkEvents("adopted", record)
 	adopted := s.requests[1]
 	if got, tracked := s.Request(1); !tracked || got != request || adopted.inFlight != 1 {
 		t.Errorf("adopted as %+v, tracked %v", got, tracked)
 	}
 	s.BeginMigration(1)
-	received("migrating", dispatch.MigratedOut{Invocation: 1})
+	checkEvents("migrating", dispatch.MigratedOut{Invocation: 1})
 	if _, tracked := s.Request(1); tracked || s.migrating[1] != adopted {
 		t.Error("a migrating request is tracked still, or forgotten")
 	}
 	s.CancelMigration(1, record)
-	received("restored", record)
+	checkEvents("restored", record)
 	if s.requests[1] != adopted || len(s.migrating) > 0 {
 		t.Error("a restored request is not tracked as it was")
 	}
--- a/cmd/stoatweir/process_rig_test.go
+++ b/cmd/stoatweir/process_rig_test.go
@@ -18,55 +18,56 @@
 	"time"
 )
 
-// rig runs real processes of the built program on loopback: one list of workers, workers that accept, call back and count, and
-// clients that insist on one answer each.
-type rig struct {
-	t       *testing.T
-	dir     string // of $TMPDIR and the configuration
-	listen  string
-	config  map[string]any
-	workers []*rigWorker
-	program string
+// testRig runs processes of the built program on loopback, with a discovery that serves one
+// endpoint list, workers that accept requests, send callbacks and count attempts, and clients that
+// record a failure if a request gets no answer.
+type testRig struct {
+	t           *testing.T
+	dir         string // holds the configuration, the logs and the TMPDIR of the processes
+	listenAddr  string
+	config      map[string]any
+	workers     []*rigWorker
+	programPath string
 
-	mu        sync.Mutex
-	processes []*process
-	load      sync.WaitGroup
-	stopped   chan struct{}
-	answers   map[int]int // by status; -1: none
-	faults    []string
+	mu                sync.Mutex
+	processes         []*process
+	clientGroup       sync.WaitGroup
+	stopClientsSignal chan struct{}
+	answersByStatus   map[int]int // status -1: no answer
+	failures          []string
 }
 
-// rigWorker is a scripted worker.
+// rigWorker is a worker that runs each job for a fixed duration.
 type rigWorker struct {
-	*rig
+	*testRig
 	uid, addr string
-	runtime   time.Duration
-	slots     chan struct{} // nil: no end of them
+	duration  time.Duration
+	slots     chan struct{} // one element per job in progress; nil: no limit
 
-	mu             sync.Mutex
-	attempts       map[string]int // attempts by id
-	running        map[string]int // attempts under way by id
-	duplicates     []string       // a second attempt while one was under way here
-	unacknowledged []string       // results that the scheduler did not acknowledge
+	mu                    sync.Mutex
+	attemptsByID          map[string]int // attempts received, by request ID
+	runningByID           map[string]int // attempts in progress, by request ID
+	concurrentDuplicates  []string       // IDs received while an attempt with the same ID was in progress here
+	unacknowledgedResults []string       // IDs of results that the scheduler did not acknowledge
 }
 
-// process is one run of the program.
+// process is a started process of the program.
 type process struct {
 	*exec.Cmd
-	admin  string
-	log    string
-	exited chan struct{}
-	err    error
+	adminAddr string
+	logFile   string
+	exited    chan struct{}
+	exitErr   error
 }
 
 var (
-	buildOnce sync.Once
-	built     string
-	buildErr  error
+	buildOnce    sync.Once
+	builtProgram string
+	buildErr     error
 )
 
-// program builds what is tested.
-func program(t *testing.T) string {
+// buildProgram builds the program, once per test run, and returns its path.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	buildOnce.Do(func() {
 		dir, err := os.MkdirTemp("", "stoatweir-test")
@@ -74,69 +75,74 @@
 			buildErr = err
 			return
 		}
-		built = filepath.Join(dir, "stoatweir")
-		if text, err := exec.Command("go", "build", "-o", built, ".").CombinedOutput(); err != nil {
+		builtProgram = filepath.Join(dir, "stoatweir")
+		if text, err := exec.Command("go", "build", "-o", builtProgram, ".").CombinedOutput(); err != nil {
 			buildErr = fmt.Errorf("%w: %s", err, text)
 		}
 	})
 	if buildErr != nil {
 		t.Fatal(buildErr)
 	}
-	return built
+	return builtProgram
 }
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if built != "" {
-		os.RemoveAll(filepath.Dir(built))
+	if builtProgram != "" {
+		os.RemoveAll(filepath.Dir(builtProgram))
 	}
 	os.Exit(code)
 }
 
-// ownHost is a loopback address of this process. On 127.0.0.1 a port that was free a moment ago may be one of a connection
-// that another package's tests have just begun.
-func ownHost() string {
+// loopbackHost returns a loopback address that only this process uses. On 127.0.0.1 a port that was
+// just found to be free may already be the local port of a connection that another package's tests
+// have opened.
+func loopbackHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 32+pid>>16&63, pid>>8&255, pid&255)
 }
 
-// freeAddr is an address that nobody listens at.
-func freeAddr(t *testing.T) string {
+// unusedAddr returns a loopback address at which nothing listens.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", ownHost()+":0")
+	listener, err := net.Listen("tcp", loopbackHost()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-func newRig(t *testing.T, workers int, runs time.Duration) *rig {
+// newTestRig returns a rig with the given number of workers, whose jobs take jobDuration. It starts
+// no process yet.
+func newTestRig(t *testing.T, workers int, jobDuration time.Duration) *testRig {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "sw") // short: a Unix socket's path goes in it
+	dir, err := os.MkdirTemp("", "sw") // short, as it is part of the path of a Unix socket, whose length is limited
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, dir: dir, listen: freeAddr(t), program: program(t), stopped: make(chan struct{}), answers: map[int]int{}}
+	r := &testRig{t: t, dir: dir, listenAddr: unusedAddr(t), programPath: buildProgram(t), stopClientsSignal: make(chan struct{}),
+		answersByStatus: map[int]int{}}
 	var targets []string
 	for n := range workers {
-		w := &rigWorker{rig: r, uid: fmt.Sprint("s-", n), runtime: runs, attempts: map[string]int{}, running: map[string]int{}}
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		worker := &rigWorker{testRig: r, uid: fmt.Sprint("s-", n), duration: jobDuration, attemptsByID: map[string]int{},
+			runningByID: map[string]int{}}
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.addr = l.Addr().String()
-		server := &http.Server{Handler: w}
-		go server.Serve(l)
+		worker.addr = listener.Addr().String()
+		server := &http.Server{Handler: worker}
+		go server.Serve(listener)
 		t.Cleanup(func() { server.Close() })
-		r.workers = append(r.workers, w)
-		targets = append(targets, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"state":"Ready"}`, w.uid, w.addr))
+		r.workers = append(r.workers, worker)
+		targets = append(targets, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"state":"Ready"}`, worker.uid, worker.addr))
 	}
 	list := `{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",") + `]}`
-	discovery := serve(t, func(first, body string) string {
+	discovery := serveRequests(t, func(requestLine, body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 	})
-	r.config = map[string]any{"name": "n0", "listen": r.listen, "discovery": discovery, "seed": "8c1f",
+	r.config = map[string]any{"name": "n0", "listen": r.listenAddr, "discovery": discovery, "seed": "8c1f",
 		"limits": map[string]any{"memory_mb": 64, "sockets": 256}, "known": json.RawMessage(list),
 		"settings": map[string]any{"Discovery": "ask", "PeersTotal": 1, "FamilyInfo": map[string]any{"TellsStart": true},
 			"Limits": map[string]any{"MostForwards": 3, "Cancel": true, "RetryAfter": true, "MaxRetryAfter": 1},
@@ -157,7 +163,8 @@
 	return r
 }
 
-func (r *rig) writeConfig() {
+// writeConfig writes the configuration file that the processes read.
+func (r *testRig) writeConfig() {
 	text, err := json.Marshal(r.config)
 	if err == nil {
 		err = os.WriteFile(filepath.Join(r.dir, "config.json"), text, 0o600)
@@ -167,26 +174,26 @@
 	}
 }
 
-// start runs the program once more, with an operators' address of its own.
-func (r *rig) start() *process {
+// startProcess starts another process of the program, with its own admin address.
+func (r *testRig) startProcess() *process {
 	r.t.Helper()
-	p := &process{Cmd: exec.Command(r.program), admin: freeAddr(r.t), exited: make(chan struct{})}
+	p := &process{Cmd: exec.Command(r.programPath), adminAddr: unusedAddr(r.t), exited: make(chan struct{})}
 	tmp := filepath.Join(r.dir, "tmp")
 	os.MkdirAll(tmp, 0o700)
-	p.Env = []string{"TMPDIR=" + tmp, "PROXY_CONFIG=" + filepath.Join(r.dir, "config.json"), "PROXY_ADMIN=" + p.admin}
+	p.Env = []string{"TMPDIR=" + tmp, "PROXY_CONFIG=" + filepath.Join(r.dir, "config.json"), "PROXY_ADMIN=" + p.adminAddr}
 	r.mu.Lock()
-	p.log = filepath.Join(r.dir, fmt.Sprint("log", len(r.processes)))
+	p.logFile = filepath.Join(r.dir, fmt.Sprint("log", len(r.processes)))
 	r.mu.Unlock()
-	log, err := os.Create(p.log)
+	output, err := os.Create(p.logFile)
 	if err == nil {
-		p.Stderr = log
+		p.Stderr = output
 		err = p.Cmd.Start()
 	}
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	log.Close()
-	go func() { p.err = p.Wait(); close(p.exited) }()
+	output.Close()
+	go func() { p.exitErr = p.Wait(); close(p.exited) }()
 	r.mu.Lock()
 	r.processes = append(r.processes, p)
 	r.mu.Unlock()
@@ -194,210 +201,220 @@
 }
 
 // waitUntilReady waits until the process reports that it is ready.
-func (r *rig) waitUntilReady(p *process) {
+func (r *testRig) waitUntilReady(p *process) {
 	r.t.Helper()
-	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(6 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if p.adminCommand("status") == "+OK ready\n" {
 			return
 		}
 	}
-	text, _ := os.ReadFile(p.log)
-	r.t.Fatalf("no yes within 6 s\n%s", text)
+	text, _ := os.ReadFile(p.logFile)
+	r.t.Fatalf("not ready within 6 s\n%s", text)
 }
 
-// waitForLog waits until the process has logged something so many times.
-func (r *rig) waitForLog(p *process, what string, times int) {
+// waitForLog waits until the log of the process contains a message the given number of times.
+func (r *testRig) waitForLog(p *process, message string, times int) {
 	r.t.Helper()
 	var text []byte
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if text, _ = os.ReadFile(p.log); strings.Count(string(text), what) >= times {
+	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if text, _ = os.ReadFile(p.logFile); strings.Count(string(text), message) >= times {
 			return
 		}
 	}
-	r.t.Fatalf("%q was not logged %d times\n%s", what, times, text)
+	r.t.Fatalf("%q was not logged %d times within 5 s\n%s", message, times, text)
 }
 
-// logs are what all processes have said.
-func (r *rig) logs() string {
+// allLogs returns the logs of all processes.
+func (r *testRig) allLogs() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all strings.Builder
 	for _, p := range r.processes {
-		text, _ := os.ReadFile(p.log)
+		text, _ := os.ReadFile(p.logFile)
 		fmt.Fprintf(&all, "-- process %d\n%s", p.Process.Pid, text)
 	}
 	return all.String()
 }
 
-// adminCommand is an operator's call.
-func (p *process) adminCommand(word string) string {
-	c, err := net.Dial("tcp", p.admin)
+// adminCommand sends an admin command and returns the answer, or the text of the error.
+func (p *process) adminCommand(command string) string {
+	conn, err := net.Dial("tcp", p.adminAddr)
 	if err != nil {
 		return err.Error()
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
-	io.WriteString(c, word+"\n")
-	b, err := io.ReadAll(c)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(time.Second))
+	io.WriteString(conn, command+"\n")
+	answer, err := io.ReadAll(conn)
 	if err != nil {
 		return err.Error()
 	}
-	return string(b)
+	return string(answer)
 }
 
-// waitForExit waits for the process to exit by itself.
-func (r *rig) waitForExit(p *process, within time.Duration) {
+// waitForExit waits until the process exits and fails the test if it exits late or with an error.
+func (r *testRig) waitForExit(p *process, within time.Duration) {
 	r.t.Helper()
 	select {
 	case <-p.exited:
-		if p.err != nil {
-			text, _ := os.ReadFile(p.log)
-			r.t.Errorf("ended with %v\n%s", p.err, text)
+		if p.exitErr != nil {
+			text, _ := os.ReadFile(p.logFile)
+			r.t.Errorf("the process exited with %v\n%s", p.exitErr, text)
 		}
 	case <-time.After(within):
-		text, _ := os.ReadFile(p.log)
-		r.t.Errorf("has not ended after %v\n%s", within, text)
+		text, _ := os.ReadFile(p.logFile)
+		r.t.Errorf("the process has not exited after %v\n%s", within, text)
 	}
 }
 
-// startClients starts clients that send one request after the other each, on reused connections.
-func (r *rig) startClients(n int, class string) {
-	for c := range n {
-		r.load.Add(1)
+// startClients starts clients that each send one request after the other on a reused connection
+// until stopClients is called.
+func (r *testRig) startClients(count int, class string) {
+	for client := range count {
+		r.clientGroup.Add(1)
 		go func() {
-			defer r.load.Done()
-			kept := &reusedConn{addr: r.listen}
-			defer kept.close()
-			for i := 0; ; i++ {
+			defer r.clientGroup.Done()
+			conn := &reusedConn{addr: r.listenAddr}
+			defer conn.close()
+			for seq := 0; ; seq++ {
 				select {
-				case <-r.stopped:
+				case <-r.stopClientsSignal:
 					return
 				default:
 				}
-				r.request(kept, fmt.Sprintf("%s-%d-%d", class, c, i), class)
+				r.sendRequest(conn, fmt.Sprintf("%s-%d-%d", class, client, seq), class)
 			}
 		}()
 	}
 }
 
-// request sends a request and counts its answer.
-func (r *rig) request(kept *reusedConn, id, class string) {
-	began := time.Now()
-	status, body := kept.request(post("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
+// sendRequest sends a request and counts its answer by status.
+func (r *testRig) sendRequest(conn *reusedConn, id, class string) {
+	start := time.Now()
+	status, body := conn.request(postRequest("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answers[status]++
+	r.answersByStatus[status]++
 	if status == 200 && body != "made "+id {
-		r.faults = append(r.faults, fmt.Sprintf("%s: got %q", id, body))
+		r.failures = append(r.failures, fmt.Sprintf("%s: got %q", id, body))
 	}
 	if status == -1 {
-		r.faults = append(r.faults, fmt.Sprintf("%s: no answer after %v: %s", id, time.Since(began).Round(time.Millisecond), body))
+		r.failures = append(r.failures, fmt.Sprintf("%s: no answer after %v: %s", id, time.Since(start).Round(time.Millisecond), body))
 	}
 	if status == 429 || status == 503 {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// stopClients waits for the clients' last requests.
-func (r *rig) stopClients() {
-	close(r.stopped)
-	r.load.Wait()
+// stopClients stops the clients and waits until their last requests have been answered.
+func (r *testRig) stopClients() {
+	close(r.stopClientsSignal)
+	r.clientGroup.Wait()
 }
 
-// check looks at what the peers saw.
-func (r *rig) check() {
+// checkPeers checks what clients and workers observed: one answer per request, no concurrent
+// attempts at one worker, all results acknowledged, and no second attempt of non-idempotent
+// requests.
+func (r *testRig) checkPeers() {
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, trouble := range r.faults {
-		r.t.Error(trouble)
+	for _, failure := range r.failures {
+		r.t.Error(failure)
 	}
 	attempts := map[string]int{}
-	for _, w := range r.workers {
-		w.mu.Lock()
-		for _, id := range w.duplicates {
-			r.t.Error("a second attempt at one worker while one is under way: ", id)
+	for _, worker := range r.workers {
+		worker.mu.Lock()
+		for _, id := range worker.concurrentDuplicates {
+			r.t.Error("a worker received a second attempt while one was in progress: ", id)
 		}
-		for _, id := range w.unacknowledged {
-			r.t.Error("an end that nobody took: ", id)
+		for _, id := range worker.unacknowledgedResults {
+			r.t.Error("a worker's result was not acknowledged: ", id)
 		}
-		for id, n := range w.attempts {
+		for id, n := range worker.attemptsByID {
 			if attempts[id] += n; attempts[id] > 1 && strings.HasPrefix(id, "sale") {
-				r.t.Error("a non-idempotent invocation was sent twice: ", id)
+				r.t.Error("a non-idempotent request was sent twice: ", id)
 			}
 		}
-		w.mu.Unlock()
+		worker.mu.Unlock()
 	}
 }
 
-// reusedConn is a client's connection. One that was closed between two requests is opened anew, once.
+// reusedConn is a client's connection. If it was closed between two requests, the next request
+// opens a new one and is repeated once.
 type reusedConn struct {
-	addr string
-	c    net.Conn
-	r    *bufio.Reader
+	addr   string
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 func (k *reusedConn) close() {
-	if k.c != nil {
-		k.c.Close()
-		k.c = nil
+	if k.conn != nil {
+		k.conn.Close()
+		k.conn = nil
 	}
 }
 
+// request sends a request and returns the status and body of the answer, or -1 and the error.
 func (k *reusedConn) request(request string) (status int, body string) {
-	for try := range 2 {
-		fresh := k.c == nil
-		if fresh {
-			c, err := net.Dial("tcp", k.addr)
+	for attempt := range 2 {
+		isNew := k.conn == nil
+		if isNew {
+			conn, err := net.Dial("tcp", k.addr)
 			if err != nil {
 				return -1, err.Error()
 			}
-			k.c, k.r = c, bufio.NewReader(c)
+			k.conn, k.reader = conn, bufio.NewReader(conn)
 		}
-		k.c.SetDeadline(time.Now().Add(12 * time.Second))
-		_, err := io.WriteString(k.c, request)
-		var first string
+		k.conn.SetDeadline(time.Now().Add(12 * time.Second))
+		_, err := io.WriteString(k.conn, request)
+		var statusLine string
 		if err == nil {
-			var closes bool
-			if first, body, closes, err = answerOf(k.r); err == nil {
-				if closes {
+			var willClose bool
+			if statusLine, body, willClose, err = readAnswer(k.reader); err == nil {
+				if willClose {
 					k.close()
 				}
-				fmt.Sscanf(first, "HTTP/1.1 %d", &status)
+				fmt.Sscanf(statusLine, "HTTP/1.1 %d", &status)
 				return status, body
 			}
 		}
 		k.close()
-		if fresh || try == 1 || !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+		if isNew || attempt == 1 || !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) &&
+			!errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 			return -1, err.Error()
 		}
 	}
 	return -1, "unreachable"
 }
 
-func answerOf(r *bufio.Reader) (first, body string, closes bool, err error) {
+// readAnswer reads an HTTP response. statusLine has no reason phrase; willClose reports whether the
+// server closes the connection.
+func readAnswer(r *bufio.Reader) (statusLine, body string, willClose bool, err error) {
 	answer, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return "", "", false, err
 	}
-	b, err := io.ReadAll(answer.Body)
-	return fmt.Sprint("HTTP/1.1 ", answer.StatusCode), string(b), answer.Close, err
+	content, err := io.ReadAll(answer.Body)
+	return fmt.Sprint("HTTP/1.1 ", answer.StatusCode), string(content), answer.Close, err
 }
 
-// ServeHTTP accepts requests and sends their callbacks to whoever listens at the scheduler's address.
-func (w *rigWorker) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	if in.Method == "GET" && w.slots != nil {
+// ServeHTTP accepts requests and sends their callbacks to the process that listens at the
+// scheduler's address. It answers GET requests, which are health checks, with the number of free
+// slots.
+func (w *rigWorker) ServeHTTP(out http.ResponseWriter, request *http.Request) {
+	if request.Method == "GET" && w.slots != nil {
 		fmt.Fprintf(out, "TEXT x0=%d", cap(w.slots)-len(w.slots))
 	}
-	if in.Method != "POST" {
+	if request.Method != "POST" {
 		return
 	}
-	io.Copy(io.Discard, in.Body)
-	id := in.Header.Get("X-Call-Id")
+	io.Copy(io.Discard, request.Body)
+	id := request.Header.Get("X-Call-Id")
 	w.mu.Lock()
-	w.attempts[id]++
-	if w.running[id]++; w.running[id] > 1 {
-		w.duplicates = append(w.duplicates, id)
+	w.attemptsByID[id]++
+	if w.runningByID[id]++; w.runningByID[id] > 1 {
+		w.concurrentDuplicates = append(w.concurrentDuplicates, id)
 	}
 	w.mu.Unlock()
 	out.WriteHeader(202)
@@ -407,27 +424,28 @@
 			w.slots <- struct{}{}
 		}
 		w.sendCallback(id, fmt.Sprintf(`{"id":%q,"from":%q,"state":"started"}`, id, w.uid))
-		time.Sleep(w.runtime)
+		time.Sleep(w.duration)
 		if w.slots != nil {
 			<-w.slots
 		}
 		w.mu.Lock()
-		w.running[id]--
+		w.runningByID[id]--
 		w.mu.Unlock()
 		if !w.sendCallback(id, fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"made %s"}`, id, w.uid, id)) {
 			w.mu.Lock()
-			w.unacknowledged = append(w.unacknowledged, id)
+			w.unacknowledgedResults = append(w.unacknowledgedResults, id)
 			w.mu.Unlock()
 		}
 	}()
 }
 
-// sendCallback makes ten attempts at most, as workers do.
-func (w *rigWorker) sendCallback(id, news string) bool {
+// sendCallback sends a callback, with up to ten attempts as real workers make, and reports whether
+// it was acknowledged.
+func (w *rigWorker) sendCallback(id, body string) bool {
 	for range 10 {
-		kept := reusedConn{addr: w.listen}
-		status, _ := kept.request(post("/_jobs/news", "", news))
-		kept.close()
+		conn := reusedConn{addr: w.listenAddr}
+		status, _ := conn.request(postRequest("/_jobs/news", "", body))
+		conn.close()
 		if status == 200 || status == 204 {
 			return true
 		}
--- a/cmd/stoatweir/races_test.go
+++ b/cmd/stoatweir/races_test.go
@@ -21,23 +21,23 @@
 )
 
 // send sends a request without waiting for its answer.
-func (r *rig) send(class, id string) (net.Conn, *bufio.Reader) {
+func (r *testRig) sendWithoutWaiting(class, id string) (net.Conn, *bufio.Reader) {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.listen)
+	conn, err := net.Dial("tcp", r.listenAddr)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(c, post("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
-	return c, bufio.NewReader(c)
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	io.WriteString(conn, postRequest("/"+class+"/k", "X-Call-Id: "+id+"\r\nX-Call-Class: "+class+"\r\nX-Budget: 10\r\n", id))
+	return conn, bufio.NewReader(conn)
 }
 
 // waitForInFlight waits until so many requests are in flight.
-func (r *rig) waitForInFlight(p *process, n int) {
+func (r *testRig) waitForInFlight(p *process, n int) {
 	r.t.Helper()
-	for end := time.Now().Add(10 * time.Second); p.figures(r.t)["svc_outstanding"] != n; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			r.t.Fatal("not ", n, " in hand: ", p.figures(r.t))
+	for deadline := time.Now().Add(10 * time.Second); p.stats(r.t)["svc_outstanding"] != n; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			r.t.Fatal("not ", n, " in hand: ", p.stats(r.t))
 		}
 	}
 }
@@ -46,41 +46,41 @@
 // hand has its answer by then, non-idempotent work that was sent is not said to be harmless to repeat, and what
 // comes up to the end over connections that stay open is answered too.
 func TestStopAnswersAllBeforeEarlyKill(t *testing.T) {
-	const longest = 500 * time.Millisecond
-	r := newRig(t, 2, time.Hour)
-	r.operations(map[string]any{"Name": "render", "Effect": "read_like", "LatencyObjective": 0.3, "ClientTimeout": longest.Seconds()},
-		map[string]any{"Name": "sale", "Effect": "non_idempotent", "LatencyObjective": 0.3, "ClientTimeout": longest.Seconds()})
+	const clientTimeout = 500 * time.Millisecond
+	r := newTestRig(t, 2, time.Hour)
+	r.setOperations(map[string]any{"Name": "render", "Effect": "read_like", "LatencyObjective": 0.3, "ClientTimeout": clientTimeout.Seconds()},
+		map[string]any{"Name": "sale", "Effect": "non_idempotent", "LatencyObjective": 0.3, "ClientTimeout": clientTimeout.Seconds()})
 	r.writeConfig()
-	p := r.start()
+	p := r.startProcess()
 	r.waitUntilReady(p)
 	answers := make(chan string, 2)
 	for _, class := range []string{"render", "sale"} {
-		_, b := r.send(class, class+"-hangs")
+		_, reader := r.sendWithoutWaiting(class, class+"-hangs")
 		go func() {
-			first, _, _, err := answerOf(b)
-			answers <- fmt.Sprint(class, " ", first, " ", err)
+			statusLine, _, _, err := readAnswer(reader)
+			answers <- fmt.Sprint(class, " ", statusLine, " ", err)
 		}()
 	}
 	r.waitForInFlight(p, 2)
-	kept := &reusedConn{addr: r.listen}
-	kept.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	began, asked := time.Now(), 0
+	conn := &reusedConn{addr: r.listenAddr}
+	conn.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	stopRequested, requests := time.Now(), 0
 	p.Process.Signal(syscall.SIGTERM)
 	r.waitForLog(p, "stop requested", 1)
-	for ; kept.c != nil; asked++ { // as long as it stays open
-		first := kept.c
-		status, body := kept.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		if kept.c != nil && kept.c != first { // it had ended between two requests; the new one is the last to come
+	for ; conn.conn != nil; requests++ { // as long as it stays open
+		statusLine := conn.conn
+		status, body := conn.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		if conn.conn != nil && conn.conn != statusLine { // it had ended between two requests; the new one is the last to come
 			break
 		}
-		if status != 503 && kept.c != nil {
+		if status != 503 && conn.conn != nil {
 			t.Error("kept while stopping: ", status, body)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	kept.close()
-	r.waitForExit(p, longest+700*time.Millisecond-time.Since(began))
-	t.Log("ended after ", time.Since(began), ", asked ", asked)
+	conn.close()
+	r.waitForExit(p, clientTimeout+700*time.Millisecond-time.Since(stopRequested))
+	t.Log("ended after ", time.Since(stopRequested), ", asked ", requests)
 	for range 2 {
 		got := <-answers
 		if strings.HasPrefix(got, "sale") && got != "sale HTTP/1.1 500 <nil>" || !strings.HasSuffix(got, "<nil>") {
@@ -92,87 +92,88 @@
 // The order to stop comes before there is a list, with a request in flight that no worker could have: it gets its answer, and a
 // second order changes nothing.
 func TestStopBeforeEndpointListAnswersRequests(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	discoveryListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	r := newRig(t, 0, 0)
-	r.config["discovery"], r.config["known"] = silent.Addr().String(), nil
+	defer discoveryListener.Close()
+	r := newTestRig(t, 0, 0)
+	r.config["discovery"], r.config["known"] = discoveryListener.Addr().String(), nil
 	r.writeConfig()
-	p := r.start()
-	var c net.Conn
-	for c == nil { // it listens, and is not ready
-		if c, err = net.Dial("tcp", r.listen); err != nil {
+	p := r.startProcess()
+	var conn net.Conn
+	for conn == nil { // it listens, and is not ready
+		if conn, err = net.Dial("tcp", r.listenAddr); err != nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	c.Close()
+	conn.Close()
 	for !strings.HasPrefix(p.adminCommand("status"), "-ERR") { // the admin address listens a moment later
 		time.Sleep(time.Millisecond)
 	}
-	_, b := r.send("render", "early")
+	_, reader := r.sendWithoutWaiting("render", "early")
 	r.waitForInFlight(p, 1)
 	p.Process.Signal(syscall.SIGTERM)
 	r.waitForLog(p, "stop requested", 1)
 	p.Process.Signal(syscall.SIGTERM)
 	p.Process.Signal(syscall.SIGHUP)
-	if first, _, _, err := answerOf(b); first != "HTTP/1.1 503" || err != nil {
-		t.Error(first, err)
+	if statusLine, _, _, err := readAnswer(reader); statusLine != "HTTP/1.1 503" || err != nil {
+		t.Error(statusLine, err)
 	}
 	r.waitForExit(p, 4*time.Second)
 }
 
 // The order to stop comes before anything listens: it is carried out, and is no death.
 func TestStopBeforeListening(t *testing.T) {
-	r := newRig(t, 1, 0)
+	r := newTestRig(t, 1, 0)
 	// A neighbour in the temporary folder that takes the new process's call and says nothing holds it before it listens.
 	tmp := filepath.Join(r.dir, "tmp")
 	os.MkdirAll(tmp, 0o700)
-	place, err := handover.SocketPath(tmp, r.listen)
+	socketPath, err := handover.SocketPath(tmp, r.listenAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: place, Net: "unixpacket"})
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: socketPath, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	p := r.start()
-	c, err := l.Accept()
+	defer listener.Close()
+	p := r.startProcess()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	p.Process.Signal(syscall.SIGTERM)
 	r.waitForExit(p, 6*time.Second)
 }
 
 // A process of another name that is started at our address gets neither our socket nor what we have, and says why it ends.
 func TestSuccessorWithOtherNameIsRejected(t *testing.T) {
-	r := newRig(t, 1, 10*time.Millisecond)
-	p := r.start()
+	r := newTestRig(t, 1, 10*time.Millisecond)
+	p := r.startProcess()
 	r.waitUntilReady(p)
 	r.config["name"] = "n1"
 	r.writeConfig()
-	other := r.start()
+	other := r.startProcess()
 	select {
 	case <-other.exited:
 	case <-time.After(5 * time.Second):
 		t.Fatal("it does not end")
 	}
-	if text, _ := os.ReadFile(other.log); other.err == nil || !strings.Contains(string(text), string(handover.ReasonNameMismatch)) {
-		t.Errorf("%v\n%s", other.err, text)
+	if text, _ := os.ReadFile(other.logFile); other.exitErr == nil || !strings.Contains(string(text), string(handover.ReasonNameMismatch)) {
+		t.Errorf("%v\n%s", other.exitErr, text)
 	}
-	kept := &reusedConn{addr: r.listen}
-	defer kept.close()
+	conn := &reusedConn{addr: r.listenAddr}
+	defer conn.close()
 	for n := range 20 {
-		if status, body := kept.request(post("/render/k", fmt.Sprintf("X-Call-Id: a%d\r\nX-Call-Class: render\r\nX-Budget: 10\r\n", n), "")); status != 200 {
+		if status, body := conn.request(postRequest("/render/k", fmt.Sprintf("X-Call-Id: a%d\r\nX-Call-Class: render\r\nX-Budget: 10\r\n",
+			n), "")); status != 200 {
 			t.Error(status, body)
 		}
-		kept.close()
+		conn.close()
 	}
-	r.check()
+	r.checkPeers()
 }
 
 // A successor exits, or hangs, with a request migrating to it: its client gets one answer, which promises nothing, the request
@@ -180,55 +181,55 @@
 func TestSuccessorExitsDuringMigration(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		t.Run(fmt.Sprint("hangs: ", hangs), func(t *testing.T) {
-			r := newRig(t, 1, time.Hour)
-			p := r.start()
+			r := newTestRig(t, 1, time.Hour)
+			p := r.startProcess()
 			r.waitUntilReady(p)
-			_, b := r.send("sale", "sale-passed")
+			_, reader := r.sendWithoutWaiting("sale", "sale-passed")
 			r.waitForInFlight(p, 1)
-			place, err := handover.SocketPath(filepath.Join(r.dir, "tmp"), r.listen)
+			socketPath, err := handover.SocketPath(filepath.Join(r.dir, "tmp"), r.listenAddr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			predecessor, err := handover.Dial(place, r.listen, "n0")
+			predecessor, err := handover.Dial(socketPath, r.listenAddr, "n0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer predecessor.Listener.Close()
 			link := predecessor.Link
-			passed, gone := make(chan handover.Message, 10), make(chan bool)
-			link.Start(func(m handover.Message) {
-				if m.Kind == handover.KindMigrate {
-					passed <- m
+			migrations, linkClosed := make(chan handover.Message, 10), make(chan bool)
+			link.Start(func(migration handover.Message) {
+				if migration.Kind == handover.KindMigrate {
+					migrations <- migration
 				}
-			}, func() { close(gone) })
+			}, func() { close(linkClosed) })
 			link.Send(handover.Message{Kind: handover.KindReady})
 			r.waitForLog(p, "successor accepted", 1)
 			p.Process.Signal(syscall.SIGTERM)
-			m := <-passed
+			migration := <-migrations
 			if !hangs {
 				link.Close()
 			}
-			<-gone
-			if first, _, closes, err := answerOf(b); first != "HTTP/1.1 500" || !closes || err != nil {
-				t.Error(first, closes, err)
+			<-linkClosed
+			if statusLine, _, willClose, err := readAnswer(reader); statusLine != "HTTP/1.1 500" || !willClose || err != nil {
+				t.Error(statusLine, willClose, err)
 			}
-			if _, err := b.ReadByte(); err != io.EOF {
+			if _, err := reader.ReadByte(); err != io.EOF {
 				t.Error("after the answer: ", err)
 			}
 			// It finds the connection after all.
-			late, err := net.FileConn(m.File)
+			migrated, err := net.FileConn(migration.File)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer late.Close()
-			late.SetDeadline(time.Now().Add(5 * time.Second))
-			if n, err := late.Read(make([]byte, 1)); n > 0 || err != io.EOF {
+			defer migrated.Close()
+			migrated.SetDeadline(time.Now().Add(5 * time.Second))
+			if n, err := migrated.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 				t.Error("it reads: ", n, err)
 			}
 			r.waitForExit(p, 5*time.Second)
-			r.check()
-			if w := r.workers[0]; len(w.attempts) != 1 || w.attempts["sale-passed"] != 1 {
-				t.Error("attempts: ", w.attempts)
+			r.checkPeers()
+			if worker := r.workers[0]; len(worker.attemptsByID) != 1 || worker.attemptsByID["sale-passed"] != 1 {
+				t.Error("attempts: ", worker.attemptsByID)
 			}
 		})
 	}
@@ -239,11 +240,11 @@
 	const text = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
 		{"Name":"render","Effect":"read_like"},{"Name":"keyed","Effect":"idempotency_key"},{"Name":"sale","Effect":"non_idempotent"}]}}`
 	read := func(text string) settings.Process {
-		node, err := settings.ParseProcess([]byte(text), func(string) string { return "" })
+		process, err := settings.ParseProcess([]byte(text), func(string) string { return "" })
 		if err != nil {
 			panic(err)
 		}
-		return node
+		return process
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -251,16 +252,16 @@
 	if err != nil {
 		panic(err)
 	}
-	come := func(inv dispatch.InvocationID) {
+	admit := func(first dispatch.InvocationID) {
 		for n, name := range []string{"render", "keyed", "sale"} {
-			j := &workers.Invocation{Number: inv + dispatch.InvocationID(n)}
-			s.clients.OnRequest(j, s.deployment.OperationIndex[name])
-			fmt.Println(name, j.Effect == dispatch.NonIdempotent)
+			invocation := &workers.Invocation{Number: first + dispatch.InvocationID(n)}
+			s.clients.OnRequest(invocation, s.deployment.OperationIndex[name])
+			fmt.Println(name, invocation.Effect == dispatch.NonIdempotent)
 		}
 	}
-	come(1)
+	admit(1)
 	s.applyConfiguration(read(strings.NewReplacer("read_like", "non_idempotent", "non_idempotent", "read_like").Replace(text)), nil)
-	come(10)
+	admit(10)
 	fmt.Println("in hand before:", s.requests[1].Effect == dispatch.NonIdempotent, s.requests[3].Effect == dispatch.NonIdempotent)
 	// Output:
 	// render false
@@ -275,42 +276,42 @@
 // A process is killed right after it has accepted connections, with requests unread, half read or just forwarded: none of them is
 // sent twice, and the process that follows serves at once.
 func TestKillAfterAcceptDuplicatesNothing(t *testing.T) {
-	r := newRig(t, 3, 10*time.Millisecond)
-	for kill := range 6 {
-		p := r.start()
+	r := newTestRig(t, 3, 10*time.Millisecond)
+	for run := range 6 {
+		p := r.startProcess()
 		r.waitUntilReady(p)
-		var all []net.Conn
+		var conns []net.Conn
 		for n := range 10 {
-			c, err := net.Dial("tcp", r.listen)
+			conn, err := net.Dial("tcp", r.listenAddr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			all = append(all, c)
-			id := fmt.Sprintf("sale-%d-%d", kill, n)
-			request := post("/sale/k", "X-Call-Id: "+id+"\r\nX-Call-Class: sale\r\nX-Budget: 10\r\n", id)
-			io.WriteString(c, request[:len(request)-n%2]) // every second one lacks its last byte
+			conns = append(conns, conn)
+			id := fmt.Sprintf("sale-%d-%d", run, n)
+			request := postRequest("/sale/k", "X-Call-Id: "+id+"\r\nX-Call-Class: sale\r\nX-Budget: 10\r\n", id)
+			io.WriteString(conn, request[:len(request)-n%2]) // every second one lacks its last byte
 		}
-		time.Sleep(time.Duration(kill) * time.Millisecond / 2)
+		time.Sleep(time.Duration(run) * time.Millisecond / 2)
 		p.Process.Kill()
 		<-p.exited
-		for _, c := range all {
-			c.Close()
+		for _, conn := range conns {
+			conn.Close()
 		}
 	}
-	p := r.start()
+	p := r.startProcess()
 	r.waitUntilReady(p)
-	kept := &reusedConn{addr: r.listen}
-	defer kept.close()
-	status, body := kept.request(post("/sale/k", "X-Call-Id: sale-last\r\nX-Call-Class: sale\r\nX-Budget: 10\r\n", "sale-last"))
+	lastConn := &reusedConn{addr: r.listenAddr}
+	defer lastConn.close()
+	status, body := lastConn.request(postRequest("/sale/k", "X-Call-Id: sale-last\r\nX-Call-Class: sale\r\nX-Budget: 10\r\n", "sale-last"))
 	if status != 200 {
 		t.Error(status, body)
 	}
 	r.mu.Lock()
-	for _, w := range r.workers {
-		w.mu.Lock()
-		w.unacknowledged = nil // callbacks of a killed process's requests find nobody for a while
-		w.mu.Unlock()
+	for _, worker := range r.workers {
+		worker.mu.Lock()
+		worker.unacknowledgedResults = nil // callbacks of a killed process's requests find nobody for a while
+		worker.mu.Unlock()
 	}
 	r.mu.Unlock()
-	r.check()
+	r.checkPeers()
 }
--- a/cmd/stoatweir/reload_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -11,7 +11,7 @@
 )
 
 // order has the process read the file, once it is written whole.
-func (r *rig) reread(p *process, text string) {
+func (r *testRig) reload(p *process, text string) {
 	r.t.Helper()
 	if text == "" {
 		r.writeConfig()
@@ -21,67 +21,67 @@
 	p.Process.Signal(syscall.SIGHUP)
 }
 
-func (r *rig) operations(list ...map[string]any) {
+func (r *testRig) setOperations(list ...map[string]any) {
 	settings := r.config["settings"].(map[string]any)
 	settings["Operations"] = list
 }
 
 // waitUntilRunning waits until a worker runs an invocation. The published totals don't show that:
 // they may be totalsPublishDelay old, and count what other clients had in flight.
-func (r *rig) waitUntilRunning(id string) {
+func (r *testRig) waitUntilRunning(id string) {
 	r.t.Helper()
-	for end := time.Now().Add(10 * time.Second); !r.isRunning(id); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(10 * time.Second); !r.isRunning(id); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			r.t.Fatal("no worker runs ", id)
 		}
 	}
 }
 
 // isRunning reports whether a worker runs an invocation.
-func (r *rig) isRunning(id string) bool {
+func (r *testRig) isRunning(id string) bool {
 	return slices.ContainsFunc(r.workers, func(w *rigWorker) bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return w.running[id] > 0
+		return w.runningByID[id] > 0
 	})
 }
 
 // Configurations are reloaded under load, while draining too: classes appear and vanish, one becomes stricter, the list is
 // reordered. Invalid files change nothing at all. Requests in flight keep the class under which they arrived.
 func TestReloadUnderLoad(t *testing.T) {
-	r := newRig(t, 3, 100*time.Millisecond)
-	p := r.start()
+	r := newTestRig(t, 3, 100*time.Millisecond)
+	p := r.startProcess()
 	r.waitUntilReady(p)
 	r.startClients(4, "render")
 	r.startClients(2, "sale")
 	time.Sleep(200 * time.Millisecond)
-	whole, err := os.ReadFile(filepath.Join(r.dir, "config.json"))
+	validText, err := os.ReadFile(filepath.Join(r.dir, "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n, bad := range []string{" ", string(whole[:len(whole)/2]), string(whole) + "{}",
-		strings.Replace(string(whole), `"MostForwards":3`, `"MostForwards":0`, 1),
-		strings.Replace(string(whole), `"MostForwards":3,`, ``, 1),
-		strings.Replace(string(whole), `"ClientTimeout":10`, `"ClientTimeout":-1`, 1),
-		strings.Replace(string(whole), `"Name":"sale"`, `"Name":"render"`, 1),
-		strings.Replace(string(whole), `"Effect":"read_like"`, `"Effect":7`, 1)} {
-		if bad == string(whole) {
+	for n, invalidText := range []string{" ", string(validText[:len(validText)/2]), string(validText) + "{}",
+		strings.Replace(string(validText), `"MostForwards":3`, `"MostForwards":0`, 1),
+		strings.Replace(string(validText), `"MostForwards":3,`, ``, 1),
+		strings.Replace(string(validText), `"ClientTimeout":10`, `"ClientTimeout":-1`, 1),
+		strings.Replace(string(validText), `"Name":"sale"`, `"Name":"render"`, 1),
+		strings.Replace(string(validText), `"Effect":"read_like"`, `"Effect":7`, 1)} {
+		if invalidText == string(validText) {
 			t.Fatal("the test breaks nothing: ", n)
 		}
-		r.reread(p, bad)
+		r.reload(p, invalidText)
 		r.waitForLog(p, "configuration rejected", n+1)
 	}
-	slow := &reusedConn{addr: r.listen}
-	if status, _ := slow.request(post("/fresh/k", "X-Call-Id: f1\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
+	conn := &reusedConn{addr: r.listenAddr}
+	if status, _ := conn.request(postRequest("/fresh/k", "X-Call-Id: f1\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
 		t.Error("a class that does not exist yet:", status)
 	}
 	fresh := map[string]any{"Name": "fresh", "Effect": "read_like", "LatencyObjective": 2, "ClientTimeout": 10}
 	sale := map[string]any{"Name": "sale", "Effect": "non_idempotent", "LatencyObjective": 2, "ClientTimeout": 10}
 	render := map[string]any{"Name": "render", "Effect": "non_idempotent", "LatencyObjective": 2, "ClientTimeout": 10}
-	r.operations(fresh, sale, render) // render has become stricter, and all are in another order
-	r.reread(p, "")
+	r.setOperations(fresh, sale, render) // render has become stricter, and all are in another order
+	r.reload(p, "")
 	r.waitForLog(p, "configuration applied", 1)
-	if status, body := slow.request(post("/fresh/k", "X-Call-Id: f2\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 200 {
+	if status, body := conn.request(postRequest("/fresh/k", "X-Call-Id: f2\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 200 {
 		t.Error("a new class:", status, body)
 	}
 	// A burst of orders, and one in a drain.
@@ -97,30 +97,30 @@
 	}
 	r.stopClients()
 	// fresh is removed while a request of it is in flight, and a class of another kind is added: the request ends as it arrived.
-	kept, answer := &reusedConn{addr: r.listen}, make(chan int)
+	pendingConn, answer := &reusedConn{addr: r.listenAddr}, make(chan int)
 	go func() {
-		status, _ := kept.request(post("/fresh/k", "X-Call-Id: f3\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", ""))
+		status, _ := pendingConn.request(postRequest("/fresh/k", "X-Call-Id: f3\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", ""))
 		answer <- status
 	}()
 	r.waitUntilRunning("f3")
-	applied := p.figures(t)["svc_sighup_applied_total"]
-	r.operations(sale, render)
-	r.reread(p, "")
+	applied := p.stats(t)["svc_sighup_applied_total"]
+	r.setOperations(sale, render)
+	r.reload(p, "")
 	time.Sleep(20 * time.Millisecond)
-	if status, _ := slow.request(post("/fresh/k", "X-Call-Id: f4\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
+	if status, _ := conn.request(postRequest("/fresh/k", "X-Call-Id: f4\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
 		t.Error("a class that is gone:", status)
 	}
 	if status := <-answer; status != 200 {
 		t.Error("of a class that has gone meanwhile:", status)
 	}
 	time.Sleep(2 * totalsPublishDelay)
-	got := p.figures(t)
+	got := p.stats(t)
 	if got["svc_sighup_rejected_total"] != 8 || applied < 2 || got["svc_sighup_applied_total"] != applied+1 ||
-		got[result("fresh", "succeeded")] != 2 {
+		got[resultMetric("fresh", "succeeded")] != 2 {
 		t.Error(applied, got)
 	}
-	r.check()
-	if len(r.answers) > 1 || r.answers[200] < 20 {
-		t.Error("answers by status: ", r.answers)
+	r.checkPeers()
+	if len(r.answersByStatus) > 1 || r.answersByStatus[200] < 20 {
+		t.Error("answers by status: ", r.answersByStatus)
 	}
 }
--- a/cmd/stoatweir/scale_command_test.go
+++ b/cmd/stoatweir/scale_command_test.go
@@ -18,15 +18,15 @@
 )
 
 // children lists the processes that one has started and that still run.
-func children(of int) (pids []int) {
-	all, _ := filepath.Glob("/proc/[0-9]*/stat")
-	for _, file := range all {
+func childProcesses(parent int) (pids []int) {
+	statFiles, _ := filepath.Glob("/proc/[0-9]*/stat")
+	for _, file := range statFiles {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			continue
 		}
 		fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-		if parent, _ := strconv.Atoi(fields[1]); parent == of && fields[0] != "Z" {
+		if ppid, _ := strconv.Atoi(fields[1]); ppid == parent && fields[0] != "Z" {
 			pid, _ := strconv.Atoi(strings.Split(file, "/")[2])
 			pids = append(pids, pid)
 		}
@@ -34,16 +34,16 @@
 	return pids
 }
 
-func isHollow(pid int) bool {
+func isHollowProcess(pid int) bool {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", pid))
 	return strings.Contains(string(text), "hollow")
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("still not after 20 s: ", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("still not after 20 s: ", description)
 		}
 	}
 }
@@ -51,95 +51,98 @@
 // A small sweep over workers: what a start costs in messages, health checks, descriptors and allocations, and how that grows. Times
 // are not compared, as they differ from machine to machine.
 func TestScaleSweep(t *testing.T) {
-	s, err := scale.Read(labFiles + "scale/small.toml")
+	s, err := scale.Read(labDir + "scale/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := scale.Rig{Scheduler: program(t), Hollow: []string{program(t), "lab", "hollow"}}
+	rig := scale.Rig{Scheduler: buildProgram(t), Hollow: []string{buildProgram(t), "lab", "hollow"}}
 	var steps []scale.Step
-	for _, v := range s.Sweep.Values {
-		step, err := s.Step(v)
+	for _, value := range s.Sweep.Values {
+		step, err := s.Step(value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, err := rig.Play(context.Background(), step)
+		measured, err := rig.Play(context.Background(), step)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%+v", m)
-		if failed := m.Throttled + m.Errored + m.Broken + m.NewsFailed + m.Strange + int64(m.Panics); failed > 0 || m.Succeeded == 0 {
-			t.Errorf("%d workers: %d failed or strange, %d succeeded", m.Workers, failed, m.Succeeded)
+		t.Logf("%+v", measured)
+		if failed := measured.Throttled + measured.Errored + measured.Broken + measured.NewsFailed +
+			measured.Strange + int64(measured.Panics); failed > 0 || measured.Succeeded == 0 {
+			t.Errorf("%d workers: %d failed or strange, %d succeeded", measured.Workers, failed, measured.Succeeded)
 		}
-		if aim := step.Starts * m.Seconds; m.Starts < 0.7*aim || m.Starts > 1.6*aim {
-			t.Errorf("%d workers: %v starts, %v were aimed at", m.Workers, m.Starts, aim)
+		if expectedStarts := step.Starts * measured.Seconds; measured.Starts < 0.7*expectedStarts || measured.Starts > 1.6*expectedStarts {
+			t.Errorf("%d workers: %v starts, %v were aimed at", measured.Workers, measured.Starts, expectedStarts)
 		}
-		if m.MessagesPerS == 0 || m.Control == 0 || m.Turn < 0 || m.Allocations <= 0 || m.RSS <= 0 {
-			t.Errorf("%d workers: nothing is told of something: %+v", m.Workers, m)
+		if measured.MessagesPerS == 0 || measured.Control == 0 || measured.Turn < 0 || measured.Allocations <= 0 || measured.RSS <= 0 {
+			t.Errorf("%d workers: nothing is told of something: %+v", measured.Workers, measured)
 		}
-		steps = append(steps, m)
+		steps = append(steps, measured)
 	}
-	a, b := steps[0], steps[1]
-	grown := float64(b.Workers) / float64(a.Workers)
-	for _, v := range []struct {
-		what   string
-		a, b   float64
-		atMost float64
-	}{{"control bytes a start", a.Control / a.StartsPerS, b.Control / b.StartsPerS, 2}, {"messages a start", a.MessagesPerS / a.StartsPerS, b.MessagesPerS / b.StartsPerS, 2},
-		{"descriptors", float64(a.Descriptors), float64(b.Descriptors), grown}, {"allocations a start", a.Allocations / a.StartsPerS, b.Allocations / b.StartsPerS, grown}} {
-		if v.b > v.atMost*v.a {
-			t.Errorf("%s: from %.1f to %.1f, %.1f times as many are the most", v.what, v.a, v.b, v.atMost)
+	first, second := steps[0], steps[1]
+	workerRatio := float64(second.Workers) / float64(first.Workers)
+	for _, value := range []struct {
+		quantity      string
+		first, second float64
+		maxRatio      float64
+	}{{"control bytes a start", first.Control / first.StartsPerS, second.Control / second.StartsPerS, 2}, {"messages a start",
+		first.MessagesPerS / first.StartsPerS, second.MessagesPerS / second.StartsPerS, 2},
+		{"descriptors", float64(first.Descriptors), float64(second.Descriptors), workerRatio}, {"allocations a start",
+			first.Allocations / first.StartsPerS, second.Allocations / second.StartsPerS, workerRatio}} {
+		if value.second > value.maxRatio*value.first {
+			t.Errorf("%s: from %.1f to %.1f, %.1f times as many are the most", value.quantity, value.first, value.second, value.maxRatio)
 		}
 	}
 }
 
 // A hollow process that dies ends the run with its name, and nothing stays behind.
 func TestScaleFailsWhenHollowProcessDies(t *testing.T) {
-	s, err := scale.Read(labFiles+"scale/small.toml", `window = "60s"`)
+	s, err := scale.Read(labDir+"scale/small.toml", `window = "60s"`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := scale.Rig{Scheduler: program(t), Hollow: []string{program(t), "lab", "hollow"}}
-	before := children(os.Getpid())
-	ours := func() []int {
-		return slices.DeleteFunc(children(os.Getpid()), func(pid int) bool { return slices.Contains(before, pid) })
+	rig := scale.Rig{Scheduler: buildProgram(t), Hollow: []string{buildProgram(t), "lab", "hollow"}}
+	before := childProcesses(os.Getpid())
+	started := func() []int {
+		return slices.DeleteFunc(childProcesses(os.Getpid()), func(pid int) bool { return slices.Contains(before, pid) })
 	}
-	ended := make(chan error, 1)
+	runError := make(chan error, 1)
 	go func() {
 		_, err := rig.Play(context.Background(), s)
-		ended <- err
+		runError <- err
 	}()
-	until(t, "all run", func() bool { return len(ours()) == 4 })
-	for _, pid := range ours() {
-		if isHollow(pid) {
+	waitUntil(t, "all run", func() bool { return len(started()) == 4 })
+	for _, pid := range started() {
+		if isHollowProcess(pid) {
 			syscall.Kill(pid, syscall.SIGKILL)
 			break
 		}
 	}
 	select {
-	case err = <-ended:
+	case err = <-runError:
 	case <-time.After(20 * time.Second):
 		t.Fatal("it goes on without")
 	}
 	if err == nil || !regexp.MustCompile("^hollow (fleet|clients|others) has ended: signal: killed").MatchString(err.Error()) {
 		t.Error(err)
 	}
-	if left := ours(); len(left) > 0 {
+	if left := started(); len(left) > 0 {
 		t.Error("these are left: ", left)
 	}
 }
 
 // Whatever becomes of the rig, what it has started goes with it.
 func TestHollowProcessesExitWithRig(t *testing.T) {
-	rig := exec.Command(program(t), "lab", "scale", labFiles+"scale/small.toml", "--set", `window = "60s"`)
+	rig := exec.Command(buildProgram(t), "lab", "scale", labDir+"scale/small.toml", "--set", `window = "60s"`)
 	if err := rig.Start(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "all run", func() bool { return len(children(rig.Process.Pid)) == 4 })
-	all := children(rig.Process.Pid)
+	waitUntil(t, "all run", func() bool { return len(childProcesses(rig.Process.Pid)) == 4 })
+	pids := childProcesses(rig.Process.Pid)
 	rig.Process.Kill()
 	rig.Wait()
-	until(t, "all have gone", func() bool {
-		for _, pid := range all {
+	waitUntil(t, "all have gone", func() bool {
+		for _, pid := range pids {
 			if syscall.Kill(pid, 0) == nil {
 				if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil && !strings.Contains(string(text), ") Z ") {
 					return false
--- a/cmd/stoatweir/scripted_test.go
+++ b/cmd/stoatweir/scripted_test.go
@@ -17,32 +17,34 @@
 	"time"
 )
 
-// scriptedWorld is the workers and discovery of a transcript. All connections are pipes, which take a byte when the other end reads it.
-type scriptedWorld struct {
+// scriptedPeers are the client, the workers and the discovery of a transcript. All connections are
+// pipes: a write returns only when the other end has read the bytes.
+type scriptedPeers struct {
 	*transcript
-	script *exchangeScript
-	door   *pipeListener
+	script   *exchangeScript
+	listener *pipeListener
 
-	mu         sync.Mutex
-	workers    []*scriptedWorker
-	rev        int
-	watches    map[net.Conn]bool
-	clientConn net.Conn
-	left       bool
-	asked      int // requests of clients
-	dials      int
-	requests   int
-	open       []net.Conn
-	over       bool
+	mu             sync.Mutex
+	workers        []*scriptedWorker
+	revision       int
+	watches        map[net.Conn]bool
+	clientConn     net.Conn
+	clientLeft     bool
+	clientRequests int // number of requests that clients sent
+	dialCount      int
+	requestCount   int
+	openConns      []net.Conn
+	ended          bool
 }
 
-// scriptedWorker is one entry of the list.
+// scriptedWorker is a worker and its entry in the endpoint list.
 type scriptedWorker struct {
 	name, zone, endpoint, state string
-	healed                      chan struct{} // closed: it can be reached
+	reachable                   chan struct{} // closed while the worker can be reached
 }
 
-// scriptedConn is one end of a pipe; its reset is seen as such at the other end.
+// scriptedConn is the scheduler's end of a pipe. If the other end was reset rather than closed,
+// reads fail with ECONNRESET.
 type scriptedConn struct {
 	net.Conn
 	reset *atomic.Bool
@@ -56,86 +58,90 @@
 	return n, err
 }
 
-// pipeListener lets connections in that the test makes.
+// pipeListener accepts the connections that the test sends on conns.
 type pipeListener struct {
-	come  chan net.Conn
-	ended chan struct{}
+	conns  chan net.Conn
+	closed chan struct{}
 }
 
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.come:
+	case c := <-l.conns:
 		return c, nil
-	case <-l.ended:
-		runtime.Goexit() // the event loop that would be notified has ended
+	case <-l.closed:
+		runtime.Goexit() // the event loop that an error would be reported to has ended
 		return nil, net.ErrClosed
 	}
 }
 func (l *pipeListener) Close() error   { return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func newScriptedWorld(script *exchangeScript, r *transcript) *scriptedWorld {
-	w := &scriptedWorld{transcript: r, script: script, rev: 1, watches: map[net.Conn]bool{},
-		door: &pipeListener{come: make(chan net.Conn), ended: make(chan struct{})}}
+// newScriptedPeers returns the peers of a script. They record what they do.
+func newScriptedPeers(script *exchangeScript, record *transcript) *scriptedPeers {
+	peers := &scriptedPeers{transcript: record, script: script, revision: 1, watches: map[net.Conn]bool{},
+		listener: &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}}
 	for n, text := range script.workers {
 		name, zone, _ := strings.Cut(text, "/")
-		healed := make(chan struct{})
-		close(healed)
-		w.workers = append(w.workers, &scriptedWorker{name: name, zone: zone, state: "Ready", healed: healed,
+		reachable := make(chan struct{})
+		close(reachable)
+		peers.workers = append(peers.workers, &scriptedWorker{name: name, zone: zone, state: "Ready", reachable: reachable,
 			endpoint: fmt.Sprint("127.0.0.1:", 9001+n)})
 	}
-	return w
+	return peers
 }
 
-func (w *scriptedWorld) list() string {
+// endpointList returns the endpoint list as discovery sends it.
+func (w *scriptedPeers) endpointList() string {
 	var targets []string
 	for _, worker := range w.workers {
-		targets = append(targets, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":%q,"state":%q}`, worker.name, worker.endpoint, worker.zone, worker.state))
+		targets = append(targets, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":%q,"state":%q}`, worker.name, worker.endpoint, worker.zone,
+			worker.state))
 	}
-	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, w.rev, strings.Join(targets, ","))
+	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, w.revision, strings.Join(targets, ","))
 }
 
-// begin sets the client and the events going.
-func (w *scriptedWorld) begin() {
+// start starts the client and schedules the events.
+func (w *scriptedPeers) start() {
 	for _, event := range w.script.events {
 		go func() {
 			time.Sleep(event.at)
-			w.event(event.step)
+			w.runEvent(event.step)
 		}()
 	}
-	go w.client(w.script.timeout)
+	go w.runClient(w.script.timeout)
 }
 
-// end closes all connections, so that nobody waits any more.
-func (w *scriptedWorld) end() {
+// stop closes all connections and unblocks all goroutines of the peers.
+func (w *scriptedPeers) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.over = true
-	for _, c := range w.open {
+	w.ended = true
+	for _, c := range w.openConns {
 		c.Close()
 	}
 	for _, worker := range w.workers {
-		worker.heal()
+		worker.makeReachable()
 	}
-	close(w.door.ended)
+	close(w.listener.closed)
 }
 
-func (worker *scriptedWorker) heal() {
+// makeReachable ends a cut of the worker from the network.
+func (worker *scriptedWorker) makeReachable() {
 	select {
-	case <-worker.healed:
+	case <-worker.reachable:
 	default:
-		close(worker.healed)
+		close(worker.reachable)
 	}
 }
 
-// event carries out a step that a time was set for.
-func (w *scriptedWorld) event(step string) {
+// runEvent executes a scheduled event of the script.
+func (w *scriptedPeers) runEvent(step string) {
 	words := strings.Fields(step)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if words[0] == "leave" {
-		w.left = true
-		w.say("client", "leaves")
+		w.clientLeft = true
+		w.add("client", "leaves")
 		w.clientConn.Close()
 		return
 	}
@@ -149,81 +155,83 @@
 		case "move":
 			worker.zone = words[2]
 		case "cut":
-			w.say(worker.name, "is cut off")
-			worker.healed = make(chan struct{})
+			w.add(worker.name, "is cut off")
+			worker.reachable = make(chan struct{})
 			return
 		case "heal":
-			w.say(worker.name, "can be reached again")
-			worker.heal()
+			w.add(worker.name, "can be reached again")
+			worker.makeReachable()
 			return
 		}
 	}
-	w.rev++
-	w.say("discovery", "tells: %s", step)
+	w.revision++
+	w.add("discovery", "tells: %s", step)
 	for c := range w.watches {
-		io.WriteString(c, chunk(w.list()+"\n"))
+		io.WriteString(c, encodeChunk(w.endpointList()+"\n"))
 	}
 }
 
-func (w *scriptedWorld) hasLeft() bool {
+func (w *scriptedPeers) hasClientLeft() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.left
+	return w.clientLeft
 }
 
-// keep enters a connection to be closed at the end; false: it is over.
-func (w *scriptedWorld) keep(c net.Conn) bool {
+// trackConn registers a connection to be closed by stop. It returns false if stop was already
+// called.
+func (w *scriptedPeers) trackConn(c net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.open = append(w.open, c)
-	return !w.over
+	w.openConns = append(w.openConns, c)
+	return !w.ended
 }
 
-// toScheduler is a new connection to the scheduler; nil: it is over.
-func (w *scriptedWorld) toScheduler() net.Conn {
-	near, far := net.Pipe()
-	if !w.keep(near) {
+// dialScheduler returns a new connection to the scheduler, or nil if the peers are stopped.
+func (w *scriptedPeers) dialScheduler() net.Conn {
+	clientEnd, schedulerEnd := net.Pipe()
+	if !w.trackConn(clientEnd) {
 		return nil
 	}
 	select {
-	case w.door.come <- far:
-		return near
-	case <-w.door.ended:
+	case w.listener.conns <- schedulerEnd:
+		return clientEnd
+	case <-w.listener.closed:
 		return nil
 	}
 }
 
-// DialContext connects the scheduler to discovery and to workers.
-func (w *scriptedWorld) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
-	near, far := net.Pipe()
-	if !w.keep(far) {
+// DialContext connects the scheduler to discovery or to a worker. Connections to workers follow the
+// dial steps of the script.
+func (w *scriptedPeers) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
+	schedulerEnd, peerEnd := net.Pipe()
+	if !w.trackConn(peerEnd) {
 		return nil, net.ErrClosed
 	}
 	if addr == discoveryAddr {
-		go w.discover(far)
-		return near, nil
+		go w.serveDiscovery(peerEnd)
+		return schedulerEnd, nil
 	}
-	worker := w.at(addr)
+	worker := w.workerAt(addr)
 	if worker == nil {
 		return nil, os.NewSyscallError("connect", syscall.ECONNREFUSED)
 	}
 	w.mu.Lock()
-	w.dials++
-	number := w.dials
+	w.dialCount++
+	number := w.dialCount
 	steps := w.script.dials[number]
-	healed := worker.healed
+	reachable := worker.reachable
 	w.mu.Unlock()
 	for _, step := range steps {
-		w.say("scheduler", "connects to %s: %s", worker.name, step)
-		switch word, span, _ := strings.Cut(step, " "); word {
+		w.add("scheduler", "connects to %s: %s", worker.name, step)
+		switch word, duration, _ := strings.Cut(step, " "); word {
 		case "refuse":
-			time.Sleep(hop)
+			time.Sleep(messageDelay)
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 		case "never":
 			<-ctx.Done()
 			return nil, ctx.Err()
 		case "after":
-			wait, _ := time.ParseDuration(span)
+			wait, _ := time.ParseDuration(duration)
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
@@ -232,16 +240,17 @@
 		}
 	}
 	select {
-	case <-healed:
+	case <-reachable:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	reset := new(atomic.Bool)
-	go w.serve(worker, far, reset)
-	return scriptedConn{near, reset}, nil
+	go w.serveWorker(worker, peerEnd, reset)
+	return scriptedConn{schedulerEnd, reset}, nil
 }
 
-func (w *scriptedWorld) at(addr string) *scriptedWorker {
+// workerAt returns the worker with an address, or nil.
+func (w *scriptedPeers) workerAt(addr string) *scriptedWorker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, worker := range w.workers {
@@ -252,20 +261,20 @@
 	return nil
 }
 
-// discover serves a watch.
-func (w *scriptedWorld) discover(c net.Conn) {
-	if _, _, err := message(bufio.NewReader(c)); err != nil {
+// serveDiscovery serves a watch of the endpoint list.
+func (w *scriptedPeers) serveDiscovery(c net.Conn) {
+	if _, _, err := readMessage(bufio.NewReader(c)); err != nil {
 		return
 	}
 	w.mu.Lock()
-	io.WriteString(c, listHead+chunk(w.list()+"\n"))
+	io.WriteString(c, listResponseHeader+encodeChunk(w.endpointList()+"\n"))
 	w.watches[c] = true
 	w.mu.Unlock()
 	for {
-		if !w.wait(2 * time.Second) {
+		if !w.sleep(2 * time.Second) {
 			return
 		}
-		if _, err := io.WriteString(c, chunk("\n")); err != nil {
+		if _, err := io.WriteString(c, encodeChunk("\n")); err != nil {
 			w.mu.Lock()
 			delete(w.watches, c)
 			w.mu.Unlock()
@@ -274,141 +283,144 @@
 	}
 }
 
-// serve is a worker's side of a connection.
-func (w *scriptedWorld) serve(worker *scriptedWorker, c net.Conn, reset *atomic.Bool) {
+// serveWorker serves a connection to a worker.
+func (w *scriptedPeers) serveWorker(worker *scriptedWorker, c net.Conn, reset *atomic.Bool) {
 	defer c.Close()
 	for {
 		first := make([]byte, 1)
 		if _, err := c.Read(first); err != nil {
 			return
 		}
-		time.Sleep(hop)
+		time.Sleep(messageDelay)
 		w.mu.Lock()
-		healed := worker.healed
+		reachable := worker.reachable
 		w.mu.Unlock()
-		request := &scriptedRequest{scriptedWorld: w, worker: worker, conn: c, reset: reset, text: string(first), healed: healed}
+		request := &scriptedRequest{scriptedPeers: w, worker: worker, conn: c, reset: reset, text: string(first), reachable: reachable}
 		if !request.serve() {
 			return
 		}
 	}
 }
 
-// scriptedRequest is one request at a worker.
+// scriptedRequest is a request that a worker receives.
 type scriptedRequest struct {
-	*scriptedWorld
-	worker *scriptedWorker
-	conn   net.Conn
-	reset  *atomic.Bool
-	text   string // so far
-	number int
-	whole  bool // its last byte has been read
-	healed chan struct{}
+	*scriptedPeers
+	worker    *scriptedWorker
+	conn      net.Conn
+	reset     *atomic.Bool
+	text      string // the part that was read so far
+	number    int
+	complete  bool // the last byte has been read
+	reachable chan struct{}
 }
 
-// serve follows the script. False: the connection has ended.
+// serve handles the request as the script says. It returns false if the connection has ended.
 func (r *scriptedRequest) serve() bool {
 	if r.text == "D" || r.text == "G" {
-		probe := r.text == "G"
-		if !r.read(0) {
+		isHealthCheck := r.text == "G"
+		if !r.readUntilLeft(0) {
 			return false
 		}
-		if <-r.healed; !probe {
-			r.say(r.worker.name, "gets a cancel")
+		if <-r.reachable; !isHealthCheck {
+			r.add(r.worker.name, "gets a cancel")
 		}
 		_, err := io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
 	r.mu.Lock()
-	r.scriptedWorld.requests++
-	r.number = r.scriptedWorld.requests
-	steps, told := r.script.requests[r.number]
-	for n := r.number; !told && n > 0; n-- {
-		steps, told = r.script.requests[n]
+	r.scriptedPeers.requestCount++
+	r.number = r.scriptedPeers.requestCount
+	steps, scripted := r.script.requests[r.number]
+	for n := r.number; !scripted && n > 0; n-- {
+		steps, scripted = r.script.requests[n]
 	}
 	r.mu.Unlock()
 	for _, step := range steps {
-		if !r.step(step) {
+		if !r.runStep(step) {
 			return false
 		}
 	}
-	return r.whole || r.readPart(true) // what comes next is another request
+	return r.complete || r.readPart(true) // the next bytes belong to another request
 }
 
-func (r *scriptedRequest) step(step string) bool {
+// runStep executes one step of the script. It returns false if the connection has ended.
+func (r *scriptedRequest) runStep(step string) bool {
 	word, rest, _ := strings.Cut(step, " ")
 	switch word {
 	case "read":
 		return r.readPart(rest == "all")
 	case "wait":
-		span, _ := time.ParseDuration(rest)
-		return r.wait(span)
+		duration, _ := time.ParseDuration(rest)
+		return r.sleep(duration)
 	case "answer":
-		<-r.healed
-		r.say(r.worker.name, "answers request %d: %s", r.number, rest)
+		<-r.reachable
+		r.add(r.worker.name, "answers request %d: %s", r.number, rest)
 		status, rejected, _ := strings.Cut(rest, " ")
-		head := ""
+		header := ""
 		if rejected == "rejected" {
-			head = "X-Rejected: 1\r\n"
+			header = "X-Rejected: 1\r\n"
 		}
-		time.Sleep(hop)
-		_, err := fmt.Fprintf(r.conn, "HTTP/1.1 %s Said\r\n%sContent-Length: 0\r\n\r\n", status, head)
+		time.Sleep(messageDelay)
+		_, err := fmt.Fprintf(r.conn, "HTTP/1.1 %s Said\r\n%sContent-Length: 0\r\n\r\n", status, header)
 		return err == nil
 	case "news":
-		<-r.healed
-		r.say(r.worker.name, "tells of request %d: %s", r.number, rest)
-		go r.news(rest)
+		<-r.reachable
+		r.add(r.worker.name, "tells of request %d: %s", r.number, rest)
+		go r.sendCallback(rest)
 	case "reset":
-		r.say(r.worker.name, "resets the connection of request %d", r.number)
+		r.add(r.worker.name, "resets the connection of request %d", r.number)
 		r.reset.Store(true)
 		return false
 	case "close":
-		r.say(r.worker.name, "closes the connection of request %d", r.number)
+		r.add(r.worker.name, "closes the connection of request %d", r.number)
 		return false
 	}
 	return true
 }
 
-// wait waits, unless the exchange ends before.
-func (w *scriptedWorld) wait(span time.Duration) bool {
+// sleep sleeps for a duration. It returns false if the peers are stopped before.
+func (w *scriptedPeers) sleep(duration time.Duration) bool {
 	select {
-	case <-time.After(span):
+	case <-time.After(duration):
 		return true
-	case <-w.door.ended:
+	case <-w.listener.closed:
 		return false
 	}
 }
 
-// readPart reads a request to its last byte, or to the one before it.
+// readPart reads a request completely, or all but its last byte. It returns false if the connection
+// ends before.
 func (r *scriptedRequest) readPart(all bool) bool {
-	but := 1
+	unread := 1
 	if all {
-		but = 0
+		unread = 0
 	}
-	if !r.read(but) {
+	if !r.readUntilLeft(unread) {
 		if r.number > 0 {
-			r.say(r.worker.name, "request %d breaks off", r.number)
+			r.add(r.worker.name, "request %d breaks off", r.number)
 		}
 		return false
 	}
-	<-r.healed
-	if r.whole = all; all {
-		r.say(r.worker.name, "has request %d, which tells of %s s left", r.number, r.budget())
+	<-r.reachable
+	if r.complete = all; all {
+		r.add(r.worker.name, "has request %d, which tells of %s s left", r.number, r.remainingBudget())
 	} else {
-		r.say(r.worker.name, "has all but the last byte of request %d", r.number)
+		r.add(r.worker.name, "has all but the last byte of request %d", r.number)
 	}
 	return true
 }
 
-// read reads on until so many bytes of the request are left.
-func (r *scriptedRequest) read(but int) bool {
+// readUntilLeft reads until the given number of bytes of the request is left. It returns false if
+// the connection ends before.
+func (r *scriptedRequest) readUntilLeft(unread int) bool {
 	for {
-		head, body, whole := strings.Cut(r.text, "\r\n\r\n")
+		head, body, hasHeader := strings.Cut(r.text, "\r\n\r\n")
 		size := 0
-		if _, text, is := strings.Cut(head, "Content-Length: "); is {
+		if _, text, found := strings.Cut(head, "Content-Length: "); found {
 			text, _, _ = strings.Cut(text, "\r\n")
 			size, _ = strconv.Atoi(text)
 		}
-		if whole && len(body) >= size-but {
+		if hasHeader && len(body) >= size-unread {
 			return true
 		}
 		next := make([]byte, 1)
@@ -419,33 +431,36 @@
 	}
 }
 
-// field is what the request says in one of its headers.
-func (r *scriptedRequest) field(name string) string {
+// headerValue returns the value of one of the request's headers.
+func (r *scriptedRequest) headerValue(name string) string {
 	_, text, _ := strings.Cut(r.text, name+": ")
 	text, _, _ = strings.Cut(text, "\r\n")
 	return text
 }
 
-// budget is what the request says is left of its client's time, to a tenth of a second.
-func (r *scriptedRequest) budget() string {
-	left, err := strconv.ParseFloat(r.field("X-Budget"), 64)
+// remainingBudget returns the client's remaining time budget as stated in the request, rounded to a
+// tenth of a second.
+func (r *scriptedRequest) remainingBudget() string {
+	left, err := strconv.ParseFloat(r.headerValue("X-Budget"), 64)
 	if err != nil {
 		return "?"
 	}
 	return strconv.FormatFloat(left, 'f', 1, 64)
 }
 
-func (r *scriptedRequest) news(state string) {
-	time.Sleep(hop)
-	c := r.toScheduler()
-	if c == nil {
+// sendCallback sends a callback for the request to the scheduler.
+func (r *scriptedRequest) sendCallback(state string) {
+	time.Sleep(messageDelay)
+	conn := r.dialScheduler()
+	if conn == nil {
 		return
 	}
-	defer c.Close()
+	defer conn.Close()
 	result := ""
 	if state == "done" {
 		result = fmt.Sprintf(`,"result":"made by request %d"`, r.number)
 	}
-	io.WriteString(c, post("/_jobs/news", "", fmt.Sprintf(`{"id":%q,"from":%q,"state":%q%s}`, r.field("X-Call-Id"), r.worker.name, state, result)))
-	answerOf(bufio.NewReader(c))
+	io.WriteString(conn, postRequest("/_jobs/news", "", fmt.Sprintf(`{"id":%q,"from":%q,"state":%q%s}`, r.headerValue("X-Call-Id"),
+		r.worker.name, state, result)))
+	readAnswer(bufio.NewReader(conn))
 }
--- a/cmd/stoatweir/soak_test.go
+++ b/cmd/stoatweir/soak_test.go
@@ -14,13 +14,13 @@
 )
 
 var (
-	soakSeeds      = flag.Int("soak.seeds", 2, "seeds of TestSoak")
-	soakFirst      = flag.Int64("soak.first", 1, "the first of them")
-	soakSchedulers = flag.Int("soak.schedulers", 8, "processes of a play of TestSoak")
-	soakClients    = flag.Int("soak.clients", 3, "clients of each")
-	soakSpan       = flag.Duration("soak.span", 6*time.Second, "for how long troubles begin")
-	soakOnly       = flag.String("soak.only", "", "troubles that may be played, with commas between; empty: all")
-	soakKeep       = flag.String("soak.keep", "", "a folder for the logs; empty: they go unless a rule is broken")
+	soakSeedCount           = flag.Int("soak.seeds", 2, "seeds of TestSoak")
+	soakFirstSeed           = flag.Int64("soak.first", 1, "the first of them")
+	soakSchedulers          = flag.Int("soak.schedulers", 8, "processes of a play of TestSoak")
+	soakClientsPerScheduler = flag.Int("soak.clients", 3, "clients of each")
+	soakFaultDuration       = flag.Duration("soak.span", 6*time.Second, "for how long troubles begin")
+	soakFaults              = flag.String("soak.only", "", "troubles that may be played, with commas between; empty: all")
+	soakLogDir              = flag.String("soak.keep", "", "a folder for the logs; empty: they go unless a rule is broken")
 )
 
 // soakProgram builds the program with the soak's fault injection.
@@ -38,33 +38,35 @@
 func TestSoak(t *testing.T) {
 	dir := t.TempDir()
 	program := soakProgram(t, dir)
-	for n := range int64(*soakSeeds) {
-		seed := *soakFirst + n
-		keep := *soakKeep
-		if keep == "" {
-			keep = dir
+	for n := range int64(*soakSeedCount) {
+		seed := *soakFirstSeed + n
+		logDir := *soakLogDir
+		if logDir == "" {
+			logDir = dir
 		}
-		logs, err := os.MkdirTemp(keep, "soak")
+		logs, err := os.MkdirTemp(logDir, "soak")
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := soak.Config{Program: program, Dir: logs, Seed: seed, Schedulers: *soakSchedulers, Workers: *soakSchedulers, Clients: *soakClients, Span: *soakSpan}
-		if *soakOnly != "" {
-			c.Only = strings.Split(*soakOnly, ",")
+		config := soak.Config{Program: program, Dir: logs, Seed: seed, Schedulers: *soakSchedulers, Workers: *soakSchedulers,
+			Clients: *soakClientsPerScheduler, Span: *soakFaultDuration}
+		if *soakFaults != "" {
+			config.Only = strings.Split(*soakFaults, ",")
 		}
-		r, err := soak.Run(context.Background(), c)
+		result, err := soak.Run(context.Background(), config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("seed %d: %d attempts, %d clients left, ready within %v, answers %v, logs in %s", seed, r.Attempts, r.Disconnects, r.Ready, r.Answers, logs)
-		for _, p := range r.Faults {
-			t.Logf("%8v %s: %s", p.At, p.Name, p.On)
+		t.Logf("seed %d: %d attempts, %d clients left, ready within %v, answers %v, logs in %s", seed, result.Attempts,
+			result.Disconnects, result.Ready, result.Answers, logs)
+		for _, fault := range result.Faults {
+			t.Logf("%8v %s: %s", fault.At, fault.Name, fault.On)
 		}
-		if r.Answers["200"] == 0 || r.Attempts == 0 {
+		if result.Answers["200"] == 0 || result.Attempts == 0 {
 			t.Errorf("seed %d: nothing was served", seed)
 		}
-		for _, f := range r.Violations {
-			t.Errorf("seed %d: %s", seed, f)
+		for _, violation := range result.Violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 }
--- a/cmd/stoatweir/stalled_clients_test.go
+++ b/cmd/stoatweir/stalled_clients_test.go
@@ -13,33 +13,33 @@
 
 // crowd keeps connecting until it is stopped: most send nothing, some half a request, some one request and stay. It counts the
 // connections.
-func (r *rig) crowd(each time.Duration, stop chan struct{}) (came func() int) {
+func (r *testRig) startStalledClients(interval time.Duration, stop chan struct{}) (connectionCount func() int) {
 	total := make(chan int, 1)
 	total <- 0
-	r.load.Add(1)
+	r.clientGroup.Add(1)
 	go func() {
-		defer r.load.Done()
+		defer r.clientGroup.Done()
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
 				return
-			case <-time.After(each):
+			case <-time.After(interval):
 			}
-			c, err := net.DialTimeout("tcp", r.listen, time.Second)
+			conn, err := net.DialTimeout("tcp", r.listenAddr, time.Second)
 			if err != nil {
 				continue
 			}
 			total <- 1 + <-total
 			go func() {
-				defer c.Close()
+				defer conn.Close()
 				switch n % 5 {
 				case 0:
-					io.WriteString(c, "POST /render/k HTTP/1.1\r\nX-Call-Id: cr")
+					io.WriteString(conn, "POST /render/k HTTP/1.1\r\nX-Call-Id: cr")
 				case 1:
-					io.WriteString(c, "GET /-/ready HTTP/1.1\r\n\r\n")
+					io.WriteString(conn, "GET /-/ready HTTP/1.1\r\n\r\n")
 				}
-				c.SetReadDeadline(time.Now().Add(10 * time.Second))
-				io.Copy(io.Discard, c)
+				conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+				io.Copy(io.Discard, conn)
 			}()
 		}
 	}()
@@ -51,70 +51,70 @@
 }
 
 // descriptors counts those of a process.
-func (p *process) descriptors() int {
+func (p *process) openDescriptors() int {
 	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	return len(all)
 }
 
 // slowly sends a request that takes two seconds to write, in pieces cut anywhere.
-func (r *rig) slowly(id string) (status int, body string) {
-	c, err := net.Dial("tcp", r.listen)
+func (r *testRig) sendSlowly(id string) (status int, body string) {
+	conn, err := net.Dial("tcp", r.listenAddr)
 	if err != nil {
 		return -1, err.Error()
 	}
-	defer c.Close()
-	request := post("/render/k", "X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 10\r\nConnection: close\r\n", id)
+	defer conn.Close()
+	request := postRequest("/render/k", "X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 10\r\nConnection: close\r\n", id)
 	const pieces = 6
 	for n := range pieces {
-		if _, err := io.WriteString(c, request[n*len(request)/pieces:(n+1)*len(request)/pieces]); err != nil {
+		if _, err := io.WriteString(conn, request[n*len(request)/pieces:(n+1)*len(request)/pieces]); err != nil {
 			return -1, err.Error()
 		}
 		if n < pieces-1 {
 			time.Sleep(2 * time.Second / pieces)
 		}
 	}
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	b, err := io.ReadAll(c)
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	answer, err := io.ReadAll(conn)
 	if err != nil {
 		return -1, err.Error()
 	}
-	fmt.Sscanf(string(b), "HTTP/1.1 %d", &status)
-	return status, string(b)
+	fmt.Sscanf(string(answer), "HTTP/1.1 %d", &status)
+	return status, string(answer)
 }
 
 // Many clients complete no request, with memory and descriptors halved: every complete request is served, on new connections and
 // written slowly too, callbacks are accepted, operators are answered within a second, while draining as well, and the descriptors
 // keep to their limit.
 func TestServesBesideManyStalledClients(t *testing.T) {
-	r := newRig(t, 3, 60*time.Millisecond)
+	r := newTestRig(t, 3, 60*time.Millisecond)
 	r.config["limits"] = map[string]any{"memory_mb": 32, "sockets": 96}
 	r.writeConfig()
-	p := r.start()
+	p := r.startProcess()
 	r.waitUntilReady(p)
 	stop := make(chan struct{})
-	came := r.crowd(3*time.Millisecond, stop)
+	connectionCount := r.startStalledClients(3*time.Millisecond, stop)
 	r.startClients(3, "render")
-	slow := make(chan string)
+	slowFailures := make(chan string)
 	go func() {
-		defer close(slow)
+		defer close(slowFailures)
 		for n := range 12 {
-			r.load.Add(1)
+			r.clientGroup.Add(1)
 			go func() {
-				defer r.load.Done()
-				if status, body := r.slowly(fmt.Sprint("slow-", n)); status != 200 {
-					slow <- fmt.Sprint("written slowly: ", status, " ", body)
+				defer r.clientGroup.Done()
+				if status, body := r.sendSlowly(fmt.Sprint("slow-", n)); status != 200 {
+					slowFailures <- fmt.Sprint("written slowly: ", status, " ", body)
 				} else {
-					slow <- ""
+					slowFailures <- ""
 				}
 			}()
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(4 * time.Second)
 	}()
-	most := 0
+	maxDescriptors := 0
 	for n := range 12 {
-		for began := time.Now(); time.Since(began) < 100*time.Millisecond; time.Sleep(5 * time.Millisecond) {
-			most = max(most, p.descriptors())
+		for start := time.Now(); time.Since(start) < 100*time.Millisecond; time.Sleep(5 * time.Millisecond) {
+			maxDescriptors = max(maxDescriptors, p.openDescriptors())
 		}
 		if n == 5 {
 			if got := p.adminCommand("standby"); got != "+OK standby\n" {
@@ -128,22 +128,22 @@
 			t.Errorf("stats in a crowd: %q", got)
 		}
 	}
-	for trouble := range slow {
-		if trouble != "" {
-			t.Error(trouble)
+	for failure := range slowFailures {
+		if failure != "" {
+			t.Error(failure)
 		}
 	}
 	close(stop)
 	r.stopClients()
-	if n := came(); n < 1000 {
+	if n := connectionCount(); n < 1000 {
 		t.Error("the crowd was no crowd:", n)
 	}
-	r.check()
-	if len(r.answers) > 1 || r.answers[200] < 20 {
-		t.Error("answers by status: ", r.answers)
+	r.checkPeers()
+	if len(r.answersByStatus) > 1 || r.answersByStatus[200] < 20 {
+		t.Error("answers by status: ", r.answersByStatus)
 	}
-	if most > 96 {
-		t.Error("descriptors: ", most)
+	if maxDescriptors > 96 {
+		t.Error("descriptors: ", maxDescriptors)
 	}
 	p.Process.Signal(syscall.SIGTERM)
 	r.waitForExit(p, 5*time.Second)
--- a/cmd/stoatweir/stats_test.go
+++ b/cmd/stoatweir/stats_test.go
@@ -9,54 +9,54 @@
 )
 
 // figures are what the process tells operators, by name and labels.
-func (p *process) figures(t *testing.T) map[string]int {
+func (p *process) stats(t *testing.T) map[string]int {
 	t.Helper()
 	text := p.adminCommand("stats")
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	if !strings.HasPrefix(text, "+OK") || lines[len(lines)-1] != "." {
 		t.Fatalf("stats: %q", text)
 	}
-	all := map[string]int{}
+	values := map[string]int{}
 	for _, line := range lines[1 : len(lines)-1] {
-		at := strings.LastIndexByte(line, ' ')
-		var n int
-		if _, err := fmt.Sscan(line[at+1:], &n); err != nil {
+		separator := strings.LastIndexByte(line, ' ')
+		var value int
+		if _, err := fmt.Sscan(line[separator+1:], &value); err != nil {
 			t.Fatalf("stats: %q", line)
 		}
-		all[line[:at]] = n
+		values[line[:separator]] = value
 	}
-	return all
+	return values
 }
 
-func result(class, disposition string) string {
+func resultMetric(class, disposition string) string {
 	return fmt.Sprintf(`svc_results_total{service=%q,disposition=%q}`, class, disposition)
 }
 
 // The operators' figures are what clients and workers saw: each class by itself, attempts, and requests in flight.
 func TestStatsMatchWhatPeersSaw(t *testing.T) {
-	r := newRig(t, 3, 150*time.Millisecond)
-	p := r.start()
+	r := newTestRig(t, 3, 150*time.Millisecond)
+	p := r.startProcess()
 	r.waitUntilReady(p)
 	r.startClients(5, "render")
 	r.startClients(3, "sale")
 	time.Sleep(700 * time.Millisecond)
-	if got := p.figures(t); got["svc_outstanding"] != 8 || got["svc_discovered"] != 3 || got["svc_ejected"] != 0 {
+	if got := p.stats(t); got["svc_outstanding"] != 8 || got["svc_discovered"] != 3 || got["svc_ejected"] != 0 {
 		t.Error("under load:", got)
 	}
 	r.stopClients()
 	time.Sleep(2 * totalsPublishDelay)
-	got, attempts := p.figures(t), 0
+	got, attempts := p.stats(t), 0
 	for _, w := range r.workers {
 		w.mu.Lock()
-		for _, n := range w.attempts {
+		for _, n := range w.attemptsByID {
 			attempts += n
 		}
 		w.mu.Unlock()
 	}
-	if n := got[result("render", "succeeded")] + got[result("sale", "succeeded")]; n != r.answers[200] || n < 20 {
-		t.Error("succeeded:", n, "clients saw:", r.answers)
+	if n := got[resultMetric("render", "succeeded")] + got[resultMetric("sale", "succeeded")]; n != r.answersByStatus[200] || n < 20 {
+		t.Error("succeeded:", n, "clients saw:", r.answersByStatus)
 	}
-	if got["svc_forwards_total"] != attempts || got["svc_outstanding"] != 0 || got[result("sale", "aborted")] != 0 {
+	if got["svc_forwards_total"] != attempts || got["svc_outstanding"] != 0 || got[resultMetric("sale", "aborted")] != 0 {
 		t.Error("workers saw", attempts, "in", got)
 	}
 	p.Process.Signal(syscall.SIGTERM)
--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -21,30 +21,35 @@
 	"stoatweir/internal/takeover"
 )
 
-// The transcripts under testdata are whole exchanges of a client, a scheduler, its workers and discovery, in virtual time. Each
-// file holds a case, a line of dashes, and what came of it for each effect class, which a person has read and approved.
+// The transcripts under testdata record complete exchanges between a client, a scheduler, its
+// workers and discovery, in virtual time. Each file holds a script, a line of dashes, and the
+// recorded exchange for each effect class, which a person has read and approved.
 //
-// A case is made of lines:
+// A script consists of these lines:
 //
-//	workers NAME/ZONE ...        the list of workers
-//	window SPAN                  of deduplicated work, whose scope is the zone
-//	timeout SPAN                 of the client; 3s unless it is told
-//	dial N: STEP                 refuse, never, or after SPAN: how the Nth connection to a worker comes up
-//	request N: STEP, STEP ...    what a worker does with the Nth request that reaches one; the next ones follow the last such line
+//	workers NAME/ZONE ...        the workers in the endpoint list
+//	window SPAN                  the deduplication window; the deduplication scope is the zone
+//	timeout SPAN                 the client timeout; 3s if left out
+//	dial N: STEP                 the outcome of the Nth dial of a worker: refuse, never, or after SPAN
+//	request N: STEP, STEP ...    what a worker does with the Nth request that reaches any
+//	                             worker; a request without a line follows the last one before
 //	at SPAN: STEP                an event: drain NAME, move NAME ZONE, cut NAME, heal NAME, leave
 //
-// The steps of a request are: read all, read all-1, wait SPAN, answer TEXT, news STATE, reset, close. Lines that begin with # are notes.
+// The steps of a request are: read all, read all-1, wait SPAN, answer TEXT, news STATE, reset,
+// close. The step news sends a callback. Lines that begin with # are comments.
 //
-// Messages between two parties take a millisecond, so that time tells what came of what.
+// A message between two parties takes a millisecond, so that the times show the order of causes
+// and effects.
 
 const (
-	hop           = time.Millisecond
-	settled       = 2 * time.Second // the list is known then, and the watch stands
+	messageDelay  = time.Millisecond
+	settleTime    = 2 * time.Second // time until the endpoint list is known and the watch is established
 	transcriptEnd = "\n----\n"
 	schedulerAddr = "127.0.0.1:3"
 )
 
-// effectClasses are what each case is played for, by the settings' names.
+// effectClasses are the effect classes, by their names in the settings, that each script is run
+// for.
 var effectClasses = []string{"read_like", "idempotency_key", "non_idempotent"}
 
 func TestTranscripts(t *testing.T) {
@@ -67,7 +72,7 @@
 			var got strings.Builder
 			for _, effect := range effectClasses {
 				synctest.Test(t, func(t *testing.T) {
-					fmt.Fprintf(&got, "\n%s\n%s", effect, script.play(t, effect))
+					fmt.Fprintf(&got, "\n%s\n%s", effect, script.run(t, effect))
 				})
 			}
 			golden.Compare(t, filepath.Join("transcripts", filepath.Base(file)), []byte(source+transcriptEnd+got.String()))
@@ -75,25 +80,25 @@
 	}
 }
 
-// exchangeScript is a case.
+// exchangeScript is a parsed script.
 type exchangeScript struct {
 	workers         []string // name/zone
 	window, timeout time.Duration
-	schedulers      int  // that there are, by the settings; 0: one
-	probes          bool // are allowed
+	schedulers      int  // number of schedulers in the settings; 0: one
+	healthChecks    bool // the settings allow health checks
 	dials           map[int][]string
 	requests        map[int][]string
 	events          []scheduledStep
 }
 
-// scheduledStep is an event of a case.
+// scheduledStep is an event of a script.
 type scheduledStep struct {
 	at   time.Duration
 	step string
 }
 
 func parseExchangeScript(script string) (*exchangeScript, error) {
-	e := &exchangeScript{timeout: 3 * time.Second, dials: map[int][]string{}, requests: map[int][]string{}}
+	parsed := &exchangeScript{timeout: 3 * time.Second, dials: map[int][]string{}, requests: map[int][]string{}}
 	for line := range strings.SplitSeq(script, "\n") {
 		word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 		head, steps, _ := strings.Cut(rest, ": ")
@@ -101,23 +106,23 @@
 		switch word {
 		case "", "#":
 		case "workers":
-			e.workers = strings.Fields(rest)
+			parsed.workers = strings.Fields(rest)
 		case "window":
-			e.window, err = time.ParseDuration(rest)
+			parsed.window, err = time.ParseDuration(rest)
 		case "timeout":
-			e.timeout, err = time.ParseDuration(rest)
+			parsed.timeout, err = time.ParseDuration(rest)
 		case "dial":
 			if _, err = fmt.Sscan(head, &number); err == nil {
-				e.dials[number] = strings.Split(steps, ", ")
+				parsed.dials[number] = strings.Split(steps, ", ")
 			}
 		case "request":
 			if _, err = fmt.Sscan(head, &number); err == nil {
-				e.requests[number] = strings.Split(steps, ", ")
+				parsed.requests[number] = strings.Split(steps, ", ")
 			}
 		case "at":
 			var at time.Duration
 			at, err = time.ParseDuration(head)
-			e.events = append(e.events, scheduledStep{at, steps})
+			parsed.events = append(parsed.events, scheduledStep{at, steps})
 		default:
 			err = fmt.Errorf("unknown word %q", word)
 		}
@@ -125,12 +130,12 @@
 			return nil, fmt.Errorf("%q: %w", line, err)
 		}
 	}
-	return e, nil
+	return parsed, nil
 }
 
-// transcript is what the parties of one exchange say, by the party and the time.
+// transcript records what the parties of an exchange do, with the party and the time.
 type transcript struct {
-	began time.Time
+	start time.Time
 
 	mu    sync.Mutex
 	lines []transcriptLine
@@ -142,15 +147,17 @@
 	text  string
 }
 
-func (r *transcript) say(party, format string, args ...any) {
+// add records a line for a party. Lines from before the start are dropped.
+func (r *transcript) add(party, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at := time.Since(r.began); at >= 0 {
+	if at := time.Since(r.start); at >= 0 {
 		r.lines = append(r.lines, transcriptLine{at, party, fmt.Sprintf(format, args...)})
 	}
 }
 
-// String is in the order of time. What different parties say in one moment has no order between them.
+// String returns the lines in the order of time. Lines of different parties at the same time are
+// sorted by party, as their order is not determined.
 func (r *transcript) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,12 +174,12 @@
 	return text.String()
 }
 
-// schedulerLog takes what the scheduler logs into the transcript.
-type schedulerLog struct{ *transcript }
+// logHook adds the scheduler's log entries to the transcript.
+type logHook struct{ *transcript }
 
-func (l schedulerLog) Levels() []logrus.Level { return logrus.AllLevels }
+func (l logHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-func (l schedulerLog) Fire(entry *logrus.Entry) error {
+func (l logHook) Fire(entry *logrus.Entry) error {
 	if entry.Message == "deployment configured" {
 		return nil
 	}
@@ -180,18 +187,18 @@
 	for _, key := range slices.Sorted(maps.Keys(entry.Data)) {
 		line += fmt.Sprintf(" %s=%v", key, entry.Data[key])
 	}
-	l.say("scheduler", "logs: %s", line)
+	l.add("scheduler", "logs: %s", line)
 	return nil
 }
 
-// play plays the case for one effect class.
-func (e *exchangeScript) play(t *testing.T, effect string) string {
-	r := &transcript{began: time.Now().Add(settled)}
-	s, world, stop := e.start(t, effect, r)
-	time.Sleep(settled)
-	world.begin()
+// run runs the script for one effect class and returns the transcript.
+func (e *exchangeScript) run(t *testing.T, effect string) string {
+	record := &transcript{start: time.Now().Add(settleTime)}
+	s, peers, stop := e.start(t, effect, record)
+	time.Sleep(settleTime)
+	peers.start()
 	time.Sleep(e.timeout + 2*time.Second)
-	text := r.String()
+	text := record.String()
 	stop()
 	ended, stopped := s.workers.Counts.Ended, s.workers.Counts.Stopped
 	if len(stopped) > 0 {
@@ -200,62 +207,64 @@
 	return text + fmt.Sprintf("        ended: %v\n", ended)
 }
 
-// start starts a scheduler among the workers and the discovery of the case.
-func (e *exchangeScript) start(t *testing.T, effect string, r *transcript) (s *service, world *scriptedWorld, stop func()) {
-	world = newScriptedWorld(e, r)
-	node, err := settings.ParseProcess(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"5","known":%s,
+// start starts a scheduler with the workers and the discovery of the script. stop stops all of
+// them.
+func (e *exchangeScript) start(t *testing.T, effect string, record *transcript) (s *service, peers *scriptedPeers, stop func()) {
+	peers = newScriptedPeers(e, record)
+	process, err := settings.ParseProcess(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"5","known":%s,
 		"settings":{"Discovery":"ask","PeersTotal":%d,"Dcs":["a","b"],"FamilyInfo":{"TellsStart":true},"Report":{"How":"none"},
 		"Rules":{"AskWithin":10,"StopSendingWithin":0.5},
 		"Limits":{"Probes":%v,"Cancel":true,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfter":1,"MostForwards":3,"ConnectTimeout":0.25,"ConnIdle":5},
 		"Operations":[{"Name":"render","Effect":%q,"LatencyObjective":10,"ClientTimeout":10,"DedupScope":"zone","DedupWindow":%g}]}}`,
-		schedulerAddr, discoveryAddr, world.list(), max(1, e.schedulers), e.probes, effect, e.window.Seconds()), func(string) string { return "" })
+		schedulerAddr, discoveryAddr, peers.endpointList(), max(1,
+			e.schedulers), e.healthChecks, effect, e.window.Seconds()), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	log.AddHook(schedulerLog{r})
-	if s, err = newService(node, logrus.NewEntry(log)); err != nil {
+	log.AddHook(logHook{record})
+	if s, err = newService(process, logrus.NewEntry(log)); err != nil {
 		t.Fatal(err)
 	}
-	s.loop.DialContext = world.DialContext
+	s.loop.DialContext = peers.DialContext
 	s.loop.Panicked = func(cause any) { panic(cause) }
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		s.run(takeover.Address{Listener: world.door})
-		close(over)
+		s.run(takeover.Address{Listener: peers.listener})
+		close(done)
 	}()
-	return s, world, func() {
-		world.end()
-		time.Sleep(3 * time.Second) // all connections end
+	return s, peers, func() {
+		peers.stop()
+		time.Sleep(3 * time.Second) // long enough for all connections to end
 		s.loop.PostUrgent(loopTask(s.loop.Stop))
-		<-over
+		<-done
 	}
 }
 
-// client hands in one request and waits for its answer.
-func (w *scriptedWorld) client(timeout time.Duration) {
-	c := w.toScheduler()
-	if c == nil {
+// runClient sends one request and records its answer.
+func (w *scriptedPeers) runClient(timeout time.Duration) {
+	conn := w.dialScheduler()
+	if conn == nil {
 		return
 	}
 	w.mu.Lock()
-	w.clientConn = c
-	w.asked++
-	id := w.asked
+	w.clientConn = conn
+	w.clientRequests++
+	id := w.clientRequests
 	w.mu.Unlock()
-	defer c.Close()
-	w.say("client", "asks, and waits for %v", timeout)
-	time.Sleep(hop)
-	head := fmt.Sprintf("X-Call-Id: %d\r\nX-Call-Class: render\r\nIdempotency-Key: k\r\nX-Budget: %g\r\n", id, timeout.Seconds())
-	io.WriteString(c, post("/render/k", head, "work"))
-	first, body, _, err := answerOf(bufio.NewReader(c))
-	time.Sleep(hop)
+	defer conn.Close()
+	w.add("client", "asks, and waits for %v", timeout)
+	time.Sleep(messageDelay)
+	headers := fmt.Sprintf("X-Call-Id: %d\r\nX-Call-Class: render\r\nIdempotency-Key: k\r\nX-Budget: %g\r\n", id, timeout.Seconds())
+	io.WriteString(conn, postRequest("/render/k", headers, "work"))
+	statusLine, body, _, err := readAnswer(bufio.NewReader(conn))
+	time.Sleep(messageDelay)
 	switch {
-	case w.hasLeft():
+	case w.hasClientLeft():
 	case err != nil:
-		w.say("client", "gets no answer")
+		w.add("client", "gets no answer")
 	default:
-		w.say("client", "gets %s %s", strings.TrimPrefix(first, "HTTP/1.1 "), body)
+		w.add("client", "gets %s %s", strings.TrimPrefix(statusLine, "HTTP/1.1 "), body)
 	}
 }
--- a/cmd/stoatweir/watch_backoff_test.go
+++ b/cmd/stoatweir/watch_backoff_test.go
@@ -14,12 +14,12 @@
 		s := &service{deployment: settings.Deployment{DrainGrace: grace}, random: rand.New(rand.NewPCG(1, 2))}
 		fmt.Print(grace, ":")
 		for s.failedWatches = range 12 {
-			most := time.Duration(0)
+			longest := time.Duration(0)
 			for range 200 {
-				most = max(most, s.watchBackoff())
+				longest = max(longest, s.watchBackoff())
 			}
 			if s.failedWatches%3 == 0 {
-				fmt.Print(" ", most.Round(50*time.Millisecond))
+				fmt.Print(" ", longest.Round(50*time.Millisecond))
 			}
 		}
 		fmt.Println()
