--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// frame packs records given as hex into one batch.
+// frame encodes a batch of records, which are given in hexadecimal with optional spaces.
 func frame(t *testing.T, clock float64, records ...string) []byte {
 	t.Helper()
 	var body []byte
@@ -26,7 +26,7 @@
 	return append(out, body...)
 }
 
-// start packs the record that starts an instance.
+// start returns the record that starts an instance, in hexadecimal.
 func start(instance, settings string) string {
 	size := binary.LittleEndian.AppendUint32(nil, uint32(len(settings)))
 	return "01" + instance + "0700000000000000" + hex.EncodeToString(size) + hex.EncodeToString([]byte(settings))
@@ -54,12 +54,13 @@
 	}
 	want := []string{
 		"00000000", // no event
-		// both instances set a timer; each knows only its own list
+		// both instances set a timer; only instance 1 has got an endpoint list
 		"02000000" + "050100000014ae47e17a1418400000000000000000" + "050200000014ae47e17a1418400000000000000000",
-		// 2 queues its request, as it knows no worker; 1 forwards to the one it knows; in the order of their events
+		// instance 2 queues its request, as it has no endpoint list; instance 1 forwards to its
+		// worker; actions are in the order of the events
 		"03000000" + "050200000014ae47e17a141c400000000000000000" +
 			"0101000000090000000000000000000000000000000a124a078b13" + "050100000014ae47e17a141c400000000000000000",
-		"00000000", // stopped: the timer is void
+		"00000000", // the timer of a stopped instance has no effect
 	}
 	if len(got) != len(want) {
 		t.Fatalf("%d replies, want %d", len(got), len(want))
@@ -73,9 +74,9 @@
 
 func TestMalformedInputIsAnError(t *testing.T) {
 	for name, input := range map[string][]byte{
-		"settings that are no JSON": frame(t, 5, start("01000000", "{")),
-		"an unknown event":          frame(t, 5, "63 01000000"),
-		"a frame cut short":         frame(t, 5, "07 01000000 0000000000000000")[:20],
+		"settings that are not JSON": frame(t, 5, start("01000000", "{")),
+		"an unknown event":           frame(t, 5, "63 01000000"),
+		"a frame cut short":          frame(t, 5, "07 01000000 0000000000000000")[:20],
 	} {
 		if err := serve(bytes.NewReader(input), &bytes.Buffer{}); err == nil {
 			t.Errorf("%s was accepted without an error", name)
@@ -83,7 +84,8 @@
 	}
 }
 
-// A panic of the decisions ends the run with an error on the wire, not the adapter.
+// A panic of the dispatcher is reported to the simulator as an error and does not crash the
+// adapter.
 func TestPanicIsReportedOnTheWire(t *testing.T) {
 	var out bytes.Buffer
 	input := frame(t, 5, start("01000000", `{"PeersTotal": 1}`), "03 01000000"+arrival)
@@ -91,6 +93,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("the decisions panicked: ")) || out.Bytes()[8] != 10 {
-		t.Errorf("no report of the panic in %q", out.Bytes())
+		t.Errorf("the panic is not reported in %q", out.Bytes())
 	}
 }
--- a/cmd/stoatweir/capacity_test.go
+++ b/cmd/stoatweir/capacity_test.go
@@ -15,32 +15,36 @@
 	"time"
 )
 
-// inHand are the sizes of docs/CAPACITY.md for a take-over; without the flag a test plays a small one, and one with more than
-// a link between two processes holds messages.
-var inFlightSizes = flag.String("in-hand", "40,600", "sizes of the hand-over that TestTakeoverWithManyInFlight plays, by commas")
+// inFlightSizes are the numbers of requests in flight that TestTakeoverWithManyInFlight runs with.
+// docs/CAPACITY.md has the results for larger ones. Of the default sizes one is small, and one is
+// larger than the number of messages that the link between two processes can hold.
+var inFlightSizes = flag.String("in-hand", "40,600", "comma-separated numbers of requests in flight for TestTakeoverWithManyInFlight")
 
-// handed is what became of the requests that migrated from one process to the other.
+// migrationResult is the outcome of a take-over for the requests in flight, with the resources of
+// both processes.
 type migrationResult struct {
 	count, served, rejected, errored, lost int
-	timeToReady, timeToExit                time.Duration // until the successor's yes, and from the order to stop to the end
-	predecessorMB, successorMB             int           // resident MB, of both, with all of it in flight
-	predecessorDescriptors                 int           // descriptors of the first
-	linkNote                               string        // what the logs say of the link
+	timeToReady, timeToExit                time.Duration // successor's start to ready; predecessor's stop signal to exit
+	predecessorMB, successorMB             int           // resident memory in MiB with all requests in flight
+	predecessorDescriptors                 int           // open descriptors of the predecessor
+	linkNote                               string        // what the logs say about the link between the processes
 }
 
-func (h migrationResult) String() string {
-	return fmt.Sprintf("| %d | %d | %d | %d | %d | %.2f | %.2f | %d | %d | %d | %s |", h.count, h.served, h.rejected, h.errored,
-		h.lost, h.timeToReady.Seconds(),
-		h.timeToExit.Seconds(), h.predecessorMB, h.successorMB, h.predecessorDescriptors, h.linkNote)
+func (r migrationResult) String() string {
+	return fmt.Sprintf("| %d | %d | %d | %d | %d | %.2f | %.2f | %d | %d | %d | %s |", r.count, r.served, r.rejected, r.errored,
+		r.lost, r.timeToReady.Seconds(),
+		r.timeToExit.Seconds(), r.predecessorMB, r.successorMB, r.predecessorDescriptors, r.linkNote)
 }
 
-// replaceWith has n long-running requests in flight, starts a successor beside the process and stops the process.
+// takeOverInFlight sends the given number of long-running requests, starts a successor and stops
+// the first process.
 func takeOverInFlight(t *testing.T, count int) (result migrationResult) {
 	r := newTestRig(t, 3, 4*time.Second+time.Duration(count)*5*time.Millisecond)
-	for _, w := range r.workers {
-		w.slots = make(chan struct{}, count+10)
+	for _, worker := range r.workers {
+		worker.slots = make(chan struct{}, count+10)
 	}
-	// While both live each has half of the descriptors, and of these half are for requests in flight.
+	// While both processes run each has half of the descriptors, and half of these bound the
+	// requests in flight.
 	r.config["limits"] = map[string]any{"memory_mb": 512, "sockets": 4*count + 400}
 	deploymentSettings := r.config["settings"].(map[string]any)
 	deploymentSettings["FamilyInfo"] = map[string]any{"TellsStart": true, "ReportX0": "free slots"}
@@ -65,13 +69,13 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			statusLine, body, _, err := readAnswer(bufio.NewReader(conn))
+			outcome, body, _, err := readAnswer(bufio.NewReader(conn))
 			if err != nil {
-				statusLine = "lost"
-			} else if strings.HasSuffix(statusLine, " 200") && body != "made "+id {
-				statusLine = "wrong: " + body
+				outcome = "lost"
+			} else if strings.HasSuffix(outcome, " 200") && body != "made "+id {
+				outcome = "wrong result: " + body
 			}
-			answers <- statusLine
+			answers <- outcome
 		}()
 		if i%50 == 49 {
 			time.Sleep(20 * time.Millisecond)
@@ -79,7 +83,7 @@
 	}
 	for deadline := time.Now().Add(15 * time.Second); predecessor.stats(t)["svc_forwards_total"] < count; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not ", count, " out: ", predecessor.stats(t), len(answers))
+			t.Fatal("fewer than ", count, " requests were forwarded: ", predecessor.stats(t), len(answers))
 		}
 	}
 	time.Sleep(500 * time.Millisecond)
@@ -95,18 +99,18 @@
 	result.successorMB = successor.residentMB()
 	clients.Wait()
 	close(answers)
-	for statusLine := range answers {
+	for outcome := range answers {
 		switch {
-		case strings.HasSuffix(statusLine, " 200"):
+		case strings.HasSuffix(outcome, " 200"):
 			result.served++
-		case strings.HasSuffix(statusLine, " 503"):
+		case strings.HasSuffix(outcome, " 503"):
 			result.rejected++
-		case strings.HasSuffix(statusLine, " 500"):
+		case strings.HasSuffix(outcome, " 500"):
 			result.errored++
-		case statusLine == "lost":
+		case outcome == "lost":
 			result.lost++
 		default:
-			t.Error(statusLine)
+			t.Error(outcome)
 		}
 	}
 	if result.linkNote = "-"; strings.Contains(r.allLogs(), "successor exited") {
@@ -118,7 +122,7 @@
 	return result
 }
 
-// resident is what a process has of the machine's memory, in MB.
+// residentMB returns the resident memory of a process in MiB.
 func (p *process) residentMB() int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.Process.Pid))
 	var totalPages, residentPages int
@@ -126,18 +130,19 @@
 	return residentPages * os.Getpagesize() >> 20
 }
 
-// All requests in flight migrate to the successor, and each client gets its worker's result on the connection that it has. With
-// -in-hand it plays other sizes and prints what became of them.
+// All requests in flight migrate to the successor, and each client gets its result on its existing
+// connection. The flag -in-hand sets other numbers of requests. The log has the outcome as a row of
+// a table.
 func TestTakeoverWithManyInFlight(t *testing.T) {
 	for _, size := range strings.Split(*inFlightSizes, ",") {
 		count, err := strconv.Atoi(size)
 		if err != nil || count < 1 || count > 8000 {
-			t.Fatal("-in-hand: ", size, " is no size from 1 to 8000")
+			t.Fatal("-in-hand: ", size, " is not a size from 1 to 8000")
 		}
 		result := takeOverInFlight(t, count)
 		t.Log(result)
 		if result.served != count {
-			t.Error("not all were served: ", result)
+			t.Error("not all requests were served: ", result)
 		}
 	}
 }
--- a/cmd/stoatweir/combined_faults_test.go
+++ b/cmd/stoatweir/combined_faults_test.go
@@ -22,9 +22,11 @@
 	"stoatweir/internal/takeover"
 )
 
-// storm is one service on loopback whose peers do, by a seed, whatever the crossings are made of: workers that answer twice,
-// too early, never or not at all, clients that leave, a list that is reset, silent or indented, and a stop in the midst. The
-// peers keep the books that the rules are held against.
+// faultTest runs a service on loopback whose peers misbehave at random, from a seed: workers that
+// answer twice, send callbacks before their answer, never complete a request or close the
+// connection without an answer, clients that disconnect, endpoint lists that are reset, silent or
+// indented, and a stop while all of this goes on. The peers record what they see, and checkRules
+// checks the records.
 type faultTest struct {
 	t              *testing.T
 	schedulerAddr  string
@@ -35,37 +37,41 @@
 	conns          []net.Conn
 	eventCounts    map[string]int
 
-	goroutines, descriptors int         // before the first client
-	frontEndStopped         atomic.Bool // the front has noticed the stop: no new connections come
+	goroutines, descriptors int         // counts before the first client
+	frontEndStopped         atomic.Bool // the front end has noticed the stop and opens no new connections
 }
 
-// page is what is known of one request.
+// requestRecord is what the peers have seen of a request.
 type requestRecord struct {
 	nonIdempotent bool
-	clientLeftAt  time.Time // zero: its client stayed
+	clientLeftAt  time.Time // when its client disconnected; zero: it didn't
 	attempts      []attemptRecord
 }
 
+// attemptRecord is an attempt that a worker received.
 type attemptRecord struct {
 	worker      string
 	sentAt      time.Time
-	notRunSince time.Time // it is known not to have run; zero: it may have
+	notRunSince time.Time // since when it is certain that the attempt has not run; zero: it may have run
 }
 
+// drainPeriod is a time in which a worker was listed as draining. announcedAt is when the list was
+// first sent.
 type drainPeriod struct{ announcedAt, endedAt time.Time }
 
 const (
 	clientBudget           = 1500 * time.Millisecond
 	drainGrace             = 500 * time.Millisecond
-	timingTolerance        = 100 * time.Millisecond // of the rules on sockets, and of a machine that is busy
+	timingTolerance        = 100 * time.Millisecond // for delays of sockets and of a busy machine
 	maxSendAfterDisconnect = 300 * time.Millisecond
-	// New connections come for so long after the order to stop.
+	// frontEndDelay is how long new connections are still opened after the service was told to
+	// stop.
 	frontEndDelay = 400 * time.Millisecond
 )
 
-func (s *faultTest) countEvent(what string) {
+func (s *faultTest) countEvent(event string) {
 	s.mu.Lock()
-	s.eventCounts[what]++
+	s.eventCounts[event]++
 	s.mu.Unlock()
 }
 
@@ -77,12 +83,12 @@
 }
 
 func (s *faultTest) record(id string) *requestRecord {
-	p := s.records[id]
-	if p == nil {
-		p = &requestRecord{nonIdempotent: strings.HasPrefix(id, "sale")}
-		s.records[id] = p
+	record := s.records[id]
+	if record == nil {
+		record = &requestRecord{nonIdempotent: strings.HasPrefix(id, "sale")}
+		s.records[id] = record
 	}
-	return p
+	return record
 }
 
 func (s *faultTest) listen(serve func(conn net.Conn, rng *rand.Rand), seed int64) net.Listener {
@@ -110,9 +116,10 @@
 	return listener
 }
 
-// worker serves one connection. What it says decides whether an attempt may have run.
+// serveWorker serves a connection to a worker. It picks a behavior for each request at random, and
+// records whether the attempt may have run by what it tells the scheduler.
 func (s *faultTest) serveWorker(uid string, conn net.Conn, rng *rand.Rand) {
-	if rng.Intn(6) == 0 { // it comes up, and is read late
+	if rng.Intn(6) == 0 { // accept the connection but read from it late
 		time.Sleep(time.Duration(rng.Intn(60)) * time.Millisecond)
 	}
 	for reader := bufio.NewReader(conn); ; {
@@ -124,7 +131,7 @@
 			switch rng.Intn(12) {
 			case 0: // no answer
 				continue
-			case 1: // one that never ends
+			case 1: // an answer that never ends
 				for range 50 {
 					if _, err := io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 						return
@@ -168,7 +175,7 @@
 		_ = body
 		switch behavior := rng.Intn(20); behavior {
 		case 0:
-			s.countEvent("turned away")
+			s.countEvent("rejected")
 			markNotRun()
 			io.WriteString(conn, rejection)
 		case 1:
@@ -184,7 +191,7 @@
 			conn.(*net.TCPConn).SetLinger(0)
 			return
 		case 4:
-			s.countEvent("hangs")
+			s.countEvent("accepted and never completed")
 			accept()
 		case 5:
 			s.countEvent("returned")
@@ -208,7 +215,7 @@
 			accept()
 			after(5, func() { sendCallback("failed") })
 		case 10:
-			s.countEvent("turned away, and closed")
+			s.countEvent("rejected and closed")
 			markNotRun()
 			io.WriteString(conn, strings.Replace(rejection, "X-Rej", "Connection: close\r\nX-Rej", 1))
 			return
@@ -228,6 +235,7 @@
 	}
 }
 
+// readRequest reads an HTTP request.
 func readRequest(r *bufio.Reader) (requestLine string, headers map[string]string, body string, err error) {
 	line := func() string {
 		text, e := r.ReadString('\n')
@@ -249,7 +257,7 @@
 	return requestLine, headers, string(content), err
 }
 
-// client hands in requests one after the other, and leaves some of them.
+// runClient sends one request after the other, and disconnects during some of them.
 func (s *faultTest) runClient(name string, rng *rand.Rand, stop <-chan struct{}) {
 	var conn net.Conn
 	var reader *bufio.Reader
@@ -278,12 +286,12 @@
 			}
 			var err error
 			if conn, err = net.Dial("tcp", s.schedulerAddr); err != nil {
-				return // it has ended
+				return // the service has stopped
 			}
 			reader = bufio.NewReader(conn)
 		}
 		start := time.Now()
-		if rng.Intn(5) == 0 { // it leaves
+		if rng.Intn(5) == 0 { // disconnect
 			io.WriteString(conn, request)
 			switch rng.Intn(3) {
 			case 0:
@@ -296,7 +304,7 @@
 			s.mu.Unlock()
 			conn.Close()
 			conn = nil
-			s.countEvent("client left")
+			s.countEvent("client disconnected")
 			continue
 		}
 		conn.SetDeadline(start.Add(4 * time.Second))
@@ -306,8 +314,8 @@
 		switch {
 		case err != nil && isNew:
 			s.t.Errorf("%s: no answer after %v: %v", id, elapsed, err)
-		case err != nil: // it was closed between two requests
-			s.countEvent("closed between two requests")
+		case err != nil: // the reused connection was closed between two requests
+			s.countEvent("connection closed between two requests")
 		case elapsed > clientBudget+timingTolerance:
 			s.t.Errorf("%s: answered after %v", id, elapsed)
 		case strings.HasSuffix(statusLine, "200") && body != "made "+id:
@@ -322,7 +330,8 @@
 	}
 }
 
-// list is discovery: it drains workers in turn, and its watches end in all ways.
+// serveEndpointList starts a discovery that drains workers one after the other and resets some of
+// its watches in the middle of a list.
 func (s *faultTest) serveEndpointList(uids, addrs []string, rng *rand.Rand, stop <-chan struct{}) (addr string, closeListener func()) {
 	var mu sync.Mutex
 	revision, draining := 1, -1
@@ -358,7 +367,7 @@
 			if rng.Intn(4) == 0 {
 				fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text)/2, text[:len(text)/2])
 				conn.(*net.TCPConn).SetLinger(0)
-				s.countEvent("watch reset in the midst of a list")
+				s.countEvent("watch reset in the middle of a list")
 				return
 			}
 			_, err := fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(text)+1, text)
@@ -406,7 +415,8 @@
 	return listener.Addr().String(), func() { listener.Close() }
 }
 
-// TestCombinedFaults plays many crossings at once. STORM_SEED plays one seed alone.
+// TestCombinedFaults combines faults of workers, clients and discovery with a stop of the service.
+// The environment variable STORM_SEED selects a single seed.
 func TestCombinedFaults(t *testing.T) {
 	seeds := []int64{1, 2, 3}
 	if text := os.Getenv("STORM_SEED"); text != "" {
@@ -439,8 +449,9 @@
 	var closers []func()
 	for n := range 5 {
 		uid := fmt.Sprint("s-", n)
-		l := s.listen(func(c net.Conn, rng *rand.Rand) { s.serveWorker(uid, c, rng) }, seed*100+int64(n))
-		uids, addrs, closers = append(uids, uid), append(addrs, l.Addr().String()), append(closers, func() { l.Close() })
+		workerListener := s.listen(func(c net.Conn, rng *rand.Rand) { s.serveWorker(uid, c, rng) }, seed*100+int64(n))
+		uids, addrs, closers = append(uids, uid), append(addrs, workerListener.Addr().String()),
+			append(closers, func() { workerListener.Close() })
 	}
 	discovery, closeDiscovery := s.serveEndpointList(uids, addrs, rand.New(rand.NewSource(rng.Int63())), stopPeers)
 	closers = append(closers, closeDiscovery)
@@ -489,16 +500,16 @@
 	s.checkLeaks()
 	stopClients = startClients()
 	time.Sleep(300 * time.Millisecond)
-	service.loop.PostUrgent(loopTask(service.stop)) // with all of it going on
+	service.loop.PostUrgent(loopTask(service.stop)) // while requests and faults continue
 	stopRequested := time.Now()
 	time.AfterFunc(frontEndDelay, func() { s.frontEndStopped.Store(true) })
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Error("it does not end")
+		t.Error("the service has not stopped after 5 s")
 	}
-	if took := time.Since(stopRequested); took > clientBudget+700*time.Millisecond {
-		t.Error("a kill would have come before its end: ", took)
+	if elapsed := time.Since(stopRequested); elapsed > clientBudget+700*time.Millisecond {
+		t.Error("the service would have been killed before it stopped, after ", elapsed)
 	}
 	listener.Close()
 	stopClients()
@@ -513,12 +524,12 @@
 		t.Error("panics: ", service.panics)
 	}
 	if violations := service.workers.Invariants.Counts.Violations; len(violations) > 0 {
-		t.Error("the guard counted ", violations)
+		t.Error("the invariant checker counted violations: ", violations)
 	}
 	t.Log(s.eventCounts)
 }
 
-// hangUp ends all connections of the peers.
+// closeConnections closes all connections of the peers.
 func (s *faultTest) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -528,8 +539,9 @@
 	s.conns = nil
 }
 
-// leftOver looks for what is left of the service's connections once nobody asks any more and the workers have hung up. The
-// watch may come and go meanwhile.
+// checkLeaks checks that the service keeps no goroutines and descriptors once the clients have
+// stopped and the workers have closed their connections. The limits allow for a watch that starts
+// and ends meanwhile.
 func (s *faultTest) checkLeaks() {
 	const maxGoroutines, maxDescriptors = 12, 6
 	leaked := func() (int, int) { return runtime.NumGoroutine() - s.goroutines, openDescriptors() - s.descriptors }
@@ -541,37 +553,39 @@
 	}
 	goroutineCount, descriptorCount := leaked()
 	buf := make([]byte, 1<<16)
-	s.t.Errorf("left: %d goroutines, %d descriptors\n%s", goroutineCount, descriptorCount, buf[:runtime.Stack(buf, true)])
+	s.t.Errorf("leaked %d goroutines and %d descriptors\n%s", goroutineCount, descriptorCount, buf[:runtime.Stack(buf, true)])
 }
 
-// check holds the books against the rules.
+// checkRules checks the records: no attempt long after the client has disconnected, no second
+// attempt of a non-idempotent request that may have run, and no attempt at a worker after its drain
+// grace.
 func (s *faultTest) checkRules() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	attempts, disconnects := 0, 0
-	for id, p := range s.records {
-		attempts += len(p.attempts)
-		for n, a := range p.attempts {
-			if !p.clientLeftAt.IsZero() && a.sentAt.After(p.clientLeftAt.Add(maxSendAfterDisconnect)) {
-				s.t.Errorf("%s: sent on %v after its client had left", id, a.sentAt.Sub(p.clientLeftAt))
+	for id, record := range s.records {
+		attempts += len(record.attempts)
+		for n, attempt := range record.attempts {
+			if !record.clientLeftAt.IsZero() && attempt.sentAt.After(record.clientLeftAt.Add(maxSendAfterDisconnect)) {
+				s.t.Errorf("%s: sent to a worker %v after its client had disconnected", id, attempt.sentAt.Sub(record.clientLeftAt))
 			}
-			for _, earlier := range p.attempts[:n] {
-				if p.nonIdempotent && (earlier.notRunSince.IsZero() || earlier.notRunSince.After(a.sentAt)) {
-					s.t.Errorf("%s: sent to %s though %s may have run it", id, a.worker, earlier.worker)
+			for _, earlier := range record.attempts[:n] {
+				if record.nonIdempotent && (earlier.notRunSince.IsZero() || earlier.notRunSince.After(attempt.sentAt)) {
+					s.t.Errorf("%s: sent to %s although %s may have run it", id, attempt.worker, earlier.worker)
 				}
 			}
-			for _, d := range s.drainsByWorker[a.worker] {
-				if !d.announcedAt.IsZero() && a.sentAt.After(d.announcedAt.Add(drainGrace+timingTolerance)) &&
-					(d.endedAt.IsZero() || a.sentAt.Before(d.endedAt)) {
-					s.t.Errorf("%s: sent to %s %v after it was told to drain", id, a.worker, a.sentAt.Sub(d.announcedAt))
+			for _, d := range s.drainsByWorker[attempt.worker] {
+				if !d.announcedAt.IsZero() && attempt.sentAt.After(d.announcedAt.Add(drainGrace+timingTolerance)) &&
+					(d.endedAt.IsZero() || attempt.sentAt.Before(d.endedAt)) {
+					s.t.Errorf("%s: sent to %s %v after its drain was announced", id, attempt.worker, attempt.sentAt.Sub(d.announcedAt))
 				}
 			}
 		}
-		if !p.clientLeftAt.IsZero() {
+		if !record.clientLeftAt.IsZero() {
 			disconnects++
 		}
 	}
 	if attempts < 100 || disconnects < 10 {
-		s.t.Errorf("no storm: %d attempts, %d leaves", attempts, disconnects)
+		s.t.Errorf("too little load: %d attempts and %d disconnects, want at least 100 and 10", attempts, disconnects)
 	}
 }
--- a/cmd/stoatweir/combined_operations_test.go
+++ b/cmd/stoatweir/combined_operations_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Drain, reload and take-over in pairs under steady load beside many stalled clients: every request gets its answer, none is
-// sent twice where it may not be, and the ledgers of all processes together are what clients and workers saw.
+// Drain, reload and take-over run in pairs under steady load beside many stalled clients: every
+// request gets its answer, none is sent twice where that is not allowed, and the ledgers of the
+// processes agree with what clients and workers saw.
 func TestDrainReloadAndTakeoverInPairs(t *testing.T) {
 	type action func(r *testRig, p *process) *process
 	drain := func(r *testRig, p *process) *process {
 		if got := p.adminCommand("standby"); got != "+OK standby\n" {
-			t.Errorf("standby: %q", got)
+			t.Errorf("answer to standby: %q", got)
 		}
 		time.Sleep(300 * time.Millisecond)
 		if got := p.adminCommand("active"); got != "+OK ready\n" {
-			t.Errorf("active: %q", got)
+			t.Errorf("answer to active: %q", got)
 		}
 		return p
 	}
@@ -31,7 +32,7 @@
 		r.mu.Unlock()
 		r.writeConfig()
 		for _, p := range all {
-			p.Process.Signal(syscall.SIGHUP) // those that have ended do not mind
+			p.Process.Signal(syscall.SIGHUP) // has no effect on processes that have exited
 		}
 		return p
 	}
@@ -44,9 +45,9 @@
 	for _, pair := range []struct {
 		name    string
 		actions [2]action
-	}{{"drain and retune", [2]action{drain, reload}}, {"retune and replace", [2]action{reload, takeOver}},
-		{"replace and retune", [2]action{takeOver, reload}}, {"drain and replace", [2]action{drain, takeOver}},
-		{"replace and drain", [2]action{takeOver, drain}}} {
+	}{{"drain and reload", [2]action{drain, reload}}, {"reload and take-over", [2]action{reload, takeOver}},
+		{"take-over and reload", [2]action{takeOver, reload}}, {"drain and take-over", [2]action{drain, takeOver}},
+		{"take-over and drain", [2]action{takeOver, drain}}} {
 		t.Run(pair.name, func(t *testing.T) {
 			r := newTestRig(t, 3, 100*time.Millisecond)
 			first := r.startProcess()
@@ -62,7 +63,7 @@
 			}
 			time.Sleep(400 * time.Millisecond)
 			if p != first {
-				r.waitForExit(first, 4*time.Second) // half requests of the crowd have their time
+				r.waitForExit(first, 4*time.Second) // incomplete requests of the stalled clients may use up their time
 			}
 			close(stop)
 			r.stopClients()
@@ -71,7 +72,8 @@
 				t.Error(got)
 			}
 			r.checkPeers()
-			// On a machine that is short of processor time a refusal is right now and then; anything else is lost.
+			// On a machine that is short of CPU time an occasional 503 is correct. Any other status
+			// is a failure.
 			if r.answersByStatus[200] < 20 || r.answersByStatus[200]+r.answersByStatus[503] < sumCounts(r.answersByStatus) ||
 				r.answersByStatus[503]*20 > r.answersByStatus[200] {
 				t.Error("answers by status: ", r.answersByStatus, "\n", r.allLogs())
--- a/cmd/stoatweir/dispatcher_panic_test.go
+++ b/cmd/stoatweir/dispatcher_panic_test.go
@@ -11,8 +11,9 @@
 	"stoatweir/internal/settings"
 )
 
-// The dispatcher panics while the process stops, with a request in flight and a connection that is reused: the request gets its answer,
-// the next one on the connection is served by the restarted dispatcher, and the process exits in time.
+// The dispatcher panics while the service is stopping, with a request in flight on a reused
+// connection: the request gets its answer, the next one on the connection is served by the
+// restarted dispatcher, and the service stops in time.
 func TestDispatcherPanicDuringStop(t *testing.T) {
 	const timeout = 2 * time.Second
 	schedulerAddr := ""
@@ -54,19 +55,19 @@
 	s.loop.Post(breakDispatcher{s})
 	reader := bufio.NewReader(conn)
 	if statusLine, _, err := readMessage(reader); statusLine != "HTTP/1.1 500 Internal Server Error" || err != nil {
-		t.Error("in hand: ", statusLine, err)
+		t.Error("request in flight: ", statusLine, err)
 	}
 	io.WriteString(conn, request("served"))
 	if statusLine, body, err := readMessage(reader); statusLine != "HTTP/1.1 200 OK" || body != "made" {
-		t.Error("over the kept connection: ", statusLine, body, err)
+		t.Error("next request on the connection: ", statusLine, body, err)
 	}
 	select {
 	case <-done:
 		if elapsed := time.Since(stopRequested); elapsed > timeout+700*time.Millisecond {
-			t.Error("a kill would have come before its end: ", elapsed)
+			t.Error("the service would have been killed before it stopped, after ", elapsed)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("it does not end")
+		t.Error("the service has not stopped after 5 s")
 	}
 	if n := s.workers.Invariants.Counts.Violations; len(n) > 0 || s.panics == 0 {
 		t.Error("violations ", n, ", panics ", s.panics)
--- a/cmd/stoatweir/endpoint_watch_test.go
+++ b/cmd/stoatweir/endpoint_watch_test.go
@@ -25,36 +25,38 @@
 	"stoatweir/internal/takeover"
 )
 
-// The tests of this file play whole services, from their settings to their loops, in the virtual time of a synctest bubble:
-// connections are pipes, and discovery is a stand-in whose failures are set to the millisecond.
+// The tests of this file run complete services, from settings to event loop, in the virtual time of
+// a synctest bubble. Connections are pipes, and a fake discovery fails at times that are set to the
+// millisecond.
 
-// outage is how discovery fails while it is down.
+// failureMode is the way in which discovery fails during an outage.
 type failureMode int
 
 const (
 	available         failureMode = iota
 	connectionRefused             // connections are refused
-	connectionTimeout             // connections don't come up
-	neverAnswers                  // calls are accepted and never answered, also not after the return
-	answersOnReturn               // calls are accepted, and answered at the return
+	connectionTimeout             // dials time out
+	neverAnswers                  // calls are accepted and never answered, not even after the outage
+	answersOnReturn               // calls are accepted, and answered at the end of the outage
 	rejectsWith503
-	listTruncated // the answer ends in the midst of its list
-	listStalls    // the answer's head comes late, half a list behind it, and no more
+	listTruncated // the answer ends in the middle of its list
+	listStalls    // the header and half a list come late, and then nothing more
 )
 
+// failureModeNames are the names of the failure modes in subtests and logs.
 var failureModeNames = []string{"up", "refused", "lost", "mute", "kept", "unavailable", "broken", "stalled"}
 
-// standIn is a discovery for any number of schedulers. It answers calls in turn.
+// fakeDiscovery is a discovery for any number of schedulers. It answers calls one after the other.
 type fakeDiscovery struct {
 	start                 time.Time
 	failure               failureMode
-	failsFrom, failsUntil time.Duration // it is down
-	silentWatches         bool          // watches that are open then fall silent instead of being reset
-	serviceTime           time.Duration // that one call keeps it busy
-	answerDelay           time.Duration // that an answer takes beyond that, for nobody else to wait
-	queueTimeout          time.Duration // a call that has waited for longer is rejected; 0: never
-	drainsAt              time.Duration // when the worker begins to; 0: at the return
-	addressMoves          bool          // another address is served from the beginning of the outage on, and fails; the old one goes
+	failsFrom, failsUntil time.Duration // start and end of the outage, since start
+	silentWatches         bool          // watches open at the start of the outage fall silent instead of being reset
+	serviceTime           time.Duration // time for which a call keeps it busy
+	answerDelay           time.Duration // further delay of each answer, during which other calls are served
+	queueTimeout          time.Duration // calls that wait for longer are rejected; 0: none
+	drainsAt              time.Duration // when the worker begins to drain; 0: at the end of the outage
+	addressMoves          bool          // at the start of the outage the old address closes and another, which fails, opens
 
 	mu        sync.Mutex
 	closed    bool
@@ -63,8 +65,10 @@
 	openConns map[net.Conn]bool
 }
 
+// now returns the time since start.
 func (d *fakeDiscovery) now() time.Duration { return time.Since(d.start) }
 
+// currentFailure returns how discovery fails at this time.
 func (d *fakeDiscovery) currentFailure() failureMode {
 	if now := d.now(); now >= d.failsFrom && now < d.failsUntil {
 		return d.failure
@@ -72,7 +76,7 @@
 	return available
 }
 
-// DialContext is the way to discovery; nobody else listens.
+// DialContext connects to discovery. Dials of all other addresses are refused.
 func (d *fakeDiscovery) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	refusedErr := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	d.mu.Lock()
@@ -128,7 +132,7 @@
 		return
 	}
 	callerGone := make(chan struct{})
-	go func() { // what ends the call is seen at once
+	go func() { // notices at once that the caller ends the call
 		io.Copy(io.Discard, conn)
 		close(callerGone)
 	}()
@@ -161,7 +165,8 @@
 		}
 		return
 	}
-	// Calls take turns. What was given up meanwhile has its turn all the same: that shows only when it is answered.
+	// Calls are served one after the other. A call that the caller has given up takes its time as
+	// well, because the server notices only when it answers.
 	d.mu.Lock()
 	d.busyUntil = time.Unix(0, max(d.busyUntil.UnixNano(), time.Now().UnixNano())).Add(d.serviceTime)
 	waitTime := time.Until(d.busyUntil)
@@ -187,7 +192,7 @@
 			if iteration%10 == 0 {
 				io.WriteString(conn, encodeChunk("\n"))
 			}
-			continue // changes are sent at the new address alone
+			continue // changes are sent only at the new address
 		} else if isOldAddress || d.currentFailure() != available {
 			if d.silentWatches {
 				<-callerGone
@@ -203,7 +208,8 @@
 	}
 }
 
-// shut has all calls end and refuses new ones. Dials that are lost give up within a second.
+// close ends all calls and refuses new ones. Dials that are waiting for their timeout give up
+// within a second.
 func (d *fakeDiscovery) close() {
 	d.mu.Lock()
 	d.closed = true
@@ -213,31 +219,32 @@
 	d.mu.Unlock()
 }
 
-// closed is a listener to which nobody comes.
+// idleListener is a listener to which no connection is made.
 type idleListener chan struct{}
 
 func (l idleListener) Accept() (net.Conn, error) {
 	<-l
-	runtime.Goexit() // the event loop that would be notified has ended
+	runtime.Goexit() // the event loop that an error would be reported to has ended
 	return nil, net.ErrClosed
 }
 func (l idleListener) Close() error   { return nil }
 func (l idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// player is a service in the bubble.
+// simulatedScheduler is a service in the synctest bubble.
 type simulatedScheduler struct {
 	*service
 	discovery    *fakeDiscovery
-	listTimes    []time.Duration // when lists came
-	drainKnownAt time.Duration   // when the first came that says the worker drains
+	listTimes    []time.Duration // when endpoint lists arrived
+	drainKnownAt time.Duration   // when the first list arrived in which the worker drains
 	listener     idleListener
 	done         chan struct{}
 }
 
-// day is what a player's settings say.
+// schedulerConfig holds the settings of a simulatedScheduler. It is printed in the names of
+// subtests.
 type schedulerConfig struct {
-	push, unknown bool // unknown: there is no known list
-	peers, within int  // settings' AskWithin, in milliseconds
+	push, unknown bool // push: the endpoint list is pushed; unknown: there is no cached list
+	peers, within int  // number of schedulers; AskWithin of the settings in ms
 	grace         float64
 	seed          int
 }
@@ -283,20 +290,23 @@
 	return scheduler
 }
 
-// end stops the player; its discovery has ended.
-func (p *simulatedScheduler) stop() {
+// stop stops the scheduler. Its discovery must have been closed before.
+func (p *simulatedScheduler) shutDown() {
 	p.loop.PostUrgent(loopTask(p.loop.Stop))
 	<-p.done
 	close(p.listener)
 }
 
-// afterSix is how long a change may take after discovery has it and can be reached: a worker that counts as draining then may be
-// sent requests for the drain grace, which is kept as a reserve.
+// maxPropagationTime is the time within which a scheduler must apply a change once discovery has it
+// and can be reached. A change counts as known after 6 s; the drain grace, in which a draining
+// worker may still be sent requests, is kept as a reserve.
 const maxPropagationTime = 6*time.Second - 500*time.Millisecond
 
-// Discovery goes down in each way, for each span from nothing to 20 s in steps of 50 ms (variants: 250), with watches that end or fall silent; a
-// worker begins to drain at its return. From there to the list is less than 6 s and the grace, at each of these moments. What is
-// pushed counts as known at the return already: there the drain grace itself is the bound, unless a call was lost.
+// Discovery fails in each mode, for each duration up to 20 s in steps of 50 ms (250 ms in some
+// variants), with watches that end or fall silent. A worker begins to drain at the end of the
+// outage. The scheduler has the new list within maxPropagationTime, whatever the duration. A pushed
+// list counts as known as soon as discovery is back: there the drain grace is the limit, unless a
+// call was lost.
 func TestDrainIsAppliedAtAnyDiscoveryReturn(t *testing.T) {
 	const failureStart, maxFailure = 3 * time.Second, 20 * time.Second
 	for _, variant := range []struct {
@@ -320,8 +330,7 @@
 						var schedulers []*simulatedScheduler
 						for duration := variant.step; duration <= maxFailure; duration += variant.step {
 							d := &fakeDiscovery{start: time.Now(), failure: failure, failsFrom: failureStart, failsUntil: failureStart + duration,
-								silentWatches: silent,
-								serviceTime:   20 * time.Millisecond, openConns: map[net.Conn]bool{}}
+								silentWatches: silent, serviceTime: 20 * time.Millisecond, openConns: map[net.Conn]bool{}}
 							config := variant.schedulerConfig
 							config.seed = len(schedulers)
 							schedulers = append(schedulers, config.start(t, d))
@@ -333,13 +342,13 @@
 						time.Sleep(2 * time.Second)
 						worst, worstFailure := time.Duration(0), time.Duration(0)
 						for _, p := range schedulers {
-							p.stop()
-							duration := p.drainKnownAt - p.discovery.failsUntil
+							p.shutDown()
+							delay := p.drainKnownAt - p.discovery.failsUntil
 							if p.drainKnownAt == 0 {
-								duration = time.Hour
+								delay = time.Hour
 							}
-							if duration > worst {
-								worst, worstFailure = duration, p.discovery.failsUntil-failureStart
+							if delay > worst {
+								worst, worstFailure = delay, p.discovery.failsUntil-failureStart
 							}
 						}
 						limit := maxPropagationTime
@@ -351,9 +360,10 @@
 						default:
 							limit = 500 * time.Millisecond
 						}
-						t.Logf("%s: worst span from return to list: %v, down for %v", name, worst.Round(time.Millisecond), worstFailure)
+						t.Logf("%s: longest time from the end of the outage to the list: %v, after an outage of %v", name,
+							worst.Round(time.Millisecond), worstFailure)
 						if worst >= limit {
-							t.Errorf("%v is not below %v", worst, limit)
+							t.Errorf("the list took up to %v, want less than %v", worst, limit)
 						}
 					})
 				})
@@ -362,7 +372,7 @@
 	}
 }
 
-// together plays schedulers of one kind, each with its own discovery, to a time, and ends them.
+// runUntil lets schedulers, each with its own discovery, run for a time and then stops them.
 func runUntil(t *testing.T, end time.Duration, all ...*simulatedScheduler) {
 	t.Helper()
 	time.Sleep(end)
@@ -371,12 +381,13 @@
 	}
 	time.Sleep(2 * time.Second)
 	for _, p := range all {
-		p.stop()
+		p.shutDown()
 	}
 }
 
-// An open watch falls silent while discovery has something to tell, and the call behind it may be lost as well: the list comes less than
-// 6 s and the grace after the watch fell silent. Where two calls or more were lost it could not be reached until it was back.
+// An open watch falls silent when discovery has a change, and the next call may be lost as well:
+// the list arrives within maxPropagationTime after the watch fell silent. If two or more calls were
+// lost, discovery could not be reached, and the time counts from the end of the outage.
 func TestDrainIsAppliedAfterSilentWatch(t *testing.T) {
 	const failureStart, step, maxFailure = 3 * time.Second, 50 * time.Millisecond, 3600 * time.Millisecond
 	for _, config := range []schedulerConfig{{peers: 300}, {within: 2000}, {push: true}, {push: true, grace: 30}} {
@@ -397,7 +408,7 @@
 				var runs [2]int
 				for _, p := range schedulers {
 					if p.drainKnownAt == 0 {
-						t.Fatal("never told")
+						t.Fatal("the drain was never received")
 					}
 					lostCalls, from, group := 0, p.discovery.failsFrom, 0
 					for _, call := range p.discovery.callTimes {
@@ -411,18 +422,19 @@
 					worst[group] = max(worst[group], p.drainKnownAt-from)
 					runs[group]++
 				}
-				t.Logf("%s: worst span to the list, from silence %v (%d plays), from the return after two lost calls %v (%d)", t.Name(),
-					worst[0].Round(time.Millisecond), runs[0], worst[1].Round(time.Millisecond), runs[1])
+				t.Logf("%s: longest time to the list: %v from the silence (%d runs), %v from the outage's end after two lost calls (%d runs)",
+					t.Name(), worst[0].Round(time.Millisecond), runs[0], worst[1].Round(time.Millisecond), runs[1])
 				if max(worst[0], worst[1]) >= maxPropagationTime {
-					t.Errorf("%v is not below %v", worst, maxPropagationTime)
+					t.Errorf("the list took up to %v, want less than %v", worst, maxPropagationTime)
 				}
 			})
 		})
 	}
 }
 
-// SIGHUP names another address, which may fail in each way for up to 8 s: what it has to tell comes less than 4 s after the order,
-// or less than 6 s and the grace after it can be reached, whichever is later; with up to 1.5 s of failure, within the 4 s.
+// A reload names another discovery address, which may fail in each mode for up to 8 s. Its list
+// arrives within 4 s of the reload or within maxPropagationTime after the address can be reached,
+// whichever is later; after a failure of up to 1.5 s, within the 4 s.
 func TestDrainIsAppliedAfterAddressChange(t *testing.T) {
 	const failureStart, step, maxFailure = 3 * time.Second, 100 * time.Millisecond, 8 * time.Second
 	for failure := connectionRefused; failure <= listStalls; failure++ {
@@ -434,8 +446,7 @@
 					var schedulers []*simulatedScheduler
 					for duration := time.Duration(0); duration <= maxFailure; duration += step {
 						d := &fakeDiscovery{start: time.Now(), failure: failure, failsFrom: failureStart, failsUntil: failureStart + duration,
-							addressMoves: true, serviceTime: 20 * time.Millisecond,
-							openConns: map[net.Conn]bool{}}
+							addressMoves: true, serviceTime: 20 * time.Millisecond, openConns: map[net.Conn]bool{}}
 						p := schedulerConfig{push: push, peers: 300, seed: len(schedulers)}.start(t, d)
 						schedulers = append(schedulers, p)
 						time.AfterFunc(failureStart, func() {
@@ -455,10 +466,10 @@
 						}
 						worst = max(worst, p.drainKnownAt-p.discovery.failsUntil)
 						if elapsed := p.drainKnownAt - failureStart; p.drainKnownAt == 0 || elapsed >= limit {
-							t.Errorf("down for %v: the list comes %v after the order, not within %v", duration, elapsed, limit)
+							t.Errorf("outage of %v: the list arrived %v after the reload, want less than %v", duration, elapsed, limit)
 						}
 					}
-					t.Logf("%s: worst after the return %v; after the order, where that is within 1.5 s, %v", name,
+					t.Logf("%s: longest time to the list: %v from the end of the outage; %v from the reload for outages of up to 1.5 s", name,
 						worst.Round(time.Millisecond), worstAfterReload.Round(time.Millisecond))
 				})
 			})
@@ -466,7 +477,8 @@
 	}
 }
 
-// A draining process goes on following the endpoint list: its watch has failed, and the list that comes at the return is applied before it exits.
+// A draining process still follows the endpoint list: its watch has failed, and the list that
+// arrives at the end of the outage is applied before it exits.
 func TestEndpointListIsFollowedDuringStop(t *testing.T) {
 	const failureStart = 3 * time.Second
 	for _, push := range []bool{false, true} {
@@ -478,7 +490,7 @@
 				p := schedulerConfig{push: push, peers: 300, seed: seed}.start(t, d)
 				time.AfterFunc(failureStart+100*time.Millisecond, func() {
 					p.loop.PostUrgent(loopTask(func() {
-						p.clients.LongestTimeout = 3 * time.Second // as a client has said
+						p.clients.LongestTimeout = 3 * time.Second // as if a client had sent it
 						p.service.stop()
 					}))
 				})
@@ -492,14 +504,15 @@
 				<-p.done
 				close(p.listener)
 				if p.drainKnownAt == 0 {
-					t.Error("never told; lists:", p.listTimes)
+					t.Error("the drain was never received; lists arrived at", p.listTimes)
 				}
 			}
 		})
 	}
 }
 
-// perTenth is the most calls in any 100 ms from a moment on, and the plain mean until the last of them.
+// callRate returns the maximum number of calls in any 100 ms from a time on, and the mean number
+// per 100 ms until the last call.
 func (d *fakeDiscovery) callRate(notBefore time.Duration) (maxCalls int, meanCalls float64) {
 	var times []time.Duration
 	for _, call := range d.callTimes {
@@ -515,21 +528,20 @@
 	return maxCalls, float64(len(times)) / max(1, float64(times[len(times)-1]-notBefore)/float64(100*time.Millisecond))
 }
 
-// Discovery returns to 300 schedulers: they come spread over the longest wait, at most a quarter of them in any 100 ms. Pushed lists, with
-// a grace of half a second, leave a quarter of a second for that.
+// After an outage the calls of 300 schedulers are spread over the maximum backoff, with at most a
+// quarter of the schedulers in any 100 ms. That limit does not hold for pushed lists, where a drain
+// grace of half a second leaves a quarter of a second for the backoff.
 func TestReturnedDiscoverySeesSpreadWatches(t *testing.T) {
 	for _, variant := range []struct {
 		failure  failureMode
 		duration time.Duration
 		push     bool
-	}{{connectionRefused, 8 * time.Second, false}, {rejectsWith503, 3 * time.Second, false}, {neverAnswers, 8 * time.Second,
-		false}, {connectionRefused, time.Second, false},
-		{connectionRefused, 8 * time.Second, true}} {
+	}{{connectionRefused, 8 * time.Second, false}, {rejectsWith503, 3 * time.Second, false},
+		{neverAnswers, 8 * time.Second, false}, {connectionRefused, time.Second, false}, {connectionRefused, 8 * time.Second, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			const failureStart = 6 * time.Second
 			d := &fakeDiscovery{start: time.Now(), failure: variant.failure, failsFrom: failureStart,
-				failsUntil: failureStart + variant.duration, serviceTime: time.Millisecond,
-				openConns: map[net.Conn]bool{}}
+				failsUntil: failureStart + variant.duration, serviceTime: time.Millisecond, openConns: map[net.Conn]bool{}}
 			var schedulers []*simulatedScheduler
 			for seed := range 300 {
 				schedulers = append(schedulers, schedulerConfig{peers: 300, seed: seed, push: variant.push}.start(t, d))
@@ -540,29 +552,30 @@
 			time.Sleep(2 * time.Second)
 			worst := time.Duration(0)
 			for _, p := range schedulers {
-				p.stop()
+				p.shutDown()
 				if worst = max(worst, p.drainKnownAt-d.failsUntil); p.drainKnownAt == 0 {
-					t.Error("never told")
+					t.Error("the drain was never received")
 				}
 			}
 			d.callTimes = calls
 			maxCalls, meanCalls := d.callRate(d.failsUntil)
 			maxCallsAtFailure, _ := d.callRate(d.failsFrom)
-			t.Logf("%s for %v, push=%v: at the return at most %d calls in 100 ms, mean %.1f; at the failure %d; last list after %v",
+			t.Logf("%s for %v, push=%v: calls in 100 ms after the outage: at most %d, mean %.1f; after the failure: at most %d; last list after %v",
 				failureModeNames[variant.failure], variant.duration, variant.push, maxCalls, meanCalls, maxCallsAtFailure,
 				worst.Round(time.Millisecond))
 			if !variant.push && maxCalls > len(schedulers)/4 {
-				t.Errorf("%d calls in 100 ms of %d schedulers", maxCalls, len(schedulers))
+				t.Errorf("%d calls in 100 ms from %d schedulers, want at most a quarter", maxCalls, len(schedulers))
 			}
 			if worst >= maxPropagationTime {
-				t.Errorf("the last list comes %v after the return", worst)
+				t.Errorf("the last list arrived %v after the end of the outage", worst)
 			}
 		})
 	}
 }
 
-// 300 schedulers are started together while discovery is slow, down or overrun: nine in ten say yes within 10 s. Without any known list
-// they say so a second after their start and hold what comes until there is one: the page's log tells when that is.
+// 300 schedulers start together while discovery is slow, down or overloaded: nine in ten are ready
+// within 10 s. Without a cached list they report ready after a second and queue requests until
+// there is a list; the log of the test has the times.
 func TestManyRestartsAreReadyInTime(t *testing.T) {
 	const schedulers = 300
 	for _, variant := range []struct {
@@ -610,16 +623,15 @@
 					d.close()
 					time.Sleep(2 * time.Second)
 					for _, p := range pool {
-						p.stop()
+						p.shutDown()
 						if len(p.listTimes) > 0 {
 							listed = append(listed, p.listTimes[0])
 						}
 					}
 					t.Logf("%s: ready %s; first list from discovery %s; %d calls", name, quantileSummary(ready, schedulers),
-						quantileSummary(listed, schedulers),
-						len(d.callTimes))
+						quantileSummary(listed, schedulers), len(d.callTimes))
 					if listExpected := variant.failure == available && variant.queueTimeout == 0; listExpected && len(listed) < schedulers {
-						t.Error("lists come to", len(listed), "of", schedulers)
+						t.Error("schedulers with a list:", len(listed), "of", schedulers)
 					}
 					if n, _ := slices.BinarySearch(ready, 10*time.Second); n < schedulers*9/10 {
 						t.Error("ready within 10 s:", n, "of", schedulers)
@@ -630,7 +642,8 @@
 	}
 }
 
-// spread tells the quantiles of what each of so many has had at some time.
+// quantileSummary returns quantiles of the times as text. total is the number of schedulers; those
+// without a time count as never.
 func quantileSummary(times []time.Duration, total int) string {
 	slices.Sort(times)
 	quantile := func(fraction float64) string {
--- a/cmd/stoatweir/gossip_test.go
+++ b/cmd/stoatweir/gossip_test.go
@@ -14,20 +14,23 @@
 )
 
 const (
-	// gossipSchedulers is how many schedulers the pool of newGossipRig has; the process under test is number 1.
+	// gossipSchedulers is the number of schedulers in the pool of newGossipRig. The process under
+	// test has index 1.
 	gossipSchedulers = 3
-	// minOwnedByFirst is how many workers scheduler 0 owns at least: it is queried for these alone.
+	// minOwnedByFirst is the minimum number of workers whose load data scheduler 0 owns. It is only
+	// queried for these.
 	minOwnedByFirst = 3
-	// maxGossipRigs bounds the search: with twelve workers four rigs of five will do.
+	// maxGossipRigs bounds the search. With twelve workers about four in five rigs are suitable.
 	maxGossipRigs = 50
 )
 
-// newGossipRig is a rig with enough workers whose load data scheduler 0 owns. Which scheduler owns a worker follows from the
-// worker's port: once in a hundred times scheduler 0 would own none of twelve and never be asked.
+// newGossipRig returns a rig in which scheduler 0 owns the load data of enough workers. The owner
+// of a worker follows from the worker's port: once in about a hundred runs scheduler 0 would own
+// none of twelve workers and never be queried.
 func newGossipRig(t *testing.T) *testRig {
 	t.Helper()
 	for range maxGossipRigs {
-		r := newTestRig(t, 12, 200*time.Millisecond) // answers of others hold for a part of a run
+		r := newTestRig(t, 12, 200*time.Millisecond) // jobs run longer than a peer's answer stays valid
 		owned := 0
 		for _, worker := range r.workers {
 			if ownerOf(t, worker.addr) == 0 {
@@ -42,7 +45,8 @@
 	return nil
 }
 
-// ownerOf is the scheduler that scheduler 1 asks for a worker's free capacity, or 1 where it owns the worker itself.
+// ownerOf returns the index of the scheduler that scheduler 1 queries for a worker's free capacity,
+// or 1 if it owns the worker itself.
 func ownerOf(t *testing.T, addr string) int {
 	t.Helper()
 	worker, err := netip.ParseAddrPort(addr)
@@ -70,8 +74,9 @@
 	return 1
 }
 
-// Schedulers of a pool exchange messages. One is silent, one sends garbage without end, truncated and duplicated messages and false
-// ones; clients get one answer each all the same. A configuration that mixes two shapes is rejected.
+// Gossip tolerates broken peers: one scheduler of the pool is silent, another keeps sending garbage
+// and truncated, duplicated and false messages. Clients still get one answer each. A reload that
+// lists peers but does not allow gossip is rejected.
 func TestGossipSurvivesBrokenPeers(t *testing.T) {
 	r := newGossipRig(t)
 	var peerConns []*net.UDPConn
@@ -114,14 +119,15 @@
 					}
 				}
 			}
-			// Without a true answer between the lies none of its workers need ever look free: all queued requests may go to our own.
+			// Without some true answers, none of the peer's workers might ever look free, and all
+			// queued requests would go to the workers that the process under test owns.
 			if len(replies) > 0 {
 				reply := append(append([]byte(nil), message[:15]...), dispatch.EncodeGossip(replies)[0]...)
 				reply[1], reply[2] = 0, 0
 				peerConns[0].WriteToUDP(reply, ownAddr)
 			}
 			echo := append([]byte(nil), message...)
-			echo[1], echo[2] = 0, 0 // our number
+			echo[1], echo[2] = 0, 0 // index of the sender
 			for _, datagram := range [][]byte{echo, echo, echo[:n%size], []byte(strings.Repeat("garbage", n%60)), message} {
 				peerConns[0].WriteToUDP(datagram, ownAddr)
 			}
@@ -144,8 +150,9 @@
 				attemptCounts = append(attemptCounts, fmt.Sprint(len(worker.attemptsByID)))
 				worker.mu.Unlock()
 			}
-			t.Fatal("told: ", seen, " in ", datagrams.Load(), " datagrams, read error ", readError.Load(), ", sent ", attemptCounts, "\n",
-				requestOnce(r.listenAddr, "GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"), r.answersByStatus)
+			t.Fatal("gossip entries received: ", seen, " in ", datagrams.Load(), " datagrams, read error ", readError.Load(),
+				", attempts at the workers ", attemptCounts, "\n", requestOnce(r.listenAddr,
+					"GET /-/counts HTTP/1.1\r\nHost: a\r\n\r\n"), r.answersByStatus)
 		}
 	}
 
@@ -169,8 +176,9 @@
 	}
 }
 
-// A pushed list whose discovery is down: the watch is retried with backoff and jitter, clients are served from the cached list
-// meanwhile, and the list that discovery sends once it is back is applied.
+// While the discovery of a pushed list is down, the watch is retried with backoff and jitter and
+// clients are served from the cached list. The list that discovery sends after the outage is
+// applied.
 func TestServesWhilePushedListIsDown(t *testing.T) {
 	r := newTestRig(t, 2, 20*time.Millisecond)
 	var watches, isBack atomic.Int32
@@ -188,8 +196,8 @@
 	r.waitUntilReady(p)
 	r.startClients(3, "render")
 	time.Sleep(3 * time.Second)
-	if n := watches.Load(); n < 3 || n > 8 { // 12 without growing spans
-		t.Error(n, " watches in 3 s")
+	if n := watches.Load(); n < 3 || n > 8 { // 12 without exponential backoff
+		t.Error(n, " watches in 3 s, want 3 to 8")
 	}
 	if text := r.allLogs(); strings.Contains(text, "endpoint watch failed, retrying") {
 		t.Error(text)
--- a/cmd/stoatweir/idle_clients_test.go
+++ b/cmd/stoatweir/idle_clients_test.go
@@ -10,7 +10,9 @@
 	"time"
 )
 
-// idlers hold connections on which they have asked once and rest; who is shut out comes again. It counts those that are in.
+// startIdleClients starts clients that send one request and then keep their connections open and
+// idle. They reconnect when they are disconnected. It returns the number of clients that are
+// connected.
 func (r *testRig) startIdleClients(count int, stop chan struct{}) *atomic.Int64 {
 	var connected atomic.Int64
 	for range count {
@@ -39,6 +41,8 @@
 	return &connected
 }
 
+// holdIdle reads the answer and holds the connection until stop is closed or the connection ends,
+// in which case it returns an error.
 func (r *testRig) holdIdle(conn net.Conn, reader *bufio.Reader, stop chan struct{}, connected *atomic.Int64) error {
 	if _, _, err := readMessage(reader); err != nil {
 		return err
@@ -59,15 +63,16 @@
 }
 
 func isTimeout(err error) bool {
-	e, is := err.(net.Error)
-	return is && e.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
-// While discovery is down and no list is known, idle clients hold all descriptors that clients are given, and more wait outside. At its
-// return the watch has its descriptor within its budget, a new client gets in, and its request gets a connection to a worker.
+// While discovery is down and no endpoint list is cached, idle clients hold all descriptors for
+// clients, and more clients try to connect. When discovery is back, the watch gets a descriptor in
+// time, new clients can connect, and their requests get connections to workers.
 func TestIdleClientsLeaveDescriptorsForWatch(t *testing.T) {
 	r := newTestRig(t, 2, 20*time.Millisecond)
-	discoveryAddr := unusedAddr(t)
+	addr := unusedAddr(t)
 	list := `{"rev":1,"all":true,"targets":[`
 	for n, w := range r.workers {
 		if n > 0 {
@@ -78,7 +83,7 @@
 	list += "]}\n"
 	const sockets = 64
 	delete(r.config, "known")
-	r.config["discovery"] = discoveryAddr
+	r.config["discovery"] = addr
 	r.config["limits"] = map[string]any{"memory_mb": 64, "sockets": sockets}
 	r.writeConfig()
 	p := r.startProcess()
@@ -89,7 +94,7 @@
 	for start := time.Now(); time.Since(start) < 2*time.Second; time.Sleep(10 * time.Millisecond) {
 		maxDescriptors, maxConnected = max(maxDescriptors, p.openDescriptors()), max(maxConnected, connected.Load())
 	}
-	listener, err := net.Listen("tcp", discoveryAddr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,11 +116,10 @@
 	}()
 	select {
 	case delay := <-watchDelays:
-		t.Logf("%d idle clients held %d connections, descriptors at most %d of %d; the watch came %v after the return", sockets,
-			maxConnected, maxDescriptors,
-			sockets, delay.Round(time.Millisecond))
+		t.Logf("%d idle clients held %d connections, with at most %d of %d descriptors; the watch started %v after the outage", sockets,
+			maxConnected, maxDescriptors, sockets, delay.Round(time.Millisecond))
 	case <-time.After(maxPropagationTime):
-		t.Fatal("the watch has not come back in its time")
+		t.Fatal("discovery has not been called again in time")
 	}
 	time.Sleep(200 * time.Millisecond)
 	for n := range 20 {
@@ -124,16 +128,16 @@
 		answer := requestOnce(r.listenAddr, postRequest("/render/k",
 			"X-Call-Id: "+id+"\r\nX-Call-Class: render\r\nX-Budget: 5\r\nConnection: close\r\n", id))
 		if answer != "HTTP/1.1 200 OK made "+id {
-			t.Errorf("a new client hears %q after %v", answer, time.Since(start))
+			t.Errorf("a new client got %q after %v", answer, time.Since(start))
 		}
 		maxDescriptors = max(maxDescriptors, p.openDescriptors())
 	}
 	close(stop)
 	r.clientGroup.Wait()
 	if maxConnected < 20 {
-		t.Error("too few idle clients were in to fill their part:", maxConnected)
+		t.Error("too few idle clients connected to use up the descriptors for clients:", maxConnected)
 	}
 	if maxDescriptors > sockets {
-		t.Error("descriptors:", maxDescriptors)
+		t.Error("more open descriptors than the limit:", maxDescriptors)
 	}
 }
--- a/cmd/stoatweir/lab_command_test.go
+++ b/cmd/stoatweir/lab_command_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// lab runs a command line of the laboratory.
+// runLab runs a lab command and returns its standard output and exit code.
 func runLab(t *testing.T, args ...string) (out string, status int) {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "out"))
@@ -26,8 +26,8 @@
 
 const labDir = "../../deploy/lab/"
 
-// What README and the operators' page promise of the command line: a day, a comparison of settings, a trace, and what is
-// wrong with a file.
+// The lab commands do what README and the operators' page describe: run a scenario, compare
+// settings, work with traces, and reject invalid files and flags.
 func TestLabCommands(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
@@ -57,9 +57,10 @@
 		t.Errorf("%+v", r)
 	}
 	if text, _ := os.ReadFile(path("p.svg")); !strings.HasPrefix(string(text), "<svg") {
-		t.Errorf("%.80q is no plot", text)
+		t.Errorf("the plot is not an SVG file: %.80q", text)
 	}
-	// A third of the workers, under the load that all can bear: worse, and shown so.
+	// With a third of the workers and the load that suits all of them, the results are worse, and
+	// the comparison shows it.
 	os.WriteFile(path("short2.toml"), []byte(strings.Replace(short, "of = 0.6", "rate = 99.0", 1)), 0o600)
 	os.WriteFile(path("fewer2.toml"), []byte(strings.Replace(strings.Replace(short, "count = 6", "count = 2", 2), "of = 0.6",
 		"rate = 99.0", 1)), 0o600)
--- a/cmd/stoatweir/large_fleet_test.go
+++ b/cmd/stoatweir/large_fleet_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A scheduler that is configured with 1,024 workers and 1,024 schedulers has them all, holds goroutines and memory for what it uses of them,
-// and serves.
+// A scheduler with 1,024 workers and 1,024 schedulers in its configuration lists all workers,
+// serves, and uses goroutines and memory only for the peers that it communicates with.
 func TestThousandWorkersAndSchedulers(t *testing.T) {
 	const count, maxGoroutines, maxHeapBytes = 1024, 40, 16 << 20
 	script := &exchangeScript{timeout: 3 * time.Second, schedulers: count, dials: map[int][]string{},
@@ -30,18 +30,19 @@
 			goroutines, heap := runtime.NumGoroutine()-goroutinesBefore, int64(heapBytes())-int64(heapBefore)
 			stop()
 			if listed := s.workers.EndpointCount(); listed != count {
-				t.Error("listed: ", listed)
+				t.Error("workers in the endpoint list: ", listed)
 			}
 			if text := record.String(); !strings.Contains(text, "client     gets 200 made by request 1") {
 				t.Error(effect, "\n", text)
 			}
 			if goroutines > maxGoroutines || heap > maxHeapBytes {
-				t.Errorf("%d goroutines and %d bytes more", goroutines, heap)
+				t.Errorf("%d more goroutines and %d more heap bytes than before", goroutines, heap)
 			}
 		})
 	}
 }
 
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/cmd/stoatweir/lifecycle.go
+++ b/cmd/stoatweir/lifecycle.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// EndpointsKnown implements takeover.Lifecycle.
+// EndpointsKnown ends the wait for the first endpoint list. It implements takeover.Lifecycle.
 func (s *service) EndpointsKnown() {
 	s.transition("endpoints known", func() bool {
 		s.lifecycle.EndpointsKnown(s.loop.Now())
@@ -92,7 +92,7 @@
 	})
 }
 
-// SuccessorServing implements takeover.Lifecycle.
+// SuccessorServing records that a successor is serving. It implements takeover.Lifecycle.
 func (s *service) SuccessorServing() {
 	s.transition("successor serving", func() bool {
 		s.lifecycle.SuccessorChanged(s.loop.Now(), true)
@@ -100,7 +100,7 @@
 	})
 }
 
-// SuccessorExited implements takeover.Lifecycle.
+// SuccessorExited records that the successor has exited. It implements takeover.Lifecycle.
 func (s *service) SuccessorExited() {
 	s.transition("successor exited", func() bool {
 		s.lifecycle.SuccessorChanged(s.loop.Now(), false)
@@ -108,5 +108,6 @@
 	})
 }
 
-// Migrates implements takeover.Lifecycle.
+// Migrates reports whether connections are to be migrated to the successor. It implements
+// takeover.Lifecycle.
 func (s *service) Migrates() bool { return s.lifecycle.Behavior(s.loop.Now()).Migrates }
--- a/cmd/stoatweir/limits_test.go
+++ b/cmd/stoatweir/limits_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Small limits leave a part aside, large ones no more than what lies outside the collector's count.
+// A small quota keeps back a share of itself, a large one a fixed reserve.
 func Example_memoryLimit() {
 	for _, quotaMB := range []int{16, 64, 120, 256, 1024} {
 		fmt.Println(quotaMB, memoryLimitBytes(quotaMB)>>20)
--- a/cmd/stoatweir/log_test.go
+++ b/cmd/stoatweir/log_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// A reader of the log that stalls costs lines, and no waiting; their number is logged.
+// If the reader of the log stalls, lines are dropped without blocking the writer, and their number
+// is logged.
 func Example_stalledLog() {
 	r, w := io.Pipe()
 	writer := newAsyncWriter(w)
 	writer.Write([]byte("first\n"))
-	for len(writer.queue) > 0 { // the goroutine has it and waits for the reader
+	for len(writer.queue) > 0 { // the goroutine has taken the line and waits for the reader
 		time.Sleep(time.Millisecond)
 	}
 	for n := range cap(writer.queue) + 3 {
@@ -43,7 +44,7 @@
 	// last
 }
 
-// Other goroutines may log while the program ends.
+// Other goroutines may still log while the process exits, after the writer was closed.
 func TestLogAfterCloseDoesNotBlock(t *testing.T) {
 	writer := newAsyncWriter(io.Discard)
 	writer.close(time.Second)
--- a/cmd/stoatweir/migration_test.go
+++ b/cmd/stoatweir/migration_test.go
@@ -17,7 +17,8 @@
 	"stoatweir/internal/workers"
 )
 
-// A request that was adopted, or whose migration has failed, is tracked, and the dispatcher gets its record as it is.
+// A request that was adopted, or whose migration failed, is tracked, and the dispatcher gets its
+// record unchanged.
 func TestMigratedRequestsAreTracked(t *testing.T) {
 	process, err := settings.ParseProcess([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
 		{"Name":"keyed","Effect":"idempotency_key","DedupWindow":3}]}}`), func(string) string { return "" })
@@ -53,16 +54,16 @@
 	s.BeginMigration(1)
 	checkEvents("migrating", dispatch.MigratedOut{Invocation: 1})
 	if _, tracked := s.Request(1); tracked || s.migrating[1] != adopted {
-		t.Error("a migrating request is tracked still, or forgotten")
+		t.Error("a migrating request is still tracked, or was lost")
 	}
 	s.CancelMigration(1, record)
 	checkEvents("restored", record)
 	if s.requests[1] != adopted || len(s.migrating) > 0 {
-		t.Error("a restored request is not tracked as it was")
+		t.Error("after a cancelled migration the request is not tracked as before")
 	}
 	s.BeginMigration(1)
 	s.FinishMigration(1)
 	if _, tracked := s.Request(1); tracked || len(s.migrating) > 0 {
-		t.Error("a request that has migrated is kept")
+		t.Error("a request that has migrated is still tracked or migrating")
 	}
 }
--- a/cmd/stoatweir/process_rig_test.go
+++ b/cmd/stoatweir/process_rig_test.go
@@ -213,15 +213,15 @@
 }
 
 // waitForLog waits until the log of the process contains a message the given number of times.
-func (r *testRig) waitForLog(p *process, message string, times int) {
+func (r *testRig) waitForLog(p *process, message string, count int) {
 	r.t.Helper()
 	var text []byte
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if text, _ = os.ReadFile(p.logFile); strings.Count(string(text), message) >= times {
+		if text, _ = os.ReadFile(p.logFile); strings.Count(string(text), message) >= count {
 			return
 		}
 	}
-	r.t.Fatalf("%q was not logged %d times within 5 s\n%s", message, times, text)
+	r.t.Fatalf("%q was not logged %d times within 5 s\n%s", message, count, text)
 }
 
 // allLogs returns the logs of all processes.
@@ -253,7 +253,7 @@
 }
 
 // waitForExit waits until the process exits and fails the test if it exits late or with an error.
-func (r *testRig) waitForExit(p *process, within time.Duration) {
+func (r *testRig) waitForExit(p *process, timeout time.Duration) {
 	r.t.Helper()
 	select {
 	case <-p.exited:
@@ -261,9 +261,9 @@
 			text, _ := os.ReadFile(p.logFile)
 			r.t.Errorf("the process exited with %v\n%s", p.exitErr, text)
 		}
-	case <-time.After(within):
+	case <-time.After(timeout):
 		text, _ := os.ReadFile(p.logFile)
-		r.t.Errorf("the process has not exited after %v\n%s", within, text)
+		r.t.Errorf("the process has not exited after %v\n%s", timeout, text)
 	}
 }
 
--- a/cmd/stoatweir/races_test.go
+++ b/cmd/stoatweir/races_test.go
@@ -20,7 +20,8 @@
 	"stoatweir/internal/workers"
 )
 
-// send sends a request without waiting for its answer.
+// sendWithoutWaiting sends a request on a new connection and returns the connection and a reader
+// for the answer.
 func (r *testRig) sendWithoutWaiting(class, id string) (net.Conn, *bufio.Reader) {
 	r.t.Helper()
 	conn, err := net.Dial("tcp", r.listenAddr)
@@ -32,19 +33,20 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// waitForInFlight waits until so many requests are in flight.
+// waitForInFlight waits until the given number of requests is in flight.
 func (r *testRig) waitForInFlight(p *process, n int) {
 	r.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); p.stats(r.t)["svc_outstanding"] != n; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.t.Fatal("not ", n, " in hand: ", p.stats(r.t))
+			r.t.Fatal("not ", n, " requests in flight after 10 s: ", p.stats(r.t))
 		}
 	}
 }
 
-// Clients wait for half a second at most, workers hang as the order to stop comes, and one is killed 0.7 s later: everything in
-// hand has its answer by then, non-idempotent work that was sent is not said to be harmless to repeat, and what
-// comes up to the end over connections that stay open is answered too.
+// The client timeout is half a second, the workers hang, and the process would be killed 0.7 s
+// after that time: by then every request in flight has its answer, the answer to a non-idempotent
+// request that was sent to a worker does not declare it safe to repeat, and requests on connections
+// that stay open are answered until the end.
 func TestStopAnswersAllBeforeEarlyKill(t *testing.T) {
 	const clientTimeout = 500 * time.Millisecond
 	r := newTestRig(t, 2, time.Hour)
@@ -67,20 +69,20 @@
 	stopRequested, requests := time.Now(), 0
 	p.Process.Signal(syscall.SIGTERM)
 	r.waitForLog(p, "stop requested", 1)
-	for ; conn.conn != nil; requests++ { // as long as it stays open
-		statusLine := conn.conn
+	for ; conn.conn != nil; requests++ { // as long as the connection stays open
+		previousConn := conn.conn
 		status, body := conn.request("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		if conn.conn != nil && conn.conn != statusLine { // it had ended between two requests; the new one is the last to come
+		if conn.conn != nil && conn.conn != previousConn { // closed between two requests; the new one is the last one accepted
 			break
 		}
 		if status != 503 && conn.conn != nil {
-			t.Error("kept while stopping: ", status, body)
+			t.Error("readiness on a reused connection while stopping, want 503: ", status, body)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	conn.close()
 	r.waitForExit(p, clientTimeout+700*time.Millisecond-time.Since(stopRequested))
-	t.Log("ended after ", time.Since(stopRequested), ", asked ", requests)
+	t.Log("exited after ", time.Since(stopRequested), ", requests on the reused connection: ", requests)
 	for range 2 {
 		got := <-answers
 		if strings.HasPrefix(got, "sale") && got != "sale HTTP/1.1 500 <nil>" || !strings.HasSuffix(got, "<nil>") {
@@ -89,8 +91,8 @@
 	}
 }
 
-// The order to stop comes before there is a list, with a request in flight that no worker could have: it gets its answer, and a
-// second order changes nothing.
+// The process is told to stop before it has an endpoint list, with a request in flight that cannot
+// be sent to any worker: the request gets its answer, and a second signal changes nothing.
 func TestStopBeforeEndpointListAnswersRequests(t *testing.T) {
 	discoveryListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,13 +104,13 @@
 	r.writeConfig()
 	p := r.startProcess()
 	var conn net.Conn
-	for conn == nil { // it listens, and is not ready
+	for conn == nil { // the process listens before it is ready
 		if conn, err = net.Dial("tcp", r.listenAddr); err != nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	conn.Close()
-	for !strings.HasPrefix(p.adminCommand("status"), "-ERR") { // the admin address listens a moment later
+	for !strings.HasPrefix(p.adminCommand("status"), "-ERR") { // the admin address is opened a moment later
 		time.Sleep(time.Millisecond)
 	}
 	_, reader := r.sendWithoutWaiting("render", "early")
@@ -123,10 +125,12 @@
 	r.waitForExit(p, 4*time.Second)
 }
 
-// The order to stop comes before anything listens: it is carried out, and is no death.
+// A signal to stop that arrives before the process listens makes it exit normally instead of
+// killing it.
 func TestStopBeforeListening(t *testing.T) {
 	r := newTestRig(t, 1, 0)
-	// A neighbour in the temporary folder that takes the new process's call and says nothing holds it before it listens.
+	// A silent listener at the hand-over socket of the address takes the new process's call and
+	// delays it before it listens.
 	tmp := filepath.Join(r.dir, "tmp")
 	os.MkdirAll(tmp, 0o700)
 	socketPath, err := handover.SocketPath(tmp, r.listenAddr)
@@ -148,7 +152,8 @@
 	r.waitForExit(p, 6*time.Second)
 }
 
-// A process of another name that is started at our address gets neither our socket nor what we have, and says why it ends.
+// A process with another name that is started at the same address gets neither the listening socket
+// nor any requests, and logs why it exits.
 func TestSuccessorWithOtherNameIsRejected(t *testing.T) {
 	r := newTestRig(t, 1, 10*time.Millisecond)
 	p := r.startProcess()
@@ -159,7 +164,7 @@
 	select {
 	case <-other.exited:
 	case <-time.After(5 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the process with the other name has not exited after 5 s")
 	}
 	if text, _ := os.ReadFile(other.logFile); other.exitErr == nil || !strings.Contains(string(text), string(handover.ReasonNameMismatch)) {
 		t.Errorf("%v\n%s", other.exitErr, text)
@@ -167,8 +172,8 @@
 	conn := &reusedConn{addr: r.listenAddr}
 	defer conn.close()
 	for n := range 20 {
-		if status, body := conn.request(postRequest("/render/k", fmt.Sprintf("X-Call-Id: a%d\r\nX-Call-Class: render\r\nX-Budget: 10\r\n",
-			n), "")); status != 200 {
+		if status, body := conn.request(postRequest("/render/k",
+			fmt.Sprintf("X-Call-Id: a%d\r\nX-Call-Class: render\r\nX-Budget: 10\r\n", n), "")); status != 200 {
 			t.Error(status, body)
 		}
 		conn.close()
@@ -176,8 +181,9 @@
 	r.checkPeers()
 }
 
-// A successor exits, or hangs, with a request migrating to it: its client gets one answer, which promises nothing, the request
-// was sent once, and its connection is not served twice.
+// A successor exits, or hangs, while a request migrates to it: the client gets one answer, which
+// leaves open whether the request has run, the request is sent to a worker once, and its connection
+// is not served by both processes.
 func TestSuccessorExitsDuringMigration(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		t.Run(fmt.Sprint("hangs: ", hangs), func(t *testing.T) {
@@ -214,9 +220,9 @@
 				t.Error(statusLine, willClose, err)
 			}
 			if _, err := reader.ReadByte(); err != io.EOF {
-				t.Error("after the answer: ", err)
+				t.Error("reading after the answer, want EOF: ", err)
 			}
-			// It finds the connection after all.
+			// The successor has received the connection, but can read nothing from it.
 			migrated, err := net.FileConn(migration.File)
 			if err != nil {
 				t.Fatal(err)
@@ -224,18 +230,19 @@
 			defer migrated.Close()
 			migrated.SetDeadline(time.Now().Add(5 * time.Second))
 			if n, err := migrated.Read(make([]byte, 1)); n > 0 || err != io.EOF {
-				t.Error("it reads: ", n, err)
+				t.Error("the successor's read of the migrated connection, want EOF: ", n, err)
 			}
 			r.waitForExit(p, 5*time.Second)
 			r.checkPeers()
 			if worker := r.workers[0]; len(worker.attemptsByID) != 1 || worker.attemptsByID["sale-passed"] != 1 {
-				t.Error("attempts: ", worker.attemptsByID)
+				t.Error("attempts, want one of sale-passed: ", worker.attemptsByID)
 			}
 		})
 	}
 }
 
-// A request has the effect class of the settings that are in force when it arrives.
+// A request has the effect class that the settings define when it arrives. A later reload does not
+// change it.
 func Example_effectAtArrival() {
 	const text = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Operations":[
 		{"Name":"render","Effect":"read_like"},{"Name":"keyed","Effect":"idempotency_key"},{"Name":"sale","Effect":"non_idempotent"}]}}`
@@ -273,8 +280,8 @@
 	// in hand before: false true
 }
 
-// A process is killed right after it has accepted connections, with requests unread, half read or just forwarded: none of them is
-// sent twice, and the process that follows serves at once.
+// A process is killed just after it has accepted connections, with requests unread, partly read or
+// just forwarded: none of them is sent twice, and the next process serves at once.
 func TestKillAfterAcceptDuplicatesNothing(t *testing.T) {
 	r := newTestRig(t, 3, 10*time.Millisecond)
 	for run := range 6 {
@@ -289,7 +296,7 @@
 			conns = append(conns, conn)
 			id := fmt.Sprintf("sale-%d-%d", run, n)
 			request := postRequest("/sale/k", "X-Call-Id: "+id+"\r\nX-Call-Class: sale\r\nX-Budget: 10\r\n", id)
-			io.WriteString(conn, request[:len(request)-n%2]) // every second one lacks its last byte
+			io.WriteString(conn, request[:len(request)-n%2]) // every second request lacks its last byte
 		}
 		time.Sleep(time.Duration(run) * time.Millisecond / 2)
 		p.Process.Kill()
@@ -309,7 +316,7 @@
 	r.mu.Lock()
 	for _, worker := range r.workers {
 		worker.mu.Lock()
-		worker.unacknowledgedResults = nil // callbacks of a killed process's requests find nobody for a while
+		worker.unacknowledgedResults = nil // while no process ran, callbacks for requests of a killed process could not be delivered
 		worker.mu.Unlock()
 	}
 	r.mu.Unlock()
--- a/cmd/stoatweir/recovery_test.go
+++ b/cmd/stoatweir/recovery_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// All workers are unreachable for some time and come back, with health checks and where the settings allow none: clients are served
-// again within the longest ejection time, and a little more where all requests are non-idempotent. A scheduler that was not notified of
-// their return, or had no other requests to attempt them with, rejected all requests for good.
+// All workers are unreachable for some time and come back, with and without health checks: clients
+// are served again within the maximum ejection time, and a little later if all requests are
+// non-idempotent. This guards against a scheduler that rejects all requests forever because nothing
+// tells it that the workers are back, or because no request may be used to try them.
 func TestServesAgainAfterAllWorkersWereLost(t *testing.T) {
 	const maxEjection, margin, requestInterval = 8 * time.Second, 3 * time.Second, 100 * time.Millisecond
 	for _, effect := range effectClasses {
@@ -38,7 +39,7 @@
 						stop()
 						servedAgainAt := record.firstTime("client", "gets 200", outage)
 						if servedAgainAt == 0 || servedAgainAt > outage+maxEjection+margin {
-							t.Error("served again at ", servedAgainAt)
+							t.Error("first served after the outage at ", servedAgainAt)
 						}
 					})
 				})
@@ -47,11 +48,12 @@
 	}
 }
 
-// first is when a party first said something from some time on; 0: never.
-func (r *transcript) firstTime(party, text string, notBefore time.Duration) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, line := range r.lines {
+// firstTime returns the time of the first line of a party that begins with text, at notBefore or
+// later. It returns 0 if there is none.
+func (t *transcript) firstTime(party, text string, notBefore time.Duration) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, line := range t.lines {
 		if line.party == party && line.at >= notBefore && strings.HasPrefix(line.text, text) {
 			return line.at
 		}
--- a/cmd/stoatweir/reload_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// order has the process read the file, once it is written whole.
+// reload writes the configuration file and signals the process to reload it. An empty text stands
+// for the configuration of the rig.
 func (r *testRig) reload(p *process, text string) {
 	r.t.Helper()
 	if text == "" {
@@ -21,33 +22,35 @@
 	p.Process.Signal(syscall.SIGHUP)
 }
 
+// setOperations replaces the operations in the settings of the configuration.
 func (r *testRig) setOperations(list ...map[string]any) {
 	settings := r.config["settings"].(map[string]any)
 	settings["Operations"] = list
 }
 
-// waitUntilRunning waits until a worker runs an invocation. The published totals don't show that:
-// they may be totalsPublishDelay old, and count what other clients had in flight.
+// waitUntilRunning waits until a worker runs a request. The published totals don't show that: they
+// may be up to totalsPublishDelay old, and they count the requests of other clients too.
 func (r *testRig) waitUntilRunning(id string) {
 	r.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !r.isRunning(id); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.t.Fatal("no worker runs ", id)
+			r.t.Fatal("no worker runs the request after 10 s: ", id)
 		}
 	}
 }
 
-// isRunning reports whether a worker runs an invocation.
+// isRunning reports whether a worker runs a request.
 func (r *testRig) isRunning(id string) bool {
-	return slices.ContainsFunc(r.workers, func(w *rigWorker) bool {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return w.runningByID[id] > 0
+	return slices.ContainsFunc(r.workers, func(worker *rigWorker) bool {
+		worker.mu.Lock()
+		defer worker.mu.Unlock()
+		return worker.runningByID[id] > 0
 	})
 }
 
-// Configurations are reloaded under load, while draining too: classes appear and vanish, one becomes stricter, the list is
-// reordered. Invalid files change nothing at all. Requests in flight keep the class under which they arrived.
+// Configurations are reloaded under load, also while draining: operations are added and removed,
+// one becomes non-idempotent, and their order changes. Invalid files change nothing. Requests in
+// flight keep the operation with which they arrived.
 func TestReloadUnderLoad(t *testing.T) {
 	r := newTestRig(t, 3, 100*time.Millisecond)
 	p := r.startProcess()
@@ -66,37 +69,38 @@
 		strings.Replace(string(validText), `"Name":"sale"`, `"Name":"render"`, 1),
 		strings.Replace(string(validText), `"Effect":"read_like"`, `"Effect":7`, 1)} {
 		if invalidText == string(validText) {
-			t.Fatal("the test breaks nothing: ", n)
+			t.Fatal("the text to be rejected is the valid one: ", n)
 		}
 		r.reload(p, invalidText)
 		r.waitForLog(p, "configuration rejected", n+1)
 	}
 	conn := &reusedConn{addr: r.listenAddr}
 	if status, _ := conn.request(postRequest("/fresh/k", "X-Call-Id: f1\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
-		t.Error("a class that does not exist yet:", status)
+		t.Error("status for an operation that does not exist yet, want 404:", status)
 	}
 	fresh := map[string]any{"Name": "fresh", "Effect": "read_like", "LatencyObjective": 2, "ClientTimeout": 10}
 	sale := map[string]any{"Name": "sale", "Effect": "non_idempotent", "LatencyObjective": 2, "ClientTimeout": 10}
 	render := map[string]any{"Name": "render", "Effect": "non_idempotent", "LatencyObjective": 2, "ClientTimeout": 10}
-	r.setOperations(fresh, sale, render) // render has become stricter, and all are in another order
+	r.setOperations(fresh, sale, render) // render becomes non-idempotent, and the order changes
 	r.reload(p, "")
 	r.waitForLog(p, "configuration applied", 1)
 	if status, body := conn.request(postRequest("/fresh/k", "X-Call-Id: f2\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 200 {
-		t.Error("a new class:", status, body)
+		t.Error("status and body for a new operation, want 200:", status, body)
 	}
-	// A burst of orders, and one in a drain.
+	// A burst of reload signals while draining.
 	if got := p.adminCommand("standby"); got != "+OK standby\n" {
-		t.Errorf("standby: %q", got)
+		t.Errorf("answer to standby: %q", got)
 	}
 	for range 10 {
 		p.Process.Signal(syscall.SIGHUP)
 	}
 	r.waitForLog(p, "configuration applied", 2)
 	if got := p.adminCommand("active"); got != "+OK ready\n" {
-		t.Errorf("active: %q", got)
+		t.Errorf("answer to active: %q", got)
 	}
 	r.stopClients()
-	// fresh is removed while a request of it is in flight, and a class of another kind is added: the request ends as it arrived.
+	// The operation fresh is removed while a request of it is in flight, and the other operations
+	// take its place: the request completes under the operation with which it arrived.
 	pendingConn, answer := &reusedConn{addr: r.listenAddr}, make(chan int)
 	go func() {
 		status, _ := pendingConn.request(postRequest("/fresh/k", "X-Call-Id: f3\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", ""))
@@ -108,10 +112,10 @@
 	r.reload(p, "")
 	time.Sleep(20 * time.Millisecond)
 	if status, _ := conn.request(postRequest("/fresh/k", "X-Call-Id: f4\r\nX-Call-Class: fresh\r\nX-Budget: 5\r\n", "")); status != 404 {
-		t.Error("a class that is gone:", status)
+		t.Error("status for a removed operation, want 404:", status)
 	}
 	if status := <-answer; status != 200 {
-		t.Error("of a class that has gone meanwhile:", status)
+		t.Error("status of a request whose operation was removed meanwhile, want 200:", status)
 	}
 	time.Sleep(2 * totalsPublishDelay)
 	got := p.stats(t)
--- a/cmd/stoatweir/reload_while_migrating_test.go
+++ b/cmd/stoatweir/reload_while_migrating_test.go
@@ -12,6 +12,8 @@
 	"stoatweir/internal/workers"
 )
 
+// parseDeployment returns settings with the given operations, which are JSON objects separated by
+// commas.
 func parseDeployment(t *testing.T, operations string) settings.Deployment {
 	t.Helper()
 	deployment, err := settings.ParseDeployment([]byte(`{"Operations": [` + operations + `]}`))
@@ -21,8 +23,8 @@
 	return deployment
 }
 
-// A request is migrating to a successor while settings are reloaded, twice, and comes back: its operation is still the one under
-// which it arrived.
+// A request comes back from a failed migration during which the settings were reloaded twice: its
+// operation is still the one with which it arrived.
 func TestReloadWhileMigratingKeepsOperation(t *testing.T) {
 	const render = `{"Name":"render","Effect":"read_like","ClientTimeout":5}`
 	const sale = `{"Name":"sale","Effect":"non_idempotent","ClientTimeout":5}`
@@ -45,10 +47,10 @@
 	}
 	s.CancelMigration(1, dispatch.MigratedIn{})
 	if s.requests[1] != request {
-		t.Error("it is not tracked again")
+		t.Error("the request is not tracked again")
 	}
 	if name, effect := s.deployment.Operations[request.operation], s.effect(request.operation); name != "sale" ||
 		effect != dispatch.NonIdempotent {
-		t.Errorf("it is %s now, with effect %d", name, effect)
+		t.Errorf("the operation is %s with effect %d, want sale and NonIdempotent", name, effect)
 	}
 }
--- a/cmd/stoatweir/scale_command_test.go
+++ b/cmd/stoatweir/scale_command_test.go
@@ -17,7 +17,7 @@
 	"stoatweir/internal/lab/scale"
 )
 
-// children lists the processes that one has started and that still run.
+// childProcesses returns the running child processes of a process, without zombies.
 func childProcesses(parent int) (pids []int) {
 	statFiles, _ := filepath.Glob("/proc/[0-9]*/stat")
 	for _, file := range statFiles {
@@ -34,22 +34,25 @@
 	return pids
 }
 
+// isHollowProcess reports whether a process runs the command lab hollow.
 func isHollowProcess(pid int) bool {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", pid))
 	return strings.Contains(string(text), "hollow")
 }
 
+// waitUntil waits until a condition holds, and fails the test after 20 s.
 func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("still not after 20 s: ", description)
+			t.Fatal("not the case after 20 s: ", description)
 		}
 	}
 }
 
-// A small sweep over workers: what a start costs in messages, health checks, descriptors and allocations, and how that grows. Times
-// are not compared, as they differ from machine to machine.
+// A small sweep over the number of workers bounds the cost of a start in messages, control bytes
+// and allocations, the number of descriptors, and their growth. Times are not compared, as they
+// differ between machines.
 func TestScaleSweep(t *testing.T) {
 	s, err := scale.Read(labDir + "scale/small.toml")
 	if err != nil {
@@ -69,33 +72,35 @@
 		t.Logf("%+v", measured)
 		if failed := measured.Throttled + measured.Errored + measured.Broken + measured.NewsFailed +
 			measured.Strange + int64(measured.Panics); failed > 0 || measured.Succeeded == 0 {
-			t.Errorf("%d workers: %d failed or strange, %d succeeded", measured.Workers, failed, measured.Succeeded)
+			t.Errorf("%d workers: %d requests failed or were unexpected, %d succeeded", measured.Workers, failed, measured.Succeeded)
 		}
 		if expectedStarts := step.Starts * measured.Seconds; measured.Starts < 0.7*expectedStarts || measured.Starts > 1.6*expectedStarts {
-			t.Errorf("%d workers: %v starts, %v were aimed at", measured.Workers, measured.Starts, expectedStarts)
+			t.Errorf("%d workers: %v starts, want about %v", measured.Workers, measured.Starts, expectedStarts)
 		}
 		if measured.MessagesPerS == 0 || measured.Control == 0 || measured.Turn < 0 || measured.Allocations <= 0 || measured.RSS <= 0 {
-			t.Errorf("%d workers: nothing is told of something: %+v", measured.Workers, measured)
+			t.Errorf("%d workers: a measurement is missing: %+v", measured.Workers, measured)
 		}
 		steps = append(steps, measured)
 	}
 	first, second := steps[0], steps[1]
 	workerRatio := float64(second.Workers) / float64(first.Workers)
-	for _, value := range []struct {
+	for _, growth := range []struct {
 		quantity      string
 		first, second float64
 		maxRatio      float64
-	}{{"control bytes a start", first.Control / first.StartsPerS, second.Control / second.StartsPerS, 2}, {"messages a start",
-		first.MessagesPerS / first.StartsPerS, second.MessagesPerS / second.StartsPerS, 2},
-		{"descriptors", float64(first.Descriptors), float64(second.Descriptors), workerRatio}, {"allocations a start",
-			first.Allocations / first.StartsPerS, second.Allocations / second.StartsPerS, workerRatio}} {
-		if value.second > value.maxRatio*value.first {
-			t.Errorf("%s: from %.1f to %.1f, %.1f times as many are the most", value.quantity, value.first, value.second, value.maxRatio)
+	}{{"control bytes a start", first.Control / first.StartsPerS, second.Control / second.StartsPerS, 2},
+		{"messages a start", first.MessagesPerS / first.StartsPerS, second.MessagesPerS / second.StartsPerS, 2},
+		{"descriptors", float64(first.Descriptors), float64(second.Descriptors), workerRatio},
+		{"allocations a start", first.Allocations / first.StartsPerS, second.Allocations / second.StartsPerS, workerRatio}} {
+		if growth.second > growth.maxRatio*growth.first {
+			t.Errorf("%s: grew from %.1f to %.1f, want at most %.1f times as many", growth.quantity, growth.first, growth.second,
+				growth.maxRatio)
 		}
 	}
 }
 
-// A hollow process that dies ends the run with its name, and nothing stays behind.
+// If a hollow process dies, the run ends with an error that names it, and no process is left
+// running.
 func TestScaleFailsWhenHollowProcessDies(t *testing.T) {
 	s, err := scale.Read(labDir+"scale/small.toml", `window = "60s"`)
 	if err != nil {
@@ -121,17 +126,17 @@
 	select {
 	case err = <-runError:
 	case <-time.After(20 * time.Second):
-		t.Fatal("it goes on without")
+		t.Fatal("the run has not ended 20 s after a hollow process was killed")
 	}
 	if err == nil || !regexp.MustCompile("^hollow (fleet|clients|others) has ended: signal: killed").MatchString(err.Error()) {
 		t.Error(err)
 	}
 	if left := started(); len(left) > 0 {
-		t.Error("these are left: ", left)
+		t.Error("processes left running: ", left)
 	}
 }
 
-// Whatever becomes of the rig, what it has started goes with it.
+// If the process that runs lab scale is killed, the processes that it has started exit too.
 func TestHollowProcessesExitWithRig(t *testing.T) {
 	rig := exec.Command(buildProgram(t), "lab", "scale", labDir+"scale/small.toml", "--set", `window = "60s"`)
 	if err := rig.Start(); err != nil {
@@ -141,7 +146,7 @@
 	pids := childProcesses(rig.Process.Pid)
 	rig.Process.Kill()
 	rig.Wait()
-	waitUntil(t, "all have gone", func() bool {
+	waitUntil(t, "all processes have exited", func() bool {
 		for _, pid := range pids {
 			if syscall.Kill(pid, 0) == nil {
 				if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil && !strings.Contains(string(text), ") Z ") {
--- a/cmd/stoatweir/scripted_test.go
+++ b/cmd/stoatweir/scripted_test.go
@@ -91,38 +91,38 @@
 }
 
 // endpointList returns the endpoint list as discovery sends it.
-func (w *scriptedPeers) endpointList() string {
+func (p *scriptedPeers) endpointList() string {
 	var targets []string
-	for _, worker := range w.workers {
+	for _, worker := range p.workers {
 		targets = append(targets, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":%q,"state":%q}`, worker.name, worker.endpoint, worker.zone,
 			worker.state))
 	}
-	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, w.revision, strings.Join(targets, ","))
+	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, p.revision, strings.Join(targets, ","))
 }
 
 // start starts the client and schedules the events.
-func (w *scriptedPeers) start() {
-	for _, event := range w.script.events {
+func (p *scriptedPeers) start() {
+	for _, event := range p.script.events {
 		go func() {
 			time.Sleep(event.at)
-			w.runEvent(event.step)
+			p.runEvent(event.step)
 		}()
 	}
-	go w.runClient(w.script.timeout)
+	go p.runClient(p.script.timeout)
 }
 
 // stop closes all connections and unblocks all goroutines of the peers.
-func (w *scriptedPeers) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ended = true
-	for _, c := range w.openConns {
+func (p *scriptedPeers) stop() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.ended = true
+	for _, c := range p.openConns {
 		c.Close()
 	}
-	for _, worker := range w.workers {
+	for _, worker := range p.workers {
 		worker.makeReachable()
 	}
-	close(w.listener.closed)
+	close(p.listener.closed)
 }
 
 // makeReachable ends a cut of the worker from the network.
@@ -135,95 +135,95 @@
 }
 
 // runEvent executes a scheduled event of the script.
-func (w *scriptedPeers) runEvent(step string) {
-	words := strings.Fields(step)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if words[0] == "leave" {
-		w.clientLeft = true
-		w.add("client", "leaves")
-		w.clientConn.Close()
+func (p *scriptedPeers) runEvent(step string) {
+	fields := strings.Fields(step)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if fields[0] == "leave" {
+		p.clientLeft = true
+		p.add("client", "leaves")
+		p.clientConn.Close()
 		return
 	}
-	for _, worker := range w.workers {
-		if worker.name != words[1] {
+	for _, worker := range p.workers {
+		if worker.name != fields[1] {
 			continue
 		}
-		switch words[0] {
+		switch fields[0] {
 		case "drain":
 			worker.state = "Terminating"
 		case "move":
-			worker.zone = words[2]
+			worker.zone = fields[2]
 		case "cut":
-			w.add(worker.name, "is cut off")
+			p.add(worker.name, "is cut off")
 			worker.reachable = make(chan struct{})
 			return
 		case "heal":
-			w.add(worker.name, "can be reached again")
+			p.add(worker.name, "can be reached again")
 			worker.makeReachable()
 			return
 		}
 	}
-	w.revision++
-	w.add("discovery", "tells: %s", step)
-	for c := range w.watches {
-		io.WriteString(c, encodeChunk(w.endpointList()+"\n"))
+	p.revision++
+	p.add("discovery", "tells: %s", step)
+	for c := range p.watches {
+		io.WriteString(c, encodeChunk(p.endpointList()+"\n"))
 	}
 }
 
-func (w *scriptedPeers) hasClientLeft() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.clientLeft
+func (p *scriptedPeers) hasClientLeft() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.clientLeft
 }
 
 // trackConn registers a connection to be closed by stop. It returns false if stop was already
 // called.
-func (w *scriptedPeers) trackConn(c net.Conn) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.openConns = append(w.openConns, c)
-	return !w.ended
+func (p *scriptedPeers) trackConn(c net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.openConns = append(p.openConns, c)
+	return !p.ended
 }
 
 // dialScheduler returns a new connection to the scheduler, or nil if the peers are stopped.
-func (w *scriptedPeers) dialScheduler() net.Conn {
+func (p *scriptedPeers) dialScheduler() net.Conn {
 	clientEnd, schedulerEnd := net.Pipe()
-	if !w.trackConn(clientEnd) {
+	if !p.trackConn(clientEnd) {
 		return nil
 	}
 	select {
-	case w.listener.conns <- schedulerEnd:
+	case p.listener.conns <- schedulerEnd:
 		return clientEnd
-	case <-w.listener.closed:
+	case <-p.listener.closed:
 		return nil
 	}
 }
 
 // DialContext connects the scheduler to discovery or to a worker. Connections to workers follow the
 // dial steps of the script.
-func (w *scriptedPeers) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
+func (p *scriptedPeers) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	schedulerEnd, peerEnd := net.Pipe()
-	if !w.trackConn(peerEnd) {
+	if !p.trackConn(peerEnd) {
 		return nil, net.ErrClosed
 	}
 	if addr == discoveryAddr {
-		go w.serveDiscovery(peerEnd)
+		go p.serveDiscovery(peerEnd)
 		return schedulerEnd, nil
 	}
-	worker := w.workerAt(addr)
+	worker := p.workerAt(addr)
 	if worker == nil {
 		return nil, os.NewSyscallError("connect", syscall.ECONNREFUSED)
 	}
-	w.mu.Lock()
-	w.dialCount++
-	number := w.dialCount
-	steps := w.script.dials[number]
+	p.mu.Lock()
+	p.dialCount++
+	number := p.dialCount
+	steps := p.script.dials[number]
 	reachable := worker.reachable
-	w.mu.Unlock()
+	p.mu.Unlock()
 	for _, step := range steps {
-		w.add("scheduler", "connects to %s: %s", worker.name, step)
-		switch word, duration, _ := strings.Cut(step, " "); word {
+		p.add("scheduler", "connects to %s: %s", worker.name, step)
+		switch action, duration, _ := strings.Cut(step, " "); action {
 		case "refuse":
 			time.Sleep(messageDelay)
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
@@ -245,15 +245,15 @@
 		return nil, ctx.Err()
 	}
 	reset := new(atomic.Bool)
-	go w.serveWorker(worker, peerEnd, reset)
+	go p.serveWorker(worker, peerEnd, reset)
 	return scriptedConn{schedulerEnd, reset}, nil
 }
 
 // workerAt returns the worker with an address, or nil.
-func (w *scriptedPeers) workerAt(addr string) *scriptedWorker {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, worker := range w.workers {
+func (p *scriptedPeers) workerAt(addr string) *scriptedWorker {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, worker := range p.workers {
 		if worker.endpoint == addr {
 			return worker
 		}
@@ -262,29 +262,29 @@
 }
 
 // serveDiscovery serves a watch of the endpoint list.
-func (w *scriptedPeers) serveDiscovery(c net.Conn) {
+func (p *scriptedPeers) serveDiscovery(c net.Conn) {
 	if _, _, err := readMessage(bufio.NewReader(c)); err != nil {
 		return
 	}
-	w.mu.Lock()
-	io.WriteString(c, listResponseHeader+encodeChunk(w.endpointList()+"\n"))
-	w.watches[c] = true
-	w.mu.Unlock()
+	p.mu.Lock()
+	io.WriteString(c, listResponseHeader+encodeChunk(p.endpointList()+"\n"))
+	p.watches[c] = true
+	p.mu.Unlock()
 	for {
-		if !w.sleep(2 * time.Second) {
+		if !p.sleep(2 * time.Second) {
 			return
 		}
 		if _, err := io.WriteString(c, encodeChunk("\n")); err != nil {
-			w.mu.Lock()
-			delete(w.watches, c)
-			w.mu.Unlock()
+			p.mu.Lock()
+			delete(p.watches, c)
+			p.mu.Unlock()
 			return
 		}
 	}
 }
 
 // serveWorker serves a connection to a worker.
-func (w *scriptedPeers) serveWorker(worker *scriptedWorker, c net.Conn, reset *atomic.Bool) {
+func (p *scriptedPeers) serveWorker(worker *scriptedWorker, c net.Conn, reset *atomic.Bool) {
 	defer c.Close()
 	for {
 		first := make([]byte, 1)
@@ -292,10 +292,10 @@
 			return
 		}
 		time.Sleep(messageDelay)
-		w.mu.Lock()
+		p.mu.Lock()
 		reachable := worker.reachable
-		w.mu.Unlock()
-		request := &scriptedRequest{scriptedPeers: w, worker: worker, conn: c, reset: reset, text: string(first), reachable: reachable}
+		p.mu.Unlock()
+		request := &scriptedRequest{scriptedPeers: p, worker: worker, conn: c, reset: reset, text: string(first), reachable: reachable}
 		if !request.serve() {
 			return
 		}
@@ -345,8 +345,8 @@
 
 // runStep executes one step of the script. It returns false if the connection has ended.
 func (r *scriptedRequest) runStep(step string) bool {
-	word, rest, _ := strings.Cut(step, " ")
-	switch word {
+	action, rest, _ := strings.Cut(step, " ")
+	switch action {
 	case "read":
 		return r.readPart(rest == "all")
 	case "wait":
@@ -379,11 +379,11 @@
 }
 
 // sleep sleeps for a duration. It returns false if the peers are stopped before.
-func (w *scriptedPeers) sleep(duration time.Duration) bool {
+func (p *scriptedPeers) sleep(duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
 		return true
-	case <-w.listener.closed:
+	case <-p.listener.closed:
 		return false
 	}
 }
@@ -414,9 +414,9 @@
 // the connection ends before.
 func (r *scriptedRequest) readUntilLeft(unread int) bool {
 	for {
-		head, body, hasHeader := strings.Cut(r.text, "\r\n\r\n")
+		headerText, body, hasHeader := strings.Cut(r.text, "\r\n\r\n")
 		size := 0
-		if _, text, found := strings.Cut(head, "Content-Length: "); found {
+		if _, text, found := strings.Cut(headerText, "Content-Length: "); found {
 			text, _, _ = strings.Cut(text, "\r\n")
 			size, _ = strconv.Atoi(text)
 		}
@@ -441,11 +441,11 @@
 // remainingBudget returns the client's remaining time budget as stated in the request, rounded to a
 // tenth of a second.
 func (r *scriptedRequest) remainingBudget() string {
-	left, err := strconv.ParseFloat(r.headerValue("X-Budget"), 64)
+	seconds, err := strconv.ParseFloat(r.headerValue("X-Budget"), 64)
 	if err != nil {
 		return "?"
 	}
-	return strconv.FormatFloat(left, 'f', 1, 64)
+	return strconv.FormatFloat(seconds, 'f', 1, 64)
 }
 
 // sendCallback sends a callback for the request to the scheduler.
--- a/cmd/stoatweir/soak_test.go
+++ b/cmd/stoatweir/soak_test.go
@@ -14,16 +14,16 @@
 )
 
 var (
-	soakSeedCount           = flag.Int("soak.seeds", 2, "seeds of TestSoak")
-	soakFirstSeed           = flag.Int64("soak.first", 1, "the first of them")
-	soakSchedulers          = flag.Int("soak.schedulers", 8, "processes of a play of TestSoak")
-	soakClientsPerScheduler = flag.Int("soak.clients", 3, "clients of each")
-	soakFaultDuration       = flag.Duration("soak.span", 6*time.Second, "for how long troubles begin")
-	soakFaults              = flag.String("soak.only", "", "troubles that may be played, with commas between; empty: all")
-	soakLogDir              = flag.String("soak.keep", "", "a folder for the logs; empty: they go unless a rule is broken")
+	soakSeedCount           = flag.Int("soak.seeds", 2, "number of seeds of TestSoak")
+	soakFirstSeed           = flag.Int64("soak.first", 1, "first seed of TestSoak")
+	soakSchedulers          = flag.Int("soak.schedulers", 8, "number of schedulers, and of workers, in a run of TestSoak")
+	soakClientsPerScheduler = flag.Int("soak.clients", 3, "number of clients of each scheduler")
+	soakFaultDuration       = flag.Duration("soak.span", 6*time.Second, "how long new faults are started")
+	soakFaults              = flag.String("soak.only", "", "comma-separated names of the faults to inject; empty: all")
+	soakLogDir              = flag.String("soak.keep", "", "directory in which the logs are kept; empty: a temporary one")
 )
 
-// soakProgram builds the program with the soak's fault injection.
+// soakProgram builds the program with fault injection and returns its path.
 func soakProgram(t *testing.T, dir string) string {
 	t.Helper()
 	path := filepath.Join(dir, "stoatweir-soak")
@@ -33,8 +33,8 @@
 	return path
 }
 
-// TestSoak plays real processes while troubles overlap, and holds what their peers see against the rules. The same seed draws the same
-// troubles; what meets what in the end is the machine's doing.
+// TestSoak runs real processes under overlapping faults and checks what their peers observe for
+// violations. The same seed selects the same faults, but their exact timing depends on the machine.
 func TestSoak(t *testing.T) {
 	dir := t.TempDir()
 	program := soakProgram(t, dir)
@@ -57,13 +57,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("seed %d: %d attempts, %d clients left, ready within %v, answers %v, logs in %s", seed, result.Attempts,
+		t.Logf("seed %d: %d attempts, %d client disconnects, ready within %v, answers %v, logs in %s", seed, result.Attempts,
 			result.Disconnects, result.Ready, result.Answers, logs)
 		for _, fault := range result.Faults {
 			t.Logf("%8v %s: %s", fault.At, fault.Name, fault.On)
 		}
 		if result.Answers["200"] == 0 || result.Attempts == 0 {
-			t.Errorf("seed %d: nothing was served", seed)
+			t.Errorf("seed %d: no request was served", seed)
 		}
 		for _, violation := range result.Violations {
 			t.Errorf("seed %d: %s", seed, violation)
--- a/cmd/stoatweir/stalled_clients_test.go
+++ b/cmd/stoatweir/stalled_clients_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// crowd keeps connecting until it is stopped: most send nothing, some half a request, some one request and stay. It counts the
-// connections.
+// startStalledClients opens connections at an interval until stop is closed: most send nothing,
+// some part of a request, some one request and then keep the connection. It returns a function that
+// returns the number of connections so far.
 func (r *testRig) startStalledClients(interval time.Duration, stop chan struct{}) (connectionCount func() int) {
 	total := make(chan int, 1)
 	total <- 0
@@ -50,13 +51,13 @@
 	}
 }
 
-// descriptors counts those of a process.
+// openDescriptors returns the number of open descriptors of the process.
 func (p *process) openDescriptors() int {
 	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	return len(all)
 }
 
-// slowly sends a request that takes two seconds to write, in pieces cut anywhere.
+// sendSlowly sends a request in six pieces over two seconds and returns the answer.
 func (r *testRig) sendSlowly(id string) (status int, body string) {
 	conn, err := net.Dial("tcp", r.listenAddr)
 	if err != nil {
@@ -82,9 +83,10 @@
 	return status, string(answer)
 }
 
-// Many clients complete no request, with memory and descriptors halved: every complete request is served, on new connections and
-// written slowly too, callbacks are accepted, operators are answered within a second, while draining as well, and the descriptors
-// keep to their limit.
+// Many clients never complete their request, with half of the usual memory and descriptors: every
+// complete request is served, also on new connections and if written slowly, callbacks are
+// accepted, admin calls are answered within a second, also while draining, and the number of
+// descriptors stays within the limit.
 func TestServesBesideManyStalledClients(t *testing.T) {
 	r := newTestRig(t, 3, 60*time.Millisecond)
 	r.config["limits"] = map[string]any{"memory_mb": 32, "sockets": 96}
@@ -102,7 +104,7 @@
 			go func() {
 				defer r.clientGroup.Done()
 				if status, body := r.sendSlowly(fmt.Sprint("slow-", n)); status != 200 {
-					slowFailures <- fmt.Sprint("written slowly: ", status, " ", body)
+					slowFailures <- fmt.Sprint("slowly written request: ", status, " ", body)
 				} else {
 					slowFailures <- ""
 				}
@@ -118,14 +120,14 @@
 		}
 		if n == 5 {
 			if got := p.adminCommand("standby"); got != "+OK standby\n" {
-				t.Errorf("standby in a crowd: %q", got)
+				t.Errorf("standby beside stalled clients: %q", got)
 			}
 			if got := p.adminCommand("active"); got != "+OK ready\n" {
-				t.Errorf("active in a crowd: %q", got)
+				t.Errorf("active beside stalled clients: %q", got)
 			}
 		}
 		if got := p.adminCommand("stats"); !strings.HasPrefix(got, "+OK figures\n") {
-			t.Errorf("stats in a crowd: %q", got)
+			t.Errorf("stats beside stalled clients: %q", got)
 		}
 	}
 	for failure := range slowFailures {
@@ -136,14 +138,14 @@
 	close(stop)
 	r.stopClients()
 	if n := connectionCount(); n < 1000 {
-		t.Error("the crowd was no crowd:", n)
+		t.Error("fewer than 1000 connections of stalled clients:", n)
 	}
 	r.checkPeers()
 	if len(r.answersByStatus) > 1 || r.answersByStatus[200] < 20 {
 		t.Error("answers by status: ", r.answersByStatus)
 	}
 	if maxDescriptors > 96 {
-		t.Error("descriptors: ", maxDescriptors)
+		t.Error("more open descriptors than the limit of 96: ", maxDescriptors)
 	}
 	p.Process.Signal(syscall.SIGTERM)
 	r.waitForExit(p, 5*time.Second)
--- a/cmd/stoatweir/start_test.go
+++ b/cmd/stoatweir/start_test.go
@@ -16,7 +16,8 @@
 	"stoatweir/internal/takeover"
 )
 
-// A start at which listening fails with a transient error retries; any other error ends it at once, and so does an order to stop.
+// A process that fails to listen with a transient error retries. Any other error, or a signal to
+// stop, ends the start.
 func TestStartRetriesTransientListenErrors(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -28,10 +29,9 @@
 		stopRequested bool
 		want          error
 	}{
-		{"no address for a moment", syscall.EADDRNOTAVAIL, 5, false, nil}, {"no buffer", syscall.ENOBUFS, 5, false,
-			nil}, {"no descriptor", syscall.ENFILE, 5, false, nil},
-		{"not allowed", syscall.EACCES, 1 << 30, false, syscall.EACCES}, {"told to end meanwhile", syscall.ENFILE, 1 << 30, true,
-			takeover.ErrStopped},
+		{"no address available", syscall.EADDRNOTAVAIL, 5, false, nil}, {"no buffer available", syscall.ENOBUFS, 5, false, nil},
+		{"no descriptor available", syscall.ENFILE, 5, false, nil}, {"permission denied", syscall.EACCES, 1 << 30, false, syscall.EACCES},
+		{"stop requested meanwhile", syscall.ENFILE, 1 << 30, true, takeover.ErrStopped},
 	} {
 		attempts := 0
 		listenAt = func(addr string) (net.Listener, error) {
@@ -44,7 +44,7 @@
 		address, err := acquireAddress(settings.Process{Name: "n0", Listen: unusedAddr(t)}, t.TempDir(), logrus.NewEntry(log),
 			func() bool { return test.stopRequested && attempts > 3 })
 		if !errors.Is(err, test.want) || test.want == nil && address.Listener == nil || time.Since(start) > 2*time.Second {
-			t.Errorf("%s: %v after %d tries and %v", test.name, err, attempts, time.Since(start))
+			t.Errorf("%s: error %v after %d attempts and %v", test.name, err, attempts, time.Since(start))
 		}
 		if address.Listener != nil {
 			address.Listener.Close()
@@ -52,7 +52,8 @@
 	}
 }
 
-// An order to read the configuration anew comes while the machine has no descriptor for it: it is carried out a moment later.
+// A reload that cannot open the configuration file because no descriptor is available is retried
+// until it succeeds.
 func TestReloadRetriesTransientReadErrors(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -82,6 +83,6 @@
 	})
 	timeout.Stop()
 	if s.ledger.Applied != 1 || s.ledger.Rejected != 0 {
-		t.Errorf("taken over %d times, refused %d times", s.ledger.Applied, s.ledger.Rejected)
+		t.Errorf("configuration applied %d times and rejected %d times, want 1 and 0", s.ledger.Applied, s.ledger.Rejected)
 	}
 }
--- a/cmd/stoatweir/stats_test.go
+++ b/cmd/stoatweir/stats_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// figures are what the process tells operators, by name and labels.
+// stats returns the values of the admin command stats, by metric name with labels.
 func (p *process) stats(t *testing.T) map[string]int {
 	t.Helper()
 	text := p.adminCommand("stats")
@@ -28,11 +28,13 @@
 	return values
 }
 
+// resultMetric returns the metric name and labels for a disposition of an operation.
 func resultMetric(class, disposition string) string {
 	return fmt.Sprintf(`svc_results_total{service=%q,disposition=%q}`, class, disposition)
 }
 
-// The operators' figures are what clients and workers saw: each class by itself, attempts, and requests in flight.
+// The stats for operators agree with what clients and workers saw: results of each operation,
+// attempts, and requests in flight.
 func TestStatsMatchWhatPeersSaw(t *testing.T) {
 	r := newTestRig(t, 3, 150*time.Millisecond)
 	p := r.startProcess()
@@ -46,12 +48,12 @@
 	r.stopClients()
 	time.Sleep(2 * totalsPublishDelay)
 	got, attempts := p.stats(t), 0
-	for _, w := range r.workers {
-		w.mu.Lock()
-		for _, n := range w.attemptsByID {
+	for _, worker := range r.workers {
+		worker.mu.Lock()
+		for _, n := range worker.attemptsByID {
 			attempts += n
 		}
-		w.mu.Unlock()
+		worker.mu.Unlock()
 	}
 	if n := got[resultMetric("render", "succeeded")] + got[resultMetric("sale", "succeeded")]; n != r.answersByStatus[200] || n < 20 {
 		t.Error("succeeded:", n, "clients saw:", r.answersByStatus)
--- a/cmd/stoatweir/takeover_test.go
+++ b/cmd/stoatweir/takeover_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// One process takes over from another under steady load, twice: every request gets its answer, none is sent twice, callbacks that
-// reach the other process are relayed, and nothing is left behind.
+// One process takes over from another under steady load, twice: every request gets its answer, none
+// is sent twice, callbacks that reach the other process are relayed, and no temporary files are
+// left.
 func TestTakeoverUnderLoad(t *testing.T) {
 	r := newTestRig(t, 3, 120*time.Millisecond)
 	p := r.startProcess()
@@ -36,12 +37,14 @@
 		t.Error("answers by status: ", r.answersByStatus)
 	}
 	if left, _ := filepath.Glob(filepath.Join(r.dir, "tmp", "*")); len(left) > 0 {
-		t.Error("left behind: ", left)
+		t.Error("temporary files left: ", left)
 	}
 }
 
-// A successor that dies before it is ready costs nothing, one that is killed after it little: the predecessor goes on. A third
-// process waits for its turn. A killed process leaves its socket file, and the next one takes over all the same.
+// A successor that is killed before it is ready does not affect the predecessor, which keeps
+// serving. A third process waits until the second has taken over, and serves when that one is
+// killed. A killed process leaves its socket file behind, and the next process can take over
+// nevertheless.
 func TestFailedTakeoverKeepsServing(t *testing.T) {
 	r := newTestRig(t, 3, 50*time.Millisecond)
 	p := r.startProcess()
@@ -53,14 +56,14 @@
 	<-successor.exited
 	time.Sleep(200 * time.Millisecond)
 	if got := p.adminCommand("status"); got != "+OK ready\n" {
-		t.Errorf("after the other's death: %q", got)
+		t.Errorf("status after the successor was killed: %q", got)
 	}
 	r.stopClients()
 	r.checkPeers()
 	if r.answersByStatus[200] == 0 || len(r.answersByStatus) > 1 {
 		t.Error("answers by status: ", r.answersByStatus)
 	}
-	// Two in turn: the third one comes while the second has not said yes.
+	// Two successors: the third process starts before the second is ready.
 	second := r.startProcess()
 	r.waitForLog(p, "successor accepted", 2)
 	third := r.startProcess()
@@ -73,7 +76,7 @@
 	if status, body := (&reusedConn{addr: r.listenAddr}).request(postRequest("/render/k",
 		"X-Call-Id: last\r\nX-Call-Class: render\r\nX-Budget: 10\r\n", "")); status != 200 {
 		text, _ := os.ReadFile(third.logFile)
-		t.Errorf("after the second one's death: %v %v\n%s", status, body, text)
+		t.Errorf("request after the second process was killed: %v %v\n%s", status, body, text)
 	}
 	third.Process.Kill()
 	<-third.exited
@@ -81,8 +84,9 @@
 	r.waitUntilReady(fourth)
 }
 
-// A request that runs longer than the predecessor goes on at its worker, and its client gets the answer on the connection that it
-// has, without a second attempt; idle connections migrate as well, and none is closed.
+// A request that runs longer than the predecessor keeps running at its worker, and its client gets
+// the answer on its existing connection, without a second attempt. Idle connections migrate as
+// well, and none is closed.
 func TestTakeoverMigratesRequests(t *testing.T) {
 	r := newTestRig(t, 3, 5*time.Second)
 	p := r.startProcess()
--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -101,7 +101,7 @@
 	parsed := &exchangeScript{timeout: 3 * time.Second, dials: map[int][]string{}, requests: map[int][]string{}}
 	for line := range strings.SplitSeq(script, "\n") {
 		word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-		head, steps, _ := strings.Cut(rest, ": ")
+		argument, steps, _ := strings.Cut(rest, ": ")
 		number, err := 0, error(nil)
 		switch word {
 		case "", "#":
@@ -112,16 +112,16 @@
 		case "timeout":
 			parsed.timeout, err = time.ParseDuration(rest)
 		case "dial":
-			if _, err = fmt.Sscan(head, &number); err == nil {
+			if _, err = fmt.Sscan(argument, &number); err == nil {
 				parsed.dials[number] = strings.Split(steps, ", ")
 			}
 		case "request":
-			if _, err = fmt.Sscan(head, &number); err == nil {
+			if _, err = fmt.Sscan(argument, &number); err == nil {
 				parsed.requests[number] = strings.Split(steps, ", ")
 			}
 		case "at":
 			var at time.Duration
-			at, err = time.ParseDuration(head)
+			at, err = time.ParseDuration(argument)
 			parsed.events = append(parsed.events, scheduledStep{at, steps})
 		default:
 			err = fmt.Errorf("unknown word %q", word)
@@ -148,27 +148,27 @@
 }
 
 // add records a line for a party. Lines from before the start are dropped.
-func (r *transcript) add(party, format string, args ...any) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if at := time.Since(r.start); at >= 0 {
-		r.lines = append(r.lines, transcriptLine{at, party, fmt.Sprintf(format, args...)})
+func (t *transcript) add(party, format string, args ...any) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if at := time.Since(t.start); at >= 0 {
+		t.lines = append(t.lines, transcriptLine{at, party, fmt.Sprintf(format, args...)})
 	}
 }
 
 // String returns the lines in the order of time. Lines of different parties at the same time are
 // sorted by party, as their order is not determined.
-func (r *transcript) String() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	slices.SortStableFunc(r.lines, func(a, b transcriptLine) int {
+func (t *transcript) String() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	slices.SortStableFunc(t.lines, func(a, b transcriptLine) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
 		return strings.Compare(a.party, b.party)
 	})
 	var text strings.Builder
-	for _, line := range r.lines {
+	for _, line := range t.lines {
 		fmt.Fprintf(&text, "%6.3f  %-9s  %s\n", line.at.Seconds(), line.party, line.text)
 	}
 	return text.String()
@@ -216,8 +216,8 @@
 		"Rules":{"AskWithin":10,"StopSendingWithin":0.5},
 		"Limits":{"Probes":%v,"Cancel":true,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfter":1,"MostForwards":3,"ConnectTimeout":0.25,"ConnIdle":5},
 		"Operations":[{"Name":"render","Effect":%q,"LatencyObjective":10,"ClientTimeout":10,"DedupScope":"zone","DedupWindow":%g}]}}`,
-		schedulerAddr, discoveryAddr, peers.endpointList(), max(1,
-			e.schedulers), e.healthChecks, effect, e.window.Seconds()), func(string) string { return "" })
+		schedulerAddr, discoveryAddr, peers.endpointList(), max(1, e.schedulers), e.healthChecks, effect,
+		e.window.Seconds()), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,28 +243,28 @@
 }
 
 // runClient sends one request and records its answer.
-func (w *scriptedPeers) runClient(timeout time.Duration) {
-	conn := w.dialScheduler()
+func (p *scriptedPeers) runClient(timeout time.Duration) {
+	conn := p.dialScheduler()
 	if conn == nil {
 		return
 	}
-	w.mu.Lock()
-	w.clientConn = conn
-	w.clientRequests++
-	id := w.clientRequests
-	w.mu.Unlock()
+	p.mu.Lock()
+	p.clientConn = conn
+	p.clientRequests++
+	id := p.clientRequests
+	p.mu.Unlock()
 	defer conn.Close()
-	w.add("client", "asks, and waits for %v", timeout)
+	p.add("client", "asks, and waits for %v", timeout)
 	time.Sleep(messageDelay)
 	headers := fmt.Sprintf("X-Call-Id: %d\r\nX-Call-Class: render\r\nIdempotency-Key: k\r\nX-Budget: %g\r\n", id, timeout.Seconds())
 	io.WriteString(conn, postRequest("/render/k", headers, "work"))
 	statusLine, body, _, err := readAnswer(bufio.NewReader(conn))
 	time.Sleep(messageDelay)
 	switch {
-	case w.hasClientLeft():
+	case p.hasClientLeft():
 	case err != nil:
-		w.add("client", "gets no answer")
+		p.add("client", "gets no answer")
 	default:
-		w.add("client", "gets %s %s", strings.TrimPrefix(statusLine, "HTTP/1.1 "), body)
+		p.add("client", "gets %s %s", strings.TrimPrefix(statusLine, "HTTP/1.1 "), body)
 	}
 }
--- a/cmd/stoatweir/watch_backoff_test.go
+++ b/cmd/stoatweir/watch_backoff_test.go
@@ -8,7 +8,8 @@
 	"stoatweir/internal/settings"
 )
 
-// What is pushed when discovery is back counts as known at once: the next watch is established well inside the drain grace.
+// A change that is pushed when discovery is back counts as known at once, so the backoff stays well
+// below the drain grace.
 func Example_watchBackoff() {
 	for _, grace := range []time.Duration{0, 20 * time.Millisecond, 500 * time.Millisecond, 30 * time.Second} {
 		s := &service{deployment: settings.Deployment{DrainGrace: grace}, random: rand.New(rand.NewPCG(1, 2))}
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -118,9 +118,8 @@
 func TestCountKeysGolden(t *testing.T) {
 	keys := []any{invariant.WorkerUnavailable, invariant.WorkerRestarted, invariant.WorkerMoved, invariant.ClientGone, invariant.TimeoutPassed,
 		invariant.WindowPassed, invariant.UnknownRequest, invariant.TooManyAttempts, invariant.SecondOut, invariant.SecondAtWorker,
-		invariant.RepeatedUnproven,
-		invariant.RepeatedOutOfGroup, invariant.RepeatedTooLate, invariant.AnsweredTwice, invariant.AnsweredLate, invariant.RefusedUnproven,
-		invariant.ClosedUnanswered,
+		invariant.RepeatedUnproven, invariant.RepeatedOutOfGroup, invariant.RepeatedTooLate, invariant.AnsweredTwice,
+		invariant.AnsweredLate, invariant.RefusedUnproven, invariant.ClosedUnanswered,
 		invariant.StartInFuture, dispatch.ReasonTimeout, dispatch.ReasonTooLate, dispatch.ReasonAttempts, dispatch.ReasonUnfit,
 		dispatch.ReasonUnproven, dispatch.ReasonWindow, lifecycle.Starting, lifecycle.Ready, lifecycle.Standby,
 		lifecycle.HandingOver, lifecycle.Stopping}
@@ -186,12 +185,12 @@
 	defer adminListener.Close()
 	go admin.New(s.adminCommands(), maxConcurrentAdminCalls).Serve(adminListener)
 	addr, got := adminListener.Addr().String(), ""
-	ask := func(commands ...string) {
+	sendCommands := func(commands ...string) {
 		for _, command := range commands {
 			got += adminExchange(t, addr, command)
 		}
 	}
-	ask("status", "stats")
+	sendCommands("status", "stats")
 	fillLedger(s.ledger)
 	done := make(chan struct{})
 	go func() { s.run(takeover.Address{Listener: listener}); close(done) }()
@@ -201,9 +200,9 @@
 	published := make(chan struct{})
 	s.loop.PostUrgent(loopTask(func() { s.publishTotals(); close(published) }))
 	<-published
-	ask("status", "stats", "active", "standby", "status", "standby", "active", "status", "other")
+	sendCommands("status", "stats", "active", "standby", "status", "standby", "active", "status", "other")
 	s.loop.PostUrgent(loopTask(s.stop))
-	ask("standby", "active", "status")
+	sendCommands("standby", "active", "status")
 	compareGoldenLine(t, "admin", []byte(got))
 	s.loop.PostUrgent(loopTask(s.loop.Stop))
 	<-done
