--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -102,7 +102,7 @@
 		c.closeAfterAnswer = true
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	}
-	c.conn.Write(http1.Answer(status, body, fields...))
+	c.conn.Write(http1.EncodeResponse(status, body, fields...))
 	if c.closeAfterAnswer {
 		c.closeAfterFlush()
 	}
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -124,15 +124,15 @@
 // returns false if the request is malformed, in which case the connection is closed.
 func (c *connection) parse(transport *conn.Conn) bool {
 	n, step, err := c.parser.Feed(transport.In.Bytes())
-	transport.In.Drop(n)
+	transport.In.Discard(n)
 	if err != nil {
 		c.rejectMalformed(statusOf(err))
 		return false
 	}
-	if c.parser.Expects() {
+	if c.parser.TakeExpectContinue() {
 		transport.Write([]byte(continueResponse))
 	}
-	if step != http1.Whole {
+	if step != http1.StepComplete {
 		return true
 	}
 	c.readTimer.Stop()
--- a/internal/clients/listener_test.go
+++ b/internal/clients/listener_test.go
@@ -72,7 +72,7 @@
 		t.Errorf("%d silent connections use %d goroutines, want about one each", count, goroutines)
 	}
 	for c := range server.connections {
-		if !c.conn.In.Empty() {
+		if !c.conn.In.Unallocated() {
 			t.Fatal("a silent connection uses a ring buffer, want none")
 		}
 	}
--- a/internal/clients/migrate_out.go
+++ b/internal/clients/migrate_out.go
@@ -121,7 +121,7 @@
 	var buffered []byte
 	for part := c.conn.In.Bytes(); len(part) > 0; part = c.conn.In.Bytes() {
 		buffered = append(buffered, part...)
-		c.conn.In.Drop(len(part))
+		c.conn.In.Discard(len(part))
 	}
 	return buffered
 }
--- a/internal/clients/validate.go
+++ b/internal/clients/validate.go
@@ -54,7 +54,7 @@
 	return settings.Duration(seconds), err == nil && seconds > 0 && seconds < maxBudgetSeconds
 }
 
-func validID(id string) bool { return http1.Token(id) && len(id) <= maxIDBytes }
+func validID(id string) bool { return http1.IsToken(id) && len(id) <= maxIDBytes }
 
 // validTarget reports whether a worker is certain to interpret a request's target as this process
 // does. path is the target's path.
--- a/internal/conn/capacity_test.go
+++ b/internal/conn/capacity_test.go
@@ -17,7 +17,7 @@
 type discardingHandler struct{ dataCalls int }
 
 func (h *discardingHandler) Connected(*Conn)                 {}
-func (h *discardingHandler) DataReceived(c *Conn)            { h.dataCalls++; c.In.Drop(c.In.Len()) }
+func (h *discardingHandler) DataReceived(c *Conn)            { h.dataCalls++; c.In.Discard(c.In.Len()) }
 func (h *discardingHandler) Flushed(*Conn)                   {}
 func (h *discardingHandler) Disconnected(*Conn, CloseReason) {}
 
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -152,7 +152,7 @@
 // handleWritten handles the writer's report: n bytes were written, and err is its error, if any.
 func (c *Conn) handleWritten(n int, err error) {
 	c.writing = false
-	c.out.Drop(n)
+	c.out.Discard(n)
 	if !c.closed {
 		c.fillOut()
 	}
--- a/internal/conn/fixture_test.go
+++ b/internal/conn/fixture_test.go
@@ -25,7 +25,7 @@
 	for c.In.Len() > 0 {
 		b := c.In.Bytes()
 		h.received = append(h.received, b...)
-		c.In.Drop(len(b))
+		c.In.Discard(len(b))
 	}
 	if h.onData != nil {
 		h.onData(c)
--- a/internal/conn/reader.go
+++ b/internal/conn/reader.go
@@ -57,7 +57,7 @@
 	var b []byte // nil: discard all input
 	switch {
 	case c.closing, c.discarding:
-	case c.In.Empty():
+	case c.In.Unallocated():
 		b = make([]byte, firstReadSize)
 		c.firstReadBuffer = b
 	default:
@@ -74,7 +74,7 @@
 // noticed no matter how much it has sent before.
 func (c *Conn) DiscardInput() {
 	c.discarding = true
-	c.In.Drop(c.In.Len())
+	c.In.Discard(c.In.Len())
 }
 
 // receive waits for bytes and reads them into b. It runs on the reader goroutine.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -74,7 +74,7 @@
 // Connected sends the request.
 func (w *watch) Connected(c *conn.Conn) {
 	target := watchPath + strconv.FormatUint(w.revision, 10)
-	c.Write(http1.Request("GET", target, w.addr, nil))
+	c.Write(http1.EncodeRequest("GET", target, w.addr, nil))
 }
 
 // Flushed does nothing, as no action depends on when the request has been written.
@@ -101,7 +101,7 @@
 			return
 		}
 		if c == w.conn { // unless OnUpdate has started another watch
-			c.In.Drop(used)
+			c.In.Discard(used)
 		}
 	}
 }
@@ -109,13 +109,13 @@
 // handleStep handles one step of the parser through the response.
 func (w *watch) handleStep(step http1.Step) error {
 	switch step {
-	case http1.Head:
+	case http1.StepHead:
 		if status := w.parser.Message.Status; status != http1.StatusOK {
 			return fmt.Errorf("status %d", status)
 		}
-	case http1.Piece:
-		return w.consumeBody(w.parser.Piece)
-	case http1.Whole:
+	case http1.StepBodyPiece:
+		return w.consumeBody(w.parser.BodyPiece)
+	case http1.StepComplete:
 		return errResponseEnded
 	}
 	return nil
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -69,7 +69,7 @@
 	for name := range header {
 		// Parsers disagree on names that end with a space: one could see a Content-Length where
 		// another does not.
-		if !Token(name) {
+		if !IsToken(name) {
 			return parseErrorf(StatusBadRequest, "malformed header")
 		}
 	}
@@ -113,7 +113,7 @@
 // are a path are accepted.
 func parseRequestLine(m *Message, line string) (version string, err error) {
 	parts := strings.Split(line, " ")
-	if len(parts) != 3 || !Token(parts[0]) || !strings.HasPrefix(parts[1], "/") {
+	if len(parts) != 3 || !IsToken(parts[0]) || !strings.HasPrefix(parts[1], "/") {
 		return "", parseErrorf(StatusBadRequest, "malformed request line")
 	}
 	m.Method = parts[0]
@@ -139,9 +139,9 @@
 	return hasClose || version == version10 && !hasKeepAlive
 }
 
-// Token reports whether s is a token as defined by RFC 9110: not empty, and without spaces,
+// IsToken reports whether s is a token as defined by RFC 9110: not empty, and without spaces,
 // delimiters and control characters.
-func Token(s string) bool {
+func IsToken(s string) bool {
 	for _, c := range s {
 		if !isTokenRune(c) {
 			return false
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -6,14 +6,14 @@
 type Step uint8
 
 const (
-	// More means that all bytes were consumed and the message is not complete.
-	More Step = iota
-	// Head means that the head is complete; only with Parser.Stream.
-	Head
-	// Piece means that Parser.Piece holds a part of the body; only with Parser.Stream.
-	Piece
-	// Whole means that the message is complete.
-	Whole
+	// StepNeedMore means that all bytes were consumed and the message is not complete.
+	StepNeedMore Step = iota
+	// StepHead means that the head is complete; only with Parser.Stream.
+	StepHead
+	// StepBodyPiece means that Parser.BodyPiece holds a part of the body; only with Parser.Stream.
+	StepBodyPiece
+	// StepComplete means that the message is complete.
+	StepComplete
 )
 
 // state is the part of the message to which the next byte belongs.
@@ -39,23 +39,23 @@
 	Stream bool
 	// Message is the last message whose head was complete.
 	Message *Message
-	// Piece is the latest part of a streamed body. It is a slice of the bytes passed to Feed and
+	// BodyPiece is the latest part of a streamed body. It is a slice of the bytes passed to Feed and
 	// valid until the next call.
-	Piece []byte
+	BodyPiece []byte
 
 	state            state
 	pending          []byte // incomplete head, or incomplete line between chunks
 	remaining        int    // bytes of the body or chunk still to be received
-	continueReported bool   // Expects has returned true for this message
+	continueReported bool   // TakeExpectContinue has returned true for this message
 	interimResponses int    // interim responses since the last final one
 }
 
 // Started reports whether part of a message has been parsed and the message is not complete.
 func (p *Parser) Started() bool { return p.state != stateHead || len(p.pending) > 0 }
 
-// Expects reports whether the sender waits for a 100 Continue response before it sends the body. It
-// returns true at most once per message.
-func (p *Parser) Expects() bool {
+// TakeExpectContinue reports whether the sender waits for a 100 Continue response before it sends
+// the body. It returns true at most once per message.
+func (p *Parser) TakeExpectContinue() bool {
 	atBody := p.state == stateBody || p.state == stateChunkSize
 	if !atBody || p.continueReported || !strings.EqualFold(p.Message.Header.Get("Expect"), "100-continue") {
 		return false
@@ -70,15 +70,15 @@
 	for {
 		n, step, err := p.advance(b[used:])
 		used += n
-		if err != nil || step != More || used == len(b) && p.state != stateComplete {
+		if err != nil || step != StepNeedMore || used == len(b) && p.state != stateComplete {
 			return used, step, err
 		}
 	}
 }
 
-// End must be called when the connection has ended. It reports whether that completes the message,
-// as it does for a response body without a length.
-func (p *Parser) End() bool {
+// ConnectionClosed must be called when the connection has ended. It reports whether that completes
+// the message, as it does for a response body without a length.
+func (p *Parser) ConnectionClosed() bool {
 	if p.state != stateUntilClose {
 		return false
 	}
@@ -98,17 +98,17 @@
 	case stateHead:
 		n, err = p.feedHead(b)
 		if err == nil && p.Stream && p.state != stateHead {
-			step = Head
+			step = StepHead
 		}
 		return n, step, err
 	case stateBody, stateChunk, stateUntilClose:
 		return p.feedBody(b)
 	case stateChunkSize, stateChunkEnd, stateTrailer:
 		n, err = p.feedLine(b)
-		return n, More, err
+		return n, StepNeedMore, err
 	default:
 		p.reset()
-		return 0, Whole, nil
+		return 0, StepComplete, nil
 	}
 }
 
@@ -120,13 +120,13 @@
 		p.remaining -= n
 	}
 	if err := p.appendBody(b[:n]); err != nil {
-		return n, More, err
+		return n, StepNeedMore, err
 	}
 	if p.remaining == 0 {
 		p.endBody()
 	}
 	if p.Stream && n > 0 {
-		step = Piece
+		step = StepBodyPiece
 	}
 	return n, step, nil
 }
@@ -144,7 +144,7 @@
 // appendBody adds bytes to the body of the message, or makes them the current piece of a stream.
 func (p *Parser) appendBody(b []byte) error {
 	if p.Stream {
-		p.Piece = b
+		p.BodyPiece = b
 		return nil
 	}
 	if len(p.Message.Body)+len(b) > MaxBodyBytes {
--- a/internal/http1/parser_bench_test.go
+++ b/internal/http1/parser_bench_test.go
@@ -34,13 +34,13 @@
 		{"invocation", false, format("POST /train/step HTTP/1.1\nHost: 10.0.0.2:8080\nX-Call-Id: %s\n"+
 			"X-Call-Class: train\nX-Budget: 600\nX-Cost-Hint: 122\nIdempotency-Key: 8c1f0a77\n"+
 			"Content-Type: application/json\nContent-Length: 512\n\n%s", id, strings.Repeat("x", 512))},
-		{"accepted", true, Answer(202, nil)},
+		{"accepted", true, EncodeResponse(202, nil)},
 		{"news", false, callback("running")},
-		{"heard", true, Answer(204, nil)},
-		{"probe", false, Request("GET", "/-/load", host, nil)},
-		{"report", true, Answer(200, nil, Field{Name: "Content-Type", Value: "text/plain"},
+		{"heard", true, EncodeResponse(204, nil)},
+		{"probe", false, EncodeRequest("GET", "/-/load", host, nil)},
+		{"report", true, EncodeResponse(200, nil, Field{Name: "Content-Type", Value: "text/plain"},
 			Field{Name: "X-Load-Report", Value: "TEXT x0=3, waiting=0, rps=0.04, x1=0.5"})},
-		{"result", true, Answer(200, []byte(strings.Repeat("y", 256)))},
+		{"result", true, EncodeResponse(200, []byte(strings.Repeat("y", 256)))},
 	}
 }
 
@@ -50,7 +50,7 @@
 		b.Run(m.name, func(b *testing.B) {
 			p := Parser{ReadsResponses: m.isResponse}
 			for b.Loop() {
-				if used, step, err := p.Feed(m.bytes); err != nil || step != Whole || used != len(m.bytes) {
+				if used, step, err := p.Feed(m.bytes); err != nil || step != StepComplete || used != len(m.bytes) {
 					b.Fatal(used, step, err)
 				}
 			}
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -8,7 +8,7 @@
 )
 
 // feed passes text to the parser in pieces of at most pieceSize bytes. It returns a line for each
-// step other than More, and stops after an error.
+// step other than StepNeedMore, and stops after an error.
 func feed(p *Parser, text string, pieceSize int) (lines []string) {
 	for b := []byte(text); len(b) > 0; {
 		piece := b[:min(pieceSize, len(b))]
@@ -20,16 +20,16 @@
 			switch {
 			case err != nil:
 				return append(lines, fmt.Sprintf("%d: %v", err.(*ParseError).Status, err))
-			case step == Whole && p.ReadsResponses:
+			case step == StepComplete && p.ReadsResponses:
 				lines = append(lines, fmt.Sprintf("%d %q close=%v", m.Status, m.Body, m.Close))
-			case step == Whole:
+			case step == StepComplete:
 				lines = append(lines, fmt.Sprintf("%s %s %q close=%v", m.Method, m.Target, m.Body, m.Close))
-			case step == Head:
+			case step == StepHead:
 				lines = append(lines, fmt.Sprintf("head %d", m.Status))
-			case step == Piece:
-				lines = append(lines, fmt.Sprintf("piece %q", p.Piece))
+			case step == StepBodyPiece:
+				lines = append(lines, fmt.Sprintf("piece %q", p.BodyPiece))
 			}
-			more = step != More
+			more = step != StepNeedMore
 		}
 	}
 	return lines
@@ -66,7 +66,7 @@
 	printSteps(p, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"+
 		"HTTP/1.1 503\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno", 7)
 	printSteps(p, "HTTP/1.1 200 OK\r\n\r\nTEXT x0=1", 5)
-	fmt.Println(p.End(), string(p.Message.Body), p.Started())
+	fmt.Println(p.ConnectionClosed(), string(p.Message.Body), p.Started())
 	printSteps(&Parser{ReadsResponses: true, Stream: true},
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\":\r\n3\r\n1}\n\r\n1\r\n\n\r\n0\r\n\r\n", 1000)
 	// Output:
@@ -140,10 +140,10 @@
 // Messages are written with a Content-Length header, except responses with status 204 and requests
 // without a body that are not POST.
 func Example_write() {
-	fmt.Printf("%q\n", Answer(503, nil, Field{Name: "Retry-After", Value: "0.5"}))
-	fmt.Printf("%q\n", Answer(204, nil))
-	fmt.Printf("%q\n", Request("POST", "/a", "b", []byte("xy"), Field{Name: "X-Call-Id", Value: "9b"}))
-	fmt.Printf("%q\n", Request("DELETE", "/jobs/9b", "b", nil))
+	fmt.Printf("%q\n", EncodeResponse(503, nil, Field{Name: "Retry-After", Value: "0.5"}))
+	fmt.Printf("%q\n", EncodeResponse(204, nil))
+	fmt.Printf("%q\n", EncodeRequest("POST", "/a", "b", []byte("xy"), Field{Name: "X-Call-Id", Value: "9b"}))
+	fmt.Printf("%q\n", EncodeRequest("DELETE", "/jobs/9b", "b", nil))
 	// Output:
 	// "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n"
 	// "HTTP/1.1 204 No Content\r\n\r\n"
@@ -160,7 +160,7 @@
 	f.Fuzz(func(t *testing.T, text string, pieceSize int, readsResponses bool) {
 		wholeParser, splitParser := &Parser{ReadsResponses: readsResponses}, &Parser{ReadsResponses: readsResponses}
 		linesWhole, linesSplit := feed(wholeParser, text, len(text)+1), feed(splitParser, text, max(1, pieceSize))
-		if !slices.Equal(linesWhole, linesSplit) || wholeParser.End() != splitParser.End() {
+		if !slices.Equal(linesWhole, linesSplit) || wholeParser.ConnectionClosed() != splitParser.ConnectionClosed() {
 			t.Errorf("parsed at once: %q, in pieces: %q", linesWhole, linesSplit)
 		}
 		if m := wholeParser.Message; m != nil && len(m.Body) > MaxBodyBytes {
@@ -208,7 +208,7 @@
 				return
 			}
 			rest = rest[used:]
-			if step == Whole {
+			if step == StepComplete {
 				fmt.Println(interimCount, p.Message.Status)
 			}
 		}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -15,9 +15,9 @@
 	Value string `json:"Value"`
 }
 
-// Answer returns an encoded response. It has a Content-Length header unless the status is
+// EncodeResponse returns an encoded response. It has a Content-Length header unless the status is
 // StatusNoContent.
-func Answer(status int, body []byte, fields ...Field) []byte {
+func EncodeResponse(status int, body []byte, fields ...Field) []byte {
 	b := make([]byte, 0, typicalResponseHeadBytes+len(body))
 	b = append(b, version11...)
 	b = append(b, ' ')
@@ -28,9 +28,9 @@
 	return appendFieldsAndBody(b, fields, body, status != StatusNoContent)
 }
 
-// Request returns an encoded request. It has a Content-Length header if it has a body or its method
+// EncodeRequest returns an encoded request. It has a Content-Length header if it has a body or its method
 // is POST.
-func Request(method, target, host string, body []byte, fields ...Field) []byte {
+func EncodeRequest(method, target, host string, body []byte, fields ...Field) []byte {
 	b := make([]byte, 0, typicalRequestHeadBytes+len(target)+len(body))
 	for _, part := range []string{method, " ", target, " ", version11, "\r\nHost: ", host, "\r\n"} {
 		b = append(b, part...)
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -40,15 +40,15 @@
 	return b.array[b.start : b.start+min(Size-b.start, b.length)]
 }
 
-// Drop discards the first n bytes of the slice that Bytes returned.
-func (b *Buffer) Drop(n int) {
+// Discard discards the first n bytes of the slice that Bytes returned.
+func (b *Buffer) Discard(n int) {
 	b.length -= n
 	b.start = (b.start + n) % Size
 }
 
-// Empty reports whether the buffer has no array allocated. It may return false although the buffer
+// Unallocated reports whether the buffer has no array allocated. It may return false although the buffer
 // holds no bytes.
-func (b *Buffer) Empty() bool { return b.array == nil }
+func (b *Buffer) Unallocated() bool { return b.array == nil }
 
 // Len returns the number of bytes held.
 func (b *Buffer) Len() int { return b.length }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -10,12 +10,12 @@
 	var b Buffer
 	text := bytes.Repeat([]byte("0123456789"), Size/5)
 	fmt.Println("empty:", len(b.Bytes()), "of", len(text), "written:", b.Write(text), "room:", len(b.FreeSpace()))
-	b.Drop(Size - 3)
+	b.Discard(Size - 3)
 	fmt.Printf("left: %q, room: %d\n", b.Bytes(), len(b.FreeSpace()))
 	fmt.Println("written:", b.Write([]byte("abcdef")))
 	for b.Len() > 0 {
 		fmt.Printf("%q ", b.Bytes())
-		b.Drop(len(b.Bytes()))
+		b.Discard(len(b.Bytes()))
 	}
 	b.Release()
 	fmt.Println("after:", b.Len())
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -132,7 +132,7 @@
 	timeBudget := http1.Field{Name: "X-Budget", Value: strconv.FormatFloat(timeLeft, 'f', timeBudgetDecimals, 64)}
 	fields := append(slices.Clip(inv.Fields), timeBudget)
 	return conn.Outgoing{
-		Bytes:   http1.Request(inv.Method, inv.Target, a.worker.address, inv.Body, fields...),
+		Bytes:   http1.EncodeRequest(inv.Method, inv.Target, a.worker.address, inv.Body, fields...),
 		Until:   earlier(inv.Deadline, check.NotAfter),
 		Allowed: func() conn.CloseReason { return t.checkSend(a, check) },
 	}
@@ -234,7 +234,7 @@
 // sendCancel asks the worker to stop an attempt that it has accepted. The response is ignored.
 func (t *Transport) sendCancel(a *attempt) {
 	t.Counts.Cancels++
-	request := http1.Request("DELETE", "/jobs/"+a.invocation.ID, a.worker.address, nil)
+	request := http1.EncodeRequest("DELETE", "/jobs/"+a.invocation.ID, a.worker.address, nil)
 	x := &exchange{buildRequest: unconditional(request), onDone: ignoreResponse}
 	if t.startExchange(a.worker, x) {
 		x.timeout = t.loop.After(cancelTimeout, x.abort)
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -151,7 +151,7 @@
 func (c *connection) DataReceived(nc *conn.Conn) {
 	for nc.In.Len() > 0 {
 		used, step, err := c.parser.Feed(nc.In.Bytes())
-		nc.In.Drop(used)
+		nc.In.Discard(used)
 		if c.earlyResponse != nil {
 			c.completeEarlyAndClose()
 			return
@@ -162,7 +162,7 @@
 			c.closeWith(conn.Malformed)
 			return
 		}
-		if step == http1.Whole {
+		if step == http1.StepComplete {
 			c.handleResponse(nc, c.parser.Message)
 			return
 		}
@@ -206,7 +206,7 @@
 		c.completeEarlyAndClose()
 		return
 	}
-	if c.exchange != nil && reason == conn.Closed && c.parser.End() {
+	if c.exchange != nil && reason == conn.Closed && c.parser.ConnectionClosed() {
 		c.complete(c.parser.Message, conn.Open)
 		return
 	}
--- a/internal/workers/healthcheck.go
+++ b/internal/workers/healthcheck.go
@@ -30,7 +30,7 @@
 			Load:    load,
 		})
 	}
-	request := http1.Request("GET", t.healthCheckPath(), w.address, nil)
+	request := http1.EncodeRequest("GET", t.healthCheckPath(), w.address, nil)
 	x := &exchange{buildRequest: unconditional(request)}
 	x.onDone = func(response *http1.Message, reason conn.CloseReason) {
 		if response != nil {
