--- a/cmd/stoatweir/faultinjection_soak.go
+++ b/cmd/stoatweir/faultinjection_soak.go
@@ -100,15 +100,15 @@
 // makes a share of the calls of peek and poll fail with EINTR.
 func (f *faultInjector) wrapSystemCalls() {
 	interrupted := func() bool { return rand.Float64() < f.faults.Load().Interrupted }
-	peek := conn.System.Peek
-	conn.System.Peek = func(fd int, b []byte) (int, error) {
+	peek := conn.DefaultSystemCalls.Peek
+	conn.DefaultSystemCalls.Peek = func(fd int, b []byte) (int, error) {
 		if interrupted() {
 			return -1, unix.EINTR
 		}
 		return peek(fd, b)
 	}
-	poll := conn.System.Poll
-	conn.System.Poll = func(fds []unix.PollFd, timeout int) (int, error) {
+	poll := conn.DefaultSystemCalls.Poll
+	conn.DefaultSystemCalls.Poll = func(fds []unix.PollFd, timeout int) (int, error) {
 		if interrupted() {
 			return -1, unix.EINTR
 		}
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Break closes the connection at once. Unlike Close, it notifies the handler, once the writer has
+// Abort closes the connection at once. Unlike Close, it notifies the handler, once the writer has
 // reported how many bytes were written.
-func (c *Conn) Break() {
+func (c *Conn) Abort() {
 	if c.closed || !c.connected {
 		return
 	}
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -224,7 +224,7 @@
 		case "reset":
 			peer.reads <- &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 		case "break":
-			c.Break()
+			c.Abort()
 		case "close":
 			c.Close()
 		case "quit":
@@ -235,7 +235,7 @@
 		}
 	}
 	settle()
-	c.Break()
+	c.Abort()
 	settle()
 	checkNotified(t, name, h.events, order, peer.written.Load() == closeTestRequestSize)
 }
--- a/internal/conn/closereason.go
+++ b/internal/conn/closereason.go
@@ -7,7 +7,7 @@
 
 // The close reasons. dispatchResults has the dispatcher's result for each of them.
 const (
-	Open              CloseReason = iota // the connection or request has not ended
+	NotClosed         CloseReason = iota // the connection or request has not ended
 	Refused                              // the connection was refused: no process listens at the address
 	ConnectTimeout                       // the connection was not established in time
 	NoDescriptor                         // no file descriptor was available
@@ -36,7 +36,7 @@
 // eject the worker, so a lack of local resources, which says nothing about the worker, must not map
 // to it.
 var dispatchResults = [...]dispatch.Result{
-	Open:              dispatch.TimedOut,
+	NotClosed:         dispatch.TimedOut,
 	Refused:           dispatch.Unreachable,
 	ConnectTimeout:    dispatch.Unreachable,
 	NoDescriptor:      dispatch.Rejected,
@@ -82,7 +82,7 @@
 
 // closeReasonNames are the keys of the counters of ended connections and requests.
 var closeReasonNames = [...]string{
-	Open:              "open",
+	NotClosed:         "open",
 	Refused:           "refused",
 	ConnectTimeout:    "connect timeout",
 	NoDescriptor:      "no descriptor",
--- a/internal/conn/iterations.go
+++ b/internal/conn/iterations.go
@@ -11,10 +11,10 @@
 	recentBucketCount = 11
 )
 
-// Iterations holds statistics of how long the iterations of a loop took. New tasks and timers wait
+// IterationStats holds statistics of how long the iterations of a loop took. New tasks and timers wait
 // while an iteration runs. Durations are wall-clock time, so they include time in which the
 // goroutine did not have a core.
-type Iterations struct {
+type IterationStats struct {
 	Count       int64
 	Worst       time.Duration // since the start of the loop's clock
 	WorstRecent time.Duration // in the last ten to eleven seconds
@@ -44,7 +44,7 @@
 }
 
 // Iterations returns the statistics of all completed iterations; the current one is not included.
-func (l *Loop) Iterations() Iterations {
+func (l *Loop) Iterations() IterationStats {
 	result := l.iterations
 	oldest := bucketAt(time.Since(l.start)) - recentBucketCount
 	for _, worst := range l.recentWorst {
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -27,7 +27,7 @@
 	timers       timerHeap
 	lastTimerSeq int // sequence number of the timer that was set last
 	stopped      bool
-	iterations   Iterations
+	iterations   IterationStats
 	recentWorst  [recentBucketCount]worstIteration
 
 	// Panicked is called with the panic value when a task, a timer or Run's callback panics. The
--- a/internal/conn/peek.go
+++ b/internal/conn/peek.go
@@ -33,7 +33,7 @@
 // still unread.
 func closedAfterUnreadData(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	_, err := ignoringEINTR(func() (int, error) { return System.Poll(fds, 0) })
+	_, err := ignoringEINTR(func() (int, error) { return DefaultSystemCalls.Poll(fds, 0) })
 	return err == nil && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
@@ -59,7 +59,7 @@
 	}
 	raw.Control(func(fd uintptr) {
 		b := make([]byte, 1)
-		n, err := ignoringEINTR(func() (int, error) { return System.Peek(int(fd), b) })
+		n, err := ignoringEINTR(func() (int, error) { return DefaultSystemCalls.Peek(int(fd), b) })
 		inspect(int(fd), n, err)
 	})
 }
--- a/internal/conn/send.go
+++ b/internal/conn/send.go
@@ -10,33 +10,33 @@
 // sending.
 type Outgoing struct {
 	Bytes []byte
-	// Until is a time of the loop's clock at and after which no byte may be written; 0: no limit.
-	Until time.Duration
-	// Allowed is called right before the first byte is written. It returns Open to permit the
+	// Deadline is a time of the loop's clock at and after which no byte may be written; 0: no limit.
+	Deadline time.Duration
+	// CheckAllowed is called right before the first byte is written. It returns NotClosed to permit the
 	// message, or the reason against it. If nil, the message is permitted.
-	Allowed func() CloseReason
+	CheckAllowed func() CloseReason
 }
 
 // Send writes a message to a connection that has no queued bytes and no unread input. It returns
-// Open if the message was started, and otherwise the reason why no byte of it was written. Bytes
+// NotClosed if the message was started, and otherwise the reason why no byte of it was written. Bytes
 // that the socket does not accept at once are written in the background. If that is not done by
-// m.Until, the connection ends with NotWritten, and the last byte is never written.
+// m.Deadline, the connection ends with NotWritten, and the last byte is never written.
 //
-// The check of Allowed and the first write happen together on the loop goroutine, because the
+// The check of CheckAllowed and the first write happen together on the loop goroutine, because the
 // writer goroutine may be scheduled late, when the message is no longer permitted.
 func (c *Conn) Send(m Outgoing) CloseReason {
 	if c.closed || c.closing || c.Unsent() > 0 {
 		return NotWritten
 	}
-	if m.Allowed != nil {
-		if reason := m.Allowed(); reason != Open {
+	if m.CheckAllowed != nil {
+		if reason := m.CheckAllowed(); reason != NotClosed {
 			return reason
 		}
 	}
 	if c.Readable() {
 		return NotWritten // unread input: the connection's end, or bytes that would be taken for the response
 	}
-	if m.Until > 0 && c.loop.Clock() >= m.Until {
+	if m.Deadline > 0 && c.loop.Clock() >= m.Deadline {
 		return NotSent
 	}
 	written := 0
@@ -46,11 +46,11 @@
 			return NotWritten // the connection is broken; the reader will report that
 		}
 	}
-	c.writeDeadline = c.loop.wallTime(m.Until)
+	c.writeDeadline = c.loop.wallTime(m.Deadline)
 	if remaining := m.Bytes[written:]; len(remaining) > 0 {
 		c.Write(remaining)
 	}
-	return Open
+	return NotClosed
 }
 
 // writeOnce makes one write system call, which does not block, and returns the number of bytes
@@ -58,7 +58,7 @@
 func writeOnce(raw syscall.RawConn, b []byte) int {
 	written := 0
 	raw.Control(func(fd uintptr) {
-		n, _ := ignoringEINTR(func() (int, error) { return System.Write(int(fd), b) })
+		n, _ := ignoringEINTR(func() (int, error) { return DefaultSystemCalls.Write(int(fd), b) })
 		written = max(0, n)
 	})
 	return written
--- a/internal/conn/syscalls.go
+++ b/internal/conn/syscalls.go
@@ -17,8 +17,8 @@
 	Poll  func(fds []unix.PollFd, timeout int) (int, error)
 }
 
-// System holds the system calls that all connections use. Only tests change it.
-var System = SystemCalls{
+// DefaultSystemCalls holds the system calls that all connections use. Only tests change it.
+var DefaultSystemCalls = SystemCalls{
 	Read:  unix.Read,
 	Write: unix.Write,
 	Peek: func(fd int, b []byte) (int, error) {
--- a/internal/conn/unseen.go
+++ b/internal/conn/unseen.go
@@ -21,7 +21,7 @@
 func (u *unseenInput) read(fd int, b []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	n, err := ignoringEINTR(func() (int, error) { return System.Read(fd, b) })
+	n, err := ignoringEINTR(func() (int, error) { return DefaultSystemCalls.Read(fd, b) })
 	u.marked = u.marked || !errors.Is(err, unix.EAGAIN)
 	return n, err
 }
--- a/internal/conn/writer.go
+++ b/internal/conn/writer.go
@@ -75,7 +75,7 @@
 				err = os.ErrDeadlineExceeded
 				return true
 			}
-			n, writeErr := System.Write(int(fd), r.bytes[written:])
+			n, writeErr := DefaultSystemCalls.Write(int(fd), r.bytes[written:])
 			switch {
 			case writeErr == nil:
 				written += n
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -132,9 +132,9 @@
 	timeBudget := http1.Field{Name: "X-Budget", Value: strconv.FormatFloat(timeLeft, 'f', timeBudgetDecimals, 64)}
 	fields := append(slices.Clip(inv.Fields), timeBudget)
 	return conn.Outgoing{
-		Bytes:   http1.EncodeRequest(inv.Method, inv.Target, a.worker.address, inv.Body, fields...),
-		Until:   earlier(inv.Deadline, check.NotAfter),
-		Allowed: func() conn.CloseReason { return t.checkSend(a, check) },
+		Bytes:        http1.EncodeRequest(inv.Method, inv.Target, a.worker.address, inv.Body, fields...),
+		Deadline:     earlier(inv.Deadline, check.NotAfter),
+		CheckAllowed: func() conn.CloseReason { return t.checkSend(a, check) },
 	}
 }
 
--- a/internal/workers/attempt_test.go
+++ b/internal/workers/attempt_test.go
@@ -185,7 +185,7 @@
 		inv.Deadline -= delay
 		timeLeftBefore := inv.Deadline - f.loop.Clock()
 		message := buildRequest()
-		if reason := message.Allowed(); reason != conn.Open {
+		if reason := message.CheckAllowed(); reason != conn.NotClosed {
 			fmt.Println(reason)
 			continue
 		}
@@ -195,7 +195,7 @@
 		seconds, err := strconv.ParseFloat(text, 64)
 		sentTimeLeft := time.Duration(seconds * float64(time.Second))
 		exact := err == nil && sentTimeLeft <= timeLeftBefore.Round(time.Millisecond) && sentTimeLeft >= timeLeftAfter.Round(time.Millisecond)
-		fmt.Println(message.Until == inv.Deadline, timeLeftBefore.Round(time.Second), exact)
+		fmt.Println(message.Deadline == inv.Deadline, timeLeftBefore.Round(time.Second), exact)
 	}
 	fmt.Println("stopped:", f.Counts.Stopped)
 	// Output:
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -53,7 +53,7 @@
 	}
 	reason := c.socket.Send(x.buildRequest())
 	switch reason {
-	case conn.Open:
+	case conn.NotClosed:
 	case conn.NotWritten:
 		return c.retryOnAnother()
 	default:
@@ -136,7 +136,7 @@
 func (c *connection) completeEarly() {
 	response := c.earlyResponse
 	c.earlyResponse = nil
-	c.complete(response, conn.Open)
+	c.complete(response, conn.NotClosed)
 }
 
 // completeEarlyAndClose ends the exchange with its early response, without waiting any longer for
@@ -175,12 +175,12 @@
 func (c *connection) handleResponse(nc *conn.Conn, response *http1.Message) {
 	switch {
 	case response.Close || nc.In.Len() > 0:
-		c.complete(response, conn.Open)
+		c.complete(response, conn.NotClosed)
 		nc.Close()
 	case nc.Unsent() > 0 && c.exchange.needsProofNotRun:
 		// A response proves nothing about a request whose last byte may still be written. Breaking
 		// the connection ensures that it never is.
-		nc.Break()
+		nc.Abort()
 	case nc.Unsent() > 0:
 		// Either the response has overtaken the notification that the request is written, which
 		// must arrive before the connection is reused, or the worker has responded without reading
@@ -189,7 +189,7 @@
 		c.timer = c.transport.loop.After(earlyResponseTimeout, c.completeEarlyAndClose)
 	default:
 		c.putIdle()
-		c.complete(response, conn.Open)
+		c.complete(response, conn.NotClosed)
 	}
 }
 
@@ -207,7 +207,7 @@
 		return
 	}
 	if c.exchange != nil && reason == conn.Closed && c.parser.ConnectionClosed() {
-		c.complete(c.parser.Message, conn.Open)
+		c.complete(c.parser.Message, conn.NotClosed)
 		return
 	}
 	c.handleClose(reason)
--- a/internal/workers/sendcheck.go
+++ b/internal/workers/sendcheck.go
@@ -33,13 +33,13 @@
 
 // checkSend asks the invariant checker immediately before the first byte of an attempt is written,
 // because the connection may have taken long to be established and the process may have been
-// paused. It returns conn.Open if the attempt may be sent.
+// paused. It returns conn.NotClosed if the attempt may be sent.
 func (t *Transport) checkSend(a *attempt, check invariant.Attempt) conn.CloseReason {
 	check.Current = a.target()
 	check.Deadline = a.invocation.Deadline
 	checkReason := t.Invariants.CheckSend(check)
 	if checkReason == "" {
-		return conn.Open
+		return conn.NotClosed
 	}
 	outcome, known := stopOutcomes[checkReason]
 	if !known {
