--- a/cmd/stoatweir/invariants.go
+++ b/cmd/stoatweir/invariants.go
@@ -18,8 +18,8 @@
 	return invariant.RequestLimits{
 		ID:          invocation.ID,
 		Effect:      op.Effect,
-		Scope:       op.DedupScope,
-		Window:      op.DedupWindow,
+		DedupScope:  op.DedupScope,
+		DedupWindow: op.DedupWindow,
 		Deadline:    invocation.Deadline,
 		MaxAttempts: config.Limits.MaxAttempts,
 		MaxInFlight: config.Limits.MaxInFlight,
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -117,9 +117,9 @@
 // their texts.
 func TestCountKeysGolden(t *testing.T) {
 	keys := []any{invariant.WorkerUnavailable, invariant.WorkerRestarted, invariant.WorkerMoved, invariant.ClientGone, invariant.TimeoutPassed,
-		invariant.WindowPassed, invariant.UnknownRequest, invariant.TooManyAttempts, invariant.SecondOut, invariant.SecondAtWorker,
-		invariant.RepeatedUnproven,
-		invariant.RepeatedOutOfGroup, invariant.RepeatedTooLate, invariant.AnsweredTwice, invariant.AnsweredLate, invariant.RefusedUnproven,
+		invariant.WindowPassed, invariant.UnknownRequest, invariant.TooManyAttempts, invariant.TooManyInFlight, invariant.DuplicateAtWorker,
+		invariant.RetriedAfterPossibleRun,
+		invariant.RetriedOutsideScope, invariant.RetriedOutsideWindow, invariant.AnsweredTwice, invariant.AnsweredLate, invariant.RejectedAfterPossibleRun,
 		invariant.ClosedUnanswered,
 		invariant.StartInFuture, dispatch.ReasonTimeout, dispatch.ReasonTooLate, dispatch.ReasonAttempts, dispatch.ReasonUnfit,
 		dispatch.ReasonUnproven, dispatch.ReasonWindow, lifecycle.Starting, lifecycle.Ready, lifecycle.Standby,
@@ -154,7 +154,7 @@
 	checker.AttemptEnded(1, 1, "broken", true)
 	checker.CheckSend(sent)
 	checker.CheckClose(1)
-	checker.CheckAnswer(1, invariant.Refused, "an attempt may have run")
+	checker.CheckAnswer(1, invariant.Rejected, "an attempt may have run")
 	compareGoldenLine(t, "history", s.requestHistory("job-1"))
 	if text := s.requestHistory("another"); len(text) > 0 {
 		t.Errorf("history of another request: %q, want none", text)
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -80,9 +80,9 @@
 }
 
 // invariantKinds maps dispositions to the kinds of final answers of package invariant.
-var invariantKinds = map[accounting.Disposition]invariant.Kind{
+var invariantKinds = map[accounting.Disposition]invariant.AnswerKind{
 	accounting.Succeeded: invariant.Succeeded,
-	accounting.Declined:  invariant.Refused,
+	accounting.Declined:  invariant.Rejected,
 	accounting.Aborted:   invariant.Failed,
 	accounting.Abandoned: invariant.Abandoned,
 	accounting.Migrated:  invariant.Migrated,
--- a/internal/invariant/answer.go
+++ b/internal/invariant/answer.go
@@ -10,22 +10,22 @@
 // the transfer over sockets, and a scheduler process that is held up before it writes.
 const answerSlack = 200 * time.Millisecond
 
-// Kind is the kind of a final answer, or the other reason why a request needs none any more.
-type Kind string
+// AnswerKind is the kind of a final answer, or the other reason why a request needs none any more.
+type AnswerKind string
 
 // The kinds of final answers, and the other reasons why a request needs none any more.
 const (
-	Succeeded Kind = "succeeded"
-	Refused   Kind = "refused" // the client may safely retry
-	Failed    Kind = "failed"
-	Abandoned Kind = "client left"
-	Migrated  Kind = "handed over" // another process answers it
+	Succeeded AnswerKind = "succeeded"
+	Rejected  AnswerKind = "refused" // the client may safely retry
+	Failed    AnswerKind = "failed"
+	Abandoned AnswerKind = "client left"
+	Migrated  AnswerKind = "handed over" // another process answers it
 )
 
 // CheckAnswer checks and records a final answer with its cause, which may be empty, and returns the kind of
-// answer that may be given. It is Failed in place of Refused if the request may have run and its client
+// answer that may be given. It is Failed in place of Rejected if the request may have run and its client
 // can't safely retry.
-func (c *Checker) CheckAnswer(id dispatch.InvocationID, kind Kind, cause string) Kind {
+func (c *Checker) CheckAnswer(id dispatch.InvocationID, kind AnswerKind, cause string) AnswerKind {
 	if c == nil {
 		return kind
 	}
@@ -34,8 +34,8 @@
 		c.recordViolation(AnsweredTwice, id, "")
 		return kind
 	}
-	if kind == Refused && !r.isSafeToRetry() {
-		c.recordViolation(RefusedUnproven, id, "")
+	if kind == Rejected && !r.isSafeToRetry() {
+		c.recordViolation(RejectedAfterPossibleRun, id, "")
 		kind = Failed
 	}
 	if kind.isAnswer() && c.clock() > r.Deadline+answerSlack {
@@ -52,12 +52,12 @@
 }
 
 // isAnswer reports whether this kind is an answer to the client.
-func (k Kind) isAnswer() bool { return k != Abandoned && k != Migrated }
+func (k AnswerKind) isAnswer() bool { return k != Abandoned && k != Migrated }
 
 // isSafeToRetry reports whether the client may retry the request without the risk of a second execution
 // that has an effect.
 func (r *request) isSafeToRetry() bool {
-	if r.Effect == dispatch.Idempotent || r.Effect == dispatch.Deduplicated && r.Scope == dispatch.ScopeAll {
+	if r.Effect == dispatch.Idempotent || r.Effect == dispatch.Deduplicated && r.DedupScope == dispatch.ScopeAll {
 		return true
 	}
 	return r.firstThatMayHaveRun() == nil
--- a/internal/invariant/answer_test.go
+++ b/internal/invariant/answer_test.go
@@ -17,7 +17,7 @@
 	f.CheckClose(1)
 	f.AttemptEnded(1, 0, "reset", true)
 	f.now = 3 * time.Second
-	fmt.Println(f.CheckAnswer(1, Refused, "too late"))
+	fmt.Println(f.CheckAnswer(1, Rejected, "too late"))
 	f.CheckAnswer(1, Failed, "")
 	f.send(1, target("s-2", 0))
 	f.CheckStart("s-3", 4*time.Second)
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		if previous.worker == a.Current.UID {
-			return SecondAtWorker
+			return DuplicateAtWorker
 		}
 		inFlight++
 	}
@@ -74,7 +74,7 @@
 	case r.MaxAttempts > 0 && len(r.attempts) >= r.MaxAttempts:
 		return TooManyAttempts
 	case inFlight >= max(1, r.MaxInFlight):
-		return SecondOut
+		return TooManyInFlight
 	}
 	return r.effectViolation(a, now)
 }
@@ -87,13 +87,13 @@
 	case first == nil || r.Effect == dispatch.Idempotent:
 		return ""
 	case r.Effect == dispatch.NonIdempotent:
-		return RepeatedUnproven
-	case now >= first.sent+r.Window:
-		return RepeatedTooLate
-	case r.Scope == dispatch.ScopeZone && first.zone != a.Current.Zone:
-		return RepeatedOutOfGroup
-	case r.Scope == dispatch.ScopeCell && first.cell != a.Current.Cell:
-		return RepeatedOutOfGroup
+		return RetriedAfterPossibleRun
+	case now >= first.sent+r.DedupWindow:
+		return RetriedOutsideWindow
+	case r.DedupScope == dispatch.ScopeZone && first.zone != a.Current.Zone:
+		return RetriedOutsideScope
+	case r.DedupScope == dispatch.ScopeCell && first.cell != a.Current.Cell:
+		return RetriedOutsideScope
 	}
 	return ""
 }
--- a/internal/invariant/send_test.go
+++ b/internal/invariant/send_test.go
@@ -10,7 +10,7 @@
 // Each effect class allows a retry only if the first attempt can't have run, or a second execution has no
 // effect.
 func TestRetriesByEffectClass(t *testing.T) {
-	deduplicated := RequestLimits{Effect: dispatch.Deduplicated, Scope: dispatch.ScopeZone, Window: time.Second}
+	deduplicated := RequestLimits{Effect: dispatch.Deduplicated, DedupScope: dispatch.ScopeZone, DedupWindow: time.Second}
 	for _, c := range []struct {
 		name       string
 		limits     RequestLimits
@@ -20,11 +20,11 @@
 		want       Reason
 	}{
 		{"idempotent", RequestLimits{Effect: dispatch.Idempotent}, true, time.Hour / 2, 1, ""},
-		{"non-idempotent that ran", RequestLimits{Effect: dispatch.NonIdempotent}, true, 0, 0, RepeatedUnproven},
+		{"non-idempotent that ran", RequestLimits{Effect: dispatch.NonIdempotent}, true, 0, 0, RetriedAfterPossibleRun},
 		{"non-idempotent that never ran", RequestLimits{Effect: dispatch.NonIdempotent}, false, 0, 0, ""},
 		{"in its scope and window", deduplicated, true, time.Second - 1, 0, ""},
-		{"outside its scope", deduplicated, true, 0, 1, RepeatedOutOfGroup},
-		{"outside its window", deduplicated, true, time.Second, 0, RepeatedTooLate},
+		{"outside its scope", deduplicated, true, 0, 1, RetriedOutsideScope},
+		{"outside its window", deduplicated, true, time.Second, 0, RetriedOutsideWindow},
 		{"never ran, outside its scope and window", deduplicated, false, time.Minute, 1, ""},
 		{"attempt limit reached", RequestLimits{Effect: dispatch.Idempotent, MaxAttempts: 1}, false, 0, 0, TooManyAttempts},
 	} {
@@ -48,11 +48,11 @@
 func TestAttemptsInFlight(t *testing.T) {
 	f := newFixture(RequestLimits{})
 	f.send(0, target("s-1", 0))
-	if reason := f.send(1, target("s-2", 0)); reason != SecondOut {
+	if reason := f.send(1, target("s-2", 0)); reason != TooManyInFlight {
 		t.Error(reason)
 	}
 	f.RaiseLimits(0, 2)
-	if reason := f.send(1, target("s-1", 0)); reason != SecondAtWorker {
+	if reason := f.send(1, target("s-1", 0)); reason != DuplicateAtWorker {
 		t.Error(reason)
 	}
 	if reason := f.send(1, target("s-2", 0)); reason != "" {
--- a/internal/invariant/violations.go
+++ b/internal/invariant/violations.go
@@ -18,18 +18,18 @@
 
 // The violated invariants. Such a decision is a mistake at any time.
 const (
-	UnknownRequest     Reason = "sent for a request that is not open"
-	TooManyAttempts    Reason = "more attempts than allowed"
-	SecondOut          Reason = "a second attempt out"
-	SecondAtWorker     Reason = "a second attempt out at one worker"
-	RepeatedUnproven   Reason = "repeated though it may have run"
-	RepeatedOutOfGroup Reason = "repeated outside the group of its first attempt"
-	RepeatedTooLate    Reason = "repeated outside its window"
-	AnsweredTwice      Reason = "answered twice"
-	AnsweredLate       Reason = "answered late"
-	RefusedUnproven    Reason = "refused though it may have run"
-	ClosedUnanswered   Reason = "connection closed on an unanswered request"
-	StartInFuture      Reason = "a worker's start lies in the future"
+	UnknownRequest           Reason = "sent for a request that is not open"
+	TooManyAttempts          Reason = "more attempts than allowed"
+	TooManyInFlight          Reason = "a second attempt out"
+	DuplicateAtWorker        Reason = "a second attempt out at one worker"
+	RetriedAfterPossibleRun  Reason = "repeated though it may have run"
+	RetriedOutsideScope      Reason = "repeated outside the group of its first attempt"
+	RetriedOutsideWindow     Reason = "repeated outside its window"
+	AnsweredTwice            Reason = "answered twice"
+	AnsweredLate             Reason = "answered late"
+	RejectedAfterPossibleRun Reason = "refused though it may have run"
+	ClosedUnanswered         Reason = "connection closed on an unanswered request"
+	StartInFuture            Reason = "a worker's start lies in the future"
 )
 
 // maxReportsPerReason bounds the violations per reason that are reported with their histories. All of them
