--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -188,13 +188,13 @@
 	s.clients.OnRequest = s.trackRequest
 	s.clients.OnCallback = s.workers.HandleCallback
 	s.clients.RelayCallback = s.takeover.RelayCallback
-	s.clients.OwnedByPeer = s.takeover.OwnedByPeer
-	s.clients.OnOwnership = s.takeover.AnnounceOwnership
-	s.clients.OnServed = func(latency time.Duration) { s.servingLatency.RecordValue(latency.Microseconds()) }
+	s.clients.IDInUseAtPeer = s.takeover.OwnedByPeer
+	s.clients.OnIDUseChanged = s.takeover.AnnounceOwnership
+	s.clients.OnResultDelivered = func(latency time.Duration) { s.servingLatency.RecordValue(latency.Microseconds()) }
 	s.clients.Behavior = func() lifecycle.Behavior { return s.lifecycle.Behavior(s.loop.Now()) }
 	s.clients.Reason = s.answerReason
-	s.clients.Counters = s.countsReport
-	s.clients.History = s.requestHistory
+	s.clients.CountersPage = s.countsReport
+	s.clients.HistoryPage = s.requestHistory
 
 	s.workers.Invariants.OnViolation = s.logViolation
 	s.workers.OnEvent = s.Notify
--- a/cmd/stoatweir/tenancy.go
+++ b/cmd/stoatweir/tenancy.go
@@ -225,7 +225,7 @@
 		return nil
 	}
 	t.scheduleQuotas()
-	return t.admission.ByHandle(clients.Scope(requestID))
+	return t.admission.ByHandle(clients.TenantHandle(requestID))
 }
 
 // scheduleQuotas updates changed quotas as soon as minQuotaInterval allows. If it left that to the
@@ -262,7 +262,7 @@
 // tenantIndex returns the dispatcher's index of a request's tenant. known is false if the tenant no
 // longer exists.
 func (t *tenancy) tenantIndex(requestID string) (index int, known bool) {
-	account := t.admission.ByHandle(clients.Scope(requestID))
+	account := t.admission.ByHandle(clients.TenantHandle(requestID))
 	if account == nil {
 		return 0, false
 	}
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -38,7 +38,7 @@
 	if r == nil {
 		return
 	}
-	s.OnServed(s.loop.Now() - r.admittedAt)
+	s.OnResultDelivered(s.loop.Now() - r.admittedAt)
 	s.answer(inv, accounting.Succeeded, http.StatusOK, []byte(result))
 }
 
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -34,8 +34,8 @@
 	server = New(loop, testDeployment(), loop.NewQuota(40), accounting.New())
 	server.SetMaxInFlight(maxInFlight)
 	server.RelayCallback = func(workers.Callback, []byte, func(bool)) bool { return false }
-	server.OwnedByPeer = func(string) bool { return false }
-	server.OnOwnership = func(string, bool) {}
+	server.IDInUseAtPeer = func(string) bool { return false }
+	server.OnIDUseChanged = func(string, bool) {}
 	server.OnEvent = func(e dispatch.Event) {
 		if a, ok := e.(dispatch.Arrival); ok {
 			fmt.Printf("invocation %d: operation %d tenant %d slots %v hint %v budget %v\n", a.Invocation, a.Operation, a.Tenant,
@@ -51,10 +51,10 @@
 		fmt.Println("callback", callback.ID, callback.WorkerUID, callback.State, callback.Progress, callback.Load != nil)
 		return true
 	}
-	server.OnServed = func(time.Duration) {}
+	server.OnResultDelivered = func(time.Duration) {}
 	behavior = lifecycle.Behavior{Ready: true, Accepts: true, Admits: true}
 	server.Behavior = func() lifecycle.Behavior { return behavior }
-	server.Counters = func() []byte { return []byte("{}") }
+	server.CountersPage = func() []byte { return []byte("{}") }
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
--- a/internal/clients/identifiers.go
+++ b/internal/clients/identifiers.go
@@ -24,7 +24,7 @@
 func (s *Server) ReleaseID(id string, sent bool) {
 	release := func() {
 		delete(s.idsInUse, id)
-		s.OnOwnership(id, false)
+		s.OnIDUseChanged(id, false)
 	}
 	if !sent {
 		release()
@@ -35,10 +35,10 @@
 
 // idInUse reports whether an identifier is in use, here or at the other process that serves the
 // same address.
-func (s *Server) idInUse(id string) bool { return s.idsInUse[id] || s.OwnedByPeer(id) }
+func (s *Server) idInUse(id string) bool { return s.idsInUse[id] || s.IDInUseAtPeer(id) }
 
-// Scope returns the tenant's handle in an identifier, or "" if it has none.
-func Scope(id string) string {
+// TenantHandle returns the tenant's handle in an identifier, or "" if it has none.
+func TenantHandle(id string) string {
 	handle, _, scoped := strings.Cut(id, handleSeparator)
 	if !scoped {
 		return ""
--- a/internal/clients/identifiers_test.go
+++ b/internal/clients/identifiers_test.go
@@ -14,7 +14,7 @@
 	loop, server, _, closeListener := newTestServer(10)
 	defer closeListener()
 	var released []string
-	server.OnOwnership = func(id string, inUse bool) {
+	server.OnIDUseChanged = func(id string, inUse bool) {
 		if !inUse {
 			released = append(released, id)
 		}
@@ -43,11 +43,11 @@
 	}
 }
 
-// Scope returns the tenant's handle in an identifier, or nothing if there is none.
+// TenantHandle returns the tenant's handle in an identifier, or nothing if there is none.
 func TestScope(t *testing.T) {
 	for id, want := range map[string]string{"h-a~9b1f": "h-a", "9b1f": "", "~9b1f": "", "h-a~x~y": "h-a"} {
-		if got := Scope(id); got != want {
-			t.Errorf("Scope(%q) = %q, want %q", id, got, want)
+		if got := TenantHandle(id); got != want {
+			t.Errorf("TenantHandle(%q) = %q, want %q", id, got, want)
 		}
 	}
 }
--- a/internal/clients/inflight.go
+++ b/internal/clients/inflight.go
@@ -39,7 +39,7 @@
 	s.inFlight[inv] = r
 	s.idsInUse[r.id] = true
 	s.startOverdueTimer(inv, r)
-	s.OnOwnership(r.id, true)
+	s.OnIDUseChanged(r.id, true)
 	return inv
 }
 
--- a/internal/clients/migrate_in.go
+++ b/internal/clients/migrate_in.go
@@ -33,7 +33,7 @@
 		server:           s,
 		used:             !m.Unused,
 		carriesCallbacks: m.CarriesCallbacks,
-		acceptedAt:       s.loop.Now() - m.SilentFor,
+		acceptedAt:       s.loop.Now() - m.SinceAccept,
 	}
 	s.connections[c] = struct{}{}
 	c.conn = s.quota.AdoptBuffered(netConn, m.Buffered, c)
--- a/internal/clients/migrate_out.go
+++ b/internal/clients/migrate_out.go
@@ -29,7 +29,7 @@
 	Buffered         []byte                // received but not parsed yet
 	CarriesCallbacks bool                  // a worker's callback has arrived on it
 	Unused           bool                  // neither an invocation nor a callback has arrived on it
-	SilentFor        time.Duration         // time since the accept; set only if Unused
+	SinceAccept      time.Duration         // time since the accept; set only if Unused
 	Invocation       dispatch.InvocationID // the one in flight on the connection; 0 if none
 
 	connection *connection
@@ -102,7 +102,7 @@
 		connection:       c,
 	}
 	if m.Unused {
-		m.SilentFor = s.loop.Now() - c.acceptedAt
+		m.SinceAccept = s.loop.Now() - c.acceptedAt
 	}
 	if c.invocation != noInvocation {
 		m.request = s.inFlight[c.invocation]
@@ -136,7 +136,7 @@
 	c.conn.Close()
 	if m.request != nil {
 		delete(s.idsInUse, m.request.id)
-		s.OnOwnership(m.request.id, false)
+		s.OnIDUseChanged(m.request.id, false)
 	}
 }
 
--- a/internal/clients/migration_test.go
+++ b/internal/clients/migration_test.go
@@ -120,7 +120,7 @@
 	loop, server, _, closeListener := newTestServer(10)
 	defer closeListener()
 	client, accepted := tcpPipe(t)
-	if _, ok := server.AcceptMigrated(accepted, MigratingConnection{Unused: true, SilentFor: 2400 * time.Millisecond}, nil, 0, 0); !ok {
+	if _, ok := server.AcceptMigrated(accepted, MigratingConnection{Unused: true, SinceAccept: 2400 * time.Millisecond}, nil, 0, 0); !ok {
 		t.Fatal("the connection was not accepted")
 	}
 	began := time.Now()
@@ -147,8 +147,8 @@
 	server.Behavior = func() lifecycle.Behavior { return lifecycle.Behavior{Admits: true, Accepts: true} }
 	server.MigrateConnections(1, nil, func(m *MigratingConnection) { migrating = m })
 	runUntil(loop, "the migration", func() bool { return migrating != nil })
-	if migrating.SilentFor <= 0 || !migrating.Unused {
-		t.Errorf("migration %+v, want an unused connection with a positive SilentFor", migrating)
+	if migrating.SinceAccept <= 0 || !migrating.Unused {
+		t.Errorf("migration %+v, want an unused connection with a positive SinceAccept", migrating)
 	}
 	migrating.Returned()
 	loop.After(0, func() {})
@@ -167,7 +167,7 @@
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
 	var ownershipChanges []string
-	server.OnOwnership = func(id string, inUse bool) { ownershipChanges = append(ownershipChanges, fmt.Sprint(id, " ", inUse)) }
+	server.OnIDUseChanged = func(id string, inUse bool) { ownershipChanges = append(ownershipChanges, fmt.Sprint(id, " ", inUse)) }
 	client := dial(addr)
 	defer client.Close()
 	client.Write([]byte(requestText))
--- a/internal/clients/routes.go
+++ b/internal/clients/routes.go
@@ -31,10 +31,10 @@
 	case path == readyPath:
 		c.answer(http.StatusServiceUnavailable, nil)
 	case path == countsPath && s.Admission == nil:
-		c.answer(http.StatusOK, s.Counters(), contentType("application/json"))
-	case path == historyPath && s.Admission == nil && s.History != nil:
+		c.answer(http.StatusOK, s.CountersPage(), contentType("application/json"))
+	case path == historyPath && s.Admission == nil && s.HistoryPage != nil:
 		id := strings.TrimPrefix(query, historyQueryPrefix)
-		c.answer(http.StatusOK, s.History(id), contentType("text/plain"))
+		c.answer(http.StatusOK, s.HistoryPage(id), contentType("text/plain"))
 	case m.Method != http.MethodPost:
 		c.reject(http.StatusMethodNotAllowed)
 	default:
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -40,29 +40,29 @@
 	// OnCallback handles a worker's callback. It returns false if the callback refers to no attempt
 	// known to this process.
 	OnCallback func(workers.Callback) bool
-	// OnServed receives, for each invocation answered with a worker's result, the time since its
+	// OnResultDelivered receives, for each invocation answered with a worker's result, the time since its
 	// admission.
-	OnServed func(time.Duration)
+	OnResultDelivered func(time.Duration)
 	// Behavior returns what the process lifecycle currently permits.
 	Behavior func() lifecycle.Behavior
 	// Accept returns the listener's next connection. It is called on the accept goroutine, not on
 	// the event loop. The default is net.Listener.Accept.
 	Accept func(net.Listener) (net.Conn, error)
-	// Counters returns the JSON body of the counters page.
-	Counters func() []byte
-	// History returns the text of the history page for a request identifier. If it is nil, the page
+	// CountersPage returns the JSON body of the counters page.
+	CountersPage func() []byte
+	// HistoryPage returns the text of the history page for a request identifier. If it is nil, the page
 	// is not served.
-	History func(id string) []byte
+	HistoryPage func(id string) []byte
 
 	// RelayCallback relays a callback that is unknown here to the other process that serves the
 	// same address, and calls done once with whether that process handled it. If there is no such
 	// process, it returns false and does not call done.
 	RelayCallback func(callback workers.Callback, body []byte, done func(handled bool)) bool
-	// OwnedByPeer reports whether an identifier is in use at the other process that serves the same
+	// IDInUseAtPeer reports whether an identifier is in use at the other process that serves the same
 	// address.
-	OwnedByPeer func(id string) bool
-	// OnOwnership is called when an identifier starts or stops being in use in this process.
-	OnOwnership func(id string, inUse bool)
+	IDInUseAtPeer func(id string) bool
+	// OnIDUseChanged is called when an identifier starts or stops being in use in this process.
+	OnIDUseChanged func(id string, inUse bool)
 
 	// Counts holds the server's counters.
 	Counts Counts
--- a/internal/clients/tenancy.go
+++ b/internal/clients/tenancy.go
@@ -37,7 +37,7 @@
 	if s.Admission == nil {
 		return nil, true
 	}
-	account = s.Admission.ByHandle(Scope(id))
+	account = s.Admission.ByHandle(TenantHandle(id))
 	return account, account != nil
 }
 
--- a/internal/clients/tenancy_test.go
+++ b/internal/clients/tenancy_test.go
@@ -123,7 +123,7 @@
 func Example_operatorPagesWithTenants() {
 	send, server, closeListener := newTenantServer()
 	defer closeListener()
-	server.History = func(string) []byte { return []byte("history") }
+	server.HistoryPage = func(string) []byte { return []byte("history") }
 	send("GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
 	send("GET /-/counts HTTP/1.1\r\nConnection: close\r\n\r\n")
 	send("GET /-/history?id=9b1f HTTP/1.1\r\nConnection: close\r\n\r\n")
--- a/internal/takeover/adoption.go
+++ b/internal/takeover/adoption.go
@@ -33,7 +33,7 @@
 		Buffered:         message.Connection.Buffered,
 		CarriesCallbacks: message.Connection.CarriesCallbacks,
 		Unused:           message.Connection.Unused,
-		SilentFor:        message.Connection.SilentFor,
+		SinceAccept:      message.Connection.SilentFor,
 	}
 	if message.Connection.Invocation == nil {
 		_, adopted := m.clients.AcceptMigrated(connection, migrating, nil, 0, 0)
--- a/internal/takeover/migration.go
+++ b/internal/takeover/migration.go
@@ -73,7 +73,7 @@
 			Buffered:         c.Buffered,
 			CarriesCallbacks: c.CarriesCallbacks,
 			Unused:           c.Unused,
-			SilentFor:        c.SilentFor,
+			SilentFor:        c.SinceAccept,
 		},
 	}
 	pending := &migration{MigratingConnection: c}
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -70,7 +70,7 @@
 	server := clients.New(loop, process.Deployment, loop.NewQuota(100), accounting.New())
 	server.SetMaxInFlight(100)
 	server.Behavior = func() lifecycle.Behavior { return lifecycle.Behavior{Ready: true, Accepts: true, Admits: true} }
-	server.OnOwnership = func(string, bool) {}
+	server.OnIDUseChanged = func(string, bool) {}
 	server.OnEvent = func(dispatch.Event) {}
 	service := &fakeService{deployment: process.Deployment}
 	return New(Config{
