--- a/cmd/stoatweir/invariants.go
+++ b/cmd/stoatweir/invariants.go
@@ -32,7 +32,7 @@
 	for number, attempt := range attempts {
 		migrated = append(migrated, invariant.MigratedAttempt{
 			Number:     number,
-			Worker:     s.workers.UID(attempt.Worker),
+			Worker:     s.workers.WorkerUID(attempt.Worker),
 			Zone:       attempt.Zone,
 			Cell:       attempt.Cell,
 			Age:        attempt.Age,
--- a/cmd/stoatweir/tenancy.go
+++ b/cmd/stoatweir/tenancy.go
@@ -256,7 +256,7 @@
 	}
 	now := t.service.loop.Now()
 	_, operation, _ := strings.Cut(t.service.deployment.Operations[request.operation], "/")
-	t.admission.AttemptEnded(now, request.account, operation, request.Hint, now-request.sentAt[outcome.Attempt])
+	t.admission.AttemptEnded(now, request.account, operation, request.ExpectedWork, now-request.sentAt[outcome.Attempt])
 }
 
 // tenantIndex returns the dispatcher's index of a request's tenant. known is false if the tenant no
--- a/cmd/stoatweir/transcript_test.go
+++ b/cmd/stoatweir/transcript_test.go
@@ -200,7 +200,7 @@
 	time.Sleep(e.timeout + 2*time.Second)
 	text := record.String()
 	stop()
-	ended, stopped := s.workers.Counts.Ended, s.workers.Counts.Stopped
+	ended, stopped := s.workers.Counts.AttemptsByReason, s.workers.Counts.StoppedAttempts
 	if len(stopped) > 0 {
 		text += fmt.Sprintf("        stopped before the first byte: %v\n", stopped)
 	}
--- a/internal/clients/helpers_test.go
+++ b/internal/clients/helpers_test.go
@@ -45,7 +45,7 @@
 		fmt.Printf("%T%+v\n", e, e)
 	}
 	server.OnRequest = func(invocation *workers.Invocation, _ int) {
-		fmt.Println("request", invocation.ID, invocation.Method, invocation.Target, invocation.Fields, string(invocation.Body))
+		fmt.Println("request", invocation.ID, invocation.Method, invocation.Target, invocation.HeaderFields, string(invocation.Body))
 	}
 	server.OnCallback = func(callback workers.Callback) bool {
 		fmt.Println("callback", callback.ID, callback.WorkerUID, callback.State, callback.Progress, callback.Load != nil)
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -173,7 +173,7 @@
 		admission:  admission,
 	})
 	invocation := r.invocation(inv, deadline)
-	invocation.Hint = clientHint
+	invocation.ExpectedWork = clientHint
 	s.OnRequest(invocation, r.operation)
 	arrival.Invocation = inv
 	arrival.Operation = r.operation
@@ -184,13 +184,13 @@
 // invocation returns the invocation as it is forwarded to workers, without its cost hint.
 func (r *invocationRequest) invocation(inv dispatch.InvocationID, deadline time.Duration) *workers.Invocation {
 	return &workers.Invocation{
-		Number:   inv,
-		ID:       r.scopedID(),
-		Method:   r.message.Method,
-		Target:   r.message.Target,
-		Fields:   forwardedFields(r.message, r.prefix),
-		Body:     r.message.Body,
-		Deadline: deadline,
+		Number:       inv,
+		ID:           r.scopedID(),
+		Method:       r.message.Method,
+		Target:       r.message.Target,
+		HeaderFields: forwardedFields(r.message, r.prefix),
+		Body:         r.message.Body,
+		Deadline:     deadline,
 	}
 }
 
--- a/internal/takeover/adoption.go
+++ b/internal/takeover/adoption.go
@@ -49,13 +49,13 @@
 		return false
 	}
 	invocation := &workers.Invocation{
-		ID:       migrated.ID,
-		Method:   migrated.Method,
-		Target:   migrated.Target,
-		Fields:   migrated.Fields,
-		Body:     message.Body,
-		Deadline: m.loop.Now() + migrated.Remaining,
-		Effect:   m.service.Deployment().Dispatch.Operations[operation].Effect,
+		ID:           migrated.ID,
+		Method:       migrated.Method,
+		Target:       migrated.Target,
+		HeaderFields: migrated.Fields,
+		Body:         message.Body,
+		Deadline:     m.loop.Now() + migrated.Remaining,
+		Effect:       m.service.Deployment().Dispatch.Operations[operation].Effect,
 	}
 	record := migrated.Record
 	id, adopted := m.clients.AcceptMigrated(connection, migrating, invocation, operation, record.Age)
--- a/internal/takeover/record.go
+++ b/internal/takeover/record.go
@@ -41,7 +41,7 @@
 		ID:            request.ID,
 		Method:        request.Method,
 		Target:        request.Target,
-		Fields:        request.Fields,
+		Fields:        request.HeaderFields,
 		Remaining:     request.Deadline - m.loop.Now(),
 		EncodedAt:     monotonicNow(),
 		OperationName: deployment.Operations[request.Operation],
@@ -54,7 +54,7 @@
 	}
 	zones := m.endpoints.Zones()
 	for _, attempt := range record.Attempts {
-		migrated.AttemptWorkers = append(migrated.AttemptWorkers, m.workers.UID(attempt.Worker))
+		migrated.AttemptWorkers = append(migrated.AttemptWorkers, m.workers.WorkerUID(attempt.Worker))
 		migrated.AttemptZones = append(migrated.AttemptZones, zones[attempt.Zone])
 	}
 	return migrated
@@ -118,7 +118,7 @@
 		return false // sent by an older build: the zone in which workers deduplicate retries is unknown
 	}
 	for n, uid := range r.AttemptWorkers {
-		worker, known := m.workers.ID(uid)
+		worker, known := m.workers.WorkerID(uid)
 		if !known {
 			return false
 		}
--- a/internal/takeover/snapshot.go
+++ b/internal/takeover/snapshot.go
@@ -59,7 +59,7 @@
 		OperationNames: m.service.Deployment().Operations,
 	}
 	for _, worker := range snapshot.Workers {
-		part.UIDs = append(part.UIDs, m.workers.UID(worker.Worker))
+		part.UIDs = append(part.UIDs, m.workers.WorkerUID(worker.Worker))
 	}
 	return part
 }
@@ -114,7 +114,7 @@
 		if n >= len(part.UIDs) {
 			break
 		}
-		id, known := m.workers.ID(part.UIDs[n])
+		id, known := m.workers.WorkerID(part.UIDs[n])
 		if !known {
 			continue
 		}
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -130,7 +130,7 @@
 	inv := a.invocation
 	timeLeft := (inv.Deadline - t.loop.Clock()).Seconds()
 	timeBudget := http1.Field{Name: "X-Budget", Value: strconv.FormatFloat(timeLeft, 'f', timeBudgetDecimals, 64)}
-	fields := append(slices.Clip(inv.Fields), timeBudget)
+	fields := append(slices.Clip(inv.HeaderFields), timeBudget)
 	return conn.Outgoing{
 		Bytes:        http1.EncodeRequest(inv.Method, inv.Target, a.worker.address, inv.Body, fields...),
 		Deadline:     earlier(inv.Deadline, check.NotAfter),
@@ -189,7 +189,7 @@
 		t.sendCancel(a)
 	}
 	t.Invariants.AttemptEnded(a.invocation.Number, a.number, reason.String(), !reason.ProvesNotRun())
-	t.Counts.Ended[reason.String()]++
+	t.Counts.AttemptsByReason[reason.String()]++
 	t.OnEvent(dispatch.Outcome{
 		Invocation: a.invocation.Number,
 		Worker:     a.worker.endpoint.Worker,
--- a/internal/workers/attempt_test.go
+++ b/internal/workers/attempt_test.go
@@ -197,7 +197,7 @@
 		exact := err == nil && sentTimeLeft <= timeLeftBefore.Round(time.Millisecond) && sentTimeLeft >= timeLeftAfter.Round(time.Millisecond)
 		fmt.Println(message.Deadline == inv.Deadline, timeLeftBefore.Round(time.Second), exact)
 	}
-	fmt.Println("stopped:", f.Counts.Stopped)
+	fmt.Println("stopped:", f.Counts.StoppedAttempts)
 	// Output:
 	// true 5s true
 	// true 3s true
--- a/internal/workers/dial_test.go
+++ b/internal/workers/dial_test.go
@@ -211,7 +211,7 @@
 	fails.Store(false)
 	f.Forward(f.newInvocation(3), 0, f.id)
 	f.runUntil(1, 1)
-	fmt.Println(f.Counts.Ended[conn.ConnectTimeout.String()], "charged to the worker; sockets:", f.quota.Used())
+	fmt.Println(f.Counts.AttemptsByReason[conn.ConnectTimeout.String()], "charged to the worker; sockets:", f.quota.Used())
 	// Output:
 	// inv 1 attempt 0 ends: 2 closed=false load=false
 	// inv 2 attempt 0 ends: 6 closed=false load=false
@@ -231,7 +231,7 @@
 	f.runUntilTrue("the failed dial", func() bool { return f.quota.Used() == 0 })
 	f.quota.Resize(0)
 	f.runUntil(1, 0)
-	fmt.Println(f.Counts.Ended, "dialled:", f.Counts.Dialled)
+	fmt.Println(f.Counts.AttemptsByReason, "dialled:", f.Counts.Dialled)
 	// Output:
 	// inv 1 attempt 0 ends: 2 closed=false load=false
 	// map[no descriptor:1] dialled: 1
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -191,13 +191,13 @@
 	f.Invariants.RequestAdmitted(number, invariant.RequestLimits{MaxInFlight: math.MaxInt})
 	id := fmt.Sprint("id", number)
 	return &Invocation{
-		Number:   number,
-		ID:       id,
-		Method:   "POST",
-		Target:   "/render/7f",
-		Body:     []byte(" body"),
-		Fields:   []http1.Field{{Name: "X-Call-Id", Value: id}},
-		Deadline: f.loop.Now() + 5*time.Second,
+		Number:       number,
+		ID:           id,
+		Method:       "POST",
+		Target:       "/render/7f",
+		Body:         []byte(" body"),
+		HeaderFields: []http1.Field{{Name: "X-Call-Id", Value: id}},
+		Deadline:     f.loop.Now() + 5*time.Second,
 	}
 }
 
--- a/internal/workers/healthcheck.go
+++ b/internal/workers/healthcheck.go
@@ -19,10 +19,10 @@
 		t.OnEvent(dispatch.HealthCheckResult{Worker: id, Result: conn.Refused.Result()})
 		return
 	}
-	t.Counts.Probes++
+	t.Counts.HealthChecks++
 	sentAt := t.loop.Now()
 	report := func(reason conn.CloseReason, load *dispatch.LoadReport) {
-		t.Counts.Answered[reason.String()]++
+		t.Counts.HealthChecksByReason[reason.String()]++
 		t.OnEvent(dispatch.HealthCheckResult{
 			Worker:  id,
 			Result:  reason.Result(),
--- a/internal/workers/invocation.go
+++ b/internal/workers/invocation.go
@@ -11,11 +11,11 @@
 type Invocation struct {
 	Number             dispatch.InvocationID
 	ID, Method, Target string
-	Fields             []http1.Field // header fields that are forwarded unchanged
+	HeaderFields       []http1.Field // header fields that are forwarded unchanged
 	Body               []byte
 	Deadline           time.Duration // when the client stops waiting, by the loop's clock
 	Effect             dispatch.Effect
-	Hint               float64 // expected work in seconds; 0: not given
+	ExpectedWork       float64 // expected work in seconds; 0: not given
 
 	attemptedOn []*worker // the workers to which it has been written, one entry per attempt
 }
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -17,7 +17,7 @@
 	idle        []*connection     // the most recently used one is the last
 }
 
-// stateNames are the keys of Counts.Changes.
+// stateNames are the keys of Counts.EndpointChanges.
 var stateNames = map[dispatch.EndpointState]string{
 	dispatch.Gone:     "gone",
 	dispatch.Ready:    "ready",
@@ -67,11 +67,11 @@
 // endpoint list.
 func (t *Transport) countChange(before, now dispatch.Endpoint) {
 	if before.State != now.State {
-		t.Counts.Changes[stateNames[before.State]+" to "+stateNames[now.State]]++
+		t.Counts.EndpointChanges[stateNames[before.State]+" to "+stateNames[now.State]]++
 		return
 	}
 	if before.Incarnation != now.Incarnation {
-		t.Counts.Changes["restarted"]++
+		t.Counts.EndpointChanges["restarted"]++
 	}
 }
 
@@ -83,18 +83,18 @@
 	}
 }
 
-// UID returns the identifier of a worker that all schedulers share, or an empty string if the
+// WorkerUID returns the identifier of a worker that all schedulers share, or an empty string if the
 // worker is not known.
-func (t *Transport) UID(id dispatch.WorkerID) string {
+func (t *Transport) WorkerUID(id dispatch.WorkerID) string {
 	if w := t.workersByID[id]; w != nil {
 		return w.uid
 	}
 	return ""
 }
 
-// ID returns the identifier that this process uses for a worker, or false if the worker is not
+// WorkerID returns the identifier that this process uses for a worker, or false if the worker is not
 // known.
-func (t *Transport) ID(uid string) (dispatch.WorkerID, bool) {
+func (t *Transport) WorkerID(uid string) (dispatch.WorkerID, bool) {
 	if w := t.workersByUID[uid]; w != nil {
 		return w.endpoint.Worker, true
 	}
--- a/internal/workers/sendcheck.go
+++ b/internal/workers/sendcheck.go
@@ -5,7 +5,7 @@
 	"stoatweir/internal/invariant"
 )
 
-// Causes for which the check before the first byte stops an attempt: the keys of Counts.Stopped.
+// Causes for which the check before the first byte stops an attempt: the keys of Counts.StoppedAttempts.
 const (
 	stoppedWorker    = "worker"    // the worker is draining or gone, or has restarted or moved since it was chosen
 	stoppedClient    = "client"    // the client has left or has its answer
@@ -45,6 +45,6 @@
 	if !known {
 		outcome = stopOutcome{counter: stoppedViolation, reason: conn.NotSent}
 	}
-	t.Counts.Stopped[outcome.counter]++
+	t.Counts.StoppedAttempts[outcome.counter]++
 	return outcome.reason
 }
--- a/internal/workers/sendcheck_test.go
+++ b/internal/workers/sendcheck_test.go
@@ -29,7 +29,7 @@
 func (t taskFunc) Run() { t() }
 
 // sendBounds are the bounds that may pass before a request is written. setBound sets one and
-// returns the notAfter of Forward; stopCounter is the key of Counts.Stopped when it has passed.
+// returns the notAfter of Forward; stopCounter is the key of Counts.StoppedAttempts when it has passed.
 var sendBounds = []struct {
 	name        string
 	setBound    func(f *fixture, inv *Invocation) time.Duration
@@ -72,8 +72,8 @@
 				f.Transport.Forward(inv, 1, f.id, until)
 			}))
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
-			if outcomes[0].Result != dispatch.NotSent || f.Counts.Stopped[b.stopCounter] != 1 || len(f.requests) > 0 {
-				t.Errorf("want a stop before the send, got %+v, stopped: %v, requests: %d", outcomes[0], f.Counts.Stopped, len(f.requests))
+			if outcomes[0].Result != dispatch.NotSent || f.Counts.StoppedAttempts[b.stopCounter] != 1 || len(f.requests) > 0 {
+				t.Errorf("want a stop before the send, got %+v, stopped: %v, requests: %d", outcomes[0], f.Counts.StoppedAttempts, len(f.requests))
 			}
 			f.Forward(f.newInvocation(3), 0, f.id)
 			f.runUntilTrue("the next request", func() bool { return len(f.requests) > 0 })
--- a/internal/workers/transport.go
+++ b/internal/workers/transport.go
@@ -41,16 +41,16 @@
 
 // Counts are totals of what was sent and how it ended.
 type Counts struct {
-	Sent             int            `json:"Sent"`     // attempts
-	Probes           int            `json:"Probes"`   // health checks
-	Cancels          int            `json:"Cancels"`  // cancels of accepted attempts
-	Callbacks        int            `json:"News"`     // callbacks received
-	UnknownCallbacks int            `json:"Strange"`  // callbacks of unknown attempts or states
-	Dialled          int            `json:"Dialled"`  // connections dialled
-	Ended            map[string]int `json:"Ended"`    // attempts, by close reason
-	Answered         map[string]int `json:"Answered"` // health checks, by close reason
-	Changes          map[string]int `json:"Changes"`  // workers that changed in the endpoint list, by change, such as "ready to draining"
-	Stopped          map[string]int `json:"Stopped"`  // attempts that the check before the first byte stopped, by cause
+	Sent                 int            `json:"Sent"`     // attempts
+	HealthChecks         int            `json:"Probes"`   // health checks
+	Cancels              int            `json:"Cancels"`  // cancels of accepted attempts
+	Callbacks            int            `json:"News"`     // callbacks received
+	UnknownCallbacks     int            `json:"Strange"`  // callbacks of unknown attempts or states
+	Dialled              int            `json:"Dialled"`  // connections dialled
+	AttemptsByReason     map[string]int `json:"Ended"`    // attempts, by close reason
+	HealthChecksByReason map[string]int `json:"Answered"` // health checks, by close reason
+	EndpointChanges      map[string]int `json:"Changes"`  // workers that changed in the endpoint list, by change, such as "ready to draining"
+	StoppedAttempts      map[string]int `json:"Stopped"`  // attempts that the check before the first byte stopped, by cause
 }
 
 // NewTransport returns a transport without any workers. Its connections count against quota.
@@ -58,10 +58,10 @@
 	t := &Transport{
 		Invariants: invariant.New(loop.Clock),
 		Counts: Counts{
-			Ended:    map[string]int{},
-			Answered: map[string]int{},
-			Changes:  map[string]int{},
-			Stopped:  map[string]int{},
+			AttemptsByReason:     map[string]int{},
+			HealthChecksByReason: map[string]int{},
+			EndpointChanges:      map[string]int{},
+			StoppedAttempts:      map[string]int{},
 		},
 		loop:               loop,
 		deployment:         deployment,
