--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -138,7 +138,7 @@
 		configured:      process.Deployment,
 		clients:         clients.New(loop, process.Deployment, clientQuota, ledger),
 		workers:         workers.NewTransport(loop, process.Deployment, workerQuota),
-		endpoints:       discovery.New(loop, process.Discovery, process.Deployment.Zones, process.Deployment.Kinds, start),
+		endpoints:       discovery.NewWatcher(loop, process.Discovery, process.Deployment.Zones, process.Deployment.Kinds, start),
 		clientQuota:     clientQuota,
 		workerQuota:     workerQuota,
 		seed:            process.Seed,
--- a/internal/discovery/parse_bench_test.go
+++ b/internal/discovery/parse_bench_test.go
@@ -32,7 +32,7 @@
 
 // newWatcherWith returns a watcher that has parsed a list of n workers.
 func newWatcherWith(b *testing.B, n int) *Watcher {
-	w := New(conn.NewLoop(time.Now()), "127.0.0.1:1", nil, nil, time.Now())
+	w := NewWatcher(conn.NewLoop(time.Now()), "127.0.0.1:1", nil, nil, time.Now())
 	if _, err := w.Parse(listJSON(1, 0, n, true, "Ready")); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -19,7 +19,7 @@
 
 func newSteppedClockWatcher(t *testing.T) *steppedClockWatcher {
 	start := time.Now()
-	s := &steppedClockWatcher{t: t, Watcher: New(conn.NewLoop(start), "127.0.0.1:1", nil, nil, start)}
+	s := &steppedClockWatcher{t: t, Watcher: NewWatcher(conn.NewLoop(start), "127.0.0.1:1", nil, nil, start)}
 	s.WallClock = func() time.Time { return time.Now().Add(s.step) }
 	s.parseReport(true, 0)
 	return s
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -59,9 +59,9 @@
 	candidateTimer    *conn.Timer
 }
 
-// New returns a watcher that has sent no request yet. zones and kinds are the configured names in
+// NewWatcher returns a watcher that has sent no request yet. zones and kinds are the configured names in
 // the order of their indices; start is the time at which the loop's clock was zero.
-func New(loop *conn.Loop, addr string, zones, kinds []string, start time.Time) *Watcher {
+func NewWatcher(loop *conn.Loop, addr string, zones, kinds []string, start time.Time) *Watcher {
 	w := &Watcher{
 		WallClock: time.Now,
 		loop:      loop,
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,7 +15,7 @@
 func newTestWatcher(addr string) (*conn.Loop, *Watcher) {
 	start := time.Now()
 	loop := conn.NewLoop(start)
-	w := New(loop, addr, []string{"site-a", "site-b"}, []string{"fast"}, start)
+	w := NewWatcher(loop, addr, []string{"site-a", "site-b"}, []string{"fast"}, start)
 	w.OnUpdate = func(l Update) { printUpdate(l) }
 	w.OnFailure = func(why string) { fmt.Println("failed:", why) }
 	return loop, w
--- a/internal/lab/scale/list_test.go
+++ b/internal/lab/scale/list_test.go
@@ -42,7 +42,7 @@
 	}
 	allocations = testing.AllocsPerRun(1, func() {
 		loop := conn.NewLoop(time.Now())
-		watcher := discovery.New(loop, "127.0.0.1:1", deployment.Zones, deployment.Kinds, time.Now())
+		watcher := discovery.NewWatcher(loop, "127.0.0.1:1", deployment.Zones, deployment.Kinds, time.Now())
 		transport := workers.NewTransport(loop, deployment, loop.NewQuota(100))
 		dispatcher := dispatch.New(deployment.Dispatch, 1)
 		update, err := watcher.Parse(text)
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -77,7 +77,7 @@
 		Loop:        loop,
 		Clients:     server,
 		Workers:     workers.NewTransport(loop, process.Deployment, loop.NewQuota(100)),
-		Endpoints:   discovery.New(loop, process.Discovery, process.Deployment.Zones, process.Deployment.Kinds, start),
+		Endpoints:   discovery.NewWatcher(loop, process.Discovery, process.Deployment.Zones, process.Deployment.Kinds, start),
 		Service:     service,
 		Log:         logrus.NewEntry(log),
 		ProcessName: "n0",
