--- a/cmd/stoatweir/admin.go
+++ b/cmd/stoatweir/admin.go
@@ -35,10 +35,10 @@
 		"status": s.adminStatus,
 		"stats":  s.adminStats,
 		"standby": func() (string, error) {
-			return s.adminTransition("standby", func() bool { return s.lifecycle.Standby(s.loop.Now()) })
+			return s.adminTransition("standby", func() bool { return s.lifecycle.Drain(s.loop.Now()) })
 		},
 		"active": func() (string, error) {
-			return s.adminTransition("active", func() bool { return s.lifecycle.Active(s.loop.Now()) })
+			return s.adminTransition("active", func() bool { return s.lifecycle.Activate(s.loop.Now()) })
 		},
 	}
 }
--- a/cmd/stoatweir/lifecycle.go
+++ b/cmd/stoatweir/lifecycle.go
@@ -108,5 +108,5 @@
 	})
 }
 
-// Migrates implements takeover.Lifecycle.
-func (s *service) Migrates() bool { return s.lifecycle.Behavior(s.loop.Now()).Migrates }
+// ShouldMigrate implements takeover.Lifecycle.
+func (s *service) ShouldMigrate() bool { return s.lifecycle.Behavior(s.loop.Now()).Migrates }
--- a/internal/lifecycle/transitions.go
+++ b/internal/lifecycle/transitions.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// Standby carries out an operator's order to drain. It returns false if the process is shutting down, which
+// Drain carries out an operator's order to drain. It returns false if the process is shutting down, which
 // the order does not change.
-func (l *Lifecycle) Standby(now time.Duration) bool {
+func (l *Lifecycle) Drain(now time.Duration) bool {
 	if l.state >= HandingOver {
 		return false
 	}
@@ -43,9 +43,9 @@
 	return true
 }
 
-// Active carries out an operator's order to serve again, also during a drain. It returns false if the
+// Activate carries out an operator's order to serve again, also during a drain. It returns false if the
 // process is shutting down, which the order does not change.
-func (l *Lifecycle) Active(now time.Duration) bool {
+func (l *Lifecycle) Activate(now time.Duration) bool {
 	switch {
 	case l.state >= HandingOver:
 		return false
--- a/internal/lifecycle/transitions_test.go
+++ b/internal/lifecycle/transitions_test.go
@@ -45,14 +45,14 @@
 
 // An order to drain makes the process stop admitting requests step by step; a second order does not restart
 // the drain. The order to serve again makes the process ready immediately.
-func ExampleLifecycle_Standby() {
+func ExampleLifecycle_Drain() {
 	var l Lifecycle
 	trace(&l, 0)
 	l.EndpointsKnown(time.Second)
 	trace(&l, time.Second)
-	fmt.Println(l.Standby(10*time.Second), l.Standby(11*time.Second))
+	fmt.Println(l.Drain(10*time.Second), l.Drain(11*time.Second))
 	trace(&l, 10*time.Second)
-	fmt.Println(l.Active(11 * time.Second))
+	fmt.Println(l.Activate(11 * time.Second))
 	trace(&l, 11*time.Second)
 	// Output:
 	// 0s starting: accepts, admits
@@ -68,15 +68,15 @@
 
 // A process that is drained before it has an endpoint list stays drained when the list arrives. If it is
 // activated before that, its state is starting again.
-func ExampleLifecycle_Active() {
+func ExampleLifecycle_Activate() {
 	var l Lifecycle
-	l.Standby(0)
-	l.Active(1)
+	l.Drain(0)
+	l.Activate(1)
 	fmt.Println(l.State())
-	l.Standby(2)
+	l.Drain(2)
 	l.EndpointsKnown(3)
 	fmt.Println(l.State())
-	l.Active(4)
+	l.Activate(4)
 	fmt.Println(l.State())
 	// Output:
 	// starting
@@ -91,13 +91,13 @@
 	l.EndpointsKnown(0)
 	l.Stop(2*time.Second, 25*time.Second)
 	l.Stop(3*time.Second, 25*time.Second)
-	fmt.Println(l.Standby(4*time.Second), l.Active(4*time.Second))
+	fmt.Println(l.Drain(4*time.Second), l.Activate(4*time.Second))
 	trace(&l, 2*time.Second)
 	// During a drain, connections are closed earlier, as the load balancer has already directed clients to
 	// other schedulers.
 	l = Lifecycle{}
 	l.EndpointsKnown(0)
-	l.Standby(time.Second)
+	l.Drain(time.Second)
 	l.Stop(1500*time.Millisecond, time.Second)
 	trace(&l, 1500*time.Millisecond)
 	// With a successor, connections are closed earlier, as clients can reconnect to it immediately.
@@ -146,7 +146,7 @@
 		trace(&l, time.Second)
 	}
 	var l Lifecycle
-	l.Standby(time.Second)
+	l.Drain(time.Second)
 	l.Stop(time.Second, 300*time.Millisecond)
 	trace(&l, time.Second)
 	// Output:
--- a/internal/takeover/migration.go
+++ b/internal/takeover/migration.go
@@ -132,7 +132,7 @@
 		m.restoreRequest(pending)
 		pending.Returned()
 	}
-	if m.service.Migrates() && len(p.migrations) < migrationRefillThreshold {
+	if m.service.ShouldMigrate() && len(p.migrations) < migrationRefillThreshold {
 		m.MigrateConnections()
 	}
 }
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -51,7 +51,7 @@
 func (f *fakeService) EndpointsKnown()             {}
 func (f *fakeService) SuccessorServing()           {}
 func (f *fakeService) SuccessorExited()            {}
-func (f *fakeService) Migrates() bool              { return false }
+func (f *fakeService) ShouldMigrate() bool         { return false }
 func (f *fakeService) SetQuotas(int, int)          {}
 
 // newTestManager returns a Manager, with its fake service, of a process that admits requests of one
--- a/internal/takeover/service.go
+++ b/internal/takeover/service.go
@@ -62,8 +62,8 @@
 	// SuccessorExited records that the successor has exited or was given up, whether or not it had
 	// reported that it is ready.
 	SuccessorExited()
-	// Migrates reports whether connections are to migrate to the successor now.
-	Migrates() bool
+	// ShouldMigrate reports whether connections are to migrate to the successor now.
+	ShouldMigrate() bool
 	// SetQuotas sets the number of descriptors and the MiB of memory that this process may use.
 	SetQuotas(sockets, memoryMB int)
 }
