--- a/cmd/stoatweir/gossip_test.go
+++ b/cmd/stoatweir/gossip_test.go
@@ -51,7 +51,7 @@
 	}
 	d := dispatch.New(dispatch.Config{
 		Schedulers:      gossipSchedulers,
-		Index:           1,
+		SchedulerIndex:  1,
 		EndpointsPushed: true,
 		Operations:      []dispatch.Operation{{LatencyObjective: time.Second, WorkerKind: dispatch.AnyKind}},
 		Limits:          dispatch.Limits{HealthChecks: true, Gossip: true, MaxAttempts: 1, MaxInFlight: 1},
--- a/cmd/stoatweir/limits.go
+++ b/cmd/stoatweir/limits.go
@@ -61,5 +61,5 @@
 // sockets.
 func applySocketRules(d *dispatch.Config) {
 	d.Rules.PollWithin = min(d.Rules.PollWithin, maxPollInterval)
-	d.NotifiesAccepted = true
+	d.WorkersReportAccepted = true
 }
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -216,6 +216,6 @@
 		return
 	}
 	onError := func(err error) { s.log.WithError(err).Warn("gossip address unavailable, retrying") }
-	s.gossip = gossip.Open(s.loop, s.process.Peers, s.deployment.Dispatch.Index, start, onError)
+	s.gossip = gossip.Open(s.loop, s.process.Peers, s.deployment.Dispatch.SchedulerIndex, start, onError)
 	s.gossip.OnReceive = func(received dispatch.GossipReceived) { s.Notify(received) }
 }
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -121,8 +121,8 @@
 		invariant.RetriedAfterPossibleRun,
 		invariant.RetriedOutsideScope, invariant.RetriedOutsideWindow, invariant.AnsweredTwice, invariant.AnsweredLate, invariant.RejectedAfterPossibleRun,
 		invariant.ClosedUnanswered,
-		invariant.StartInFuture, dispatch.ReasonTimeout, dispatch.ReasonTooLate, dispatch.ReasonAttempts, dispatch.ReasonUnfit,
-		dispatch.ReasonUnproven, dispatch.ReasonWindow, lifecycle.Starting, lifecycle.Ready, lifecycle.Standby,
+		invariant.StartInFuture, dispatch.ReasonTimeout, dispatch.ReasonTooLate, dispatch.ReasonAttempts, dispatch.ReasonBadRequest,
+		dispatch.ReasonMayHaveRun, dispatch.ReasonWindow, lifecycle.Starting, lifecycle.Ready, lifecycle.Standby,
 		lifecycle.HandingOver, lifecycle.Stopping}
 	var text []byte
 	for _, key := range keys {
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -38,21 +38,21 @@
 
 // Config is a deployment's configuration. Work is measured in seconds on a standard core.
 type Config struct {
-	Schedulers           int // total number, including this one
-	Index                int // this scheduler's number, from 0 to Schedulers-1, or UnknownIndex
-	Zone                 int // the zone that this scheduler runs in
-	Operations           []Operation
-	Tenants              []Tenant
-	ExcessValue          float64       // weight of a tenant's work beyond its quota, as a fraction of the normal weight
-	EndpointsPushed      bool          // endpoint updates are pushed; otherwise the list is polled
-	NotifiesStart        bool          // workers report that an attempt has started
-	NotifiesAccepted     bool          // workers report that they have accepted an attempt
-	ProgressInterval     time.Duration // interval of workers' progress reports; 0: workers send none
-	Limits               Limits
-	Rules                Rules
-	WorstOperationWeight float64 // weight of the worst served operation, as a fraction of the total
-	HealthCheckCost      float64 // points of the overall score that one health check per invocation costs
-	GossipCost           float64 // points of the overall score that MaxGossipBytes of gossip per invocation cost
+	Schedulers            int // total number, including this one
+	SchedulerIndex        int // this scheduler's number, from 0 to Schedulers-1, or UnknownIndex
+	Zone                  int // the zone that this scheduler runs in
+	Operations            []Operation
+	Tenants               []Tenant
+	ExcessWeight          float64       // weight of a tenant's work beyond its quota, as a fraction of the normal weight
+	EndpointsPushed       bool          // endpoint updates are pushed; otherwise the list is polled
+	WorkersReportStart    bool          // workers report that an attempt has started
+	WorkersReportAccepted bool          // workers report that they have accepted an attempt
+	ProgressInterval      time.Duration // interval of workers' progress reports; 0: workers send none
+	Limits                Limits
+	Rules                 Rules
+	WorstOperationWeight  float64 // weight of the worst served operation, as a fraction of the total
+	HealthCheckCost       float64 // points of the overall score that one health check per invocation costs
+	GossipCost            float64 // points of the overall score that MaxGossipBytes of gossip per invocation cost
 }
 
 // Operation is one kind of invocation.
@@ -85,10 +85,10 @@
 
 // Rules holds the parameters of the rules that every scheduler follows.
 type Rules struct {
-	PollWithin        time.Duration // the endpoint list must be polled within this time
-	DrainGrace        time.Duration // how long a draining or gone worker may still be sent to; 0: not configured
-	SlowStartFrom     float64       // fraction of its full capacity that a worker has when it starts
-	SlowStartDuration time.Duration // from a worker's start until it reaches its full capacity
-	OverloadFactor    float64       // a worker in slow start is overloaded beyond this multiple of its capacity
-	OverloadWindow    time.Duration // period over which the load is summed to detect an overload
+	PollWithin           time.Duration // the endpoint list must be polled within this time
+	DrainGrace           time.Duration // how long a draining or gone worker may still be sent to; 0: not configured
+	InitialCapacityShare float64       // fraction of its full capacity that a worker has when it starts
+	SlowStartDuration    time.Duration // from a worker's start until it reaches its full capacity
+	OverloadFactor       float64       // a worker in slow start is overloaded beyond this multiple of its capacity
+	OverloadWindow       time.Duration // period over which the load is summed to detect an overload
 }
--- a/dispatch/gossip_test.go
+++ b/dispatch/gossip_test.go
@@ -12,7 +12,7 @@
 func gossipConfig(schedulers, index int) Config {
 	config := testConfig()
 	config.Schedulers = schedulers
-	config.Index = index
+	config.SchedulerIndex = index
 	config.Limits.Gossip = true
 	return config
 }
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -216,11 +216,11 @@
 			MaxRetryAfter: 2 * time.Second,
 		},
 		Rules: Rules{
-			PollWithin:        10 * time.Second,
-			SlowStartFrom:     0.1,
-			SlowStartDuration: 20 * time.Second,
-			OverloadFactor:    2,
-			OverloadWindow:    time.Second,
+			PollWithin:           10 * time.Second,
+			InitialCapacityShare: 0.1,
+			SlowStartDuration:    20 * time.Second,
+			OverloadFactor:       2,
+			OverloadWindow:       time.Second,
 		},
 	}
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -76,7 +76,7 @@
 	config.Operations[0].LateWeight = 0.5
 	config.Operations[1].PriorityWeight = 1
 	config.Tenants = []Tenant{{QuotaPerSecond: 5}, {QuotaPerSecond: 100}}
-	config.ExcessValue = 0.05
+	config.ExcessWeight = 0.05
 	config.WorstOperationWeight = 1
 	order := func(title string, arrivals ...Arrival) *harness {
 		h := newHarness(config, readyEndpoint('a', 0))
--- a/dispatch/random_history_test.go
+++ b/dispatch/random_history_test.go
@@ -254,8 +254,8 @@
 	counts := map[string]int{}
 	for seed := range int64(60) {
 		config := testConfig()
-		config.NotifiesAccepted = seed%2 == 0
-		config.NotifiesStart = seed%3 == 0
+		config.WorkersReportAccepted = seed%2 == 0
+		config.WorkersReportStart = seed%3 == 0
 		for _, scope := range []DedupScope{ScopeAll, ScopeCell} {
 			operation := config.Operations[1]
 			operation.DedupScope = scope
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -46,21 +46,21 @@
 	config := &newer.Config
 	d.healthChecks = config.Limits.HealthChecks
 	d.progressInterval = config.ProgressInterval
-	d.notifiesAccepted = config.NotifiesAccepted
-	d.notifiesStart = config.NotifiesStart
+	d.notifiesAccepted = config.WorkersReportAccepted
+	d.notifiesStart = config.WorkersReportStart
 	d.overloadWindow = config.Rules.OverloadWindow
-	d.initialCapacityShare = config.Rules.SlowStartFrom
+	d.initialCapacityShare = config.Rules.InitialCapacityShare
 	d.slowStartDuration = config.Rules.SlowStartDuration
 	d.pollsEndpoints = !config.EndpointsPushed
 	d.pollWithin = config.Rules.PollWithin
-	if config.Index >= 0 || newer.PreviousOperations == nil {
-		d.schedulerIndex = config.Index
+	if config.SchedulerIndex >= 0 || newer.PreviousOperations == nil {
+		d.schedulerIndex = config.SchedulerIndex
 	}
 	// If more schedulers run than are configured, those with higher numbers do not use workers in
 	// slow start. If the count is not configured, each scheduler assumes that there are only those
 	// with lower numbers besides itself.
-	d.schedulers = float64(cmp.Or(max(0, config.Schedulers), max(1, config.Index+1)))
-	d.gossipEnabled = config.Limits.Gossip && d.schedulers > 1 && config.Index >= 0
+	d.schedulers = float64(cmp.Or(max(0, config.Schedulers), max(1, config.SchedulerIndex+1)))
+	d.gossipEnabled = config.Limits.Gossip && d.schedulers > 1 && config.SchedulerIndex >= 0
 	d.scheduler.applyConfig(newer, d.schedulers)
 }
 
@@ -77,7 +77,7 @@
 	s.overloadBudget = config.Rules.OverloadFactor * config.Rules.OverloadWindow.Seconds()
 	s.operations = newer.operations(s.operations)
 	s.tenants = newer.tenants(s.tenants)
-	s.excessWeight = config.ExcessValue
+	s.excessWeight = config.ExcessWeight
 	s.worstOperation = noOperation
 	s.worstOperationWeight = config.WorstOperationWeight
 	s.queriesPerInvocation = 0
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -81,7 +81,7 @@
 	fmt.Println(s.maxAttempts, s.cancelAllowed, s.schedulers, h.dispatcher.schedulerIndex)
 	config.Limits.Cancel = false
 	config.Schedulers = 7
-	config.Index = UnknownIndex
+	config.SchedulerIndex = UnknownIndex
 	h.handleAt(50*ms, Reconfigured{Config: config, PreviousOperations: []int{0, 1, 2}})
 	fmt.Println(s.maxAttempts, s.cancelAllowed, s.schedulers, h.dispatcher.schedulerIndex)
 	// Output:
@@ -96,7 +96,7 @@
 func Example_reconfiguredTenants() {
 	config := testConfig()
 	config.Tenants = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 1000}}
-	config.ExcessValue = 0.1
+	config.ExcessWeight = 0.1
 	h := newHarness(config, readyEndpoint('a', 0))
 	h.collects = true
 	h.handleAt(h.now+10*ms, freeSlotsResult('a', 0))
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -44,12 +44,12 @@
 
 // The reasons for giving up an invocation.
 const (
-	ReasonTimeout  Reason = "the client timeout is near or past"
-	ReasonTooLate  Reason = "an answer would be late and earn nothing"
-	ReasonAttempts Reason = "no further attempt is allowed"
-	ReasonUnfit    Reason = "workers would not have it"
-	ReasonUnproven Reason = "an attempt may have run"
-	ReasonWindow   Reason = "the window for repeats has passed"
+	ReasonTimeout    Reason = "the client timeout is near or past"
+	ReasonTooLate    Reason = "an answer would be late and earn nothing"
+	ReasonAttempts   Reason = "no further attempt is allowed"
+	ReasonBadRequest Reason = "workers would not have it"
+	ReasonMayHaveRun Reason = "an attempt may have run"
+	ReasonWindow     Reason = "the window for repeats has passed"
 )
 
 // RejectionReason returns why the last call of Handle gave up an invocation, or an empty Reason if it
@@ -63,9 +63,9 @@
 	_, first := v.inFlight()
 	switch {
 	case v.badRequests >= maxBadRequests:
-		return ReasonUnfit
+		return ReasonBadRequest
 	case first != nil && operation.effect == NonIdempotent:
-		return ReasonUnproven
+		return ReasonMayHaveRun
 	case first != nil && operation.effect == Deduplicated && s.now >= first.sentAt+operation.dedupWindow:
 		return ReasonWindow
 	case len(v.attempts) >= s.maxAttempts:
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -110,7 +110,7 @@
 // others. It is retried.
 func Example_lostAttempt() {
 	config := testConfig()
-	config.NotifiesStart = true
+	config.WorkersReportStart = true
 	config.ProgressInterval = time.Second
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 1))
 	h.handleAt(10*ms, freeSlotsResult('a', 3), freeSlotsResult('b', 1), arrival(1, 0, 2), arrival(2, 0, 2))
@@ -131,7 +131,7 @@
 // invocations are sent.
 func Example_lostAttemptFreesItsSlot() {
 	config := testConfig()
-	config.NotifiesStart = true
+	config.WorkersReportStart = true
 	config.ProgressInterval = time.Second
 	config.Limits.MaxInFlight = 1
 	h := newHarness(config, readyEndpoint('a', 0))
@@ -157,8 +157,8 @@
 // invocation is still waited for. An accepted attempt is queued at its worker.
 func Example_attemptNotAccepted() {
 	config := testConfig()
-	config.NotifiesAccepted = true
-	config.NotifiesStart = true
+	config.WorkersReportAccepted = true
+	config.WorkersReportStart = true
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.collects = true
 	h.handleAt(10*ms, freeSlotsResult('a', 8), freeSlotsResult('b', 8))
--- a/dispatch/scheduling_benchmark_test.go
+++ b/dispatch/scheduling_benchmark_test.go
@@ -17,8 +17,8 @@
 func newLoadedSimulationWithShare(workers int, share float64) *simulation {
 	config := testConfig()
 	config.Schedulers = 15
-	config.Index = 3
-	config.NotifiesStart = true
+	config.SchedulerIndex = 3
+	config.WorkersReportStart = true
 	config.ProgressInterval = 0
 	config.Operations = config.Operations[:1]
 	config.Operations[0].LatencyObjective = 4 * time.Second
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -45,7 +45,7 @@
 // not start is stronger evidence than a report.
 func Example_agedLoadReports() {
 	config := testConfig()
-	config.NotifiesStart = true
+	config.WorkersReportStart = true
 	h := newHarness(config, readyEndpoint('a', 1), readyEndpoint('b', 0))
 	h.collects = true
 	h.deferHealthChecks = true
@@ -167,7 +167,7 @@
 // no longer valid.
 func Example_ownCountsWithoutReports() {
 	config := testConfig()
-	config.NotifiesStart = true
+	config.WorkersReportStart = true
 	h := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	h.handleAt(10*ms, arrival(1, 0, 2), arrival(2, 0, 2))
 	h.runUntil(100 * ms)
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -309,10 +309,10 @@
 			}
 		})
 	}
-	if s.config.NotifiesAccepted {
+	if s.config.WorkersReportAccepted {
 		report(ms, AttemptProgress{Accepted: true})
 	}
-	if s.config.NotifiesStart {
+	if s.config.WorkersReportStart {
 		report(wait, AttemptProgress{Started: true})
 	}
 	runTime := seconds(attempt.work)
@@ -547,11 +547,11 @@
 	rng := rand.New(rand.NewSource(seed))
 	config := testConfig()
 	config.Schedulers = []int{1, 2, 6, 20, 80}[rng.Intn(5)]
-	config.Index = rng.Intn(config.Schedulers)
+	config.SchedulerIndex = rng.Intn(config.Schedulers)
 	config.Zone = rng.Intn(simulatedZones)
 	config.EndpointsPushed = rng.Intn(2) == 0
-	config.NotifiesStart = rng.Intn(2) == 0
-	config.NotifiesAccepted = rng.Intn(3) == 0
+	config.WorkersReportStart = rng.Intn(2) == 0
+	config.WorkersReportAccepted = rng.Intn(3) == 0
 	config.ProgressInterval = []time.Duration{0, 200 * ms, 500 * ms}[rng.Intn(3)]
 	config.Limits.Gossip = rng.Intn(2) == 0
 	config.Limits.HealthChecks = rng.Intn(5) > 0
@@ -559,7 +559,7 @@
 	config.HealthCheckCost = 0.003 * rng.Float64()
 	config.GossipCost = 0.02 * rng.Float64()
 	config.Tenants = []Tenant{{QuotaPerSecond: 10}, {}, {QuotaPerSecond: 2}}
-	config.ExcessValue = 0.3
+	config.ExcessWeight = 0.3
 	config.WorstOperationWeight = 0.5 * rng.Float64()
 	cell := config.Operations[1]
 	cell.DedupScope = ScopeCell
--- a/dispatch/slowstart_simulation_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -112,13 +112,13 @@
 }
 
 // warmUpWeight returns the part of its capacity that a worker has at a time. It begins at the
-// configured SlowStartFrom.
+// configured InitialCapacityShare.
 func (s *slowStartSimulation) warmUpWeight(w *slowStartWorker, at time.Duration) float64 {
 	age := at - w.endpoint.StartedAt
 	if !w.endpoint.StartKnown || age >= s.config.Rules.SlowStartDuration {
 		return 1
 	}
-	from := s.config.Rules.SlowStartFrom
+	from := s.config.Rules.InitialCapacityShare
 	return from + (1-from)*max(0, age.Seconds()/s.config.Rules.SlowStartDuration.Seconds())
 }
 
@@ -142,7 +142,7 @@
 			s.cores = hardCase.cores
 			s.meanWork = hardCase.mean
 		}
-		s.config.Rules.SlowStartFrom = 0.13
+		s.config.Rules.InitialCapacityShare = 0.13
 		s.config.Rules.OverloadFactor = 2.5
 		s.config.Rules.OverloadWindow = time.Second
 	}
@@ -174,7 +174,7 @@
 		s.meanWork = choose(0.1, 0.15)
 	}
 	rules := &s.config.Rules
-	rules.SlowStartFrom = choose(0.13, 0.3)
+	rules.InitialCapacityShare = choose(0.13, 0.3)
 	rules.OverloadWindow = seconds(choose(1, 1.5, 3))
 	rules.OverloadFactor = choose(2.5, 4)
 	rules.SlowStartDuration = seconds(choose(9, 23))
@@ -213,10 +213,10 @@
 func (s *slowStartSimulation) startScheduler(number int) {
 	scheduler := s.schedulers[number]
 	config := s.config
-	config.Index = number
+	config.SchedulerIndex = number
 	config.Zone = number % 3
 	if s.indexUnknown {
-		config.Index = UnknownIndex
+		config.SchedulerIndex = UnknownIndex
 	}
 	if s.halfCorrectCount && number%2 == 0 {
 		config.Schedulers = len(s.schedulers)
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -49,8 +49,8 @@
 			known[60].StartedAt = -time.Minute
 		}
 		checked := 0
-		for config.Index = range config.Schedulers {
-			d := New(config, int64(config.Index))
+		for config.SchedulerIndex = range config.Schedulers {
+			d := New(config, int64(config.SchedulerIndex))
 			actions := d.Handle(0, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: known}})
 			if slices.Contains(actions, Action(HealthCheck{Worker: starting.Worker})) {
 				checked++
@@ -70,7 +70,7 @@
 	config := testConfig()
 	for _, config.Schedulers = range []int{1000, 100, 10000} {
 		named := 0
-		for config.Index = range 1000 {
+		for config.SchedulerIndex = range 1000 {
 			if dispatcher := New(config, 1); dispatcher.lotteryRank(17) < minSharers {
 				named++
 			}
@@ -95,7 +95,7 @@
 		most := 0
 		work := 0.0
 		for index := range config.Schedulers {
-			config.Index = index
+			config.SchedulerIndex = index
 			h := newIdleHarness(config, int64(index))
 			h.collects = true
 			starting := readyEndpoint('a', 0)
@@ -140,7 +140,7 @@
 	for _, runTime := range []float64{0.01, 0.2, 3} {
 		config := testConfig()
 		config.Schedulers = 3
-		config.Index = 0
+		config.SchedulerIndex = 0
 		starting := readyEndpoint('a', 0)
 		starting.StartKnown = true
 		starting.Incarnation = 5
@@ -200,7 +200,7 @@
 	const meanRunTime = 0.2 // seconds
 	config := testConfig()
 	config.Schedulers = configured
-	for config.Index = range schedulers {
+	for config.SchedulerIndex = range schedulers {
 		dispatcher := New(config, 1)
 		sum += mostSentInSlowStart(&dispatcher.scheduler, dispatcher.lotteryRank(incarnation), requests, meanRunTime)
 	}
@@ -259,7 +259,7 @@
 	}}}
 	for index := range after {
 		config := testConfig()
-		config.Index = index
+		config.SchedulerIndex = index
 		config.Schedulers = after
 		if index < before {
 			config.Schedulers = before
--- a/internal/lab/virtual/decider.go
+++ b/internal/lab/virtual/decider.go
@@ -19,6 +19,6 @@
 	if err != nil {
 		return nil, err
 	}
-	deployment.Dispatch.NotifiesAccepted = true
+	deployment.Dispatch.WorkersReportAccepted = true
 	return dispatch.New(deployment.Dispatch, seed), nil
 }
--- a/internal/settings/deployment.go
+++ b/internal/settings/deployment.go
@@ -12,7 +12,7 @@
 	defaultConnectTimeoutSeconds = 1
 	defaultConnectionIdleSeconds = 60
 
-	noSchedulerIndex = -1 // dispatch.Config.Index of a scheduler without a configured index
+	noSchedulerIndex = -1 // dispatch.Config.SchedulerIndex of a scheduler without a configured index
 	anyWorkerKind    = -1 // dispatch.Operation.WorkerKind of an operation that every kind runs
 
 	maxAttemptsInFlight       = 1 // per invocation, without hedging
@@ -81,30 +81,30 @@
 // dispatchConfig returns the dispatcher's configuration, without operations and tenants.
 func (f *deploymentFile) dispatchConfig() dispatch.Config {
 	config := dispatch.Config{
-		Schedulers:       f.Schedulers,
-		Index:            noSchedulerIndex,
-		Zone:             f.Zone,
-		ExcessValue:      1,
-		EndpointsPushed:  f.Discovery == discoveryPushed,
-		NotifiesStart:    f.Family.NotifiesStart,
-		ProgressInterval: Duration(f.Family.ProgressInterval),
-		HealthCheckCost:  f.Prices.HealthCheck,
-		GossipCost:       f.Prices.Gossip,
-		Limits:           f.Limits.dispatchLimits(),
+		Schedulers:         f.Schedulers,
+		SchedulerIndex:     noSchedulerIndex,
+		Zone:               f.Zone,
+		ExcessWeight:       1,
+		EndpointsPushed:    f.Discovery == discoveryPushed,
+		WorkersReportStart: f.Family.NotifiesStart,
+		ProgressInterval:   Duration(f.Family.ProgressInterval),
+		HealthCheckCost:    f.Prices.HealthCheck,
+		GossipCost:         f.Prices.Gossip,
+		Limits:             f.Limits.dispatchLimits(),
 		Rules: dispatch.Rules{
-			PollWithin:        Duration(f.Rules.PollWithin),
-			DrainGrace:        max(0, Duration(f.Rules.DrainGrace)),
-			SlowStartFrom:     f.Rules.SlowStartFrom,
-			SlowStartDuration: Duration(f.Rules.SlowStartDuration),
-			OverloadFactor:    f.Rules.OverloadFactor,
-			OverloadWindow:    Duration(f.Rules.OverloadWindow),
+			PollWithin:           Duration(f.Rules.PollWithin),
+			DrainGrace:           max(0, Duration(f.Rules.DrainGrace)),
+			InitialCapacityShare: f.Rules.SlowStartFrom,
+			SlowStartDuration:    Duration(f.Rules.SlowStartDuration),
+			OverloadFactor:       f.Rules.OverloadFactor,
+			OverloadWindow:       Duration(f.Rules.OverloadWindow),
 		},
 	}
 	if f.SchedulerIndex != nil {
-		config.Index = max(noSchedulerIndex, *f.SchedulerIndex)
+		config.SchedulerIndex = max(noSchedulerIndex, *f.SchedulerIndex)
 	}
 	if f.ExcessValue != nil {
-		config.ExcessValue = *f.ExcessValue
+		config.ExcessWeight = *f.ExcessValue
 	}
 	if f.ResultMix.Whole > 0 {
 		config.WorstOperationWeight = f.ResultMix.WorstOperation / f.ResultMix.Whole
--- a/internal/settings/deployment_test.go
+++ b/internal/settings/deployment_test.go
@@ -16,7 +16,7 @@
 func ExampleParseDeployment() {
 	d, err := ParseDeployment([]byte(deploymentText))
 	config := d.Dispatch
-	fmt.Println(d.Report.Meanings, err, config.EndpointsPushed, config.Zone, config.Schedulers, config.ExcessValue,
+	fmt.Println(d.Report.Meanings, err, config.EndpointsPushed, config.Zone, config.Schedulers, config.ExcessWeight,
 		config.Limits, config.Rules.PollWithin, config.Tenants)
 	for _, operation := range config.Operations {
 		fmt.Printf("%+v\n", operation)
--- a/internal/settings/gossip.go
+++ b/internal/settings/gossip.go
@@ -17,10 +17,10 @@
 		return nil
 	case !config.Limits.Gossip:
 		return fmt.Errorf("peers: names %d addresses, and settings.Limits.Peers does not allow messages", count)
-	case config.Index < 0:
+	case config.SchedulerIndex < 0:
 		return fmt.Errorf("settings: MyNumber: is not set, and peers wants to know which address is ours")
-	case config.Index >= count:
-		return fmt.Errorf("settings: MyNumber: is %d, and peers names %d addresses", config.Index, count)
+	case config.SchedulerIndex >= count:
+		return fmt.Errorf("settings: MyNumber: is %d, and peers names %d addresses", config.SchedulerIndex, count)
 	case config.Schedulers != count:
 		return fmt.Errorf("peers: names %d addresses, and settings.PeersTotal is %d", count, config.Schedulers)
 	}
--- a/internal/settings/tenantoperations.go
+++ b/internal/settings/tenantoperations.go
@@ -34,7 +34,7 @@
 	d.OperationIndex = maps.Clone(d.OperationIndex)
 	d.ClientTimeouts = slices.Clone(d.ClientTimeouts)
 	d.Dispatch.Operations = slices.Clone(d.Dispatch.Operations)
-	d.Dispatch.ExcessValue = excessValue
+	d.Dispatch.ExcessWeight = excessValue
 	for _, tenant := range hosted {
 		d.addTenantOperations(tenant)
 	}
--- a/internal/settings/tenantoperations_test.go
+++ b/internal/settings/tenantoperations_test.go
@@ -60,7 +60,7 @@
 	if hosted.ClientTimeouts[index] != Duration(3) {
 		t.Errorf("got client timeouts %v, want 3 s at index %d", hosted.ClientTimeouts, index)
 	}
-	if len(base.Operations) != 1 || len(base.OperationIndex) != 1 || len(base.Dispatch.Operations) != 1 || base.Dispatch.ExcessValue != 1 {
+	if len(base.Operations) != 1 || len(base.OperationIndex) != 1 || len(base.Dispatch.Operations) != 1 || base.Dispatch.ExcessWeight != 1 {
 		t.Error("WithTenants modified its receiver:", base)
 	}
 }
