--- a/cmd/baseline/main.go
+++ b/cmd/baseline/main.go
@@ -14,7 +14,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		logrus.Fatal("usage: baseline POLICY, where POLICY is one of ", baseline.Names)
+		logrus.Fatal("usage: baseline POLICY, where POLICY is one of ", baseline.PolicyNames)
 	}
 	policy := os.Args[1]
 	err := simwire.Serve(os.Stdin, os.Stdout, func(start simwire.InstanceStart) (simwire.Decider, error) {
--- a/cmd/stoatweir/faultinjection_soak.go
+++ b/cmd/stoatweir/faultinjection_soak.go
@@ -43,7 +43,7 @@
 // accepts, interrupted system calls on sockets, and steps of the wall clock. Without the
 // environment variable that names the fault file it does nothing.
 func installFaultInjection(s *service) {
-	path := os.Getenv(soak.ShimsVariable)
+	path := os.Getenv(soak.FaultsFileVariable)
 	if path == "" {
 		return
 	}
--- a/cmd/stoatweir/lab_command.go
+++ b/cmd/stoatweir/lab_command.go
@@ -53,7 +53,7 @@
 	}
 	m := model.New(config)
 	fmt.Fprintf(out, "%s: %s, %d schedulers, %d workers, %.1f invocations a second, %d troubles\n", file, config.Name,
-		config.Schedulers.Count, len(m.Fleet.Machines), m.Clients.Rate(0), len(config.Faults))
+		config.Schedulers.Count, len(m.Cluster.Machines), m.Clients.Rate(0), len(config.Faults))
 	return nil
 }
 
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if r.Broken() > 0 || r.Void != "" {
+	if r.ViolationCount() > 0 || r.Void != "" {
 		return errFindings
 	}
 	return nil
--- a/cmd/stoatweir/lab_compare_command.go
+++ b/cmd/stoatweir/lab_compare_command.go
@@ -131,7 +131,7 @@
 		return err
 	}
 	for _, r := range slices.Concat(result.A, result.B) {
-		if r.Broken() > 0 {
+		if r.ViolationCount() > 0 {
 			return errFindings
 		}
 	}
--- a/cmd/stoatweir/lab_play.go
+++ b/cmd/stoatweir/lab_play.go
@@ -122,7 +122,7 @@
 			return report.Report{}, err
 		}
 	}
-	r, err := loopback.Play(ctx, s, reader.source(), program)
+	r, err := loopback.Run(ctx, s, reader.source(), program)
 	r.Decider = deciderService
 	return reader.addCounts(r), err
 }
@@ -130,7 +130,7 @@
 // runVirtual runs a scenario in virtual time, with the dispatch module or an external program as
 // the decider.
 func (p *scenarioOptions) runVirtual(ctx context.Context, s scenario.Scenario, decider string) (r report.Report, err error) {
-	maker := virtual.Module
+	maker := virtual.NewModuleDecider
 	var simulation *virtual.Simulation
 	if decider != deciderModule {
 		program, runErr := virtual.StartProgram(decider)
@@ -140,7 +140,7 @@
 		// If the program exited during the run, it made no decisions after that and the report is
 		// meaningless: return its error.
 		defer func() { err = errors.Join(err, program.Err(), program.Close()) }()
-		maker = program.Maker(func() time.Duration { return simulation.Time() })
+		maker = program.DeciderFactory(func() time.Duration { return simulation.Time() })
 	}
 	simulation = virtual.New(s, maker)
 	reader, err := p.openTrace(s, simulation.Model.Clients)
@@ -153,11 +153,11 @@
 			fmt.Fprintf(os.Stderr, "%.3f s scheduler %d: %s\n", now.Seconds(), scheduler, text)
 		}
 	}
-	if err := simulation.Play(ctx, reader.source()); err != nil {
+	if err := simulation.Run(ctx, reader.source()); err != nil {
 		return r, err
 	}
-	r = report.Of(simulation.Model).Name(s.Name, modeVirtual, decider, s.Seed, s.Schedulers.Count,
-		len(simulation.Model.Fleet.Machines), s.Length.D())
+	r = report.FromModel(simulation.Model).WithRun(s.Name, modeVirtual, decider, s.Seed, s.Schedulers.Count,
+		len(simulation.Model.Cluster.Machines), s.Length.D())
 	r.Costs.Events = simulation.Steps
 	return reader.addCounts(r), nil
 }
--- a/cmd/stoatweir/lab_scale_command.go
+++ b/cmd/stoatweir/lab_scale_command.go
@@ -63,7 +63,7 @@
 	}
 	rig := scale.Rig{Scheduler: program, Hollow: []string{executable, "lab", "hollow"}}
 	for i, step := range steps {
-		measured, err := rig.Play(c.Context(), step)
+		measured, err := rig.Run(c.Context(), step)
 		if err != nil {
 			return err
 		}
@@ -113,7 +113,7 @@
 // scaleSteps returns the scenario of each step. It checks all of them against this machine, so that
 // an unsuitable one is reported before the first step starts any process.
 func scaleSteps(s scale.Scenario, file string, values []float64) ([]scale.Scenario, error) {
-	machine, err := scale.This()
+	machine, err := scale.LocalMachine()
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/stoatweir/scale_command_test.go
+++ b/cmd/stoatweir/scale_command_test.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		measured, err := rig.Play(context.Background(), step)
+		measured, err := rig.Run(context.Background(), step)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,7 +108,7 @@
 	}
 	runError := make(chan error, 1)
 	go func() {
-		_, err := rig.Play(context.Background(), s)
+		_, err := rig.Run(context.Background(), s)
 		runError <- err
 	}()
 	waitUntil(t, "all run", func() bool { return len(started()) == 4 })
--- a/internal/lab/baseline/policy.go
+++ b/internal/lab/baseline/policy.go
@@ -18,8 +18,8 @@
 	twoChoice = "two"    // of two random workers, the one with fewer attempts of this scheduler in flight
 )
 
-// Names lists the policies that New accepts.
-var Names = []string{random, leastLoad, twoChoice}
+// PolicyNames lists the policies that New accepts.
+var PolicyNames = []string{random, leastLoad, twoChoice}
 
 const (
 	// deadlineMargin is how long before the client timeout an unfinished request gets its final
@@ -62,10 +62,10 @@
 	answered   bool
 }
 
-// New returns a new Policy. It returns an error if name is not one of Names.
+// New returns a new Policy. It returns an error if name is not one of PolicyNames.
 func New(name string, config dispatch.Config, seed uint64) (*Policy, error) {
-	if !slices.Contains(Names, name) {
-		return nil, fmt.Errorf("unknown policy %q: must be one of %v", name, Names)
+	if !slices.Contains(PolicyNames, name) {
+		return nil, fmt.Errorf("unknown policy %q: must be one of %v", name, PolicyNames)
 	}
 	return &Policy{
 		name:      name,
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -32,7 +32,7 @@
 	r := newRunner(s, source, addr)
 	err := r.sendAll(ctx)
 	r.inFlight.Wait()
-	result := report.Of(r.model).Name(s.Name, "load", addr, s.Seed, 1, 0, s.Length.D())
+	result := report.FromModel(r.model).WithRun(s.Name, "load", addr, s.Seed, 1, 0, s.Length.D())
 	lateness, void := r.audit.Result(s)
 	result.Lateness = &lateness
 	result.Void = void
--- a/internal/lab/loopback/callbacks.go
+++ b/internal/lab/loopback/callbacks.go
@@ -58,7 +58,7 @@
 	if sent == nil {
 		return
 	}
-	c, cause := callbackOf(event, share, sent.wireID, r.model.Fleet.Machines[a.Machine].UID)
+	c, cause := callbackOf(event, share, sent.wireID, r.model.Cluster.Machines[a.Machine].UID)
 	if event == model.Completed {
 		sent.results[c.Result] = true
 	}
--- a/internal/lab/loopback/list_server.go
+++ b/internal/lab/loopback/list_server.go
@@ -191,7 +191,7 @@
 }
 
 func (r *run) endpointOf(e model.Endpoint) endpoint {
-	m := r.model.Fleet.Machines[e.Machine]
+	m := r.model.Cluster.Machines[e.Machine]
 	var bootMS int64
 	if e.StartedAt >= 0 {
 		bootMS = r.epoch + e.StartedAt.Milliseconds()
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -22,10 +22,10 @@
 	maxLength     = 10 * time.Minute
 )
 
-// Play runs a scenario against processes of a program. The clients' requests come from source, or from
-// the model if it is nil. All that Play starts has ended when it returns. It returns an error if the run
+// Run runs a scenario against processes of a program. The clients' requests come from source, or from
+// the model if it is nil. All that Run starts has ended when it returns. It returns an error if the run
 // could not be completed; violated rules are in the report.
-func Play(ctx context.Context, s scenario.Scenario, source model.Source, program string) (report.Report, error) {
+func Run(ctx context.Context, s scenario.Scenario, source model.Source, program string) (report.Report, error) {
 	workers := workerCount(s)
 	if s.Schedulers.Count > maxSchedulers || workers > maxWorkers || s.Length.D() > maxLength {
 		return report.Report{}, fmt.Errorf("%d schedulers, %d workers and a length of %v: at most %d, %d and %v are allowed on one machine",
@@ -49,7 +49,7 @@
 	if err := r.loop(); err != nil {
 		return report.Report{}, err
 	}
-	result := report.Of(r.model).Name(s.Name, "loopback", program, s.Seed, s.Schedulers.Count, workers, s.Length.D())
+	result := report.FromModel(r.model).WithRun(s.Name, "loopback", program, s.Seed, s.Schedulers.Count, workers, s.Length.D())
 	lateness, void := r.audit.Result(s)
 	result.Lateness = &lateness
 	result.Void = void
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -91,13 +91,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Play(context.Background(), s, nil, program)
+	r, err := Run(context.Background(), s, nil, program)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
 	r.Text(&text)
-	if a := r.All; r.Broken() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered || a.InTime < a.Offered/2 {
+	if a := r.All; r.ViolationCount() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered || a.InTime < a.Offered/2 {
 		t.Error(text.String())
 	}
 	checkNothingLeft(t, program, tmp)
@@ -150,7 +150,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
-	if _, err := Play(ctx, s, nil, program); err == nil {
+	if _, err := Run(ctx, s, nil, program); err == nil {
 		t.Error("no error from a run of 4 s that was cancelled after 1.5 s")
 	}
 	checkNothingLeft(t, program, tmp)
@@ -164,7 +164,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := Play(ctx, s, nil, "/bin/false"); err == nil || !strings.Contains(err.Error(), "not ready") {
+	if _, err := Run(ctx, s, nil, "/bin/false"); err == nil || !strings.Contains(err.Error(), "not ready") {
 		t.Error(err)
 	}
 }
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	s.Schedulers.Count = 1000
-	if _, err := Play(context.Background(), s, nil, missingProgram); err == nil {
+	if _, err := Run(context.Background(), s, nil, missingProgram); err == nil {
 		t.Error("no error though the program doesn't exist")
 	}
 }
--- a/internal/lab/loopback/run.go
+++ b/internal/lab/loopback/run.go
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	for n := range r.model.Fleet.Machines {
+	for n := range r.model.Cluster.Machines {
 		if err := r.addWorker(n); err != nil {
 			return err
 		}
@@ -136,8 +136,8 @@
 // connectModel makes the model report its events to this run.
 func (r *run) connectModel() {
 	m := r.model
-	m.Fleet.OnCallback = r.notifyScheduler
-	m.Fleet.OnChange = r.workerChanged
+	m.Cluster.OnCallback = r.notifyScheduler
+	m.Cluster.OnChange = r.workerChanged
 	m.Discovery.OnChange = func(time.Duration, int) {
 		for _, s := range r.schedulers {
 			s.publish()
--- a/internal/lab/loopback/tenants_test.go
+++ b/internal/lab/loopback/tenants_test.go
@@ -25,13 +25,13 @@
 			t.Fatal(err)
 		}
 		s.Length = scenario.Span(8 * time.Second)
-		r, err = Play(context.Background(), s, nil, program)
+		r, err = Run(context.Background(), s, nil, program)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var b bytes.Buffer
 		r.Text(&b)
-		if a := r.All; r.Broken() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered {
+		if a := r.All; r.ViolationCount() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered {
 			t.Error(b.String())
 		}
 		return r, b.String()
--- a/internal/lab/loopback/worker.go
+++ b/internal/lab/loopback/worker.go
@@ -79,7 +79,7 @@
 		response, ok := callOnLoop(r, func(now time.Duration) model.Response {
 			r.model.Statistics.Connections++
 			r.model.AdvanceTo(now)
-			return r.model.Fleet.Connect(l.worker.machine)
+			return r.model.Cluster.Connect(l.worker.machine)
 		})
 		if !ok || response != model.ConnectionRefused {
 			return c, nil
@@ -106,7 +106,7 @@
 		}
 		return
 	}
-	m := r.model.Fleet.Machines[machine]
+	m := r.model.Cluster.Machines[machine]
 	w := r.workers[machine]
 	switch {
 	case m.Silent():
--- a/internal/lab/loopback/worker_server.go
+++ b/internal/lab/loopback/worker_server.go
@@ -62,7 +62,7 @@
 	check, ok := callOnLoop(r, func(now time.Duration) healthCheck {
 		r.model.Statistics.HealthChecks++
 		r.model.AdvanceTo(now)
-		report, response := r.model.Fleet.HealthCheck(now, w.machine)
+		report, response := r.model.Cluster.HealthCheck(now, w.machine)
 		return healthCheck{report: report, response: response}
 	})
 	switch {
@@ -119,7 +119,7 @@
 		if a.Machine == w.machine {
 			// For the rules it is cancelled now, whether or not the machine receives the cancellation.
 			m.Rules.AttemptEnded(now, a.Request, a.Number, false, "called off")
-			m.Fleet.Cancel(now, a)
+			m.Cluster.Cancel(now, a)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	sent.attempts = append(sent.attempts, a)
 	sent.wireID = wireID
 	m.Rules.AttemptSent(now, sent.scheduler, sent.request, a.Number, w.machine)
-	response := m.Fleet.Submit(now, a)
+	response := m.Cluster.Submit(now, a)
 	switch response {
 	case model.Rejected, model.ConnectionRefused:
 		m.Rules.AttemptEnded(now, a.Request, a.Number, true, "turned away")
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -56,7 +56,7 @@
 
 func (m *Model) machinesIn(zone string) []int {
 	var all []int
-	for _, machine := range m.Fleet.Machines {
+	for _, machine := range m.Cluster.Machines {
 		if zone == "" || m.scenario.Zones[machine.Zone] == zone {
 			all = append(all, machine.index)
 		}
@@ -91,8 +91,8 @@
 // begin and its end.
 func (m *Model) scheduleOnMachines(f *targetedFault, begin, end func(now time.Duration, machine *Machine)) {
 	m.scheduleBeginAndEnd(f,
-		func(now time.Duration) { m.Fleet.updateEach(now, f.machines, begin) },
-		func(now time.Duration) { m.Fleet.updateEach(now, f.machines, end) })
+		func(now time.Duration) { m.Cluster.updateEach(now, f.machines, begin) },
+		func(now time.Duration) { m.Cluster.updateEach(now, f.machines, end) })
 }
 
 // scheduleShare schedules that the fault's share is an element of shares while the fault is active.
@@ -120,11 +120,11 @@
 	case scenario.DiscoveryStale, scenario.DiscoveryOverloaded, scenario.DiscoveryDown:
 		m.planDiscoveryFault(f)
 	case scenario.ConnectionsRefused:
-		m.scheduleShare(f, &m.Fleet.refuseShares)
+		m.scheduleShare(f, &m.Cluster.refuseShares)
 	case scenario.AttemptsReset:
-		m.scheduleShare(f, &m.Fleet.resetShares)
+		m.scheduleShare(f, &m.Cluster.resetShares)
 	case scenario.CallbacksLost:
-		m.scheduleShare(f, &m.Fleet.lossShares)
+		m.scheduleShare(f, &m.Cluster.lossShares)
 	case scenario.SchedulersKilled:
 		m.planKill(f)
 	case scenario.RetryStorm:
@@ -135,7 +135,7 @@
 }
 
 func (m *Model) planReportFault(f *targetedFault) {
-	c := m.Fleet
+	c := m.Cluster
 	switch f.Kind {
 	case scenario.ReportsLate:
 		m.scheduleBeginAndEnd(f,
--- a/internal/lab/model/machine_faults.go
+++ b/internal/lab/model/machine_faults.go
@@ -11,7 +11,7 @@
 func (m *Model) planMachineFault(f *targetedFault) {
 	switch f.Kind {
 	case scenario.MachinesSilent, scenario.ZoneLost:
-		m.scheduleOnMachines(f, m.Fleet.beginSilentFault, m.Fleet.endSilentFault)
+		m.scheduleOnMachines(f, m.Cluster.beginSilentFault, m.Cluster.endSilentFault)
 	case scenario.MachinesHung:
 		m.scheduleOnMachines(f,
 			func(_ time.Duration, machine *Machine) { machine.hungFaults++ },
@@ -71,7 +71,7 @@
 // planRestart schedules that the processes of the fault's machines exit, and start again after the
 // fault's delay.
 func (m *Model) planRestart(f *targetedFault) {
-	c := m.Fleet
+	c := m.Cluster
 	m.schedule(f.start(), func(now time.Duration) {
 		c.updateEach(now, f.machines, func(now time.Duration, machine *Machine) {
 			if machine.State != Gone && machine.silentFaults == 0 {
@@ -99,8 +99,8 @@
 	for n := range batches {
 		batch := f.machines[n*batchSize : min(count, (n+1)*batchSize)]
 		at := f.start() + time.Duration(float64(f.Duration)*float64(n)/float64(batches))
-		m.schedule(at, func(now time.Duration) { m.Fleet.replace(now, batch) })
-		m.schedule(at+f.Delay.D(), func(now time.Duration) { m.Fleet.updateEach(now, batch, m.Fleet.retire) })
+		m.schedule(at, func(now time.Duration) { m.Cluster.replace(now, batch) })
+		m.schedule(at+f.Delay.D(), func(now time.Duration) { m.Cluster.updateEach(now, batch, m.Cluster.retire) })
 	}
 }
 
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -15,7 +15,7 @@
 
 // Model is the state of one run. It is not safe for concurrent use.
 type Model struct {
-	Fleet      *Cluster
+	Cluster    *Cluster
 	Discovery  *Discovery
 	Rules      *RuleChecker
 	Statistics *Statistics
@@ -39,14 +39,14 @@
 	}
 	m.Statistics = newStatistics(s)
 	m.Rules = newRuleChecker(s)
-	m.Fleet = newCluster(s, m.Statistics, m.Rules)
-	m.Rules.machine = func(n int) *Machine { return m.Fleet.Machines[n] }
-	m.Discovery = newDiscovery(s, m.Fleet)
-	m.Fleet.stateChanged = func(now time.Duration, machine int, silently bool) {
+	m.Cluster = newCluster(s, m.Statistics, m.Rules)
+	m.Rules.machine = func(n int) *Machine { return m.Cluster.Machines[n] }
+	m.Discovery = newDiscovery(s, m.Cluster)
+	m.Cluster.stateChanged = func(now time.Duration, machine int, silently bool) {
 		m.Discovery.machineChanged(now, machine, silently)
-		m.Fleet.OnChange(now, machine)
+		m.Cluster.OnChange(now, machine)
 	}
-	m.Clients = newClients(s, m.Fleet.Capacity())
+	m.Clients = newClients(s, m.Cluster.Capacity())
 	m.planFaults()
 	return m
 }
@@ -66,14 +66,14 @@
 		case m.Discovery.nextTime() == at:
 			m.Discovery.step(at)
 		default:
-			m.Fleet.step(at)
+			m.Cluster.step(at)
 		}
 	}
 }
 
 // NextTime returns the time of the model's next scheduled event, or Never.
 func (m *Model) NextTime() time.Duration {
-	next := min(m.Fleet.nextTime(), m.Discovery.nextTime())
+	next := min(m.Cluster.nextTime(), m.Discovery.nextTime())
 	if m.appliedChanges < len(m.changes) {
 		next = min(next, m.changes[m.appliedChanges].at)
 	}
--- a/internal/lab/report/build.go
+++ b/internal/lab/report/build.go
@@ -15,8 +15,8 @@
 	microsPerMilli = 1e3
 )
 
-// Of returns the report of the finished run of a model. Name adds what the model does not know.
-func Of(m *model.Model) Report {
+// FromModel returns the report of the finished run of a model. WithRun adds what the model does not know.
+func FromModel(m *model.Model) Report {
 	s := m.Statistics
 	r := Report{
 		Version:         formatVersion,
@@ -46,9 +46,9 @@
 	return r
 }
 
-// Name returns the report with the facts that the model does not know. length is the duration of the
+// WithRun returns the report with the facts that the model does not know. length is the duration of the
 // run.
-func (r Report) Name(scenario, mode, decider string, seed int64, schedulers, workers int, length time.Duration) Report {
+func (r Report) WithRun(scenario, mode, decider string, seed int64, schedulers, workers int, length time.Duration) Report {
 	r.Scenario = scenario
 	r.Mode = mode
 	r.Decider = decider
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -26,7 +26,7 @@
 	{Name: "throttled share", Value: func(r Report) float64 { return ratio(r.All.Throttled, r.All.Offered) }},
 	{Name: "errored share", Value: func(r Report) float64 { return ratio(r.All.Errored+r.All.Unanswered, r.All.Offered) }},
 	{Name: "wasted work", Value: func(r Report) float64 { return r.Costs.WastedShare }},
-	{Name: "rules broken", Value: func(r Report) float64 { return float64(r.Broken()) }},
+	{Name: "rules broken", Value: func(r Report) float64 { return float64(r.ViolationCount()) }},
 }
 
 // ratio returns part divided by whole, or 0 if whole is 0.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -82,8 +82,8 @@
 	Max  float64 `json:"most_ms"`
 }
 
-// Broken returns the total number of violations of all rules.
-func (r Report) Broken() int {
+// ViolationCount returns the total number of violations of all rules.
+func (r Report) ViolationCount() int {
 	total := 0
 	for _, n := range r.ViolationCounts {
 		total += n
--- a/internal/lab/report/text.go
+++ b/internal/lab/report/text.go
@@ -57,7 +57,7 @@
 
 // violations writes how often each rule was broken, and the recorded violations with their histories.
 func (r Report) violations(w io.Writer) {
-	if r.Broken() == 0 {
+	if r.ViolationCount() == 0 {
 		fmt.Fprintln(w, "no rule broken")
 		return
 	}
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -30,8 +30,8 @@
 	timeWaitDuration   = time.Minute // for which the kernel keeps the port of a closed connection (TIME_WAIT)
 )
 
-// This returns the capacity of the local machine as the kernel reports it.
-func This() (m Machine, err error) {
+// LocalMachine returns the capacity of the local machine as the kernel reports it.
+func LocalMachine() (m Machine, err error) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return m, err
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -26,9 +26,9 @@
 
 var errStepTooLong = errors.New("the step took over a minute longer than planned")
 
-// Play runs one step and returns its measurements. It is an error if one of the processes that it
-// starts exits during the step. All of them have exited when Play returns.
-func (r Rig) Play(ctx context.Context, s Scenario) (Step, error) {
+// Run runs one step and returns its measurements. It is an error if one of the processes that it
+// starts exits during the step. All of them have exited when Run returns.
+func (r Rig) Run(ctx context.Context, s Scenario) (Step, error) {
 	dir, err := os.MkdirTemp("", "stoatscale")
 	if err != nil {
 		return Step{}, err
--- a/internal/lab/soak/scheduler.go
+++ b/internal/lab/soak/scheduler.go
@@ -73,7 +73,7 @@
 	p.cmd.Env = []string{
 		"PROXY_CONFIG=" + s.configPath(),
 		"TMPDIR=" + s.tempDir(),
-		ShimsVariable + "=" + h.systemFaultsFile(s.number),
+		FaultsFileVariable + "=" + h.systemFaultsFile(s.number),
 	}
 	p.cmd.Stderr = log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/lab/soak/system_faults.go
+++ b/internal/lab/soak/system_faults.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// ShimsVariable is the environment variable with the path of the file that holds the Faults to inject.
+// FaultsFileVariable is the environment variable with the path of the file that holds the Faults to inject.
 // A scheduler that was built with fault injection reads that file periodically.
-const ShimsVariable = "STOATWEIR_SHIMS"
+const FaultsFileVariable = "STOATWEIR_SHIMS"
 
 // Faults are the faults that a scheduler injects between itself and the operating system. The program
 // is the released one except at the places where it calls the system.
--- a/internal/lab/virtual/attempts.go
+++ b/internal/lab/virtual/attempts.go
@@ -18,7 +18,7 @@
 func (sim *Simulation) forward(s *scheduler, f dispatch.Forward) {
 	r := s.requests[int64(f.Invocation)]
 	machine := machineOf(f.Worker)
-	if r == nil || machine >= len(sim.Model.Fleet.Machines) {
+	if r == nil || machine >= len(sim.Model.Cluster.Machines) {
 		return
 	}
 	a := &attempt{
@@ -44,7 +44,7 @@
 
 // submit delivers an attempt to its machine, and the machine's response to the scheduler.
 func (sim *Simulation) submit(s *scheduler, a *attempt, reused bool) {
-	response := sim.Model.Fleet.Submit(sim.now, a.Attempt)
+	response := sim.Model.Cluster.Submit(sim.now, a.Attempt)
 	if response == model.NoResponse {
 		return
 	}
@@ -122,7 +122,7 @@
 	}
 	sim.endAttempt(s, a, dispatch.Cancelled, nil, "cancelled")
 	if sim.scenario.Limits.Cancel {
-		sim.scheduleAfter(sim.latency(s, a.Machine)+bodyTransferTime, func() { sim.Model.Fleet.Cancel(sim.now, a.Attempt) })
+		sim.scheduleAfter(sim.latency(s, a.Machine)+bodyTransferTime, func() { sim.Model.Cluster.Cancel(sim.now, a.Attempt) })
 	}
 }
 
--- a/internal/lab/virtual/discovery.go
+++ b/internal/lab/virtual/discovery.go
@@ -86,7 +86,7 @@
 
 // endpoint converts an entry of the endpoint list for a scheduler's decider.
 func (sim *Simulation) endpoint(s *scheduler, e model.Endpoint) dispatch.Endpoint {
-	m := sim.Model.Fleet.Machines[e.Machine]
+	m := sim.Model.Cluster.Machines[e.Machine]
 	endpoint := dispatch.Endpoint{
 		Worker: workerID(e.Machine),
 		Zone:   m.Zone,
--- a/internal/lab/virtual/healthcheck.go
+++ b/internal/lab/virtual/healthcheck.go
@@ -33,7 +33,7 @@
 		machine:     machineOf(worker),
 		sentAt:      sim.now,
 	}
-	if h.machine >= len(sim.Model.Fleet.Machines) {
+	if h.machine >= len(sim.Model.Cluster.Machines) {
 		return
 	}
 	sim.Model.Statistics.HealthChecks++
@@ -45,7 +45,7 @@
 // arrive handles the arrival of the check at its machine.
 func (h *healthCheck) arrive() {
 	sim := h.sim
-	report, response := sim.Model.Fleet.HealthCheck(sim.now, h.machine)
+	report, response := sim.Model.Cluster.HealthCheck(sim.now, h.machine)
 	if response == model.NoResponse {
 		return
 	}
--- a/internal/lab/virtual/network.go
+++ b/internal/lab/virtual/network.go
@@ -29,7 +29,7 @@
 
 // latency draws the one-way latency of a message between a scheduler and a machine.
 func (sim *Simulation) latency(s *scheduler, machine int) time.Duration {
-	if sim.Model.Fleet.Machines[machine].Zone == s.zone {
+	if sim.Model.Cluster.Machines[machine].Zone == s.zone {
 		return sim.jitter(sim.scenario.Network.SameZone.D())
 	}
 	return sim.jitter(sim.scenario.Network.CrossZone.D())
@@ -61,7 +61,7 @@
 		if s.incarnation != incarnation {
 			return
 		}
-		switch sim.Model.Fleet.Connect(machine) {
+		switch sim.Model.Cluster.Connect(machine) {
 		case model.Accepted:
 			connected(false)
 		case model.ConnectionRefused:
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -48,7 +48,7 @@
 		newDecider:  newDecider,
 		networkRand: rand.New(rand.NewPCG(uint64(s.Seed), networkStream)),
 	}
-	sim.Model.Fleet.OnCallback = sim.deliverCallback
+	sim.Model.Cluster.OnCallback = sim.deliverCallback
 	sim.Model.Discovery.OnChange = sim.scheduleUpdates
 	sim.Model.Discovery.OnOutage = sim.endWatches
 	sim.Model.OnSchedulerKilled = sim.killScheduler
@@ -59,9 +59,9 @@
 // Time returns the virtual time since the start of the run.
 func (sim *Simulation) Time() time.Duration { return sim.now }
 
-// Play executes the run. With a nil source, the load is that of the scenario. It returns an error
+// Run executes the run. With a nil source, the load is that of the scenario. It returns an error
 // if the context ends, if a decider cannot be made, or if the scenario hosts its tenants.
-func (sim *Simulation) Play(ctx context.Context, source model.Source) error {
+func (sim *Simulation) Run(ctx context.Context, source model.Source) error {
 	if sim.scenario.Hosted.Capacity > 0 {
 		return errors.New("hosted.room: only a loopback run can host tenants, as it runs real schedulers")
 	}
--- a/internal/lab/virtual/simulation_test.go
+++ b/internal/lab/virtual/simulation_test.go
@@ -65,11 +65,11 @@
 func runScenario(t testing.TB, s scenario.Scenario, newDecider DeciderFactory) (*Simulation, report.Report) {
 	t.Helper()
 	sim := New(s, newDecider)
-	if err := sim.Play(context.Background(), nil); err != nil {
+	if err := sim.Run(context.Background(), nil); err != nil {
 		t.Fatal(err)
 	}
-	return sim, report.Of(sim.Model).Name(s.Name, "virtual", "module", s.Seed, s.Schedulers.Count,
-		len(sim.Model.Fleet.Machines), s.Length.D())
+	return sim, report.FromModel(sim.Model).WithRun(s.Name, "virtual", "module", s.Seed, s.Schedulers.Count,
+		len(sim.Model.Cluster.Machines), s.Length.D())
 }
 
 // allFaults returns a scenario with every kind of fault, many of them overlapping.
@@ -88,12 +88,12 @@
 	reportJSON := func(seed int64) string {
 		s := parseScenario(t, allFaults())
 		s.Seed = seed
-		_, r := runScenario(t, s, Module)
+		_, r := runScenario(t, s, NewModuleDecider)
 		var b bytes.Buffer
 		if err := r.JSON(&b); err != nil {
 			t.Fatal(err)
 		}
-		if r.Broken() > 0 {
+		if r.ViolationCount() > 0 {
 			var text bytes.Buffer
 			r.Text(&text)
 			t.Error(text.String())
@@ -116,7 +116,7 @@
 // decision module achieves a higher service than random choice.
 func TestDecidersMeetTheSameRun(t *testing.T) {
 	s := parseScenario(t, allFaults())
-	_, a := runScenario(t, s, Module)
+	_, a := runScenario(t, s, NewModuleDecider)
 	_, b := runScenario(t, s, policy("random"))
 	if a.All.Offered != b.All.Offered || a.Operations[1].Offered != b.Operations[1].Offered || a.Zones[0].Offered != b.Zones[0].Offered {
 		t.Errorf("different loads offered to the module and to random choice:\n%+v\n%+v", a.All, b.All)
@@ -141,8 +141,8 @@
 // violated.
 func TestNoWorkers(t *testing.T) {
 	s := parseScenario(t, strings.Replace(strings.Replace(smallScenario, "count = 6", "count = 0", 1), "of = 0.5", "rate = 20", 1))
-	_, r := runScenario(t, s, Module)
-	if r.Broken() > 0 || r.Service != 0 || r.All.Throttled+r.All.Errored != r.All.Offered || r.All.Offered < 100 {
+	_, r := runScenario(t, s, NewModuleDecider)
+	if r.ViolationCount() > 0 || r.Service != 0 || r.All.Throttled+r.All.Errored != r.All.Offered || r.All.Offered < 100 {
 		t.Errorf("expected all invocations throttled or errored, a service of 0 and no violations: %+v", r)
 	}
 }
@@ -162,16 +162,16 @@
 for = "1s"
 share = 1.0
 `)
-	sim := New(s, Module)
+	sim := New(s, NewModuleDecider)
 	completed := map[time.Duration]int{}
-	onCallback := sim.Model.Fleet.OnCallback
-	sim.Model.Fleet.OnCallback = func(now time.Duration, a *model.Attempt, callback model.Callback, share float64) {
+	onCallback := sim.Model.Cluster.OnCallback
+	sim.Model.Cluster.OnCallback = func(now time.Duration, a *model.Attempt, callback model.Callback, share float64) {
 		if callback == model.Completed {
 			completed[now.Truncate(time.Second)]++
 		}
 		onCallback(now, a, callback, share)
 	}
-	if err := sim.Play(context.Background(), nil); err != nil {
+	if err := sim.Run(context.Background(), nil); err != nil {
 		t.Fatal(err)
 	}
 	during := completed[3*time.Second] + completed[4*time.Second] + completed[5*time.Second] + completed[7*time.Second]
@@ -194,7 +194,7 @@
 // called for each decider.
 func faulty(newChange func() func(now time.Duration, actions []dispatch.Action) []dispatch.Action) DeciderFactory {
 	return func(n int, seed int64, text []byte) (Decider, error) {
-		d, err := Module(n, seed, text)
+		d, err := NewModuleDecider(n, seed, text)
 		return faultyDecider{Decider: d, change: newChange()}, err
 	}
 }
@@ -269,9 +269,9 @@
 			for seed := range int64(2) {
 				s := parseScenario(t, test.text)
 				s.Seed = seed + 1
-				_, correct := runScenario(t, s, Module)
+				_, correct := runScenario(t, s, NewModuleDecider)
 				_, broken := runScenario(t, s, test.newDecider)
-				if correct.Broken() > 0 {
+				if correct.ViolationCount() > 0 {
 					t.Errorf("seed %d: the unchanged module violated rules: %+v", seed, correct.Violations)
 				}
 				if broken.ViolationCounts[test.rule] == 0 {
@@ -309,14 +309,14 @@
 	})
 	p := &Program{input: toProgram, host: simwire.NewHost(toProgram, fromProgram)}
 	var sim *Simulation
-	sim = New(s, p.Maker(func() time.Duration { return sim.Time() }))
-	if err := sim.Play(context.Background(), nil); err != nil || p.Err() != nil {
+	sim = New(s, p.DeciderFactory(func() time.Duration { return sim.Time() }))
+	if err := sim.Run(context.Background(), nil); err != nil || p.Err() != nil {
 		t.Fatal(err, p.Err())
 	}
 	toProgram.Close()
-	remote := report.Of(sim.Model)
+	remote := report.FromModel(sim.Model)
 	_, local := runScenario(t, s, policy("least"))
-	if remote.Broken() > 0 || remote.All.Offered != local.All.Offered || remote.Costs.Forwards < remote.All.Offered/2 ||
+	if remote.ViolationCount() > 0 || remote.All.Offered != local.All.Offered || remote.Costs.Forwards < remote.All.Offered/2 ||
 		remote.Service < local.Service-0.02 || remote.Service > local.Service+0.02 {
 		t.Errorf("the program violated rules, or differs from the policy in this process:\n%+v %+v\n%+v %+v", remote.All, remote.Costs, local.All, local.Costs)
 	}
