--- a/cmd/stoatweir/invariants.go
+++ b/cmd/stoatweir/invariants.go
@@ -18,8 +18,8 @@
 	return invariant.RequestLimits{
 		ID:          invocation.ID,
 		Effect:      op.Effect,
-		Scope:       op.DedupScope,
-		Window:      op.DedupWindow,
+		DedupScope:  op.DedupScope,
+		DedupWindow: op.DedupWindow,
 		Deadline:    invocation.Deadline,
 		MaxAttempts: config.Limits.MaxAttempts,
 		MaxInFlight: config.Limits.MaxInFlight,
@@ -32,7 +32,7 @@
 	for number, attempt := range attempts {
 		migrated = append(migrated, invariant.MigratedAttempt{
 			Number:     number,
-			Worker:     s.workers.UID(attempt.Worker),
+			Worker:     s.workers.WorkerUID(attempt.Worker),
 			Zone:       attempt.Zone,
 			Cell:       attempt.Cell,
 			Age:        attempt.Age,
--- a/cmd/stoatweir/lifecycle.go
+++ b/cmd/stoatweir/lifecycle.go
@@ -108,6 +108,6 @@
 	})
 }
 
-// Migrates reports whether connections are to be migrated to the successor. It implements
+// ShouldMigrate reports whether connections are to be migrated to the successor. It implements
 // takeover.Lifecycle.
-func (s *service) Migrates() bool { return s.lifecycle.Behavior(s.loop.Now()).Migrates }
+func (s *service) ShouldMigrate() bool { return s.lifecycle.Behavior(s.loop.Now()).Migrates }
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -138,7 +138,7 @@
 		configured:      process.Deployment,
 		clients:         clients.New(loop, process.Deployment, clientQuota, ledger),
 		workers:         workers.NewTransport(loop, process.Deployment, workerQuota),
-		endpoints:       discovery.New(loop, process.Discovery, process.Deployment.Zones, process.Deployment.Kinds, start),
+		endpoints:       discovery.NewWatcher(loop, process.Discovery, process.Deployment.Zones, process.Deployment.Kinds, start),
 		clientQuota:     clientQuota,
 		workerQuota:     workerQuota,
 		seed:            process.Seed,
@@ -188,13 +188,13 @@
 	s.clients.OnRequest = s.trackRequest
 	s.clients.OnCallback = s.workers.HandleCallback
 	s.clients.RelayCallback = s.takeover.RelayCallback
-	s.clients.OwnedByPeer = s.takeover.OwnedByPeer
-	s.clients.OnOwnership = s.takeover.AnnounceOwnership
-	s.clients.OnServed = func(latency time.Duration) { s.servingLatency.RecordValue(latency.Microseconds()) }
+	s.clients.IDInUseAtPeer = s.takeover.OwnedByPeer
+	s.clients.OnIDUseChanged = s.takeover.AnnounceOwnership
+	s.clients.OnResultDelivered = func(latency time.Duration) { s.servingLatency.RecordValue(latency.Microseconds()) }
 	s.clients.Behavior = func() lifecycle.Behavior { return s.lifecycle.Behavior(s.loop.Now()) }
 	s.clients.Reason = s.answerReason
-	s.clients.Counters = s.countsReport
-	s.clients.History = s.requestHistory
+	s.clients.CountersPage = s.countsReport
+	s.clients.HistoryPage = s.requestHistory
 
 	s.workers.Invariants.OnViolation = s.logViolation
 	s.workers.OnEvent = s.Notify
@@ -216,6 +216,6 @@
 		return
 	}
 	onError := func(err error) { s.log.WithError(err).Warn("gossip address unavailable, retrying") }
-	s.gossip = gossip.Open(s.loop, s.process.Peers, s.deployment.Dispatch.Index, start, onError)
+	s.gossip = gossip.Open(s.loop, s.process.Peers, s.deployment.Dispatch.SchedulerIndex, start, onError)
 	s.gossip.OnReceive = func(received dispatch.GossipReceived) { s.Notify(received) }
 }
--- a/internal/clients/answer.go
+++ b/internal/clients/answer.go
@@ -38,7 +38,7 @@
 	if r == nil {
 		return
 	}
-	s.OnServed(s.loop.Now() - r.admittedAt)
+	s.OnResultDelivered(s.loop.Now() - r.admittedAt)
 	s.answer(inv, accounting.Succeeded, http.StatusOK, []byte(result))
 }
 
@@ -80,9 +80,9 @@
 }
 
 // invariantKinds maps dispositions to the kinds of final answers of package invariant.
-var invariantKinds = map[accounting.Disposition]invariant.Kind{
+var invariantKinds = map[accounting.Disposition]invariant.AnswerKind{
 	accounting.Succeeded: invariant.Succeeded,
-	accounting.Declined:  invariant.Refused,
+	accounting.Declined:  invariant.Rejected,
 	accounting.Aborted:   invariant.Failed,
 	accounting.Abandoned: invariant.Abandoned,
 	accounting.Migrated:  invariant.Migrated,
@@ -102,7 +102,7 @@
 		c.closeAfterAnswer = true
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	}
-	c.conn.Write(http1.Answer(status, body, fields...))
+	c.conn.Write(http1.EncodeResponse(status, body, fields...))
 	if c.closeAfterAnswer {
 		c.closeAfterFlush()
 	}
--- a/internal/takeover/adoption.go
+++ b/internal/takeover/adoption.go
@@ -33,7 +33,7 @@
 		Buffered:         message.Connection.Buffered,
 		CarriesCallbacks: message.Connection.CarriesCallbacks,
 		Unused:           message.Connection.Unused,
-		SilentFor:        message.Connection.SilentFor,
+		SinceAccept:      message.Connection.SilentFor,
 	}
 	if message.Connection.Invocation == nil {
 		_, adopted := m.clients.AcceptMigrated(connection, migrating, nil, 0, 0)
@@ -49,13 +49,13 @@
 		return false
 	}
 	invocation := &workers.Invocation{
-		ID:       migrated.ID,
-		Method:   migrated.Method,
-		Target:   migrated.Target,
-		Fields:   migrated.Fields,
-		Body:     message.Body,
-		Deadline: m.loop.Now() + migrated.Remaining,
-		Effect:   m.service.Deployment().Dispatch.Operations[operation].Effect,
+		ID:           migrated.ID,
+		Method:       migrated.Method,
+		Target:       migrated.Target,
+		HeaderFields: migrated.Fields,
+		Body:         message.Body,
+		Deadline:     m.loop.Now() + migrated.Remaining,
+		Effect:       m.service.Deployment().Dispatch.Operations[operation].Effect,
 	}
 	record := migrated.Record
 	id, adopted := m.clients.AcceptMigrated(connection, migrating, invocation, operation, record.Age)
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -51,7 +51,7 @@
 func (f *fakeService) EndpointsKnown()             {}
 func (f *fakeService) SuccessorServing()           {}
 func (f *fakeService) SuccessorExited()            {}
-func (f *fakeService) Migrates() bool              { return false }
+func (f *fakeService) ShouldMigrate() bool         { return false }
 func (f *fakeService) SetQuotas(int, int)          {}
 
 // newTestManager returns a Manager, with its fake service, of a process that admits requests of one
@@ -70,14 +70,14 @@
 	server := clients.New(loop, process.Deployment, loop.NewQuota(100), accounting.New())
 	server.SetMaxInFlight(100)
 	server.Behavior = func() lifecycle.Behavior { return lifecycle.Behavior{Ready: true, Accepts: true, Admits: true} }
-	server.OnOwnership = func(string, bool) {}
+	server.OnIDUseChanged = func(string, bool) {}
 	server.OnEvent = func(dispatch.Event) {}
 	service := &fakeService{deployment: process.Deployment}
 	return New(Config{
 		Loop:        loop,
 		Clients:     server,
 		Workers:     workers.NewTransport(loop, process.Deployment, loop.NewQuota(100)),
-		Endpoints:   discovery.New(loop, process.Discovery, process.Deployment.Zones, process.Deployment.Kinds, start),
+		Endpoints:   discovery.NewWatcher(loop, process.Discovery, process.Deployment.Zones, process.Deployment.Kinds, start),
 		Service:     service,
 		Log:         logrus.NewEntry(log),
 		ProcessName: "n0",
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -130,11 +130,11 @@
 	inv := a.invocation
 	timeLeft := (inv.Deadline - t.loop.Clock()).Seconds()
 	timeBudget := http1.Field{Name: "X-Budget", Value: strconv.FormatFloat(timeLeft, 'f', timeBudgetDecimals, 64)}
-	fields := append(slices.Clip(inv.Fields), timeBudget)
+	fields := append(slices.Clip(inv.HeaderFields), timeBudget)
 	return conn.Outgoing{
-		Bytes:   http1.Request(inv.Method, inv.Target, a.worker.address, inv.Body, fields...),
-		Until:   earlier(inv.Deadline, check.NotAfter),
-		Allowed: func() conn.CloseReason { return t.checkSend(a, check) },
+		Bytes:        http1.EncodeRequest(inv.Method, inv.Target, a.worker.address, inv.Body, fields...),
+		Deadline:     earlier(inv.Deadline, check.NotAfter),
+		CheckAllowed: func() conn.CloseReason { return t.checkSend(a, check) },
 	}
 }
 
@@ -189,7 +189,7 @@
 		t.sendCancel(a)
 	}
 	t.Invariants.AttemptEnded(a.invocation.Number, a.number, reason.String(), !reason.ProvesNotRun())
-	t.Counts.Ended[reason.String()]++
+	t.Counts.AttemptsByReason[reason.String()]++
 	t.OnEvent(dispatch.Outcome{
 		Invocation: a.invocation.Number,
 		Worker:     a.worker.endpoint.Worker,
@@ -234,7 +234,7 @@
 // sendCancel asks the worker to stop an attempt that it has accepted. The response is ignored.
 func (t *Transport) sendCancel(a *attempt) {
 	t.Counts.Cancels++
-	request := http1.Request("DELETE", "/jobs/"+a.invocation.ID, a.worker.address, nil)
+	request := http1.EncodeRequest("DELETE", "/jobs/"+a.invocation.ID, a.worker.address, nil)
 	x := &exchange{buildRequest: unconditional(request), onDone: ignoreResponse}
 	if t.startExchange(a.worker, x) {
 		x.timeout = t.loop.After(cancelTimeout, x.abort)
--- a/internal/workers/sendcheck.go
+++ b/internal/workers/sendcheck.go
@@ -5,7 +5,7 @@
 	"stoatweir/internal/invariant"
 )
 
-// Causes for which the check before the first byte stops an attempt: the keys of Counts.Stopped.
+// Causes for which the check before the first byte stops an attempt: the keys of Counts.StoppedAttempts.
 const (
 	stoppedWorker    = "worker"    // the worker is draining or gone, or has restarted or moved since it was chosen
 	stoppedClient    = "client"    // the client has left or has its answer
@@ -33,18 +33,18 @@
 
 // checkSend asks the invariant checker immediately before the first byte of an attempt is written,
 // because the connection may have taken long to be established and the process may have been
-// paused. It returns conn.Open if the attempt may be sent.
+// paused. It returns conn.NotClosed if the attempt may be sent.
 func (t *Transport) checkSend(a *attempt, check invariant.Attempt) conn.CloseReason {
 	check.Current = a.target()
 	check.Deadline = a.invocation.Deadline
 	checkReason := t.Invariants.CheckSend(check)
 	if checkReason == "" {
-		return conn.Open
+		return conn.NotClosed
 	}
 	outcome, known := stopOutcomes[checkReason]
 	if !known {
 		outcome = stopOutcome{counter: stoppedViolation, reason: conn.NotSent}
 	}
-	t.Counts.Stopped[outcome.counter]++
+	t.Counts.StoppedAttempts[outcome.counter]++
 	return outcome.reason
 }
