--- a/cmd/stoatweir/tenancy.go
+++ b/cmd/stoatweir/tenancy.go
@@ -213,7 +213,7 @@
 	if len(quotas) > 0 {
 		t.service.Notify(dispatch.QuotaUpdate{Quotas: quotas})
 	}
-	if t.admission.Active() > 0 {
+	if t.admission.ActiveCount() > 0 {
 		t.quotaTimer = t.service.loop.After(quotaInterval, t.updateQuotas)
 	}
 }
--- a/cmd/stoatweir/tenancy_test.go
+++ b/cmd/stoatweir/tenancy_test.go
@@ -36,8 +36,8 @@
 	os.Mkdir(store, 0o700)
 	h.config["limits"] = map[string]any{"memory_mb": 64, "sockets": 1024}
 	h.config["tenants"] = map[string]any{"dir": store, "api": h.apiAddr, "room": maxInFlight, "administrators": []map[string]any{
-		{"name": "ops", "role": "operate", "sha256": tenants.HashOf(adminToken)}, {"name": "eyes", "role": "read",
-			"sha256": tenants.HashOf("eyes")}}}
+		{"name": "ops", "role": "operate", "sha256": tenants.HashSecret(adminToken)}, {"name": "eyes", "role": "read",
+			"sha256": tenants.HashSecret("eyes")}}}
 	deploymentSettings := h.config["settings"].(map[string]any)
 	deploymentSettings["FamilyInfo"] = map[string]any{"TellsStart": true, "ReportX0": "free slots"}
 	deploymentSettings["Report"] = map[string]any{"How": "probe", "Names": []string{"x0"}}
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -153,7 +153,7 @@
 		arrival.Hint = r.account.EstimateCost(r.operationName, clientHint)
 		admission = tenants.Request{Bytes: len(r.message.Body), Work: arrival.Hint, Retry: isRetry(r.message)}
 		decision := s.Admission.Admit(now, r.account, admission)
-		if decision.Kind != tenants.None {
+		if decision.Kind != tenants.NotRejected {
 			c.rejectLimited(decision)
 			return
 		}
--- a/internal/clients/tenancy.go
+++ b/internal/clients/tenancy.go
@@ -57,9 +57,9 @@
 	}
 	status := http.StatusTooManyRequests
 	switch decision.Kind {
-	case tenants.TenantSuspended:
+	case tenants.RejectedBySuspension:
 		status = http.StatusForbidden
-	case tenants.Size:
+	case tenants.RejectedBySize:
 		status = http.StatusRequestEntityTooLarge
 	}
 	c.answer(status, nil, fields...)
--- a/internal/clients/tenancy_test.go
+++ b/internal/clients/tenancy_test.go
@@ -51,7 +51,7 @@
 		Spec: tenants.Spec{Weight: 1, Limits: limits, Operations: []tenants.Operation{
 			{Name: "render", Effect: tenants.Idempotent, ClientTimeoutS: 1},
 		}},
-		Credentials: []tenants.Credential{{ID: "k-" + name, Hash: tenants.HashOf(testSecret)}},
+		Credentials: []tenants.Credential{{ID: "k-" + name, Hash: tenants.HashSecret(testSecret)}},
 	}
 }
 
--- a/internal/lab/loopback/tenants.go
+++ b/internal/lab/loopback/tenants.go
@@ -58,7 +58,7 @@
 		return "", fmt.Errorf("tenants[%d]: %w", index, err)
 	}
 	secret := fmt.Sprintf("secret-%d-%d", r.scenario.Seed, index)
-	key := tenants.Credential{ID: fmt.Sprint("k", index), Hash: tenants.HashOf(secret)}
+	key := tenants.Credential{ID: fmt.Sprint("k", index), Hash: tenants.HashSecret(secret)}
 	granted, err := s.Directory.Grant(tenantsOwner, tenant.Name, key, now)
 	if err != nil {
 		return "", err
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -187,7 +187,7 @@
 		}
 		v.checkRange(key("share"), t.Share, 0, 1e6)
 		v.checkRange(key("weight"), t.Weight, 1e-6, 1e6)
-		if problems := tenants.Name("name", t.Name); hosted && len(problems) > 0 {
+		if problems := tenants.ValidateName("name", t.Name); hosted && len(problems) > 0 {
 			v.addError(key("name"), "%s", problems[0].Reason)
 		}
 	}
--- a/internal/settings/tenancy.go
+++ b/internal/settings/tenancy.go
@@ -125,7 +125,7 @@
 	seen := map[string]bool{}
 	for i, section := range sections {
 		prefix := fmt.Sprintf("tenants.administrators[%d].", i)
-		if invalid := tenants.Name(prefix+"name", section.Name); len(invalid) > 0 {
+		if invalid := tenants.ValidateName(prefix+"name", section.Name); len(invalid) > 0 {
 			return nil, invalid
 		}
 		if seen[section.Name] {
--- a/internal/tenants/admission.go
+++ b/internal/tenants/admission.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// RejectionKind is the reason why an invocation was rejected; None if it was admitted.
+// RejectionKind is the reason why an invocation was rejected; NotRejected if it was admitted.
 type RejectionKind string
 
 // The kinds of rejection. Answers to clients and usage counters use these strings.
 const (
-	None            RejectionKind = ""
-	Unauthenticated RejectionKind = "unauthenticated"
-	TenantSuspended RejectionKind = "suspended"
-	Size            RejectionKind = "request_size"
-	Rate            RejectionKind = "rate"
-	Concurrency     RejectionKind = "concurrency"
-	HeldWork        RejectionKind = "held_work"
-	Retries         RejectionKind = "retry_budget"
-	Share           RejectionKind = "share"
+	NotRejected           RejectionKind = ""
+	Unauthenticated       RejectionKind = "unauthenticated"
+	RejectedBySuspension  RejectionKind = "suspended"
+	RejectedBySize        RejectionKind = "request_size"
+	RejectedByRate        RejectionKind = "rate"
+	RejectedByConcurrency RejectionKind = "concurrency"
+	RejectedByHeldWork    RejectionKind = "held_work"
+	RejectedByRetries     RejectionKind = "retry_budget"
+	RejectedByShare       RejectionKind = "share"
 )
 
 // RejectionKinds are the kinds that Usage counts.
-var RejectionKinds = []RejectionKind{TenantSuspended, Size, Rate, Concurrency, HeldWork, Retries, Share}
+var RejectionKinds = []RejectionKind{RejectedBySuspension, RejectedBySize, RejectedByRate, RejectedByConcurrency, RejectedByHeldWork, RejectedByRetries, RejectedByShare}
 
 const (
 	// minRetryAfter and maxRetryAfter bound the advised delay before a retry, after jitter.
@@ -72,7 +72,7 @@
 func (c *Controller) Admit(now time.Duration, a *Account, r Request) Decision {
 	c.accountVisits++
 	decision := c.evaluate(now, a, r)
-	if decision.Kind != None {
+	if decision.Kind != NotRejected {
 		a.usage.Throttled[decision.Kind]++
 		if decision.RetryAfter > 0 {
 			decision.RetryAfter = c.jitter(decision.RetryAfter)
@@ -92,31 +92,31 @@
 		c.allocate(now)
 	}
 	if a.removed || a.state != Active {
-		return Decision{Kind: TenantSuspended}
+		return Decision{Kind: RejectedBySuspension}
 	}
 	limits := &a.limits
 	if limits.RequestBytes != nil && r.Bytes > *limits.RequestBytes {
-		return Decision{Kind: Size}
+		return Decision{Kind: RejectedBySize}
 	}
 	if r.Retry && a.retryBudgetSpent() {
-		return Decision{Kind: Retries, RetryAfter: retryBudgetRetryAfter}
+		return Decision{Kind: RejectedByRetries, RetryAfter: retryBudgetRetryAfter}
 	}
 	c.refill(now, a)
 	if limits.RatePerS != nil && a.tokens < 1 {
-		return Decision{Kind: Rate, RetryAfter: c.nextToken(a)}
+		return Decision{Kind: RejectedByRate, RetryAfter: c.nextToken(a)}
 	}
 	if limits.Concurrency != nil && float64(a.inFlight) >= c.concurrencyHere(*limits.Concurrency) {
-		return Decision{Kind: Concurrency, RetryAfter: a.typicalDuration()}
+		return Decision{Kind: RejectedByConcurrency, RetryAfter: a.typicalDuration()}
 	}
 	if limits.HeldWorkS != nil && a.inFlight > 0 && a.heldWork+r.Work > *limits.HeldWorkS/c.schedulers {
-		return Decision{Kind: HeldWork, RetryAfter: a.typicalDuration()}
+		return Decision{Kind: RejectedByHeldWork, RetryAfter: a.typicalDuration()}
 	}
 	// The tenant becomes active only now: invocations that its own limits reject must not make the
 	// shares of other tenants smaller.
 	c.activate(now, a)
 	if !c.hasCapacity(a) {
 		a.shareRejections++
-		return Decision{Kind: Share, RetryAfter: a.typicalDuration()}
+		return Decision{Kind: RejectedByShare, RetryAfter: a.typicalDuration()}
 	}
 	return Decision{}
 }
--- a/internal/tenants/admission_test.go
+++ b/internal/tenants/admission_test.go
@@ -81,7 +81,7 @@
 		f.putTenant("t", 1, Limits{Concurrency: ptr(10)})
 		for range 20 {
 			decision := f.Admit(f.now, f.tenants["t"], Request{})
-			if decision.Kind == None {
+			if decision.Kind == NotRejected {
 				admitted++
 			}
 		}
--- a/internal/tenants/api/auth.go
+++ b/internal/tenants/api/auth.go
@@ -48,7 +48,7 @@
 		return Administrator{}, false
 	}
 	scheme, token, _ := strings.Cut(headers[0], " ")
-	hash := tenants.HashOf(token)
+	hash := tenants.HashSecret(token)
 	for _, candidate := range a.administrators {
 		if subtle.ConstantTimeCompare([]byte(candidate.Hash), []byte(hash)) == 1 {
 			administrator = candidate
--- a/internal/tenants/api/credentials.go
+++ b/internal/tenants/api/credentials.go
@@ -46,7 +46,7 @@
 		return response{}, err
 	}
 	secret := newSecret()
-	credential := tenants.Credential{ID: randomID(), Hash: tenants.HashOf(secret), Expires: body.Expires}
+	credential := tenants.Credential{ID: randomID(), Hash: tenants.HashSecret(secret), Expires: body.Expires}
 	answer, err := a.change(r, func(d *tenants.Directory, now time.Time) (tenants.Change, error) {
 		return d.Grant(r.administrator, r.PathValue("name"), credential, now)
 	})
--- a/internal/tenants/api/fixture_test.go
+++ b/internal/tenants/api/fixture_test.go
@@ -32,8 +32,8 @@
 
 func newAdministrators() []Administrator {
 	return []Administrator{
-		{Name: "ops", Role: Operate, Hash: tenants.HashOf(operator)},
-		{Name: "eyes", Role: Read, Hash: tenants.HashOf(reader)},
+		{Name: "ops", Role: Operate, Hash: tenants.HashSecret(operator)},
+		{Name: "eyes", Role: Read, Hash: tenants.HashSecret(reader)},
 	}
 }
 
@@ -90,7 +90,7 @@
 	usage := func(name string) (tenants.Usage, bool) {
 		known := false
 		r.read(func(d *tenants.Directory) { _, known = d.Get(name) })
-		return tenants.Usage{Admitted: 3, Throttled: map[tenants.RejectionKind]int{tenants.Rate: 2}}, known
+		return tenants.Usage{Admitted: 3, Throttled: map[tenants.RejectionKind]int{tenants.RejectedByRate: 2}}, known
 	}
 	f.API = New(r, newAdministrators(), usage, 2)
 	f.description, err = openapi3.NewLoader().LoadFromFile("../../../docs/tenants-openapi.json")
--- a/internal/tenants/capacity_test.go
+++ b/internal/tenants/capacity_test.go
@@ -46,7 +46,7 @@
 			for i := 0; b.Loop(); i++ {
 				a := accounts[i%n]
 				decision := c.Admit(time.Millisecond, a, benchmarkRequest)
-				if decision.Kind != None {
+				if decision.Kind != NotRejected {
 					b.Fatal(decision)
 				}
 				c.Completed(time.Millisecond, a, benchmarkRequest, time.Minute, Succeeded)
@@ -96,7 +96,7 @@
 					interval := time.Duration(float64(usedSchedulers) / rate * float64(time.Second))
 					for now := time.Duration(0); now < seconds*time.Second; now += interval {
 						sent++
-						if c.Admit(now, a, Request{}).Kind == None {
+						if c.Admit(now, a, Request{}).Kind == NotRejected {
 							admitted++
 							c.Completed(now, a, Request{}, 0, Succeeded)
 						}
--- a/internal/tenants/change.go
+++ b/internal/tenants/change.go
@@ -83,7 +83,7 @@
 // invocations could send reports on them as a worker does.
 func (d *Directory) Put(by, name string, spec Spec, precondition Precondition, now time.Time,
 	handleSuffix string) (c Change, unchanged bool, err error) {
-	invalid := append(Name("/name", name), spec.Validate()...)
+	invalid := append(ValidateName("/name", name), spec.Validate()...)
 	if len(invalid) > 0 {
 		return Change{}, false, invalid
 	}
--- a/internal/tenants/controller.go
+++ b/internal/tenants/controller.go
@@ -145,12 +145,12 @@
 // Names returns the names of all tenants that have not been removed, sorted.
 func (c *Controller) Names() []string { return slices.Sorted(maps.Keys(c.byName)) }
 
-// Active returns the number of active tenants.
-func (c *Controller) Active() int { return len(c.active) }
+// ActiveCount returns the number of active tenants.
+func (c *Controller) ActiveCount() int { return len(c.active) }
 
-// Accounts returns the number of account indexes, used and free. All values of Account.Index are
+// IndexCount returns the number of account indexes, used and free. All values of Account.Index are
 // below it; the dispatcher has to know this bound.
-func (c *Controller) Accounts() int { return len(c.accounts) }
+func (c *Controller) IndexCount() int { return len(c.accounts) }
 
 // InFlight returns the number of invocations of all tenants that were admitted and have not
 // completed.
--- a/internal/tenants/controller_test.go
+++ b/internal/tenants/controller_test.go
@@ -15,7 +15,7 @@
 	removed := f.tenants["t"]
 	f.admit("t", 2, Request{})
 	f.Remove(f.now, "t")
-	fmt.Println(f.admit("t", 1, Request{}), f.Accounts())
+	fmt.Println(f.admit("t", 1, Request{}), f.IndexCount())
 	f.putTenant("t", 1, Limits{})
 	created := f.tenants["t"]
 	fmt.Println("beside it:", created.Index, f.Usage(created).Admitted)
--- a/internal/tenants/credential.go
+++ b/internal/tenants/credential.go
@@ -17,8 +17,8 @@
 	Expires time.Time `json:"expires,omitzero"`
 }
 
-// HashOf returns the hash that is stored in place of a secret: its SHA-256 in hexadecimal digits.
-func HashOf(secret string) string {
+// HashSecret returns the hash that is stored in place of a secret: its SHA-256 in hexadecimal digits.
+func HashSecret(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
@@ -26,6 +26,6 @@
 // Verify reports whether the secret belongs to the credential and the credential has not expired. Its
 // running time does not depend on the secret.
 func (c Credential) Verify(secret string, now time.Time) bool {
-	matches := subtle.ConstantTimeCompare([]byte(c.Hash), []byte(HashOf(secret))) == 1
+	matches := subtle.ConstantTimeCompare([]byte(c.Hash), []byte(HashSecret(secret))) == 1
 	return matches && (c.Expires.IsZero() || now.Before(c.Expires))
 }
--- a/internal/tenants/credential_test.go
+++ b/internal/tenants/credential_test.go
@@ -8,8 +8,8 @@
 func TestSecretVerifiesItsOwnCredentialUntilItExpires(t *testing.T) {
 	f := newFixture(10, 1)
 	tenant := Tenant{Name: "a", Handle: "t1", State: Active, Spec: validSpec(), Credentials: []Credential{
-		{ID: "k1", Hash: HashOf("s1")},
-		{ID: "k2", Hash: HashOf("s2"), Expires: noon},
+		{ID: "k1", Hash: HashSecret("s1")},
+		{ID: "k2", Hash: HashSecret("s2"), Expires: noon},
 	}}
 	f.Put(0, tenant)
 	for _, c := range []struct {
--- a/internal/tenants/fairshare_test.go
+++ b/internal/tenants/fairshare_test.go
@@ -96,7 +96,7 @@
 	}
 	f.allocate(f.now)
 	share := f.Usage(f.tenants["calm"]).ShareInFlight
-	if f.Active() != 1 || share != 40 {
-		t.Error(f.Active(), "active tenants, want 1; the share of the other tenant, want 40: ", share)
+	if f.ActiveCount() != 1 || share != 40 {
+		t.Error(f.ActiveCount(), "active tenants, want 1; the share of the other tenant, want 40: ", share)
 	}
 }
--- a/internal/tenants/store/forms_test.go
+++ b/internal/tenants/store/forms_test.go
@@ -71,7 +71,7 @@
 	}
 	later := goldenSpec(t)
 	later.Weight = 7
-	credential := tenants.Credential{ID: "key", Hash: tenants.HashOf("secret"), Expires: noon.Add(time.Hour)}
+	credential := tenants.Credential{ID: "key", Hash: tenants.HashSecret("secret"), Expires: noon.Add(time.Hour)}
 
 	putSpec("one", goldenSpec(t), "-mark")
 	putSpec("one", later, "-mark")
--- a/internal/tenants/validation.go
+++ b/internal/tenants/validation.go
@@ -52,10 +52,10 @@
 	return strings.Join(texts, "; ")
 }
 
-// Name returns what is invalid about a tenant's or operation's name, as the error of the given field;
+// ValidateName returns what is invalid about a tenant's or operation's name, as the error of the given field;
 // nil if the name is valid. Only a few ASCII characters are valid, because names with other characters
 // that look the same could be mistaken for each other.
-func Name(field, name string) FieldErrors {
+func ValidateName(field, name string) FieldErrors {
 	reason := ""
 	switch {
 	case name == "":
@@ -136,7 +136,7 @@
 	indexByName := map[string]int{}
 	for i, operation := range operations {
 		prefix := fmt.Sprintf("/operations/%d/", i)
-		v.errors = append(v.errors, Name(prefix+"name", operation.Name)...)
+		v.errors = append(v.errors, ValidateName(prefix+"name", operation.Name)...)
 		first, duplicate := indexByName[operation.Name]
 		if duplicate && operation.Name != "" {
 			v.fail(prefix+"name", "%q is the name of operation %d too", operation.Name, first)
