--- a/cmd/stoatweir/tenancy.go
+++ b/cmd/stoatweir/tenancy.go
@@ -126,9 +126,9 @@
 // administrators returns the administrators of the configuration in the form of the tenant API.
 func administrators(config settings.Tenancy) (all []api.Administrator) {
 	for _, a := range config.Administrators {
-		role := api.Read
+		role := api.RoleRead
 		if a.Operate {
-			role = api.Operate
+			role = api.RoleOperate
 		}
 		all = append(all, api.Administrator{Name: a.Name, Role: role, Hash: a.Hash})
 	}
--- a/internal/tenants/api/api.go
+++ b/internal/tenants/api/api.go
@@ -35,16 +35,16 @@
 		schedulers:     max(1, schedulers),
 		mux:            http.NewServeMux(),
 	}
-	a.handle("GET /v1/revision", Read, a.getRevision)
-	a.handle("GET /v1/tenants", Read, a.listTenants)
-	a.handle("GET /v1/tenants/{name}", Read, a.getTenant)
-	a.handle("PUT /v1/tenants/{name}", Operate, a.putTenant)
-	a.handle("DELETE /v1/tenants/{name}", Operate, a.deleteTenant)
-	a.handle("PUT /v1/tenants/{name}/state", Operate, a.setState)
-	a.handle("POST /v1/tenants/{name}/credentials", Operate, a.grantCredential)
-	a.handle("DELETE /v1/tenants/{name}/credentials/{id}", Operate, a.revokeCredential)
-	a.handle("GET /v1/tenants/{name}/usage", Read, a.getUsage)
-	a.handle("GET /v1/audit", Read, a.listAudit)
+	a.handle("GET /v1/revision", RoleRead, a.getRevision)
+	a.handle("GET /v1/tenants", RoleRead, a.listTenants)
+	a.handle("GET /v1/tenants/{name}", RoleRead, a.getTenant)
+	a.handle("PUT /v1/tenants/{name}", RoleOperate, a.putTenant)
+	a.handle("DELETE /v1/tenants/{name}", RoleOperate, a.deleteTenant)
+	a.handle("PUT /v1/tenants/{name}/state", RoleOperate, a.setState)
+	a.handle("POST /v1/tenants/{name}/credentials", RoleOperate, a.grantCredential)
+	a.handle("DELETE /v1/tenants/{name}/credentials/{id}", RoleOperate, a.revokeCredential)
+	a.handle("GET /v1/tenants/{name}/usage", RoleRead, a.getUsage)
+	a.handle("GET /v1/audit", RoleRead, a.listAudit)
 	return a
 }
 
--- a/internal/tenants/api/auth.go
+++ b/internal/tenants/api/auth.go
@@ -14,8 +14,8 @@
 
 // The roles of administrators.
 const (
-	Read    Role = "read"    // may only read
-	Operate Role = "operate" // may read and make changes
+	RoleRead    Role = "read"    // may only read
+	RoleOperate Role = "operate" // may read and make changes
 )
 
 // Administrator is a person or program that may use the API. Only the hash of its token is
@@ -34,7 +34,7 @@
 		w.Header().Set("WWW-Authenticate", `Bearer realm="stoatweir administration"`)
 		return Administrator{}, newProblem(http.StatusUnauthorized, "a known token is wanted in Authorization: Bearer")
 	}
-	if role == Operate && administrator.Role != Operate {
+	if role == RoleOperate && administrator.Role != RoleOperate {
 		return Administrator{}, newProblem(http.StatusForbidden, fmt.Sprintf("%s may only read", administrator.Name))
 	}
 	return administrator, nil
--- a/internal/tenants/api/fixture_test.go
+++ b/internal/tenants/api/fixture_test.go
@@ -32,8 +32,8 @@
 
 func newAdministrators() []Administrator {
 	return []Administrator{
-		{Name: "ops", Role: Operate, Hash: tenants.HashSecret(operator)},
-		{Name: "eyes", Role: Read, Hash: tenants.HashSecret(reader)},
+		{Name: "ops", Role: RoleOperate, Hash: tenants.HashSecret(operator)},
+		{Name: "eyes", Role: RoleRead, Hash: tenants.HashSecret(reader)},
 	}
 }
 
