--- a/cmd/stoatweir/counts.go
+++ b/cmd/stoatweir/counts.go
@@ -133,7 +133,7 @@
 // schedulePublishing schedules publishing of the totals for operators if they may have changed
 // since the last time.
 func (s *service) schedulePublishing() {
-	changed := len(s.events) > 0 || s.ledger.Changes != s.publishedChanges
+	changed := len(s.events) > 0 || s.ledger.ModificationCount != s.publishedChanges
 	if s.process.Admin != "" && s.publishTimer == nil && changed {
 		s.publishTimer = s.loop.After(totalsPublishDelay, s.publishTotals)
 	}
@@ -143,6 +143,6 @@
 func (s *service) publishTotals() {
 	totals := s.totals()
 	s.publishedTotals.Store(&totals)
-	s.publishedChanges = s.ledger.Changes
+	s.publishedChanges = s.ledger.ModificationCount
 	s.publishTimer = nil
 }
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -71,7 +71,7 @@
 
 // fillLedger adds a different number of each kind of entry to a ledger.
 func fillLedger(l *accounting.Ledger) {
-	l.Forwards, l.Applied, l.Rejected = 1001, 1002, 1003
+	l.ForwardCount, l.Applied, l.Rejected = 1001, 1002, 1003
 	class := l.Class("render")
 	for range 30 {
 		l.Admitted(class)
--- a/internal/accounting/ledger.go
+++ b/internal/accounting/ledger.go
@@ -8,10 +8,10 @@
 // Ledger holds the running counts of one process. The code in which an event happens reports it
 // here exactly once. It is not safe for concurrent use.
 type Ledger struct {
-	Forwards int // attempts whose request was written completely to a worker
-	Applied  int // configurations that a reload applied
-	Rejected int // configurations that a reload rejected
-	Changes  int // number of modifications so far; a copy is current for as long as this stays the same
+	ForwardCount      int // attempts whose request was written completely to a worker
+	Applied           int // configurations that a reload applied
+	Rejected          int // configurations that a reload rejected
+	ModificationCount int // number of modifications so far; a copy is current for as long as this stays the same
 
 	classes     []Class
 	indexByName map[string]int // position of each class in classes
@@ -37,7 +37,7 @@
 	index = l.allocateIndex()
 	l.indexByName[name] = index
 	l.classes[index] = Class{Name: name}
-	l.Changes++
+	l.ModificationCount++
 	return index
 }
 
@@ -63,7 +63,7 @@
 	delete(l.indexByName, name)
 	l.classes[index] = Class{}
 	l.free = append(l.free, index)
-	l.Changes++
+	l.ModificationCount++
 }
 
 // Classes returns the names of all known classes, sorted.
@@ -72,26 +72,26 @@
 // Admitted counts one admitted request of a class.
 func (l *Ledger) Admitted(class int) {
 	l.classes[class].Admitted++
-	l.Changes++
+	l.ModificationCount++
 }
 
 // Completed counts one completed request of a class.
 func (l *Ledger) Completed(class int, disposition Disposition) {
 	l.classes[class].Completed[disposition]++
-	l.Changes++
+	l.ModificationCount++
 }
 
 // MigrationReturned undoes Completed with Migrated for one request of a class whose migration
 // failed: the request is outstanding here again.
 func (l *Ledger) MigrationReturned(class int) {
 	l.classes[class].Completed[Migrated]--
-	l.Changes++
+	l.ModificationCount++
 }
 
 // Forwarded counts one attempt whose request was written completely to a worker.
 func (l *Ledger) Forwarded() {
-	l.Forwards++
-	l.Changes++
+	l.ForwardCount++
+	l.ModificationCount++
 }
 
 // ConfigurationLoaded counts one reload of the configuration, which was either applied or rejected.
@@ -101,5 +101,5 @@
 	} else {
 		l.Rejected++
 	}
-	l.Changes++
+	l.ModificationCount++
 }
--- a/internal/accounting/totals.go
+++ b/internal/accounting/totals.go
@@ -21,7 +21,7 @@
 // and ejected workers.
 func (l *Ledger) Totals(discovered, ejected int) Totals {
 	t := Totals{
-		Forwards:   l.Forwards,
+		Forwards:   l.ForwardCount,
 		Applied:    l.Applied,
 		Rejected:   l.Rejected,
 		Discovered: discovered,
