--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -119,8 +119,8 @@
 	keys := []any{invariant.WorkerUnavailable, invariant.WorkerRestarted, invariant.WorkerMoved, invariant.ClientGone, invariant.TimeoutPassed,
 		invariant.WindowPassed, invariant.UnknownRequest, invariant.TooManyAttempts, invariant.TooManyInFlight, invariant.DuplicateAtWorker,
 		invariant.RetriedAfterPossibleRun,
-		invariant.RetriedOutsideScope, invariant.RetriedOutsideWindow, invariant.AnsweredTwice, invariant.AnsweredLate, invariant.RejectedAfterPossibleRun,
-		invariant.ClosedUnanswered,
+		invariant.RetriedOutsideScope, invariant.RetriedOutsideWindow, invariant.AnsweredTwice, invariant.AnsweredLate,
+		invariant.RejectedAfterPossibleRun, invariant.ClosedUnanswered,
 		invariant.StartInFuture, dispatch.ReasonTimeout, dispatch.ReasonTooLate, dispatch.ReasonAttempts, dispatch.ReasonBadRequest,
 		dispatch.ReasonMayHaveRun, dispatch.ReasonWindow, lifecycle.Starting, lifecycle.Ready, lifecycle.Standby,
 		lifecycle.HandingOver, lifecycle.Stopping}
--- a/internal/clients/identifiers_test.go
+++ b/internal/clients/identifiers_test.go
@@ -44,7 +44,7 @@
 }
 
 // TenantHandle returns the tenant's handle in an identifier, or nothing if there is none.
-func TestScope(t *testing.T) {
+func TestTenantHandle(t *testing.T) {
 	for id, want := range map[string]string{"h-a~9b1f": "h-a", "9b1f": "", "~9b1f": "", "h-a~x~y": "h-a"} {
 		if got := TenantHandle(id); got != want {
 			t.Errorf("TenantHandle(%q) = %q, want %q", id, got, want)
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -40,8 +40,8 @@
 	// OnCallback handles a worker's callback. It returns false if the callback refers to no attempt
 	// known to this process.
 	OnCallback func(workers.Callback) bool
-	// OnResultDelivered receives, for each invocation answered with a worker's result, the time since its
-	// admission.
+	// OnResultDelivered receives, for each invocation answered with a worker's result, the time
+	// since its admission.
 	OnResultDelivered func(time.Duration)
 	// Behavior returns what the process lifecycle currently permits.
 	Behavior func() lifecycle.Behavior
--- a/internal/conn/fixture_test.go
+++ b/internal/conn/fixture_test.go
@@ -94,7 +94,8 @@
 	return local, remote
 }
 
-// replaceSystemCalls applies change to DefaultSystemCalls and restores the previous value when the test ends.
+// replaceSystemCalls applies change to DefaultSystemCalls and restores the previous value when the
+// test ends.
 func replaceSystemCalls(t *testing.T, change func(*SystemCalls)) {
 	before := DefaultSystemCalls
 	t.Cleanup(func() { DefaultSystemCalls = before })
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -59,8 +59,8 @@
 	candidateTimer    *conn.Timer
 }
 
-// NewWatcher returns a watcher that has sent no request yet. zones and kinds are the configured names in
-// the order of their indices; start is the time at which the loop's clock was zero.
+// NewWatcher returns a watcher that has sent no request yet. zones and kinds are the configured
+// names in the order of their indices; start is the time at which the loop's clock was zero.
 func NewWatcher(loop *conn.Loop, addr string, zones, kinds []string, start time.Time) *Watcher {
 	w := &Watcher{
 		WallClock: time.Now,
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -28,8 +28,8 @@
 	return appendFieldsAndBody(b, fields, body, status != StatusNoContent)
 }
 
-// EncodeRequest returns an encoded request. It has a Content-Length header if it has a body or its method
-// is POST.
+// EncodeRequest returns an encoded request. It has a Content-Length header if it has a body or its
+// method is POST.
 func EncodeRequest(method, target, host string, body []byte, fields ...Field) []byte {
 	b := make([]byte, 0, typicalRequestHeadBytes+len(target)+len(body))
 	for _, part := range []string{method, " ", target, " ", version11, "\r\nHost: ", host, "\r\n"} {
--- a/internal/invariant/answer.go
+++ b/internal/invariant/answer.go
@@ -22,9 +22,9 @@
 	Migrated  AnswerKind = "handed over" // another process answers it
 )
 
-// CheckAnswer checks and records a final answer with its cause, which may be empty, and returns the kind of
-// answer that may be given. It is Failed in place of Rejected if the request may have run and its client
-// can't safely retry.
+// CheckAnswer checks and records a final answer with its cause, which may be empty, and returns the
+// kind of answer that may be given. It is Failed in place of Rejected if the request may have run
+// and its client can't safely retry.
 func (c *Checker) CheckAnswer(id dispatch.InvocationID, kind AnswerKind, cause string) AnswerKind {
 	if c == nil {
 		return kind
--- a/internal/lab/report/build.go
+++ b/internal/lab/report/build.go
@@ -15,7 +15,8 @@
 	microsPerMilli = 1e3
 )
 
-// FromModel returns the report of the finished run of a model. WithRun adds what the model does not know.
+// FromModel returns the report of the finished run of a model. WithRun adds what the model does not
+// know.
 func FromModel(m *model.Model) Report {
 	s := m.Statistics
 	r := Report{
--- a/internal/lab/soak/system_faults.go
+++ b/internal/lab/soak/system_faults.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// FaultsFileVariable is the environment variable with the path of the file that holds the Faults to inject.
-// A scheduler that was built with fault injection reads that file periodically.
+// FaultsFileVariable is the environment variable with the path of the file that holds the Faults to
+// inject. A scheduler that was built with fault injection reads that file periodically.
 const FaultsFileVariable = "STOATWEIR_SHIMS"
 
 // Faults are the faults that a scheduler injects between itself and the operating system. The program
--- a/internal/lab/virtual/decider.go
+++ b/internal/lab/virtual/decider.go
@@ -13,7 +13,8 @@
 // settings as JSON.
 type DeciderFactory func(scheduler int, seed int64, settings []byte) (Decider, error)
 
-// NewModuleDecider is the DeciderFactory that runs the decision module, package dispatch, in this process.
+// NewModuleDecider is the DeciderFactory that runs the decision module, package dispatch, in this
+// process.
 func NewModuleDecider(_ int, seed int64, settingsJSON []byte) (Decider, error) {
 	deployment, err := settings.ParseDeployment(settingsJSON)
 	if err != nil {
--- a/internal/lab/virtual/program.go
+++ b/internal/lab/virtual/program.go
@@ -52,8 +52,8 @@
 // Err returns the error after which the program makes no more decisions, or nil if there was none.
 func (p *Program) Err() error { return p.err }
 
-// DeciderFactory returns a DeciderFactory whose deciders forward to the program. clock returns the time of
-// the run.
+// DeciderFactory returns a DeciderFactory whose deciders forward to the program. clock returns the
+// time of the run.
 func (p *Program) DeciderFactory(clock func() time.Duration) DeciderFactory {
 	return func(scheduler int, seed int64, settingsJSON []byte) (Decider, error) {
 		deployment, err := settings.ParseDeployment(settingsJSON)
--- a/internal/lifecycle/transitions.go
+++ b/internal/lifecycle/transitions.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Drain carries out an operator's order to drain. It returns false if the process is shutting down, which
-// the order does not change.
+// Drain carries out an operator's order to drain. It returns false if the process is shutting down,
+// which the order does not change.
 func (l *Lifecycle) Drain(now time.Duration) bool {
 	if l.state >= HandingOver {
 		return false
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -46,8 +46,8 @@
 	b.start = (b.start + n) % Size
 }
 
-// Unallocated reports whether the buffer has no array allocated. It may return false although the buffer
-// holds no bytes.
+// Unallocated reports whether the buffer has no array allocated. It may return false although the
+// buffer holds no bytes.
 func (b *Buffer) Unallocated() bool { return b.array == nil }
 
 // Len returns the number of bytes held.
--- a/internal/tenants/admission.go
+++ b/internal/tenants/admission.go
@@ -22,7 +22,8 @@
 )
 
 // RejectionKinds are the kinds that Usage counts.
-var RejectionKinds = []RejectionKind{RejectedBySuspension, RejectedBySize, RejectedByRate, RejectedByConcurrency, RejectedByHeldWork, RejectedByRetries, RejectedByShare}
+var RejectionKinds = []RejectionKind{RejectedBySuspension, RejectedBySize, RejectedByRate, RejectedByConcurrency,
+	RejectedByHeldWork, RejectedByRetries, RejectedByShare}
 
 const (
 	// minRetryAfter and maxRetryAfter bound the advised delay before a retry, after jitter.
--- a/internal/tenants/api/request.go
+++ b/internal/tenants/api/request.go
@@ -54,7 +54,7 @@
 	writeResponse(w, answer)
 }
 
-// parseRequest parses the query and, for a request that needs the role RoleOperate, its dry-run flag and
+// parseRequest parses the query and, for a request that needs RoleOperate, its dry-run flag and
 // preconditions. It limits the size of the body. The error is a Problem.
 func parseRequest(w http.ResponseWriter, r *http.Request, administrator Administrator, role Role) (*request, error) {
 	query, err := url.ParseQuery(r.URL.RawQuery)
--- a/internal/tenants/validation.go
+++ b/internal/tenants/validation.go
@@ -52,9 +52,9 @@
 	return strings.Join(texts, "; ")
 }
 
-// ValidateName returns what is invalid about a tenant's or operation's name, as the error of the given field;
-// nil if the name is valid. Only a few ASCII characters are valid, because names with other characters
-// that look the same could be mistaken for each other.
+// ValidateName returns what is invalid about a tenant's or operation's name, as the error of the
+// given field; nil if the name is valid. Only a few ASCII characters are valid, because names with
+// other characters that look the same could be mistaken for each other.
 func ValidateName(field, name string) FieldErrors {
 	reason := ""
 	switch {
--- a/internal/tenants/validation_test.go
+++ b/internal/tenants/validation_test.go
@@ -25,7 +25,8 @@
 		fmt.Println(fieldError)
 	}
 	tooLong := strings.Repeat("a", 41)
-	fmt.Println(ValidateName("/name", "Acme"), ValidateName("/name", ""), ValidateName("/name", tooLong), ValidateName("/name", "a."), len(ValidateName("/name", "a-1")))
+	fmt.Println(ValidateName("/name", "Acme"), ValidateName("/name", ""), ValidateName("/name", tooLong),
+		ValidateName("/name", "a."), len(ValidateName("/name", "a-1")))
 	// Output:
 	// /weight: 0 is not over 0
 	// /limits/rate_per_s: 0 is not over 0
--- a/internal/workers/sendcheck.go
+++ b/internal/workers/sendcheck.go
@@ -5,7 +5,8 @@
 	"stoatweir/internal/invariant"
 )
 
-// Causes for which the check before the first byte stops an attempt: the keys of Counts.StoppedAttempts.
+// Causes for which the check before the first byte stops an attempt: the keys of
+// Counts.StoppedAttempts.
 const (
 	stoppedWorker    = "worker"    // the worker is draining or gone, or has restarted or moved since it was chosen
 	stoppedClient    = "client"    // the client has left or has its answer
--- a/internal/workers/sendcheck_test.go
+++ b/internal/workers/sendcheck_test.go
@@ -73,7 +73,8 @@
 			}))
 			f.runUntilTrue("the end of the attempt", func() bool { return len(outcomes) > 0 })
 			if outcomes[0].Result != dispatch.NotSent || f.Counts.StoppedAttempts[b.stopCounter] != 1 || len(f.requests) > 0 {
-				t.Errorf("want a stop before the send, got %+v, stopped: %v, requests: %d", outcomes[0], f.Counts.StoppedAttempts, len(f.requests))
+				t.Errorf("want a stop before the send, got %+v, stopped: %v, requests: %d", outcomes[0],
+					f.Counts.StoppedAttempts, len(f.requests))
 			}
 			f.Forward(f.newInvocation(3), 0, f.id)
 			f.runUntilTrue("the next request", func() bool { return len(f.requests) > 0 })
--- a/internal/workers/transport.go
+++ b/internal/workers/transport.go
@@ -49,7 +49,7 @@
 	Dialled              int            `json:"Dialled"`  // connections dialled
 	AttemptsByReason     map[string]int `json:"Ended"`    // attempts, by close reason
 	HealthChecksByReason map[string]int `json:"Answered"` // health checks, by close reason
-	EndpointChanges      map[string]int `json:"Changes"`  // workers that changed in the endpoint list, by change, such as "ready to draining"
+	EndpointChanges      map[string]int `json:"Changes"`  // workers changed in the endpoint list, by change, such as "ready to draining"
 	StoppedAttempts      map[string]int `json:"Stopped"`  // attempts that the check before the first byte stopped, by cause
 }
 
