--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -50,7 +50,7 @@
 	ProgressInterval      time.Duration // interval of workers' progress reports; 0: workers send none
 	Limits                Limits
 	Rules                 Rules
-	WorstOperationWeight  float64 // weight of the worst served operation, as a fraction of the total
+	WorstOperationWeight  float64 // extra weight of the worst served operation, as a fraction of the weight of all operations
 	HealthCheckCost       float64 // points of the overall score that one health check per invocation costs
 	GossipCost            float64 // points of the overall score that MaxGossipBytes of gossip per invocation cost
 }
@@ -85,8 +85,8 @@
 
 // Rules holds the parameters of the rules that every scheduler follows.
 type Rules struct {
-	PollWithin           time.Duration // the endpoint list must be polled within this time
-	DrainGrace           time.Duration // how long a draining or gone worker may still be sent to; 0: not configured
+	PollWithin           time.Duration // longest time allowed between two polls of the endpoint list
+	DrainGrace           time.Duration // how long attempts may still be sent to a draining or gone worker; 0: not configured
 	InitialCapacityShare float64       // fraction of its full capacity that a worker has when it starts
 	SlowStartDuration    time.Duration // from a worker's start until it reaches its full capacity
 	OverloadFactor       float64       // a worker in slow start is overloaded beyond this multiple of its capacity
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Dispatcher makes the decisions of one scheduler. It also is the registry of workers, and maps the
+// Dispatcher makes the decisions of one scheduler. It is also the registry of workers, and maps the
 // caller's ids to the indices used inside the package.
 type Dispatcher struct {
 	sharedState
@@ -50,7 +50,7 @@
 
 	gossipEnabled bool             // gossip with other schedulers is enabled
 	gossipQueue   []outgoingGossip // sent at the end of the current moment
-	lastSerial    uint8            // of this scheduler's last attempt, which gossip refers to
+	lastSerial    uint8            // identifies this scheduler's last attempt in gossip
 
 	healthChecks         bool
 	notifiesStart        bool
@@ -90,7 +90,7 @@
 	d.scheduler = newScheduler(d)
 	d.scheduler.handle = func(message schedulerMessage) { message.deliverToScheduler(&d.scheduler) }
 	d.applyConfig(Reconfigured{Config: config})
-	if d.schedulerIndex < 0 { // not configured: a random number serves as well, though others may have it too
+	if d.schedulerIndex < 0 { // not configured: a random number is used, which other schedulers may have too
 		d.schedulerIndex = d.rng.Intn(max(1, config.Schedulers))
 	}
 	d.sendGossip(allSchedulers, GossipEntry{Kind: GossipRestarted})
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -68,7 +68,7 @@
 	Worker     WorkerID
 	Attempt    int
 	Accepted   bool    // the worker has received it, but may not have read it yet
-	Started    bool    // the attempt has started; if Accepted is false too, it is still running
+	Started    bool    // the attempt has started; if Accepted and Started are both false, it is still running
 	Done       float64 // fraction of the work done, 0 to 1
 }
 
@@ -92,9 +92,9 @@
 	ConnectionBroken
 	// Cancelled: this scheduler gave up the attempt.
 	Cancelled
-	// NotSent: by the time the attempt could be sent, it no longer was allowed to be.
+	// NotSent: when the attempt could have been sent, sending it was no longer allowed.
 	NotSent
-	// BadRequest: the worker refused the request itself, independent of its load.
+	// BadRequest: the worker refused the request itself, whatever the worker's load was.
 	BadRequest
 	// ReusedConnectionBroken: an idle connection broke when it was used again. This is normal and
 	// says nothing about the worker.
@@ -129,7 +129,7 @@
 
 // LoadReport is a worker's report of its own load.
 type LoadReport struct {
-	FreeSlots   float64 `json:"FreeSlots"`   // negative: not configured
+	FreeSlots   float64 `json:"FreeSlots"`   // negative: unknown
 	Queued      float64 `json:"Waiting"`     // invocations queued at the worker
 	InFlight    float64 `json:"InHand"`      // invocations at the worker
 	Busy        float64 `json:"Busy"`        // fraction of time that the worker is busy, 0 to 1
@@ -182,7 +182,7 @@
 	Kind        int
 	Cell        int
 	State       EndpointState
-	StartKnown  bool          // StartedAt is known; otherwise the worker started long ago
+	StartKnown  bool          // StartedAt is known; otherwise the worker counts as having started long ago
 	StartedAt   time.Duration // on this instance's clock; negative: before the instance started
 	Incarnation uint64        // identifies this start of the worker, identically at every scheduler
 }
--- a/dispatch/gossip.go
+++ b/dispatch/gossip.go
@@ -165,7 +165,8 @@
 func (w *worker) receiveGossip(message gossipMessage) {
 	switch message.Kind {
 	case GossipAttemptStarted:
-		w.remoteAttemptEnded(message) // the end of an earlier one may be lost, and a start may arrive twice
+		// The end of an earlier attempt with this serial may be lost, and a start may arrive twice.
+		w.remoteAttemptEnded(message)
 		w.remoteAttemptStarted(message)
 	case GossipAttemptEnded:
 		w.remoteAttemptEnded(message)
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -9,8 +9,8 @@
 	// maxHedgeShare bounds the number of hedged requests, as a share of all invocations.
 	maxHedgeShare = 0.2
 	// minHedgeConfidence is the least confidence in a worker's load with which it gets a hedged
-	// request. Stale load reports show free slots that have been taken since, and hedged requests
-	// would be sent to them.
+	// request. Stale load reports show free slots that have been taken since, so that hedged requests
+	// would go to busy workers.
 	minHedgeConfidence = 0.6
 )
 
--- a/dispatch/hedge_test.go
+++ b/dispatch/hedge_test.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // Hedged requests use spare capacity where load reports are trusted, for less than a fifth of
-// invocations. The attempt that is not answered first is cancelled.
+// invocations. Once one attempt is answered, the other is cancelled.
 func Example_hedgedRequests() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0))
 	h.collects = true
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -66,8 +66,8 @@
 	case Succeeded:
 		w.healthCheckSucceeded(check.Load)
 	case Rejected, ReusedConnectionBroken:
-		// Workers cap health checks and idle connections break: neither says anything about the
-		// worker.
+		// Workers limit health checks, and idle connections break: neither result says anything about
+		// the worker.
 	default:
 		w.healthCheckFailed(check.Latency)
 	}
@@ -162,7 +162,8 @@
 		w.lastProgress > attempt.progressAt+w.progressInterval+progressTimeout
 }
 
-// awaitsStart reports whether the worker notifies starts and has not yet notified this one.
+// awaitsStart reports whether the worker reports starts and has not yet reported that the attempt has
+// started.
 func (w *worker) awaitsStart(attempt *workerAttempt) bool {
 	return w.notifiesStart && attempt.startedAt == 0
 }
@@ -225,7 +226,7 @@
 func (w *worker) toleratedSilenceSeconds() float64 {
 	tolerated := toleratedSilentRuns * w.stats.runTime * max(1, w.pace)
 	if w.lastReport.FreeSlots <= 0 {
-		// In thin traffic this scheduler has no other attempts there that show that a full worker
+		// With little traffic, this scheduler has no other attempts at a full worker that show that it
 		// still works. The worker's own queue explains the silence.
 		tolerated *= 2 + w.lastReport.Queued/max(1, w.maxFree)
 	}
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -15,7 +15,8 @@
 	poolCheckWindow = 8 * time.Second
 	// minChecksPerSecond is the rate of health checks, of all workers together, without any traffic.
 	minChecksPerSecond = 3
-	// checkBudgetPoints is how many points of the result the health checks beyond that rate may cost.
+	// checkBudgetPoints is how many points of the overall score the health checks beyond that rate
+	// may cost.
 	checkBudgetPoints = 0.002
 	// statsInterval is how often the statistics of all workers are recomputed and the queue is
 	// ranked anew.
@@ -43,7 +44,7 @@
 	retryAfter           time.Duration // longest wait that a throttled client is asked for
 	overloadBudget       float64       // work that a worker in slow start may get from all schedulers, in seconds per slot
 	excessWeight         float64       // of work beyond a tenant's quota, as a part of its usual weight
-	worstOperationWeight float64       // of the worst served operation, as a part of the weight of all
+	worstOperationWeight float64       // extra weight of the worst served operation, as a part of the weight of all
 	checksPerInvocation  float64       // health check credit that an invocation adds
 	queriesPerInvocation int           // capacity queries that an arrival may cause
 	staleQueueShare      float64       // see defaultStaleQueueShare
@@ -55,7 +56,7 @@
 	admitted        float64                 // invocations in total
 	arrivals        samples                 // times of the last arrivals, in seconds
 	hedges          float64                 // hedged requests in total
-	forwardedAt     time.Duration           // when the last attempt or the first health check was sent
+	forwardedAt     time.Duration           // time of the last attempt or, while stats.unmeasured, health check
 	reasons         map[InvocationID]Reason // of invocations given up in this call of Handle
 	worstOperation  int                     // the operation that is served worst, or noOperation
 	offeredWeight   float64                 // priority weight of all arrivals
@@ -240,7 +241,7 @@
 		s.summary.add(view)
 		warm := view.warmUpWeight == 1
 		if ownersAnswer && !view.ownerSilent && view.confidence < minConfidence && warm {
-			continue // while owners answer, a worker without a recent report of its owner is left out
+			continue // while owners answer, a worker without a recent report from its owner is left out
 		}
 		mayHaveFree := !view.measured || view.free+(1-view.confidence)*view.maxFree*s.staleQueueShare >= 1
 		if mayHaveFree && (warm || s.withinSlowStartBudget(0, view)) {
--- a/dispatch/pool_test.go
+++ b/dispatch/pool_test.go
@@ -15,8 +15,8 @@
 	return endpoints
 }
 
-// The pool starts with a few of many workers and is renewed in turns. One more joins when all are
-// busy, within the number that can be health checked. A draining worker leaves the pool at once.
+// The pool starts with a few of many workers, which are replaced in turn. One more joins when all
+// are busy, within the number that can be health checked. A draining worker leaves the pool at once.
 func Example_poolRenewal() {
 	h := newHarness(testConfig(), readyEndpoints(200)...)
 	h.collects = true
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -16,7 +16,7 @@
 	lateRankDivisor = 1000
 	// lateReserve is how many slots must stay free at a worker that gets late work.
 	lateReserve = 1
-	// wellServedShare is the served share, as a part of an operation's weight, from which on the
+	// wellServedShare is the least served share, as a part of an operation's weight, with which the
 	// operation does not count as the worst served one.
 	wellServedShare = 0.95
 	// minServedGap is how far the served share of the worst served operation must lie below the
@@ -159,7 +159,7 @@
 		v.reserve = lateReserve // late work only gets capacity that is left over
 	}
 	weight *= s.quotaWeight(v.tenant)
-	if v.operation == s.worstOperation { // while work is lost, this operation's share counts a second time
+	if v.operation == s.worstOperation { // its share counts a second time, with worstOperationWeight
 		weight *= 1 + s.worstOperationWeight/max(minWeightShare, operation.weight*operation.arrivalCount/s.offeredWeight)
 	}
 	v.weight = weight
@@ -211,15 +211,15 @@
 	}
 }
 
-// slack returns how long an invocation may wait, from its first request on, for a worker with a
-// pace to still finish in time.
+// slack returns how long an invocation may wait in total if a worker with the given pace is still to
+// finish it in time.
 func (s *scheduler) slack(v *invocation, pace float64) time.Duration {
 	operation := &s.operations[v.operation]
 	return operation.objective + seconds(maxWaitShare*v.work*(medianHintRatio*operation.stretch-pace))
 }
 
-// isLate reports whether an invocation that has waited since a time is too late for any worker. It
-// is never late before its latency objective, as the estimated paces may be wrong.
+// isLate reports whether an invocation that has waited since the given time is too late for any
+// worker. It is never late before its latency objective, as the estimated paces may be wrong.
 func (s *scheduler) isLate(v *invocation, since time.Duration) bool {
 	limit := s.operations[v.operation].objective
 	if len(s.pool) > 0 {
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// affordableQueries returns how many capacity queries one invocation is worth, given the cost of gossip.
+// affordableQueries returns how many capacity queries one arrival may cause, given the cost of gossip.
 func affordableQueries(gossipCost float64) int {
 	queryCost := capacityQueryBytes * gossipCost / MaxGossipBytes
 	return int(min(maxQueriesPerInvocation, queryBudgetPoints/max(queryCost, queryBudgetPoints/maxQueriesPerInvocation)))
@@ -151,7 +151,7 @@
 type Quota struct {
 	Tenant         int
 	QuotaPerSecond float64
-	Reassigned     bool // the index now belongs to another tenant, whose arrivals start at none
+	Reassigned     bool // the index now belongs to another tenant, whose arrivals are counted from zero
 }
 
 // About returns zero values.
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -7,7 +7,7 @@
 
 const (
 	// maxBadRequests is the number of workers that must call an invocation a bad request before the
-	// invocation itself is at fault.
+	// invocation itself counts as being at fault.
 	maxBadRequests = 2
 	// minTimeForAttempt is the least time before the client timeout with which an attempt is still begun.
 	minTimeForAttempt = 2 * tickInterval
@@ -101,7 +101,7 @@
 		operation.effect == Deduplicated && s.now < first.sentAt+operation.dedupWindow
 }
 
-// retry queues an invocation again whose attempts are not expected to be answered, or gives it up.
+// retry queues an invocation again, or gives it up, if none of its attempts is expected to be answered.
 func (s *scheduler) retry(index int) {
 	v := &s.invocations[index]
 	awaited := slices.ContainsFunc(v.attempts, func(attempt requestAttempt) bool {
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -60,7 +60,7 @@
 	// 80 schedulers advise more than 30 times, 0.75 to 1.25 s: true
 }
 
-// An invocation that can't meet its deadline any more is answered at once, one in flight is waited for
+// An invocation that can no longer meet its deadline is answered at once, one in flight is waited for
 // until the client timeout, and one whose client has disconnected is dropped.
 func Example_finalAnswers() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0))
--- a/dispatch/scheduling_benchmark_test.go
+++ b/dispatch/scheduling_benchmark_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// newLoadedSimulation runs one of fifteen schedulers, without faults. The workers send load
-// reports. There are 48 arrivals a second for any number of workers, and running times grow with
-// that number, so that all schedulers together always take about 23 slots of each worker.
+// newLoadedSimulation returns a running simulation of one of fifteen schedulers, without faults. The
+// workers send load reports. There are 48 arrivals a second for any number of workers, and running
+// times grow with that number, so that all schedulers together always take about 23 slots of each
+// worker.
 func newLoadedSimulation(workers int) *simulation { return newLoadedSimulationWithShare(workers, 0.4) }
 
 // newLoadedSimulationWithShare is newLoadedSimulation with the average part of all slots that other
@@ -60,8 +61,8 @@
 	heap          uint64 // bytes
 }
 
-// measure runs the simulation for a span and measures it. It drops the dispatcher, so that the
-// simulation cannot be continued.
+// measure runs the simulation for a span and measures it. It drops the dispatcher, so the simulation
+// cannot be continued afterwards.
 func (s *simulation) measure(span time.Duration) (m measurement) {
 	s.onAction = func(_ time.Duration, a Action) {
 		if _, isForward := a.(Forward); isForward {
@@ -126,7 +127,8 @@
 	}
 }
 
-// BenchmarkFull measures the same where work is queued repeatedly, as few workers have capacity.
+// BenchmarkFull measures the same as BenchmarkStart while few workers have capacity, so that work is
+// queued repeatedly.
 func BenchmarkFull(b *testing.B) {
 	for _, workers := range []int{60, 240, 950, 3800} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { reportMeasurement(b, newLoadedSimulationWithShare(workers, 0.9)) })
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -17,7 +17,8 @@
 	defaultStaleQueueShare = 0.5
 	// medianHintRatio is the median ratio of running time to hinted cost over all work.
 	medianHintRatio = 1.4
-	// maxWaitShare is the part of an invocation's slack that it may spend waiting.
+	// maxWaitShare is the part of an invocation's spare time, which is the extension of its objective
+	// less its running time, that it may spend waiting (see slack).
 	maxWaitShare = 0.5
 	// paceSafetyFactor is the safety margin with which a worker counts as certain to finish in time:
 	// it would do so even if it were slower by this factor.
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -71,7 +71,7 @@
 	// b had capacity, but 2 has not started there: 3 to b
 }
 
-// In thin traffic workers are health checked when an invocation arrives, and it waits at most a
+// With little traffic, workers are health checked when an invocation arrives, which waits at most a
 // tick for the results: without them, all load reports are as old as the last round of health
 // checks.
 func Example_waitForHealthCheck() {
@@ -95,8 +95,8 @@
 }
 
 // All workers were full, and the few reports since then show capacity. The old report of a worker
-// that was not checked again only shows that all workers were full at that time. At face value, it
-// would leave that worker without work until its next health check.
+// that was not checked again only shows that all workers were full at that time. If its free slots
+// were taken as current, that worker would get no work until its next health check.
 func Example_afterOverload() {
 	h := newHarness(testConfig(), readyEndpoint('a', 0), readyEndpoint('b', 0), readyEndpoint('c', 0), readyEndpoint('d', 0))
 	h.collects = true
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -7,8 +7,8 @@
 )
 
 // simulation runs one dispatcher against randomly generated workers, clients and other schedulers,
-// and sends it every kind of event. It uses only the exported interface, so that any implementation
-// of it can be run.
+// and sends it every kind of event. It uses only the dispatcher's exported methods, so that any
+// implementation of them can be run.
 type simulation struct {
 	virtualTime
 	rng            *rand.Rand
@@ -21,7 +21,7 @@
 	lastInvocation InvocationID
 	timerAt        time.Duration
 	onAction       func(now time.Duration, a Action)
-	aroundHandle   func(do func()) // wraps each call of Handle, which do makes
+	aroundHandle   func(do func()) // wraps each call of Handle: do makes the call
 	arrivalRate    float64         // arrivals a second
 	meanHint       float64         // seconds
 	faults         float64         // multiplies the probability of each fault; 0: nothing goes wrong or changes
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -9,10 +9,10 @@
 
 // The slow-start budget limits the work that all schedulers together send a worker that has just
 // started, so that they do not overload it. Each scheduler knows only its own work and therefore
-// limits itself to a share of the budget, by a rule that is the same at all schedulers: even shares
-// where each of them holds a few typical runs; otherwise only the schedulers with the lowest ranks
-// in a lottery share the budget. The lottery is drawn by a rendezvous hash of the worker's
-// incarnation.
+// limits itself to a share of the budget, by a rule that is the same at all schedulers. The shares are
+// even if there are at most slowStartPoolRanks schedulers, or if each share holds minRunsPerShare
+// typical runs. Otherwise only the schedulers with the lowest ranks in a lottery share the budget. The
+// lottery is drawn by a rendezvous hash of the worker's incarnation.
 const (
 	// slowStartPoolRanks is how many schedulers, those with the lowest lottery ranks, keep a worker
 	// in slow start in their pools.
@@ -95,8 +95,8 @@
 
 // sharerCount returns how many schedulers share a budget by lottery.
 func (s *scheduler) sharerCount(budget, runTime, capacity float64) float64 {
-	// The average over this scheduler's whole lifetime, so that a jump in traffic does not change at
-	// once which schedulers share the budget.
+	// The arrival rate is averaged over this scheduler's whole lifetime, so that a jump in traffic
+	// does not change at once which schedulers share the budget.
 	workPerSecond := runTime * max(1, s.admitted) / max(poolCheckWindow, s.now).Seconds()
 	needed := min(sharerLoadFactor*capacity/workPerSecond, topSharers+lotteryBudgetShare*budget/(3*minRunsPerShare*runTime))
 	return max(minSharers, math.Floor(needed))
--- a/dispatch/slowstart_simulation_test.go
+++ b/dispatch/slowstart_simulation_test.go
@@ -16,7 +16,7 @@
 
 // A simulation in virtual time of many schedulers with the same workers, some of which start during
 // a burst of arrivals. The work that a worker in slow start gets from all schedulers in any
-// overload window is compared with its budget of N + 2 root N + 2 requests of mean work, where N is
+// overload window is compared with its budget of N + 2 sqrt(N) + 2 requests of mean work, where N is
 // the number of such requests that it is meant for in the window.
 
 var (
@@ -489,8 +489,8 @@
 	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name != unmeasuredHintBias })
 }
 
-// It also stays within its budget where hints are far off and half of the schedulers cannot have
-// measured that.
+// That work also stays within the worker's budget where hints are far off and half of the schedulers
+// cannot have measured that.
 func TestSlowStartBudgetWithUnseenHintBias(t *testing.T) {
 	runSlowStartScenarios(t, func(r slowStartScenario) bool { return r.name == unmeasuredHintBias })
 }
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -166,9 +166,9 @@
 }
 
 // The work that all schedulers together may send a worker in slow start in an overload window, if
-// each always has another small invocation to send, stays within N + 2 root N + 2 requests of mean
-// work. This holds for any configured number of schedulers, as long as each scheduler knows its own
-// index.
+// each always has another small invocation to send, stays within N + 2 sqrt(N) + 2 requests of mean
+// work, where N is the number of such requests that the worker is meant for in the window. This holds
+// for any configured number of schedulers, as long as each scheduler knows its own index.
 func TestSlowStartShares(t *testing.T) {
 	t.Logf("%10s %10s %8s %8s %8s %8s %6s", "schedulers", "configured", "N", "worst", "bound", "share", "over")
 	for _, schedulers := range []int{1, 6, 7, 20, 30, 300} {
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -8,8 +8,8 @@
 const SnapshotVersion = 2
 
 // Snapshot holds what an instance has measured, for the instance that takes its place. It holds no
-// decisions: loaded values are used by the same code as measured ones. Times are ages, or the rest of
-// a span.
+// decisions: loaded values are used by the same code as measured ones. Times are given as ages or as
+// remaining durations.
 type Snapshot struct {
 	Version           int                       `json:"Version"`
 	RunTimes          []float64                 `json:"Runs"`       // running times in seconds
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -35,7 +35,7 @@
 	predecessor.handleAt(9500*ms, predecessor.outcome(25, 0, Succeeded))
 	predecessor.printCollected("the predecessor")
 
-	// The snapshot is passed as JSON to the other process, whose clock started clockOffset.
+	// The snapshot is passed as JSON to the other process, whose clock started clockOffset later.
 	const clockOffset = 9 * time.Second
 	successor := newHarness(config, readyEndpoint('a', 0), readyEndpoint('b', 0))
 	endpoint := starting
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -13,8 +13,8 @@
 // brought up to the last epoch that applies to it when it is read or before the worker's state
 // changes.
 
-// slowStartRecheckInterval is how long after it joined the pool a worker in slow start, which only few
-// schedulers may use, is asked for its load again.
+// slowStartRecheckInterval is how long after joining the pool a worker in slow start is asked for its
+// load again. Only few schedulers may use such a worker.
 const slowStartRecheckInterval = poolCheckWindow / 4
 
 // never is a time that is not reached.
@@ -103,8 +103,9 @@
 	return view
 }
 
-// updateView stores a published view. From a pool that exceeds its size it removes the workers that
-// joined first, except those in slow start that its lottery rank makes this scheduler keep.
+// updateView stores a published view. If the pool exceeds its size, the workers that joined first are
+// removed, except workers in slow start for which this scheduler's lottery rank is below
+// slowStartPoolRanks.
 func (s *scheduler) updateView(view *workerView) {
 	view.estimatePace(s.kindPace, s.stats)
 	s.storeView(view)
@@ -152,8 +153,8 @@
 }
 
 // beginEpoch records a new epoch. Only workers for which something is due are sent an epochStart;
-// for the others it would have no effect. The first one is always sent one, as its view's update keeps
-// the pool within its size.
+// for the others it would have no effect. The first tracked worker is always sent one, as the
+// update of its view keeps the pool within its size.
 func (s *scheduler) beginEpoch() {
 	s.dropInactive()
 	s.epochCount++
--- a/dispatch/virtual_time_test.go
+++ b/dispatch/virtual_time_test.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// callUntil runs all calls up to an end time, including those scheduled meanwhile. now is the time of
-// the last of them afterwards.
+// callUntil runs all calls up to an end time, including those scheduled meanwhile. Afterwards, now is
+// the time of the last call that ran.
 func (v *virtualTime) callUntil(end time.Duration) {
 	for len(v.calls) > 0 && v.calls[0].at <= end {
 		next := heap.Pop(&v.calls).(scheduledCall)
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -10,8 +10,8 @@
 const (
 	// freeSampleCount is how many load reports the estimate of a worker's free slots is based on.
 	freeSampleCount = 8
-	// typicalSampleWeight is the weight of the pool's typical free slots in that estimate, in load
-	// reports.
+	// typicalSampleWeight is the weight of the pool's typical free slots in that estimate, as a number
+	// of load reports.
 	typicalSampleWeight = 6
 	// reportPairWindow bounds the gap between two load reports of a worker that are compared to find
 	// out how often new reports are made.
@@ -91,7 +91,7 @@
 	rejecting    bool // it has recently rejected an attempt
 	ownedHere    bool // this scheduler owns its load data
 	ownerSilent  bool // its owner does not answer queries
-	active       bool // it has attempts of this scheduler, is ejected or is to be rechecked: it needs each epoch
+	active       bool // it has attempts of this scheduler, is ejected or is to be rechecked, so every epoch applies to it
 	checkPending bool // a health check or a capacity query is unanswered
 
 	lotteryRank  int           // number of schedulers before this one in the slow-start lottery
@@ -114,7 +114,7 @@
 // workerAttempt is the worker's record of an attempt.
 type workerAttempt struct {
 	invocation int // its index, or remoteInvocation, or noInvocation
-	number     int // of the attempt in its invocation; of another scheduler's attempt: its gossip serial
+	number     int // number of the attempt in its invocation, or the gossip serial of another scheduler's attempt
 	slots      float64
 	work       float64 // seconds on a standard core
 	cost       float64 // use of the slow-start budget, in seconds
@@ -187,8 +187,8 @@
 	if join.viaGossip && !w.ownedHere && !(w.checkPending && w.queriedAt == w.now) {
 		w.queryOwner()
 	}
-	// A worker whose owner does not answer is also asked directly, as if it had no owner, in one of
-	// maxQueriesPerInvocation cases.
+	// A worker whose owner does not answer is also asked directly, as if it had no owner, with a
+	// probability of 1/maxQueriesPerInvocation.
 	if !join.viaGossip || w.ownerSilent && w.rng.Intn(maxQueriesPerInvocation) == 0 {
 		w.healthCheck()
 	}
@@ -263,17 +263,17 @@
 	if count == 0 {
 		return
 	}
-	// All schedulers send to the worker that last looked emptiest. So the older its last report is,
-	// the more the mean of its last reports counts, and the fewer of these there are, the more the
-	// pool's typical value counts.
+	// All schedulers send to the worker that last looked emptiest. So the older the worker's last
+	// report is, the more the mean of its last reports counts. The fewer reports there are, the more
+	// the pool's typical value counts in that mean.
 	age := max(0, now-w.freeSampledAt).Seconds()
 	w.confidence = math.Exp(-age / max(w.stats.runTime, minRunTimeSeconds))
 	decayed := w.stats.typicalFree + w.freeSamples.sum()/float64(count+typicalSampleWeight)
 	w.free = math.Round(min(w.confidence*w.lastFree+(1-w.confidence)*decayed-w.reserved, w.maxFree))
 }
 
-// estimateActivity sets whether the worker needs each epoch, and how much of this scheduler's share
-// of its slow-start budget is used.
+// estimateActivity sets whether every epoch applies to the worker, and how much of this scheduler's
+// share of the worker's slow-start budget is used.
 func (w *worker) estimateActivity(now time.Duration) {
 	w.active = w.ejected || w.recheck
 	w.budgetUsed = 0
@@ -324,8 +324,8 @@
 	})
 }
 
-// recordFreeSlots records how many slots were free at a time. Together with the slots that were
-// reserved then they are the capacity that is left to the known attempts.
+// recordFreeSlots records how many slots were free at a time. Together with the slots reserved at that
+// time, they are the capacity that is available to the known attempts.
 func (w *worker) recordFreeSlots(at time.Duration, free float64) {
 	capacity := free + w.reservedAt(at)
 	w.lastFree = min(capacity, w.maxFree)
@@ -409,14 +409,13 @@
 		return w.attemptSucceeded(attempt)
 	case Failed, ConnectionBroken:
 		// A worker that fails attempts fast reports the most free slots and would attract all work.
-		// A single broken connection may be the network's fault, so that it only causes a health
-		// check.
+		// A single broken connection may be the network's fault, so it only causes a health check.
 		w.recheck = result == ConnectionBroken
 		w.consecutiveFailures++
 		if !w.recheck || w.consecutiveFailures >= probationSuccesses {
 			w.eject(ejectFailsAttempts, false)
 		}
-	case Cancelled: // it may run on: its slots stay reserved for as long as it would have run
+	case Cancelled: // it may still be running: its slots stay reserved for as long as it would have run
 		attempt.endedAt = max(w.now, attempt.sentAt+seconds(attempt.work*max(0.5, w.pace)))
 	case Rejected:
 		attempt.endedAt = attempt.sentAt // it still counts against the slow-start budget
@@ -440,7 +439,7 @@
 	runTime = (w.now - cmp.Or(attempt.startedAt, attempt.sentAt)).Seconds()
 	w.rejectedUntil = 0
 	w.consecutiveFailures = 0
-	w.paces.add(runTime / attempt.work * w.warmUpWeight) // without slow start, which estimatePace adds
+	w.paces.add(runTime / attempt.work * w.warmUpWeight) // as if warm: estimatePace adds the effect of slow start
 	w.pace = w.paces.quantile(median)
 	if w.gossipEnabled && !w.ownedHere {
 		w.recordFreeSlots(w.now, 1) // the slot it leaves can be used here at once, before the owner is notified
@@ -454,8 +453,8 @@
 }
 
 // estimatePace sets the pace that the scheduler assumes for the worker. Without results, it is
-// estimated from the worker's kind and its reports, which in thin traffic may show a slow worker
-// long before results do.
+// estimated from the worker's kind and its reports. With little traffic, reports may show a slow
+// worker long before results do.
 func (view *workerView) estimatePace(kindPace map[int]float64, stats workerStats) {
 	if view.pace == 0 {
 		typical := max(stats.serviceTime, view.serviceTime/maxServiceTimeRatio, minServiceTimeSeconds)
