--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -159,9 +159,9 @@
 	return c.invocation == noInvocation && !c.answerDeferred && !c.parser.Started() && c.conn.In.Len() == 0 && c.conn.Unsent() == 0
 }
 
-// closeIdle closes an idle connection. A request that has arrived by then is served first, even if
-// it has not been read yet: closing a socket with unread bytes resets the connection. A request
-// that arrives later is never read, and its client sends it again.
+// closeIdle closes an idle connection. If a request arrives before the close, it is served instead,
+// even if it has not been read yet: closing a socket with unread bytes resets the connection. A
+// request that arrives later is never read, and its client sends it again.
 func (c *connection) closeIdle() {
 	c.closing = true
 	c.conn.Detach(func() {
--- a/internal/clients/inflight_test.go
+++ b/internal/clients/inflight_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// If a connection to a worker is established and the client disconnects, nothing is forwarded, even
-// if the event loop handles the new connection first.
+// If the client disconnects just after the connection to the worker has been established, nothing
+// is forwarded, even if the event loop handles the new connection first.
 func TestClientDisconnectsAsWorkerConnects(t *testing.T) {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -105,8 +105,9 @@
 
 // StopAccepting stops accepting connections. It returns false while the accept goroutine may still
 // hold a connection that has not reached the event loop: an exit would close that connection
-// without an answer. It returns true once the goroutine is blocked permanently, and at once if the
-// listener supports no deadlines, because the accept can't be interrupted then.
+// without an answer. It returns true once the goroutine waits for a permit, since none is granted
+// while accepting is stopped, and at once if the listener supports no deadlines, because the accept
+// can't be interrupted then.
 func (s *Server) StopAccepting() bool {
 	s.stopped = true
 	s.setListening(false)
--- a/internal/clients/migrate_out.go
+++ b/internal/clients/migrate_out.go
@@ -154,7 +154,9 @@
 	if m.Unused {
 		c.setFirstReadDeadline()
 	}
-	if c.conn.PeerClosed() { // during the migration: the invocation must not be forwarded before the event loop reads that
+	if c.conn.PeerClosed() {
+		// The client has disconnected during the migration. This is handled at once, because the
+		// invocation could be forwarded before the event loop reads the disconnect.
 		c.conn.Close()
 		c.Disconnected(c.conn, conn.Closed)
 		return
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -29,9 +29,8 @@
 )
 
 const (
-	// budgetMargin is how long before its client stops waiting an invocation is treated as given
-	// up: the request was in transit before it was read here, and the answer will be in transit
-	// too.
+	// budgetMargin is subtracted from the client's budget to get the invocation's deadline: the
+	// request was in transit before it was read here, and the answer will be in transit too.
 	budgetMargin = 5 * time.Millisecond
 	// microsecondsPerSecond converts the value of headerCost, which is in microseconds, to seconds.
 	microsecondsPerSecond = 1e6
@@ -195,8 +194,8 @@
 }
 
 // limitBudget limits a request's budget to the client timeout configured for its operation. The
-// time a client has already waited is estimated from the longest budget seen, so with a longer one
-// all other clients would look as if they had waited for long.
+// time a client has already waited is estimated from the longest budget seen, so a single budget
+// that is too long would make all other clients look as if they had waited for a long time.
 func (s *Server) limitBudget(r *invocationRequest) time.Duration {
 	limit := s.deployment.ClientTimeouts[r.operation]
 	if limit <= 0 {
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -6,8 +6,8 @@
 // connections, and closes those that may not stay open. Until the behavior demands a close,
 // connections stay open, as their clients may have no other server yet. Invocations keep the
 // deadlines that their clients gave them, even shortly before the exit: a shorter deadline would
-// look like that of a client that has already waited for long, and the invocation would be rejected
-// at once.
+// look like that of a client that has already waited for a long time, and the invocation would be
+// rejected at once.
 func (s *Server) ApplyBehavior() {
 	b := s.Behavior()
 	s.stopped = s.stopped && b.ExitsWhenIdle
--- a/internal/clients/shutdown_test.go
+++ b/internal/clients/shutdown_test.go
@@ -189,7 +189,7 @@
 }
 
 // A connection that is accepted just before the exit still has its request served. StopAccepting
-// returns true only once the accept goroutine is blocked permanently.
+// returns true only once the accept goroutine waits for a permit that it will not get.
 func Example_lastConnection() {
 	loop, server, addr, closeListener := newTestServer(10)
 	defer closeListener()
--- a/internal/clients/tenancy_test.go
+++ b/internal/clients/tenancy_test.go
@@ -138,8 +138,8 @@
 	// "200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 7\r\n\r\nhistory"
 }
 
-// An invocation is not accepted from another process if its tenant is not known here. Otherwise it
-// counts toward its tenant's usage.
+// An invocation is not accepted from another process if its tenant is not known here. An accepted
+// one counts toward its tenant's usage.
 func TestMigratedInvocationOfTenant(t *testing.T) {
 	for _, test := range []struct {
 		id string
--- a/internal/clients/validate.go
+++ b/internal/clients/validate.go
@@ -74,8 +74,8 @@
 	return true
 }
 
-// validIdempotencyKey reports whether workers can recognize a repeat by its idempotency key, if the
-// operation's effect requires one.
+// validIdempotencyKey reports whether the idempotency key, by which workers recognize a repeat, is
+// well formed or, if the operation's effect does not require one, missing.
 func validIdempotencyKey(values []string, effect dispatch.Effect) bool {
 	if len(values) == 0 {
 		return effect != dispatch.Deduplicated
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -41,8 +41,8 @@
 }
 
 // ShutdownRead shuts down the receiving side of the socket, which affects every process that holds
-// a copy of it: none of them may continue to read after another process has given up on the
-// connection.
+// a copy of it: once one process has given up on the connection, no other may continue to read from
+// it.
 func (c *Conn) ShutdownRead() {
 	if tcp, ok := c.netConn.(*net.TCPConn); ok {
 		tcp.CloseRead()
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -120,7 +120,7 @@
 	closed      chan struct{}
 	once        sync.Once
 	written     atomic.Int64  // total bytes accepted by Write
-	writeReturn chan struct{} // Write returns after this is closed, although its bytes are already accepted
+	writeReturn chan struct{} // Write accepts its bytes at once, but returns only after this is closed
 }
 
 func (s *scriptedConn) Read([]byte) (int, error) {
--- a/internal/conn/closereason.go
+++ b/internal/conn/closereason.go
@@ -27,7 +27,7 @@
 	TimedOut                             // the client timeout passed before the worker answered
 	Cancelled                            // this process cancelled the request before the client timeout
 	LocalError                           // this machine could not connect: no port, buffer, descriptor or route
-	NotSent                              // the client was answered, or the window passed, before it could be sent
+	NotSent                              // the client was answered or left, or a time limit passed, before the request was sent
 )
 
 // dispatchResults is the only mapping from close reasons to results for the dispatcher. A reason
--- a/internal/conn/eviction.go
+++ b/internal/conn/eviction.go
@@ -54,8 +54,8 @@
 	return true
 }
 
-// evictionCandidate returns the connection to evict next: of the first eviction rule that selects
-// any connection, the one that has been in its state longest. If no rule does, it returns a
+// evictionCandidate returns the connection to evict next: of those that the first matching eviction
+// rule selects, the one that has been in its state longest. If no rule selects any, it returns a
 // connection without a complete request, whatever its age. It returns nil if none may be evicted.
 func (q *Quota) evictionCandidate() *Conn {
 	for _, rule := range evictionOrder() {
--- a/internal/conn/iterations_test.go
+++ b/internal/conn/iterations_test.go
@@ -29,6 +29,6 @@
 	}
 	l.start = l.start.Add(-2 * recentBucketCount * recentBucketSpan) // advances the loop's clock
 	if later := l.Iterations(); later.WorstRecent != 0 || later.Worst != iterations.Worst {
-		t.Errorf("the worst iteration is no longer recent: got %+v", later)
+		t.Errorf("after the worst iteration is no longer recent: got %+v, want WorstRecent 0 and Worst unchanged", later)
 	}
 }
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -68,8 +68,9 @@
 // Post queues a task. Any goroutine may call it; it blocks while the queue is full.
 func (l *Loop) Post(task Task) { l.tasks <- task }
 
-// PostUrgent queues a task that runs ahead of those queued by Post. It is for callers that wait at
-// most a second for the task, however full the task queue is. Any goroutine may call it.
+// PostUrgent queues a task that runs ahead of those queued by Post, however many there are. It is
+// for rare tasks, some of whose callers wait for the result and give up within a second. Any
+// goroutine may call it.
 func (l *Loop) PostUrgent(task Task) { l.urgent <- task }
 
 // Stop makes Run return at the end of the current iteration.
--- a/internal/conn/quota.go
+++ b/internal/conn/quota.go
@@ -14,7 +14,7 @@
 	discardPause time.Duration       // pause of a discarding reader after each read
 	evictable    [stateCount][]*Conn // by state; the connection longest in the state comes first
 	flushing     map[*Conn]struct{}  // closing connections whose peer may not have received the last answer
-	evicting     map[*Conn]struct{}  // connections being detached for eviction; they may have a request that was read
+	evicting     map[*Conn]struct{}  // connections being detached for eviction; they may hold a request that was read but not handled
 }
 
 // NewQuota returns a quota that allows up to limit descriptors.
@@ -42,7 +42,7 @@
 // free after that, and evicts connections if necessary. The handlers of evicted connections are
 // notified by Disconnected. A connection that may hold a received request is evicted only after
 // everything that was read from it has been handled; EnsureFree returns false until then, and
-// OnFree is called.
+// OnFree is called when the eviction has released the descriptor.
 func (q *Quota) EnsureFree(reserve int) bool {
 	if !q.evictDownTo(q.limit - reserve - 1) {
 		return false
--- a/internal/conn/reader_test.go
+++ b/internal/conn/reader_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// A discarding reader must notice without pauses that a peer has sent many bytes and closed. The
-// pause is set to an hour, so a single pause makes the test fail.
+// A discarding reader must notice without a pause that a peer has closed after sending many bytes.
+// The pause is set to an hour, so a single pause makes the test fail.
 func TestPeerCloseSeenAfterMuchInput(t *testing.T) {
 	l := NewLoop(time.Now())
 	q := l.NewQuota(10)
--- a/internal/conn/send.go
+++ b/internal/conn/send.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Outgoing is a message that may only be sent under conditions, which are checked right before
-// sending.
+// Outgoing is a message that may be sent only under certain conditions, which are checked right
+// before sending.
 type Outgoing struct {
 	Bytes []byte
 	// Deadline is a time of the loop's clock at and after which no byte may be written; 0: no limit.
--- a/internal/conn/state.go
+++ b/internal/conn/state.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// slowRequestGap is the time between the first bytes of a request and later ones from which the
-// peer counts as sending slowly. Shorter gaps occur when the network splits a request into packets.
+// slowRequestGap is the shortest time between the first bytes of a request and later ones that
+// makes the peer count as sending slowly. Shorter gaps occur when the network splits a request into
+// packets.
 const slowRequestGap = 20 * time.Millisecond
 
 // State says what a connection is used for, which determines what would be lost by evicting it.
@@ -25,8 +26,8 @@
 )
 
 // SetState sets the connection's state, which is StateActive at first. Setting StateReading again
-// means that more of the request was received: from slowRequestGap on, that changes the state to
-// StateReadingSlowly, and restarts the time in it.
+// means that more of the request was received: once slowRequestGap has passed since the first
+// bytes, each such call sets StateReadingSlowly and restarts the time in that state.
 func (c *Conn) SetState(state State) {
 	if state == StateReading && c.readsSlowly() {
 		state = StateReadingSlowly
@@ -59,8 +60,7 @@
 	}
 }
 
-// removeEvictable removes the connection from the list of those that may be evicted, if it is in
-// it.
+// removeEvictable removes the connection from those that may be evicted, if it is one of them.
 func (c *Conn) removeEvictable() {
 	conns := &c.quota.evictable[c.state]
 	if i := slices.Index(*conns, c); i >= 0 {
--- a/internal/conn/writer.go
+++ b/internal/conn/writer.go
@@ -11,8 +11,8 @@
 )
 
 // writeTimeout is how long a peer may accept no bytes before its connection is closed. A slow peer
-// that accepts some bytes now and then receives everything, because a truncated answer would lose
-// the invocation.
+// that accepts some bytes in every such interval is sent everything, because a truncated answer
+// would lose the invocation.
 var writeTimeout = 20 * time.Second
 
 // writeRun is a contiguous run of bytes for the writer.
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -11,7 +11,7 @@
 
 // determineFraming selects how the end of m's body is recognised, and sets the parser's next state.
 // A message with two lengths, or with both a length and a transfer coding, is rejected even if they
-// agree: two parsers that follow different ones of them disagree on where the message ends, which
+// agree: if two parsers follow different ones, they can disagree on where the message ends, which
 // allows request smuggling.
 func (p *Parser) determineFraming(m *Message) error {
 	lengths := m.Header["Content-Length"]
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -201,8 +201,8 @@
 }
 
 // mayHaveRun reports whether an attempt may have run although the reason of its end claims that it
-// has not: its worker had reported that it started, or the worker's report may refer to an earlier
-// attempt.
+// has not: its worker had reported that it started, or the callback that returned it may refer to
+// an earlier attempt.
 func (a *attempt) mayHaveRun(reason conn.CloseReason) bool {
 	if a.started && reason.ProvesNotRun() {
 		return true
--- a/internal/workers/connection.go
+++ b/internal/workers/connection.go
@@ -17,7 +17,7 @@
 type connection struct {
 	transport     *Transport
 	worker        *worker
-	address       string // that was dialled; the worker may move while the connection is being established
+	address       string // the address dialled; the worker may move while the connection is being established
 	socket        *conn.Conn
 	parser        http1.Parser
 	exchange      *exchange      // being carried, or waiting for this connection to be established; nil: none
--- a/internal/workers/dial_test.go
+++ b/internal/workers/dial_test.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// Several connections are established in one iteration of the loop, at the same time as a cancel of
-// their attempt, or at the same time as a move of the worker. At most one of them may carry the
-// request.
+// Several connections are established in one iteration of the loop: with no other event, together
+// with a cancel of their attempt, or together with a move of the worker. One of them must carry the
+// request in the first case, and none in the others.
 func TestConcurrentDials(t *testing.T) {
 	for name, v := range map[string]struct {
 		meanwhile func(*fixture)
@@ -162,8 +162,9 @@
 	}
 }
 
-// The local machine fails to connect for a moment, without a port, buffer, descriptor or route. The
-// attempt waits within the connect timeout until that is over, and the worker is not blamed.
+// The local machine fails to connect for a moment, because it has no free port, buffer or
+// descriptor, or no route. The attempt waits within the connect timeout until that is over, and the
+// worker is not blamed.
 func Example_transientLocalDialError() {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.ENETUNREACH} {
 		f := newFixture(acceptedResponse)
@@ -189,9 +190,9 @@
 	// inv 1 attempt 0: accepted=true started=false done=0
 }
 
-// The local machine fails to connect for longer than the connect timeout. The attempt has not run,
-// which says nothing about the worker, and the next attempt is not affected. An attempt whose
-// client gives up in the meantime is not sent.
+// The local machine fails to connect for longer than the connect timeout. The attempt counts as not
+// run, the worker is not blamed, and later attempts are not affected. An attempt that is cancelled
+// in the meantime is not sent.
 func Example_persistentLocalDialError() {
 	f := newFixture(acceptedResponse)
 	real := f.loop.DialContext
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -201,9 +201,9 @@
 	}
 }
 
-// runUntil runs the loop until the given numbers of events have been reported and of requests
-// received. It prints the requests first, ordered by connection, because there is no order between
-// requests and events.
+// runUntil runs the loop until the given number of events has been reported and the worker has
+// received the given number of requests. It prints the requests first, ordered by connection,
+// because there is no order between requests and events.
 func (f *fixture) runUntil(events, received int) {
 	limit := f.loop.After(testTimeout, func() { panic("events or requests not reported in time") })
 	var requests []string
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -17,8 +17,8 @@
 	// minIdleTimeout is the idle timeout below which connections are closed instead of being put
 	// into the pool.
 	minIdleTimeout = 20 * time.Millisecond
-	// idleTimeoutDoublingPeriod is how long no idle connection must have broken for the idle
-	// timeout to double.
+	// idleTimeoutDoublingPeriod is the time after which a shortened idle timeout doubles if no idle
+	// connection has broken in the meantime.
 	idleTimeoutDoublingPeriod = 5 * time.Second
 	// maxIdleTimeoutDoublings is the maximum number of doublings, which keeps the timeout from
 	// overflowing.
--- a/internal/workers/pool_test.go
+++ b/internal/workers/pool_test.go
@@ -34,9 +34,9 @@
 }
 
 // A second response to one request arrives some milliseconds late and must not be taken for the
-// response to the next request. Requests that it would free to be retried, or to be retried outside
-// the group and the window of their first attempt, are sent over a connection that has been idle
-// for longer.
+// response to the next request. Where it would wrongly permit a retry, or a retry outside the
+// deduplication group and window of the first attempt, a request is sent only over a connection
+// that has been idle for longer, or over a new one.
 func Example_strayResponse() {
 	for _, effect := range []dispatch.Effect{dispatch.Deduplicated, dispatch.NonIdempotent} {
 		f := newFixture(acceptedResponse, "", acceptedResponse)
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// WorkerUID returns the identifier of a worker that all schedulers share, or an empty string if the
-// worker is not known.
+// WorkerUID returns a worker's identifier that is the same in all schedulers, or an empty string if
+// the worker is not known.
 func (t *Transport) WorkerUID(id dispatch.WorkerID) string {
 	if w := t.workersByID[id]; w != nil {
 		return w.uid
--- a/internal/workers/response.go
+++ b/internal/workers/response.go
@@ -44,9 +44,9 @@
 	return w.filterReport(load, t.deployment.Report.Unknown())
 }
 
-// filterReport drops blank reports until the worker has sent another one. A worker reports all
-// zeros before it has measured anything. Taken literally, that would mean that no slot is free, and
-// a scheduler that starts together with the workers would queue all requests until their first
+// filterReport drops blank reports until the worker has sent one that is not blank. A worker reports
+// all zeros before it has measured anything. Taken literally, that would mean that no slot is free,
+// and a scheduler that starts together with the workers would queue all requests until their first
 // measured reports.
 func (w *worker) filterReport(load *dispatch.LoadReport, blank dispatch.LoadReport) *dispatch.LoadReport {
 	if load == nil || !w.hasReported && *load == blank {
--- a/internal/workers/sendcheck_test.go
+++ b/internal/workers/sendcheck_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// A worker reads a part of a request, and reads on when the time is over. The last byte must never
-// be written, so that the request does not run.
+// A worker receives part of a request, and reads the rest only after the bound has passed. The last
+// byte must never be written, so that the request does not run.
 func TestWorkerReadsTooSlowly(t *testing.T) {
 	for _, b := range sendBounds {
 		t.Run(b.name, func(t *testing.T) {
--- a/internal/workers/transport.go
+++ b/internal/workers/transport.go
@@ -30,7 +30,7 @@
 	deployment settings.Deployment
 	quota      *conn.Quota
 
-	idleLimit      time.Duration // how long idle connections could be relied on when one last broke
+	idleLimit      time.Duration // bound of the idle timeout at idleLimitSetAt; doubles from then on while no idle connection breaks
 	idleLimitSetAt time.Duration // when idleLimit was set, by the loop's clock
 
 	workersByID        map[dispatch.WorkerID]*worker
