--- a/cmd/stoatweir/counts.go
+++ b/cmd/stoatweir/counts.go
@@ -130,8 +130,8 @@
 	return s.ledger.Totals(s.workers.EndpointCount(), s.dispatcher.Ejected())
 }
 
-// schedulePublishing schedules publishing of the totals for operators if they may have changed
-// since the last time.
+// schedulePublishing schedules the publication of the totals for operators if they may have changed
+// since they were last published.
 func (s *service) schedulePublishing() {
 	changed := len(s.events) > 0 || s.ledger.ModificationCount != s.publishedChanges
 	if s.process.Admin != "" && s.publishTimer == nil && changed {
--- a/cmd/stoatweir/endpoints.go
+++ b/cmd/stoatweir/endpoints.go
@@ -14,9 +14,9 @@
 	maxPollInterval = 5 * time.Second
 
 	// The backoff between consecutive failed watches of a pushed list, together with the time that
-	// a call may take, stays below maxPollInterval. It also stays below the drain grace of the
-	// settings, because an update that discovery pushes when it comes back counts as known
-	// immediately.
+	// a request to discovery may take, stays below maxPollInterval. The backoff also stays below the
+	// drain grace of the settings, because an update that discovery pushes when it can be reached
+	// again counts as known immediately.
 
 	// minWatchBackoff is the backoff after the first failed watch.
 	minWatchBackoff = 250 * time.Millisecond
--- a/cmd/stoatweir/faultinjection_soak.go
+++ b/cmd/stoatweir/faultinjection_soak.go
@@ -21,8 +21,7 @@
 // faultPollInterval is how often the file with the faults to inject is read.
 const faultPollInterval = 20 * time.Millisecond
 
-// errnosByName maps the names of errors in the fault file to their numbers. errnosByName maps the
-// names of errors in the fault file to their numbers.
+// errnosByName maps the names of errors in the fault file to their numbers.
 var errnosByName = map[string]syscall.Errno{
 	"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL,
 	"ENETUNREACH":   syscall.ENETUNREACH,
@@ -74,8 +73,7 @@
 	}
 }
 
-// wrapDial makes dials fail with the error of the fault file, if it names one. wrapDial makes dials
-// fail with the error of the fault file, if it names one.
+// wrapDial makes dials fail with the error of the fault file, if it names one.
 func (f *faultInjector) wrapDial(s *service) {
 	dial := s.loop.DialContext
 	s.loop.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -96,8 +94,8 @@
 	}
 }
 
-// wrapSystemCalls makes a share of the calls of peek and poll fail with EINTR. wrapSystemCalls
-// makes a share of the calls of peek and poll fail with EINTR.
+// wrapSystemCalls makes the share of calls of peek and poll that the fault file gives fail with
+// EINTR.
 func (f *faultInjector) wrapSystemCalls() {
 	interrupted := func() bool { return rand.Float64() < f.faults.Load().Interrupted }
 	peek := conn.DefaultSystemCalls.Peek
--- a/cmd/stoatweir/invariants.go
+++ b/cmd/stoatweir/invariants.go
@@ -10,8 +10,8 @@
 	"stoatweir/internal/workers"
 )
 
-// requestLimits returns the limits that the invariant checker enforces for a request. They are
-// those in force when the request was admitted, even if the settings change later.
+// requestLimits returns the limits that the invariant checker enforces for a request that is
+// admitted or adopted now. A later change of the settings can only raise the numbers of attempts.
 func (s *service) requestLimits(invocation *workers.Invocation, operation int) invariant.RequestLimits {
 	config := &s.deployment.Dispatch
 	op := &config.Operations[operation]
--- a/cmd/stoatweir/lifecycle.go
+++ b/cmd/stoatweir/lifecycle.go
@@ -64,8 +64,9 @@
 	}
 }
 
-// drained reports whether no request is in flight and no connection is busy or left to migrate. If
-// so, it stops accepting connections.
+// drained reports whether the process can exit: no request is in flight, no connection is busy or
+// left to migrate, and none is being accepted. If the first two hold, it stops accepting
+// connections.
 func (s *service) drained(behavior lifecycle.Behavior) bool {
 	if behavior.Migrates && !behavior.ClosesIdle && s.clients.HasMigratable() {
 		return false
@@ -74,8 +75,8 @@
 }
 
 // stop starts the shutdown. Clients keep connecting for a while, and requests in flight are still
-// served. Requests that cannot be completed in time are failed, which leaves open whether they have
-// run, well before the process would be killed and lose them.
+// served. Requests that cannot be completed in time are failed well before the process would be
+// killed and lose them; the answer to a failed request leaves open whether it has run.
 func (s *service) stop() {
 	longestTimeout := cmp.Or(s.deployment.LongestTimeout, s.clients.LongestTimeout) // without a setting, the longest that clients sent
 	s.transition("stop requested", func() bool {
--- a/cmd/stoatweir/limits.go
+++ b/cmd/stoatweir/limits.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// reservedDescriptors is the number of descriptors for other things than connections: the
+	// reservedDescriptors is the number of descriptors for things other than connections: the
 	// standard streams, the poller, the listener and the link to a successor.
 	reservedDescriptors = 16
 	// adminDescriptors is the number of descriptors for admin calls: one for each concurrent call,
@@ -20,7 +20,7 @@
 	memoryReserveShare = 0.4
 	// maxMemoryReserveMiB caps the reserve, as the memory it covers does not grow with the quota. A
 	// limit below the live heap makes the collector run continuously: with 5,900 requests in
-	// flight, a limit of 0.6 of 256 MiB used a whole core.
+	// flight and a limit of 0.6 of 256 MiB, it used a whole core.
 	maxMemoryReserveMiB = 48
 	// bytesPerMiB is the number of bytes in a MiB.
 	bytesPerMiB = 1 << 20
@@ -40,9 +40,9 @@
 	return int64((quota - reserve) * bytesPerMiB)
 }
 
-// setSocketLimit divides the descriptors that are left after the reserved ones. Five eighths are
-// for connections of clients and callbacks, of which four eighths bound the requests in flight.
-// Three eighths are for connections to workers.
+// setSocketLimit divides the descriptors that remain after the reserved ones. Three eighths are for
+// connections to workers, and five eighths for connections from clients and from workers that send
+// callbacks. The number of requests in flight is limited to half of the remaining descriptors.
 func (s *service) setSocketLimit(sockets int) {
 	sockets -= reservedDescriptors
 	if s.process.Admin != "" {
--- a/cmd/stoatweir/main.go
+++ b/cmd/stoatweir/main.go
@@ -38,7 +38,7 @@
 // runScheduler runs the scheduler until the process receives a signal to stop.
 func runScheduler() {
 	// The signals are registered before anything else: until then a signal kills the process, and
-	// with a shared address there may already be clients in its accept queue. Reload signals that
+	// if the address is shared, clients may already wait in its accept queue. Reload signals that
 	// arrive while a reload is in progress are merged into one, which suffices because the file is
 	// read after the last of them.
 	reloads := make(chan os.Signal, 1)
--- a/cmd/stoatweir/migration.go
+++ b/cmd/stoatweir/migration.go
@@ -8,7 +8,7 @@
 	"stoatweir/internal/takeover"
 )
 
-// The take-over uses the service through this interface.
+// Package takeover uses the service through this interface.
 var _ takeover.Service = (*service)(nil)
 
 // Request returns a tracked request. It implements takeover.Requests.
@@ -20,8 +20,8 @@
 	return takeover.Request{Invocation: request.Invocation, Operation: request.operation, Attempts: request.attempts}, true
 }
 
-// BeginMigration moves a request from the tracked to the migrating ones and tells the dispatcher
-// that it has left. It implements takeover.Requests.
+// BeginMigration moves a request from the tracked to the migrating requests and tells the
+// dispatcher that the request has left. It implements takeover.Requests.
 func (s *service) BeginMigration(id dispatch.InvocationID) {
 	request := s.requests[id]
 	s.workers.ReleaseAttempts(id, request.attempts)
--- a/cmd/stoatweir/retry.go
+++ b/cmd/stoatweir/retry.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// retryWindow is how long transient errors are retried. It leaves time for the rest of a start,
-	// as nine in ten processes have to be ready within 10 s.
+	// retryWindow is how long transient errors are retried. It leaves time for the rest of the
+	// start, as nine in ten processes must be ready within 10 s.
 	retryWindow = 6 * time.Second
 	// retryDelay is the time between two attempts. It is constant, without backoff, because the
 	// time to become ready is short.
 	retryDelay = 25 * time.Millisecond
 )
 
-// transientErrors are the errors by which the system reports that a resource is unavailable at
-// present.
+// transientErrors are the errors by which the system reports that a resource is temporarily
+// unavailable.
 var transientErrors = []error{
 	syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE,
--- a/cmd/stoatweir/run.go
+++ b/cmd/stoatweir/run.go
@@ -13,8 +13,8 @@
 	initialListTimeout = time.Second
 	// cachedListTimeout is the same with a cached list. It is short because during a rolling
 	// restart the next scheduler may already have been stopped, which would leave clients without
-	// any. Workers that are gone by now are detected when they are used, and the current list
-	// arrives later.
+	// any scheduler. Workers of the cached list that are gone are detected when they are used, and
+	// the current list arrives later.
 	cachedListTimeout = 50 * time.Millisecond
 	// successorListTimeout is the same for a successor. It can be longer because the predecessor
 	// serves in the meantime, but the successor must be ready within 6 s.
--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -78,8 +78,8 @@
 	// lastDecision is the time that was passed to the dispatcher in its last call. It increases
 	// strictly from call to call.
 	lastDecision time.Duration
-	// dispatchTimer is the timer that the dispatcher has set. It has at most one; setting another
-	// replaces it.
+	// dispatchTimer is the timer that the dispatcher has set. The dispatcher has at most one;
+	// setting another replaces it.
 	dispatchTimer *conn.Timer
 	// requests holds the requests that dispatcher actions may still refer to.
 	requests map[dispatch.InvocationID]*trackedRequest
@@ -106,10 +106,10 @@
 	// publishedTotals is a copy of the totals that any goroutine may read. It is nil until they are
 	// first published.
 	publishedTotals atomic.Pointer[accounting.Totals]
-	// publishedChanges is the ledger's number of changes when the totals were last published.
+	// publishedChanges is the ledger's ModificationCount when the totals were last published.
 	publishedChanges int
-	// publishTimer fires when the totals are published next. It is nil if nothing has changed since
-	// the last time.
+	// publishTimer fires when the totals are next published. It is nil if no publication is
+	// scheduled.
 	publishTimer *conn.Timer
 	// answersByReason counts the answers that are not results, by their reason.
 	answersByReason map[string]int
--- a/cmd/stoatweir/tenancy.go
+++ b/cmd/stoatweir/tenancy.go
@@ -39,7 +39,7 @@
 
 // tenancy is the state for serving several tenants on one scheduler. All fields but registry are
 // owned by the event loop. registry has its own lock, because calls of administrators wait for the
-// disk, which the event loop must not.
+// disk, for which the event loop must not wait.
 type tenancy struct {
 	service   *service
 	admission *tenants.Controller
--- a/cmd/stoatweir/tenant_call.go
+++ b/cmd/stoatweir/tenant_call.go
@@ -35,7 +35,7 @@
 	ifMatch string
 	// createOnly lets a call create a tenant but not change an existing one.
 	createOnly bool
-	// dryRun has a change validated but not applied.
+	// dryRun lets the API validate a change without applying it.
 	dryRun bool
 }
 
--- a/cmd/stoatweir/tenant_command.go
+++ b/cmd/stoatweir/tenant_command.go
@@ -44,7 +44,7 @@
 
 // addChangeFlags adds the flags common to all commands that change a tenant.
 func addChangeFlags(c *cobra.Command, call *tenantCall) {
-	c.Flags().StringVar(&call.ifMatch, "if-match", "", "apply the change at this `revision` only")
+	c.Flags().StringVar(&call.ifMatch, "if-match", "", "apply the change only if the tenant is at this `revision`")
 	c.Flags().BoolVar(&call.dryRun, "dry-run", false, "report the change without making it")
 }
 
--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -18,7 +18,7 @@
 
 const (
 	stageAnswered stage = iota // the answer is sent, so nothing is lost
-	stageReading               // its command line, which may never be completed
+	stageReading               // its command line is being read, and may never be completed
 	stageRunning               // its command is running, and the operator would lose the answer
 )
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -23,8 +23,8 @@
 	maxDiscardBytes = 1 << 16
 )
 
-// Commands maps the name of each command to its function, which returns the text that follows the
-// status in the answer, of one or more lines. Functions are called from several goroutines at once,
+// Commands maps the name of each command to its function, which returns the text of one or more
+// lines that follows the status in the answer. Functions are called from several goroutines at once,
 // and must return within the second that an operator's client waits for its answer.
 type Commands map[string]func() (string, error)
 
--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// maxCandidateDoublings bounds how often failed attempts double the backoff, which reaches
-// candidateBackoffMax before that.
+// maxCandidateDoublings keeps the shift of the backoff from overflowing. candidateBackoffMax is
+// reached after fewer doublings.
 const maxCandidateDoublings = 8
 
 // ChangeAddress moves the watch to another address of discovery. The current watch stays open until
-// a watch of the new address has received something. The watcher keeps dialling the new address by
-// itself until it succeeds. It requests the whole list there, as revisions may be counted
-// differently.
+// a watch of the new address has received a list. The watcher keeps dialling the new address by
+// itself until it succeeds. It requests the whole list there, as the service at that address may
+// count revisions differently.
 func (w *Watcher) ChangeAddress(addr string) {
 	if addr == w.addr {
 		return
--- a/internal/discovery/budget.go
+++ b/internal/discovery/budget.go
@@ -2,32 +2,36 @@
 
 import "time"
 
-// By the protocol a scheduler must know a change of the list 6 s after discovery had it and could be
-// reached, and 4 s after an order to change the address: from then on the change counts as known,
-// whether or not it has arrived. A request may have been lost just before, on its way to a machine
-// that was cut off or in a process that accepted it and died. A request that is served immediately
-// takes 0.1 s, the last term of each sum. Each sum stays below its deadline. All but the second and
-// the last leave half a second to spare, the grace period in which a worker may still be sent to:
+// The protocol gives a scheduler 6 s to know a change of the list, from the time at which discovery
+// has the change and can be reached, and 4 s after an order to change the address of discovery. After
+// that the change counts as known, whether or not it has arrived. A request to discovery may have
+// been lost just before: on its way to a machine that was cut off, or in a process that accepted it
+// and died. A request that is served immediately takes 0.1 s, the last term of each sum. Each sum
+// stays below its deadline. All but the second and the last leave half a second to spare, the grace
+// period in which attempts may still be sent to a worker that the change rules out:
 //
-//	a request is lost:              firstListTimeout 3 s + longest backoff (dispatcher or service) + 0.1 s
-//	the first request is lost:      initial jitter 2.5 s + firstListTimeout 3 s + first backoff 0.375 s + 0.1 s
-//	a watch times out:              idleTimeout 3.2 s + first backoff 0.375 s + reconnectTimeout 1.4 s
-//	                                + second backoff 0.375 s + 0.1 s
-//	the address changes, two lost:  addressChangeJitter 0.3 s + candidateTimeout 1.5 s + 0.1 s
-//	                                + candidateTimeout 1.5 s + 0.2 s + 0.1 s
+//	a request is lost:               firstListTimeout 3 s + longest backoff (dispatcher or service) + 0.1 s
+//	the first request is lost:       initial jitter 2.5 s + firstListTimeout 3 s + first backoff 0.375 s + 0.1 s
+//	a watch times out, twice:        idleTimeout 3.2 s + first backoff 0.375 s + reconnectTimeout 1.4 s
+//	                                 + second backoff 0.375 s + 0.1 s
+//	the address changes, two
+//	requests to the new one lost:    addressChangeJitter 0.3 s + candidateTimeout 1.5 s + 0.1 s
+//	                                 + candidateTimeout 1.5 s + 0.2 s + 0.1 s
 //
 // The backoffs depend on the settings: dispatch.EndpointBackoff applies to polled lists, the
 // service's own backoff to pushed lists. TestBudget checks the sums for them.
 const (
-	// updateDeadline is how long after discovery had it a change counts as known by the protocol.
+	// updateDeadline is the time after which a change that discovery has counts as known by the
+	// protocol.
 	updateDeadline = 6 * time.Second
 
-	// idleTimeout is how long an established watch may receive no whole list or keep-alive before
-	// it fails. Discovery sends a keep-alive every 2 s, which may be late.
+	// idleTimeout is how long an established watch may receive no complete list, change or
+	// keep-alive before it fails. Discovery sends a keep-alive every 2 s, which may be late.
 	idleTimeout = 3200 * time.Millisecond
-	// firstListTimeout bounds the time from dialling to the first whole list. Discovery serves
-	// requests one after another: a shorter timeout would abandon more of the waiting requests,
-	// which would then queue again behind all others.
+	// firstListTimeout bounds the time from dialling until the watch is established by its first
+	// complete list, change or keep-alive. Discovery serves requests one after another: a shorter
+	// timeout would abandon more of the waiting requests, which would then queue again behind all
+	// others.
 	firstListTimeout = 3 * time.Second
 	// reconnectTimeout bounds the time to the first list of the request that follows an established
 	// watch which timed out.
@@ -49,18 +53,20 @@
 	// addressChangeJitter spreads the first attempts of schedulers that are reconfigured at the
 	// same time.
 	addressChangeJitter = 300 * time.Millisecond
-	// candidateTimeout bounds the time from dialling a new address to the first whole list.
+	// candidateTimeout bounds the time from dialling a new address to its first complete list.
 	candidateTimeout = 1500 * time.Millisecond
 )
 
 // maxTimeoutDoublings bounds how often consecutive failures double the timeout for the first list.
 const maxTimeoutDoublings = 2
 
-// listTimeout returns the timeout for the first list of the next request. While there is no watch,
-// requests are admitted by the list known so far for as long as PollWithin, and for four times as
-// long after a request that failed. Half of the time that applies is given to the next request, up
-// to firstListTimeout. The timeout grows with failures: if half of a short PollWithin is less than
-// the queueing time at discovery, no request would ever be served.
+// listTimeout returns the timeout for the first list of the next request to discovery: half of
+// PollWithin, doubled for each consecutive failure up to maxTimeoutDoublings times, but at least
+// minListTimeout and at most firstListTimeout. While there is no watch, requests are admitted by the
+// list known so far for as long as PollWithin, and for four times as long after a request to
+// discovery that failed; half of that time is for the next request. The timeout grows with failures
+// because half of a short PollWithin may be less than the queueing time at discovery, and no request
+// would ever be served.
 func (w *Watcher) listTimeout() time.Duration {
 	if w.PollWithin == 0 {
 		return firstListTimeout
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -35,7 +35,7 @@
 	parser      http1.Parser
 	scanner     valueScanner
 	revision    uint64 // that was requested
-	established bool   // has received a whole list or a keep-alive
+	established bool   // has received a complete list, change or keep-alive
 	timeout     *conn.Timer
 }
 
@@ -87,9 +87,9 @@
 	}
 }
 
-// DataReceived consumes the response. Only a whole list or keep-alive shows that the watch is
-// alive. If any bytes did, bytes that never form a list would keep a watch open forever without an
-// update.
+// DataReceived consumes the response. Only a complete list, change or keep-alive shows that the
+// watch is alive. If any bytes did, bytes that never form a list would keep a watch open forever
+// without an update.
 func (w *watch) DataReceived(c *conn.Conn) {
 	for c == w.conn && c.In.Len() > 0 {
 		used, step, err := w.parser.Feed(c.In.Bytes())
@@ -145,10 +145,10 @@
 	return nil
 }
 
-// receiveKeepAlive handles a blank line: nothing has changed since the known revision. The first
-// one is reported as an update without changes, as the watch would otherwise look as if it had
-// never been established. A candidate that has received no list yet does not replace a current
-// watch.
+// receiveKeepAlive handles a blank line: nothing has changed since the known revision. If the watch
+// has received nothing before, this is reported as an update without changes, as the watch would
+// otherwise look as if it had never been established. A candidate that has received no list yet does
+// not replace a current watch.
 func (w *watch) receiveKeepAlive() {
 	owner := w.watcher
 	owner.startTimes.recordReceived()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -92,7 +92,7 @@
 // ClockSteps returns the number of steps of the wall clock that were seen.
 func (w *Watcher) ClockSteps() int { return w.startTimes.clockSteps }
 
-// Established reports whether the current watch has received a whole list or a keep-alive.
+// Established reports whether the current watch has received a complete list, change or keep-alive.
 func (w *Watcher) Established() bool { return w.current != nil && w.current.established }
 
 // Watch starts a watch from the known revision, and closes the current one if that is established.
@@ -154,8 +154,9 @@
 }
 
 // shouldKeepOverdue reports whether a request that has timed out may stay open while the next one
-// waits too. Discovery serves requests one after another. If that takes longer than one request's
-// timeout, no request would ever be served; the oldest is the closest to being served.
+// waits too. Discovery serves requests one after another. If the wait there is longer than a
+// request's timeout and each request were closed at its timeout, none would ever be served. The
+// oldest request is the closest to being served.
 func (w *Watcher) shouldKeepOverdue(failed *watch, cause error) bool {
 	return errors.Is(cause, errTimedOut) &&
 		failed == w.current && !failed.established && failed.conn.Established() &&
--- a/internal/invariant/answer.go
+++ b/internal/invariant/answer.go
@@ -10,10 +10,10 @@
 // the transfer over sockets, and a scheduler process that is held up before it writes.
 const answerSlack = 200 * time.Millisecond
 
-// AnswerKind is the kind of a final answer, or the other reason why a request needs none any more.
+// AnswerKind is the kind of a final answer, or another reason why a request no longer needs one.
 type AnswerKind string
 
-// The kinds of final answers, and the other reasons why a request needs none any more.
+// The kinds of final answers, and the other reasons why a request no longer needs one.
 const (
 	Succeeded AnswerKind = "succeeded"
 	Rejected  AnswerKind = "refused" // the client may safely retry
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -12,7 +12,7 @@
 	ID          string // chosen by the client
 	Effect      dispatch.Effect
 	DedupScope  dispatch.DedupScope
-	DedupWindow time.Duration // since the first attempt that may have run, in which workers deduplicate retries
+	DedupWindow time.Duration // after the first attempt that may have run; workers deduplicate retries within it
 	Deadline    time.Duration // when the client timeout ends, on the Checker's clock
 	MaxAttempts int           // 0: any number
 	MaxInFlight int           // attempts in flight at a time; less than 1 counts as 1
--- a/internal/invariant/history.go
+++ b/internal/invariant/history.go
@@ -32,8 +32,8 @@
 // History returns the transitions of a request that are still kept, oldest first.
 func (c *Checker) History(id dispatch.InvocationID) []Transition { return c.history.transitionsOf(id) }
 
-// HistoryByID returns the transitions that are still kept of the last request with the ID that its client
-// chose, oldest first.
+// HistoryByID returns the transitions that are still kept of the last admitted request whose client chose
+// the given ID, oldest first.
 func (c *Checker) HistoryByID(id string) []Transition {
 	request, known := c.history.lastAdmitted(id)
 	if !known {
@@ -73,7 +73,7 @@
 	}
 }
 
-// lastAdmitted returns the last request that was admitted with an ID that its client chose.
+// lastAdmitted returns the last admitted request whose client chose the given ID; an empty ID matches none.
 func (h *history) lastAdmitted(id string) (request dispatch.InvocationID, known bool) {
 	if id == "" {
 		return noRequest, false
--- a/internal/invariant/violations.go
+++ b/internal/invariant/violations.go
@@ -16,7 +16,7 @@
 	WindowPassed      Reason = "window passed"
 )
 
-// The violated invariants. Such a decision is a mistake at any time.
+// The invariants that can be violated. Unlike a stopped attempt, a violation is always a mistake.
 const (
 	UnknownRequest           Reason = "sent for a request that is not open"
 	TooManyAttempts          Reason = "more attempts than allowed"
@@ -36,7 +36,8 @@
 // are counted.
 const maxReportsPerReason = 16
 
-// noRequest is the ID in a violation that belongs to no request, and of a connection on which none waits.
+// noRequest is the request ID of a violation that belongs to no request, and of a connection on which no
+// request waits.
 const noRequest dispatch.InvocationID = 0
 
 // Violation is the report of one violated invariant.
--- a/internal/lifecycle/behavior.go
+++ b/internal/lifecycle/behavior.go
@@ -6,8 +6,9 @@
 	// drainCloseDelay is the time after the order to drain during which clients may continue to use their
 	// connections. The load balancer in front takes 0.3 s to direct them to another scheduler.
 	drainCloseDelay = time.Second
-	// drainAdmitPeriod is the time after the order to drain during which requests are admitted. 4 s after
-	// the order, no client may be waiting for the answer to a request that arrived in the last 2 s.
+	// drainAdmitPeriod is the time after the order to drain during which requests are admitted. It is
+	// below 2 s because 4 s after the order, no client may be waiting for the answer to a request that
+	// arrived in the last 2 s.
 	drainAdmitPeriod = 1900 * time.Millisecond
 	// drainPartialCloseDelay is the time from the order to drain until connections with a partial request
 	// are closed. 4 s after the order, no connection without a complete request may be left, and closing
--- a/internal/lifecycle/transitions.go
+++ b/internal/lifecycle/transitions.go
@@ -19,8 +19,8 @@
 	// failDelay is the time from the end of that timeout until outstanding requests are failed. It leaves
 	// 0.5 s before the process is killed to write the answers and to exit.
 	failDelay = 200 * time.Millisecond
-	// exitDelay is the time from the last answers, at failAt, to the exit. It is also the least time from the
-	// closing of idle connections to the last answers.
+	// exitDelay is the time from the last answers, at failAt, to the exit. It is also the minimum time from
+	// closing idle connections to the last answers.
 	exitDelay = 200 * time.Millisecond
 )
 
--- a/internal/settings/tenancy.go
+++ b/internal/settings/tenancy.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// fileDescriptorsPerInvocation is how many file descriptors each invocation requires that
-	// tenants may have in flight. The factor leaves a margin, because a tenant that reclaims its
-	// share gets it at once, while others still use that capacity.
+	// fileDescriptorsPerInvocation is how many file descriptors the configuration must allow for
+	// each invocation that tenants may have in flight. The factor leaves a margin, because a tenant
+	// that reclaims its share gets it at once, while others still use that capacity.
 	fileDescriptorsPerInvocation = 4
 	// defaultExcessValue is the relative value of a tenant's work beyond its share during overload.
 	// It is so small that such work is queued behind all other work, whatever its size.
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// broken encodes the report that a scheduler's decision code has failed.
+// broken encodes the report that the decider of a scheduler has failed.
 func (r *reply) broken(scheduler uint32, text string) {
 	r.begin(actionBroken, scheduler)
 	r.text(text)
--- a/internal/simwire/protocol.go
+++ b/internal/simwire/protocol.go
@@ -150,7 +150,8 @@
 	statusMoot:          dispatch.NotSent,
 }
 
-// statusByResult maps a result without a status of its own to the nearest status that guarantees less.
+// statusByResult maps each result to its status. A result without a status of its own has the nearest
+// status that guarantees less.
 var statusByResult = map[dispatch.Result]uint16{
 	dispatch.Succeeded:              statusOK,
 	dispatch.Failed:                 statusError,
--- a/internal/takeover/address.go
+++ b/internal/takeover/address.go
@@ -88,7 +88,7 @@
 
 // dialPredecessor asks the process at the address for its listening socket, and retries for up to
 // takeoverWaitTimeout while that process is in a take-over by another successor. path is the Unix
-// socket at which this process can later be found itself; it is empty if there is no valid path.
+// socket at which a successor can later reach this process; it is empty if there is no valid path.
 func (c *AddressConfig) dialPredecessor() (path string, predecessor *handover.Predecessor, err error) {
 	path, err = handover.SocketPath(c.Dir, c.ListenAddress)
 	if err != nil {
--- a/internal/takeover/callback.go
+++ b/internal/takeover/callback.go
@@ -89,8 +89,8 @@
 }
 
 // resolveCallbacks settles all callbacks that the other process did not answer before it exited. The
-// clients whose requests were in flight there no longer wait for them; other requests may have become
-// this process's in the meantime, so each callback is looked up here again.
+// clients whose requests were in flight there no longer wait for them. Other requests may be in flight
+// in this process by now, so each callback is looked up here again.
 func (m *Manager) resolveCallbacks(p *peer) {
 	for _, pending := range p.callbacks {
 		pending.timeout.Stop()
