--- a/internal/accounting/capacity_test.go
+++ b/internal/accounting/capacity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// These benchmarks produce the ledger's figures in docs/CAPACITY.md, which runs them by name. The
+// These benchmarks produce the ledger's figures in docs/CAPACITY.md, whose commands name them. The
 // ledger is copied ten times a second while events are counted, and the copy is formatted for each
 // admin command stats.
 
--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -10,8 +10,8 @@
 const (
 	// addressChangeDeadline is the counterpart of updateDeadline after a change of the address.
 	addressChangeDeadline = 4 * time.Second
-	// dispatchGrace is how long a worker may still be sent to after the deadline for knowing a
-	// change.
+	// dispatchGrace is how long attempts may still be sent to a worker after the deadline for
+	// knowing a change that rules it out.
 	dispatchGrace = 500 * time.Millisecond
 	// requestDuration is the time taken by a request that discovery serves immediately: connecting,
 	// receiving the list, and the loop's iterations.
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -21,15 +21,15 @@
 		_, w := newTestWatcher("")
 		list, err := w.Parse([]byte(text))
 		if err != nil {
-			t.Fatal(text, err)
+			t.Fatalf("%s: not parsed: %v", text, err)
 		}
 		if list.Kind != dispatch.FullUpdate || len(list.Workers) != 1 {
-			t.Fatal(text, list)
+			t.Fatalf("%s: got update %+v, want a whole list of one worker", text, list)
 		}
 		got := list.Workers[0]
 		if got.UID != "s-1" || got.Address != "127.0.0.1:1" || got.Zone != 1 || got.Kind != 0 || got.Cell != 3 ||
 			got.State != dispatch.Ready || !got.StartKnown || got.Incarnation != incarnation("s-1", 1700000000000) {
-			t.Errorf("%s: %+v", text, got)
+			t.Errorf("%s: got wrong worker %+v", text, got)
 		}
 	}
 }
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -25,8 +25,8 @@
 	return s
 }
 
-// parseReport parses a list with the one worker, whose last start is given by the wall clock at
-// that time, and returns the start by the loop's clock.
+// parseReport parses a list with the one worker, which started at bootMS by the wall clock, in ms
+// since 1970, and returns the start by the loop's clock.
 func (s *steppedClockWatcher) parseReport(full bool, bootMS int64) time.Duration {
 	s.t.Helper()
 	s.rev++
@@ -34,7 +34,7 @@
 	text := fmt.Sprintf(template, s.rev, full, bootMS)
 	list, err := s.Parse([]byte(text))
 	if err != nil || len(list.Workers) != 1 {
-		s.t.Fatal(list, err)
+		s.t.Fatalf("got update %+v and error %v, want one worker", list, err)
 	}
 	return list.Workers[0].StartedAt
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -103,7 +103,7 @@
 			w.Watch()
 			loop.Run(func() {})
 			if took := time.Since(began); why != "timed out" || took > idleTimeout+connectTimeout {
-				t.Error(why, "after", took)
+				t.Errorf("got failure %q after %v, want a timeout within %v", why, took, idleTimeout+connectTimeout)
 			}
 		})
 	}
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -133,7 +133,7 @@
 		}
 		entries, ok := dispatch.DecodeGossip(buffer[headerBytes:n])
 		if !ok || buffer[0] != version {
-			t.Fatal(buffer[:n])
+			t.Fatalf("received a datagram that is not valid: %x", buffer[:n])
 		}
 		return entries
 	}
@@ -141,11 +141,11 @@
 	transport.Send(2, []dispatch.GossipEntry{attemptStarted, attemptStarted})
 	transport.Send(3, []dispatch.GossipEntry{attemptStarted})
 	if entries := readEntries(first); len(entries) != 1 || entries[0].Kind != dispatch.GossipRestarted {
-		t.Fatal(entries)
+		t.Fatal("want the broadcast entry alone, got", entries)
 	}
 	readEntries(second)
 	if entries := readEntries(second); !slices.Equal(entries, []dispatch.GossipEntry{attemptStarted, attemptStarted}) {
-		t.Fatal(entries)
+		t.Fatal("want the two entries sent to this scheduler, got", entries)
 	}
 	for n := range 5 {
 		first.WriteToUDPAddrPort(encodeDatagram(1, 7, uint32(n), attemptStarted), transport.addrs[0])
@@ -156,7 +156,7 @@
 		select {
 		case message := <-received:
 			if message.From != 1 || len(message.Entries) != 1 || message.Entries[0] != attemptStarted {
-				t.Fatal(message)
+				t.Fatalf("got %+v, want one entry %+v from scheduler 1", message, attemptStarted)
 			}
 		case <-time.After(5 * time.Second):
 			t.Fatal("received ", n, " of 5: ", transport.CountsByName())
@@ -166,7 +166,7 @@
 	deadline := time.Now().Add(5 * time.Second)
 	for counts.UnknownSender.Load() < 5 || counts.Malformed.Load() < 5 {
 		if time.Now().After(deadline) {
-			t.Fatal(transport.CountsByName())
+			t.Fatal("want 5 datagrams from unknown senders and 5 malformed ones counted, got", transport.CountsByName())
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -78,16 +78,16 @@
 		}
 		message, ok := receiving.validate(addrs[goldenSender], b, 0)
 		if !ok || message.From != goldenSender {
-			t.Fatal(line, ok, message.From)
+			t.Fatalf("recorded datagram %q: accepted %v, from scheduler %d, want it accepted from %d", line, ok, message.From, goldenSender)
 		}
 		got = append(got, message.Entries...)
 	}
 	if diff := cmp.Diff(wanted, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("decoded entries (-want +got):\n%s", diff)
 	}
 	window := receiving.windows[goldenSender]
 	if window.epoch != goldenEpoch || window.highest != sending.sequence || window.highest <= goldenSequence {
-		t.Error(window, sending.sequence)
+		t.Errorf("got window %+v, want epoch %d and highest sequence number %d", window, goldenEpoch, sending.sequence)
 	}
 }
 
@@ -111,6 +111,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(transport.CountsByName(), got); diff != "" {
-		t.Error(diff)
+		t.Errorf("recorded counts (-counted +recorded):\n%s", diff)
 	}
 }
--- a/internal/handover/capacity_test.go
+++ b/internal/handover/capacity_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// BenchmarkMigrateAtOnce sends n messages without a pause, as a stopping process would in one turn of its
-// event loop. The metric whole is the fraction of runs in which all of them arrived: a link queues 512
+// BenchmarkMigrateAtOnce sends n messages without a pause, as a stopping process would in one iteration of
+// its event loop. The metric whole is the fraction of runs in which all of them arrived: a link queues 512
 // messages, and is closed when the queue overflows.
 func BenchmarkMigrateAtOnce(b *testing.B) {
 	for _, n := range []int{128, 256, 512, 1024, 2048, 5900} {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -218,7 +218,7 @@
 	otherVersion := dial()
 	otherVersion.write(Message{Kind: KindHello, Version: 7}, noDescriptor)
 	if m, _, err := otherVersion.read(); err != nil || m.Kind != KindRejected || m.Reason != `"hello" of version 7, not 1` {
-		t.Error(m, err)
+		t.Errorf("hello of version 7: got answer %+v and error %v, want a rejection that names both versions", m, err)
 	}
 	dial() // sends nothing
 	var err error
@@ -286,12 +286,12 @@
 		a.Send(Message{Kind: KindCallback, Sequence: n, Body: []byte(strings.Repeat("\n", 64<<10))})
 		m, answer := <-received, <-received
 		if m.Kind != KindCallback || m.Sequence != n || len(m.Body) != 64<<10 || answer.Kind != KindCallbackResult || answer.Sequence != n {
-			t.Error(m.Kind, m.Sequence, len(m.Body), answer)
+			t.Errorf("message %d: got kind %q, sequence %d, body of %d bytes; answer %+v", n, m.Kind, m.Sequence, len(m.Body), answer)
 		}
 	}
 	b.Close()
 	if closedLinks := []string{<-closed, <-closed}; fmt.Sprint(closedLinks) != "[a b]" && fmt.Sprint(closedLinks) != "[b a]" {
-		t.Error(closedLinks)
+		t.Error("want one close reported by each side, got", closedLinks)
 	}
 	c, _ := pair()
 	c.Start(func(Message) {}, func() { closed <- "c" })
--- a/internal/invariant/answer_test.go
+++ b/internal/invariant/answer_test.go
@@ -7,7 +7,7 @@
 	"stoatweir/dispatch"
 )
 
-// Violations of the invariants that a final answer is given once, in time, and is a refusal only if the
+// Violations of the invariants that a final answer is given once, in time, and is a rejection only if the
 // request may be retried, that no connection is closed with an unanswered request, and that no worker
 // start lies in the future.
 func ExampleChecker_CheckAnswer() {
--- a/internal/invariant/send_test.go
+++ b/internal/invariant/send_test.go
@@ -30,7 +30,7 @@
 	} {
 		f := newFixture(c.limits)
 		if reason := f.send(0, target("s-1", 0)); reason != "" {
-			t.Fatal(c.name, reason)
+			t.Fatalf("%s: first attempt got reason %q, want none", c.name, reason)
 		}
 		f.AttemptEnded(1, 0, "reset", c.mayHaveRun)
 		f.now += c.later
@@ -49,14 +49,14 @@
 	f := newFixture(RequestLimits{})
 	f.send(0, target("s-1", 0))
 	if reason := f.send(1, target("s-2", 0)); reason != TooManyInFlight {
-		t.Error(reason)
+		t.Errorf("second attempt in flight: got reason %q, want %q", reason, TooManyInFlight)
 	}
 	f.RaiseLimits(0, 2)
 	if reason := f.send(1, target("s-1", 0)); reason != DuplicateAtWorker {
-		t.Error(reason)
+		t.Errorf("second attempt at the same worker: got reason %q, want %q", reason, DuplicateAtWorker)
 	}
 	if reason := f.send(1, target("s-2", 0)); reason != "" {
-		t.Error(reason)
+		t.Errorf("second attempt within the raised limit: got reason %q, want none", reason)
 	}
 }
 
--- a/internal/lifecycle/transitions_test.go
+++ b/internal/lifecycle/transitions_test.go
@@ -43,8 +43,9 @@
 	return names
 }
 
-// An order to drain makes the process stop admitting requests step by step; a second order does not restart
-// the drain. The order to serve again makes the process ready immediately.
+// A drain takes effect in steps: idle connections are closed, then requests are no longer admitted, then
+// connections with a partial request are closed. A second order to drain does not restart the drain. The
+// order to serve again makes the process ready immediately.
 func ExampleLifecycle_Drain() {
 	var l Lifecycle
 	trace(&l, 0)
@@ -67,7 +68,7 @@
 }
 
 // A process that is drained before it has an endpoint list stays drained when the list arrives. If it is
-// activated before that, its state is starting again.
+// ordered to serve again before that, its state is starting again.
 func ExampleLifecycle_Activate() {
 	var l Lifecycle
 	l.Drain(0)
--- a/internal/settings/capacity_test.go
+++ b/internal/settings/capacity_test.go
@@ -9,7 +9,7 @@
 )
 
 // These benchmarks produce the configuration figures of docs/CAPACITY.md: the cost of parsing and
-// applying a configuration by number of tenants and operations. That page runs them by name.
+// applying a configuration by number of tenants and operations. The commands on that page name them.
 
 const operationsPerTenant = 32
 
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -85,8 +85,8 @@
 }
 
 // The time in transit counts toward a migrated request's client timeout and its deduplication window,
-// whether the successor adopts the request or the predecessor restores it. Were it not counted, the
-// request would be served, or retried, after its client or its worker has given it up.
+// whether the successor adopts the request or the predecessor restores it. If it were not counted, a
+// request could be served after its client has stopped waiting, or retried after its deduplication window.
 func TestRequestsAgeInTransit(t *testing.T) {
 	const transit, remaining, age = 400 * time.Millisecond, 5 * time.Second, 2 * time.Second
 	m, service := newTestManager(t)
--- a/internal/takeover/wire_test.go
+++ b/internal/takeover/wire_test.go
@@ -44,7 +44,7 @@
 }
 
 // The encodings of a snapshot part and of a migrated request stay as recorded, both with all fields set
-// and with none, to which the later parts of a snapshot come close.
+// and with none. Parts of a snapshot after the first leave some fields unset.
 func TestEncodedFormsMatchGolden(t *testing.T) {
 	checkGoldenRoundTrip(t, "part", golden.FilledByLeaf[snapshotPart](t))
 	checkGoldenRoundTrip(t, "part_empty", snapshotPart{})
