--- a/cmd/stoatweir/capacity_test.go
+++ b/cmd/stoatweir/capacity_test.go
@@ -43,8 +43,8 @@
 	for _, worker := range r.workers {
 		worker.slots = make(chan struct{}, count+10)
 	}
-	// While both processes run each has half of the descriptors, and half of these bound the
-	// requests in flight.
+	// While both processes run, each has half of the descriptors, and may have at most half as many
+	// requests in flight as it has descriptors.
 	r.config["limits"] = map[string]any{"memory_mb": 512, "sockets": 4*count + 400}
 	deploymentSettings := r.config["settings"].(map[string]any)
 	deploymentSettings["FamilyInfo"] = map[string]any{"TellsStart": true, "ReportX0": "free slots"}
--- a/cmd/stoatweir/combined_faults_test.go
+++ b/cmd/stoatweir/combined_faults_test.go
@@ -64,8 +64,7 @@
 	drainGrace             = 500 * time.Millisecond
 	timingTolerance        = 100 * time.Millisecond // for delays of sockets and of a busy machine
 	maxSendAfterDisconnect = 300 * time.Millisecond
-	// frontEndDelay is how long new connections are still opened after the service was told to
-	// stop.
+	// frontEndDelay is how long clients still open new connections after the service was told to stop.
 	frontEndDelay = 400 * time.Millisecond
 )
 
--- a/cmd/stoatweir/endpoint_watch_test.go
+++ b/cmd/stoatweir/endpoint_watch_test.go
@@ -422,7 +422,7 @@
 					worst[group] = max(worst[group], p.drainKnownAt-from)
 					runs[group]++
 				}
-				t.Logf("%s: longest time to the list: %v from the silence (%d runs), %v from the outage's end after two lost calls (%d runs)",
+				t.Logf("%s: longest time to the list: %v from the silence (%d runs), %v from the outage's end after two or more (%d runs)",
 					t.Name(), worst[0].Round(time.Millisecond), runs[0], worst[1].Round(time.Millisecond), runs[1])
 				if max(worst[0], worst[1]) >= maxPropagationTime {
 					t.Errorf("the list took up to %v, want less than %v", worst, maxPropagationTime)
@@ -511,8 +511,8 @@
 	}
 }
 
-// callRate returns the maximum number of calls in any 100 ms from a time on, and the mean number
-// per 100 ms until the last call.
+// callRate returns, for the calls from notBefore on, the maximum number in any 100 ms, and the mean
+// number per 100 ms until the last call.
 func (d *fakeDiscovery) callRate(notBefore time.Duration) (maxCalls int, meanCalls float64) {
 	var times []time.Duration
 	for _, call := range d.callTimes {
--- a/cmd/stoatweir/idle_clients_test.go
+++ b/cmd/stoatweir/idle_clients_test.go
@@ -11,8 +11,8 @@
 )
 
 // startIdleClients starts clients that send one request and then keep their connections open and
-// idle. They reconnect when they are disconnected. It returns the number of clients that are
-// connected.
+// idle. They reconnect when they are disconnected. It returns a counter of the clients that are
+// connected at the moment.
 func (r *testRig) startIdleClients(count int, stop chan struct{}) *atomic.Int64 {
 	var connected atomic.Int64
 	for range count {
--- a/cmd/stoatweir/limits_test.go
+++ b/cmd/stoatweir/limits_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// A small quota keeps back a share of itself, a large one a fixed reserve.
+// A share of a small memory quota is held in reserve, and a fixed amount of a large one.
 func Example_memoryLimit() {
 	for _, quotaMB := range []int{16, 64, 120, 256, 1024} {
 		fmt.Println(quotaMB, memoryLimitBytes(quotaMB)>>20)
--- a/cmd/stoatweir/scale_command_test.go
+++ b/cmd/stoatweir/scale_command_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// A small sweep over the number of workers bounds the cost of a start in messages, control bytes
-// and allocations, the number of descriptors, and their growth. Times are not compared, as they
-// differ between machines.
+// In a small sweep over the number of workers, the control bytes and messages of a start grow at most
+// twofold, and the allocations of a start and the number of descriptors at most in proportion to the
+// workers. Times are not compared, as they differ between machines.
 func TestScaleSweep(t *testing.T) {
 	s, err := scale.Read(labDir + "scale/small.toml")
 	if err != nil {
--- a/internal/lab/loopback/list_server.go
+++ b/internal/lab/loopback/list_server.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	maxPendingUpdates      = 64              // a watch that is further behind is closed
-	watchKeepAliveInterval = 2 * time.Second // interval of the empty lines that a watch is sent
+	maxPendingUpdates      = 64              // a watch with more updates waiting is closed
+	watchKeepAliveInterval = 2 * time.Second // time between the empty lines that keep a watch alive
 )
 
-// listResponse is how the model has a request for the list answered.
+// listResponse is the model's response to a request for the list.
 type listResponse struct {
-	delay    time.Duration
-	answered bool
+	delay    time.Duration // until the response is sent
+	answered bool          // otherwise the response is an error
 }
 
 // serveList answers this scheduler's request for the list with one update, followed by all later
--- a/internal/lab/loopback/run.go
+++ b/internal/lab/loopback/run.go
@@ -16,8 +16,8 @@
 	taskQueueSize      = 4096                   // tasks that can wait for the loop before goroutines that post more have to wait
 	maxAdvanceInterval = 100 * time.Millisecond // longest time between two advances of the model
 	endGrace           = 5 * time.Second        // a run ends at most this long after the last deadline
-	finalCheckDelay    = time.Hour              // added to the end's time for the last checks: all deadlines have passed by then
-	readyWithin        = 10 * time.Second       // a scheduler has to be ready this long after its start
+	finalCheckDelay    = time.Hour              // added to the end time for the last checks, so that all deadlines have passed
+	readyWithin        = 10 * time.Second       // a scheduler must become ready within this time after its start
 	readyPollInterval  = 20 * time.Millisecond
 )
 
--- a/internal/lab/loopback/scheduler.go
+++ b/internal/lab/loopback/scheduler.go
@@ -18,7 +18,7 @@
 const (
 	socketLimit   = 1024            // limits.sockets of a scheduler
 	memoryLimitMB = 192             // limits.memory_mb of a scheduler
-	stopWithin    = 6 * time.Second // a scheduler has to exit this long after SIGTERM
+	stopWithin    = 6 * time.Second // after SIGTERM, a scheduler that has not exited within this time is killed
 	callTimeout   = 2 * time.Second // for one request to a scheduler
 	maxIdleConns  = 8               // idle connections to a scheduler that are kept for reuse
 	logTailBytes  = 2000            // length of the end of a log that an error shows
@@ -37,7 +37,7 @@
 
 	// The loop owns these.
 	up             bool
-	knownDownAt    time.Duration    // when clients know that it is down, if it is
+	knownDownAt    time.Duration    // while it is down: when clients know that and start to avoid it
 	revision       int              // of the last update that it was sent
 	watch          chan []byte      // updates for the open watch; nil: there is none
 	knownEndpoints []model.Endpoint // the list as of the last update that it was sent
@@ -115,8 +115,8 @@
 	Room int    `json:"room"`
 }
 
-// writeConfig writes the configuration file, which has the list as the scheduler was last sent it, and
-// returns its path.
+// writeConfig writes the configuration file, which includes the endpoint list as it was last sent to
+// the scheduler, and returns the file's path.
 func (s *scheduler) writeConfig() (file string, err error) {
 	c := config{
 		Name:      fmt.Sprint("n", s.number),
--- a/internal/lab/loopback/worker.go
+++ b/internal/lab/loopback/worker.go
@@ -96,9 +96,9 @@
 	c.Close()
 }
 
-// workerChanged updates the server of a machine of the model that has changed: if the process has died,
-// connections are refused; if the machine has vanished, they stay open and nothing is sent; if it is
-// back, they have been reset.
+// workerChanged updates the server of a machine of the model that has changed. If the process has died,
+// the listener and all connections are closed. If the machine has vanished from the network, they stay
+// open and nothing is sent. If it is back, the old connections are closed and new ones are accepted.
 func (r *run) workerChanged(_ time.Duration, machine int) {
 	if machine >= len(r.workers) {
 		if err := r.addWorker(machine); err != nil {
--- a/internal/lab/loopback/worker_server.go
+++ b/internal/lab/loopback/worker_server.go
@@ -91,7 +91,7 @@
 	return "TEXT " + strings.Join(fields, ", ")
 }
 
-// parseRequestID parses the ID of a request as workers are sent it. A tenant's request has the
+// parseRequestID parses the ID of a request as it is sent to workers. A tenant's request has the
 // tenant's handle before its ID.
 func parseRequestID(id string) (int64, error) {
 	return strconv.ParseInt(id[strings.LastIndexByte(id, '~')+1:], 16, 64)
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -79,23 +79,23 @@
 	m.changes = append(m.changes, scheduledChange{at: at, apply: apply})
 }
 
-// scheduleBeginAndEnd schedules the changes at a fault's begin and end. Faults of one kind may overlap or
-// be nested: end must undo only what begin did, so that the first end does not lift the other
-// fault.
+// scheduleBeginAndEnd schedules the changes at the start and the end of a fault. Faults of one kind may
+// overlap or be nested: end must undo only what begin did, so that the first end does not lift the
+// other fault.
 func (m *Model) scheduleBeginAndEnd(f *targetedFault, begin, end func(now time.Duration)) {
 	m.schedule(f.start(), begin)
 	m.schedule(f.end(), end)
 }
 
 // scheduleOnMachines schedules the changes that a fault makes to each machine it affects, at its
-// begin and its end.
+// start and its end.
 func (m *Model) scheduleOnMachines(f *targetedFault, begin, end func(now time.Duration, machine *Machine)) {
 	m.scheduleBeginAndEnd(f,
 		func(now time.Duration) { m.Cluster.updateEach(now, f.machines, begin) },
 		func(now time.Duration) { m.Cluster.updateEach(now, f.machines, end) })
 }
 
-// scheduleShare schedules that the fault's share is an element of shares while the fault is active.
+// scheduleShare schedules that the fault's share is added to shares at its start and removed at its end.
 func (m *Model) scheduleShare(f *targetedFault, shares *[]float64) {
 	m.scheduleBeginAndEnd(f,
 		func(time.Duration) { *shares = append(*shares, f.Share) },
@@ -105,8 +105,8 @@
 		})
 }
 
-// planFault schedules the changes that a fault makes. Burst and HeavyRequests are
-// absent: Clients applies them.
+// planFault schedules the changes that a fault makes. Burst and HeavyRequests are absent: Clients
+// applies them.
 func (m *Model) planFault(f *targetedFault) {
 	switch f.Kind {
 	case scenario.MachinesSilent, scenario.ZoneLost, scenario.MachinesHung, scenario.MachinesSlow, scenario.MachinesFailing:
--- a/internal/lab/model/machine_faults.go
+++ b/internal/lab/model/machine_faults.go
@@ -7,7 +7,7 @@
 	"stoatweir/internal/lab/scenario"
 )
 
-// planMachineFault schedules a fault that changes the state of machines from its begin to its end.
+// planMachineFault schedules a fault that changes the state of machines from its start to its end.
 func (m *Model) planMachineFault(f *targetedFault) {
 	switch f.Kind {
 	case scenario.MachinesSilent, scenario.ZoneLost:
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -51,8 +51,8 @@
 	return m
 }
 
-// AdvanceTo handles all events that the model has scheduled up to and including now. At the same
-// time, changes by faults come first, then those of discovery, then those of the machines.
+// AdvanceTo handles all events that the model has scheduled up to and including now. Of events at the
+// same time, those of faults come first, then those of discovery, then those of the machines.
 func (m *Model) AdvanceTo(now time.Duration) {
 	for {
 		at := m.NextTime()
--- a/internal/lab/model/rule_events.go
+++ b/internal/lab/model/rule_events.go
@@ -41,8 +41,8 @@
 	r.attempts = append(r.attempts, attemptRecord{number: number, machine: machine, sentAt: now, inFlight: true})
 }
 
-// checkReady checks that the machine is not known to be draining or gone for longer than the grace
-// period. The scheduler counts as knowing of it once it has received the change, or DeemedDelay
+// checkReady checks that the scheduler has not known for longer than the grace period that the machine
+// is draining or gone. The scheduler counts as knowing of it once it has received the change, or DeemedDelay
 // after the list has changed.
 func (c *RuleChecker) checkReady(now time.Duration, scheduler int, request *Request, r *requestRecord, number, machine int) {
 	knownSince := Never
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// AttemptEnded records that a scheduler can know that an attempt has ended, and whether its end
-// proves that it has not run.
+// AttemptEnded records that an attempt has ended, as far as its scheduler can know, and whether its
+// end proves that it has not run.
 func (c *RuleChecker) AttemptEnded(now time.Duration, request *Request, number int, neverRan bool, cause string) {
 	r := c.open[request.ID]
 	if r == nil {
--- a/internal/lab/model/rules.go
+++ b/internal/lab/model/rules.go
@@ -59,7 +59,7 @@
 	machine     func(int) *Machine
 	open        map[int64]*requestRecord // records of requests that have not expired, by request ID
 	expiryQueue []*requestRecord         // the records in open, roughly ordered by expiresAt
-	// notReadySince has, by machine, the time since which the endpoint list has it as not ready; 0:
+	// notReadySince has, by machine, the time since which the endpoint list shows it as not ready; 0:
 	// it is ready.
 	notReadySince []time.Duration
 	// notReadyKnownSince has, by scheduler and machine, the time since which the scheduler knows
--- a/internal/lab/scale/emulated_clients.go
+++ b/internal/lab/scale/emulated_clients.go
@@ -66,8 +66,8 @@
 
 // arrivals draws the invocations of one scheduler. Run times are exponentially distributed, hence
 // memoryless: once the target number of requests is in flight, the regular rate of starts keeps it
-// there. A ramp-up of any length reaches the target with the constant rate that has the target
-// number in flight at its end.
+// there. During a ramp-up of any length, arrivals have the constant rate at which the target number is
+// in flight at its end.
 type arrivals struct {
 	scenario   Scenario
 	rng        *rand.Rand
--- a/internal/lab/scale/endpoint_list.go
+++ b/internal/lab/scale/endpoint_list.go
@@ -14,7 +14,7 @@
 
 const (
 	watchBuffer    = 256             // updates that a watch may lag behind
-	watchKeepAlive = 2 * time.Second // interval of the empty lines that are sent on a watch
+	watchKeepAlive = 2 * time.Second // time between the empty lines that keep a watch alive
 )
 
 // States of an endpoint in its entry of the list.
@@ -87,8 +87,8 @@
 	l.send(l.fullUpdate())
 }
 
-// send sends a line to all watches and ends those whose buffer is full, so that their clients have
-// to call again. The caller holds the lock.
+// send sends a line to all watches and ends those whose buffer is full, so that their schedulers must
+// request the list again. The caller holds the lock.
 func (l *endpointList) send(line []byte) {
 	for watch := range l.watches {
 		select {
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -176,8 +176,8 @@
 	return r.wait(r.scenario.Settle.D())
 }
 
-// observeWindow waits until the window has passed. Meanwhile it takes a sample every sampleInterval,
-// and has workers lost and restored.
+// observeWindow waits until the window has passed. Meanwhile it takes a sample every sampleInterval.
+// If the scenario has lost workers, it orders their loss at the start, and their return after LostFor.
 func (r *stepRun) observeWindow(m *measurement) error {
 	workersLost := r.scenario.LostWorkers > 0
 	if workersLost {
--- a/internal/lab/scale/parse.go
+++ b/internal/lab/scale/parse.go
@@ -26,7 +26,7 @@
 }
 
 // Parse parses a scenario, applies the overrides and fills in defaults. Its error joins a
-// scenario.FileError for each fault.
+// scenario.FileError for each error found.
 func Parse(file string, text []byte, overrides ...string) (Scenario, error) {
 	s := defaultScenario()
 	if err := decode(text, &s); err != nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// validationErrors returns the faults that keep a scenario from running on any machine.
+// validationErrors returns the errors in a scenario that don't depend on the machine that it runs on.
 func (s Scenario) validationErrors() (errs []scenario.FileError) {
 	add := func(key, text string, args ...any) {
 		errs = append(errs, scenario.FileError{Key: key, Text: fmt.Sprintf(text, args...)})
@@ -154,7 +154,7 @@
 }
 
 // Step returns the scenario of the step in which the key of the sweep has the given value. The error
-// names a key that can't be varied, or the first fault of the step.
+// names a key that can't be varied, or is the first one found in the step's scenario.
 func (s Scenario) Step(value float64) (Scenario, error) {
 	key := s.Sweep.Key
 	switch key {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// start starts the process. After its exit it is also sent to exits.
+// start starts the process. When it has exited, p is sent to exits.
 func (p *process) start(exits chan<- *process) error {
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -17,7 +17,7 @@
 }
 
 const (
-	readyTimeout        = 20 * time.Second // from the start of a scheduler until it has to be ready
+	readyTimeout        = 20 * time.Second // a scheduler must become ready within this time after its start
 	readyPollInterval   = 20 * time.Millisecond
 	stepGrace           = time.Minute     // that a step may take beyond its duration
 	operatorCallTimeout = 5 * time.Second // of a request to one of a scheduler's paths for operators
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// ruleSettings returns the settings of the rules. A scheduler has one warm-up for all workers, so
-// it is that of the lowest ColdFrom and the longest WarmUp of all groups.
+// ruleSettings returns the settings of the rules. They have a single warm-up for all workers, so it
+// combines the lowest ColdFrom and the longest WarmUp of all groups.
 func (s Scenario) ruleSettings() object {
 	coldFrom := 1.0
 	warmUp := time.Duration(0)
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -19,7 +19,7 @@
 	redialDelay              = 50 * time.Millisecond  // pause of a client after a failed connection attempt
 	shortBudgetOneIn         = 8                      // one request in this many, on average, has a short budget
 	minShortBudgetMillis     = 20                     // the shortest of these budgets
-	shortBudgetRangeMillis   = 300                    // width of the range above it that they are drawn from
+	shortBudgetRangeMillis   = 300                    // they are drawn from a range of this width above the shortest
 	splitWriteOneIn          = 12                     // one request in this many, on average, is written in two parts
 	maxSplitPauseMillis      = 40                     // upper limit of the pause between the two parts
 	maxDisconnectDelayMillis = 150                    // upper limit of the time after which a disconnecting client disconnects
--- a/internal/lab/soak/endpoint_list.go
+++ b/internal/lab/soak/endpoint_list.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	noRevision    = 0 // what a scheduler asks with that has no list yet
+	noRevision    = 0 // sent by a scheduler that has no list yet
 	firstRevision = 1
 	indentedEvery = 3 // one revision in this many is written as indented JSON on several lines
 )
--- a/internal/lab/soak/fault_schedule.go
+++ b/internal/lab/soak/fault_schedule.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	minFaultInterval  = 600 * time.Millisecond // from one group of overlapping faults to the next; at most twice this
+	minFaultInterval  = 600 * time.Millisecond // shortest time between the starts of two groups of faults; the longest is twice this
 	maxFaultDelay     = 250 * time.Millisecond // the faults of a group start within this time
 	minGroupSize      = 2                      // fewest faults in a group
 	groupSizeVariants = 2                      // number of possible group sizes, from minGroupSize up
--- a/internal/lab/soak/observations.go
+++ b/internal/lab/soak/observations.go
@@ -39,7 +39,7 @@
 	budget    time.Duration
 	work      time.Duration
 
-	sentAt         time.Time // the last time, if it was sent again as its connection was closed; zero: not sent
+	sentAt         time.Time // the last time, if it was sent again because its connection was closed; zero: not sent
 	disconnectedAt time.Time // zero: its client did not disconnect
 	answeredAt     time.Time // when the client got the answer or gave up
 	status         int
--- a/internal/lab/soak/peer_faults.go
+++ b/internal/lab/soak/peer_faults.go
@@ -93,7 +93,8 @@
 	return fmt.Sprint(targetAll, ", by ", offset)
 }
 
-// failSystemCalls has connects, accepts and polls of a scheduler fail for a while.
+// failSystemCalls makes connects and accepts of a scheduler fail with randomly chosen errors, or with
+// none, and interrupts some of its peeks and polls, for a while.
 func failSystemCalls(h *harness, s *scheduler, rng *rand.Rand) {
 	h.setSystemFaults(s, Faults{
 		Connect:     connectErrors[rng.Intn(len(connectErrors))],
--- a/internal/lab/soak/worker.go
+++ b/internal/lab/soak/worker.go
@@ -139,7 +139,7 @@
 	w.mu.Unlock()
 }
 
-// drawUnusual returns a random decision whether the next request is answered in an unusual way.
+// drawUnusual decides at random whether the next request is answered in an unusual way.
 func (w *worker) drawUnusual() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/virtual/attempts.go
+++ b/internal/lab/virtual/attempts.go
@@ -96,8 +96,8 @@
 	return r == dispatch.Rejected || r == dispatch.Unreachable || r == dispatch.NotSent
 }
 
-// endAttempt notifies the scheduler of the end of an attempt. Only the first call for an attempt
-// has an effect, and none once the scheduler has been killed. cause is for the request's history.
+// endAttempt notifies the scheduler of the end of an attempt. Only the first call for an attempt has
+// an effect, and no call has one after the scheduler was killed. cause is for the request's history.
 func (sim *Simulation) endAttempt(s *scheduler, a *attempt, result dispatch.Result, load *dispatch.LoadReport, cause string) {
 	if a.ended || !s.current(a.request.incarnation) {
 		return
@@ -126,8 +126,8 @@
 	}
 }
 
-// deliverCallback schedules the arrival of a machine's callback at the scheduler, if that still
-// knows the attempt.
+// deliverCallback schedules the arrival of a machine's callback at the scheduler, if the scheduler
+// still knows the attempt.
 func (sim *Simulation) deliverCallback(now time.Duration, sent *model.Attempt, callback model.Callback, share float64) {
 	s := sim.schedulers[sent.Scheduler]
 	r := s.requests[sent.Request.ID]
--- a/internal/tenants/account.go
+++ b/internal/tenants/account.go
@@ -42,7 +42,8 @@
 func (a *Account) isActive() bool { return a.activePosition > 0 }
 
 // typicalDuration returns the median time from the admission of one of the tenant's invocations to
-// its completion. It is used as the advice of when to retry: by then one is likely to have completed.
+// its completion. Clients are advised to wait for this time before a retry, because one of the
+// invocations in flight is likely to have completed by then.
 func (a *Account) typicalDuration() time.Duration {
 	if len(a.durations) == 0 {
 		return defaultRetryAfter
