--- a/cmd/stoatweir/endpoint_watch_test.go
+++ b/cmd/stoatweir/endpoint_watch_test.go
@@ -290,7 +290,7 @@
 	return scheduler
 }
 
-// stop stops the scheduler. Its discovery must have been closed before.
+// shutDown stops the scheduler. Its discovery must have been closed before.
 func (p *simulatedScheduler) shutDown() {
 	p.loop.PostUrgent(loopTask(p.loop.Stop))
 	<-p.done
@@ -304,9 +304,9 @@
 
 // Discovery fails in each mode, for each duration up to 20 s in steps of 50 ms (250 ms in some
 // variants), with watches that end or fall silent. A worker begins to drain at the end of the
-// outage. The scheduler has the new list within maxPropagationTime, whatever the duration. A pushed
-// list counts as known as soon as discovery is back: there the drain grace is the limit, unless a
-// call was lost.
+// outage. Whatever the duration, the scheduler has the new list within maxPropagationTime, or within
+// four times AskWithin if that is set and less. A pushed list counts as known as soon as discovery is
+// back: there the drain grace is the limit, unless it is long or a call or watch was lost in silence.
 func TestDrainIsAppliedAtAnyDiscoveryReturn(t *testing.T) {
 	const failureStart, maxFailure = 3 * time.Second, 20 * time.Second
 	for _, variant := range []struct {
--- a/cmd/stoatweir/recovery_test.go
+++ b/cmd/stoatweir/recovery_test.go
@@ -9,9 +9,9 @@
 )
 
 // All workers are unreachable for some time and come back, with and without health checks: clients
-// are served again within the maximum ejection time, and a little later if all requests are
-// non-idempotent. This guards against a scheduler that rejects all requests forever because nothing
-// tells it that the workers are back, or because no request may be used to try them.
+// are served again within the maximum ejection time and a margin, as it takes a little longer if all
+// requests are non-idempotent. This guards against a scheduler that rejects all requests forever
+// because nothing tells it that the workers are back, or because no request may be used to try them.
 func TestServesAgainAfterAllWorkersWereLost(t *testing.T) {
 	const maxEjection, margin, requestInterval = 8 * time.Second, 3 * time.Second, 100 * time.Millisecond
 	for _, effect := range effectClasses {
--- a/cmd/stoatweir/soak_test.go
+++ b/cmd/stoatweir/soak_test.go
@@ -18,7 +18,7 @@
 	soakFirstSeed           = flag.Int64("soak.first", 1, "first seed of TestSoak")
 	soakSchedulers          = flag.Int("soak.schedulers", 8, "number of schedulers, and of workers, in a run of TestSoak")
 	soakClientsPerScheduler = flag.Int("soak.clients", 3, "number of clients of each scheduler")
-	soakFaultDuration       = flag.Duration("soak.span", 6*time.Second, "how long new faults are started")
+	soakFaultDuration       = flag.Duration("soak.span", 6*time.Second, "time in which new faults are started")
 	soakFaults              = flag.String("soak.only", "", "comma-separated names of the faults to inject; empty: all")
 	soakLogDir              = flag.String("soak.keep", "", "directory in which the logs are kept; empty: a temporary one")
 )
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -23,8 +23,9 @@
 )
 
 // Run runs a scenario against processes of a program. The clients' requests come from source, or from
-// the model if it is nil. All that Run starts has ended when it returns. It returns an error if the run
-// could not be completed; violated rules are in the report.
+// the model if it is nil. When Run returns, the processes that it started have exited and its listeners
+// are closed; goroutines that are still sending end soon after. It returns an error if the run could not
+// be completed; violated rules are in the report.
 func Run(ctx context.Context, s scenario.Scenario, source model.Source, program string) (report.Report, error) {
 	workers := workerCount(s)
 	if s.Schedulers.Count > maxSchedulers || workers > maxWorkers || s.Length.D() > maxLength {
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// A run that is cancelled leaves no process, open port or file either.
+// A cancelled run leaves no process, open port or file.
 func TestCancelledRunLeavesNothing(t *testing.T) {
 	program := buildProgram(t)
 	tmp := t.TempDir()
--- a/internal/lab/scale/emulated_schedulers.go
+++ b/internal/lab/scale/emulated_schedulers.go
@@ -19,8 +19,8 @@
 	datagramHeaderBytes = 15 // version, index of the sender, incarnation, sequence number
 	datagramBufferBytes = 2048
 	tagBits             = 19              // length of a worker's tag in gossip
-	maxEndDelay         = 4 * time.Second // most time from the gossip of an attempt's start to that of its end
-	maxReplySlots       = 99              // most free slots that a reply states
+	maxEndDelay         = 4 * time.Second // longest time from the gossip of an attempt's start to that of its end
+	maxReplySlots       = 99              // largest number of free slots that a reply states
 )
 
 // emulatedSchedulers emulate schedulers that only send and receive gossip. Each of them gossips its
--- a/internal/lab/scale/parse.go
+++ b/internal/lab/scale/parse.go
@@ -65,7 +65,7 @@
 	maxInFlight              = 8000    // of each scheduler
 	minStartsPerSecond       = 0.1     // of each scheduler
 	maxStartsPerSecond       = 2000    // of each scheduler
-	maxReplacementsPerSecond = 1000    // of a worker
+	maxReplacementsPerSecond = 1000    // of all workers together
 	maxBodyBytes             = 1 << 16
 	maxSockets               = 1 << 16 // of each scheduler
 	minMemoryMB              = 16      // of each scheduler
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -23,7 +23,7 @@
 	TotalSchedulers       int     `toml:"told" json:"Told"`                  // in the settings; with gossip, the rest are emulated
 	InFlight              int     `toml:"in_hand" json:"InHand"`             // target number of requests of each scheduler
 	Starts                float64 `toml:"starts_per_second" json:"Starts"`   // invocations started per second, of each scheduler
-	ReplacementsPerSecond float64 `toml:"changes_per_second" json:"Changes"` // of a listed worker by one in slow start
+	ReplacementsPerSecond float64 `toml:"changes_per_second" json:"Changes"` // of listed workers by ones in slow start, in the whole list
 	EvenLoad              bool    `toml:"even" json:"Even"`                  // intervals of arrivals and run times are constant
 	BodyBytes             int     `toml:"body" json:"Body"`                  // of an invocation
 	NotifiesStart         bool    `toml:"tells_start" json:"TellsStart"`     // workers notify schedulers of the start of a run
@@ -131,7 +131,7 @@
 const (
 	minSpareWorkers     = 8
 	maxSpareWorkers     = 2000
-	spareReuseSeconds   = 10 // shortest time before a replaced worker is listed again, up to maxSpareWorkers
+	spareReuseSeconds   = 10 // time before a replaced worker is listed again, unless minSpareWorkers or maxSpareWorkers changes it
 	minSchedulerSockets = 1024
 	nonRequestSockets   = 200 // of a scheduler, for connections that carry no requests
 	socketsPerRequest   = 2.3 // for each request in flight
--- a/internal/lab/scale/step.go
+++ b/internal/lab/scale/step.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Step is the result of one step of a sweep. With several schedulers, figures are means over them,
-// except the worst iteration, memory and descriptors, which are those of the worst scheduler.
+// Step is the result of one step of a sweep. With several schedulers, processor times, starts and most
+// rates are means over them. Iterations, decisions, memory and descriptors are those of the worst
+// scheduler. Outcomes, panics and the rate of changed entries are totals.
 type Step struct {
 	Value      float64 `json:"value"` // of the key that is varied
 	Workers    int     `json:"workers"`
--- a/internal/lab/scale/worker_jobs.go
+++ b/internal/lab/scale/worker_jobs.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// removeJob marks a job as ended and takes it out of the counts. It returns false if the job has ended
-// before.
+// removeJob marks a job as ended and takes it out of the counts. It returns false if the job had ended
+// already.
 func (p *workerPool) removeJob(j *job) bool {
 	if j.ended.Swap(true) {
 		return false
--- a/internal/lab/trace/mapping.go
+++ b/internal/lab/trace/mapping.go
@@ -12,7 +12,7 @@
 // mappingVersion is the supported version of the mapping's file format.
 const mappingVersion = 1
 
-// Policies for anomalous rows, as they stand in mapping files.
+// Policies for anomalous rows, as they are written in mapping files.
 const (
 	policySkip  = "skip"  // ignore the row
 	policyClamp = "clamp" // use the row, at the time that clock.advance returns
--- a/internal/tenants/store/syncfault_test.go
+++ b/internal/tenants/store/syncfault_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// hookedFile calls a function between a write and its sync, as another process may read then.
+// hookedFile calls a function between a write and its sync, when another process may read the file.
 type hookedFile struct {
 	*faultyFile
 	beforeSync func()
