--- a/internal/conn/dial_test.go
+++ b/internal/conn/dial_test.go
@@ -64,7 +64,7 @@
 		}
 		raw.Control(func(fd uintptr) {
 			if on, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY); on == 0 || err != nil {
-				t.Error(name, on, err) // TCP_NODELAY is off or could not be read
+				t.Errorf("%s: got TCP_NODELAY %d and error %v, want it on", name, on, err) // TCP_NODELAY is off or could not be read
 			}
 		})
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -88,7 +88,7 @@
 			acceptSuccessors(t, path, predecessorSocket)
 			predecessor, err := Dial(path, addr, "n0")
 			if err != nil || predecessor.Welcome.Sockets != 100 {
-				t.Fatal(predecessor, err)
+				t.Fatalf("got predecessor %+v and error %v, want 100 sockets and no error", predecessor, err)
 			}
 			defer predecessor.Link.Close()
 			defer predecessor.Listener.Close()
--- a/internal/http1/parser_bench_test.go
+++ b/internal/http1/parser_bench_test.go
@@ -51,7 +51,7 @@
 			p := Parser{ReadsResponses: m.isResponse}
 			for b.Loop() {
 				if used, step, err := p.Feed(m.bytes); err != nil || step != StepComplete || used != len(m.bytes) {
-					b.Fatal(used, step, err)
+					b.Fatalf("got %d bytes used, step %v and error %v, want the whole message, StepComplete and no error", used, step, err)
 				}
 			}
 			b.ReportMetric(float64(len(m.bytes)), "bytes")
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -102,7 +102,7 @@
 		onTime.RequestSent(n*time.Millisecond, n*time.Millisecond+time.Millisecond)
 	}
 	if _, void := onTime.Result(s); void != "" {
-		t.Error(void)
+		t.Errorf("got void %q for requests sent 1 ms late, want a result that is not void", void)
 	}
 }
 
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "stoatweir")
 	if text, err := exec.Command("go", "build", "-o", program, "stoatweir/cmd/stoatweir").CombinedOutput(); err != nil {
-		t.Fatal(err, string(text))
+		t.Fatalf("got error %v, want a program that builds; output:\n%s", err, string(text))
 	}
 	return program
 }
@@ -98,7 +98,7 @@
 	var text bytes.Buffer
 	r.Text(&text)
 	if a := r.All; r.ViolationCount() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered || a.InTime < a.Offered/2 {
-		t.Error(text.String())
+		t.Errorf("want no violations, outcomes that add up to the number offered and at least half in time, got report\n%s", text.String())
 	}
 	checkNothingLeft(t, program, tmp)
 }
@@ -190,6 +190,6 @@
 	schedulerHost := loopbackHost(schedulerOctet)
 	otherHost := loopbackHost(otherOctet)
 	if schedulerHost == otherHost || load.CheckLoopback(schedulerHost+":1") != nil || load.CheckLoopback(otherHost+":1") != nil {
-		t.Error(schedulerHost, otherHost)
+		t.Errorf("got hosts %s of schedulers and %s of others, want two different loopback addresses", schedulerHost, otherHost)
 	}
 }
--- a/internal/lab/loopback/tenants_test.go
+++ b/internal/lab/loopback/tenants_test.go
@@ -32,7 +32,7 @@
 		var b bytes.Buffer
 		r.Text(&b)
 		if a := r.All; r.ViolationCount() > 0 || a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered {
-			t.Error(b.String())
+			t.Errorf("want no violations and outcomes that add up to the number offered, got report\n%s", b.String())
 		}
 		return r, b.String()
 	}
@@ -49,7 +49,7 @@
 		t.Log("this machine could not send the load in time: ", alone.Void, flood.Void) // rules and answers are checked above all the same
 	} else if besideFlood < 0.85*withoutFlood || withoutFlood < 0.8 ||
 		!strings.HasPrefix(flood.Tenants[0].Name, "calm") {
-		t.Error(text)
+		t.Errorf("want the calm tenant first, at least 0.8 of it in time alone and 0.85 of that beside the flood, got report\n%s", text)
 	}
 	checkNothingLeft(t, program, tmp)
 }
--- a/internal/lab/report/compare_test.go
+++ b/internal/lab/report/compare_test.go
@@ -49,7 +49,7 @@
 	for _, name := range []string{"x.svg", "x.png"} {
 		var size byteCounter
 		if err := Plot(&size, name, Report{Scenario: "day", ServiceBySecond: []float64{1, 0.5, 1}}); err != nil || size < 1000 {
-			t.Error(name, size, err)
+			t.Errorf("%s: got %d bytes and error %v, want at least 1000 bytes and no error", name, size, err)
 		}
 	}
 	if Plot(new(byteCounter), "x.gif", Report{ServiceBySecond: []float64{1, 1}}) == nil ||
--- a/internal/lab/report/forms_test.go
+++ b/internal/lab/report/forms_test.go
@@ -33,7 +33,7 @@
 	}
 	got.Trace = trace.Bytes()
 	if diff := cmp.Diff(r, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("decoded report (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/forms_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("decoded value (-want +got):\n%s", diff)
 	}
 }
 
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(r, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("decoded report (-want +got):\n%s", diff)
 	}
 }
 
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(s, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("decoded scenario (-want +got):\n%s", diff)
 	}
 }
 
@@ -130,6 +130,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("recorded settings (-want +got):\n%s", diff)
 	}
 }
--- a/internal/lab/scale/limits_test.go
+++ b/internal/lab/scale/limits_test.go
@@ -57,7 +57,7 @@
 func TestOverrideReplacesValueOfFile(t *testing.T) {
 	s, err := Parse("a.toml", []byte("version = 1\nworkers = 60"), "workers = 240", "memory_mb = 512")
 	if err != nil || s.Workers != 240 || s.MemoryMB != 512 {
-		t.Error(s, err)
+		t.Errorf("got scenario %+v and error %v, want 240 workers, 512 MB and no error", s, err)
 	}
 	if _, err = Parse("a.toml", []byte("version = 1"), "colour = 1"); err == nil || !strings.Contains(err.Error(), "colour") {
 		t.Error(err)
@@ -68,7 +68,7 @@
 func TestShippedScenariosFit(t *testing.T) {
 	files, _ := filepath.Glob("../../../deploy/lab/scale/*.toml")
 	if len(files) < 10 {
-		t.Fatal(files)
+		t.Fatalf("got scenario files %q, want at least 10", files)
 	}
 	for _, file := range files {
 		s, err := Read(file)
@@ -86,7 +86,7 @@
 				err = step.Fits(Machine{Descriptors: 20000, MemoryBytes: 24 << 30, Processes: maxProcesses, EphemeralPorts: 28000})
 			}
 			if err != nil {
-				t.Error(file, value, err)
+				t.Errorf("%s: step %v: got error %v, want a step that fits the machine", file, value, err)
 			}
 		}
 	}
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -25,10 +25,10 @@
 	for _, respelled := range []string{string(recorded), respellKeys(recorded, strings.ToLower), respellKeys(recorded, strings.ToUpper)} {
 		var got Scenario
 		if err := toml.NewDecoder(strings.NewReader(respelled)).DisallowUnknownFields().Decode(&got); err != nil {
-			t.Fatal(err, respelled)
+			t.Fatalf("got error %v, want none for the scenario\n%s", err, respelled)
 		}
 		if diff := cmp.Diff(s, got); diff != "" {
-			t.Error(diff)
+			t.Errorf("decoded scenario (-want +got):\n%s", diff)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Error(diff)
+			t.Errorf("recorded settings (-want +got):\n%s", diff)
 		}
 	}
 }
--- a/internal/lab/scenario/read_test.go
+++ b/internal/lab/scenario/read_test.go
@@ -72,7 +72,7 @@
 func TestShippedScenariosAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/lab/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatal(files, err)
+		t.Fatalf("got scenario files %q and error %v, want at least one file and no error", files, err)
 	}
 	for _, file := range files {
 		if text, _ := os.ReadFile(file); len(text) == 0 || strings.HasSuffix(file, "-mapping.toml") {
--- a/internal/lab/trace/forms_test.go
+++ b/internal/lab/trace/forms_test.go
@@ -39,10 +39,10 @@
 		wanted[anomaly.String()] = anomalyRows{counts.Anomalies[anomaly], counts.FirstLines[anomaly]}
 	}
 	if got.Rows != counts.Rows || got.Used != counts.Used || got.Ended != counts.Ended {
-		t.Error(got, counts)
+		t.Errorf("got recorded counts %+v, want the rows, used rows and end of %+v", got, counts)
 	}
 	if diff := cmp.Diff(wanted, got.Anomalies); diff != "" {
-		t.Error(diff)
+		t.Errorf("recorded anomalies (-want +got):\n%s", diff)
 	}
 }
 
@@ -58,10 +58,10 @@
 	for _, spelling := range []string{string(recorded), respellKeys(recorded, strings.ToLower), respellKeys(recorded, strings.ToUpper)} {
 		var got Mapping
 		if err := toml.NewDecoder(strings.NewReader(spelling)).DisallowUnknownFields().Decode(&got); err != nil {
-			t.Fatal(err, spelling)
+			t.Fatalf("got error %v, want none for the mapping\n%s", err, spelling)
 		}
 		if diff := cmp.Diff(m, got); diff != "" {
-			t.Error(diff)
+			t.Errorf("decoded mapping (-want +got):\n%s", diff)
 		}
 	}
 }
--- a/internal/lab/virtual/simulation_test.go
+++ b/internal/lab/virtual/simulation_test.go
@@ -96,7 +96,7 @@
 		if r.ViolationCount() > 0 {
 			var text bytes.Buffer
 			r.Text(&text)
-			t.Error(text.String())
+			t.Errorf("want no violations, got report\n%s", text.String())
 		}
 		if a := r.All; a.InTime+a.Late+a.Throttled+a.Errored+a.Unanswered != a.Offered || a.Offered == 0 {
 			t.Errorf("the counts of ended invocations do not add up to those offered, or none were offered: %+v", a)
@@ -311,7 +311,7 @@
 	var sim *Simulation
 	sim = New(s, p.DeciderFactory(func() time.Duration { return sim.Time() }))
 	if err := sim.Run(context.Background(), nil); err != nil || p.Err() != nil {
-		t.Fatal(err, p.Err())
+		t.Fatalf("got error %v of the simulation and %v of the program, want none", err, p.Err())
 	}
 	toProgram.Close()
 	remote := report.FromModel(sim.Model)
--- a/internal/structure/structure_test.go
+++ b/internal/structure/structure_test.go
@@ -106,7 +106,7 @@
 	for _, spec := range f.syntax.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
-			t.Fatal(f.name, err)
+			t.Fatalf("%s: want quoted import paths, got error %v", f.name, err)
 		}
 		paths = append(paths, imported)
 	}
--- a/internal/takeover/migration_test.go
+++ b/internal/takeover/migration_test.go
@@ -108,14 +108,14 @@
 	checkRecord := func(what string, records []dispatch.MigratedIn) {
 		t.Helper()
 		if len(records) != 1 {
-			t.Fatal(what, records)
+			t.Fatalf("%s: got records %+v, want one", what, records)
 		}
 		got := records[0]
 		checkDuration(what+", budget", got.Budget, want.Budget)
 		checkDuration(what+", waited", got.Waited, want.Waited)
 		checkDuration(what+", age", got.Age, want.Age)
 		if len(got.Attempts) != 1 {
-			t.Fatal(what, got.Attempts)
+			t.Fatalf("%s: got attempts %+v, want one", what, got.Attempts)
 		}
 		for n, attempt := range got.Attempts {
 			checkDuration(what+", attempt age", attempt.Age, want.Attempts[n].Age)
--- a/internal/tenants/admission_test.go
+++ b/internal/tenants/admission_test.go
@@ -68,7 +68,8 @@
 		distinct[decision.RetryAfter] = true
 	}
 	if least < 750*ms || most > 1500*ms || most-least < 500*ms || len(distinct) < 150 {
-		t.Error(least, most, len(distinct))
+		t.Errorf("got delays from %v to %v, %d distinct, want 750 ms to 1.5 s, 500 ms apart or more, and 150 distinct or more",
+			least, most, len(distinct))
 	}
 }
 
--- a/internal/tenants/api/api_test.go
+++ b/internal/tenants/api/api_test.go
@@ -52,7 +52,7 @@
 	f.expect(200, `"suspended"`, operator, "PUT", "/v1/tenants/acme/state", `{"state": "suspended"}`, "If-Match", second)
 	f.expect(201, `"credential"`, operator, "POST", "/v1/tenants/acme/credentials", `{"expires": "2027-01-01T00:00:00Z"}`)
 	if _, text, _ := f.send(operator, "GET", "/v1/tenants/acme", ""); strings.Contains(text, "hash") {
-		t.Error(text)
+		t.Errorf("got tenant %q, want no hash in it", text)
 	}
 	f.expect(200, `"taken": 3`, reader, "GET", "/v1/tenants/acme/usage", "")
 	f.expect(200, `"what": "suspended"`, reader, "GET", "/v1/audit?after=2", "")
@@ -62,7 +62,7 @@
 	f.expect(404, "", operator, "DELETE", "/v1/tenants/acme", "")
 	f.expect(404, "", reader, "GET", "/v1/tenants/acme/usage", "")
 	if !slices.Equal(f.published, []uint64{0, 1, 2, 3, 4, 5}) {
-		t.Error(f.published)
+		t.Errorf("got published revisions %v, want 0 to 5", f.published)
 	}
 }
 
@@ -99,7 +99,7 @@
 		}
 	}
 	if fmt.Sprint(got) != "[t0 t1 t2 t4 t5 t6]" {
-		t.Error(got)
+		t.Errorf("got tenants %v, want [t0 t1 t2 t4 t5 t6]", got)
 	}
 }
 
@@ -171,7 +171,7 @@
 		count[status]++
 	}
 	if count[200] != 1 || count[412] != 19 {
-		t.Error(count)
+		t.Errorf("got numbers of answers by status %v, want one 200 and 19 times 412", count)
 	}
 }
 
@@ -196,7 +196,7 @@
 	recorder := httptest.NewRecorder()
 	follower.ServeHTTP(recorder, newRequest(operator, "PUT", "/v1/tenants/third", specBody))
 	if recorder.Code != http.StatusServiceUnavailable || !strings.Contains(recorder.Body.String(), "only follows") {
-		t.Error(recorder.Code, recorder.Body)
+		t.Errorf("got status %d and body %q, want 503 and a body with \"only follows\"", recorder.Code, recorder.Body)
 	}
 }
 
@@ -233,7 +233,7 @@
 	client := &http.Client{Timeout: 2 * readTimeout}
 	answer, err := client.Do(r)
 	if err != nil || answer.StatusCode != http.StatusOK {
-		t.Fatal(err, answer)
+		t.Fatalf("got error %v and answer %+v, want no error and status 200", err, answer)
 	}
 	answer.Body.Close()
 	if took := time.Since(start); took > readTimeout+2*time.Second {
--- a/internal/tenants/api/forms_test.go
+++ b/internal/tenants/api/forms_test.go
@@ -112,10 +112,10 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, stored.Spec); diff != "" {
-		t.Error(diff)
+		t.Errorf("stored tenant (-want +got):\n%s", diff)
 	}
 	if len(granted.ID) != 16 {
-		t.Error(granted)
+		t.Errorf("got credential %+v, want an ID of 16 characters", granted)
 	}
 	golden.Compare(t, "answers.txt", []byte(s.text.String()))
 }
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("decoded value (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/tenants/capacity_test.go
+++ b/internal/tenants/capacity_test.go
@@ -47,7 +47,7 @@
 				a := accounts[i%n]
 				decision := c.Admit(time.Millisecond, a, benchmarkRequest)
 				if decision.Kind != NotRejected {
-					b.Fatal(decision)
+					b.Fatalf("got decision %+v, want no rejection", decision)
 				}
 				c.Completed(time.Millisecond, a, benchmarkRequest, time.Minute, Succeeded)
 			}
@@ -120,7 +120,7 @@
 				s.Weight = float64(1 + n%1000)
 				c, unchanged, err := d.Put("ops", fmt.Sprint("team-", n%71), s, Precondition{}, epoch, "mark")
 				if err != nil || unchanged {
-					b.Fatal(err, unchanged)
+					b.Fatalf("got error %v and unchanged %v, want no error and a change", err, unchanged)
 				}
 				if err := d.Apply(c); err != nil {
 					b.Fatal(err)
--- a/internal/tenants/credential_test.go
+++ b/internal/tenants/credential_test.go
@@ -26,7 +26,7 @@
 		{id: "k2", secret: "s2", at: noon},
 	} {
 		if got := f.Identify(c.id, c.secret, c.at) != nil; got != c.identified {
-			t.Error(c.id, c.secret, c.at, got)
+			t.Errorf("credential %q with secret %q at %v: got identified %v, want %v", c.id, c.secret, c.at, got, c.identified)
 		}
 	}
 	tenant.Credentials = tenant.Credentials[1:]
--- a/internal/tenants/directory_test.go
+++ b/internal/tenants/directory_test.go
@@ -104,6 +104,6 @@
 		}
 	}
 	if created != MaxOperations/maxOperationsPerTenant {
-		t.Error(created)
+		t.Errorf("got %d tenants before the limit of operations, want %d", created, MaxOperations/maxOperationsPerTenant)
 	}
 }
--- a/internal/tenants/fairshare_test.go
+++ b/internal/tenants/fairshare_test.go
@@ -92,7 +92,7 @@
 	f.now += 2 * idleTimeout
 	got := f.admit("loud", 100, Request{}) + ", " + f.admit("loud", 100, Request{Bytes: 2})
 	if got != "100 rate, retry, 100 request_size" {
-		t.Error(got)
+		t.Errorf("got %q, want 100 rejected by rate with a retry and 100 by request size", got)
 	}
 	f.allocate(f.now)
 	share := f.Usage(f.tenants["calm"]).ShareInFlight
--- a/internal/tenants/maxmin_test.go
+++ b/internal/tenants/maxmin_test.go
@@ -33,7 +33,7 @@
 			}
 		}
 		if math.Abs(given-min(amount, demanded)) > 1e-6 {
-			t.Fatal(given, amount, demanded)
+			t.Fatalf("got shares of %v in all, want the lesser of the amount %v and the demand %v", given, amount, demanded)
 		}
 		for i, share := range shares {
 			if share < claims[i].Demand-1e-9 && share/claims[i].Weight < best-1e-6*best-1e-9 {
--- a/internal/tenants/store/disk_test.go
+++ b/internal/tenants/store/disk_test.go
@@ -31,7 +31,7 @@
 	writeTenant(writer, "c")
 	changed, err := follower.Follow()
 	if !changed || err != nil || len(follower.Directory.All()) != 3 {
-		t.Error(changed, err)
+		t.Errorf("got changed %v and error %v, want a change to three tenants and no error", changed, err)
 	}
 	writer.Close()
 	if _, err := follower.Follow(); err != nil || !follower.Writes() {
--- a/internal/tenants/store/follower_test.go
+++ b/internal/tenants/store/follower_test.go
@@ -33,7 +33,8 @@
 		t.Helper()
 		changed, err := follower.Follow()
 		if changed != wantChanged || !errors.Is(err, wantErr) || follower.Directory.Revision != wantRevision {
-			t.Error(changed, err, follower.Directory.Revision)
+			t.Errorf("got changed %v, error %v and revision %d, want %v, %v and %d",
+				changed, err, follower.Directory.Revision, wantChanged, wantErr, wantRevision)
 		}
 	}
 	follow(false, 1, nil)
--- a/internal/tenants/store/forms_test.go
+++ b/internal/tenants/store/forms_test.go
@@ -24,10 +24,10 @@
 	recorded := golden.Compare(t, "record.log", encoded)
 	got, length, err := decodeRecord(recorded)
 	if err != nil || length != len(recorded) {
-		t.Fatal(length, err)
+		t.Fatalf("got length %d and error %v, want the length of the recorded bytes and no error", length, err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("decoded record (-want +got):\n%s", diff)
 	}
 }
 
@@ -117,13 +117,13 @@
 	for _, recorded := range [][]byte{log, compacted} {
 		got := openRecorded(t, recorded).Directory
 		if diff := cmp.Diff(all, got.Audit(0), cmpopts.EquateEmpty()); diff != "" {
-			t.Error(diff)
+			t.Errorf("audit (-want +got):\n%s", diff)
 		}
 		if diff := cmp.Diff(s.Directory.All(), got.All(), cmpopts.EquateEmpty()); diff != "" {
-			t.Error(diff)
+			t.Errorf("tenants (-want +got):\n%s", diff)
 		}
 		if got.Revision != s.Directory.Revision || got.Revision != 9 {
-			t.Error(got.Revision)
+			t.Errorf("got revision %d, want 9 as in the store that wrote the log", got.Revision)
 		}
 	}
 }
--- a/internal/tenants/store/store_test.go
+++ b/internal/tenants/store/store_test.go
@@ -80,7 +80,7 @@
 	textByRevision := map[uint64]string{0: directoryText(tenants.NewDirectory())}
 	uninterrupted := newMemFiles()
 	if acknowledged := writeChanges(uninterrupted, textByRevision); acknowledged != 9 {
-		t.Fatal(acknowledged)
+		t.Fatalf("got acknowledged revision %d, want 9", acknowledged)
 	}
 	kills := 0
 	for step := 1; step <= uninterrupted.steps; step++ {
@@ -106,7 +106,8 @@
 				s.Close()
 				s, err = Open(after)
 				if err != nil || s.Directory.Revision != got+1 {
-					t.Fatal(step, unsyncedFraction, err)
+					t.Fatalf("killed at step %d, unsynced part %v: got error %v on opening again, want none and the later change",
+						step, unsyncedFraction, err)
 				}
 				kills++
 			}
@@ -132,7 +133,7 @@
 		}
 	}
 	if len(s.Directory.All()) != 1 {
-		t.Error(s.Directory.All())
+		t.Errorf("got tenants %+v, want one", s.Directory.All())
 	}
 	files.isFull = false
 	if err := put(s, "b", 1); err != nil || s.Directory.Revision != 2 {
--- a/internal/workers/sendcheck_test.go
+++ b/internal/workers/sendcheck_test.go
@@ -79,7 +79,7 @@
 			f.Forward(f.newInvocation(3), 0, f.id)
 			f.runUntilTrue("the next request", func() bool { return len(f.requests) > 0 })
 			if text := <-f.requests; !strings.HasPrefix(text, "connection 1:") {
-				t.Error(text)
+				t.Errorf("got request %q, want one on connection 1", text)
 			}
 		})
 	}
