--- a/cmd/stoatweir/capacity_test.go
+++ b/cmd/stoatweir/capacity_test.go
@@ -110,7 +110,7 @@
 		case outcome == "lost":
 			result.lost++
 		default:
-			t.Error(outcome)
+			t.Errorf("got outcome %q, want status 200 with the right result, 500, 503 or lost", outcome)
 		}
 	}
 	if result.linkNote = "-"; strings.Contains(r.allLogs(), "successor exited") {
--- a/cmd/stoatweir/combined_operations_test.go
+++ b/cmd/stoatweir/combined_operations_test.go
@@ -69,7 +69,7 @@
 			r.stopClients()
 			time.Sleep(2 * totalsPublishDelay)
 			if got := p.stats(t); got["svc_outstanding"] != 0 || got["svc_discovered"] != 3 {
-				t.Error(got)
+				t.Errorf("got figures %v, want no request outstanding and 3 workers discovered", got)
 			}
 			r.checkPeers()
 			// On a machine that is short of CPU time an occasional 503 is correct. Any other status
--- a/cmd/stoatweir/gossip_test.go
+++ b/cmd/stoatweir/gossip_test.go
@@ -172,7 +172,7 @@
 	r.waitForExit(p, 8*time.Second)
 	r.checkPeers()
 	if !strings.Contains(r.allLogs(), `"panics":0`) {
-		t.Error(r.allLogs())
+		t.Errorf("want %q in the logs, got:\n%s", `"panics":0`, r.allLogs())
 	}
 }
 
@@ -200,12 +200,12 @@
 		t.Error(n, " watches in 3 s, want 3 to 8")
 	}
 	if text := r.allLogs(); strings.Contains(text, "endpoint watch failed, retrying") {
-		t.Error(text)
+		t.Errorf("want %q not in the logs, got:\n%s", "endpoint watch failed, retrying", text)
 	}
 	isBack.Store(1)
 	for deadline := time.Now().Add(5 * time.Second); p.stats(t)["svc_discovered"] != 1; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal(p.stats(t))
+			t.Fatalf("got figures %v after 5 s, want 1 worker discovered", p.stats(t))
 		}
 	}
 	r.stopClients()
--- a/cmd/stoatweir/lab_command_test.go
+++ b/cmd/stoatweir/lab_command_test.go
@@ -42,7 +42,7 @@
 
 	if out, status := runLab(t, "run", path("short.toml"), "--json", path("r.json"), "--plot", path("p.svg")); status != 0 ||
 		!strings.Contains(out, "no rule broken") {
-		t.Error(status, out)
+		t.Errorf("got exit code %d, want 0, and %q in the output:\n%s", status, "no rule broken", out)
 	}
 	var r struct {
 		Service float64
@@ -54,7 +54,7 @@
 	}
 	if text, _ := os.ReadFile(path("r.json")); json.Unmarshal(text, &r) != nil || r.All.Offered < 100 || r.All.Served > r.All.Value ||
 		r.Service < 0.9 {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v, want valid JSON with 100 or more offered, no more value served than offered, service 0.9 or more", r)
 	}
 	if text, _ := os.ReadFile(path("p.svg")); !strings.HasPrefix(string(text), "<svg") {
 		t.Errorf("the plot is not an SVG file: %.80q", text)
@@ -66,32 +66,32 @@
 		"rate = 99.0", 1)), 0o600)
 	out, status := runLab(t, "compare", path("short2.toml"), "--against", path("fewer2.toml"), "--seeds", "4")
 	if status != 0 || !strings.Contains(out, "a is better") {
-		t.Error(status, out)
+		t.Errorf("got exit code %d, want 0, and %q in the output:\n%s", status, "a is better", out)
 	}
 	if out, status := runLab(t, "compare", path("short.toml"), "--b", "module", "--seeds", "2"); status != 0 ||
 		strings.Contains(out, "is better") ||
 		!strings.Contains(out, "no difference shown") {
-		t.Error(status, out)
+		t.Errorf("got exit code %d, want 0, and %q without %q in the output:\n%s", status, "no difference shown", "is better", out)
 	}
 	if out, status := runLab(t, "trace", "generate", path("t.csv"), "--rows", "500", "--rate", "100", "--odd", "50"); status != 0 {
-		t.Error(status, out)
+		t.Errorf("got exit code %d, want 0; output:\n%s", status, out)
 	}
 	mapping := labDir + "trace-mapping.toml"
 	if out, status := runLab(t, "trace", "check", labDir+"trace.toml", "--trace", path("t.csv"), "--mapping", mapping); status != 0 ||
 		!strings.Contains(out, `"rows":500`) {
-		t.Error(status, out)
+		t.Errorf("got exit code %d, want 0, and %q in the output:\n%s", status, `"rows":500`, out)
 	}
 	first, _ := runLab(t, "run", labDir+"trace.toml", "--trace", path("t.csv"), "--mapping", mapping)
 	if again, _ := runLab(t, "run", labDir+"trace.toml", "--trace", path("t.csv"), "--mapping", mapping); first != again ||
 		!strings.Contains(first, `"used":`) {
-		t.Error(first, again)
+		t.Errorf("want the same output of both runs, with %q, got:\n%s\nand:\n%s", `"used":`, first, again)
 	}
 	for _, args := range [][]string{{"check", path("wrong.toml")}, {"run", path("nowhere.toml")},
 		{"run", path("short.toml"), "--mode", "real"},
 		{"compare", path("short.toml")}, {"load", path("short.toml"), "--to", "10.0.0.1:80"}, {"run", path("short.toml"), "--decider",
 			"/bin/false"}} {
 		if out, status := runLab(t, args...); status != 2 {
-			t.Error(args, status, out)
+			t.Errorf("%q: got exit code %d, want 2; output:\n%s", args, status, out)
 		}
 	}
 }
--- a/cmd/stoatweir/large_fleet_test.go
+++ b/cmd/stoatweir/large_fleet_test.go
@@ -33,7 +33,7 @@
 				t.Error("workers in the endpoint list: ", listed)
 			}
 			if text := record.String(); !strings.Contains(text, "client     gets 200 made by request 1") {
-				t.Error(effect, "\n", text)
+				t.Errorf("%v: want status 200 for request 1, got:\n%s", effect, text)
 			}
 			if goroutines > maxGoroutines || heap > maxHeapBytes {
 				t.Errorf("%d more goroutines and %d more heap bytes than before", goroutines, heap)
--- a/cmd/stoatweir/process_rig_test.go
+++ b/cmd/stoatweir/process_rig_test.go
@@ -81,7 +81,7 @@
 		}
 	})
 	if buildErr != nil {
-		t.Fatal(buildErr)
+		t.Fatalf("the program was not built: %v", buildErr)
 	}
 	return builtProgram
 }
@@ -320,7 +320,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, failure := range r.failures {
-		r.t.Error(failure)
+		r.t.Errorf("got a wrong answer or none, want one right answer per request: %s", failure)
 	}
 	attempts := map[string]int{}
 	for _, worker := range r.workers {
--- a/cmd/stoatweir/races_test.go
+++ b/cmd/stoatweir/races_test.go
@@ -86,7 +86,7 @@
 	for range 2 {
 		got := <-answers
 		if strings.HasPrefix(got, "sale") && got != "sale HTTP/1.1 500 <nil>" || !strings.HasSuffix(got, "<nil>") {
-			t.Error(got)
+			t.Errorf("got answer %q, want one read without an error, and status 500 for sale", got)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	p.Process.Signal(syscall.SIGTERM)
 	p.Process.Signal(syscall.SIGHUP)
 	if statusLine, _, _, err := readAnswer(reader); statusLine != "HTTP/1.1 503" || err != nil {
-		t.Error(statusLine, err)
+		t.Errorf("got status line %q and error %v, want status 503 and no error", statusLine, err)
 	}
 	r.waitForExit(p, 4*time.Second)
 }
@@ -167,14 +167,14 @@
 		t.Fatal("the process with the other name has not exited after 5 s")
 	}
 	if text, _ := os.ReadFile(other.logFile); other.exitErr == nil || !strings.Contains(string(text), string(handover.ReasonNameMismatch)) {
-		t.Errorf("%v\n%s", other.exitErr, text)
+		t.Errorf("got exit error %v, want one, and %q in the log:\n%s", other.exitErr, handover.ReasonNameMismatch, text)
 	}
 	conn := &reusedConn{addr: r.listenAddr}
 	defer conn.close()
 	for n := range 20 {
 		if status, body := conn.request(postRequest("/render/k",
 			fmt.Sprintf("X-Call-Id: a%d\r\nX-Call-Class: render\r\nX-Budget: 10\r\n", n), "")); status != 200 {
-			t.Error(status, body)
+			t.Errorf("got status %d and body %q, want 200", status, body)
 		}
 		conn.close()
 	}
@@ -217,7 +217,8 @@
 			}
 			<-linkClosed
 			if statusLine, _, willClose, err := readAnswer(reader); statusLine != "HTTP/1.1 500" || !willClose || err != nil {
-				t.Error(statusLine, willClose, err)
+				t.Errorf("got status line %q, connection to be closed %v and error %v, want status 500, true and no error",
+					statusLine, willClose, err)
 			}
 			if _, err := reader.ReadByte(); err != io.EOF {
 				t.Error("reading after the answer, want EOF: ", err)
@@ -311,7 +312,7 @@
 	defer lastConn.close()
 	status, body := lastConn.request(postRequest("/sale/k", "X-Call-Id: sale-last\r\nX-Call-Class: sale\r\nX-Budget: 10\r\n", "sale-last"))
 	if status != 200 {
-		t.Error(status, body)
+		t.Errorf("got status %d and body %q, want 200", status, body)
 	}
 	r.mu.Lock()
 	for _, worker := range r.workers {
--- a/cmd/stoatweir/reload_test.go
+++ b/cmd/stoatweir/reload_test.go
@@ -121,7 +121,7 @@
 	got := p.stats(t)
 	if got["svc_sighup_rejected_total"] != 8 || applied < 2 || got["svc_sighup_applied_total"] != applied+1 ||
 		got[resultMetric("fresh", "succeeded")] != 2 {
-		t.Error(applied, got)
+		t.Errorf("got %d reloads applied (want 2 or more), then %v, want one more, 8 rejected and 2 successes of fresh", applied, got)
 	}
 	r.checkPeers()
 	if len(r.answersByStatus) > 1 || r.answersByStatus[200] < 20 {
--- a/cmd/stoatweir/scale_command_test.go
+++ b/cmd/stoatweir/scale_command_test.go
@@ -129,7 +129,7 @@
 		t.Fatal("the run has not ended 20 s after a hollow process was killed")
 	}
 	if err == nil || !regexp.MustCompile("^hollow (fleet|clients|others) has ended: signal: killed").MatchString(err.Error()) {
-		t.Error(err)
+		t.Errorf("got error %v, want one that says which hollow process has ended, by a kill signal", err)
 	}
 	if left := started(); len(left) > 0 {
 		t.Error("processes left running: ", left)
--- a/cmd/stoatweir/soak_test.go
+++ b/cmd/stoatweir/soak_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	path := filepath.Join(dir, "stoatweir-soak")
 	if text, err := exec.Command("go", "build", "-tags", "soak", "-o", path, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, text)
+		t.Fatalf("the program was not built: %v: %s", err, text)
 	}
 	return path
 }
--- a/cmd/stoatweir/stalled_clients_test.go
+++ b/cmd/stoatweir/stalled_clients_test.go
@@ -132,7 +132,7 @@
 	}
 	for failure := range slowFailures {
 		if failure != "" {
-			t.Error(failure)
+			t.Errorf("got a status other than 200 for a %s", failure)
 		}
 	}
 	close(stop)
--- a/cmd/stoatweir/takeover_test.go
+++ b/cmd/stoatweir/takeover_test.go
@@ -117,14 +117,14 @@
 	}
 	for range 6 {
 		if got := <-answers; !strings.HasPrefix(got, "200 made long-") || !strings.HasSuffix(got, "on the same: true") {
-			t.Error(got)
+			t.Errorf("got answer %q, want status 200 and the result of the request, on the same connection", got)
 		}
 	}
 	time.Sleep(2 * totalsPublishDelay)
 	if got := successor.stats(t); got["svc_outstanding"] != 0 || got[resultMetric("render", "succeeded")] != 3 ||
 		got[resultMetric("sale", "succeeded")] != 3 ||
 		got["svc_forwards_total"] != 0 {
-		t.Error(got)
+		t.Errorf("got figures %v, want 3 successes of render and of sale, no request outstanding and none forwarded", got)
 	}
 	r.checkPeers()
 }
--- a/cmd/stoatweir/tenancy_test.go
+++ b/cmd/stoatweir/tenancy_test.go
@@ -181,7 +181,7 @@
 		t.Errorf("in time: %.3f beside the flood, %.3f alone; %v\n%s", beside.inTimeShare(), alone.inTimeShare(), beside.statuses, r.allLogs())
 	}
 	for _, failure := range append(alone.failures, beside.failures...) {
-		t.Error(failure)
+		t.Errorf("got a wrong answer or none for calm, want the result of each request served: %s", failure)
 	}
 	usage := r.callAPI(200, "GET", "/v1/tenants/flood/usage", "")
 	if usage["throttled"].(map[string]any)["share"].(float64) == 0 {
@@ -218,7 +218,7 @@
 		t.Error("usage of the new tenant: ", usage)
 	}
 	for _, failure := range append(oldResult.failures, newResult.failures...) {
-		t.Error(failure)
+		t.Errorf("got a wrong answer or none, want the result of each request served: %s", failure)
 	}
 	r.checkPeers()
 }
@@ -278,7 +278,7 @@
 		"half of each": bearer(id + "." + secret), "only the id": bearer(id), "twice": bearer(firstCredential) + bearer(secondCredential),
 		"another scheme": "Authorization: Basic " + firstCredential + "\r\n"} {
 		if status := requestStatus(credential, "a"); status != 401 {
-			t.Error(name, status)
+			t.Errorf("credential %q: got status %d, want 401", name, status)
 		}
 	}
 	var pending sync.WaitGroup
@@ -375,7 +375,7 @@
 	var granted struct{ Credential string }
 	json.Unmarshal([]byte(run(0, "credential", "", "grant", "acme", "--for", "1h")), &granted)
 	if result := r.load(granted.Credential, "cli", "render", 20, 100*time.Millisecond, 1); result.statuses[200] != 2 {
-		t.Error(result.statuses)
+		t.Errorf("got statuses %v with the granted credential, want 200 twice", result.statuses)
 	}
 	run(0, `"taken": 2`, "", "usage", "acme")
 	run(0, `"suspended"`, "", "suspend", "acme", "--if-match", "2")
@@ -384,7 +384,7 @@
 	id, _, _ := strings.Cut(granted.Credential, ".")
 	run(0, `"credentials": []`, "", "revoke", "acme", id)
 	if result := r.load(granted.Credential, "revoked", "render", 20, 100*time.Millisecond, 1); result.statuses[401] != 2 {
-		t.Error(result.statuses)
+		t.Errorf("got statuses %v with the revoked credential, want 401 twice", result.statuses)
 	}
 	run(0, `"acme"`, "", "list", "--state", "active", "--prefix", "ac")
 	run(0, "", "", "remove", "acme")
--- a/cmd/stoatweir/wire_test.go
+++ b/cmd/stoatweir/wire_test.go
@@ -146,7 +146,7 @@
 	checker.CheckSend(invariant.Attempt{Request: 1, Chosen: worker, Current: stopped, Deadline: time.Minute})
 	sent := invariant.Attempt{Request: 1, Number: 1, Chosen: worker, Current: worker, Deadline: time.Minute}
 	if violation := checker.CheckSend(sent); violation != "" {
-		t.Fatal(violation)
+		t.Fatalf("got violation %q for an attempt at a ready worker, want none", violation)
 	}
 	checker.AttemptStarted(sent)
 	checker.CancelMigration(1, checker.MigrateOut(1))
