--- a/cmd/stoatweir/lab_scale_command.go
+++ b/cmd/stoatweir/lab_scale_command.go
@@ -40,7 +40,7 @@
 }
 
 func (o *scaleOptions) run(c *cobra.Command, file string) error {
-	s, err := scale.Read(file, o.overrides...)
+	s, err := scale.ReadScenario(file, o.overrides...)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	rig := scale.Rig{Scheduler: program, Hollow: []string{executable, "lab", "hollow"}}
+	rig := scale.Rig{Scheduler: program, EmulatorCommand: []string{executable, "lab", "hollow"}}
 	for i, step := range steps {
 		measured, err := rig.Run(c.Context(), step)
 		if err != nil {
@@ -69,12 +69,12 @@
 		}
 		measured.Value = values[i]
 		r.Add(measured)
-		if err := writeFile(o.jsonFile, r.JSON); err != nil {
+		if err := writeFile(o.jsonFile, r.WriteJSON); err != nil {
 			return err
 		}
 	}
-	r.Text(c.OutOrStdout())
-	return writeFile(o.plotFile, r.Plot)
+	r.WriteMarkdown(c.OutOrStdout())
+	return writeFile(o.plotFile, r.WritePlot)
 }
 
 // initialReport returns the report to which measurements are added. With --only it is the stored
@@ -139,7 +139,7 @@
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return scale.Hollow(c.Context(), c.InOrStdin(), os.Stdout)
+			return scale.RunEmulator(c.Context(), c.InOrStdin(), os.Stdout)
 		},
 	}
 }
--- a/cmd/stoatweir/scale_command_test.go
+++ b/cmd/stoatweir/scale_command_test.go
@@ -54,11 +54,11 @@
 // twofold, and the allocations of a start and the number of descriptors at most in proportion to the
 // workers. Times are not compared, as they differ between machines.
 func TestScaleSweep(t *testing.T) {
-	s, err := scale.Read(labDir + "scale/small.toml")
+	s, err := scale.ReadScenario(labDir + "scale/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := scale.Rig{Scheduler: buildProgram(t), Hollow: []string{buildProgram(t), "lab", "hollow"}}
+	rig := scale.Rig{Scheduler: buildProgram(t), EmulatorCommand: []string{buildProgram(t), "lab", "hollow"}}
 	var steps []scale.Step
 	for _, value := range s.Sweep.Values {
 		step, err := s.Step(value)
@@ -70,14 +70,14 @@
 			t.Fatal(err)
 		}
 		t.Logf("%+v", measured)
-		if failed := measured.Throttled + measured.Errored + measured.Broken + measured.NewsFailed +
-			measured.Strange + int64(measured.Panics); failed > 0 || measured.Succeeded == 0 {
+		if failed := measured.Throttled + measured.Errored + measured.ConnectionErrors + measured.CallbacksFailed +
+			measured.Unexpected + int64(measured.Panics); failed > 0 || measured.Succeeded == 0 {
 			t.Errorf("%d workers: %d requests failed or were unexpected, %d succeeded", measured.Workers, failed, measured.Succeeded)
 		}
 		if expectedStarts := step.Starts * measured.Seconds; measured.Starts < 0.7*expectedStarts || measured.Starts > 1.6*expectedStarts {
 			t.Errorf("%d workers: %v starts, want about %v", measured.Workers, measured.Starts, expectedStarts)
 		}
-		if measured.MessagesPerS == 0 || measured.Control == 0 || measured.Turn < 0 || measured.Allocations <= 0 || measured.RSS <= 0 {
+		if measured.GossipMessagesPerSecond == 0 || measured.ControlBytesPerSecond == 0 || measured.WorstIterationMS < 0 || measured.Allocations <= 0 || measured.RSS <= 0 {
 			t.Errorf("%d workers: a measurement is missing: %+v", measured.Workers, measured)
 		}
 		steps = append(steps, measured)
@@ -88,8 +88,8 @@
 		quantity      string
 		first, second float64
 		maxRatio      float64
-	}{{"control bytes a start", first.Control / first.StartsPerS, second.Control / second.StartsPerS, 2},
-		{"messages a start", first.MessagesPerS / first.StartsPerS, second.MessagesPerS / second.StartsPerS, 2},
+	}{{"control bytes a start", first.ControlBytesPerSecond / first.StartsPerS, second.ControlBytesPerSecond / second.StartsPerS, 2},
+		{"messages a start", first.GossipMessagesPerSecond / first.StartsPerS, second.GossipMessagesPerSecond / second.StartsPerS, 2},
 		{"descriptors", float64(first.Descriptors), float64(second.Descriptors), workerRatio},
 		{"allocations a start", first.Allocations / first.StartsPerS, second.Allocations / second.StartsPerS, workerRatio}} {
 		if growth.second > growth.maxRatio*growth.first {
@@ -102,11 +102,11 @@
 // If a hollow process dies, the run ends with an error that names it, and no process is left
 // running.
 func TestScaleFailsWhenHollowProcessDies(t *testing.T) {
-	s, err := scale.Read(labDir+"scale/small.toml", `window = "60s"`)
+	s, err := scale.ReadScenario(labDir+"scale/small.toml", `window = "60s"`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := scale.Rig{Scheduler: buildProgram(t), Hollow: []string{buildProgram(t), "lab", "hollow"}}
+	rig := scale.Rig{Scheduler: buildProgram(t), EmulatorCommand: []string{buildProgram(t), "lab", "hollow"}}
 	before := childProcesses(os.Getpid())
 	started := func() []int {
 		return slices.DeleteFunc(childProcesses(os.Getpid()), func(pid int) bool { return slices.Contains(before, pid) })
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/golden_test.go
@@ -53,7 +53,7 @@
 	config := HollowConfig{Role: ClientsRole, SchedulerAddrs: []string{"127.0.0.1:1"}, ListenHost: "127.0.0.1"}
 	in := append(jsonLine(t, config), jsonLine(t, Order{Action: "stats"})...)
 	var out bytes.Buffer
-	if err := Hollow(context.Background(), bytes.NewReader(golden.Compare(t, "exchange_in.json", in)), &out); err != nil {
+	if err := RunEmulator(context.Background(), bytes.NewReader(golden.Compare(t, "exchange_in.json", in)), &out); err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "exchange_out.json", out.Bytes())
@@ -64,7 +64,7 @@
 func TestGoldenReport(t *testing.T) {
 	r := golden.Filled[Report](t)
 	var text bytes.Buffer
-	if err := r.JSON(&text); err != nil {
+	if err := r.WriteJSON(&text); err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "report.json", text.Bytes())
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// Hollow runs a hollow process until its input ends. It returns errors of reading and writing, of
-// starting the emulation, and of unknown orders.
-func Hollow(ctx context.Context, in io.Reader, out io.Writer) error {
+// RunEmulator runs a hollow process until its input ends. It returns errors of reading and writing,
+// of starting the emulation, and of unknown orders.
+func RunEmulator(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	encoder := json.NewEncoder(out)
--- a/internal/lab/scale/limits_test.go
+++ b/internal/lab/scale/limits_test.go
@@ -71,7 +71,7 @@
 		t.Fatalf("got scenario files %q, want at least 10", files)
 	}
 	for _, file := range files {
-		s, err := Read(file)
+		s, err := ReadScenario(file)
 		if err != nil {
 			t.Error(err)
 			continue
--- a/internal/lab/scale/parse.go
+++ b/internal/lab/scale/parse.go
@@ -15,9 +15,9 @@
 // scenarioVersion is the version of the format of scenario files.
 const scenarioVersion = 1
 
-// Read reads a scenario file. Each override is written as a line of the file and replaces the value
-// that the file has for its key.
-func Read(file string, overrides ...string) (Scenario, error) {
+// ReadScenario reads a scenario file. Each override is written as a line of the file and replaces the
+// value that the file has for its key.
+func ReadScenario(file string, overrides ...string) (Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return Scenario{}, err
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -27,7 +27,7 @@
 	slices.SortFunc(r.Steps, func(a, b Step) int { return cmp.Compare(a.Value, b.Value) })
 }
 
-// ReadReport reads a report that JSON has written to a file. It returns an empty report if there is
+// ReadReport reads a report that WriteJSON has written to a file. It returns an empty report if there is
 // no such file.
 func ReadReport(file string) (r Report, err error) {
 	text, err := os.ReadFile(file)
@@ -43,8 +43,8 @@
 	return r, nil
 }
 
-// JSON writes the report as indented JSON.
-func (r Report) JSON(w io.Writer) error {
+// WriteJSON writes the report as indented JSON.
+func (r Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	return e.Encode(r)
--- a/internal/lab/scale/report_table.go
+++ b/internal/lab/scale/report_table.go
@@ -19,24 +19,24 @@
 
 var columns = []column{
 	{header: "workers", format: "%.0f", value: func(s Step) float64 { return float64(s.Workers) }},
-	{header: "in hand", format: "%.0f", value: func(s Step) float64 { return s.InHand }},
+	{header: "in hand", format: "%.0f", value: func(s Step) float64 { return s.InFlight }},
 	{header: "starts/s", format: "%.1f", value: func(s Step) float64 { return s.StartsPerS }},
-	{header: "% of a core", format: "%.2f", value: func(s Step) float64 { return s.Core }},
-	{header: "in the kernel", format: "%.2f", value: func(s Step) float64 { return s.System }},
-	{header: "us a start", format: "%.0f", value: func(s Step) float64 { return s.PerStart }},
-	{header: "worst turn ms", format: "%.1f", value: func(s Step) float64 { return s.Turn }},
+	{header: "% of a core", format: "%.2f", value: func(s Step) float64 { return s.CPUPercent }},
+	{header: "in the kernel", format: "%.2f", value: func(s Step) float64 { return s.SystemCPUPercent }},
+	{header: "us a start", format: "%.0f", value: func(s Step) float64 { return s.CPUMicrosPerStart }},
+	{header: "worst turn ms", format: "%.1f", value: func(s Step) float64 { return s.WorstIterationMS }},
 	{header: "RSS MB", format: "%.0f", value: func(s Step) float64 { return s.RSS }},
 	{header: "peak MB", format: "%.0f", value: func(s Step) float64 { return s.Peak }},
 	{header: "descriptors", format: "%.0f", value: func(s Step) float64 { return float64(s.Descriptors) }},
-	{header: "probes/s", format: "%.1f", value: func(s Step) float64 { return s.ProbesPerS }},
-	{header: "messages/s", format: "%.1f", value: func(s Step) float64 { return s.MessagesPerS }},
-	{header: "control B/s", format: "%.0f", value: func(s Step) float64 { return s.Control }},
+	{header: "probes/s", format: "%.1f", value: func(s Step) float64 { return s.HealthChecksPerSecond }},
+	{header: "messages/s", format: "%.1f", value: func(s Step) float64 { return s.GossipMessagesPerSecond }},
+	{header: "control B/s", format: "%.0f", value: func(s Step) float64 { return s.ControlBytesPerSecond }},
 	{header: "allocations/s", format: "%.0f", value: func(s Step) float64 { return s.Allocations }},
-	{header: "failed", format: "%.0f", value: func(s Step) float64 { return float64(s.Throttled + s.Errored + s.Broken) }},
+	{header: "failed", format: "%.0f", value: func(s Step) float64 { return float64(s.Throttled + s.Errored + s.ConnectionErrors) }},
 }
 
-// Text writes the report as a Markdown table with a row for each step.
-func (r Report) Text(w io.Writer) {
+// WriteMarkdown writes the report as a Markdown table with a row for each step.
+func (r Report) WriteMarkdown(w io.Writer) {
 	key := r.Key
 	if key == "" {
 		key = "step"
@@ -83,9 +83,9 @@
 // errTooFewSteps is returned for a report with fewer than minPlotSteps steps.
 var errTooFewSteps = errors.New("steps are too few for a plot")
 
-// Plot writes a PNG image of the processor time per start and of the worst iteration, against the key
-// that is varied.
-func (r Report) Plot(w io.Writer) error {
+// WritePlot writes a PNG image of the processor time per start and of the worst iteration, against the
+// key that is varied.
+func (r Report) WritePlot(w io.Writer) error {
 	if len(r.Steps) < minPlotSteps {
 		return fmt.Errorf("%s: %d %w", r.Name, len(r.Steps), errTooFewSteps)
 	}
@@ -93,9 +93,9 @@
 	iteration := chart.ContinuousSeries{Name: "worst turn, ms (right)", YAxis: chart.YAxisSecondary}
 	for _, s := range r.Steps {
 		perStart.XValues = append(perStart.XValues, s.Value)
-		perStart.YValues = append(perStart.YValues, s.PerStart)
+		perStart.YValues = append(perStart.YValues, s.CPUMicrosPerStart)
 		iteration.XValues = append(iteration.XValues, s.Value)
-		iteration.YValues = append(iteration.YValues, s.Turn)
+		iteration.YValues = append(iteration.YValues, s.WorstIterationMS)
 	}
 	c := chart.Chart{
 		Title:          r.Name,
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -12,8 +12,8 @@
 
 // Rig runs scenarios with the given programs.
 type Rig struct {
-	Scheduler string   // path of the scheduler program that is measured
-	Hollow    []string // command line of a hollow process
+	Scheduler       string   // path of the scheduler program that is measured
+	EmulatorCommand []string // command line of a hollow process
 }
 
 const (
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -65,7 +65,7 @@
 	config.Scenario = r.scenario
 	config.SchedulerAddrs = r.schedulerAddrs
 	config.ListenHost = loopbackHost(hollowSubnetBase)
-	cmd := exec.Command(r.Hollow[0], r.Hollow[1:]...)
+	cmd := exec.Command(r.EmulatorCommand[0], r.EmulatorCommand[1:]...)
 	cmd.Env = append(os.Environ(), hollowMemoryLimit)
 	p := newProcess("hollow "+config.Role, cmd)
 	if err := p.openPipes(); err != nil {
--- a/internal/lab/scale/step.go
+++ b/internal/lab/scale/step.go
@@ -9,65 +9,65 @@
 // rates are means over them. Iterations, decisions, memory and descriptors are those of the worst
 // scheduler. Outcomes, panics and the rate of changed entries are totals.
 type Step struct {
-	Value      float64 `json:"value"` // of the key that is varied
-	Workers    int     `json:"workers"`
-	Schedulers int     `json:"schedulers"`
-	Told       int     `json:"told"`        // schedulers according to the settings
-	InHandAim  int     `json:"in_hand_aim"` // target number of requests in flight, of each scheduler
-	StartsAim  float64 `json:"starts_per_second_aim"`
-	Changes    float64 `json:"changes_per_second_aim"`
-
-	Seconds      float64 `json:"seconds"`
-	Starts       float64 `json:"starts"` // runs started by workers
-	StartsPerS   float64 `json:"starts_per_second"`
-	InHand       float64 `json:"in_hand"`            // requests in flight, mean of the start and the end of the window
-	Core         float64 `json:"core_percent"`       // processor time, in percent of one core
-	System       float64 `json:"system_percent"`     // the part of Core spent in the kernel
-	IdleCore     float64 `json:"idle_core_percent"`  // the same as Core before any load; -1: not measured
-	PerStart     float64 `json:"us_per_start"`       // processor time of a start; -1: there were no starts
-	Turn         float64 `json:"worst_turn_ms"`      // longest iteration of the event loop in the window; 0: not reported
-	TurnEver     float64 `json:"worst_turn_ever_ms"` // since the start of the scheduler
-	Decided99    float64 `json:"decided_p99_ms"`     // time of a decision, since the start of the scheduler
-	DecidedMost  float64 `json:"decided_worst_ms"`   // the longest, since the start of the scheduler
-	RSS          float64 `json:"rss_mb"`
-	Peak         float64 `json:"peak_mb"` // highest RSS
-	Heap         float64 `json:"heap_mb"`
-	Allocations  float64 `json:"allocations_per_second"`
-	Descriptors  int     `json:"descriptors"`
-	Control      float64 `json:"control_bytes_per_second"` // health checks, cancellations and gossip, with packet headers
-	ProbesPerS   float64 `json:"probes_per_second"`
-	CancelsPerS  float64 `json:"cancels_per_second"`
-	ProbeBytes   float64 `json:"probe_bytes_per_second"` // of HTTP, in both directions
-	MessagesPerS float64 `json:"messages_per_second"`    // gossip sent and received
-	MessageBytes float64 `json:"message_bytes_per_second"`
-	NewsPerS     float64 `json:"news_per_second"` // callbacks
-	ListBytes    float64 `json:"list_bytes_per_second"`
-	ChangesPerS  float64 `json:"entries_changed_per_second"`
-	DialledPerS  float64 `json:"dialled_per_second"` // connections that the scheduler opened to workers
-
-	Offered    int64   `json:"Offered"`
-	Succeeded  int64   `json:"Succeeded"`
-	Throttled  int64   `json:"Throttled"`
-	Errored    int64   `json:"Errored"`
-	Broken     int64   `json:"Broken"`     // invocations whose connection failed
-	NewsFailed int64   `json:"NewsFailed"` // callbacks without a successful answer
-	Strange    int64   `json:"Strange"`    // calls and messages that no scheduler should send
-	Panics     int     `json:"Panics"`
-	LateMost   float64 `json:"clients_late_most_ms"` // from the scheduled time of an arrival to its sending
+	Value                       float64 `json:"value"` // of the key that is varied
+	Workers                     int     `json:"workers"`
+	Schedulers                  int     `json:"schedulers"`
+	TotalSchedulers             int     `json:"told"`        // schedulers according to the settings
+	TargetInFlight              int     `json:"in_hand_aim"` // target number of requests in flight, of each scheduler
+	TargetStartsPerSecond       float64 `json:"starts_per_second_aim"`
+	TargetReplacementsPerSecond float64 `json:"changes_per_second_aim"`
+
+	Seconds                   float64 `json:"seconds"`
+	Starts                    float64 `json:"starts"` // runs started by workers
+	StartsPerS                float64 `json:"starts_per_second"`
+	InFlight                  float64 `json:"in_hand"`            // requests in flight, mean of the start and the end of the window
+	CPUPercent                float64 `json:"core_percent"`       // processor time, in percent of one core
+	SystemCPUPercent          float64 `json:"system_percent"`     // the part of CPUPercent spent in the kernel
+	IdleCPUPercent            float64 `json:"idle_core_percent"`  // the same as CPUPercent before any load; -1: not measured
+	CPUMicrosPerStart         float64 `json:"us_per_start"`       // processor time of a start; -1: there were no starts
+	WorstIterationMS          float64 `json:"worst_turn_ms"`      // longest iteration of the event loop in the window; 0: not reported
+	WorstIterationEverMS      float64 `json:"worst_turn_ever_ms"` // since the start of the scheduler
+	DecisionP99MS             float64 `json:"decided_p99_ms"`     // time of a decision, since the start of the scheduler
+	DecisionMaxMS             float64 `json:"decided_worst_ms"`   // the longest, since the start of the scheduler
+	RSS                       float64 `json:"rss_mb"`
+	Peak                      float64 `json:"peak_mb"` // highest RSS
+	Heap                      float64 `json:"heap_mb"`
+	Allocations               float64 `json:"allocations_per_second"`
+	Descriptors               int     `json:"descriptors"`
+	ControlBytesPerSecond     float64 `json:"control_bytes_per_second"` // health checks, cancellations and gossip, with packet headers
+	HealthChecksPerSecond     float64 `json:"probes_per_second"`
+	CancelsPerS               float64 `json:"cancels_per_second"`
+	HealthCheckBytesPerSecond float64 `json:"probe_bytes_per_second"` // of HTTP, in both directions
+	GossipMessagesPerSecond   float64 `json:"messages_per_second"`    // gossip sent and received
+	GossipBytesPerSecond      float64 `json:"message_bytes_per_second"`
+	CallbacksPerSecond        float64 `json:"news_per_second"` // callbacks
+	ListBytes                 float64 `json:"list_bytes_per_second"`
+	ChangesPerS               float64 `json:"entries_changed_per_second"`
+	DialsPerSecond            float64 `json:"dialled_per_second"` // connections that the scheduler opened to workers
+
+	Offered          int64   `json:"Offered"`
+	Succeeded        int64   `json:"Succeeded"`
+	Throttled        int64   `json:"Throttled"`
+	Errored          int64   `json:"Errored"`
+	ConnectionErrors int64   `json:"Broken"`     // invocations whose connection failed
+	CallbacksFailed  int64   `json:"NewsFailed"` // callbacks without a successful answer
+	Unexpected       int64   `json:"Strange"`    // calls and messages that no scheduler should send
+	Panics           int     `json:"Panics"`
+	MaxLatenessMS    float64 `json:"clients_late_most_ms"` // from the scheduled time of an arrival to its sending
 
 	Course []Moment `json:"course"` // of the window, one every sampleInterval
 }
 
 // Moment is the progress of a window up to one sample. Usage is that of the first scheduler.
 type Moment struct {
-	Seconds     float64 `json:"seconds"`
-	Starts      int64   `json:"starts"`
-	Changes     int64   `json:"entries_changed"`
-	CPU         float64 `json:"cpu_seconds"`
-	RSS         float64 `json:"rss_mb"`
-	Heap        float64 `json:"heap_mb"`
-	Collections int64   `json:"collections"`
-	Turn        float64 `json:"worst_turn_10s_ms"` // -1: not reported
+	Seconds          float64 `json:"seconds"`
+	Starts           int64   `json:"starts"`
+	Changes          int64   `json:"entries_changed"`
+	CPUSeconds       float64 `json:"cpu_seconds"`
+	RSS              float64 `json:"rss_mb"`
+	Heap             float64 `json:"heap_mb"`
+	Collections      int64   `json:"collections"`
+	WorstIterationMS float64 `json:"worst_turn_10s_ms"` // -1: not reported
 }
 
 // Sizes of the headers of a packet.
@@ -98,16 +98,16 @@
 	w := window{first: m.windowStart, last: m.windowEnd, schedulers: float64(s.Schedulers),
 		seconds: m.windowEnd.at.Sub(m.windowStart.at).Seconds()}
 	step := Step{
-		Workers:    s.Workers,
-		Schedulers: s.Schedulers,
-		Told:       s.TotalSchedulers,
-		InHandAim:  s.InFlight,
-		StartsAim:  s.Starts,
-		Changes:    s.ReplacementsPerSecond,
-		Seconds:    w.seconds,
-		IdleCore:   notMeasured,
-		PerStart:   notMeasured,
-		Turn:       milliseconds(m.worstIteration),
+		Workers:                     s.Workers,
+		Schedulers:                  s.Schedulers,
+		TotalSchedulers:             s.TotalSchedulers,
+		TargetInFlight:              s.InFlight,
+		TargetStartsPerSecond:       s.Starts,
+		TargetReplacementsPerSecond: s.ReplacementsPerSecond,
+		Seconds:                     w.seconds,
+		IdleCPUPercent:              notMeasured,
+		CPUMicrosPerStart:           notMeasured,
+		WorstIterationMS:            milliseconds(m.worstIteration),
 	}
 	step.addTraffic(w)
 	step.addUsage(w)
@@ -117,7 +117,7 @@
 	step.addOutcomes(w)
 	if s.Idle > 0 {
 		idleCPU := cpuBetween(m.idleStart, m.idleEnd)
-		step.IdleCore = 100 * idleCPU / w.schedulers / m.idleEnd.at.Sub(m.idleStart.at).Seconds()
+		step.IdleCPUPercent = 100 * idleCPU / w.schedulers / m.idleEnd.at.Sub(m.idleStart.at).Seconds()
 	}
 	for _, now := range append(m.duringWindow, m.windowEnd) {
 		step.Course = append(step.Course, newMoment(m.windowStart, now))
@@ -131,17 +131,18 @@
 	b := w.last.workers
 	step.Starts = float64(b.Starts-a.Starts) / w.schedulers
 	step.StartsPerS = step.Starts / w.seconds
-	step.NewsPerS = w.rate(a.Callbacks, b.Callbacks)
-	step.ProbesPerS = w.rate(a.HealthChecks, b.HealthChecks)
+	step.CallbacksPerSecond = w.rate(a.Callbacks, b.Callbacks)
+	step.HealthChecksPerSecond = w.rate(a.HealthChecks, b.HealthChecks)
 	step.CancelsPerS = w.rate(a.Cancels, b.Cancels)
-	step.ProbeBytes = w.rate(a.HealthCheckBytes, b.HealthCheckBytes)
+	step.HealthCheckBytesPerSecond = w.rate(a.HealthCheckBytes, b.HealthCheckBytes)
 	step.ListBytes = w.rate(a.ListBytes, b.ListBytes)
 	step.ChangesPerS = float64(b.EntryChanges-a.EntryChanges) / w.seconds
 	before := w.first.emulatedSchedulers
 	after := w.last.emulatedSchedulers
-	step.MessagesPerS = w.rate(before.MessagesIn+before.MessagesOut, after.MessagesIn+after.MessagesOut)
-	step.MessageBytes = w.rate(before.MessageBytesIn+before.MessageBytesOut, after.MessageBytesIn+after.MessageBytesOut)
-	step.Control = step.ProbeBytes + 2*tcpHeaderBytes*step.ProbesPerS + step.MessageBytes + udpHeaderBytes*step.MessagesPerS +
+	step.GossipMessagesPerSecond = w.rate(before.MessagesIn+before.MessagesOut, after.MessagesIn+after.MessagesOut)
+	step.GossipBytesPerSecond = w.rate(before.MessageBytesIn+before.MessageBytesOut, after.MessageBytesIn+after.MessageBytesOut)
+	step.ControlBytesPerSecond = step.HealthCheckBytesPerSecond + 2*tcpHeaderBytes*step.HealthChecksPerSecond + step.GossipBytesPerSecond +
+		udpHeaderBytes*step.GossipMessagesPerSecond +
 		w.rate(a.CancelBytes, b.CancelBytes) + 2*tcpHeaderBytes*step.CancelsPerS
 }
 
@@ -163,24 +164,24 @@
 		step.Peak = max(step.Peak, megabytes(u.peakRSSBytes))
 		step.Descriptors = max(step.Descriptors, u.descriptors)
 	}
-	step.Core = 100 * cpu / w.schedulers / w.seconds
-	step.System = 100 * system / w.schedulers / w.seconds
+	step.CPUPercent = 100 * cpu / w.schedulers / w.seconds
+	step.SystemCPUPercent = 100 * system / w.schedulers / w.seconds
 	if step.Starts > 0 {
-		step.PerStart = 1e6 * cpu / w.schedulers / step.Starts
+		step.CPUMicrosPerStart = 1e6 * cpu / w.schedulers / step.Starts
 	}
 }
 
 // addCounts adds the counters that one scheduler reports of itself.
 func (step *Step) addCounts(w window, first, last schedulerCounts) {
-	step.InHand += (float64(first.InFlight) + float64(last.InFlight)) / 2 / w.schedulers
+	step.InFlight += (float64(first.InFlight) + float64(last.InFlight)) / 2 / w.schedulers
 	step.Heap = max(step.Heap, megabytes(last.HeapBytes))
 	step.Allocations += float64(last.Allocations-first.Allocations) / w.schedulers / w.seconds
-	step.DialledPerS += float64(last.Workers.Dialled-first.Workers.Dialled) / w.schedulers / w.seconds
-	step.Decided99 = max(step.Decided99, float64(last.DecisionMicros["p99"])/1e3)
-	step.DecidedMost = max(step.DecidedMost, float64(last.DecisionMicros["max"])/1e3)
+	step.DialsPerSecond += float64(last.Workers.Dialled-first.Workers.Dialled) / w.schedulers / w.seconds
+	step.DecisionP99MS = max(step.DecisionP99MS, float64(last.DecisionMicros["p99"])/1e3)
+	step.DecisionMaxMS = max(step.DecisionMaxMS, float64(last.DecisionMicros["max"])/1e3)
 	step.Panics += last.Panics
 	if last.LoopIterations != nil {
-		step.TurnEver = max(step.TurnEver, float64(last.LoopIterations.WorstMicros)/1e3)
+		step.WorstIterationEverMS = max(step.WorstIterationEverMS, float64(last.LoopIterations.WorstMicros)/1e3)
 	}
 }
 
@@ -192,10 +193,10 @@
 	step.Succeeded = b.Succeeded - a.Succeeded
 	step.Throttled = b.Throttled - a.Throttled
 	step.Errored = b.Failed - a.Failed
-	step.Broken = b.ConnectionErrors - a.ConnectionErrors
-	step.LateMost = milliseconds(b.MaxLateness)
-	step.NewsFailed = w.last.workers.CallbacksFailed - w.first.workers.CallbacksFailed
-	step.Strange = w.last.workers.Unexpected - w.first.workers.Unexpected +
+	step.ConnectionErrors = b.ConnectionErrors - a.ConnectionErrors
+	step.MaxLatenessMS = milliseconds(b.MaxLateness)
+	step.CallbacksFailed = w.last.workers.CallbacksFailed - w.first.workers.CallbacksFailed
+	step.Unexpected = w.last.workers.Unexpected - w.first.workers.Unexpected +
 		w.last.emulatedSchedulers.Unexpected - w.first.emulatedSchedulers.Unexpected
 }
 
@@ -204,14 +205,14 @@
 	before := first.counts[0]
 	after := now.counts[0]
 	return Moment{
-		Seconds:     now.at.Sub(first.at).Seconds(),
-		Starts:      now.workers.Starts - first.workers.Starts,
-		Changes:     now.workers.EntryChanges - first.workers.EntryChanges,
-		CPU:         (now.usage[0].cpuTime - first.usage[0].cpuTime).Seconds(),
-		RSS:         megabytes(now.usage[0].rssBytes),
-		Heap:        megabytes(after.HeapBytes),
-		Collections: after.Collections - before.Collections,
-		Turn:        milliseconds(after.recentWorstIteration()),
+		Seconds:          now.at.Sub(first.at).Seconds(),
+		Starts:           now.workers.Starts - first.workers.Starts,
+		Changes:          now.workers.EntryChanges - first.workers.EntryChanges,
+		CPUSeconds:       (now.usage[0].cpuTime - first.usage[0].cpuTime).Seconds(),
+		RSS:              megabytes(now.usage[0].rssBytes),
+		Heap:             megabytes(after.HeapBytes),
+		Collections:      after.Collections - before.Collections,
+		WorstIterationMS: milliseconds(after.recentWorstIteration()),
 	}
 }
 
