--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -67,7 +67,7 @@
 func (m *Model) schedulersIn(zone string) []int {
 	var all []int
 	for n := range m.scenario.Schedulers.Count {
-		if zone == "" || m.scenario.Zones[m.scenario.Zone(n)] == zone {
+		if zone == "" || m.scenario.Zones[m.scenario.ZoneOfScheduler(n)] == zone {
 			all = append(all, n)
 		}
 	}
--- a/internal/lab/model/retry.go
+++ b/internal/lab/model/retry.go
@@ -35,7 +35,7 @@
 		scheduler := (first + offset) % count
 		switch {
 		case down(scheduler):
-		case c.scenario.Zone(scheduler) == r.Zone:
+		case c.scenario.ZoneOfScheduler(scheduler) == r.Zone:
 			return scheduler
 		case otherZone == noScheduler:
 			otherZone = scheduler
--- a/internal/lab/scale/parse.go
+++ b/internal/lab/scale/parse.go
@@ -30,11 +30,11 @@
 func Parse(file string, text []byte, overrides ...string) (Scenario, error) {
 	s := defaultScenario()
 	if err := decode(text, &s); err != nil {
-		return s, scenario.Explain(file, err)
+		return s, scenario.DescribeDecodeError(file, err)
 	}
 	for _, override := range overrides {
 		if err := decode([]byte(override), &s); err != nil {
-			return s, scenario.Explain("setting "+override, err)
+			return s, scenario.DescribeDecodeError("setting "+override, err)
 		}
 	}
 	if len(s.Operations) == 0 {
--- a/internal/lab/scenario/fileerror.go
+++ b/internal/lab/scenario/fileerror.go
@@ -28,8 +28,9 @@
 	return fmt.Sprintf("%s: %s: %s", place, e.Key, e.Text)
 }
 
-// Explain converts an error of the TOML decoder into a FileError, or joins one for each unknown key.
-func Explain(file string, err error) error {
+// DescribeDecodeError converts an error of the TOML decoder into a FileError, or joins one for each
+// unknown key.
+func DescribeDecodeError(file string, err error) error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) {
 		var all []error
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -28,7 +28,7 @@
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		return s, Explain(file, err)
+		return s, DescribeDecodeError(file, err)
 	}
 	s.fillDefaults()
 	v := validator{file: file, lineByKey: lines}
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -34,8 +34,8 @@
 	return names
 }
 
-// Zone returns the index of a scheduler's zone.
-func (s Scenario) Zone(scheduler int) int { return scheduler % len(s.Zones) }
+// ZoneOfScheduler returns the index of a scheduler's zone.
+func (s Scenario) ZoneOfScheduler(scheduler int) int { return scheduler % len(s.Zones) }
 
 // object is a JSON object.
 type object = map[string]any
@@ -55,7 +55,7 @@
 		"Discovery":     "ask",
 		"PeersTotal":    schedulers,
 		"MyNumber":      scheduler,
-		"MyZone":        s.Zone(scheduler),
+		"MyZone":        s.ZoneOfScheduler(scheduler),
 		"Dcs":           s.Zones,
 		"Kinds":         kinds,
 		"Operations":    operations,
--- a/internal/lab/trace/mapping_read.go
+++ b/internal/lab/trace/mapping_read.go
@@ -29,7 +29,7 @@
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&m); err != nil {
-		return m, scenario.Explain(file, err)
+		return m, scenario.DescribeDecodeError(file, err)
 	}
 	v := mappingValidator{file: file}
 	v.checkFormat(m)
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -70,7 +70,7 @@
 		sim.source = sim.Model.Clients
 	}
 	for n := range sim.scenario.Schedulers.Count {
-		s := &scheduler{number: n, zone: sim.scenario.Zone(n)}
+		s := &scheduler{number: n, zone: sim.scenario.ZoneOfScheduler(n)}
 		sim.schedulers = append(sim.schedulers, s)
 		sim.startScheduler(s)
 	}
