--- a/cmd/stoatweir/lab_play.go
+++ b/cmd/stoatweir/lab_play.go
@@ -158,6 +158,6 @@
 	}
 	r = report.FromModel(simulation.Model).WithRun(s.Name, modeVirtual, decider, s.Seed, s.Schedulers.Count,
 		len(simulation.Model.Cluster.Machines), s.Length.D())
-	r.Costs.Events = simulation.Steps
+	r.Costs.Events = simulation.EventCount
 	return reader.addCounts(r), nil
 }
--- a/internal/lab/loopback/worker_server.go
+++ b/internal/lab/loopback/worker_server.go
@@ -80,8 +80,8 @@
 func (r *run) reportText(report *model.LoadReport) string {
 	values := map[string]float64{
 		"free_slots": report.FreeSlots,
-		"waiting":    report.Waiting,
-		"active":     report.Active,
+		"waiting":    report.Queued,
+		"active":     report.InFlight,
 		"service_ms": report.ServiceMs,
 	}
 	var fields []string
--- a/internal/lab/model/machine.go
+++ b/internal/lab/model/machine.go
@@ -29,8 +29,8 @@
 // LoadReport is the load that a machine reports with a health check.
 type LoadReport struct {
 	FreeSlots float64
-	Waiting   float64 // attempts in the queue
-	Active    float64 // attempts in the queue or running
+	Queued    float64 // attempts in the queue
+	InFlight  float64 // attempts in the queue or running
 	ServiceMs float64 // exponentially weighted mean of recent service times, in milliseconds
 }
 
@@ -183,8 +183,8 @@
 	m.reportedAt = now - now%interval
 	m.pendingReports = append(m.pendingReports, pendingReport{at: m.reportedAt, report: LoadReport{
 		FreeSlots: float64(m.slots - m.usedSlots),
-		Waiting:   float64(len(m.queue)),
-		Active:    float64(len(m.running) + len(m.queue)),
+		Queued:    float64(len(m.queue)),
+		InFlight:  float64(len(m.running) + len(m.queue)),
 		ServiceMs: m.meanServiceTime.Seconds() * 1e3,
 	}})
 }
--- a/internal/lab/model/serve.go
+++ b/internal/lab/model/serve.go
@@ -25,7 +25,7 @@
 	if !m.Reachable() {
 		return ConnectionRefused
 	}
-	c.statistics.Forwards++
+	c.statistics.ForwardsReceived++
 	c.checkOverload(now, m, a)
 	if m.down {
 		return ConnectionReset
--- a/internal/lab/model/statistics.go
+++ b/internal/lab/model/statistics.go
@@ -36,7 +36,7 @@
 	Operations, Tenants, Zones []*Service
 	Intervals                  []Interval // each of intervalLength
 	Requests                   int        // first requests and retries
-	Forwards                   int        // attempts that reached their machines
+	ForwardsReceived           int        // attempts that reached their machines
 	Duplicates                 int        // executions of an invocation beyond its first, or after its end
 	HealthChecks               int
 	Connections                int
--- a/internal/lab/report/build.go
+++ b/internal/lab/report/build.go
@@ -29,7 +29,7 @@
 		Violations:      m.Rules.Violations,
 		Costs: Costs{
 			Requests:         s.Requests,
-			Forwards:         s.Forwards,
+			Forwards:         s.ForwardsReceived,
 			DuplicateRuns:    s.Duplicates,
 			WastedShare:      round(s.WastedShare()),
 			HealthChecks:     s.HealthChecks,
--- a/internal/lab/virtual/healthcheck.go
+++ b/internal/lab/virtual/healthcheck.go
@@ -96,9 +96,9 @@
 		case scenario.FieldFreeSlots:
 			load.FreeSlots = r.FreeSlots
 		case scenario.FieldWaiting:
-			load.Queued = r.Waiting
+			load.Queued = r.Queued
 		case scenario.FieldActive:
-			load.InFlight = r.Active
+			load.InFlight = r.InFlight
 		case scenario.FieldServiceTime:
 			load.ServiceTime = r.ServiceMs
 		}
--- a/internal/lab/virtual/simulation.go
+++ b/internal/lab/virtual/simulation.go
@@ -24,9 +24,9 @@
 
 // Simulation is one run of a scenario in virtual time. It is not safe for concurrent use.
 type Simulation struct {
-	Model *model.Model
-	Log   func(now time.Duration, scheduler int, text string) // called with the log messages of deciders; may be nil
-	Steps int                                                 // number of events handled, without those of the model
+	Model      *model.Model
+	Log        func(now time.Duration, scheduler int, text string) // called with the log messages of deciders; may be nil
+	EventCount int                                                 // number of events handled, without those of the model
 
 	scenario     scenario.Scenario
 	source       model.Source
@@ -96,7 +96,7 @@
 	for sim.queue.Due(sim.now) {
 		handle := sim.queue.Pop()
 		handle()
-		sim.Steps++
+		sim.EventCount++
 	}
 	sim.decide()
 	return true
--- a/internal/lab/virtual/simulation_test.go
+++ b/internal/lab/virtual/simulation_test.go
@@ -329,7 +329,7 @@
 		s := parseScenario(t, strings.Replace(strings.Replace(smallScenario, "count = 2", fmt.Sprint("count = ", count), 1),
 			"of = 0.5", "rate = 100", 1))
 		sim, _ := runScenario(t, s, policy("two"))
-		return sim.Steps
+		return sim.EventCount
 	}
 	few := steps(4)
 	many := steps(12)
