--- a/cmd/stoatweir/lab_command.go
+++ b/cmd/stoatweir/lab_command.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if r.ViolationCount() > 0 || r.Void != "" {
+	if r.ViolationCount() > 0 || r.InvalidReason != "" {
 		return errFindings
 	}
 	return nil
@@ -158,7 +158,7 @@
 	if err := writeFile(o.jsonFile, r.JSON); err != nil {
 		return err
 	}
-	if r.Void != "" {
+	if r.InvalidReason != "" {
 		return errFindings
 	}
 	return nil
--- a/cmd/stoatweir/lab_play.go
+++ b/cmd/stoatweir/lab_play.go
@@ -123,7 +123,7 @@
 		}
 	}
 	r, err := loopback.Run(ctx, s, reader.source(), program)
-	r.Decider = deciderService
+	r.Policy = deciderService
 	return reader.addCounts(r), err
 }
 
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -35,7 +35,7 @@
 	result := report.FromModel(r.model).WithRun(s.Name, "load", addr, s.Seed, 1, 0, s.Length.D())
 	lateness, void := r.audit.Result(s)
 	result.Lateness = &lateness
-	result.Void = void
+	result.InvalidReason = void
 	return result, err
 }
 
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -53,7 +53,7 @@
 	result := report.FromModel(r.model).WithRun(s.Name, "loopback", program, s.Seed, s.Schedulers.Count, workers, s.Length.D())
 	lateness, void := r.audit.Result(s)
 	result.Lateness = &lateness
-	result.Void = void
+	result.InvalidReason = void
 	return result, errors.Join(r.failures...)
 }
 
--- a/internal/lab/loopback/tenants_test.go
+++ b/internal/lab/loopback/tenants_test.go
@@ -45,8 +45,8 @@
 		besideFlood, flood.Tenants[0].Offered, inTimeFraction(flood.Tenants[1]), flood.Tenants[1].Offered)
 	// The calm tenant's part in time is 0.98 when nothing else runs on the machine and 0.95 beside all
 	// other tests. Without shares for tenants it is 0.45.
-	if alone.Void != "" || flood.Void != "" {
-		t.Log("this machine could not send the load in time: ", alone.Void, flood.Void) // rules and answers are checked above all the same
+	if alone.InvalidReason != "" || flood.InvalidReason != "" {
+		t.Log("this machine could not send the load in time: ", alone.InvalidReason, flood.InvalidReason) // rules and answers are checked above all the same
 	} else if besideFlood < 0.85*withoutFlood || withoutFlood < 0.8 ||
 		!strings.HasPrefix(flood.Tenants[0].Name, "calm") {
 		t.Errorf("want the calm tenant first, at least 0.8 of it in time alone and 0.85 of that beside the flood, got report\n%s", text)
--- a/internal/lab/report/build.go
+++ b/internal/lab/report/build.go
@@ -52,7 +52,7 @@
 func (r Report) WithRun(scenario, mode, decider string, seed int64, schedulers, workers int, length time.Duration) Report {
 	r.Scenario = scenario
 	r.Mode = mode
-	r.Decider = decider
+	r.Policy = decider
 	r.Seed = seed
 	r.Schedulers = schedulers
 	r.Workers = workers
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -83,8 +83,8 @@
 		return fmt.Errorf("pair %d: %s by seed %d (%s) and %s by seed %d (%s) are not the same day",
 			index, a.Scenario, a.Seed, a.Mode, b.Scenario, b.Seed, b.Mode)
 	}
-	if a.Void != "" || b.Void != "" {
-		return fmt.Errorf("pair %d is void: %s%s", index, a.Void, b.Void)
+	if a.InvalidReason != "" || b.InvalidReason != "" {
+		return fmt.Errorf("pair %d is void: %s%s", index, a.InvalidReason, b.InvalidReason)
 	}
 	return nil
 }
--- a/internal/lab/report/compare_test.go
+++ b/internal/lab/report/compare_test.go
@@ -25,7 +25,7 @@
 	b[3].Seed = 9
 	_, err = Compare(a, b)
 	fmt.Println(err)
-	b[3].Seed, b[2].Void = 3, "sent late"
+	b[3].Seed, b[2].InvalidReason = 3, "sent late"
 	_, err = Compare(a, b)
 	fmt.Println(err)
 	_, err = Compare(a, b[:2])
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -61,7 +61,7 @@
 
 // series returns the service by second as a line of a plot.
 func (r Report) series() chart.ContinuousSeries {
-	s := chart.ContinuousSeries{Name: fmt.Sprintf("%s, %s, seed %d", r.Decider, r.Mode, r.Seed)}
+	s := chart.ContinuousSeries{Name: fmt.Sprintf("%s, %s, seed %d", r.Policy, r.Mode, r.Seed)}
 	for second, service := range r.ServiceBySecond {
 		s.XValues = append(s.XValues, float64(second))
 		s.YValues = append(s.YValues, service)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -15,12 +15,12 @@
 // Report holds the results of one run. It contains nothing about the machine on which the run took place,
 // so that repeating a run in virtual time gives the same report byte for byte.
 type Report struct {
-	Version  int    `json:"version"`
-	Scenario string `json:"scenario"`
-	Mode     string `json:"mode"`    // "virtual", "loopback" or "load"
-	Decider  string `json:"decider"` // what made the scheduling decisions, or the scheduler's address
-	Seed     int64  `json:"seed"`
-	Void     string `json:"void,omitempty"` // why the results must not be used; empty if they may
+	Version       int    `json:"version"`
+	Scenario      string `json:"scenario"`
+	Mode          string `json:"mode"`    // "virtual", "loopback" or "load"
+	Policy        string `json:"decider"` // what made the scheduling decisions, or the scheduler's address
+	Seed          int64  `json:"seed"`
+	InvalidReason string `json:"void,omitempty"` // why the results must not be used; empty if they may
 
 	Schedulers     int     `json:"schedulers"`
 	Workers        int     `json:"workers"`
--- a/internal/lab/report/text.go
+++ b/internal/lab/report/text.go
@@ -12,9 +12,9 @@
 // Text writes the report as human-readable text.
 func (r Report) Text(w io.Writer) {
 	fmt.Fprintf(w, "%s, %s, %s, seed %d: %d schedulers, %d workers, %.0f s (simulated)\n",
-		r.Scenario, r.Mode, r.Decider, r.Seed, r.Schedulers, r.Workers, r.Duration)
-	if r.Void != "" {
-		fmt.Fprintf(w, "VOID: %s\n", r.Void)
+		r.Scenario, r.Mode, r.Policy, r.Seed, r.Schedulers, r.Workers, r.Duration)
+	if r.InvalidReason != "" {
+		fmt.Fprintf(w, "VOID: %s\n", r.InvalidReason)
 	}
 	fmt.Fprintf(w, "service %.4f of the value offered, worst %d s %.4f, worst operation %.4f\n\n",
 		r.Service, worstIntervalSeconds, r.WorstInterval, r.WorstOperation)
