--- a/cmd/stoatweir/lab_command.go
+++ b/cmd/stoatweir/lab_command.go
@@ -229,7 +229,7 @@
 	}
 	text, _ := reader.Counts.MarshalJSON()
 	fmt.Fprintf(out, "%s\nlasts %v\n", text, last.Round(time.Millisecond))
-	if reader.Ended != "" {
+	if reader.StopReason != "" {
 		return errFindings
 	}
 	return nil
--- a/internal/lab/trace/anomaly.go
+++ b/internal/lab/trace/anomaly.go
@@ -29,7 +29,7 @@
 	Rows, Used int
 	Anomalies  [anomalyCount]int   // number of rows, by Anomaly
 	FirstLines [anomalyCount][]int // line numbers of the first anomalous rows, by Anomaly
-	Ended      string              // why reading stopped before the end of the trace; empty if it did not
+	StopReason string              // why reading stopped before the end of the trace; empty if it did not
 }
 
 // MarshalJSON encodes the anomalies by name and leaves out those that did not occur.
@@ -40,7 +40,7 @@
 			anomalies[anomalyNames[anomaly]] = map[string]any{"rows": n, "first_lines": c.FirstLines[anomaly]}
 		}
 	}
-	return json.Marshal(map[string]any{"rows": c.Rows, "used": c.Used, "odd": anomalies, "ended": c.Ended})
+	return json.Marshal(map[string]any{"rows": c.Rows, "used": c.Used, "odd": anomalies, "ended": c.StopReason})
 }
 
 // addAnomaly counts an anomalous row, and keeps its line number if it is among the first.
--- a/internal/lab/trace/forms_test.go
+++ b/internal/lab/trace/golden_test.go
@@ -38,7 +38,7 @@
 	for anomaly := range anomalyCount {
 		wanted[anomaly.String()] = anomalyRows{counts.Anomalies[anomaly], counts.FirstLines[anomaly]}
 	}
-	if got.Rows != counts.Rows || got.Used != counts.Used || got.Ended != counts.Ended {
+	if got.Rows != counts.Rows || got.Used != counts.Used || got.Ended != counts.StopReason {
 		t.Errorf("got recorded counts %+v, want the rows, used rows and end of %+v", got, counts)
 	}
 	if diff := cmp.Diff(wanted, got.Anomalies); diff != "" {
--- a/internal/lab/trace/reader.go
+++ b/internal/lab/trace/reader.go
@@ -87,7 +87,7 @@
 }
 
 // Next returns the request of the next usable row. It returns false at the end of the trace, or if a
-// policy or an error stopped it, in which case Ended holds the cause.
+// policy or an error stopped it, in which case StopReason holds the cause.
 func (r *Reader) Next() (model.Request, bool) {
 	for !r.stopped {
 		fields, err := r.rows.next()
@@ -126,7 +126,7 @@
 // stop ends the trace at the current line.
 func (r *Reader) stop(cause string) {
 	r.stopped = true
-	r.Ended = fmt.Sprintf("line %d: %s", r.rows.lineNumber, cause)
+	r.StopReason = fmt.Sprintf("line %d: %s", r.rows.lineNumber, cause)
 }
 
 // request returns the request of a row, and false if the row is not used.
