--- a/cmd/stoatweir/soak_test.go
+++ b/cmd/stoatweir/soak_test.go
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		config := soak.Config{Program: program, Dir: logs, Seed: seed, Schedulers: *soakSchedulers, Workers: *soakSchedulers,
-			Clients: *soakClientsPerScheduler, Span: *soakFaultDuration}
+			Clients: *soakClientsPerScheduler, FaultDuration: *soakFaultDuration}
 		if *soakFaults != "" {
 			config.Only = strings.Split(*soakFaults, ",")
 		}
@@ -58,11 +58,11 @@
 			t.Fatal(err)
 		}
 		t.Logf("seed %d: %d attempts, %d client disconnects, ready within %v, answers %v, logs in %s", seed, result.Attempts,
-			result.Disconnects, result.Ready, result.Answers, logs)
+			result.Disconnects, result.Ready, result.Outcomes, logs)
 		for _, fault := range result.Faults {
-			t.Logf("%8v %s: %s", fault.At, fault.Name, fault.On)
+			t.Logf("%8v %s: %s", fault.At, fault.Name, fault.Targets)
 		}
-		if result.Answers["200"] == 0 || result.Attempts == 0 {
+		if result.Outcomes["200"] == 0 || result.Attempts == 0 {
 			t.Errorf("seed %d: no request was served", seed)
 		}
 		for _, violation := range result.Violations {
--- a/internal/lab/soak/fault_schedule.go
+++ b/internal/lab/soak/fault_schedule.go
@@ -37,10 +37,10 @@
 	return kinds
 }
 
-// injectFaults starts groups of overlapping faults until Config.Span has passed.
+// injectFaults starts groups of overlapping faults until Config.FaultDuration has passed.
 func (h *harness) injectFaults() {
 	kinds := h.selectedFaults()
-	for end := time.Now().Add(h.Span); time.Now().Before(end); {
+	for end := time.Now().Add(h.FaultDuration); time.Now().Before(end); {
 		order := h.rng.Perm(len(kinds))
 		size := min(len(order), minGroupSize+h.rng.Intn(groupSizeVariants))
 		for _, n := range order[:size] {
@@ -61,7 +61,7 @@
 	startedAt := h.sinceLoadStarted()
 	targets := kind.inject(h, rng)
 	h.mu.Lock()
-	h.injectedFaults = append(h.injectedFaults, InjectedFault{At: roundToMillis(startedAt), Name: kind.name, On: targets})
+	h.injectedFaults = append(h.injectedFaults, InjectedFault{At: roundToMillis(startedAt), Name: kind.name, Targets: targets})
 	h.mu.Unlock()
 }
 
--- a/internal/lab/soak/observations.go
+++ b/internal/lab/soak/observations.go
@@ -69,7 +69,7 @@
 
 func (o *observations) addViolation(rule, subject, detail string) {
 	o.mu.Lock()
-	o.violations = append(o.violations, Violation{Rule: rule, Request: subject, Detail: detail})
+	o.violations = append(o.violations, Violation{Rule: rule, Subject: subject, Detail: detail})
 	o.mu.Unlock()
 }
 
@@ -113,7 +113,7 @@
 	defer o.mu.Unlock()
 	req := o.requests[id]
 	if req == nil {
-		o.violations = append(o.violations, Violation{Rule: "A4 request", Request: id, Detail: "no client has sent it"})
+		o.violations = append(o.violations, Violation{Rule: "A4 request", Subject: id, Detail: "no client has sent it"})
 		return nil
 	}
 	a := &attempt{request: req, worker: w, receivedAt: at, budget: budget}
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -144,10 +144,10 @@
 	for n, p := range s.processes {
 		name := s.processName(n)
 		if p.killedAt.IsZero() && p.err != nil {
-			violations = append(violations, Violation{Rule: ruleCrash, Request: name, Detail: p.err.Error()})
+			violations = append(violations, Violation{Rule: ruleCrash, Subject: name, Detail: p.err.Error()})
 		}
 		if p.killedAt.IsZero() && p.stopRequestedAt.IsZero() {
-			violations = append(violations, Violation{Rule: ruleCrash, Request: name, Detail: "exited without a request to stop"})
+			violations = append(violations, Violation{Rule: ruleCrash, Subject: name, Detail: "exited without a request to stop"})
 		}
 		violations = append(violations, s.logViolations(name, p.log)...)
 	}
@@ -162,9 +162,9 @@
 		switch {
 		case strings.Contains(line, "answered late") && s.frozenTooLong():
 		case strings.Contains(line, "a rule would have been broken"):
-			violations = append(violations, Violation{Rule: "guard", Request: name, Detail: detail})
+			violations = append(violations, Violation{Rule: "guard", Subject: name, Detail: detail})
 		case strings.Contains(line, "panic") && !strings.Contains(line, `"panics":0`):
-			violations = append(violations, Violation{Rule: "G4 panic", Request: name, Detail: detail})
+			violations = append(violations, Violation{Rule: "G4 panic", Subject: name, Detail: detail})
 		}
 	}
 	return violations
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -48,7 +48,7 @@
 func (o *observations) addRequestViolation(rule string, req *request, format string, args ...any) {
 	o.violations = append(o.violations, Violation{
 		Rule:    rule,
-		Request: fmt.Sprintf("%s at %s", req.id, req.scheduler.name()),
+		Subject: fmt.Sprintf("%s at %s", req.id, req.scheduler.name()),
 		Detail:  fmt.Sprintf(format, args...),
 	})
 }
--- a/internal/lab/soak/rules_workers.go
+++ b/internal/lab/soak/rules_workers.go
@@ -75,7 +75,7 @@
 		if worst.excess() > 0 && worst.limit > 0 {
 			o.violations = append(o.violations, Violation{
 				Rule:    "D1 cold",
-				Request: w.uid,
+				Subject: w.uid,
 				Detail: fmt.Sprintf("was sent %.1f requests of mean work in a window, %v after its start, and can bear %.1f",
 					worst.load, roundToMillis(worst.at.Sub(start)), worst.limit),
 			})
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -13,31 +13,31 @@
 
 // Config describes one run.
 type Config struct {
-	Program    string        // path of the scheduler's binary, built with the tag soak
-	Dir        string        // folder for logs and configurations
-	Seed       int64         // of all random choices; endpoint updates are pushed if it is even, and polled if it is odd
-	Schedulers int           // number of scheduler addresses; at least 1
-	Workers    int           // number of emulated workers; at least one per zone
-	Clients    int           // number of clients of each scheduler
-	Span       time.Duration // time in which faults start; the start and the end of the run take extra time
-	Only       []string      // names of the faults that may be injected; empty: all
+	Program       string        // path of the scheduler's binary, built with the tag soak
+	Dir           string        // folder for logs and configurations
+	Seed          int64         // of all random choices; endpoint updates are pushed if it is even, and polled if it is odd
+	Schedulers    int           // number of scheduler addresses; at least 1
+	Workers       int           // number of emulated workers; at least one per zone
+	Clients       int           // number of clients of each scheduler
+	FaultDuration time.Duration // time in which faults start; the start and the end of the run take extra time
+	Only          []string      // names of the faults that may be injected; empty: all
 }
 
 // Violation is one violation of a rule, with its evidence.
 type Violation struct {
 	Rule    string // short name of the rule, such as "A1 answer"
-	Request string // the request, process or worker that violated it
+	Subject string // the request, process or worker that violated it
 	Detail  string // what was seen
 }
 
 // String returns the violation as one line.
-func (v Violation) String() string { return fmt.Sprintf("%s: %s: %s", v.Rule, v.Request, v.Detail) }
+func (v Violation) String() string { return fmt.Sprintf("%s: %s: %s", v.Rule, v.Subject, v.Detail) }
 
 // Report is the result of a run.
 type Report struct {
 	Seed        int64
 	Faults      []InjectedFault
-	Answers     map[string]int // number of requests by status code or other outcome
+	Outcomes    map[string]int // number of requests by status code or other outcome
 	Attempts    int            // number of attempts that reached a worker
 	Disconnects int            // number of requests whose client disconnected
 	Ready       time.Duration  // longest time from the start of a scheduler to its readiness
@@ -46,9 +46,9 @@
 
 // InjectedFault is a fault that a run injected.
 type InjectedFault struct {
-	At   time.Duration // since the clients started
-	Name string
-	On   string // names of its targets
+	At      time.Duration // since the clients started
+	Name    string
+	Targets string // names of its targets
 }
 
 const (
@@ -86,7 +86,7 @@
 	stopClients()
 	h.stopSchedulers()
 	h.close()
-	report := &Report{Seed: c.Seed, Faults: h.injectedFaults, Answers: h.outcomes, Ready: ready}
+	report := &Report{Seed: c.Seed, Faults: h.injectedFaults, Outcomes: h.outcomes, Ready: ready}
 	h.observed.check(h, report)
 	return report, nil
 }
