--- a/cmd/stoatweir/service.go
+++ b/cmd/stoatweir/service.go
@@ -188,7 +188,7 @@
 	s.clients.OnRequest = s.trackRequest
 	s.clients.OnCallback = s.workers.HandleCallback
 	s.clients.RelayCallback = s.takeover.RelayCallback
-	s.clients.IDInUseAtPeer = s.takeover.OwnedByPeer
+	s.clients.IDInUseAtPeer = s.takeover.IDInUseAtPeer
 	s.clients.OnIDUseChanged = s.takeover.AnnounceOwnership
 	s.clients.OnResultDelivered = func(latency time.Duration) { s.servingLatency.RecordValue(latency.Microseconds()) }
 	s.clients.Behavior = func() lifecycle.Behavior { return s.lifecycle.Behavior(s.loop.Now()) }
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -12,7 +12,7 @@
 	Number      int
 	Chosen      Target        // the worker as the endpoint list had it when it was chosen
 	Current     Target        // the worker as the endpoint list has it now
-	NotAfter    time.Duration // from this time on no byte may be written; 0: only the client timeout bounds it
+	SendBefore  time.Duration // from this time on no byte may be written; 0: only the client timeout bounds it
 	Deadline    time.Duration // when the client timeout ends
 	MinTimeLeft time.Duration // least time that must be left until Deadline
 }
@@ -34,7 +34,7 @@
 		return UnknownRequest
 	case a.Deadline-now < a.MinTimeLeft:
 		return c.recordStopped(TimeoutPassed, a)
-	case a.NotAfter > 0 && now >= a.NotAfter:
+	case a.SendBefore > 0 && now >= a.SendBefore:
 		return c.recordStopped(WindowPassed, a)
 	}
 	if reason := r.retryViolation(a, now); reason != "" {
--- a/internal/invariant/send_test.go
+++ b/internal/invariant/send_test.go
@@ -76,7 +76,7 @@
 		{Attempt{Current: moved}, false, WorkerMoved},
 		{Attempt{Current: restarted}, false, WorkerRestarted},
 		{Attempt{Current: ready}, true, ClientGone},
-		{Attempt{Current: ready, NotAfter: time.Second}, false, WindowPassed},
+		{Attempt{Current: ready, SendBefore: time.Second}, false, WindowPassed},
 		{Attempt{Current: ready, Deadline: time.Second, MinTimeLeft: time.Millisecond}, false, TimeoutPassed},
 	} {
 		f := newFixture(RequestLimits{})
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -54,5 +54,5 @@
 	m.peer.link.Send(handover.Message{Kind: kind, IDs: []string{id}})
 }
 
-// OwnedByPeer reports whether a request is in flight in the other process.
-func (m *Manager) OwnedByPeer(id string) bool { return m.peer != nil && m.peer.requestIDs[id] }
+// IDInUseAtPeer reports whether the request of an ID is in flight in the other process.
+func (m *Manager) IDInUseAtPeer(id string) bool { return m.peer != nil && m.peer.requestIDs[id] }
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -81,7 +81,7 @@
 		Request:     inv.Number,
 		Number:      number,
 		Chosen:      a.target(),
-		NotAfter:    notAfter,
+		SendBefore:  notAfter,
 		MinTimeLeft: minTimeLeft,
 	})
 	t.startExchange(w, a.exchange)
@@ -133,7 +133,7 @@
 	fields := append(slices.Clip(inv.HeaderFields), timeBudget)
 	return conn.Outgoing{
 		Bytes:        http1.EncodeRequest(inv.Method, inv.Target, a.worker.address, inv.Body, fields...),
-		Deadline:     earlier(inv.Deadline, check.NotAfter),
+		Deadline:     earlier(inv.Deadline, check.SendBefore),
 		CheckAllowed: func() conn.CloseReason { return t.checkSend(a, check) },
 	}
 }
