--- a/internal/clients/tenancy_test.go
+++ b/internal/clients/tenancy_test.go
@@ -26,7 +26,7 @@
 	allTenants := []tenants.Tenant{
 		testTenant("a", tenants.Active, tenants.Limits{}),
 		testTenant("b", tenants.Suspended, tenants.Limits{}),
-		testTenant("c", tenants.Active, tenants.Limits{RatePerS: &ratePerS, Burst: &burst, RequestBytes: &requestBytes}),
+		testTenant("c", tenants.Active, tenants.Limits{RatePerSecond: &ratePerS, Burst: &burst, RequestBytes: &requestBytes}),
 	}
 	server.Admission = tenants.NewController(10, 1, rand.New(rand.NewPCG(1, 1)))
 	for _, tenant := range allTenants {
@@ -49,7 +49,7 @@
 		Handle: "h-" + name,
 		State:  state,
 		Spec: tenants.Spec{Weight: 1, Limits: limits, Operations: []tenants.Operation{
-			{Name: "render", Effect: tenants.Idempotent, ClientTimeoutS: 1},
+			{Name: "render", Effect: tenants.Idempotent, ClientTimeoutSeconds: 1},
 		}},
 		Credentials: []tenants.Credential{{ID: "k-" + name, Hash: tenants.HashSecret(testSecret)}},
 	}
@@ -161,7 +161,7 @@
 				t.Fatalf("invocation %d, accepted %v, %d in flight, want it accepted only for a known tenant", inv, ok, server.InFlight())
 			}
 			usage := server.Admission.Usage(server.Admission.Account("a"))
-			if (usage.InFlight == 1) != test.ok || (usage.Bytes == 4) != test.ok || usage.HeldWorkS != 0 {
+			if (usage.InFlight == 1) != test.ok || (usage.Bytes == 4) != test.ok || usage.HeldWorkSeconds != 0 {
 				t.Errorf("usage %+v, want the accepted invocation and its bytes accounted to the tenant, and no held work", usage)
 			}
 		})
--- a/internal/lab/loopback/tenants.go
+++ b/internal/lab/loopback/tenants.go
@@ -71,16 +71,16 @@
 	spec := tenants.Spec{Weight: tenant.Weight}
 	for _, o := range s.Operations {
 		operation := tenants.Operation{
-			Name:              o.Name,
-			Effect:            tenantEffects[o.Effect],
-			LatencyObjectiveS: o.Objective.D().Seconds(),
-			Stretch:           o.Stretch,
-			ClientTimeoutS:    o.Timeout.D().Seconds(),
-			BilledValue:       o.Value,
+			Name:                    o.Name,
+			Effect:                  tenantEffects[o.Effect],
+			LatencyObjectiveSeconds: o.Objective.D().Seconds(),
+			Stretch:                 o.Stretch,
+			ClientTimeoutSeconds:    o.Timeout.D().Seconds(),
+			BilledValue:             o.Value,
 		}
 		if o.Effect == effectDeduplicated {
 			operation.DedupScope = o.Scope
-			operation.DedupWindowS = o.Window.D().Seconds()
+			operation.DedupWindowSeconds = o.Window.D().Seconds()
 		}
 		spec.Operations = append(spec.Operations, operation)
 	}
--- a/internal/settings/capacity_test.go
+++ b/internal/settings/capacity_test.go
@@ -94,14 +94,14 @@
 		}
 		for o := range operationsPerTenant {
 			operation := tenants.Operation{
-				Name:              fmt.Sprint("operation-", o),
-				Effect:            tenants.Idempotent,
-				LatencyObjectiveS: 10,
-				ClientTimeoutS:    600,
-				BilledValue:       1,
+				Name:                    fmt.Sprint("operation-", o),
+				Effect:                  tenants.Idempotent,
+				LatencyObjectiveSeconds: 10,
+				ClientTimeoutSeconds:    600,
+				BilledValue:             1,
 			}
 			if n < changed {
-				operation.LatencyObjectiveS = objective
+				operation.LatencyObjectiveSeconds = objective
 			}
 			tenant.Spec.Operations = append(tenant.Spec.Operations, operation)
 		}
--- a/internal/settings/tenantoperations.go
+++ b/internal/settings/tenantoperations.go
@@ -54,12 +54,12 @@
 		d.addOperation(name, dispatch.Operation{
 			PriorityWeight:   operation.BilledValue / highestValue,
 			LateWeight:       operation.LateBilledValue,
-			LatencyObjective: Duration(operation.LatencyObjectiveS),
+			LatencyObjective: Duration(operation.LatencyObjectiveSeconds),
 			Stretch:          operation.Stretch,
 			Effect:           tenantEffectsByName[operation.Effect],
 			DedupScope:       dedupScopesByName[operation.DedupScope],
-			DedupWindow:      d.dedupWindow(operation.DedupWindowS),
+			DedupWindow:      d.dedupWindow(operation.DedupWindowSeconds),
 			WorkerKind:       anyWorkerKind,
-		}, Duration(operation.ClientTimeoutS))
+		}, Duration(operation.ClientTimeoutSeconds))
 	}
 }
--- a/internal/settings/tenantoperations_test.go
+++ b/internal/settings/tenantoperations_test.go
@@ -12,16 +12,16 @@
 func hostedTenants() []tenants.Tenant {
 	operation := func(name, effect string, value float64) tenants.Operation {
 		return tenants.Operation{
-			Name:              name,
-			Effect:            effect,
-			LatencyObjectiveS: 0.5,
-			ClientTimeoutS:    3,
-			BilledValue:       value,
-			DedupScope:        "cell",
+			Name:                    name,
+			Effect:                  effect,
+			LatencyObjectiveSeconds: 0.5,
+			ClientTimeoutSeconds:    3,
+			BilledValue:             value,
+			DedupScope:              "cell",
 		}
 	}
 	deduplicated := operation("a", tenants.Deduplicated, 3)
-	deduplicated.DedupWindowS = 2.5
+	deduplicated.DedupWindowSeconds = 2.5
 	return []tenants.Tenant{
 		{Handle: "t1", Spec: tenants.Spec{Operations: []tenants.Operation{
 			operation("a", tenants.Idempotent, 1e6),
--- a/internal/tenants/admission.go
+++ b/internal/tenants/admission.go
@@ -103,13 +103,13 @@
 		return Decision{Kind: RejectedByRetries, RetryAfter: retryBudgetRetryAfter}
 	}
 	c.refill(now, a)
-	if limits.RatePerS != nil && a.tokens < 1 {
+	if limits.RatePerSecond != nil && a.tokens < 1 {
 		return Decision{Kind: RejectedByRate, RetryAfter: c.nextToken(a)}
 	}
 	if limits.Concurrency != nil && float64(a.inFlight) >= c.concurrencyHere(*limits.Concurrency) {
 		return Decision{Kind: RejectedByConcurrency, RetryAfter: a.typicalDuration()}
 	}
-	if limits.HeldWorkS != nil && a.inFlight > 0 && a.heldWork+r.Work > *limits.HeldWorkS/c.schedulers {
+	if limits.HeldWorkSeconds != nil && a.inFlight > 0 && a.heldWork+r.Work > *limits.HeldWorkSeconds/c.schedulers {
 		return Decision{Kind: RejectedByHeldWork, RetryAfter: a.typicalDuration()}
 	}
 	// The tenant becomes active only now: invocations that its own limits reject must not make the
--- a/internal/tenants/admission_test.go
+++ b/internal/tenants/admission_test.go
@@ -9,7 +9,7 @@
 // Each limit rejects invocations by itself, with an advised delay if a retry can succeed.
 func Example_limits() {
 	f := newFixture(1000, 1)
-	f.putTenant("rate", 1, Limits{RatePerS: ptr(10.0), Burst: ptr(3.0)})
+	f.putTenant("rate", 1, Limits{RatePerSecond: ptr(10.0), Burst: ptr(3.0)})
 	fmt.Println(f.admit("rate", 5, Request{}))
 	f.now += 200 * ms
 	fmt.Println("0.2 s later:", f.admit("rate", 3, Request{}))
@@ -17,7 +17,7 @@
 	fmt.Println(f.admit("concurrency", 3, Request{}))
 	f.complete("concurrency", 1, Request{})
 	fmt.Println("one has completed:", f.admit("concurrency", 2, Request{}))
-	f.putTenant("work", 1, Limits{HeldWorkS: ptr(1.0)})
+	f.putTenant("work", 1, Limits{HeldWorkSeconds: ptr(1.0)})
 	fmt.Println(f.admit("work", 4, Request{Work: 0.4}))
 	f.putTenant("bytes", 1, Limits{RequestBytes: ptr(10)})
 	fmt.Println(f.admit("bytes", 1, Request{Bytes: 10}), f.admit("bytes", 1, Request{Bytes: 11}))
@@ -56,7 +56,7 @@
 // same moment.
 func TestRetryAfterHasJitter(t *testing.T) {
 	f := newFixture(100, 1)
-	f.putTenant("t", 1, Limits{RatePerS: ptr(1.0)})
+	f.putTenant("t", 1, Limits{RatePerSecond: ptr(1.0)})
 	f.admit("t", 1, Request{})
 	least := time.Hour
 	most := time.Duration(0)
--- a/internal/tenants/capacity_test.go
+++ b/internal/tenants/capacity_test.go
@@ -17,7 +17,7 @@
 // many samples as are retained.
 func newControllerWithActiveTenants(count, schedulers int) (*Controller, []*Account) {
 	c := NewController(6000, schedulers, rand.New(rand.NewPCG(1, 1)))
-	limits := Limits{RatePerS: ptr(1e6), Concurrency: ptr(100000), HeldWorkS: ptr(1e8), RetryRatio: ptr(0.1)}
+	limits := Limits{RatePerSecond: ptr(1e6), Concurrency: ptr(100000), HeldWorkSeconds: ptr(1e8), RetryRatio: ptr(0.1)}
 	var accounts []*Account
 	for n := range count {
 		a := c.Put(0, Tenant{
@@ -91,7 +91,7 @@
 				admitted := 0
 				for range usedSchedulers {
 					c := NewController(1e6, schedulers, rand.New(rand.NewPCG(1, 1)))
-					spec := Spec{Weight: 1, Limits: Limits{RatePerS: ptr(rate)}}
+					spec := Spec{Weight: 1, Limits: Limits{RatePerSecond: ptr(rate)}}
 					a := c.Put(0, Tenant{Name: "a", Handle: "h", State: Active, Spec: spec})
 					interval := time.Duration(float64(usedSchedulers) / rate * float64(time.Second))
 					for now := time.Duration(0); now < seconds*time.Second; now += interval {
--- a/internal/tenants/controller_test.go
+++ b/internal/tenants/controller_test.go
@@ -35,7 +35,7 @@
 	countVisits := func(tenants int) int {
 		f := newFixture(100, 1)
 		for n := range tenants {
-			f.putTenant(fmt.Sprint("t", n), 1, Limits{RatePerS: ptr(1e6)})
+			f.putTenant(fmt.Sprint("t", n), 1, Limits{RatePerSecond: ptr(1e6)})
 		}
 		for n := range tenants { // each tenant is active once
 			f.admit(fmt.Sprint("t", n), 1, Request{})
--- a/internal/tenants/fairshare_test.go
+++ b/internal/tenants/fairshare_test.go
@@ -85,7 +85,7 @@
 func TestRejectionByOwnLimitsDoesNotActivate(t *testing.T) {
 	f := newFixture(40, 1)
 	f.putTenant("calm", 1, Limits{})
-	f.putTenant("loud", 1, Limits{RatePerS: ptr(0.1), RequestBytes: ptr(1)})
+	f.putTenant("loud", 1, Limits{RatePerSecond: ptr(0.1), RequestBytes: ptr(1)})
 	f.admit("calm", 1, Request{})
 	f.admit("loud", 1, Request{})
 	f.complete("loud", 1, Request{})
--- a/internal/tenants/fixture_test.go
+++ b/internal/tenants/fixture_test.go
@@ -16,11 +16,11 @@
 // validSpec returns a spec that passes validation.
 func validSpec() Spec {
 	return Spec{Weight: 1, Operations: []Operation{{
-		Name:              "render",
-		Effect:            Idempotent,
-		LatencyObjectiveS: 1,
-		ClientTimeoutS:    2,
-		BilledValue:       1,
+		Name:                    "render",
+		Effect:                  Idempotent,
+		LatencyObjectiveSeconds: 1,
+		ClientTimeoutSeconds:    2,
+		BilledValue:             1,
 	}}}
 }
 
--- a/internal/tenants/store/capacity_test.go
+++ b/internal/tenants/store/capacity_test.go
@@ -20,11 +20,11 @@
 	spec := tenants.Spec{Weight: weight}
 	for n := range 32 {
 		spec.Operations = append(spec.Operations, tenants.Operation{
-			Name:              fmt.Sprint("operation-", n),
-			Effect:            tenants.Idempotent,
-			LatencyObjectiveS: 10,
-			ClientTimeoutS:    600,
-			BilledValue:       1,
+			Name:                    fmt.Sprint("operation-", n),
+			Effect:                  tenants.Idempotent,
+			LatencyObjectiveSeconds: 10,
+			ClientTimeoutSeconds:    600,
+			BilledValue:             1,
 		})
 	}
 	return spec
--- a/internal/tenants/store/store_test.go
+++ b/internal/tenants/store/store_test.go
@@ -18,11 +18,11 @@
 
 func newSpec(weight float64) tenants.Spec {
 	return tenants.Spec{Weight: weight, Operations: []tenants.Operation{{
-		Name:              "render",
-		Effect:            tenants.Idempotent,
-		LatencyObjectiveS: 1,
-		ClientTimeoutS:    2,
-		BilledValue:       1,
+		Name:                    "render",
+		Effect:                  tenants.Idempotent,
+		LatencyObjectiveSeconds: 1,
+		ClientTimeoutSeconds:    2,
+		BilledValue:             1,
 	}}}
 }
 
--- a/internal/tenants/tenant.go
+++ b/internal/tenants/tenant.go
@@ -12,15 +12,15 @@
 // Limits bound what a tenant may use at all schedulers together. A limit that is nil does not apply;
 // the fields are pointers because 0 is invalid and not the same as no limit.
 type Limits struct {
-	// RatePerS is how many invocations are admitted per second.
-	RatePerS *float64 `json:"rate_per_s,omitzero"`
+	// RatePerSecond is how many invocations are admitted per second.
+	RatePerSecond *float64 `json:"rate_per_s,omitzero"`
 	// Burst is the size of the token bucket, in invocations. The default is the invocations of one
-	// second at RatePerS.
+	// second at RatePerSecond.
 	Burst *float64 `json:"burst,omitzero"`
 	// Concurrency is how many invocations may be in flight.
 	Concurrency *int `json:"concurrency,omitzero"`
-	// HeldWorkS bounds the sum of the hinted costs in flight, in seconds on a standard core.
-	HeldWorkS *float64 `json:"held_work_s,omitzero"`
+	// HeldWorkSeconds bounds the sum of the hinted costs in flight, in seconds on a standard core.
+	HeldWorkSeconds *float64 `json:"held_work_s,omitzero"`
 	// RequestBytes is the maximum size of a request's body.
 	RequestBytes *int `json:"request_bytes,omitzero"`
 	// RetryRatio is how many retries each first attempt earns.
@@ -34,15 +34,15 @@
 	Effect string `json:"effect"`
 	// DedupScope names the workers among which repeats are dropped: "all", "zone" or "cell".
 	DedupScope string `json:"dedup_scope,omitzero"`
-	// DedupWindowS is how long workers drop repeats, in seconds.
-	DedupWindowS float64 `json:"dedup_window_s,omitzero"`
-	// LatencyObjectiveS is the time, in seconds, within which an answer earns BilledValue.
-	LatencyObjectiveS float64 `json:"latency_objective_s"`
+	// DedupWindowSeconds is how long workers drop repeats, in seconds.
+	DedupWindowSeconds float64 `json:"dedup_window_s,omitzero"`
+	// LatencyObjectiveSeconds is the time, in seconds, within which an answer earns BilledValue.
+	LatencyObjectiveSeconds float64 `json:"latency_objective_s"`
 	// Stretch is the multiple of an invocation's own work that is added to the objective.
 	Stretch float64 `json:"stretch,omitzero"`
-	// ClientTimeoutS is how long clients wait for an answer, in seconds.
-	ClientTimeoutS float64 `json:"client_timeout_s"`
-	BilledValue    float64 `json:"billed_value"`
+	// ClientTimeoutSeconds is how long clients wait for an answer, in seconds.
+	ClientTimeoutSeconds float64 `json:"client_timeout_s"`
+	BilledValue          float64 `json:"billed_value"`
 	// LateBilledValue is the value of an answer after the objective, as a fraction of BilledValue.
 	LateBilledValue float64 `json:"late_billed_value,omitzero"`
 }
--- a/internal/tenants/usage.go
+++ b/internal/tenants/usage.go
@@ -16,17 +16,17 @@
 
 // Usage is what one tenant has used at one scheduler since the process started, and what it uses now.
 type Usage struct {
-	Admitted      int
-	Retries       int
-	Completed     [dispositionCount]int // indexed by Disposition
-	Throttled     map[RejectionKind]int // one entry for each of RejectionKinds
-	InFlight      int
-	HeldWorkS     float64 // sum of the hinted costs in flight, in seconds on a standard core
-	Bytes         int64   // total size of the admitted bodies
-	ShareInFlight float64 // invocations that it may have in flight while capacity is scarce
-	WorkRate      float64 // worker time that it uses, in seconds per second, as of the last call of Quotas
-	WorkShare     float64 // its fair share of the worker time of all tenants, like WorkRate
-	OverShare     bool    // WorkRate exceeds WorkShare, so its work is queued behind that of others
+	Admitted        int
+	Retries         int
+	Completed       [dispositionCount]int // indexed by Disposition
+	Throttled       map[RejectionKind]int // one entry for each of RejectionKinds
+	InFlight        int
+	HeldWorkSeconds float64 // sum of the hinted costs in flight, in seconds on a standard core
+	Bytes           int64   // total size of the admitted bodies
+	ShareInFlight   float64 // invocations that it may have in flight while capacity is scarce
+	WorkRate        float64 // worker time that it uses, in seconds per second, as of the last call of Quotas
+	WorkShare       float64 // its fair share of the worker time of all tenants, like WorkRate
+	OverShare       bool    // WorkRate exceeds WorkShare, so its work is queued behind that of others
 }
 
 // Usage returns what a tenant has used at this scheduler since this process added its account.
@@ -37,7 +37,7 @@
 		usage.Throttled[kind] = a.usage.Throttled[kind]
 	}
 	usage.InFlight = a.inFlight
-	usage.HeldWorkS = a.heldWork
+	usage.HeldWorkSeconds = a.heldWork
 	usage.ShareInFlight = c.weightShare(a)
 	usage.WorkRate = a.workRate
 	usage.WorkShare = a.workShare
--- a/internal/tenants/validation.go
+++ b/internal/tenants/validation.go
@@ -115,13 +115,13 @@
 }
 
 func (v *validator) limits(l Limits) {
-	v.optionalPositive("/limits/rate_per_s", l.RatePerS, maxQuantity)
+	v.optionalPositive("/limits/rate_per_s", l.RatePerSecond, maxQuantity)
 	v.optionalPositive("/limits/burst", l.Burst, maxQuantity)
-	v.optionalPositive("/limits/held_work_s", l.HeldWorkS, maxQuantity)
+	v.optionalPositive("/limits/held_work_s", l.HeldWorkSeconds, maxQuantity)
 	v.optionalPositive("/limits/retry_ratio", l.RetryRatio, maxRetryRatio)
 	v.optionalPositiveCount("/limits/concurrency", l.Concurrency)
 	v.optionalPositiveCount("/limits/request_bytes", l.RequestBytes)
-	if l.Burst != nil && l.RatePerS == nil {
+	if l.Burst != nil && l.RatePerSecond == nil {
 		v.fail("/limits/burst", "is set, and rate_per_s is not")
 	}
 }
@@ -152,8 +152,8 @@
 	if !slices.Contains(effects, o.Effect) {
 		v.fail(prefix+"effect", "%q is none of %s", o.Effect, strings.Join(effects, ", "))
 	}
-	v.positive(prefix+"latency_objective_s", o.LatencyObjectiveS, maxSeconds)
-	v.positive(prefix+"client_timeout_s", o.ClientTimeoutS, maxSeconds)
+	v.positive(prefix+"latency_objective_s", o.LatencyObjectiveSeconds, maxSeconds)
+	v.positive(prefix+"client_timeout_s", o.ClientTimeoutSeconds, maxSeconds)
 	v.positive(prefix+"billed_value", o.BilledValue, maxQuantity)
 	if !isBetween(o.Stretch, 0, maxStretch) {
 		v.fail(prefix+"stretch", "%v is not between 0 and %d", o.Stretch, maxStretch)
@@ -165,8 +165,8 @@
 		v.fail(prefix+"dedup_scope", "%q is none of all, zone, cell", o.DedupScope)
 	}
 	if o.Effect == Deduplicated {
-		v.positive(prefix+"dedup_window_s", o.DedupWindowS, maxSeconds)
-	} else if o.DedupWindowS != 0 || o.DedupScope != "" {
+		v.positive(prefix+"dedup_window_s", o.DedupWindowSeconds, maxSeconds)
+	} else if o.DedupWindowSeconds != 0 || o.DedupScope != "" {
 		v.fail(prefix+"effect", "%q knows no repeats, and a window or scope is set", o.Effect)
 	}
 }
--- a/internal/tenants/validation_test.go
+++ b/internal/tenants/validation_test.go
@@ -10,16 +10,16 @@
 	zero, negative := 0.0, -2
 	s := validSpec()
 	s.Weight = 0
-	s.Limits = Limits{RatePerS: &zero, Concurrency: &negative}
+	s.Limits = Limits{RatePerSecond: &zero, Concurrency: &negative}
 	s.Operations = append(s.Operations,
-		Operation{Name: "render", Effect: "sometimes", LatencyObjectiveS: 1e12, BilledValue: 1},
+		Operation{Name: "render", Effect: "sometimes", LatencyObjectiveSeconds: 1e12, BilledValue: 1},
 		Operation{ // the name has a Cyrillic е
-			Name:              "rеnder",
-			Effect:            Idempotent,
-			DedupWindowS:      3,
-			LatencyObjectiveS: 1,
-			ClientTimeoutS:    1,
-			BilledValue:       1,
+			Name:                    "rеnder",
+			Effect:                  Idempotent,
+			DedupWindowSeconds:      3,
+			LatencyObjectiveSeconds: 1,
+			ClientTimeoutSeconds:    1,
+			BilledValue:             1,
 		})
 	for _, fieldError := range s.Validate() {
 		fmt.Println(fieldError)
