--- a/internal/lab/loopback/callbacks.go
+++ b/internal/lab/loopback/callbacks.go
@@ -37,16 +37,16 @@
 	case model.Completed:
 		c.State = "done"
 		c.Result = fmt.Sprintf("made %s at %s", id, uid)
-		cause = "done"
+		cause = "completed"
 	case model.Failed:
 		c.State = "failed"
 		cause = "failed"
 	case model.Returned:
 		c.State = "returned"
-		cause = "returned unstarted"
+		cause = "returned without having started"
 	case model.Lost:
 		c.State = "lost"
-		cause = "lost with its process"
+		cause = "lost when its process exited"
 	}
 	return c, cause
 }
--- a/internal/lab/loopback/worker_server.go
+++ b/internal/lab/loopback/worker_server.go
@@ -118,7 +118,7 @@
 	for _, a := range sent.attempts {
 		if a.Machine == w.machine {
 			// For the rules it is cancelled now, whether or not the machine receives the cancellation.
-			m.Rules.AttemptEnded(now, a.Request, a.Number, false, "called off")
+			m.Rules.AttemptEnded(now, a.Request, a.Number, false, "cancelled")
 			m.Cluster.Cancel(now, a)
 		}
 	}
@@ -183,7 +183,7 @@
 	response := m.Cluster.Submit(now, a)
 	switch response {
 	case model.Rejected, model.ConnectionRefused:
-		m.Rules.AttemptEnded(now, a.Request, a.Number, true, "turned away")
+		m.Rules.AttemptEnded(now, a.Request, a.Number, true, "rejected")
 	case model.FailedAtOnce:
 		m.Rules.AttemptEnded(now, a.Request, a.Number, false, "failed at once")
 	case model.ConnectionReset:
