--- a/cmd/stoatweir/process_rig_test.go
+++ b/cmd/stoatweir/process_rig_test.go
@@ -102,15 +102,24 @@
 	return fmt.Sprintf("127.%d.%d.%d", 32+pid>>16&63, pid>>8&255, pid&255)
 }
 
-// unusedAddr returns a loopback address at which nothing listens.
+// returnedAddrs holds the addresses that unusedAddr has returned.
+var returnedAddrs sync.Map
+
+// unusedAddr returns a loopback address at which nothing listens. It returns no address twice: its
+// listener is closed before the address is used, so the kernel may choose the same port again.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", loopbackHost()+":0")
-	if err != nil {
-		t.Fatal(err)
+	for {
+		listener, err := net.Listen("tcp", loopbackHost()+":0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		addr := listener.Addr().String()
+		listener.Close()
+		if _, returned := returnedAddrs.LoadOrStore(addr, true); !returned {
+			return addr
+		}
 	}
-	defer listener.Close()
-	return listener.Addr().String()
 }
 
 // newTestRig returns a rig with the given number of workers, whose jobs take jobDuration. It starts
